--- a/packages/millfork-routing/millfork_routing/balance.py
+++ b/packages/millfork-routing/millfork_routing/balance.py
@@ -11,15 +11,15 @@
 
 # A preferred endpoint is passed over once it is this much above the mean.
 BOUNDED_LOAD: Final = 1.25
-UNKNOWN_LIMIT: Final = 8
+DEFAULT_LIMIT: Final = 8
 # One that turns a request away is passed over this long, doubling with each one in a row: it
 # may be full for a moment, or turn all away.
 FIRST_PASSED_OVER_S: Final = 0.05
-MOST_PASSED_OVER_S: Final = 2.0
+MAX_PASSED_OVER_S: Final = 2.0
 
 
 @dataclass(frozen=True, slots=True)
-class Busy:
+class BusyNotice:
     """
     An endpoint's word to one organisation that all its places are taken:
     until when to believe it, and when the caller may come back.
@@ -39,7 +39,7 @@
 
     instance: InstanceId
     zone: ZoneId
-    limit: int = UNKNOWN_LIMIT
+    limit: int = DEFAULT_LIMIT
     reported: int = 0
     mine_at_report: int = 0
     mine: int = 0
@@ -50,7 +50,7 @@
     turned_away: int = 0
     turned_away_at: float = float('-inf')
     passed_over_until: float = float('-inf')
-    busy: dict[OrganisationId, Busy] = field(default_factory=dict)
+    busy: dict[OrganisationId, BusyNotice] = field(default_factory=dict)
     served: dict[str, str] = field(default_factory=dict)
     # When its process started, in ns since 1970; 0 where it was not told.
     start: int = 0
@@ -68,7 +68,7 @@
     def load(self) -> float:
         return self.occupied / self.limit
 
-    def busy_for(self, organisation: OrganisationId, now: float) -> Busy | None:
+    def busy_for(self, organisation: OrganisationId, now: float) -> BusyNotice | None:
         """
         Whether it lately refused this organisation; another's flood is no
         reason to pass it over.
@@ -86,12 +86,12 @@
         if sent_at < self.turned_away_at:
             # Sent before the last one was known to be turned away: that says nothing more.
             return
-        wait_s = min(FIRST_PASSED_OVER_S * 2.0**self.turned_away, MOST_PASSED_OVER_S)
+        wait_s = min(FIRST_PASSED_OVER_S * 2.0**self.turned_away, MAX_PASSED_OVER_S)
         self.passed_over_until = now + wait_s
         self.turned_away += 1
         self.turned_away_at = now
 
-    def note_taken(self, sent_at: float) -> None:
+    def note_accepted(self, sent_at: float) -> None:
         """
         Its back end took what was sent at a moment.
 
@@ -99,7 +99,7 @@
         if sent_at >= self.turned_away_at:
             self.turned_away = 0
 
-    def take_report(self, occupied: int, limit: int) -> None:
+    def apply_report(self, occupied: int, limit: int) -> None:
         """
         Take a load report as of now.
 
@@ -109,7 +109,7 @@
         self.mine_at_report = self.mine
 
 
-def usable(backend: Backend, organisation: OrganisationId, now: float) -> bool:
+def is_usable(backend: Backend, organisation: OrganisationId, now: float) -> bool:
     """
     Whether the endpoint may be asked for this organisation's request.
 
@@ -133,7 +133,7 @@
     is loaded well above the mean; without a key, the least loaded.
 
     """
-    able = [b for b in backends if b.instance not in tried and usable(b, organisation, now)]
+    able = [b for b in backends if b.instance not in tried and is_usable(b, organisation, now)]
     if not able:
         return None
     # Where all turn away, they are asked all the same.
--- a/packages/millfork-routing/millfork_routing/documents.py
+++ b/packages/millfork-routing/millfork_routing/documents.py
@@ -69,7 +69,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EngineFigures:
+class EngineSpec:
     """
     What an engine of a service can do. Times are ms, memory is tokens.
 
@@ -98,7 +98,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OriginFigures:
+class OriginSpec:
     """
     Where a service's weights come from.
 
@@ -122,8 +122,8 @@
 
     name: ServiceName
     max_connections: int
-    engine: EngineFigures | None = None
-    origin: OriginFigures | None = None
+    engine: EngineSpec | None = None
+    origin: OriginSpec | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -167,7 +167,7 @@
     limits: CallerLimits = NO_LIMITS
 
 
-def problems_of(document: Document) -> list[str]:
+def find_problems(document: Document) -> list[str]:
     """
     Everything that makes a document unacceptable; empty if it is good.
 
--- a/packages/millfork-routing/millfork_routing/limits.py
+++ b/packages/millfork-routing/millfork_routing/limits.py
@@ -16,7 +16,7 @@
 SERVICE_TIME_WEIGHT: Final = 0.1
 FIRST_SERVICE_TIME_S: Final = 0.2
 MIN_RETRY_AFTER_MS: Final = 100
-MAX_REMEMBERED: Final = 10_000
+MAX_ORGANISATIONS_REMEMBERED: Final = 10_000
 
 
 @dataclass(slots=True)
@@ -45,19 +45,19 @@
     def __init__(
         self,
         slots: int,
-        most_waiting: int,
+        max_waiting: int,
         share: Callable[[OrganisationId], int],
         monotonic: Callable[[], float],
     ) -> None:
         self.slots = slots
-        self.most_waiting = most_waiting
+        self.max_waiting = max_waiting
         self.share = share
         self.monotonic = monotonic
         self.running = 0
         self.waiting = 0
         self.queues: OrderedDict[OrganisationId, deque[Waiter]] = OrderedDict()
         # Fractions, as rounding would let one overtake another.
-        self.virtual: dict[OrganisationId, Fraction] = {}
+        self.virtual_times: dict[OrganisationId, Fraction] = {}
         self.virtual_now = Fraction(0)
         self.service_time_s = FIRST_SERVICE_TIME_S
 
@@ -75,27 +75,27 @@
         ahead = min(ahead, self.waiting + 1)
         return ahead * self.service_time_s / self.slots
 
-    def refuses(self, organisation: OrganisationId, patience_s: float) -> int:
+    def refusal_wait_ms(self, organisation: OrganisationId, max_wait_s: float) -> int:
         """
         0 if a request may wait here, else when to come back, in ms.
 
         """
         wait_s = self.expected_wait_s(organisation)
         queued = len(self.queues.get(organisation, ()))
-        if wait_s <= patience_s and queued < self._room(organisation):
+        if wait_s <= max_wait_s and queued < self._queue_capacity(organisation):
             return 0
         return max(int(wait_s * 1000), MIN_RETRY_AFTER_MS)
 
-    def _room(self, organisation: OrganisationId) -> int:
+    def _queue_capacity(self, organisation: OrganisationId) -> int:
         """
         Places in the queue for one organisation: its share of all places.
 
         """
         if self.running < self.slots:
-            return self.slots + self.most_waiting
+            return self.slots + self.max_waiting
         shares = sum(self.share(name) for name in self.queues if name != organisation)
         own_share = self.share(organisation)
-        return max(self.most_waiting * own_share // (shares + own_share), 1)
+        return max(self.max_waiting * own_share // (shares + own_share), 1)
 
     async def join(self, organisation: OrganisationId, until: float) -> Waiter:
         """
@@ -104,7 +104,7 @@
         """
         waiter = Waiter(organisation, until)
         if organisation not in self.queues:
-            self._enter(organisation)
+            self._add_queue(organisation)
         self.queues[organisation].append(waiter)
         self.waiting += 1
         await self._grant()
@@ -136,12 +136,12 @@
 
     async def _grant(self) -> None:
         while self.running < self.slots and self.queues:
-            organisation = min(self.queues, key=lambda name: self.virtual[name])
+            organisation = min(self.queues, key=lambda name: self.virtual_times[name])
             waiter = self._next(organisation)
             if waiter is None:
                 continue
-            self.virtual_now = self.virtual[organisation]
-            self.virtual[organisation] += Fraction(1, self.share(organisation))
+            self.virtual_now = self.virtual_times[organisation]
+            self.virtual_times[organisation] += Fraction(1, self.share(organisation))
             waiter.has_slot = True
             self.running += 1
             await waiter.granted.set()
@@ -163,21 +163,21 @@
             return None
         return waiter
 
-    def _enter(self, organisation: OrganisationId) -> None:
+    def _add_queue(self, organisation: OrganisationId) -> None:
         """
         An organisation that waits again starts at the present virtual time:
         it is not owed what it left unused, and waits for no one's arrears.
 
         """
-        if len(self.virtual) > MAX_REMEMBERED:
-            self.virtual = {name: self.virtual[name] for name in self.queues}
-        self.virtual[organisation] = max(
-            self.virtual.get(organisation, self.virtual_now), self.virtual_now
+        if len(self.virtual_times) > MAX_ORGANISATIONS_REMEMBERED:
+            self.virtual_times = {name: self.virtual_times[name] for name in self.queues}
+        self.virtual_times[organisation] = max(
+            self.virtual_times.get(organisation, self.virtual_now), self.virtual_now
         )
         self.queues[organisation] = deque()
 
 
-class InFlight:
+class InFlightCounter:
     """
     Requests in progress on one entry, by organisation, under a ceiling.
 
--- a/packages/millfork-routing/millfork_routing/retries.py
+++ b/packages/millfork-routing/millfork_routing/retries.py
@@ -13,7 +13,7 @@
 WINDOW_S: Final = 10.0
 
 # Refusals of a single endpoint, which another may not share.
-WORTH_ANOTHER_ENDPOINT: Final = frozenset(
+RETRIABLE_REASONS: Final = frozenset(
     {
         Reason.UNREACHABLE,
         Reason.TIMED_OUT,
@@ -83,6 +83,6 @@
     not run, else only if it may be repeated.
 
     """
-    if refusal.reason not in WORTH_ANOTHER_ENDPOINT:
+    if refusal.reason not in RETRIABLE_REASONS:
         return False
     return refusal.verdict is Verdict.NOT_RUN or repeatable
--- a/packages/millfork-routing/millfork_routing/routes.py
+++ b/packages/millfork-routing/millfork_routing/routes.py
@@ -18,7 +18,7 @@
         self.services: dict[ServiceName, Service] = {
             service.name: service for service in document.services
         }
-        self.holders: dict[str, Organisation] = {
+        self.organisations_by_key: dict[str, Organisation] = {
             key: organisation
             for organisation in document.organisations
             for key in organisation.keys
@@ -49,12 +49,12 @@
                 return route
         return None
 
-    def holder(self, key: str) -> Organisation | None:
+    def organisation_of_key(self, key: str) -> Organisation | None:
         """
         The organisation that holds an API key.
 
         """
-        return self.holders.get(key)
+        return self.organisations_by_key.get(key)
 
 
 def pick_service(route: Route, draw: float) -> ServiceName:
--- a/packages/millfork-routing/millfork_routing/budget.py
+++ b/packages/millfork-routing/millfork_routing/shared_budget.py
@@ -32,7 +32,7 @@
 USED_SHARE: Final = 0.7
 # Of the ratio, in a process's first window: the one before it may have spent the share
 # above in the same window, and both together are less than the whole.
-FIRST_SHARE: Final = 0.2
+FIRST_WINDOW_SHARE: Final = 0.2
 
 
 @dataclass(slots=True)
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BudgetPart:
+class BudgetShare:
     """
     One entry's part for a service: repeats sent and requests within the window, the
     repeats allowed, and the number of entries that the fixed allowance was divided by (0:
@@ -56,7 +56,7 @@
     entries: int
 
 
-def never_in_touch() -> bool:
+def without_quorum() -> bool:
     """
     The case of an entry that knows nothing of a majority of the replicas.
 
@@ -68,7 +68,7 @@
     """
     One entry's part of the budget, for each service.
 
-    `entries` tells how many entries there are as far as a replica knows, `in_touch`
+    `entries` tells how many entries there are as far as a replica knows, `has_quorum`
     whether that replica is in touch with a majority of them now.
 
     """
@@ -80,18 +80,18 @@
         window_s: float,
         entries: Callable[[], int],
         monotonic: Callable[[], float],
-        in_touch: Callable[[], bool] = never_in_touch,
+        has_quorum: Callable[[], bool] = without_quorum,
     ) -> None:
         self.ratio = ratio
         self.slack = slack
         self.window_s = window_s
         self.entries = entries
         self.monotonic = monotonic
-        self.in_touch = in_touch
+        self.has_quorum = has_quorum
         self.began = monotonic()
         # Since when it has been in touch; once that was a whole window, a loss of touch
         # no longer changes it.
-        self.in_touch_since: float | None = None
+        self.quorum_since: float | None = None
         self.most_entries = MostLately(ENTRIES_REMEMBERED_S)
         self.windows: dict[ServiceName, _Window] = {}
 
@@ -109,13 +109,13 @@
         Take one repeat, if there is one left.
 
         """
-        part = self.part(service)
+        part = self.current_share(service)
         if part.spent + 1 > part.allowed:
             return False
         self.windows[service].repeats.append(self.monotonic())
         return True
 
-    def part(self, service: ServiceName) -> BudgetPart:
+    def current_share(self, service: ServiceName) -> BudgetShare:
         """
         This entry's part as it is now.
 
@@ -124,14 +124,14 @@
         entries = self.count_entries()
         allowed = self.ratio * len(window.requests)
         if self.monotonic() - self.began < self.window_s:
-            allowed *= FIRST_SHARE
+            allowed *= FIRST_WINDOW_SHARE
         else:
             allowed *= USED_SHARE
-        if self._has_allowance():
+        if self._knows_all_entries():
             allowed += USED_SHARE * self.slack / entries
         else:
             entries = 0
-        return BudgetPart(len(window.repeats), len(window.requests), allowed, entries)
+        return BudgetShare(len(window.repeats), len(window.requests), allowed, entries)
 
     def count_entries(self) -> int:
         """
@@ -141,21 +141,21 @@
         """
         now = self.monotonic()
         entries = max(self.entries(), 1)
-        if not self.in_touch():
-            if not self._has_allowance():
-                self.in_touch_since = None
+        if not self.has_quorum():
+            if not self._knows_all_entries():
+                self.quorum_since = None
             # Those behind the cut draw on the allowance for as long as it lasts.
             return max(self.most_entries.most, entries)
-        if self.in_touch_since is None:
-            self.in_touch_since = now
+        if self.quorum_since is None:
+            self.quorum_since = now
         return self.most_entries.note(entries, now)
 
-    def _has_allowance(self) -> bool:
+    def _knows_all_entries(self) -> bool:
         """
         Whether this entry knows of all that draw on the fixed allowance.
 
         """
-        since = self.in_touch_since
+        since = self.quorum_since
         return since is not None and self.monotonic() - since >= self.window_s
 
     def _window(self, service: ServiceName) -> _Window:
--- a/packages/millfork-scheduling/millfork_scheduling/availability.py
+++ b/packages/millfork-scheduling/millfork_scheduling/availability.py
@@ -21,16 +21,16 @@
 # that named a limit.
 REPORT_LAG_S: Final = 0.6
 # Beyond this a rest is not believed: the back end would be closed for good.
-MOST_REST_S: Final = 300.0
+MAX_REST_S: Final = 300.0
 # A request that asks whether a rest is over has its answer by then, or says nothing.
-ANSWER_WITHIN_S: Final = 1.0
+PROBE_TIMEOUT_S: Final = 1.0
 # An incarnation that leaves is gone within seconds; a lease behind a long cut may come back.
 REMEMBERED_S: Final = 3600.0
 # Three times as many as there are back ends at the two-year size.
-MOST_REMEMBERED: Final = 10_000
+MAX_REMEMBERED: Final = 10_000
 
 
-class ToldBy(Enum):
+class SignalSource(Enum):
     """
     How an entry was told.
 
@@ -63,7 +63,7 @@
 
 
 @dataclass(slots=True)
-class Rest:
+class RestPeriod:
     """
     The rests that a back end asked this entry for. Once one is over, a single request asks
     whether it takes more; the others wait for its answer. Times are monotonic seconds.
@@ -71,31 +71,31 @@
     """
 
     until: float
-    asked_at: float = float('-inf')
+    probed_at: float = float('-inf')
 
     def extend(self, rest_s: float, now: float) -> None:
         """
         Take another rest; an answer that was under way shortens none.
 
         """
-        self.until = max(self.until, now + min(rest_s, MOST_REST_S))
-        self.asked_at = float('-inf')
+        self.until = max(self.until, now + min(rest_s, MAX_REST_S))
+        self.probed_at = float('-inf')
 
     def opens_in_s(self, now: float) -> float:
         """
         Seconds until a request may be sent, 0 if one may now.
 
         """
-        return max(self.until - now, self.asked_at + ANSWER_WITHIN_S - now, 0.0)
+        return max(self.until - now, self.probed_at + PROBE_TIMEOUT_S - now, 0.0)
 
     def note_sent(self, now: float) -> None:
         """
         A request is sent after the rest, to ask.
 
         """
-        self.asked_at = now
+        self.probed_at = now
 
-    def ends_with(self, sent_at: float) -> bool:
+    def is_ended_by(self, sent_at: float) -> bool:
         """
         Whether the answer to what was sent at a moment, not turned away, ends it.
 
@@ -103,7 +103,7 @@
         return sent_at >= self.until
 
 
-class ClosedFor(Enum):
+class ClosureReason(Enum):
     """
     Why a back end may not be sent to now, by its own word.
 
@@ -121,7 +121,7 @@
 
     """
 
-    closed_for: ClosedFor
+    closure_reason: ClosureReason
     opens_in_s: float
 
 
@@ -148,24 +148,24 @@
     random: Random = field(default_factory=Random)
     limit: LimitShare | None = None
     limit_named_at: float = float('-inf')
-    rest: Rest | None = None
+    rest: RestPeriod | None = None
     # An incarnation that leaves comes back no more, whatever its heartbeats say.
     leaving: bool = False
     # What the daemon beside it said last: where incarnations are not told, its word may be
     # of the engine before this one.
     reported_leaving: bool = False
 
-    def take_answer(
-        self, told: Backpressure, sent_at: float, now: float, turned_away: bool = False
+    def apply_answer(
+        self, backpressure: Backpressure, sent_at: float, now: float, turned_away: bool = False
     ) -> list[SignalChange]:
         """
         Take what the answer to a request says that was sent at a moment; returns what changed.
 
         """
-        changes = self._take_leaving(told.leaving)
-        changes += self._take_rest(told.rest_s or 0.0, sent_at, now, turned_away)
-        if told.limit_per_s is not None:
-            return changes + self._name_limit(told.limit_per_s, now)
+        changes = self._take_leaving(backpressure.leaving)
+        changes += self._take_rest(backpressure.rest_s or 0.0, sent_at, now, turned_away)
+        if backpressure.limit_per_s is not None:
+            return changes + self._start_or_change_limit(backpressure.limit_per_s, now)
         if sent_at <= self.limit_named_at:
             # The back end may have answered before it named the limit.
             return changes
@@ -177,10 +177,10 @@
         rest = self.rest
         if rest_s:
             event = SignalEvent.BEGAN if rest is None else SignalEvent.CHANGED
-            self.rest = rest or Rest(now)
+            self.rest = rest or RestPeriod(now)
             self.rest.extend(rest_s, now)
             return [SignalChange(Signal.REST, event, rest_s)]
-        if rest is None or turned_away or not rest.ends_with(sent_at):
+        if rest is None or turned_away or not rest.is_ended_by(sent_at):
             return []
         self.rest = None
         return [SignalChange(Signal.REST, SignalEvent.ENDED, now - rest.until)]
@@ -191,14 +191,14 @@
         self.leaving = True
         return [SignalChange(Signal.LEAVING, SignalEvent.BEGAN, 0.0)]
 
-    def take_report(self, told: Backpressure, now: float) -> list[SignalChange]:
+    def apply_report(self, backpressure: Backpressure, now: float) -> list[SignalChange]:
         """
         Take what the daemon beside a back end was told; returns what changed.
 
         """
-        changes = self._report_leaving(told.leaving)
-        if told.limit_per_s is not None:
-            return changes + self._name_limit(told.limit_per_s, now)
+        changes = self._report_leaving(backpressure.leaving)
+        if backpressure.limit_per_s is not None:
+            return changes + self._start_or_change_limit(backpressure.limit_per_s, now)
         if now - self.limit_named_at < REPORT_LAG_S:
             return changes
         return changes + self._end_limit()
@@ -217,13 +217,13 @@
 
         """
         if self.leaving or self.reported_leaving:
-            return Closure(ClosedFor.LEAVING, float('inf'))
+            return Closure(ClosureReason.LEAVING, float('inf'))
         rest_s = self.rest.opens_in_s(now) if self.rest is not None else 0.0
         if rest_s:
-            return Closure(ClosedFor.RESTING, rest_s)
-        if self.limit is None or self.limit.has_one(now, entries):
+            return Closure(ClosureReason.RESTING, rest_s)
+        if self.limit is None or self.limit.can_send(now, entries):
             return None
-        return Closure(ClosedFor.LIMITED, self.limit.next_in_s(now, entries))
+        return Closure(ClosureReason.LIMITED, self.limit.expected_wait_s(now, entries))
 
     def note_sent(self, now: float, entries: int) -> None:
         """
@@ -233,14 +233,14 @@
         if self.rest is not None:
             self.rest.note_sent(now)
         if self.limit is not None:
-            self.limit.take(now, entries)
+            self.limit.consume(now, entries)
 
-    def _name_limit(self, limit_per_s: float, now: float) -> list[SignalChange]:
+    def _start_or_change_limit(self, limit_per_s: float, now: float) -> list[SignalChange]:
         self.limit_named_at = now
         if self.limit is None:
             self.limit = LimitShare(self.random, limit_per_s, now)
             return [SignalChange(Signal.LIMIT, SignalEvent.BEGAN, limit_per_s)]
-        if not self.limit.change(limit_per_s):
+        if not self.limit.set_limit(limit_per_s):
             return []
         return [SignalChange(Signal.LIMIT, SignalEvent.CHANGED, limit_per_s)]
 
@@ -264,7 +264,7 @@
         # With the moment at which the lease went, the latest last.
         self.kept: dict[tuple[InstanceId, Incarnation], tuple[float, Availability]] = {}
 
-    def keep(self, key: tuple[InstanceId, Incarnation], availability: Availability) -> None:
+    def store(self, key: tuple[InstanceId, Incarnation], availability: Availability) -> None:
         """
         The lease of an incarnation goes.
 
@@ -273,11 +273,11 @@
         self.kept.pop(key, None)
         self.kept[key] = (now, availability)
         for other, (lapsed_at, _) in list(self.kept.items()):
-            if now - lapsed_at < REMEMBERED_S and len(self.kept) <= MOST_REMEMBERED:
+            if now - lapsed_at < REMEMBERED_S and len(self.kept) <= MAX_REMEMBERED:
                 return
             del self.kept[other]
 
-    def take_back(self, key: tuple[InstanceId, Incarnation]) -> Availability:
+    def restore(self, key: tuple[InstanceId, Incarnation]) -> Availability:
         """
         The lease of an incarnation comes, for the first time or again.
 
--- a/packages/millfork-scheduling/millfork_scheduling/fleet_index.py
+++ b/packages/millfork-scheduling/millfork_scheduling/fleet_index.py
@@ -13,9 +13,9 @@
 # Of each service, among how many engines of the own zone and of others an entry draws: it
 # keeps a connection to the daemons beside them. Where entries are few, more, so that each
 # engine is drawn by some of them.
-MOST_NEAR: Final = 32
-MOST_FAR: Final = 16
-DRAWN_BY: Final = 6
+MAX_NEAR: Final = 32
+MAX_FAR: Final = 16
+ENTRIES_PER_ENGINE: Final = 6
 
 
 class FleetIndex:
@@ -48,9 +48,9 @@
             side.setdefault(server.service, []).append(server)
             self.by_address[(server.host, server.port)] = server
         for service, found in self.by_service.items():
-            share = DRAWN_BY * len(found) // max(self.entries(), 1)
-            _keep_least(self.near, service, max(MOST_NEAR, share))
-            _keep_least(self.far, service, max(MOST_FAR, share))
+            share = ENTRIES_PER_ENGINE * len(found) // max(self.entries(), 1)
+            _keep_least(self.near, service, max(MAX_NEAR, share))
+            _keep_least(self.far, service, max(MAX_FAR, share))
 
 
 def _keep_least(servers: dict[ServiceName, list[Server]], service: ServiceName, most: int) -> None:
--- a/packages/millfork-scheduling/millfork_scheduling/limit_share.py
+++ b/packages/millfork-scheduling/millfork_scheduling/limit_share.py
@@ -23,9 +23,9 @@
 TOLERATED_REQUESTS: Final = 5
 # Of the limit, what entries that draw share out: sums of draws vary.
 DRAWN_SHARE: Final = 0.8
-DRAW_EVERY_S: Final = 1.0
+DRAW_INTERVAL_S: Final = 1.0
 # A back end that takes nothing at all could never tell that its limit is over.
-LEAST_PER_S: Final = 0.1
+MIN_PER_S: Final = 0.1
 
 
 @dataclass(slots=True)
@@ -43,20 +43,20 @@
     saved: float = field(init=False)
 
     def __post_init__(self) -> None:
-        self.limit_per_s = max(self.limit_per_s, LEAST_PER_S)
+        self.limit_per_s = max(self.limit_per_s, MIN_PER_S)
         self.saved = 0.0
         # Draws of entries that hear of the limit at the same moment are spread.
-        self.counted_at -= self.random.random() * DRAW_EVERY_S
+        self.counted_at -= self.random.random() * DRAW_INTERVAL_S
 
-    def change(self, limit_per_s: float) -> bool:
+    def set_limit(self, limit_per_s: float) -> bool:
         """
         Take another limit, whether it differs; what is saved stays.
 
         """
-        before, self.limit_per_s = self.limit_per_s, max(limit_per_s, LEAST_PER_S)
+        before, self.limit_per_s = self.limit_per_s, max(limit_per_s, MIN_PER_S)
         return before != self.limit_per_s
 
-    def has_one(self, now: float, entries: int) -> bool:
+    def can_send(self, now: float, entries: int) -> bool:
         """
         Whether a request may be sent now, with so many entries in the fleet.
 
@@ -64,22 +64,22 @@
         self._count(now, entries)
         return self.saved >= 1
 
-    def take(self, now: float, entries: int) -> bool:
+    def consume(self, now: float, entries: int) -> bool:
         """
         Take the place of one request, if there is one.
 
         """
-        if not self.has_one(now, entries):
+        if not self.can_send(now, entries):
             return False
         self.saved -= 1
         return True
 
-    def next_in_s(self, now: float, entries: int) -> float:
+    def expected_wait_s(self, now: float, entries: int) -> float:
         """
         Seconds until this entry may send the next request, as expected.
 
         """
-        if self.has_one(now, entries):
+        if self.can_send(now, entries):
             return 0.0
         rate = self.limit_per_s / max(entries, 1)
         if self._saves(entries):
@@ -99,9 +99,9 @@
             self.counted_at = now
             self.saved = min(self.saved + elapsed_s * rate, max(rate, 1.0))
             return
-        if elapsed_s < DRAW_EVERY_S:
+        if elapsed_s < DRAW_INTERVAL_S:
             return
-        self.counted_at += math.floor(elapsed_s / DRAW_EVERY_S) * DRAW_EVERY_S
-        expected = rate * DRAWN_SHARE * DRAW_EVERY_S
-        sure = math.floor(expected)
-        self.saved = sure + (self.random.random() < expected - sure)
+        self.counted_at += math.floor(elapsed_s / DRAW_INTERVAL_S) * DRAW_INTERVAL_S
+        expected = rate * DRAWN_SHARE * DRAW_INTERVAL_S
+        guaranteed = math.floor(expected)
+        self.saved = guaranteed + (self.random.random() < expected - guaranteed)
--- a/packages/millfork-scheduling/millfork_scheduling/asking.py
+++ b/packages/millfork-scheduling/millfork_scheduling/load_queries.py
@@ -13,12 +13,15 @@
 from millfork_scheduling.server import Server
 
 # Of its slots, what one engine of those compared has taken at least.
-ASKED_SHARE: Final = 0.7
+FRESH_LOADS_OCCUPIED_SHARE: Final = 0.7
 
 
-def is_worth_asking(servers: Iterable[Server], now: float, entries: int) -> bool:
+def needs_fresh_loads(servers: Iterable[Server], now: float, entries: int) -> bool:
     """
     Whether the choice among some engines may hang on what happened since their reports.
 
     """
-    return any(server.taken(now, entries) >= ASKED_SHARE * server.slots for server in servers)
+    return any(
+        server.likely_occupied(now, entries) >= FRESH_LOADS_OCCUPIED_SHARE * server.slots
+        for server in servers
+    )
--- a/packages/millfork-scheduling/millfork_scheduling/paths.py
+++ b/packages/millfork-scheduling/millfork_scheduling/paths.py
@@ -5,7 +5,7 @@
 
 from dataclasses import dataclass
 
-from millfork_routing.documents import EngineFigures
+from millfork_routing.documents import EngineSpec
 from millfork_scheduling.server import Server
 
 
@@ -31,7 +31,7 @@
         return self.first.zone != self.second.zone
 
 
-def pair_up(servers: list[Server], engine: EngineFigures, newest: int) -> list[Path]:
+def find_paths(servers: list[Server], engine: EngineSpec, newest: int) -> list[Path]:
     """
     The paths over back ends that hold the newest version in part; all entries
     that know the same pair alike, within a zone where they can. An older
--- a/packages/millfork-scheduling/millfork_scheduling/placement.py
+++ b/packages/millfork-scheduling/millfork_scheduling/placement.py
@@ -16,41 +16,41 @@
 from typing import Final
 
 from millfork_core.ids import InstanceId, ServiceName, ZoneId
-from millfork_routing.documents import EngineFigures
+from millfork_routing.documents import EngineSpec
 from millfork_scheduling.paths import Path
 from millfork_scheduling.server import Server
 
 # What a failure rate of 1 counts for, in full loads of a back end.
-FAILURE_COST: Final = 3.0
+FAILURE_COST_LOADS: Final = 3.0
 # What each token of a path costs whose parts lie in two zones, in ms: the way
 # there and back.
-HOP_MS: Final = 5.0
+PATH_TOKEN_HOP_MS: Final = 5.0
 # What another zone costs an engine's request, in ms: the way there and back.
-OTHER_ZONE_MS: Final = 10.0
+OTHER_ZONE_COST_MS: Final = 10.0
 # What a failure rate of 1 costs an engine's request, in ms.
-FAILURE_MS: Final = 3000.0
+FAILURE_COST_MS: Final = 3000.0
 # Choices are spread over predictions that differ by less, in ms: the entries
 # would all take the same engine.
-SPREAD_MS: Final = 30.0
+COST_JITTER_MS: Final = 30.0
 # What another zone costs, in full loads: a nearer one is taken while it is
 # not fuller by this.
-OTHER_ZONE_COST: Final = 0.15
+OTHER_ZONE_COST_LOADS: Final = 0.15
 # The engines among which one is chosen: so many of the own zone and so many of others, at
 # random, as many entries would else all choose the same one.
 NEAR_COMPARED: Final = 2
 FAR_COMPARED: Final = 1
 # What an engine of a version that ends soon costs a request that could not go on
 # elsewhere, in ms: about as much as admission lets one wait.
-ENDING_MS: Final = 300.0
+ENDING_VERSION_COST_MS: Final = 300.0
 # A request is sent to a version that ends only where its first token is expected this long
 # before, as a slow link delays it.
-SURELY_S: Final = 0.5
+VERSION_END_MARGIN_S: Final = 0.5
 # The same where no daemon beside the engine takes the version away in time.
-SURELY_UNGUARDED_S: Final = 1.2
+VERSION_END_MARGIN_WITHOUT_DAEMON_S: Final = 1.2
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
+class Requirements:
     """
     What a request needs of a back end: a service; for an engine, its figures,
     the oldest version that will do, and the newest that was named.
@@ -58,7 +58,7 @@
     """
 
     service: ServiceName
-    engine: EngineFigures | None = None
+    engine: EngineSpec | None = None
     least_version: int = 0
     newest_version: int = 0
     prompt_tokens: int = 0
@@ -86,7 +86,7 @@
     """
 
     server: Server
-    by_figures_ms: float = 0.0
+    spec_first_token_ms: float = 0.0
     first_token_ms: float = 0.0
     path: Path | None = None
 
@@ -103,11 +103,15 @@
         The version of the weights on which the request would run.
 
         """
-        return self.path.version if self.path is not None else self.server.newest_whole(layers)
+        return (
+            self.path.version
+            if self.path is not None
+            else self.server.newest_complete_version(layers)
+        )
 
 
 @dataclass(frozen=True, slots=True)
-class Outlook:
+class SelectionContext:
     """
     What an entry knows at one moment: the time (monotonic seconds), its zone, how many
     entries there are, and how late first tokens of the service came lately, in ms.
@@ -117,30 +121,30 @@
     now: float
     zone: ZoneId
     entries: int = 1
-    usual_late_ms: float = 0.0
+    mean_lateness_ms: float = 0.0
 
 
-def choose_plain(servers: Iterable[Server], outlook: Outlook, random: Random) -> Choice:
+def choose_plain(servers: Iterable[Server], context: SelectionContext, random: Random) -> Choice:
     """
     The back end of a plain service that is least loaded, near ones first.
 
     """
-    return Choice(min(servers, key=lambda server: _plain_cost(server, outlook, random)))
+    return Choice(min(servers, key=lambda server: _plain_cost(server, context, random)))
 
 
-def _plain_cost(server: Server, outlook: Outlook, random: Random) -> float:
-    load = (server.occupied(outlook.now) + 1) / server.slots
-    away = OTHER_ZONE_COST if server.zone != outlook.zone else 0.0
+def _plain_cost(server: Server, context: SelectionContext, random: Random) -> float:
+    load = (server.occupied(context.now) + 1) / server.slots
+    away = OTHER_ZONE_COST_LOADS if server.zone != context.zone else 0.0
     spread = random.random() / (2 * server.slots)
-    return load + away + FAILURE_COST * server.failure_rate + spread
+    return load + away + FAILURE_COST_LOADS * server.failure_rate + spread
 
 
 def choose_engine(
     servers: list[Server],
-    wanted: Wanted,
-    engine: EngineFigures,
+    requirements: Requirements,
+    engine: EngineSpec,
     paths: list[Path],
-    outlook: Outlook,
+    context: SelectionContext,
     random: Random,
 ) -> Choice | None:
     """
@@ -149,13 +153,17 @@
 
     """
     by_first = {path.first.instance: path for path in paths}
-    able = able_to_begin(servers, engine, paths)
-    weigh = partial(_best, wanted=wanted, engine=engine, by_first=by_first, outlook=outlook)
+    able = filter_startable(servers, engine, paths)
+    choose_cheapest = partial(
+        _cheapest, requirements=requirements, engine=engine, by_first=by_first, context=context
+    )
     # Of the few, all may be about to change their version: then any other will do.
-    return weigh(draw_few(able, outlook.zone, random), random=random) or weigh(able, random=random)
+    return choose_cheapest(
+        sample_engines(able, context.zone, random), random=random
+    ) or choose_cheapest(able, random=random)
 
 
-def able_to_begin(servers: list[Server], engine: EngineFigures, paths: list[Path]) -> list[Server]:
+def filter_startable(servers: list[Server], engine: EngineSpec, paths: list[Path]) -> list[Server]:
     """
     Those of some back ends to which a request can be sent: they hold the model whole, or
     begin a path whose second part is among them.
@@ -165,7 +173,7 @@
     able: list[Server] = []
     for server in servers:
         path = by_first.get(server.instance)
-        if server.newest_whole(engine.layers) is None and (
+        if server.newest_complete_version(engine.layers) is None and (
             path is None or path.second not in servers
         ):
             # The second part of a path, or a first whose second is out.
@@ -174,42 +182,42 @@
     return able
 
 
-def draw_few(servers: list[Server], zone: ZoneId, random: Random) -> list[Server]:
+def sample_engines(servers: list[Server], zone: ZoneId, random: Random) -> list[Server]:
     """
     Some engines at random, most of them near; as many where no zone has enough.
 
     """
-    wanted = NEAR_COMPARED + FAR_COMPARED
-    if len(servers) <= wanted:
+    count = NEAR_COMPARED + FAR_COMPARED
+    if len(servers) <= count:
         return servers
     shuffled = random.sample(servers, len(servers))
     near = [server for server in shuffled if server.zone == zone]
     far = [server for server in shuffled if server.zone != zone]
-    near_taken = max(NEAR_COMPARED, wanted - len(far))
-    return [*near[:near_taken], *far[: wanted - min(len(near), near_taken)]]
+    near_taken = max(NEAR_COMPARED, count - len(far))
+    return [*near[:near_taken], *far[: count - min(len(near), near_taken)]]
 
 
-def _best(
+def _cheapest(
     servers: list[Server],
-    wanted: Wanted,
-    engine: EngineFigures,
+    requirements: Requirements,
+    engine: EngineSpec,
     by_first: dict[InstanceId, Path],
-    outlook: Outlook,
+    context: SelectionContext,
     random: Random,
 ) -> Choice | None:
     best: Choice | None = None
     least = float('inf')
     for server in servers:
         by_figures = server.first_token_ms(
-            engine, wanted.prompt_tokens, outlook.now, outlook.entries
+            engine, requirements.prompt_tokens, context.now, context.entries
         )
-        expected = by_figures + max(outlook.usual_late_ms, server.lateness.now_ms(outlook.now))
+        expected = by_figures + max(context.mean_lateness_ms, server.lateness.now_ms(context.now))
         path = by_first.get(server.instance)
         found = Choice(server, by_figures, max(expected, 0.0), path)
-        if _ends_before(found, expected, wanted, engine, outlook.now):
+        if _ends_before(found, expected, requirements, engine, context.now):
             continue
-        cost = expected + _extra_cost(found, wanted, engine, outlook.zone)
-        cost += random.random() * SPREAD_MS
+        cost = expected + _extra_cost(found, requirements, engine, context.zone)
+        cost += random.random() * COST_JITTER_MS
         if cost < least:
             least = cost
             best = found
@@ -217,33 +225,35 @@
 
 
 def _ends_before(
-    choice: Choice, expected_ms: float, wanted: Wanted, engine: EngineFigures, now: float
+    choice: Choice, expected_ms: float, requirements: Requirements, engine: EngineSpec, now: float
 ) -> bool:
     """
     Whether the version there may end before the request surely begins.
 
     """
     version = choice.version(engine.layers)
-    if version is None or version >= wanted.newest_version:
+    if version is None or version >= requirements.newest_version:
         return False
-    latest_ms = max(expected_ms, choice.by_figures_ms)
-    unguarded = any(server.is_unguarded(now) for server in choice.servers)
-    surely_s = SURELY_UNGUARDED_S if unguarded else SURELY_S
-    return now + latest_ms / 1000 > wanted.ends_at(version) - surely_s
+    latest_ms = max(expected_ms, choice.spec_first_token_ms)
+    unguarded = any(server.lacks_daemon_reports(now) for server in choice.servers)
+    margin_s = VERSION_END_MARGIN_WITHOUT_DAEMON_S if unguarded else VERSION_END_MARGIN_S
+    return now + latest_ms / 1000 > requirements.ends_at(version) - margin_s
 
 
-def _extra_cost(choice: Choice, wanted: Wanted, engine: EngineFigures, zone: ZoneId) -> float:
+def _extra_cost(
+    choice: Choice, requirements: Requirements, engine: EngineSpec, zone: ZoneId
+) -> float:
     """
     What speaks against an engine besides its first token, in ms.
 
     """
     server = choice.server
-    cost = FAILURE_MS * server.failure_rate
+    cost = FAILURE_COST_MS * server.failure_rate
     if server.zone != zone:
-        cost += OTHER_ZONE_MS
+        cost += OTHER_ZONE_COST_MS
     version = choice.version(engine.layers)
-    if version is not None and version < wanted.newest_version and wanted.last_send:
-        cost += ENDING_MS
+    if version is not None and version < requirements.newest_version and requirements.last_send:
+        cost += ENDING_VERSION_COST_MS
     if choice.path is not None and choice.path.crosses_zones:
-        cost += engine.usual_answer * HOP_MS
+        cost += engine.usual_answer * PATH_TOKEN_HOP_MS
     return cost
--- a/packages/millfork-scheduling/millfork_scheduling/prediction.py
+++ b/packages/millfork-scheduling/millfork_scheduling/prediction.py
@@ -10,7 +10,7 @@
 
 from typing import Final
 
-from millfork_routing.documents import EngineFigures
+from millfork_routing.documents import EngineSpec
 
 # Without a request seen through: tokens come about this much slower than the
 # engine's step alone, as prompts of others are read between them.
@@ -19,7 +19,7 @@
 PASSES_TO_FIRST: Final = 1.5
 
 
-def read_ms(engine: EngineFigures, prompt_tokens: int) -> float:
+def read_ms(engine: EngineSpec, prompt_tokens: int) -> float:
     """
     Milliseconds that reading a prompt takes.
 
@@ -30,7 +30,7 @@
     return prompt_tokens * 1000 / engine.read_per_s + pairs * engine.pairs_ms_per_million
 
 
-def usual_service_s(engine: EngineFigures) -> float:
+def usual_service_s(engine: EngineSpec) -> float:
     """
     Seconds that a usual request holds a slot, before any was seen.
 
@@ -39,7 +39,7 @@
 
 
 def first_token_ms(
-    engine: EngineFigures,
+    engine: EngineSpec,
     prompt_tokens: int,
     occupied: int,
     unread: int,
--- a/packages/millfork-scheduling/millfork_scheduling/quarantine.py
+++ b/packages/millfork-scheduling/millfork_scheduling/quarantine.py
@@ -19,17 +19,17 @@
 from millfork_registry.suspects import Suspicion
 
 # One end tells nothing, as all that ran there is under suspicion.
-ENDS: Final = 3
+MIN_ENDS_AT_FAULT: Final = 3
 # A suspected request is tried again this long after the last that was learned of it: by then
 # most back ends that broke off are known to have ended, or to live.
 TRIAL_AFTER_S: Final = 2.0
 # Entries try at different moments, so that the others hear what became of the first trial: up
 # to this time later for each entry that there is, which makes two trials a second at most.
 TRIAL_SPREAD_S: Final = 1.0
-MOST_TRIALS: Final = 4096
+MAX_TRIALS: Final = 4096
 
 
-class Standing(Enum):
+class SuspicionLevel(Enum):
     """
     Whether a request may be sent.
 
@@ -46,16 +46,20 @@
     Whether a request is taken to end whatever runs it.
 
     """
-    return suspicion.ends >= ENDS
+    return suspicion.ends >= MIN_ENDS_AT_FAULT
 
 
-def standing_of(suspicion: Suspicion) -> Standing:
+def suspicion_level_of(suspicion: Suspicion) -> SuspicionLevel:
     if is_at_fault(suspicion):
-        return Standing.AT_FAULT
-    return Standing.SUSPECTED if len(suspicion.broken) >= ENDS else Standing.FREE
+        return SuspicionLevel.AT_FAULT
+    return (
+        SuspicionLevel.SUSPECTED
+        if len(suspicion.broken) >= MIN_ENDS_AT_FAULT
+        else SuspicionLevel.FREE
+    )
 
 
-def ends_after(before: Suspicion, now: Suspicion, ended: IncarnationKey) -> int:
+def count_ends(before: Suspicion, now: Suspicion, ended: IncarnationKey) -> int:
     """
     The ends one after another under a request with one more, by what was known when it was
     sent there and what is known now: of what had broken off before, what lives on is no end.
@@ -68,7 +72,7 @@
     return max(before.ends, len(earlier)) + 1
 
 
-class Trials:
+class TrialSchedule:
     """
     When one entry sends suspected requests again.
 
@@ -92,7 +96,7 @@
         known, due_at = self.due.get(suspicion.fingerprint, (None, 0.0))
         if known == suspicion and now < due_at:
             return False
-        if len(self.due) >= MOST_TRIALS:
+        if len(self.due) >= MAX_TRIALS:
             self.due.clear()
         spread_s = TRIAL_SPREAD_S * self.entries() * self.random.random()
         self.due[suspicion.fingerprint] = (suspicion, now + TRIAL_AFTER_S + spread_s)
--- a/packages/millfork-scheduling/millfork_scheduling/returning.py
+++ b/packages/millfork-scheduling/millfork_scheduling/retry_after.py
@@ -11,17 +11,17 @@
 from typing import Final
 
 from millfork_core.verdicts import Reason
-from millfork_scheduling.availability import ClosedFor, Closure
+from millfork_scheduling.availability import Closure, ClosureReason
 
 # A place comes free in about a tenth of a second; spread over more than that.
-LEAST_WAIT_MS: Final = 150
-MOST_WAIT_MS: Final = 600
+MIN_WAIT_MS: Final = 150
+MAX_WAIT_MS: Final = 600
 SPREAD_WAIT_MS: Final = 250
 # Where nothing can serve a request at the moment: engines change their weights within
 # two seconds, servers are replaced within some.
 NOTHING_SERVES_MS: Final = 1500
 # The longest wait for back ends that rest; others may have come by then.
-MOST_REST_MS: Final = 10_000
+MAX_REST_MS: Final = 10_000
 NOTHING_SERVES_SPREAD_MS: Final = 400
 # After other refusals, by reason: short, as a place comes free in a fraction of a second.
 AFTER_REFUSAL_MS: Final[dict[Reason, int]] = {
@@ -35,19 +35,19 @@
     # Waiting changes nothing.
     Reason.QUARANTINED: 0,
 }
-USUAL_WAIT_MS: Final = 300
+DEFAULT_WAIT_MS: Final = 300
 
 
-def after_full_engines(overdue_ms: float, random: Random) -> int:
+def full_engines_wait_ms(overdue_ms: float, random: Random) -> int:
     """
     Milliseconds until a caller may come back whose first token would have been this late.
 
     """
-    late_ms = min(max(overdue_ms, 0.0), MOST_WAIT_MS)
-    return int(LEAST_WAIT_MS + late_ms + random.random() * SPREAD_WAIT_MS)
+    late_ms = min(max(overdue_ms, 0.0), MAX_WAIT_MS)
+    return int(MIN_WAIT_MS + late_ms + random.random() * SPREAD_WAIT_MS)
 
 
-def while_nothing_serves(random: Random) -> int:
+def nothing_serves_wait_ms(random: Random) -> int:
     """
     Milliseconds until a caller may come back where no back end can serve it.
 
@@ -55,21 +55,21 @@
     return NOTHING_SERVES_MS + int(random.random() * NOTHING_SERVES_SPREAD_MS)
 
 
-def while_closed(closure: Closure, random: Random) -> int:
+def closed_wait_ms(closure: Closure, random: Random) -> int:
     """
     Milliseconds until a caller may come back where all back ends that could serve it are
     closed by their own word: when the first of them opens. Only a rest has an end that is
     told; otherwise others may begin to serve, or another entry may have a place, before.
 
     """
-    most_ms = MOST_REST_MS if closure.closed_for is ClosedFor.RESTING else NOTHING_SERVES_MS
-    wait_ms = min(max(closure.opens_in_s * 1000, LEAST_WAIT_MS), most_ms)
+    most_ms = MAX_REST_MS if closure.closure_reason is ClosureReason.RESTING else NOTHING_SERVES_MS
+    wait_ms = min(max(closure.opens_in_s * 1000, MIN_WAIT_MS), most_ms)
     return int(wait_ms + random.random() * SPREAD_WAIT_MS)
 
 
-def after_refusal(reason: Reason) -> int:
+def refusal_wait_ms(reason: Reason) -> int:
     """
     Milliseconds until a caller may come back after another refusal.
 
     """
-    return AFTER_REFUSAL_MS.get(reason, USUAL_WAIT_MS)
+    return AFTER_REFUSAL_MS.get(reason, DEFAULT_WAIT_MS)
--- a/packages/millfork-scheduling/millfork_scheduling/server.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server.py
@@ -15,17 +15,17 @@
     ZoneId,
 )
 from millfork_registry.records import ServedVersion
-from millfork_routing.documents import EngineFigures
+from millfork_routing.documents import EngineSpec
 from millfork_scheduling.availability import Availability
 from millfork_scheduling.prediction import first_token_ms, usual_service_s
 
 # A back end that failed is left alone this long, doubling with each failure.
 FIRST_SUSPICION_S: Final = 0.5
-MOST_SUSPICION_S: Final = 4.0
+MAX_SUSPICION_S: Final = 4.0
 # One that turns a request away is left alone this long, doubling with each one in a row: it
 # may be full for a moment, or turn all away.
 FIRST_TURNED_AWAY_S: Final = 0.05
-MOST_TURNED_AWAY_S: Final = 2.0
+MAX_TURNED_AWAY_S: Final = 2.0
 # One request's weight in a back end's failure rate.
 FAILURE_WEIGHT: Final = 0.1
 # One request's weight in the mean time of requests at an engine.
@@ -35,7 +35,7 @@
 # one is known after its first.
 SERVER_LATENESS_WEIGHT: Final = 0.5
 # A stuck engine's lateness says nothing of the others.
-MOST_LATENESS_MS: Final = 800.0
+MAX_LATENESS_MS: Final = 800.0
 # A daemon reports each 0.15 s; one that doesn't for so long is gone, stands still, or is cut off.
 DAEMON_SILENT_S: Final = 0.6
 # A report older than this says nothing about the load now.
@@ -64,7 +64,7 @@
         Take one first token's lateness into the mean.
 
         """
-        late_ms = min(max(late_ms, -MOST_LATENESS_MS), MOST_LATENESS_MS)
+        late_ms = min(max(late_ms, -MAX_LATENESS_MS), MAX_LATENESS_MS)
         mean_ms = self.now_ms(now)
         self.mean_ms = mean_ms + self.weight * (late_ms - mean_ms)
         self.at = now
@@ -133,7 +133,7 @@
     turned_away_at: float = float('-inf')
     suspect_until: float = float('-inf')
     # When this entry last received anything from it.
-    heard_at: float = float('-inf')
+    last_received_at: float = float('-inf')
     # When the latest of the requests was sent whose answer began, by rank.
     answered: dict[int | None, float] = field(default_factory=dict)
     # How much later than by the figures its first tokens come.
@@ -141,7 +141,7 @@
     # Versions that it refused lately, and until when to believe that.
     refused: dict[int, float] = field(default_factory=dict)
 
-    def is_another(self, incarnation: Incarnation) -> bool:
+    def is_other_incarnation(self, incarnation: Incarnation) -> bool:
         """
         Whether what was told is of another incarnation than this one, as far as is known.
 
@@ -150,14 +150,14 @@
             return False
         return incarnation != self.incarnation
 
-    def is_unguarded(self, now: float) -> bool:
+    def lacks_daemon_reports(self, now: float) -> bool:
         """
         Whether the daemon beside it does not report, or does so no more.
 
         """
         return now - max(self.reported_at, self.known_since) > DAEMON_SILENT_S
 
-    def take_load(self, load: Load, now: float) -> None:
+    def set_load(self, load: Load, now: float) -> None:
         """
         Take what runs and waits there, as told at this moment.
 
@@ -182,7 +182,7 @@
         begun = self.mine - self.mine_at_report
         return max(self.reported + begun * (entries if begun > 0 else 1), self.mine)
 
-    def taken(self, now: float, entries: int) -> int:
+    def likely_occupied(self, now: float, entries: int) -> int:
         """
         Requests there as `occupied` tells, but where this entry began only one since the
         report, that says nothing of the others: callers would be turned away from free
@@ -205,7 +205,7 @@
         return max(self.reported_unread + begun * (entries if begun > 0 else 1), self.mine_unread)
 
     def first_token_ms(
-        self, engine: EngineFigures, prompt_tokens: int, now: float, entries: int
+        self, engine: EngineSpec, prompt_tokens: int, now: float, entries: int
     ) -> float:
         """
         The time to the first token that a request sent now would have.
@@ -236,7 +236,7 @@
         It did not answer as it should: leave it alone for a while.
 
         """
-        wait = min(FIRST_SUSPICION_S * 2**self.failures, MOST_SUSPICION_S)
+        wait = min(FIRST_SUSPICION_S * 2**self.failures, MAX_SUSPICION_S)
         self.failures += 1
         self.suspect_until = now + wait
         self.note_outcome(failed=True)
@@ -250,12 +250,12 @@
         if sent_at < self.turned_away_at:
             # Sent before the last one was known to be turned away: that says nothing more.
             return
-        wait = min(FIRST_TURNED_AWAY_S * 2**self.turned_away, MOST_TURNED_AWAY_S)
+        wait = min(FIRST_TURNED_AWAY_S * 2**self.turned_away, MAX_TURNED_AWAY_S)
         self.turned_away += 1
         self.turned_away_at = now
         self.suspect_until = max(self.suspect_until, now + wait)
 
-    def note_taken(self, sent_at: float) -> None:
+    def note_accepted(self, sent_at: float) -> None:
         """
         It took what was sent at a moment.
 
@@ -286,7 +286,7 @@
         """
         return self.answered.get(urgency, float('-inf')) > began
 
-    def newest_whole(self, layers: int) -> int | None:
+    def newest_complete_version(self, layers: int) -> int | None:
         """
         The newest version of which it holds all layers, if any.
 
--- a/packages/millfork-scheduling/millfork_scheduling/book.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server_table.py
@@ -12,36 +12,36 @@
 from millfork_adapter.exchange import Backpressure
 from millfork_core.ids import InstanceId, ServiceName, ZoneId
 from millfork_registry.records import EndpointState, Lease
-from millfork_routing.documents import EngineFigures
+from millfork_routing.documents import EngineSpec
 from millfork_scheduling.availability import Closure, LapsedAvailabilities, SignalChange
-from millfork_scheduling.fates import Fate, fate_of
 from millfork_scheduling.fleet_index import FleetIndex
-from millfork_scheduling.paths import Path, pair_up
+from millfork_scheduling.incarnation_status import IncarnationStatus, determine_status
+from millfork_scheduling.paths import Path, find_paths
 from millfork_scheduling.placement import (
     FAR_COMPARED,
     NEAR_COMPARED,
     Choice,
-    Outlook,
-    Wanted,
-    able_to_begin,
+    Requirements,
+    SelectionContext,
     choose_engine,
     choose_plain,
-    draw_few,
+    filter_startable,
+    sample_engines,
 )
 from millfork_scheduling.server import REPORT_VALID_S, Lateness, Load, Server
 
 # As many engines are looked at one by one for each request.
-MOST_LOOKED_AT: Final = 24
+MAX_SCANNED: Final = 24
 # Of more, so many are drawn on either side to find the few to compare.
-DRAWN: Final = 16
+SAMPLE_SIZE: Final = 16
 # While less of all slots is taken, a caller is not turned away for the few compared.
-SPARE_SHARE: Final = 0.5
+MAX_OCCUPIED_SHARE: Final = 0.5
 # One first token's weight in the mean lateness: an entry sees some ten a second,
 # so the mean follows a change of load within a second.
 LATENESS_WEIGHT: Final = 0.1
 
 
-class ServerBook:
+class ServerTable:
     """
     All back ends with a lease, by id.
 
@@ -71,7 +71,7 @@
         self.paths: dict[tuple[ServiceName, int], tuple[int, list[Path]]] = {}
         self.lapsed = LapsedAvailabilities(random, monotonic)
 
-    def take_leases(self, leases: Iterable[Lease]) -> list[Server]:
+    def apply_leases(self, leases: Iterable[Lease]) -> list[Server]:
         """
         Take all leases; returns the back ends that are no longer used.
 
@@ -86,7 +86,7 @@
             # load, failures and connections ended with it.
             server.replaced = lease is not None
             dropped.append(server)
-            self.lapsed.keep((key, server.incarnation), server.availability)
+            self.lapsed.store((key, server.incarnation), server.availability)
             del self.servers[key]
         for key, lease in usable.items():
             self._take_lease(key, lease)
@@ -109,7 +109,7 @@
                 lease_served=lease.served,
                 draw_order=self.random.random(),
                 known_since=self.monotonic(),
-                availability=self.lapsed.take_back((key, lease.incarnation)),
+                availability=self.lapsed.restore((key, lease.incarnation)),
             )
             before = self.index.by_address.get((lease.host, lease.port))
             if before is not None:
@@ -125,7 +125,7 @@
             server.served = lease.served
             server.refused.clear()
 
-    def take_reports(
+    def apply_reports(
         self, states: Iterable[EndpointState]
     ) -> list[tuple[Server, list[SignalChange]]]:
         """
@@ -144,27 +144,27 @@
             server.report_sequence = state.sequence
             if not state.reachable:
                 continue
-            if server.is_another(state.incarnation):
+            if server.is_other_incarnation(state.incarnation):
                 if state.incarnation > server.incarnation:
                     # The engine that the lease is of has ended.
                     server.served = ()
                     self.changes += 1
                 continue
             told = Backpressure(state.limit_per_s, state.leaving)
-            changes.append((server, server.availability.take_report(told, now)))
+            changes.append((server, server.availability.apply_report(told, now)))
             changing = bool(state.changing_to)
             if (changing, state.served) != (server.changing, server.served):
                 self.changes += 1
             server.changing = changing
             server.daemon = state.instance
             load = Load(state.running, state.queued, state.pace, server.mine, server.mine_unread)
-            server.take_load(load, now)
+            server.set_load(load, now)
             if state.served != server.served:
                 server.served = state.served
                 server.refused.clear()
         return changes
 
-    def fate(self, server: Server, since: float) -> Fate:
+    def incarnation_status(self, server: Server, since: float) -> IncarnationStatus:
         """
         What became of a back end since a moment, in monotonic seconds.
 
@@ -172,54 +172,61 @@
         by_id = self.servers.get(server.instance)
         by_address = self.index.by_address.get((server.host, server.port))
         known = [other for other in (by_id, by_address) if other is not None]
-        return fate_of(server, since, known, self.monotonic())
+        return determine_status(server, since, known, self.monotonic())
 
-    def compare(self, wanted: Wanted, tried: set[InstanceId]) -> list[Server]:
+    def sample_candidates(self, requirements: Requirements, tried: set[InstanceId]) -> list[Server]:
         """
         The few engines among which to choose, with the second parts of paths; none for a
         plain service.
 
         """
-        if wanted.engine is None:
+        if requirements.engine is None:
             return []
         now = self.monotonic()
-        paths = self._paths(wanted.service, wanted.engine, wanted.newest_version)
-        drawn = self._draw(wanted, paths, tried, now)
+        paths = self._paths(requirements.service, requirements.engine, requirements.newest_version)
+        drawn = self._sample(requirements, paths, tried, now)
         if drawn:
             return drawn
         by_first = {path.first.instance: path.second for path in paths}
-        able = able_to_begin(self._trusted(wanted, paths, tried, now), wanted.engine, paths)
+        able = filter_startable(
+            self._unsuspected(requirements, paths, tried, now), requirements.engine, paths
+        )
         return [
             part
-            for server in draw_few(able, self.zone, self.random)
-            for part in self._parts(server, by_first, wanted)
+            for server in sample_engines(able, self.zone, self.random)
+            for part in self._servers_through(server, by_first, requirements)
         ]
 
-    def compare_freest(self, wanted: Wanted, tried: set[InstanceId]) -> list[Server]:
+    def freest_candidates(self, requirements: Requirements, tried: set[InstanceId]) -> list[Server]:
         """
         The few engines with the fewest requests by their reports, of those to draw from that
-        hold the model whole; none while `SPARE_SHARE` of all their slots are taken.
+        hold the model whole; none while `MAX_OCCUPIED_SHARE` of all their slots are taken.
 
         """
-        engine = wanted.engine
+        engine = requirements.engine
         if engine is None:
             return []
         now = self.monotonic()
-        servers = self.index.near.get(wanted.service, []) + self.index.far.get(wanted.service, [])
+        servers = self.index.near.get(requirements.service, []) + self.index.far.get(
+            requirements.service, []
+        )
         able = [
             server
             for server in servers
-            if self._free(server, tried, now)
-            and self._able(server, wanted, [], now)
-            and server.newest_whole(engine.layers) is not None
+            if self._is_untried(server, tried, now)
+            and self._can_serve_now(server, requirements, [], now)
+            and server.newest_complete_version(engine.layers) is not None
         ]
-        taken = sum(server.taken(now, self.entries()) for server in able)
-        if taken >= SPARE_SHARE * sum(server.slots for server in able):
+        taken = sum(server.likely_occupied(now, self.entries()) for server in able)
+        if taken >= MAX_OCCUPIED_SHARE * sum(server.slots for server in able):
             return []
-        return nsmallest(NEAR_COMPARED + FAR_COMPARED, able, key=partial(_share_taken, now=now))
+        return nsmallest(NEAR_COMPARED + FAR_COMPARED, able, key=partial(_occupied_share, now=now))
 
     def choose(
-        self, wanted: Wanted, tried: set[InstanceId], compared: list[Server] | None = None
+        self,
+        requirements: Requirements,
+        tried: set[InstanceId],
+        candidates: list[Server] | None = None,
     ) -> Choice | None:
         """
         The back end for a request, one of those compared if any still will do; None if there
@@ -227,22 +234,28 @@
 
         """
         now = self.monotonic()
-        late_ms = self._lateness_of(wanted.service).now_ms(now)
-        outlook = Outlook(now, self.zone, self.entries(), late_ms)
-        if wanted.engine is None:
-            return self._choose_of_all(wanted, [], tried, outlook)
-        paths = self._paths(wanted.service, wanted.engine, wanted.newest_version)
-        if compared is None:
-            drawn = self._draw(wanted, paths, tried, now)
+        late_ms = self._lateness_of(requirements.service).now_ms(now)
+        context = SelectionContext(now, self.zone, self.entries(), late_ms)
+        if requirements.engine is None:
+            return self._choose_from_all(requirements, [], tried, context)
+        paths = self._paths(requirements.service, requirements.engine, requirements.newest_version)
+        if candidates is None:
+            drawn = self._sample(requirements, paths, tried, now)
         else:
-            drawn = [server for server in compared if self._still(server, wanted, paths, tried)]
+            drawn = [
+                server
+                for server in candidates
+                if self._is_still_usable(server, requirements, paths, tried)
+            ]
         choice = None
         if drawn:
-            choice = choose_engine(drawn, wanted, wanted.engine, paths, outlook, self.random)
-        return choice or self._choose_of_all(wanted, paths, tried, outlook)
+            choice = choose_engine(
+                drawn, requirements, requirements.engine, paths, context, self.random
+            )
+        return choice or self._choose_from_all(requirements, paths, tried, context)
 
-    def _still(
-        self, server: Server, wanted: Wanted, paths: list[Path], tried: set[InstanceId]
+    def _is_still_usable(
+        self, server: Server, requirements: Requirements, paths: list[Path], tried: set[InstanceId]
     ) -> bool:
         """
         Whether an engine that was compared a moment ago will still do.
@@ -250,76 +263,85 @@
         """
         if self.servers.get(server.instance) is not server or server.instance in tried:
             return False
-        return self._able(server, wanted, paths, self.monotonic())
+        return self._can_serve_now(server, requirements, paths, self.monotonic())
 
-    def _paths(self, service: ServiceName, engine: EngineFigures, newest: int) -> list[Path]:
+    def _paths(self, service: ServiceName, engine: EngineSpec, newest: int) -> list[Path]:
         """
         The paths as they are; found anew only where something changed.
 
         """
         changes, paths = self.paths.get((service, newest), (-1, []))
         if changes != self.changes:
-            paths = pair_up(self.index.by_service.get(service, []), engine, newest)
+            paths = find_paths(self.index.by_service.get(service, []), engine, newest)
             self.paths[service, newest] = (self.changes, paths)
         return paths
 
-    def _draw(
-        self, wanted: Wanted, paths: list[Path], tried: set[InstanceId], now: float
+    def _sample(
+        self, requirements: Requirements, paths: list[Path], tried: set[InstanceId], now: float
     ) -> list[Server]:
         """
         The few engines to compare, drawn without a look at all of them: none if there
         are not many, or of those drawn too few will do.
 
         """
-        if len(self.index.by_service.get(wanted.service, [])) <= MOST_LOOKED_AT:
+        if len(self.index.by_service.get(requirements.service, [])) <= MAX_SCANNED:
             return []
-        near = self.index.near.get(wanted.service, [])
-        far = self.index.far.get(wanted.service, [])
+        near = self.index.near.get(requirements.service, [])
+        far = self.index.far.get(requirements.service, [])
         by_first = {path.first.instance: path.second for path in paths}
         drawn: list[Server] = []
         for servers, count in ((near, NEAR_COMPARED), (far, FAR_COMPARED)):
             found = 0
-            for server in self.random.sample(servers, min(len(servers), DRAWN)):
+            for server in self.random.sample(servers, min(len(servers), SAMPLE_SIZE)):
                 if found == count:
                     break
-                parts = self._parts(server, by_first, wanted)
-                if not parts or any(not self._free(part, tried, now) for part in parts):
+                parts = self._servers_through(server, by_first, requirements)
+                if not parts or any(not self._is_untried(part, tried, now) for part in parts):
                     continue
-                if all(self._able(part, wanted, paths, now) for part in parts):
+                if all(self._can_serve_now(part, requirements, paths, now) for part in parts):
                     drawn += parts
                     found += 1
             if found < count:
                 return []
         return drawn
 
-    def _parts(
-        self, server: Server, by_first: dict[InstanceId, Server], wanted: Wanted
+    def _servers_through(
+        self, server: Server, by_first: dict[InstanceId, Server], requirements: Requirements
     ) -> list[Server]:
         """
         The engines that a request is sent through if it is sent to this one; none if it
         begins no path.
 
         """
-        if wanted.engine is None or server.newest_whole(wanted.engine.layers) is not None:
+        if (
+            requirements.engine is None
+            or server.newest_complete_version(requirements.engine.layers) is not None
+        ):
             return [server]
         second = by_first.get(server.instance)
         return [server, second] if second is not None else []
 
-    def _free(self, server: Server, tried: set[InstanceId], now: float) -> bool:
+    def _is_untried(self, server: Server, tried: set[InstanceId], now: float) -> bool:
         return server.instance not in tried and server.suspect_until <= now
 
-    def _choose_of_all(
-        self, wanted: Wanted, paths: list[Path], tried: set[InstanceId], outlook: Outlook
+    def _choose_from_all(
+        self,
+        requirements: Requirements,
+        paths: list[Path],
+        tried: set[InstanceId],
+        context: SelectionContext,
     ) -> Choice | None:
-        trusted = self._trusted(wanted, paths, tried, outlook.now)
+        trusted = self._unsuspected(requirements, paths, tried, context.now)
         if not trusted:
             return None
-        if wanted.engine is None:
-            return choose_plain(trusted, outlook, self.random)
-        return choose_engine(trusted, wanted, wanted.engine, paths, outlook, self.random)
-
-    def _trusted(
-        self, wanted: Wanted, paths: list[Path], tried: set[InstanceId], now: float
+        if requirements.engine is None:
+            return choose_plain(trusted, context, self.random)
+        return choose_engine(
+            trusted, requirements, requirements.engine, paths, context, self.random
+        )
+
+    def _unsuspected(
+        self, requirements: Requirements, paths: list[Path], tried: set[InstanceId], now: float
     ) -> list[Server]:
         """
         All back ends that can serve a request, without the suspected ones if others can.
@@ -327,8 +349,9 @@
         """
         able = [
             server
-            for server in self.index.by_service.get(wanted.service, [])
-            if server.instance not in tried and self._able(server, wanted, paths, now)
+            for server in self.index.by_service.get(requirements.service, [])
+            if server.instance not in tried
+            and self._can_serve_now(server, requirements, paths, now)
         ]
         return [server for server in able if server.suspect_until <= now] or able
 
@@ -347,7 +370,7 @@
         for server in servers:
             server.availability.note_sent(self.monotonic(), max(self.most_entries(), 1))
 
-    def soonest(self, wanted: Wanted) -> Closure | None:
+    def first_to_open(self, requirements: Requirements) -> Closure | None:
         """
         Of the back ends that could serve a request but for their own word, the closure that
         is over first; None if there is no such back end.
@@ -355,12 +378,14 @@
         """
         now = self.monotonic()
         paths: list[Path] = []
-        if wanted.engine is not None:
-            paths = self._paths(wanted.service, wanted.engine, wanted.newest_version)
+        if requirements.engine is not None:
+            paths = self._paths(
+                requirements.service, requirements.engine, requirements.newest_version
+            )
         closures = [
             self.closure(server)
-            for server in self.index.by_service.get(wanted.service, [])
-            if self._could_serve(server, wanted, paths, now)
+            for server in self.index.by_service.get(requirements.service, [])
+            if self._meets_requirements(server, requirements, paths, now)
         ]
         found = [closure for closure in closures if closure is not None]
         return min(found, key=lambda closure: closure.opens_in_s, default=None)
@@ -378,25 +403,33 @@
     def _lateness_of(self, service: ServiceName) -> Lateness:
         return self.lateness.setdefault(service, Lateness(LATENESS_WEIGHT))
 
-    def _able(self, server: Server, wanted: Wanted, paths: list[Path], now: float) -> bool:
-        return self.closure(server) is None and self._could_serve(server, wanted, paths, now)
+    def _can_serve_now(
+        self, server: Server, requirements: Requirements, paths: list[Path], now: float
+    ) -> bool:
+        return self.closure(server) is None and self._meets_requirements(
+            server, requirements, paths, now
+        )
 
-    def _could_serve(self, server: Server, wanted: Wanted, paths: list[Path], now: float) -> bool:
+    def _meets_requirements(
+        self, server: Server, requirements: Requirements, paths: list[Path], now: float
+    ) -> bool:
         """
         Whether a back end has what a request needs, whatever it said of itself.
 
         """
-        engine = wanted.engine
+        engine = requirements.engine
         if engine is None:
             return True
         if server.changing:
             return False
-        version = server.newest_whole(engine.layers)
+        version = server.newest_complete_version(engine.layers)
         if version is None:
-            return self._in_path(server, wanted, paths, now)
-        return version >= wanted.least_version and server.refused.get(version, now) <= now
+            return self._is_in_usable_path(server, requirements, paths, now)
+        return version >= requirements.least_version and server.refused.get(version, now) <= now
 
-    def _in_path(self, server: Server, wanted: Wanted, paths: list[Path], now: float) -> bool:
+    def _is_in_usable_path(
+        self, server: Server, requirements: Requirements, paths: list[Path], now: float
+    ) -> bool:
         """
         Whether it has a part in a path of the newest version.
 
@@ -404,9 +437,9 @@
         for path in paths:
             if server in path.servers:
                 refused = [part.refused.get(path.version, now) for part in path.servers]
-                return path.version >= wanted.least_version and max(refused) <= now
+                return path.version >= requirements.least_version and max(refused) <= now
         return False
 
 
-def _share_taken(server: Server, now: float) -> float:
+def _occupied_share(server: Server, now: float) -> float:
     return server.occupied(now) / server.slots
--- a/packages/millfork-scheduling/millfork_scheduling/turned_away.py
+++ b/packages/millfork-scheduling/millfork_scheduling/turned_away.py
@@ -9,13 +9,13 @@
 from typing import Final
 
 # As long as a caller comes back, and some: they wait 6 s.
-KEPT_S: Final = 8.0
+REMEMBERED_S: Final = 8.0
 # A hundred bytes each. At the two-year size a zone of 35 entries turns away 300 a second
 # when one request in ten is; this keeps ten times as many.
-MOST_KEPT: Final = 25_000
+MAX_REMEMBERED: Final = 25_000
 
 
-class TurnedAway:
+class TurnedAwayRequests:
     """
     When each was first tried, in monotonic seconds; the ones noted last come last.
 
@@ -49,6 +49,6 @@
     def _forget_old(self, now: float) -> None:
         while self.noted_at:
             oldest = next(iter(self.noted_at))
-            if now - self.noted_at[oldest] <= KEPT_S and len(self.noted_at) < MOST_KEPT:
+            if now - self.noted_at[oldest] <= REMEMBERED_S and len(self.noted_at) < MAX_REMEMBERED:
                 return
             del self.noted_at[oldest], self.first_tried[oldest]
--- a/packages/millfork-settings/millfork_settings/errors.py
+++ b/packages/millfork-settings/millfork_settings/errors.py
@@ -33,7 +33,7 @@
         self.problems = problems
 
 
-def problems_of(error: ValidationError) -> list[Problem]:
+def find_problems(error: ValidationError) -> list[Problem]:
     """
     The validator's findings as problems.
 
--- a/packages/millfork-settings/millfork_settings/loading.py
+++ b/packages/millfork-settings/millfork_settings/loading.py
@@ -9,7 +9,7 @@
 import yaml
 from pydantic import BaseModel, ValidationError
 
-from millfork_settings.errors import BadFile, Problem, problems_of
+from millfork_settings.errors import BadFile, Problem, find_problems
 
 Model = TypeVar('Model', bound=BaseModel)
 
@@ -41,7 +41,7 @@
     try:
         return model.model_validate(content)
     except ValidationError as error:
-        raise BadFile(path, problems_of(error)) from error
+        raise BadFile(path, find_problems(error)) from error
 
 
 def read_secret(path: Path) -> bytes:
--- a/packages/millfork-standins/millfork_standins/bench/engine_model.py
+++ b/packages/millfork-standins/millfork_standins/bench/engine_model.py
@@ -13,7 +13,7 @@
 from itertools import count
 from typing import Final
 
-from millfork_routing.documents import EngineFigures
+from millfork_routing.documents import EngineSpec
 
 # Prompt tokens that one pass reads at the most.
 READ_AT_ONCE: Final = 2048
@@ -75,7 +75,7 @@
 
     """
 
-    def __init__(self, agenda: Agenda, figures: EngineFigures) -> None:
+    def __init__(self, agenda: Agenda, figures: EngineSpec) -> None:
         self.agenda = agenda
         self.figures = figures
         self.queue: deque[Generation] = deque()
--- a/packages/millfork-standins/millfork_standins/bench/limit_shares.py
+++ b/packages/millfork-standins/millfork_standins/bench/limit_shares.py
@@ -84,7 +84,7 @@
         self.shares = [LimitShare(random, limit_per_s, 0.0) for _ in range(entries)]
 
     def may_send(self, entry: int, now: float) -> bool:
-        return self.shares[entry].take(now, self.entries)
+        return self.shares[entry].consume(now, self.entries)
 
 
 class Owner:
--- a/packages/millfork-standins/millfork_standins/bench/returning.py
+++ b/packages/millfork-standins/millfork_standins/bench/returning.py
@@ -16,8 +16,8 @@
 from pathlib import Path
 from typing import Final
 
-from millfork_scheduling.book import ServerBook
-from millfork_scheduling.first_tries import ALIKE_MS, FirstTries
+from millfork_scheduling.first_tries import DEADLINE_TOLERANCE_MS, FirstTryDetector
+from millfork_scheduling.server_table import ServerTable
 from millfork_standins.bench.routing import SHAPES, Asked, FleetShape, RoutingModel
 from millfork_standins.bench.rows import Sheet
 
@@ -53,12 +53,12 @@
 
     def __init__(self, shape: FleetShape, factor: float, seed: int, way: Way, least: float) -> None:
         super().__init__(
-            shape, ServerBook, shape.capacity * CALM_FACTOR, seed, counted_from_s=CALM_S
+            shape, ServerTable, shape.capacity * CALM_FACTOR, seed, counted_from_s=CALM_S
         )
         self.way = way
         self.least = least
-        self.first_tries = {book: FirstTries() for book in self.books}
-        self.longest: Counter[ServerBook] = Counter()
+        self.first_tries = {book: FirstTryDetector() for book in self.books}
+        self.longest: Counter[ServerTable] = Counter()
         # What first tries (False) and returns (True) were taken for.
         self.taken: Counter[tuple[bool, bool]] = Counter()
         self.turned_away = 0
@@ -69,13 +69,13 @@
     def _time_given(self) -> int:
         return int(USUAL_MS * (self.least + (1 - self.least) * self.random.random()))
 
-    def _elapsed_ms(self, asked: Asked, book: ServerBook) -> int:
+    def _elapsed_ms(self, asked: Asked, book: ServerTable) -> int:
         truth = super()._elapsed_ms(asked, book)
         found = self._judged(asked, book, truth)
-        self.taken[asked.returning, found > ALIKE_MS] += 1
+        self.taken[asked.returning, found > DEADLINE_TOLERANCE_MS] += 1
         return found
 
-    def _judged(self, asked: Asked, book: ServerBook, truth: int) -> int:
+    def _judged(self, asked: Asked, book: ServerTable, truth: int) -> int:
         left_ms = asked.time_ms - truth
         if self.way is Way.KNOWN:
             return truth
@@ -84,14 +84,14 @@
         if self.way is Way.LONGEST:
             self.longest[book] = max(self.longest[book], left_ms)
             lost_ms = self.longest[book] - left_ms
-            return lost_ms if lost_ms > ALIKE_MS else 0
+            return lost_ms if lost_ms > DEADLINE_TOLERANCE_MS else 0
         judgement = self.first_tries[book].judge('r', left_ms, self.agenda.now)
-        if self.way is Way.BUILT and judgement.is_open:
+        if self.way is Way.BUILT and judgement.is_undecided:
             # What the zone remembers.
             return truth
         return judgement.elapsed_ms
 
-    def _note_turned_away(self, book: ServerBook) -> None:
+    def _note_turned_away(self, book: ServerTable) -> None:
         self.first_tries[book].note_turned_away(self.agenda.now)
         self.turned_away += self.agenda.now > CALM_S
 
--- a/packages/millfork-standins/millfork_standins/bench/routing.py
+++ b/packages/millfork-standins/millfork_standins/bench/routing.py
@@ -20,12 +20,12 @@
 from millfork_core.environment import Environment
 from millfork_core.ids import InstanceId, ServiceName, ZoneId
 from millfork_registry.records import EndpointState, Lease, LeaseState, ServedVersion
-from millfork_routing.documents import EngineFigures, Route, RouteKind, Share
-from millfork_scheduling.asking import is_worth_asking
-from millfork_scheduling.book import ServerBook
-from millfork_scheduling.placement import Choice, Wanted
+from millfork_routing.documents import EngineSpec, Route, RouteKind, Share
+from millfork_scheduling.load_queries import needs_fresh_loads
+from millfork_scheduling.placement import Choice, Requirements
 from millfork_scheduling.prediction import read_ms
 from millfork_scheduling.server import Load, Server
+from millfork_scheduling.server_table import ServerTable
 from millfork_standins.bench.engine_model import Agenda, EngineModel, Generation
 from millfork_standins.bench.rows import Sheet
 from millfork_state.view import View
@@ -89,19 +89,22 @@
 SHAPES: Final = (FleetShape('small', 6, 16, 7), FleetShape('grown', 24, 12, 40), LARGE)
 
 
-class RandomBook(ServerBook):
+class RandomBook(ServerTable):
     """
     Any engine, whatever its load.
 
     """
 
     def choose(
-        self, wanted: Wanted, tried: set[InstanceId], compared: list[Server] | None = None
+        self,
+        requirements: Requirements,
+        tried: set[InstanceId],
+        compared: list[Server] | None = None,
     ) -> Choice | None:
-        return Choice(self.random.choice(self.index.by_service[wanted.service]))
+        return Choice(self.random.choice(self.index.by_service[requirements.service]))
 
 
-class RoundRobinBook(ServerBook):
+class RoundRobinBook(ServerTable):
     """
     One engine after the other.
 
@@ -110,17 +113,20 @@
     turns: 'cycle[int] | None' = None
 
     def choose(
-        self, wanted: Wanted, tried: set[InstanceId], compared: list[Server] | None = None
+        self,
+        requirements: Requirements,
+        tried: set[InstanceId],
+        compared: list[Server] | None = None,
     ) -> Choice | None:
-        servers = self.index.by_service[wanted.service]
+        servers = self.index.by_service[requirements.service]
         if self.turns is None:
             begin = self.random.randrange(len(servers))
             self.turns = cycle([*range(begin, len(servers)), *range(begin)])
         return Choice(servers[next(self.turns)])
 
 
-BOOKS: Final[dict[str, type[ServerBook]]] = {
-    'as built': ServerBook,
+BOOKS: Final[dict[str, type[ServerTable]]] = {
+    'as built': ServerTable,
     'random': RandomBook,
     'round robin': RoundRobinBook,
 }
@@ -172,7 +178,7 @@
     def __init__(
         self,
         shape: FleetShape,
-        book: type[ServerBook],
+        book: type[ServerTable],
         rate: float,
         seed: int,
         near_report_s: float = REPORT_S,
@@ -188,7 +194,7 @@
         self.agenda = Agenda()
         self.figures = _figures(shape)
         self.engines = [EngineModel(self.agenda, self.figures) for _ in range(shape.engines)]
-        self.admits_all = book is not ServerBook
+        self.admits_all = book is not ServerTable
         self.books = [self._book(book, number) for number in range(shape.entries)]
         env = Environment(
             InstanceId('entry'), ZoneId('z0'), monotonic=self.agenda.monotonic, random=self.random
@@ -200,14 +206,14 @@
         self.route = _route(shape)
         self.outcomes = Outcomes()
 
-    def _book(self, book: type[ServerBook], number: int) -> ServerBook:
+    def _book(self, book: type[ServerTable], number: int) -> ServerTable:
         made = book(
             ZoneId(f'z{number % self.shape.zones}'),
             Random(self.random.random()),
             self.agenda.monotonic,
             lambda: self.shape.entries,
         )
-        made.take_leases(_lease(index, self.shape) for index in range(self.shape.engines))
+        made.apply_leases(_lease(index, self.shape) for index in range(self.shape.engines))
         return made
 
     def run(self, seconds: float) -> Outcomes:
@@ -250,14 +256,14 @@
     def _time_given(self) -> int:
         return 6000
 
-    def _elapsed_ms(self, asked: Asked, book: ServerBook) -> int:
+    def _elapsed_ms(self, asked: Asked, book: ServerTable) -> int:
         """
         The time since the first try, as an entry knows it; here exactly.
 
         """
         return int((self.agenda.now - asked.at) * 1000)
 
-    def _note_turned_away(self, book: ServerBook) -> None:
+    def _note_turned_away(self, book: ServerTable) -> None:
         """
         An entry turned a caller away.
 
@@ -270,29 +276,29 @@
 
     def _send(self, asked: Asked) -> None:
         book = self.random.choice(self.books)
-        wanted = self._wanted(asked)
+        requirements = self._wanted(asked)
         if self.admits_all:
-            self._choose(asked, book, wanted, None)
+            self._choose(asked, book, requirements, None)
             return
-        compared = book.compare(wanted, set())
-        if not is_worth_asking(compared, self.agenda.now, self.shape.entries):
-            self._choose(asked, book, wanted, compared)
+        compared = book.sample_candidates(requirements, set())
+        if not needs_fresh_loads(compared, self.agenda.now, self.shape.entries):
+            self._choose(asked, book, requirements, compared)
             return
         unanswered = set(compared)
 
         def take(server: Server, load: Load) -> None:
-            server.take_load(load, self.agenda.now)
+            server.set_load(load, self.agenda.now)
             unanswered.remove(server)
             if not unanswered:
-                self._choose(asked, book, wanted, compared)
+                self._choose(asked, book, requirements, compared)
 
         for server in compared:
             self._ask(book, server, take)
 
-    def _wanted(self, asked: Asked) -> Wanted:
-        return Wanted(SERVICE, self.figures, 0, 1, asked.prompt)
+    def _wanted(self, asked: Asked) -> Requirements:
+        return Requirements(SERVICE, self.figures, 0, 1, asked.prompt)
 
-    def _ask(self, book: ServerBook, server: Server, take: Callable[[Server, Load], None]) -> None:
+    def _ask(self, book: ServerTable, server: Server, take: Callable[[Server, Load], None]) -> None:
         """
         Ask the daemon beside an engine for its load.
 
@@ -308,16 +314,20 @@
         self.agenda.after(way_s + self.look_s, look)
 
     def _choose(
-        self, asked: Asked, book: ServerBook, wanted: Wanted, compared: list[Server] | None
+        self,
+        asked: Asked,
+        book: ServerTable,
+        requirements: Requirements,
+        compared: list[Server] | None,
     ) -> None:
-        choice = book.choose(wanted, set(), compared)
+        choice = book.choose(requirements, set(), compared)
         if choice is None:
             self._count(asked, 'refused')
             return
-        job = self._job(wanted, self._elapsed_ms(asked, book))
+        job = self._job(requirements, self._elapsed_ms(asked, book))
         wait_ms = 0 if self.admits_all else self.admissions[book].wait_ms(job, choice)
-        if wait_ms and (freest := book.compare_freest(wanted, set())):
-            choice = book.choose(wanted, set(), freest) or choice
+        if wait_ms and (freest := book.freest_candidates(requirements, set())):
+            choice = book.choose(requirements, set(), freest) or choice
             wait_ms = self.admissions[book].wait_ms(job, choice)
         if not wait_ms:
             self._start(asked, book, choice)
@@ -329,22 +339,22 @@
         again = replace(asked, returning=True)
         self.agenda.after(wait_ms / 1000, lambda: self._send(again))
 
-    def _job(self, wanted: Wanted, elapsed_ms: int) -> Job:
+    def _job(self, requirements: Requirements, elapsed_ms: int) -> Job:
         # Nothing is answered here, so there is no exchange.
         exchange = cast(Exchange, None)
         caller = CallerRequest('id', 'host', '/')
         now = self.agenda.now
         route = self.route
-        return Job(exchange, caller, route, None, wanted, 1, now, now + 6, 1, elapsed_ms)
+        return Job(exchange, caller, route, None, requirements, 1, now, now + 6, 1, elapsed_ms)
 
-    def _start(self, asked: Asked, book: ServerBook, choice: Choice) -> None:
+    def _start(self, asked: Asked, book: ServerTable, choice: Choice) -> None:
         attempt = Attempt(choice, self.agenda.now)
         attempt.begin()
         way_s = NEAR_S if choice.server.zone == book.zone else FAR_S
 
         def first() -> None:
             took_ms = (self.agenda.now + way_s - attempt.began) * 1000
-            book.note_first_token(choice.server, took_ms - choice.by_figures_ms)
+            book.note_first_token(choice.server, took_ms - choice.spec_first_token_ms)
             attempt.note_first()
             self._note_first(asked, (self.agenda.now + way_s - asked.at) * 1000)
 
@@ -366,13 +376,13 @@
             self.outcomes.counts[outcome] += 1
 
 
-def _deliver(books: list[ServerBook], state: EndpointState) -> None:
+def _deliver(books: list[ServerTable], state: EndpointState) -> None:
     for book in books:
-        book.take_reports([state])
+        book.apply_reports([state])
 
 
-def _figures(shape: FleetShape) -> EngineFigures:
-    return EngineFigures(
+def _figures(shape: FleetShape) -> EngineSpec:
+    return EngineSpec(
         slots=shape.slots,
         tokens=317_000,
         step_ms=shape.step_ms,
--- a/packages/millfork-standins/millfork_standins/bench/turning_away.py
+++ b/packages/millfork-standins/millfork_standins/bench/turning_away.py
@@ -13,10 +13,10 @@
 from typing import Final
 
 from millfork_core.verdicts import Reason
-from millfork_scheduling.book import ServerBook
 from millfork_scheduling.placement import Choice
-from millfork_scheduling.returning import after_refusal
+from millfork_scheduling.retry_after import refusal_wait_ms
 from millfork_scheduling.server import Server
+from millfork_scheduling.server_table import ServerTable
 from millfork_standins.bench.routing import (
     FAR_S,
     NEAR_S,
@@ -86,16 +86,16 @@
     def __init__(
         self, shape: FleetShape, rate: float, seed: int, note: Note, shed_share: float
     ) -> None:
-        super().__init__(shape, ServerBook, rate, seed)
+        super().__init__(shape, ServerTable, rate, seed)
         self.note = note
         self.shed_share = shed_share
 
-    def _start(self, asked: Asked, book: ServerBook, choice: Choice) -> None:
+    def _start(self, asked: Asked, book: ServerTable, choice: Choice) -> None:
         server = choice.server
         sheds = server.port == SHEDDING and self.random.random() < self.shed_share
         self._count(asked, 'sends')
         if not sheds:
-            server.note_taken(self.agenda.now)
+            server.note_accepted(self.agenda.now)
             super()._start(asked, book, choice)
             return
         self._count(asked, 'turned away')
@@ -103,7 +103,7 @@
         sent_at = self.agenda.now
         self.agenda.after(2 * way_s, partial(self._again, asked, book, server, sent_at))
 
-    def _again(self, asked: Asked, book: ServerBook, server: Server, sent_at: float) -> None:
+    def _again(self, asked: Asked, book: ServerTable, server: Server, sent_at: float) -> None:
         self.note(server, sent_at, self.agenda.now)
         other = book.choose(self._wanted(asked), {server.instance})
         if other is not None:
@@ -113,7 +113,7 @@
         if asked.returning:
             self._count(asked, 'refused')
             return
-        wait_s = after_refusal(Reason.BUSY) / 1000
+        wait_s = refusal_wait_ms(Reason.BUSY) / 1000
         self.agenda.after(wait_s, partial(self._send, replace(asked, returning=True)))
 
 
--- a/packages/millforkd/millforkd/beside/daemon.py
+++ b/packages/millforkd/millforkd/beside/daemon.py
@@ -16,7 +16,7 @@
 from millfork_registry.discovery import address_of
 from millfork_registry.records import EndpointState, HeldVersion, ServedVersion
 from millfork_registry.roles import ENDPOINT_ROLE
-from millfork_routing.documents import Document, EngineFigures
+from millfork_routing.documents import Document, EngineSpec
 from millfork_settings.seeded import SeededSettings, socket_pair
 from millfork_web.client import Client
 from millfork_weights.links import Link
@@ -151,7 +151,7 @@
 
     # What is to be served.
 
-    def _engine_figures(self) -> EngineFigures | None:
+    def _engine_figures(self) -> EngineSpec | None:
         found = document_in(self.view, self.adapter, self.document_revision)
         if found is not None:
             self.document, self.document_revision = found
--- a/packages/millforkd/millforkd/beside/origin.py
+++ b/packages/millforkd/millforkd/beside/origin.py
@@ -10,7 +10,7 @@
 from millfork_adapter.calls import BadCall
 from millfork_core.environment import Environment
 from millfork_core.logs import Part, logger
-from millfork_routing.documents import Document, OriginFigures
+from millfork_routing.documents import Document, OriginSpec
 from millfork_web.client import Client, ExchangeFailed
 from millfork_web.models import Request
 from millforkd.beside.intake import keep_if_good
@@ -26,7 +26,7 @@
 log = logger(Part.WEIGHTS)
 
 
-def origin_in(document: Document | None) -> OriginFigures | None:
+def origin_in(document: Document | None) -> OriginSpec | None:
     """
     Where a document says that weights come from.
 
@@ -47,7 +47,7 @@
         env: Environment,
         adapter: Adapter,
         source: str,
-        figures: Callable[[], OriginFigures | None],
+        figures: Callable[[], OriginSpec | None],
     ) -> None:
         self.env = env
         self.adapter = adapter
--- a/packages/millforkd/millforkd/beside/target.py
+++ b/packages/millforkd/millforkd/beside/target.py
@@ -13,7 +13,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.logs import Part, logger
-from millfork_routing.documents import EngineFigures
+from millfork_routing.documents import EngineSpec
 from millforkd.beside.pieces import PieceStore, WeightsId
 from millforkd.switching import LAST_SENT_S
 from millforkd.versions import Versions
@@ -72,7 +72,7 @@
         # Versions of which nothing comes, and until when to believe that.
         self.stuck_until: dict[int, float] = {}
 
-    def choose(self, figures: EngineFigures) -> Target:
+    def choose(self, figures: EngineSpec) -> Target:
         """
         The version to bring next, for an engine of these figures.
 
@@ -92,7 +92,7 @@
         self._watch(target, now)
         return target
 
-    def _ends_at(self, figures: EngineFigures, version: int) -> float:
+    def _ends_at(self, figures: EngineSpec, version: int) -> float:
         """
         When a version may no longer be begun on; of none, this does not count.
 
@@ -100,7 +100,7 @@
         ends = self.versions.ends_at(figures.model, version) if version else None
         return ends if ends is not None else float('inf')
 
-    def _version(self, figures: EngineFigures, now: float, ends: float) -> int:
+    def _version(self, figures: EngineSpec, now: float, ends: float) -> int:
         newest = self.versions.newest(figures.model) or FIRST_VERSION
         between = [
             version
@@ -116,7 +116,7 @@
                 best, least_s = version, gap_s
         return best
 
-    def _is_worth(self, figures: EngineFigures, version: int, now: float) -> bool:
+    def _is_worth(self, figures: EngineSpec, version: int, now: float) -> bool:
         """
         Whether a version in between would be served for longer than the change costs.
 
@@ -124,7 +124,7 @@
         here_at = now + self._bringing_s(figures, version)
         return here_at + CHANGE_S < self._ends_at(figures, version) - LAST_SENT_S
 
-    def _by_way_of_s(self, figures: EngineFigures, version: int, now: float, ends: float) -> float:
+    def _by_way_of_s(self, figures: EngineSpec, version: int, now: float, ends: float) -> float:
         """
         For how long the engine would serve nothing on its way to the newest
         with another version in between, the second change included. An engine that
@@ -140,7 +140,7 @@
         after_s = max(here_at + whole_s + CHANGE_S - last_sent, 0.0)
         return before_s + after_s + CHANGE_S
 
-    def _direct_s(self, figures: EngineFigures, newest: int, now: float, ends: float) -> float:
+    def _direct_s(self, figures: EngineSpec, newest: int, now: float, ends: float) -> float:
         """
         For how long the engine would serve nothing on its way to the newest.
 
@@ -152,7 +152,7 @@
         here_at = now + self._bringing_s(figures, newest)
         return max(here_at + CHANGE_S - max(now, ends - LAST_SENT_S), 0.0)
 
-    def _bringing_s(self, figures: EngineFigures, version: int) -> float:
+    def _bringing_s(self, figures: EngineSpec, version: int) -> float:
         """
         Seconds in which the link could bring what is not here of a version.
 
--- a/packages/millforkd/millforkd/endpoint/door.py
+++ b/packages/millforkd/millforkd/endpoint/door.py
@@ -13,7 +13,7 @@
 from millfork_core.logs import logger
 from millfork_core.verdicts import Reason, Refusal, Verdict
 from millfork_routing.limits import FairQueue
-from millfork_scheduling.fates import Fate
+from millfork_scheduling.incarnation_status import IncarnationStatus
 from millfork_settings.models import BackendKind, BackendSettings
 from millfork_state.proposals import Proposals
 from millfork_web.client import Client, ExchangeFailed, Reply
@@ -139,7 +139,7 @@
         resting = self.resting.refusal()
         if resting is not None:
             return resting
-        wait_ms = self.queue.refuses(organisation, request.deadline_ms / 1000)
+        wait_ms = self.queue.refusal_wait_ms(organisation, request.deadline_ms / 1000)
         if wait_ms:
             return Refusal(Reason.BUSY, detail='all places are taken', retry_after_ms=wait_ms)
         return None
@@ -265,9 +265,9 @@
         fate = await self.ends.note_broken(
             RequestId(reservation.request.request_id), reservation.connection, reservation.sent_to
         )
-        if fate is not Fate.LIVES:
+        if fate is not IncarnationStatus.LIVES:
             reservation.broke_off_at = self.ends.key_of(reservation.sent_to)
-        if fate is Fate.ENDED:
+        if fate is IncarnationStatus.ENDED:
             detail = 'the back end ended'
             return Refusal(Reason.BACKEND_FAILED, Verdict.MAY_HAVE_RUN, detail)
         detail = 'the connection to the back end broke off'
--- a/packages/millforkd/millforkd/endpoint/ends.py
+++ b/packages/millforkd/millforkd/endpoint/ends.py
@@ -11,7 +11,7 @@
 from millfork_core.environment import Environment
 from millfork_core.ids import IncarnationKey, RequestId
 from millfork_core.logs import Part, logger
-from millfork_scheduling.fates import Fate
+from millfork_scheduling.incarnation_status import IncarnationStatus
 from millfork_wire.connection import Connection, PeerLost
 from millfork_wire.messages import BackEndFate
 from millforkd.watching import LEFT_WATCHED_S, Address, Break, Watch, look_at
@@ -32,7 +32,7 @@
     request_id: RequestId
     connection: Connection
     number: int
-    fate: Fate = Fate.UNKNOWN
+    fate: IncarnationStatus = IncarnationStatus.UNKNOWN
     is_awaited: bool = True
     # Whether it was called off instead, as its caller left: its back end may go on with it.
     called_off: bool = False
@@ -93,7 +93,9 @@
         self.told_incarnation = NO_ANSWER
         self.answered_sent_at = float('-inf')
 
-    async def note_broken(self, request_id: RequestId, connection: Connection, number: int) -> Fate:
+    async def note_broken(
+        self, request_id: RequestId, connection: Connection, number: int
+    ) -> IncarnationStatus:
         """
         A request broke off that was sent to an incarnation. Returns what is known of it
         within moments; what becomes known later is told to the entry.
@@ -128,13 +130,17 @@
         finally:
             self.is_watching = False
 
-    def _fate(self, broken: Break[Broken]) -> Fate:
+    def _fate(self, broken: Break[Broken]) -> IncarnationStatus:
         if broken.item.number < self.number:
-            return Fate.ENDED
+            return IncarnationStatus.ENDED
         if broken.item.called_off:
             is_over = self.env.monotonic() - broken.at > LEFT_WATCHED_S
-            return Fate.LIVES if is_over else Fate.UNKNOWN
-        return Fate.LIVES if self.answered_sent_at > broken.at else Fate.UNKNOWN
+            return IncarnationStatus.LIVES if is_over else IncarnationStatus.UNKNOWN
+        return (
+            IncarnationStatus.LIVES
+            if self.answered_sent_at > broken.at
+            else IncarnationStatus.UNKNOWN
+        )
 
     async def _look(self) -> Address:
         if self.ask is not None:
@@ -145,7 +151,7 @@
                 return Address.ANSWERS
         return await look_at(*self.address())
 
-    async def _settle(self, fate: Fate, broken: list[Break[Broken]]) -> None:
+    async def _settle(self, fate: IncarnationStatus, broken: list[Break[Broken]]) -> None:
         after_ms = (self.env.monotonic() - min(item.at for item in broken)) * 1000
         log.info(
             'Back end after answers broke off: {}. requests={} after_ms={:.0f}',
@@ -153,7 +159,9 @@
             len(broken),
             after_ms,
         )
-        if fate is Fate.ENDED and any(item.item.number == self.number for item in broken):
+        if fate is IncarnationStatus.ENDED and any(
+            item.item.number == self.number for item in broken
+        ):
             self._begin_next()
         for item in broken:
             item.item.fate = fate
@@ -163,7 +171,7 @@
     async def _tell(self, broken: Broken) -> None:
         try:
             await broken.connection.notify(
-                BackEndFate(broken.request_id, broken.fate is Fate.ENDED)
+                BackEndFate(broken.request_id, broken.fate is IncarnationStatus.ENDED)
             )
         except PeerLost:
             log.info('An entry is gone that would hear of the back end. id={}', broken.request_id)
--- a/packages/millforkd/millforkd/endpoint/resting.py
+++ b/packages/millforkd/millforkd/endpoint/resting.py
@@ -8,7 +8,7 @@
 from millfork_core.environment import Environment
 from millfork_core.logs import Part, logger
 from millfork_core.verdicts import Reason, Refusal
-from millfork_scheduling.availability import Rest
+from millfork_scheduling.availability import RestPeriod
 from millfork_web.client import Reply
 from millfork_web.retry_after import TURNED_AWAY, read_retry_after
 
@@ -24,7 +24,7 @@
 
     def __init__(self, env: Environment) -> None:
         self.env = env
-        self.rest: Rest | None = None
+        self.rest: RestPeriod | None = None
 
     def refusal(self) -> Refusal | None:
         """
@@ -51,7 +51,7 @@
 
         """
         if reply.status not in TURNED_AWAY:
-            if self.rest is not None and self.rest.ends_with(sent_at):
+            if self.rest is not None and self.rest.is_ended_by(sent_at):
                 log.info('The back end takes requests again.')
                 self.rest = None
             return
@@ -63,7 +63,7 @@
         if not asked.seconds:
             return
         now = self.env.monotonic()
-        self.rest = self.rest or Rest(now)
+        self.rest = self.rest or RestPeriod(now)
         self.rest.extend(asked.seconds, now)
         self.env.metrics.count(
             self.env.metrics.backpressure, signal='rest', event='began', told_by='answer'
--- a/packages/millforkd/millforkd/entry/book.py
+++ b/packages/millforkd/millforkd/entry/book.py
@@ -150,7 +150,7 @@
         backend = self.backends.get(connection.peer)
         if backend is None:
             return
-        backend.take_report(load.running + load.queued, load.limit)
+        backend.apply_report(load.running + load.queued, load.limit)
         backend.start = load.start
         backend.served = {served.service: served.version for served in load.served}
         backend.leaving = load.leaving or self._listed_leaving(connection.peer)
--- a/packages/millforkd/millforkd/entry/callers.py
+++ b/packages/millforkd/millforkd/entry/callers.py
@@ -14,7 +14,7 @@
 from millfork_core.ids import OrganisationId
 from millfork_core.logs import Part, logger
 from millfork_core.verdicts import Reason, Refusal, Refused, Verdict
-from millfork_routing.limits import InFlight
+from millfork_routing.limits import InFlightCounter
 from millfork_settings.models import RoutingSettings
 from millfork_state.config import DEPLOYMENTS
 from millfork_state.view import View
@@ -75,7 +75,7 @@
         self.access = access
         self.dispatch = dispatch
         self.claims = claims
-        self.in_flight = InFlight(settings.organisation_slots)
+        self.in_flight = InFlightCounter(settings.organisation_slots)
 
     async def answer(self, exchange: Exchange) -> None:
         """
--- a/packages/millforkd/millforkd/entry/crashes.py
+++ b/packages/millforkd/millforkd/entry/crashes.py
@@ -16,7 +16,7 @@
 from millfork_core.logs import Part, logger
 from millfork_core.verdicts import Reason, Refusal, Verdict
 from millfork_registry.suspects import Suspects, Suspicion
-from millfork_scheduling.quarantine import Standing, Trials
+from millfork_scheduling.quarantine import SuspicionLevel, TrialSchedule
 from millfork_state.view import View
 from millfork_wire.messages import BackEndFate
 from millforkd.entry.attempts import BrokeOff, Call, endpoint_key
@@ -25,12 +25,12 @@
 from millforkd.suspecting import Suspecting
 
 DETAILS: Final = {
-    Standing.AT_FAULT: 'back ends end when they run this request',
-    Standing.SUSPECTED: 'back ends broke off when they ran this request',
+    SuspicionLevel.AT_FAULT: 'back ends end when they run this request',
+    SuspicionLevel.SUSPECTED: 'back ends broke off when they ran this request',
 }
 REASONS: Final = {
-    Standing.AT_FAULT: Reason.QUARANTINED,
-    Standing.SUSPECTED: Reason.SUSPECTED,
+    SuspicionLevel.AT_FAULT: Reason.QUARANTINED,
+    SuspicionLevel.SUSPECTED: Reason.SUSPECTED,
 }
 
 # An endpoint watches its back end for 20 s; one that is gone tells nothing any more.
@@ -90,7 +90,7 @@
             self.suspects,
             view,
             CallFingerprints(key, lambda: view.cluster),
-            Trials(env.random, env.monotonic, entries),
+            TrialSchedule(env.random, env.monotonic, entries),
         )
 
     def known(self, call: Call) -> Suspicion:
--- a/packages/millforkd/millforkd/entry/dispatch.py
+++ b/packages/millforkd/millforkd/entry/dispatch.py
@@ -10,7 +10,7 @@
 from millfork_core.environment import Environment
 from millfork_core.ids import InstanceId, RequestId
 from millfork_core.verdicts import Reason, Refusal, Verdict
-from millfork_routing.balance import Backend, Busy, choose
+from millfork_routing.balance import Backend, BusyNotice, choose
 from millfork_routing.retries import RetryBudget, may_retry
 from millfork_settings.models import RoutingSettings
 from millfork_state.view import View
@@ -158,7 +158,7 @@
             else:
                 self._note_called_off(call, attempt)
         if refusal is None:
-            backend.note_taken(sent_at)
+            backend.note_accepted(sent_at)
             return None
         if isinstance(refusal, TurnedAway):
             backend.note_turned_away(sent_at, self.env.monotonic())
@@ -191,8 +191,10 @@
         if refusal.reason in SUSPICIOUS:
             backend.suspect_until = now + SUSPECT_S
         if refusal.reason is Reason.BUSY:
-            backend.busy[call.organisation] = Busy(now + BUSY_MEMORY_S, refusal.wait_ms)
+            backend.busy[call.organisation] = BusyNotice(now + BUSY_MEMORY_S, refusal.wait_ms)
         if refusal.reason is Reason.RESTING:
-            backend.busy[call.organisation] = Busy(now + refusal.wait_ms / 1000, refusal.wait_ms)
+            backend.busy[call.organisation] = BusyNotice(
+                now + refusal.wait_ms / 1000, refusal.wait_ms
+            )
         if refusal.reason is Reason.LEAVING:
             backend.leaving = True
--- a/packages/millforkd/millforkd/entry/operators.py
+++ b/packages/millforkd/millforkd/entry/operators.py
@@ -13,7 +13,7 @@
 from millfork_core.environment import Environment
 from millfork_core.verdicts import Reason, Refusal, Refused
 from millfork_settings.declarations import Declaration, DeploymentSpec
-from millfork_settings.errors import problems_of
+from millfork_settings.errors import find_problems
 from millfork_state.commands import Apply, Change
 from millfork_state.config import (
     DEPLOYMENTS,
@@ -114,7 +114,7 @@
         except msgspec.DecodeError as error:
             raise Refused(Refusal(Reason.INVALID, detail=str(error))) from error
         except ValidationError as error:
-            found = [f'{problem.key}: {problem.expected}' for problem in problems_of(error)]
+            found = [f'{problem.key}: {problem.expected}' for problem in find_problems(error)]
             raise Refused(Refusal(Reason.INVALID, detail='; '.join(found))) from error
         changes = await self._changes(declaration, operator, request)
         command = Apply(request.command_id or uuid.uuid4().hex, changes)
--- a/packages/millforkd/millforkd/proxy/admission.py
+++ b/packages/millforkd/millforkd/proxy/admission.py
@@ -16,14 +16,14 @@
 from millfork_routing.documents import Organisation, Route
 from millfork_routing.routes import RouteTable, pick_service, priority_of
 from millfork_scheduling.admission import (
-    Prospect,
-    hinges_on_first_try,
+    StartEstimate,
+    depends_on_first_try,
     is_worth_sending,
     overdue_ms,
 )
-from millfork_scheduling.first_tries import FirstTries, Judgement
-from millfork_scheduling.placement import Choice, Wanted
-from millfork_scheduling.returning import after_full_engines
+from millfork_scheduling.first_tries import FirstTryDetector, Judgement
+from millfork_scheduling.placement import Choice, Requirements
+from millfork_scheduling.retry_after import full_engines_wait_ms
 from millfork_web.server import Exchange
 from millforkd.proxy.job import Job
 from millforkd.versions import Versions
@@ -57,7 +57,7 @@
         # Set once there are a document and back ends.
         self.begun = curio.Event()
         self.began = env.monotonic()
-        self.first_tries = FirstTries()
+        self.first_tries = FirstTryDetector()
 
     async def until_begun(self, caller: CallerRequest) -> None:
         """
@@ -104,26 +104,26 @@
             caller,
             route,
             organisation,
-            Wanted(name, service.engine, prompt_tokens=caller.prompt_tokens),
+            Requirements(name, service.engine, prompt_tokens=caller.prompt_tokens),
             priority_of(route, organisation),
             came_at,
             deadline,
             table.version,
             judgement.elapsed_ms,
-            judgement.is_open,
+            judgement.is_undecided,
         )
 
-    def as_of_now(self, wanted: Wanted, last_send: bool) -> Wanted:
+    def as_of_now(self, requirements: Requirements, last_send: bool) -> Requirements:
         """
         What a request needs at this moment: a version that was good when it
         came may have ended since.
 
         """
-        if wanted.engine is None:
-            return wanted
-        model = wanted.engine.model
+        if requirements.engine is None:
+            return requirements
+        model = requirements.engine.model
         return replace(
-            wanted,
+            requirements,
             least_version=self.versions.least(model),
             newest_version=self.versions.newest(model),
             last_send=last_send,
@@ -135,58 +135,58 @@
             return Judgement()
         return self.first_tries.judge(route.name, caller.deadline_ms, self.env.monotonic())
 
-    def hinges_on_first_try(self, job: Job, choice: Choice) -> bool:
+    def depends_on_first_try(self, job: Job, choice: Choice) -> bool:
         """
         Whether a request is sent only if this is its caller's first try, and its time
         does not tell.
 
         """
-        if job.wanted.engine is None or not job.is_open:
+        if job.requirements.engine is None or not job.is_undecided:
             return False
-        return hinges_on_first_try(self._prospect(job, choice))
+        return depends_on_first_try(self._start_estimate(job, choice))
 
-    def _prospect(self, job: Job, choice: Choice) -> Prospect:
+    def _start_estimate(self, job: Job, choice: Choice) -> StartEstimate:
         now = self.env.monotonic()
         left_ms = job.route.target_ms - job.elapsed_ms - (now - job.began) * 1000
-        occupied = choice.server.taken(now, self.entries())
+        occupied = choice.server.likely_occupied(now, self.entries())
         age_ms = (now - choice.server.reported_at) * 1000
-        return Prospect(choice.first_token_ms, left_ms, occupied, choice.server.slots, age_ms)
+        return StartEstimate(choice.first_token_ms, left_ms, occupied, choice.server.slots, age_ms)
 
     def wait_ms(self, job: Job, choice: Choice) -> int:
         """
         0 if a request is worth sending; else when its caller may come back.
 
         """
-        if job.wanted.engine is None:
+        if job.requirements.engine is None:
             return 0
         server = choice.server
-        prospect = self._prospect(job, choice)
-        job.prospect = prospect
+        start_estimate = self._start_estimate(job, choice)
+        job.start_estimate = start_estimate
         log.debug(
             'Weighed. id={} server={} expected_ms={:.0f} figures_ms={:.0f} left_ms={:.0f} '
             'occupied={} reported={} unread={} mine={} report_age_ms={:.0f} pace={:.2f}',
             job.caller.request_id,
             server.instance,
-            prospect.expected_ms,
-            choice.by_figures_ms,
-            prospect.left_ms,
-            prospect.occupied,
+            start_estimate.expected_ms,
+            choice.spec_first_token_ms,
+            start_estimate.remaining_ms,
+            start_estimate.occupied,
             server.reported,
             server.reported_unread,
             server.mine,
-            prospect.load_age_ms,
+            start_estimate.load_age_ms,
             server.pace,
         )
-        if is_worth_sending(prospect):
+        if is_worth_sending(start_estimate):
             return 0
-        return after_full_engines(overdue_ms(prospect), self.env.random)
+        return full_engines_wait_ms(overdue_ms(start_estimate), self.env.random)
 
     def _organisation(
         self, table: RouteTable, route: Route, caller: CallerRequest
     ) -> Organisation | None:
         if not table.needs_keys:
             return None
-        holder = table.holder(caller.key)
+        holder = table.organisation_of_key(caller.key)
         if holder is None and not route.public:
             raise Refused(Refusal(Reason.UNAUTHENTICATED, detail='unknown key'))
         return holder
--- a/packages/millforkd/millforkd/proxy/asking.py
+++ b/packages/millforkd/millforkd/proxy/asking.py
@@ -14,9 +14,9 @@
 from millfork_core.environment import Environment
 from millfork_core.ids import Incarnation
 from millfork_core.logs import Part, logger
-from millfork_scheduling.asking import is_worth_asking
-from millfork_scheduling.book import ServerBook
+from millfork_scheduling.load_queries import needs_fresh_loads
 from millfork_scheduling.server import Load, Server
+from millfork_scheduling.server_table import ServerTable
 from millfork_wire.connection import Connection
 from millfork_wire.messages import AskLoad, EngineLoad
 from millfork_wire.peers import Peers
@@ -38,7 +38,7 @@
 
     """
 
-    def __init__(self, env: Environment, peers: Peers, book: ServerBook) -> None:
+    def __init__(self, env: Environment, peers: Peers, book: ServerTable) -> None:
         self.env = env
         self.book = book
         self.questions = Questions(env, peers, 'load_untold', PASSED_OVER_S)
@@ -49,7 +49,7 @@
         once all that were asked have answered, or after `WAIT_S`.
 
         """
-        if not is_worth_asking(servers, self.env.monotonic(), self.book.entries()):
+        if not needs_fresh_loads(servers, self.env.monotonic(), self.book.entries()):
             return
         asked = []
         for server in servers:
@@ -76,8 +76,8 @@
             self.questions.silent.note(daemon)
         if not isinstance(reply, EngineLoad) or not reply.known:
             return
-        if server.is_another(Incarnation(reply.incarnation)):
+        if server.is_other_incarnation(Incarnation(reply.incarnation)):
             log.info('Told of the load of another engine. server={}', server.instance)
             return
         load = Load(reply.running, reply.queued, reply.pace_percent / 100, mine, mine_unread)
-        server.take_load(load, now)
+        server.set_load(load, now)
--- a/packages/millforkd/millforkd/proxy/backpressure.py
+++ b/packages/millforkd/millforkd/proxy/backpressure.py
@@ -8,7 +8,7 @@
 from millfork_adapter.exchange import AnswerHead
 from millfork_core.environment import Environment
 from millfork_core.logs import Part, logger
-from millfork_scheduling.availability import SignalChange, ToldBy
+from millfork_scheduling.availability import SignalChange, SignalSource
 from millfork_scheduling.server import Server
 from millforkd.proxy.job import Job
 
@@ -42,10 +42,10 @@
                 told.unread,
             )
         now = self.env.monotonic()
-        changes = server.availability.take_answer(told, sent_at, now, head.not_run)
-        self.note(server, changes, ToldBy.ANSWER, job.caller.request_id)
+        changes = server.availability.apply_answer(told, sent_at, now, head.not_run)
+        self.note(server, changes, SignalSource.ANSWER, job.caller.request_id)
         if not head.not_run:
-            server.note_taken(sent_at)
+            server.note_accepted(sent_at)
         elif not head.elsewhere:
             server.note_turned_away(sent_at, now)
 
@@ -53,7 +53,7 @@
         self,
         server: Server,
         changes: Iterable[SignalChange],
-        told_by: ToldBy,
+        told_by: SignalSource,
         request_id: str = '',
     ) -> None:
         """
--- a/packages/millforkd/millforkd/proxy/daemon.py
+++ b/packages/millforkd/millforkd/proxy/daemon.py
@@ -17,12 +17,12 @@
 from millfork_registry.discovery import address_of
 from millfork_registry.roles import ENTRY_ROLE
 from millfork_registry.suspects import decode_suspicions
-from millfork_routing.budget import SharedBudget
 from millfork_routing.documents import Document
 from millfork_routing.routes import RouteTable
-from millfork_scheduling.availability import ToldBy
-from millfork_scheduling.book import ServerBook
-from millfork_scheduling.quarantine import Trials
+from millfork_routing.shared_budget import SharedBudget
+from millfork_scheduling.availability import SignalSource
+from millfork_scheduling.quarantine import TrialSchedule
+from millfork_scheduling.server_table import ServerTable
 from millfork_settings.seeded import SeededSettings, socket_pair
 from millfork_web.models import Response
 from millfork_web.problem import problem
@@ -79,7 +79,7 @@
         self.relaying = feed.relaying
         self.versions = feed.versions
         self.admission = Admission(env, self.versions, lambda: self.following.entries)
-        self.book = ServerBook(
+        self.book = ServerTable(
             env.zone,
             env.random,
             env.monotonic,
@@ -97,7 +97,7 @@
         )
         fingerprints = Fingerprints(fleet_key(settings), lambda: self.view.cluster)
         self.recall = Recall(env, self.peers, self.discovery.caches, fingerprints)
-        trials = Trials(env.random, env.monotonic, self.most_entries)
+        trials = TrialSchedule(env.random, env.monotonic, self.most_entries)
         self.forwarding = Forwarding(
             env,
             adapter,
@@ -208,11 +208,11 @@
                 self.leases_taken = self.registry.leases.version
                 # A back end that is new here may have been reported on before.
                 self.reports_taken = 0
-                for server in self.book.take_leases(self.registry.leases.values()):
+                for server in self.book.apply_leases(self.registry.leases.values()):
                     await self.pools.drop(server)
-            told = self.book.take_reports(self.registry.endpoints.since(self.reports_taken))
+            told = self.book.apply_reports(self.registry.endpoints.since(self.reports_taken))
             for server, changes in told:
-                self.forwarding.backpressure.note(server, changes, ToldBy.DAEMON)
+                self.forwarding.backpressure.note(server, changes, SignalSource.DAEMON)
             self.reports_taken = self.registry.endpoints.version
             if self.admission.table is not None and self.book.servers:
                 await self.admission.begun.set()
@@ -238,7 +238,7 @@
 
     def _log_repeats(self) -> None:
         for service in list(self.budget.windows):
-            part = self.budget.part(service)
+            part = self.budget.current_share(service)
             if part.spent == self.repeats_logged.get(service, 0):
                 continue
             self.repeats_logged[service] = part.spent
--- a/packages/millforkd/millforkd/proxy/ends.py
+++ b/packages/millforkd/millforkd/proxy/ends.py
@@ -17,7 +17,7 @@
 from millfork_core.ids import Fingerprint, IncarnationKey
 from millfork_core.logs import Part, logger
 from millfork_registry.suspects import Suspects, Suspicion
-from millfork_scheduling.fates import Fate, fate_of
+from millfork_scheduling.incarnation_status import IncarnationStatus, determine_status
 from millfork_scheduling.server import Server
 from millforkd.suspecting import Suspecting
 from millforkd.watching import (
@@ -77,7 +77,7 @@
         self,
         env: Environment,
         suspects: Suspects,
-        fate: Callable[[Server, float], Fate] = fate_of,
+        fate: Callable[[Server, float], IncarnationStatus] = determine_status,
     ) -> None:
         self.env = env
         self.fate = fate
@@ -139,13 +139,13 @@
             WATCHED_S,
         )
 
-    def _fate(self, server: Server, broken: Break[Sent]) -> Fate:
+    def _fate(self, server: Server, broken: Break[Sent]) -> IncarnationStatus:
         fate = self.fate(server, broken.at)
-        if fate is Fate.ENDED or not broken.item.caller_left:
+        if fate is IncarnationStatus.ENDED or not broken.item.caller_left:
             return fate
         # It may go on with the request while it answers others.
         is_over = self.env.monotonic() - broken.at > LEFT_WATCHED_S
-        return Fate.LIVES if is_over else Fate.UNKNOWN
+        return IncarnationStatus.LIVES if is_over else IncarnationStatus.UNKNOWN
 
     async def _keep(self, watch: Watch[Sent], key: IncarnationKey) -> None:
         try:
@@ -153,13 +153,15 @@
         finally:
             del self.watches[key]
 
-    async def _settle(self, key: IncarnationKey, fate: Fate, broken: list[Break[Sent]]) -> None:
-        if fate is Fate.ENDED:
+    async def _settle(
+        self, key: IncarnationKey, fate: IncarnationStatus, broken: list[Break[Sent]]
+    ) -> None:
+        if fate is IncarnationStatus.ENDED:
             self._log_end(key, broken)
-        if fate is Fate.UNKNOWN:
+        if fate is IncarnationStatus.UNKNOWN:
             log.info('Never known whether a back end ended. incarnation={}', key)
         for item in broken:
-            if fate is Fate.ENDED:
+            if fate is IncarnationStatus.ENDED:
                 if item.item.caller_left:
                     await self.suspecting.note_broken(item.item.before.fingerprint, key)
                 await self.suspecting.note_end(item.item.before, key)
--- a/packages/millforkd/millforkd/proxy/forwarding.py
+++ b/packages/millforkd/millforkd/proxy/forwarding.py
@@ -13,11 +13,11 @@
 from millfork_core.logs import Part, logger
 from millfork_core.verdicts import Reason, Refusal, Refused, Verdict
 from millfork_registry.suspects import Suspicion
-from millfork_routing.budget import SharedBudget
-from millfork_scheduling.book import ServerBook
+from millfork_routing.shared_budget import SharedBudget
 from millfork_scheduling.placement import Choice
-from millfork_scheduling.quarantine import Standing
-from millfork_scheduling.returning import after_refusal, while_closed, while_nothing_serves
+from millfork_scheduling.quarantine import SuspicionLevel
+from millfork_scheduling.retry_after import closed_wait_ms, nothing_serves_wait_ms, refusal_wait_ms
+from millfork_scheduling.server_table import ServerTable
 from millfork_web.server import CallerGone, Exchange
 from millforkd.proxy.admission import Admission
 from millforkd.proxy.asking import LoadQuestions
@@ -45,7 +45,7 @@
         env: Environment,
         adapter: Adapter,
         admission: Admission,
-        book: ServerBook,
+        book: ServerTable,
         pools: Pools,
         budget: SharedBudget,
         quarantine: Quarantine[Job],
@@ -62,7 +62,7 @@
         self.recall = recall
         self.loads = loads
         self.backpressure = BackpressureIntake(env)
-        self.ends = Ends(env, quarantine.suspects, book.fate)
+        self.ends = Ends(env, quarantine.suspects, book.incarnation_status)
         self.relaying = Relaying(env, adapter, book)
         self.sending = Sending(
             env,
@@ -155,7 +155,7 @@
 
         """
         self.admission.first_tries.note_turned_away(self.env.monotonic())
-        if job.wanted.engine is not None:
+        if job.requirements.engine is not None:
             await self.recall.note(job)
 
     async def _attempt(self, job: Job) -> Refusal | None:
@@ -169,7 +169,7 @@
             if refusal is not None:
                 return refusal
             last_send = len(job.tried) + 1 >= job.route.max_attempts
-            job.wanted = self.admission.as_of_now(job.wanted, last_send)
+            job.requirements = self.admission.as_of_now(job.requirements, last_send)
             choice = await self._choose(job)
             if choice is None:
                 return self._no_server(job)
@@ -181,7 +181,7 @@
                     wait_ms = self.admission.wait_ms(job, choice)
                 if wait_ms:
                     return Refusal(Reason.BUSY, Verdict.NOT_RUN, 'all servers are busy', wait_ms)
-            if job.tried and not paid and not self.budget.spend(job.wanted.service):
+            if job.tried and not paid and not self.budget.spend(job.requirements.service):
                 return self._final(job, Reason.RETRY_BUDGET)
             server = choice.server
             before = self.quarantine.known(job)
@@ -234,9 +234,9 @@
 
         """
         tried = set(job.tried)
-        compared = self.book.compare(job.wanted, tried)
+        compared = self.book.sample_candidates(job.requirements, tried)
         await self.loads.refresh(compared)
-        return self.book.choose(job.wanted, tried, compared or None)
+        return self.book.choose(job.requirements, tried, compared or None)
 
     def _among_freest(self, job: Job) -> Choice | None:
         """
@@ -245,13 +245,13 @@
 
         """
         tried = set(job.tried)
-        freest = self.book.compare_freest(job.wanted, tried)
-        return self.book.choose(job.wanted, tried, freest) if freest else None
+        freest = self.book.freest_candidates(job.requirements, tried)
+        return self.book.choose(job.requirements, tried, freest) if freest else None
 
     async def _look_up_first_try(self, job: Job, choice: Choice) -> None:
-        if not self.admission.hinges_on_first_try(job, choice):
+        if not self.admission.depends_on_first_try(job, choice):
             return
-        job.is_open = False
+        job.is_undecided = False
         job.elapsed_ms = await self.recall.elapsed_ms(job)
 
     def _barred(self, job: Job) -> Refusal | None:
@@ -262,10 +262,10 @@
         if job.left_s(self.env.monotonic()) < LAST_WORD_S:
             return self._final(job, Reason.TIMED_OUT if job.tried else Reason.EXPIRED)
         standing = self.quarantine.bars(job)
-        if standing is Standing.AT_FAULT:
+        if standing is SuspicionLevel.AT_FAULT:
             detail = 'back ends end when they run this request'
             return self._final(job, Reason.QUARANTINED, detail)
-        if standing is Standing.SUSPECTED:
+        if standing is SuspicionLevel.SUSPECTED:
             detail = 'back ends broke off when they ran this request'
             return self._final(job, Reason.SUSPECTED, detail)
         if not job.failures:
@@ -278,17 +278,17 @@
         return None
 
     def _no_server(self, job: Job) -> Refusal:
-        closure = self.book.soonest(job.wanted)
+        closure = self.book.first_to_open(job.requirements)
         if job.tried:
             refusal = self._final(job, job.failures[-1].reason)
             if closure is None or refusal.verdict is not Verdict.NOT_RUN:
                 return refusal
-            return replace(refusal, retry_after_ms=while_closed(closure, self.env.random))
+            return replace(refusal, retry_after_ms=closed_wait_ms(closure, self.env.random))
         if closure is not None:
-            wait_ms = while_closed(closure, self.env.random)
-            reason = Reason(closure.closed_for.value)
+            wait_ms = closed_wait_ms(closure, self.env.random)
+            reason = Reason(closure.closure_reason.value)
             return Refusal(reason, Verdict.NOT_RUN, 'no server takes more', wait_ms)
-        wait_ms = while_nothing_serves(self.env.random)
+        wait_ms = nothing_serves_wait_ms(self.env.random)
         return Refusal(Reason.NO_ENDPOINT, Verdict.NOT_RUN, 'no server', wait_ms)
 
     def _final(self, job: Job, reason: Reason, why: str = '') -> Refusal:
@@ -299,4 +299,4 @@
         detail = why or '; '.join(failed.detail for failed in job.failures)
         if job.may_have_run:
             return Refusal(reason, Verdict.MAY_HAVE_RUN, detail)
-        return Refusal(reason, Verdict.NOT_RUN, detail, after_refusal(reason))
+        return Refusal(reason, Verdict.NOT_RUN, detail, refusal_wait_ms(reason))
--- a/packages/millforkd/millforkd/proxy/job.py
+++ b/packages/millforkd/millforkd/proxy/job.py
@@ -10,8 +10,8 @@
 from millfork_core.ids import Fingerprint, InstanceId
 from millfork_core.verdicts import Reason, Verdict
 from millfork_routing.documents import Organisation, Route
-from millfork_scheduling.admission import NO_PROSPECT, Prospect
-from millfork_scheduling.placement import Choice, Wanted
+from millfork_scheduling.admission import NO_START_ESTIMATE, StartEstimate
+from millfork_scheduling.placement import Choice, Requirements
 from millfork_scheduling.server import Server
 from millfork_web.server import Exchange
 
@@ -92,7 +92,7 @@
     caller: CallerRequest
     route: Route
     organisation: Organisation | None
-    wanted: Wanted
+    requirements: Requirements
     priority: int
     began: float
     deadline: float
@@ -100,9 +100,9 @@
     # The time since the caller's first try, in ms, as far as is known; 0: this is it.
     elapsed_ms: int = 0
     # Whether what is left to the caller can't tell that, and nobody was asked yet.
-    is_open: bool = False
+    is_undecided: bool = False
     # What was expected of it when it was last weighed.
-    prospect: Prospect = NO_PROSPECT
+    start_estimate: StartEstimate = NO_START_ESTIMATE
     tried: list[InstanceId] = field(default_factory=list)
     failures: list[Failed] = field(default_factory=list)
     # The version of the weights that the last sending named (0: none), and how long before
@@ -129,7 +129,7 @@
         come, which is what the time to a first token is predicted from.
 
         """
-        if self.wanted.engine is None:
+        if self.requirements.engine is None:
             return None
         return min(max(USUAL_URGENCY + self.priority - USUAL_PRIORITY, 0), LEAST_URGENCY)
 
--- a/packages/millforkd/millforkd/proxy/recall.py
+++ b/packages/millforkd/millforkd/proxy/recall.py
@@ -14,7 +14,7 @@
 from millfork_core.environment import Environment
 from millfork_core.logs import Part, logger
 from millfork_core.ranks import rank
-from millfork_scheduling.turned_away import TurnedAway
+from millfork_scheduling.turned_away import TurnedAwayRequests
 from millfork_wire.connection import PeerLost
 from millfork_wire.messages import (
     AskTurnedAway,
@@ -52,7 +52,7 @@
         # The entries that others are told of.
         self.known = known
         self.fingerprints = fingerprints
-        self.table = TurnedAway()
+        self.table = TurnedAwayRequests()
         self.questions = Questions(env, peers, 'first_try_unknown')
 
     async def note(self, job: Job) -> None:
--- a/packages/millforkd/millforkd/proxy/relaying.py
+++ b/packages/millforkd/millforkd/proxy/relaying.py
@@ -10,7 +10,7 @@
 from millfork_adapter.adapter import Adapter
 from millfork_core.environment import Environment
 from millfork_core.verdicts import Reason, Verdict
-from millfork_scheduling.book import ServerBook
+from millfork_scheduling.server_table import ServerTable
 from millfork_web.models import Response, without
 from millforkd.proxy.connections import SendFailed, ServerConnection
 from millforkd.proxy.events import EventSplitter, NotEvents
@@ -29,7 +29,7 @@
 
     """
 
-    def __init__(self, env: Environment, adapter: Adapter, book: ServerBook) -> None:
+    def __init__(self, env: Environment, adapter: Adapter, book: ServerTable) -> None:
         self.env = env
         self.adapter = adapter
         self.book = book
@@ -87,7 +87,7 @@
         splitter = EventSplitter()
         resumed = job.started
         while data := await self._event_bytes(job, connection):
-            attempt.server.heard_at = self.env.monotonic()
+            attempt.server.last_received_at = self.env.monotonic()
             try:
                 whole = splitter.feed(data)
             except NotEvents as error:
@@ -106,9 +106,9 @@
         await job.exchange.finish()
 
     def _note_first(self, job: Job, attempt: Attempt, resumed: bool) -> None:
-        if attempt.unread and job.wanted.engine is not None and not resumed:
+        if attempt.unread and job.requirements.engine is not None and not resumed:
             took_ms = (self.env.monotonic() - attempt.began) * 1000
-            late_ms = took_ms - attempt.choice.by_figures_ms
+            late_ms = took_ms - attempt.choice.spec_first_token_ms
             self.book.note_first_token(attempt.server, late_ms)
         attempt.note_first()
 
--- a/packages/millforkd/millforkd/proxy/sending.py
+++ b/packages/millforkd/millforkd/proxy/sending.py
@@ -11,10 +11,10 @@
 from millfork_adapter.exchange import PathPart, SendOrders
 from millfork_core.environment import Environment
 from millfork_core.verdicts import Reason, Verdict
-from millfork_routing.budget import SharedBudget
-from millfork_routing.documents import EngineFigures, RouteKind
-from millfork_scheduling.book import ServerBook
+from millfork_routing.documents import EngineSpec, RouteKind
+from millfork_routing.shared_budget import SharedBudget
 from millfork_scheduling.placement import Choice
+from millfork_scheduling.server_table import ServerTable
 from millforkd.proxy.admission import Admission
 from millforkd.proxy.backpressure import BackpressureIntake
 from millforkd.proxy.connections import Pools, SendFailed, ServerConnection
@@ -53,7 +53,7 @@
         env: Environment,
         adapter: Adapter,
         admission: Admission,
-        book: ServerBook,
+        book: ServerTable,
         pools: Pools,
         budget: SharedBudget,
         quarantine: Quarantine[Job],
@@ -110,14 +110,14 @@
         for server in choice.servers:
             if server.instance not in job.tried:
                 job.tried.append(server.instance)
-            silent = reason is Reason.TIMED_OUT and server.heard_at < job.began
+            silent = reason is Reason.TIMED_OUT and server.last_received_at < job.began
             # One that changes was told to break off what runs.
             if (silent or reason in BROKEN) and not server.changing:
                 server.note_failure(now)
         return Failed(reason, verdict, detail)
 
     def _note_version(self, job: Job, version: int | None) -> None:
-        engine = job.wanted.engine
+        engine = job.requirements.engine
         if engine is None or version is None:
             return
         ends = self.admission.versions.ends_at(engine.model, version)
@@ -126,7 +126,7 @@
         if ends is not None:
             job.sent_before_end_ms = (ends - self.env.monotonic()) * 1000
 
-    def _check_version(self, engine: EngineFigures, version: int | None) -> None:
+    def _check_version(self, engine: EngineSpec, version: int | None) -> None:
         """
         A connection may take 0.4 s to come up, and nothing calls back from a slow link
         what is sent too late.
@@ -151,7 +151,7 @@
             closure = self.book.closure(server)
             if closure is not None:
                 detail = f'{server.instance} takes no more for {closure.opens_in_s:.1f} s'
-                raise NotSent(Reason(closure.closed_for.value), detail)
+                raise NotSent(Reason(closure.closure_reason.value), detail)
 
     async def _exchange(
         self, job: Job, attempt: Attempt, connection: ServerConnection
@@ -165,9 +165,9 @@
         server = attempt.server
         request = job.exchange.request
         version = None
-        if job.wanted.engine is not None:
-            version = attempt.choice.version(job.wanted.engine.layers)
-            self._check_version(job.wanted.engine, version)
+        if job.requirements.engine is not None:
+            version = attempt.choice.version(job.requirements.engine.layers)
+            self._check_version(job.requirements.engine, version)
         self._check_open(attempt.choice)
         now = self.env.monotonic()
         orders = SendOrders(
@@ -178,10 +178,10 @@
             version,
             job.urgency,
             job.resume_after if job.last_event is not None else None,
-            _parts_of(attempt.choice, job.wanted.engine),
+            _parts_of(attempt.choice, job.requirements.engine),
         )
         if not job.tried:
-            self.budget.note_request(job.wanted.service)
+            self.budget.note_request(job.requirements.service)
         job.tried += [part.instance for part in attempt.choice.servers]
         self.book.note_sent(attempt.choice.servers)
         headers = self.adapter.forward(request, orders)
@@ -189,7 +189,7 @@
         job.unanswered = tuple(attempt.choice.servers)
         await connection.send(request.method, request.path, headers, request.body)
         await self.waiting.read_head(job, attempt, connection, version)
-        server.heard_at = self.env.monotonic()
+        server.last_received_at = self.env.monotonic()
         server.note_answered(job.urgency, attempt.began)
         head = self.adapter.read_answer(connection.status, connection.headers)
         if head.request_id and head.request_id != job.caller.request_id:
@@ -218,7 +218,7 @@
         return 0.0 if head.closing else head.keep_s
 
 
-def _parts_of(choice: Choice, engine: EngineFigures | None) -> tuple[PathPart, ...]:
+def _parts_of(choice: Choice, engine: EngineSpec | None) -> tuple[PathPart, ...]:
     """
     The path of a choice, as the back end is told it.
 
--- a/packages/millforkd/millforkd/proxy/waiting.py
+++ b/packages/millforkd/millforkd/proxy/waiting.py
@@ -59,7 +59,7 @@
 
         """
         now = self.env.monotonic()
-        engine = job.wanted.engine
+        engine = job.requirements.engine
         if engine is not None and version is not None:
             ends = self.admission.versions.ends_at(engine.model, version)
             if ends is not None and now > ends - HEAD_POLL_S:
@@ -81,7 +81,7 @@
         """
         now = self.env.monotonic()
         server = attempt.server
-        silent_s = now - max(attempt.began, server.heard_at)
+        silent_s = now - max(attempt.began, server.last_received_at)
         if server.answered_since(job.urgency, attempt.began + OVERTAKEN_S):
             silent_s = now - attempt.began
         if silent_s > SILENT_SERVER_S:
--- a/packages/millforkd/millforkd/quarantine.py
+++ b/packages/millforkd/millforkd/quarantine.py
@@ -8,7 +8,7 @@
 from millfork_core.ids import Fingerprint, Revision
 from millfork_core.logs import Part, logger
 from millfork_registry.suspects import Suspects, Suspicion, decode_epoch
-from millfork_scheduling.quarantine import Standing, Trials, standing_of
+from millfork_scheduling.quarantine import SuspicionLevel, TrialSchedule, suspicion_level_of
 from millfork_state.commands import decode_versioned
 from millfork_state.keys import QUARANTINE_PREFIX
 from millfork_state.view import View
@@ -40,7 +40,7 @@
         suspects: Suspects,
         view: View,
         fingerprints: FingerprintsOf[Item],
-        trials: Trials | None = None,
+        trials: TrialSchedule | None = None,
     ) -> None:
         self.suspects = suspects
         self.view = view
@@ -57,7 +57,7 @@
         """
         return self.suspects.of(self.fingerprints.of(item))
 
-    def bars(self, item: Item) -> Standing | None:
+    def bars(self, item: Item) -> SuspicionLevel | None:
         """
         Why a request may not be sent, if so.
 
@@ -68,12 +68,12 @@
         suspicion = self.known(item)
         listed_epoch = self.listed.get(suspicion.fingerprint)
         if listed_epoch is not None and listed_epoch >= suspicion.epoch:
-            return Standing.AT_FAULT
-        standing = standing_of(suspicion)
-        if standing is Standing.SUSPECTED and self._may_try(suspicion):
+            return SuspicionLevel.AT_FAULT
+        standing = suspicion_level_of(suspicion)
+        if standing is SuspicionLevel.SUSPECTED and self._may_try(suspicion):
             log.info('Suspected request tried again. fingerprint={}', suspicion.fingerprint)
             return None
-        return standing if standing is not Standing.FREE else None
+        return standing if standing is not SuspicionLevel.FREE else None
 
     def _may_try(self, suspicion: Suspicion) -> bool:
         return self.trials is not None and self.trials.begin(suspicion)
--- a/packages/millforkd/millforkd/replica/control.py
+++ b/packages/millforkd/millforkd/replica/control.py
@@ -28,7 +28,7 @@
 from millfork_registry.followers import Followers
 from millfork_registry.records import LeaseState
 from millfork_registry.registry import Change, Registry
-from millfork_routing.documents import problems_of
+from millfork_routing.documents import find_problems
 from millfork_state.commands import Raise, RaiseResult, decode_versioned
 from millfork_state.keys import DOCUMENT_KEY, version_key
 from millfork_state.proposals import Proposals
@@ -188,7 +188,7 @@
     @on.register
     async def _(self, call: PutDocument) -> Response:
         version = call.document.version
-        problems = problems_of(call.document)
+        problems = find_problems(call.document)
         if problems:
             raise Refused(Refusal(Reason.INVALID, detail='; '.join(problems[:5])))
         body = zlib.compress(call.body, COMPRESSION_LEVEL)
--- a/packages/millforkd/millforkd/suspecting.py
+++ b/packages/millforkd/millforkd/suspecting.py
@@ -9,7 +9,7 @@
 from millfork_core.ids import Fingerprint, IncarnationKey
 from millfork_core.windows import Allowance
 from millfork_registry.suspects import Suspects, Suspicion
-from millfork_scheduling.quarantine import ends_after
+from millfork_scheduling.quarantine import count_ends
 
 # So many first breaks of requests are told to others at once, and within which time. Where
 # many answers break off at back ends that live on, most are cleared before anybody is told.
@@ -46,7 +46,7 @@
         """
         known = self.suspects.of(before.fingerprint)
         if incarnation in known.broken:
-            await self.suspects.note(known.with_ends(ends_after(before, known, incarnation)))
+            await self.suspects.note(known.with_ends(count_ends(before, known, incarnation)))
             return
         # It was cleared meanwhile.
         await self.suspects.note(before.with_end())
--- a/packages/millforkd/millforkd/watching.py
+++ b/packages/millforkd/millforkd/watching.py
@@ -13,7 +13,7 @@
 from millfork_core.environment import Environment
 from millfork_core.logs import Part, logger
 from millfork_core.sockets import connect
-from millfork_scheduling.fates import Fate
+from millfork_scheduling.incarnation_status import IncarnationStatus
 
 # All that breaks off with a back end does so within a few milliseconds; and an address that
 # closes at this moment may reset a connection before it refuses the next.
@@ -97,8 +97,8 @@
 
     env: Environment
     look: Callable[[], Awaitable[Address]]
-    fate: Callable[[Break[Item]], Fate]
-    settle: Callable[[Fate, list[Break[Item]]], Awaitable[None]]
+    fate: Callable[[Break[Item]], IncarnationStatus]
+    settle: Callable[[IncarnationStatus, list[Break[Item]]], Awaitable[None]]
     every_s: float = WATCH_EVERY_S
     most_s: float = WATCHED_S
     breaks: dict[str, Break[Item]] = field(default_factory=dict)
@@ -166,12 +166,16 @@
         await curio.sleep(GATHER_S)
 
     async def _settle(self, looked_at: float, found: Address) -> None:
-        settled: dict[Fate, list[Break[Item]]] = {}
+        settled: dict[IncarnationStatus, list[Break[Item]]] = {}
         for key, item in list(self.breaks.items()):
             fate = self.fate(item)
-            if fate is Fate.UNKNOWN and found is Address.REFUSES and item.at <= looked_at:
-                fate = Fate.ENDED
-            if fate is Fate.UNKNOWN and self.env.monotonic() - item.at <= self.most_s:
+            if (
+                fate is IncarnationStatus.UNKNOWN
+                and found is Address.REFUSES
+                and item.at <= looked_at
+            ):
+                fate = IncarnationStatus.ENDED
+            if fate is IncarnationStatus.UNKNOWN and self.env.monotonic() - item.at <= self.most_s:
                 continue
             del self.breaks[key]
             settled.setdefault(fate, []).append(item)
--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -14,7 +14,7 @@
         (
             Edit(
                 C + 'availability.py',
-                'if self.limit is None or self.limit.has_one(now, entries):',
+                'if self.limit is None or self.limit.can_send(now, entries):',
                 'if True:',
             ),
         ),
@@ -58,15 +58,15 @@
         (
             Edit(
                 C + 'availability.py',
-                'self.until = max(self.until, now + min(rest_s, MOST_REST_S))',
-                'self.until = now + min(rest_s, MOST_REST_S)',
+                'self.until = max(self.until, now + min(rest_s, MAX_REST_S))',
+                'self.until = now + min(rest_s, MAX_REST_S)',
             ),
         ),
     ),
     Mutation(
         'one request asks whether a rest is over',
         'tests/test_closed_back_ends.py::test_one_request_asks_whether_a_rest_is_over',
-        (Edit(C + 'availability.py', 'self.asked_at + ANSWER_WITHIN_S - now, 0.0', '0.0'),),
+        (Edit(C + 'availability.py', 'self.probed_at + PROBE_TIMEOUT_S - now, 0.0', '0.0'),),
     ),
     Mutation(
         'a back end that turns requests away is left to others for a while',
@@ -95,7 +95,7 @@
         'a slow engine gets nothing that its version would outlive',
         'tests/test_servers.py::'
         'test_a_slow_back_end_gets_nothing_that_would_begin_after_its_version_ends',
-        (Edit(C + 'placement.py', 'wanted.ends_at(version) - surely_s', "float('inf')"),),
+        (Edit(C + 'placement.py', 'requirements.ends_at(version) - margin_s', "float('inf')"),),
     ),
     Mutation(
         'first tries are told from returns where callers begin with different times',
@@ -129,9 +129,15 @@
     ),
     Mutation(
         'an engine without its daemon is sent to for less long before a version ends',
-        'tests/test_unguarded_engines.py::'
+        'tests/test_engines_without_daemon_reports.py::'
         'test_nothing_sent_behind_a_slow_link_begins_after_the_end',
-        (Edit(C + 'placement.py', 'SURELY_UNGUARDED_S if unguarded', 'SURELY_S if unguarded'),),
+        (
+            Edit(
+                C + 'placement.py',
+                'VERSION_END_MARGIN_WITHOUT_DAEMON_S if unguarded',
+                'VERSION_END_MARGIN_S if unguarded',
+            ),
+        ),
     ),
     Mutation(
         'a replica that is cut off does not say that it knows all leases',
@@ -158,18 +164,18 @@
     ),
     Mutation(
         'engines are drawn by some entry where entries are few',
-        'tests/test_choice_at_size.py::test_every_engine_is_drawn_by_some_entry',
+        'tests/test_choice_in_large_fleets.py::test_every_engine_is_drawn_by_some_entry',
         (
             Edit(
                 C + 'fleet_index.py',
-                'share = DRAWN_BY * len(found) // max(self.entries(), 1)',
+                'share = ENTRIES_PER_ENGINE * len(found) // max(self.entries(), 1)',
                 'share = 0',
             ),
         ),
     ),
     Mutation(
         'a connection on which questions stay unanswered is closed',
-        'tests/test_load_questions.py::'
+        'tests/test_load_queries.py::'
         'test_a_connection_that_is_silent_for_good_is_closed_and_dialled_anew',
         (Edit(D + 'proxy/questions.py', 'await self._close_if_silent(connection)', 'pass'),),
     ),
@@ -177,13 +183,19 @@
         'nobody is turned away for the few engines compared',
         'tests/test_drawn_deployments.py::'
         'test_nobody_is_turned_away_while_half_of_the_slots_are_free',
-        (Edit(C + 'book.py', 'if taken >= SPARE_SHARE * sum(', 'if taken >= 0 * sum('),),
+        (
+            Edit(
+                C + 'server_table.py',
+                'if taken >= MAX_OCCUPIED_SHARE * sum(',
+                'if taken >= 0 * sum(',
+            ),
+        ),
     ),
     Mutation(
         'the daemons beside engines are asked for loads',
-        'tests/test_load_questions.py::'
+        'tests/test_load_queries.py::'
         'test_the_engine_that_is_free_now_is_chosen_and_not_the_one_that_was',
-        (Edit(D + 'proxy/asking.py', 'server.take_load(load, now)', 'pass'),),
+        (Edit(D + 'proxy/asking.py', 'server.set_load(load, now)', 'pass'),),
     ),
     Mutation(
         'two requests do not show that callers begin alike',
@@ -192,8 +204,8 @@
         (
             Edit(
                 C + 'first_tries.py',
-                'max(LEAST_ALIKE, ALIKE_SHARE * len(self.latest))',
-                'ALIKE_SHARE * len(self.latest)',
+                'max(MIN_COMMON_DEADLINES, COMMON_DEADLINE_SHARE * len(self.latest))',
+                'COMMON_DEADLINE_SHARE * len(self.latest)',
             ),
         ),
     ),
@@ -285,8 +297,8 @@
         (
             Edit(
                 C + 'admission.py',
-                'LATE_SHARE: Final = 0.75',
-                'LATE_SHARE: Final = 10.0',
+                'LATE_MAX_OCCUPIED_SHARE: Final = 0.75',
+                'LATE_MAX_OCCUPIED_SHARE: Final = 10.0',
             ),
         ),
     ),
@@ -296,7 +308,7 @@
         (
             Edit(
                 C + 'placement.py',
-                'weigh(draw_few(able, outlook.zone, random), random=random) or',
+                'choose_cheapest(\n        sample_engines(able, context.zone, random), random=random\n    ) or',
                 'None or',
             ),
         ),
@@ -476,10 +488,10 @@
     ),
     Mutation(
         'a process has no fixed allowance of repeats in its first window',
-        'tests/test_repeat_budget.py',
+        'tests/test_shared_budget.py',
         (
             Edit(
-                R + 'budget.py',
+                R + 'shared_budget.py',
                 'return since is not None and self.monotonic() - since >= self.window_s',
                 'return since is not None',
             ),
@@ -487,10 +499,10 @@
     ),
     Mutation(
         'the fixed allowance is divided by the most entries known lately',
-        'tests/test_repeat_budget.py',
+        'tests/test_shared_budget.py',
         (
             Edit(
-                R + 'budget.py',
+                R + 'shared_budget.py',
                 'return self.most_entries.note(entries, now)',
                 'return entries',
             ),
@@ -501,8 +513,8 @@
         'tests/test_repeat_budget_in_cuts.py',
         (
             Edit(
-                R + 'budget.py',
-                'if not self.in_touch():',
+                R + 'shared_budget.py',
+                'if not self.has_quorum():',
                 'if False:',
             ),
         ),
@@ -531,11 +543,11 @@
     ),
     Mutation(
         'a new engine does not take over the report of the one before it',
-        'tests/test_reports_of_earlier_lives.py::'
+        'tests/test_reports_of_earlier_incarnations.py::'
         'test_a_new_engine_is_not_taken_to_serve_what_the_one_before_it_served',
         (
             Edit(
-                C + 'book.py',
+                C + 'server_table.py',
                 'made.report_sequence = before.report_sequence',
                 'pass',
             ),
@@ -579,7 +591,7 @@
         'tests/test_incarnations.py',
         (
             Edit(
-                C + 'book.py',
+                C + 'server_table.py',
                 'if lease is not None and lease.incarnation == server.incarnation:',
                 'if lease is not None:',
             ),
@@ -675,21 +687,21 @@
     ),
     Mutation(
         'of many engines a few are drawn, not all looked at',
-        'tests/test_choice_at_size.py',
+        'tests/test_choice_in_large_fleets.py',
         (
             Edit(
-                C + 'book.py',
-                'if len(self.index.by_service.get(wanted.service, [])) <= MOST_LOOKED_AT:',
+                C + 'server_table.py',
+                'if len(self.index.by_service.get(requirements.service, [])) <= MAX_SCANNED:',
                 'if True:',
             ),
         ),
     ),
     Mutation(
         'paths are found anew where an engine changed',
-        'tests/test_choice_at_size.py',
+        'tests/test_choice_in_large_fleets.py',
         (
             Edit(
-                C + 'book.py',
+                C + 'server_table.py',
                 'if (changing, state.served) != (server.changing, server.served):',
                 'if False:',
             ),
@@ -730,8 +742,8 @@
         (
             Edit(
                 'packages/millfork-scheduling/millfork_scheduling/quarantine.py',
-                'Standing.SUSPECTED if len(suspicion.broken) >= ENDS else Standing.FREE',
-                'Standing.FREE',
+                'if len(suspicion.broken) >= MIN_ENDS_AT_FAULT',
+                'if False',
             ),
         ),
     ),
@@ -748,10 +760,10 @@
     ),
     Mutation(
         'a back end that answers later is known to live on',
-        'tests/test_fates.py',
+        'tests/test_incarnation_status.py',
         (
             Edit(
-                'packages/millfork-scheduling/millfork_scheduling/fates.py',
+                'packages/millfork-scheduling/millfork_scheduling/incarnation_status.py',
                 'if any(sent_at > since for sent_at in server.answered.values()):',
                 'if False:',
             ),
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -9,8 +9,8 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import InstanceId, ServiceName, ZoneId
-from millfork_scheduling.placement import Choice, Wanted
-from millfork_scheduling.returning import LEAST_WAIT_MS
+from millfork_scheduling.placement import Choice, Requirements
+from millfork_scheduling.retry_after import MIN_WAIT_MS
 from millfork_scheduling.server import Server
 from millfork_state.view import View
 from millforkd.proxy.admission import Admission
@@ -28,7 +28,7 @@
 def job_of(made, elapsed_ms=0, engine=ENGINE):
     return SimpleNamespace(
         caller=SimpleNamespace(request_id='id'),
-        wanted=Wanted(ServiceName('s'), engine),
+        requirements=Requirements(ServiceName('s'), engine),
         elapsed_ms=elapsed_ms,
         began=made.env.monotonic(),
         route=SimpleNamespace(target_ms=TARGET_MS),
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize(
-    ('is_open', 'expected_ms', 'running', 'hinges'),
+    ('is_undecided', 'expected_ms', 'running', 'hinges'),
     [
         (True, 100, 14, True),
         # Its time has told.
@@ -69,15 +69,15 @@
         (True, 5000, 14, False),
     ],
 )
-def test_others_are_asked_only_where_it_decides(is_open, expected_ms, running, hinges):
+def test_others_are_asked_only_where_it_decides(is_undecided, expected_ms, running, hinges):
     made = admission()
     job = job_of(made)
-    job.is_open = is_open
-    assert made.hinges_on_first_try(job, choice_of(made, expected_ms, running)) == hinges
+    job.is_undecided = is_undecided
+    assert made.depends_on_first_try(job, choice_of(made, expected_ms, running)) == hinges
 
 
 def test_who_is_refused_hears_when_to_come_back():
-    assert wait_ms(500) >= LEAST_WAIT_MS
+    assert wait_ms(500) >= MIN_WAIT_MS
 
 
 @pytest.mark.parametrize(('running', 'admitted'), [(3, True), (11, True), (12, False)])
--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -12,7 +12,7 @@
 from millfork_core.environment import Environment
 from millfork_core.ids import InstanceId, ZoneId
 from millfork_registry.caches import NAMED_ELSEWHERE, NAMED_IN_ZONE, drawers, named
-from millfork_routing.documents import OriginFigures
+from millfork_routing.documents import OriginSpec
 from millfork_wire.connection import PeerTimedOut
 from millfork_wire.messages import CacheAddress, GetChunk, GetManifest
 from millforkd.beside import gathering
@@ -48,7 +48,7 @@
         self.bytes_per_s = 0.0
 
     def figures(self):
-        return OriginFigures('10.0.0.9', 80, 8, self.zone, self.bytes_per_s)
+        return OriginSpec('10.0.0.9', 80, 8, self.zone, self.bytes_per_s)
 
     async def draw_digests(self, held):
         self.lists += 1
--- a/tests/test_choice_at_size.py
+++ b/tests/test_choice_in_large_fleets.py
@@ -13,14 +13,14 @@
 
 from millfork_core.ids import ServiceName, ZoneId
 from millfork_registry.records import EndpointState, Lease, LeaseState, ServedVersion
-from millfork_scheduling.book import (
-    DRAWN,
-    MOST_LOOKED_AT,
-    ServerBook,
+from millfork_scheduling.fleet_index import ENTRIES_PER_ENGINE, MAX_FAR, MAX_NEAR
+from millfork_scheduling.paths import find_paths
+from millfork_scheduling.placement import Requirements, SelectionContext
+from millfork_scheduling.server_table import (
+    MAX_SCANNED,
+    SAMPLE_SIZE,
+    ServerTable,
 )
-from millfork_scheduling.fleet_index import DRAWN_BY, MOST_FAR, MOST_NEAR
-from millfork_scheduling.paths import pair_up
-from millfork_scheduling.placement import Outlook, Wanted
 from tests.test_servers import ENGINE, Clock
 
 SERVICE = ServiceName('s')
@@ -44,26 +44,26 @@
     )  # fmt: skip
 
 
-def book_of(held, seed=1):
-    book = ServerBook(ZoneId('z1'), Random(seed), Clock())
-    book.take_leases(lease(number, served) for number, served in enumerate(held))
-    return book
+def table_of(held, seed=1):
+    table = ServerTable(ZoneId('z1'), Random(seed), Clock())
+    table.apply_leases(lease(number, served) for number, served in enumerate(held))
+    return table
 
 
 @pytest.mark.parametrize('engines', [60, 2800])
 def test_what_is_looked_at_does_not_grow_with_the_fleet(engines, monkeypatch):
-    book = book_of([NEW] * engines)
+    table = table_of([NEW] * engines)
     looks = []
-    real = ServerBook._able
+    real = ServerTable._can_serve_now
 
     def able(self, *arguments):
         looks.append(arguments)
         return real(self, *arguments)
 
-    monkeypatch.setattr(ServerBook, '_able', able)
+    monkeypatch.setattr(ServerTable, '_can_serve_now', able)
     for _ in range(50):
-        assert book.choose(Wanted(SERVICE, ENGINE, 2, 2), set()) is not None
-    assert len(looks) <= 50 * 2 * DRAWN
+        assert table.choose(Requirements(SERVICE, ENGINE, 2, 2), set()) is not None
+    assert len(looks) <= 50 * 2 * SAMPLE_SIZE
 
 
 @pytest.mark.parametrize(('engines', 'entries'), [(60, 1), (60, 3), (200, 8), (2800, 380)])
@@ -75,39 +75,39 @@
 
     """
     drawn = Counter()
-    share = DRAWN_BY * engines // entries
+    share = ENTRIES_PER_ENGINE * engines // entries
     for number in range(entries):
-        book = ServerBook(ZoneId(f'z{number % ZONES}'), Random(number), Clock(), lambda: entries)
-        book.take_leases(lease(number, NEW) for number in range(engines))
-        kept = [*book.index.near.get(SERVICE, []), *book.index.far.get(SERVICE, [])]
-        assert len(kept) <= max(MOST_NEAR, share) + max(MOST_FAR, share)
+        table = ServerTable(ZoneId(f'z{number % ZONES}'), Random(number), Clock(), lambda: entries)
+        table.apply_leases(lease(number, NEW) for number in range(engines))
+        kept = [*table.index.near.get(SERVICE, []), *table.index.far.get(SERVICE, [])]
+        assert len(kept) <= max(MAX_NEAR, share) + max(MAX_FAR, share)
         drawn.update(server.instance for server in kept)
     assert len(drawn) == engines
 
 
 @settings(max_examples=60, deadline=None)
 @given(
-    st.lists(SERVED, min_size=MOST_LOOKED_AT + 1, max_size=60),
+    st.lists(SERVED, min_size=MAX_SCANNED + 1, max_size=60),
     st.sets(st.integers(0, 59), max_size=30),
     st.sets(st.integers(0, 59), max_size=20),
     st.sets(st.integers(0, 59), max_size=30),
     st.integers(1, 2),
 )
 def test_none_is_taken_that_may_not_be(held, tried, suspected, changing, least):
-    book = book_of(held)
-    now = book.monotonic()
-    book.take_reports(
+    table = table_of(held)
+    now = table.monotonic()
+    table.apply_reports(
         report(number, 5, held[number], changing_to=2) for number in changing if number < len(held)
     )
     for number in suspected:
         if number < len(held):
-            book.servers[f'i-{number}'].suspect_until = now + 1
-    wanted = Wanted(SERVICE, ENGINE, least, 2)
+            table.servers[f'i-{number}'].suspect_until = now + 1
+    requirements = Requirements(SERVICE, ENGINE, least, 2)
     barred = {f'i-{number}' for number in tried}
-    paths = book._paths(SERVICE, ENGINE, 2)
-    of_all = book._choose_of_all(wanted, paths, barred, _outlook(book))
+    paths = table._paths(SERVICE, ENGINE, 2)
+    of_all = table._choose_from_all(requirements, paths, barred, _context(table))
     for _ in range(20):
-        choice = book.choose(wanted, barred)
+        choice = table.choose(requirements, barred)
         assert (choice is None) == (of_all is None)
         if choice is None:
             continue
@@ -117,8 +117,8 @@
         assert choice.version(ENGINE.layers) >= least
 
 
-def _outlook(book):
-    return Outlook(book.monotonic(), book.zone, 1)
+def _context(table):
+    return SelectionContext(table.monotonic(), table.zone, 1)
 
 
 @given(
@@ -126,9 +126,9 @@
     st.lists(st.tuples(st.integers(0, 11), SERVED, st.booleans()), max_size=10),
 )
 def test_paths_are_those_of_the_engines_as_they_are(held, changes):
-    book = book_of(held)
+    table = table_of(held)
     for sequence, (number, served, changing) in enumerate(changes, 2):
-        book._paths(SERVICE, ENGINE, 2)
-        book.take_reports([report(number, sequence, served, 2 if changing else 0)])
-        fresh = pair_up(book.index.by_service[SERVICE], ENGINE, 2)
-        assert book._paths(SERVICE, ENGINE, 2) == fresh
+        table._paths(SERVICE, ENGINE, 2)
+        table.apply_reports([report(number, sequence, served, 2 if changing else 0)])
+        fresh = find_paths(table.index.by_service[SERVICE], ENGINE, 2)
+        assert table._paths(SERVICE, ENGINE, 2) == fresh
--- a/tests/test_unguarded_engines.py
+++ b/tests/test_engines_without_daemon_reports.py
@@ -15,8 +15,8 @@
 
 from millfork_core.ids import ServiceName, ZoneId
 from millfork_registry.records import EndpointState, Lease, LeaseState, ServedVersion
-from millfork_scheduling.book import ServerBook
-from millfork_scheduling.placement import Wanted
+from millfork_scheduling.placement import Requirements
+from millfork_scheduling.server_table import ServerTable
 from millforkd.versions import CUT_S
 from tests.test_servers import ENGINE, Clock
 
@@ -34,8 +34,8 @@
     """
     clock = Clock()
     began = clock.now
-    book = ServerBook(ZoneId('z1'), Random(1), clock)
-    book.take_leases(
+    table = ServerTable(ZoneId('z1'), Random(1), clock)
+    table.apply_leases(
         [Lease('i-1', SERVICE, '10.0.0.1', 80, 'z1', 16, LeaseState.READY, 1, 'r', OLD)]
     )
     last = None
@@ -49,9 +49,11 @@
                 'e-1', SERVICE, 'z1', '10.0.0.1', 80, int(clock.now * 1000), reachable=True,
                 served=OLD,
             )  # fmt: skip
-            book.take_reports([state])
-        wanted = Wanted(SERVICE, ENGINE, 0, 2, 900, endings=((2, began + end_s - CUT_S),))
-        if book.choose(wanted, set()) is not None:
+            table.apply_reports([state])
+        requirements = Requirements(
+            SERVICE, ENGINE, 0, 2, 900, endings=((2, began + end_s - CUT_S),)
+        )
+        if table.choose(requirements, set()) is not None:
             last = clock.now
     return began + end_s - last
 
@@ -68,14 +70,14 @@
 
     """
     clock = Clock()
-    book = ServerBook(ZoneId('z1'), Random(1), clock)
+    table = ServerTable(ZoneId('z1'), Random(1), clock)
     lease = Lease('i-1', SERVICE, '10.0.0.1', 80, 'z1', 16, LeaseState.READY, 1, 'r', OLD)
-    book.take_leases([lease])
+    table.apply_leases([lease])
     ends_at = clock.now + 10.0
     last = None
     while clock.now < ends_at:
-        wanted = Wanted(SERVICE, ENGINE, 0, 2, 900, endings=((2, ends_at - CUT_S),))
-        if book.choose(wanted, set()) is not None:
+        requirements = Requirements(SERVICE, ENGINE, 0, 2, 900, endings=((2, ends_at - CUT_S),))
+        if table.choose(requirements, set()) is not None:
             last = clock.now
         clock.now += 0.01
     assert ends_at - last > LINK_S
--- a/tests/test_faults_left_open.py
+++ b/tests/test_faults_left_open.py
@@ -10,7 +10,7 @@
 import curio
 import pytest
 
-from millfork_scheduling.quarantine import ENDS
+from millfork_scheduling.quarantine import MIN_ENDS_AT_FAULT
 from millfork_standins.bench.limit_shares import SECONDS, Shares, play
 from millfork_standins.bench.returning import Way
 from millforkd.versions import CUT_S
@@ -37,7 +37,7 @@
 
     async def run():
         entry = Entry()
-        for _ in range(ENDS):
+        for _ in range(MIN_ENDS_AT_FAULT):
             await entry.end()
         clock = entry.suspects.monotonic
         for _ in range(0, DAY_S // 2, STEP_S):
--- a/tests/test_first_tries.py
+++ b/tests/test_first_tries.py
@@ -8,13 +8,13 @@
 import pytest
 
 from millfork_scheduling.first_tries import (
-    ENOUGH,
-    MOST_ROUTES,
-    RETURNING_FOR_S,
-    FirstTries,
+    MAX_ROUTES,
+    MIN_FIRST_TRIES,
+    RETURN_WINDOW_S,
+    FirstTryDetector,
     Judgement,
 )
-from millfork_scheduling.turned_away import KEPT_S, MOST_KEPT, TurnedAway
+from millfork_scheduling.turned_away import MAX_REMEMBERED, REMEMBERED_S, TurnedAwayRequests
 from millfork_standins.bench.returning import SHIFTED, ReturningModel, Way
 
 # Of first tries, what may be taken for returns: seldom enough that no caller is refused for it
@@ -23,7 +23,7 @@
 
 
 def learned(deadlines):
-    made = FirstTries()
+    made = FirstTryDetector()
     for deadline_ms in deadlines:
         made.judge('r', deadline_ms, 0.0)
     return made
@@ -31,7 +31,7 @@
 
 @pytest.fixture
 def alike():
-    return learned([6080 - number % 10 for number in range(ENOUGH)])
+    return learned([6080 - number % 10 for number in range(MIN_FIRST_TRIES)])
 
 
 @pytest.fixture
@@ -52,7 +52,7 @@
 
     """
     for deadline_ms in range(5200, 5900, 50):
-        assert spread.judge('r', deadline_ms, 1.0) == Judgement(is_open=True)
+        assert spread.judge('r', deadline_ms, 1.0) == Judgement(is_undecided=True)
 
 
 def test_a_time_shorter_than_any_first_try_tells_also_there(spread):
@@ -60,7 +60,7 @@
 
 
 def under_load(deadlines):
-    made = FirstTries()
+    made = FirstTryDetector()
     made.note_turned_away(0.0)
     return [made.judge('r', deadline_ms, 0.1) for deadline_ms in deadlines][-1]
 
@@ -69,7 +69,7 @@
     random = Random(1)
     assert under_load([6080, 6078, 5700, 6079, 5600, 6075, 5650]).elapsed_ms == 430
     spread = [random.randint(5190, 6080) for _ in range(12)]
-    assert under_load([*spread, 5600]) == Judgement(is_open=True)
+    assert under_load([*spread, 5600]) == Judgement(is_undecided=True)
 
 
 def taken_for_returns(least, counted):
@@ -81,7 +81,7 @@
     taken = []
     for seed in range(200):
         random = Random(seed)
-        tries = FirstTries()
+        tries = FirstTryDetector()
         for judged in range(counted.stop):
             judgement = tries.judge('r', int(6000 * random.uniform(least, 1.0)), 0.0)
             if judged in counted:
@@ -90,7 +90,9 @@
 
 
 @pytest.mark.parametrize('least', [0.5, 0.6, 0.7, 0.8, 0.85, 0.9, 0.95])
-@pytest.mark.parametrize('counted', [range(ENOUGH), range(ENOUGH, 3 * ENOUGH)])
+@pytest.mark.parametrize(
+    'counted', [range(MIN_FIRST_TRIES), range(MIN_FIRST_TRIES, 3 * MIN_FIRST_TRIES)]
+)
 def test_first_tries_of_callers_that_differ_are_not_taken_for_returns(least, counted):
     """
     A caller was turned away while two thirds of the slots were free. Its entry had judged 14
@@ -110,10 +112,10 @@
     for _ in range(200):
         alike.judge('r', 5600, 10.5)
     assert alike.judge('r', 5600, 10.6).elapsed_ms > 400
-    now = 10.6 + RETURNING_FOR_S
+    now = 10.6 + RETURN_WINDOW_S
     for _ in range(200):
         alike.judge('r', 5600, now)
-    assert alike.judge('r', 5600, now) == Judgement(is_open=True)
+    assert alike.judge('r', 5600, now) == Judgement(is_undecided=True)
 
 
 def test_each_route_has_times_of_its_own(alike):
@@ -121,9 +123,9 @@
 
 
 def test_the_routes_remembered_are_bounded(alike):
-    for number in range(MOST_ROUTES + 5):
+    for number in range(MAX_ROUTES + 5):
         alike.judge(f'other-{number}', 6000, 1.0)
-    assert len(alike.times) == MOST_ROUTES
+    assert len(alike.times) == MAX_ROUTES
 
 
 def test_a_few_odd_ones_do_not_hide_who_comes_back():
@@ -132,14 +134,14 @@
 
 
 def test_what_was_turned_away_is_known_by_what_it_says():
-    table = TurnedAway()
+    table = TurnedAwayRequests()
     table.note(b'a', 0, 10.0)
     assert table.elapsed_ms(b'a', 10.4) == pytest.approx(400, abs=1)
     assert table.elapsed_ms(b'b', 10.4) is None
 
 
 def test_the_first_try_counts_however_often_it_was_turned_away():
-    table = TurnedAway()
+    table = TurnedAwayRequests()
     table.note(b'a', 0, 10.0)
     table.note(b'a', 500, 10.5)
     # Told of late, or by an entry that did not know of the first one.
@@ -148,14 +150,14 @@
 
 
 def test_old_ones_are_forgotten_and_their_number_is_bounded():
-    table = TurnedAway()
+    table = TurnedAwayRequests()
     table.note(b'old', 0, 0.0)
-    for number in range(MOST_KEPT + 10):
+    for number in range(MAX_REMEMBERED + 10):
         table.note(number.to_bytes(4, 'big'), 0, 1.0)
-    assert len(table.first_tried) <= MOST_KEPT
+    assert len(table.first_tried) <= MAX_REMEMBERED
     assert table.elapsed_ms(b'old', 1.0) is None
-    assert table.elapsed_ms((MOST_KEPT).to_bytes(4, 'big'), 1.0) == 0
-    assert table.elapsed_ms((MOST_KEPT).to_bytes(4, 'big'), 2.0 + KEPT_S) is None
+    assert table.elapsed_ms((MAX_REMEMBERED).to_bytes(4, 'big'), 1.0) == 0
+    assert table.elapsed_ms((MAX_REMEMBERED).to_bytes(4, 'big'), 2.0 + REMEMBERED_S) is None
     assert not table.first_tried
 
 
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -15,10 +15,10 @@
 from millfork_core.verdicts import Reason, Verdict
 from millfork_registry.records import ServedVersion
 from millfork_registry.suspects import Suspects
-from millfork_routing.budget import SharedBudget
-from millfork_scheduling.book import ServerBook
-from millfork_scheduling.placement import Choice, Wanted
+from millfork_routing.shared_budget import SharedBudget
+from millfork_scheduling.placement import Choice, Requirements
 from millfork_scheduling.server import Server
+from millfork_scheduling.server_table import ServerTable
 from millfork_state.view import View
 from millforkd.proxy.connections import SendFailed
 from millforkd.proxy.fingerprints import Fingerprints
@@ -55,7 +55,7 @@
         The back end answers another request, sent so much later.
 
         """
-        self.server.heard_at = self.clock.now
+        self.server.last_received_at = self.clock.now
         self.server.note_answered(urgency, self.attempt.began + sent_later_s)
 
 
@@ -125,10 +125,10 @@
             table=None,
             as_of_now=lambda wanted, last_send: wanted,
             wait_ms=lambda job, choice: 0,
-            hinges_on_first_try=lambda job, choice: False,
+            depends_on_first_try=lambda job, choice: False,
         )
         adapter = SimpleNamespace(forward=lambda request, orders: [])
-        book = ServerBook(ZoneId('z1'), Random(1), self.clock)
+        book = ServerTable(ZoneId('z1'), Random(1), self.clock)
         book.choose = self.choose
         loads = SimpleNamespace(refresh=self.refresh)
         pools = SimpleNamespace(of=self.pool_of)
@@ -144,7 +144,15 @@
         caller = CallerRequest('id', 'h.example', '/')
         now = self.clock.now
         self.job = Job(
-            exchange, caller, route, None, Wanted(ServiceName('s'), ENGINE), 1, now, now + 6.0, 1
+            exchange,
+            caller,
+            route,
+            None,
+            Requirements(ServiceName('s'), ENGINE),
+            1,
+            now,
+            now + 6.0,
+            1,
         )
 
     async def refresh(self, servers):
@@ -178,7 +186,7 @@
 
     @property
     def spent(self):
-        return self.budget.part(ServiceName('s')).spent
+        return self.budget.current_share(ServiceName('s')).spent
 
 
 def test_nothing_is_sent_to_a_version_that_ends_while_a_connection_comes_up():
@@ -235,7 +243,7 @@
     def name_limit(server):
         if server.instance == 'i-0':
             now = ending.clock.now
-            server.availability.take_answer(Backpressure(0.1), now, now)
+            server.availability.apply_answer(Backpressure(0.1), now, now)
 
     ending.ended = name_limit
     ending.run()
--- a/tests/test_fates.py
+++ b/tests/test_incarnation_status.py
@@ -6,7 +6,13 @@
 import pytest
 
 from millfork_core.ids import Incarnation, InstanceId, ServiceName, ZoneId
-from millfork_scheduling.fates import LEASE_OUT_S, READ_LATE_S, REPORT_LAG_S, Fate, fate_of
+from millfork_scheduling.incarnation_status import (
+    LEASE_EXPIRED_S,
+    READ_DELAY_S,
+    REPORT_LAG_S,
+    IncarnationStatus,
+    determine_status,
+)
 from millfork_scheduling.server import Server
 
 BROKE_AT = 100.0
@@ -21,28 +27,28 @@
 def test_nothing_is_known_at_first():
     broken = server()
     broken.answered = {None: BROKE_AT - 1}
-    broken.heard_at = BROKE_AT + READ_LATE_S / 2
+    broken.last_received_at = BROKE_AT + READ_DELAY_S / 2
     broken.reported_at = BROKE_AT + REPORT_LAG_S / 2
-    assert fate_of(broken, BROKE_AT, [broken]) is Fate.UNKNOWN
+    assert determine_status(broken, BROKE_AT, [broken]) is IncarnationStatus.UNKNOWN
 
 
 @pytest.mark.parametrize('other', [server('i-2'), server(incarnation=2)])
 def test_it_ended_once_another_lives_at_its_place(other):
-    other.heard_at = BROKE_AT + 1
-    assert fate_of(server(), BROKE_AT, [other]) is Fate.ENDED
+    other.last_received_at = BROKE_AT + 1
+    assert determine_status(server(), BROKE_AT, [other]) is IncarnationStatus.ENDED
 
 
 def test_it_ended_once_it_is_replaced():
     broken = server()
     broken.replaced = True
-    assert fate_of(broken, BROKE_AT) is Fate.ENDED
+    assert determine_status(broken, BROKE_AT) is IncarnationStatus.ENDED
 
 
 @pytest.mark.parametrize(
     'heard',
     [
         {'answered': {None: BROKE_AT + 0.01}},
-        {'heard_at': BROKE_AT + READ_LATE_S * 2},
+        {'last_received_at': BROKE_AT + READ_DELAY_S * 2},
         {'reported_at': BROKE_AT + REPORT_LAG_S * 2},
     ],
 )
@@ -52,7 +58,7 @@
     known = server() if lease_ran_out_between else broken
     for name, value in heard.items():
         setattr(known, name, value)
-    assert fate_of(broken, BROKE_AT, [known]) is Fate.LIVES
+    assert determine_status(broken, BROKE_AT, [known]) is IncarnationStatus.LIVES
 
 
 def test_it_lives_on_where_its_lease_outlasts_what_leases_do():
@@ -61,13 +67,13 @@
 
     """
     broken = server(incarnation=0)
-    later = BROKE_AT + LEASE_OUT_S
-    assert fate_of(broken, BROKE_AT, [broken], later) is Fate.UNKNOWN
-    assert fate_of(broken, BROKE_AT, [broken], later + 0.1) is Fate.LIVES
-    assert fate_of(broken, BROKE_AT, [], later + 0.1) is Fate.UNKNOWN
+    later = BROKE_AT + LEASE_EXPIRED_S
+    assert determine_status(broken, BROKE_AT, [broken], later) is IncarnationStatus.UNKNOWN
+    assert determine_status(broken, BROKE_AT, [broken], later + 0.1) is IncarnationStatus.LIVES
+    assert determine_status(broken, BROKE_AT, [], later + 0.1) is IncarnationStatus.UNKNOWN
 
 
 def test_reports_say_nothing_of_a_back_end_whose_start_is_not_told():
     broken = server(incarnation=0)
     broken.reported_at = BROKE_AT + REPORT_LAG_S * 2
-    assert fate_of(broken, BROKE_AT) is Fate.UNKNOWN
+    assert determine_status(broken, BROKE_AT) is IncarnationStatus.UNKNOWN
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -29,8 +29,8 @@
 )
 from millfork_registry.registry import Change, Registry
 from millfork_registry.roles import REPLICA_ROLE
-from millfork_scheduling.book import ServerBook
-from millfork_scheduling.placement import Choice, Wanted
+from millfork_scheduling.placement import Choice, Requirements
+from millfork_scheduling.server_table import ServerTable
 from millforkd.beside.expiry import Expiry
 from millforkd.beside.pieces import WeightsId
 from millforkd.proxy.connections import SendFailed
@@ -121,15 +121,15 @@
 
 
 def test_an_entry_carries_nothing_over_to_the_next_incarnation(clock):
-    book = ServerBook(ZoneId('z1'), Random(1), clock)
-    book.take_leases([lease(FIRST, 9)])
-    book.take_reports([report(FIRST, 500, running=16)])
+    book = ServerTable(ZoneId('z1'), Random(1), clock)
+    book.apply_leases([lease(FIRST, 9)])
+    book.apply_reports([report(FIRST, 500, running=16)])
     before = book.servers['i-1']
     before.mine = 3
     before.refused[1] = clock.now + 60
     before.note_failure(clock.now)
     before.lateness.note(500.0, clock.now)
-    assert book.take_leases([lease(SECOND, 1, served=())]) == [before]
+    assert book.apply_leases([lease(SECOND, 1, served=())]) == [before]
     assert before.replaced
     after = book.servers['i-1']
     assert after is not before
@@ -138,29 +138,29 @@
 
 
 def test_a_late_report_of_the_earlier_incarnation_says_nothing_of_the_next(clock):
-    book = ServerBook(ZoneId('z1'), Random(1), clock)
-    book.take_leases([lease(SECOND, 1, served=())])
-    book.take_reports([report(FIRST, 500)])
-    assert book.choose(Wanted(ServiceName('s'), ENGINE), set()) is None
-    book.take_reports([report(SECOND, 501)])
-    assert book.choose(Wanted(ServiceName('s'), ENGINE), set()) is not None
+    book = ServerTable(ZoneId('z1'), Random(1), clock)
+    book.apply_leases([lease(SECOND, 1, served=())])
+    book.apply_reports([report(FIRST, 500)])
+    assert book.choose(Requirements(ServiceName('s'), ENGINE), set()) is None
+    book.apply_reports([report(SECOND, 501)])
+    assert book.choose(Requirements(ServiceName('s'), ENGINE), set()) is not None
 
 
 def test_an_engine_whose_next_incarnation_reports_already_is_chosen_no_more(clock):
-    book = ServerBook(ZoneId('z1'), Random(1), clock)
-    book.take_leases([lease(FIRST, 9)])
-    book.take_reports([report(SECOND, 501, served=())])
-    assert book.choose(Wanted(ServiceName('s'), ENGINE), set()) is None
+    book = ServerTable(ZoneId('z1'), Random(1), clock)
+    book.apply_leases([lease(FIRST, 9)])
+    book.apply_reports([report(SECOND, 501, served=())])
+    assert book.choose(Requirements(ServiceName('s'), ENGINE), set()) is None
 
 
 def test_a_request_that_waits_at_an_earlier_incarnation_is_taken_back(clock):
-    book = ServerBook(ZoneId('z1'), Random(1), clock)
-    book.take_leases([lease(FIRST, 9)])
+    book = ServerTable(ZoneId('z1'), Random(1), clock)
+    book.apply_leases([lease(FIRST, 9)])
     attempt = Attempt(Choice(book.servers['i-1']), clock.now)
-    job = SimpleNamespace(wanted=Wanted(ServiceName('s')))
+    job = SimpleNamespace(wanted=Requirements(ServiceName('s')))
     waiting = Waiting(Environment(InstanceId('a:1'), ZoneId('z1'), monotonic=clock), None)
     waiting.check_engine(job, attempt, None)
-    book.take_leases([lease(SECOND, 1)])
+    book.apply_leases([lease(SECOND, 1)])
     with pytest.raises(SendFailed):
         waiting.check_engine(job, attempt, None)
 
--- a/tests/test_late_ends_at_endpoints.py
+++ b/tests/test_late_ends_at_endpoints.py
@@ -12,7 +12,7 @@
 from millfork_core.ids import IncarnationKey, InstanceId, RequestId, ZoneId
 from millfork_core.verdicts import Reason, Refusal, Verdict
 from millfork_routing.balance import Backend
-from millfork_scheduling.fates import Fate
+from millfork_scheduling.incarnation_status import IncarnationStatus
 from millfork_scheduling.quarantine import ENDS
 from millfork_settings.models import RoutingSettings
 from millfork_state.view import View
@@ -80,11 +80,11 @@
 @pytest.mark.parametrize(
     ('tells', 'found', 'fate'),
     [
-        ('a', Address.ANSWERS, Fate.LIVES),
-        ('b', Address.ANSWERS, Fate.ENDED),
-        ('', Address.REFUSES, Fate.ENDED),
-        ('', Address.ANSWERS, Fate.UNKNOWN),
-        ('', Address.SILENT, Fate.UNKNOWN),
+        ('a', Address.ANSWERS, IncarnationStatus.LIVES),
+        ('b', Address.ANSWERS, IncarnationStatus.ENDED),
+        ('', Address.REFUSES, IncarnationStatus.ENDED),
+        ('', Address.ANSWERS, IncarnationStatus.UNKNOWN),
+        ('', Address.SILENT, IncarnationStatus.UNKNOWN),
     ],
 )
 def test_what_an_engine_tells_and_its_address_show(monkeypatch, tells, found, fate):
@@ -119,11 +119,15 @@
         back_end.found = Address.REFUSES
         ends = back_end.ends()
         first = ends.key_of(ends.number)
-        assert await ends.note_broken(RequestId('r'), Entry(), ends.number) is Fate.ENDED
+        assert (
+            await ends.note_broken(RequestId('r'), Entry(), ends.number) is IncarnationStatus.ENDED
+        )
         ends.note_incarnation('b', ends.env.monotonic())
         back_end.tells = 'b'
         assert ends.key_of(ends.number) != first
-        assert await ends.note_broken(RequestId('s'), Entry(), ends.number) is Fate.LIVES
+        assert (
+            await ends.note_broken(RequestId('s'), Entry(), ends.number) is IncarnationStatus.LIVES
+        )
 
     curio.run(run)
 
@@ -132,7 +136,9 @@
     async def run():
         ends = BackEnd(monkeypatch).ends(asks=False)
         entry = Entry()
-        assert await ends.note_broken(RequestId('r'), entry, ends.number) is Fate.UNKNOWN
+        assert (
+            await ends.note_broken(RequestId('r'), entry, ends.number) is IncarnationStatus.UNKNOWN
+        )
         ends.note_answer(ends.env.monotonic())
         await until(lambda: entry.told == [BackEndFate('r', False)])
 
--- a/tests/test_load_questions.py
+++ b/tests/test_load_queries.py
@@ -12,8 +12,8 @@
 from millfork_core.environment import Environment
 from millfork_core.ids import InstanceId, ServiceName, ZoneId
 from millfork_registry.records import EndpointState, Lease, LeaseState, ServedVersion
-from millfork_scheduling.book import ServerBook
-from millfork_scheduling.placement import Wanted
+from millfork_scheduling.placement import Requirements
+from millfork_scheduling.server_table import ServerTable
 from millfork_wire.connection import PeerTimedOut, PeerUnreachable
 from millfork_wire.messages import EngineLoad
 from millforkd.beside.load import SHARED_S, EngineLoads
@@ -23,7 +23,7 @@
 
 SERVICE = ServiceName('s')
 WHOLE = (ServedVersion('m', 1, 0, 16),)
-WANTED = Wanted(SERVICE, ENGINE, 0, 1, 900)
+REQUIREMENTS = Requirements(SERVICE, ENGINE, 0, 1, 900)
 BORN = 1_700_000_000_000
 # Much longer than anybody is waited for.
 FOREVER_S = 5.0
@@ -40,8 +40,8 @@
         self.clock = Clock()
         self.random = Random(1)
         env = Environment(InstanceId('10.0.0.9:1'), ZoneId('z1'), monotonic=self.clock)
-        self.book = ServerBook(ZoneId('z1'), self.random, self.clock, lambda: 10)
-        self.book.take_leases(
+        self.table = ServerTable(ZoneId('z1'), self.random, self.clock, lambda: 10)
+        self.table.apply_leases(
             Lease(
                 f'i-{number}', SERVICE, '10.0.0.1', number, 'z1', 16, LeaseState.READY, 1, 'r',
                 WHOLE, BORN,
@@ -60,10 +60,10 @@
         self.answering = curio.Event()
         connections = {InstanceId(name): self.connection(name) for name in self.loads}
         self.peers = SimpleNamespace(connections=connections, connect=self.connect)
-        self.questions = LoadQuestions(env, self.peers, self.book)
+        self.questions = LoadQuestions(env, self.peers, self.table)
 
     def report(self, running):
-        self.book.take_reports(
+        self.table.apply_reports(
             EndpointState(
                 f'10.0.0.1:{number + 10}', SERVICE, 'z1', '10.0.0.1', number,
                 int(self.clock.now * 1000), reachable=True, running=running[number], served=WHOLE,
@@ -86,12 +86,12 @@
         raise PeerUnreachable('cut off')
 
     def server(self, number):
-        return self.book.servers[InstanceId(f'i-{number}')]
+        return self.table.servers[InstanceId(f'i-{number}')]
 
     async def choose(self):
-        compared = self.book.compare(WANTED, set())
+        compared = self.table.sample_candidates(REQUIREMENTS, set())
         await self.questions.refresh(compared)
-        return self.book.choose(WANTED, set(), compared).server.instance
+        return self.table.choose(REQUIREMENTS, set(), compared).server.instance
 
 
 @pytest.fixture
--- a/tests/test_recall.py
+++ b/tests/test_recall.py
@@ -11,7 +11,7 @@
 from millfork_adapter.exchange import CallerRequest
 from millfork_core.environment import Environment
 from millfork_core.ids import InstanceId, ZoneId
-from millfork_scheduling.placement import Wanted
+from millfork_scheduling.placement import Requirements
 from millfork_wire.connection import PeerTimedOut, PeerUnreachable
 from millfork_wire.messages import AskTurnedAway, CacheAddress, NoteTurnedAway
 from millforkd.proxy.fingerprints import Fingerprints
@@ -70,7 +70,7 @@
         exchange = SimpleNamespace(request=SimpleNamespace(method='POST', path='/', body=body))
         caller, now = CallerRequest('id', 'h.example', '/'), self.clock.now
         return Job(
-            exchange, caller, None, None, Wanted('s', ENGINE), 1, now, now + 6, 1, elapsed_ms
+            exchange, caller, None, None, Requirements('s', ENGINE), 1, now, now + 6, 1, elapsed_ms
         )
 
     def turned_away(self, name, job):
--- a/tests/test_repeat_budget_in_cuts.py
+++ b/tests/test_repeat_budget_in_cuts.py
@@ -10,8 +10,8 @@
 from millfork_registry.followers import Follower, Followers
 from millfork_registry.registry import Registry
 from millfork_registry.roles import ENTRY_ROLE
-from tests.test_repeat_budget import ENTRIES, RATIO, SERVICE, SLACK, TICK_S, WINDOW_S, Fleet
 from tests.test_servers import Clock
+from tests.test_shared_budget import ENTRIES, RATIO, SERVICE, SLACK, TICK_S, WINDOW_S, Fleet
 
 # One request of each entry in so many ticks; all but a few are turned away.
 EACH_TICKS = 4
@@ -45,7 +45,7 @@
         fleet.clock.now += TICK_S
         for budget in fleet.budgets:
             budget.count_entries()
-    return sum(budget.part(SERVICE).allowed for budget in fleet.budgets)
+    return sum(budget.current_share(SERVICE).allowed for budget in fleet.budgets)
 
 
 def test_the_side_of_a_cut_with_a_majority_has_its_part_of_the_allowance():
--- a/tests/test_reports_of_earlier_lives.py
+++ b/tests/test_reports_of_earlier_incarnations.py
@@ -7,8 +7,8 @@
 
 from millfork_core.ids import InstanceId, ServiceName, ZoneId
 from millfork_registry.records import EndpointState, Lease, LeaseState, ServedVersion
-from millfork_scheduling.book import ServerBook
-from millfork_scheduling.placement import Wanted
+from millfork_scheduling.placement import Requirements
+from millfork_scheduling.server_table import ServerTable
 from tests.test_servers import ENGINE, Clock
 
 WHOLE = (ServedVersion('m', 1, 0, 16),)
@@ -27,29 +27,29 @@
 
 def test_a_new_engine_is_not_taken_to_serve_what_the_one_before_it_served():
     clock = Clock()
-    book = ServerBook(ZoneId('z1'), Random(1), clock)
-    book.take_leases([lease('i-old', 9, WHOLE)])
+    table = ServerTable(ZoneId('z1'), Random(1), clock)
+    table.apply_leases([lease('i-old', 9, WHOLE)])
     old = report(5_000_000, WHOLE)
-    book.take_reports([old])
+    table.apply_reports([old])
     # It crashed 3 s ago; its successor holds no layers, and says so in its first heartbeat.
     clock.now += 3.0
-    book.take_leases([lease('i-new', 1, ())])
-    book.take_reports([old])
-    assert book.choose(Wanted(ServiceName('s'), ENGINE), set()) is None
+    table.apply_leases([lease('i-new', 1, ())])
+    table.apply_reports([old])
+    assert table.choose(Requirements(ServiceName('s'), ENGINE), set()) is None
 
 
 def test_a_machine_whose_clock_began_anew_is_believed_again():
     clock = Clock()
-    book = ServerBook(ZoneId('z1'), Random(1), clock)
-    book.take_leases([lease('i-old', 9, WHOLE)])
+    table = ServerTable(ZoneId('z1'), Random(1), clock)
+    table.apply_leases([lease('i-old', 9, WHOLE)])
     old = report(5_000_000, WHOLE, changing_to=2)
-    book.take_reports([old])
-    book.take_leases([lease('i-new', 1, ())])
+    table.apply_reports([old])
+    table.apply_leases([lease('i-new', 1, ())])
     # The registry drops the last report of the old life only 3.5 s after it.
-    book.take_reports([old])
+    table.apply_reports([old])
     for second in range(60):
         clock.now += 1.0
-        book.take_reports([report(20_000 + 1000 * second, WHOLE)])
-    choice = book.choose(Wanted(ServiceName('s'), ENGINE), set())
+        table.apply_reports([report(20_000 + 1000 * second, WHOLE)])
+    choice = table.choose(Requirements(ServiceName('s'), ENGINE), set())
     assert choice is not None
     assert choice.server.instance == InstanceId('i-new')
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -17,7 +17,7 @@
     RouteKind,
     Service,
     Share,
-    problems_of,
+    find_problems,
 )
 from millfork_routing.routes import RouteTable, pick_service, priority_of
 
@@ -39,7 +39,7 @@
 
 
 def test_a_good_document_has_no_problems():
-    assert problems_of(document(route(), organisations=[organisation('a', 'k')])) == []
+    assert find_problems(document(route(), organisations=[organisation('a', 'k')])) == []
 
 
 @pytest.mark.parametrize(
@@ -54,7 +54,7 @@
     ],
 )
 def test_what_makes_a_document_unacceptable(bad, says):
-    assert any(says in problem for problem in problems_of(bad))
+    assert any(says in problem for problem in find_problems(bad))
 
 
 def test_the_longest_prefix_of_the_host_wins():
@@ -68,8 +68,8 @@
 def test_an_organisation_has_its_keys_and_its_rank():
     first = organisation('a', 'k', 'l', priority=0)
     table = RouteTable(document(route(), organisations=[first]))
-    assert table.holder('l') is first
-    assert table.holder('m') is None
+    assert table.organisation_of_key('l') is first
+    assert table.organisation_of_key('m') is None
     assert priority_of(route(), first) == 0
     assert priority_of(route(), organisation('b')) == 1
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -10,8 +10,8 @@
 
 from millfork_core.ids import InstanceId, OrganisationId, ZoneId
 from millfork_core.verdicts import Reason, Refusal, Verdict
-from millfork_routing.balance import Backend, Busy, choose
-from millfork_routing.limits import FairQueue, InFlight
+from millfork_routing.balance import Backend, BusyNotice, choose
+from millfork_routing.limits import FairQueue, InFlightCounter
 from millfork_routing.retries import RetryBudget, may_retry
 
 HERE, THERE = ZoneId('here'), ZoneId('there')
@@ -60,7 +60,7 @@
 
 def test_one_organisations_flood_does_not_close_an_endpoint_to_another():
     full = backend('a')
-    full.busy[ONE] = Busy(2.0, 500)
+    full.busy[ONE] = BusyNotice(2.0, 500)
     assert pick([full], ONE) is None
     assert pick([full], TWO) == 'a'
     assert pick([full], ONE, now=3.0) == 'a'
@@ -68,7 +68,7 @@
 
 def test_a_lagging_report_is_corrected_by_what_was_sent_since():
     one = backend('a', mine=2)
-    one.take_report(3, 4)
+    one.apply_report(3, 4)
     assert one.occupied == 3
     one.mine = 4
     assert one.occupied == 5
@@ -130,7 +130,7 @@
         line = queue(slots=1, waiting=100)
         line.service_time_s = 1.0
         await join(line, ONE, ONE, ONE)
-        return line.refuses(ONE, 10.0), line.refuses(ONE, 2.0)
+        return line.refusal_wait_ms(ONE, 10.0), line.refusal_wait_ms(ONE, 2.0)
 
     patient, hasty = curio.run(run)
     assert patient == 0
@@ -141,7 +141,7 @@
     async def run():
         line = queue(slots=1, waiting=4)
         await join(line, TWO, TWO, ONE, ONE, ONE)
-        return line.refuses(ONE, 100.0), line.refuses(TWO, 100.0)
+        return line.refusal_wait_ms(ONE, 100.0), line.refusal_wait_ms(TWO, 100.0)
 
     flood, small = curio.run(run)
     assert flood > 0
@@ -169,7 +169,7 @@
 
 
 def test_one_organisation_has_a_ceiling_on_an_entry():
-    count = InFlight(1)
+    count = InFlightCounter(1)
     assert count.begin(ONE)
     assert not count.begin(ONE)
     assert count.begin(TWO)
--- a/tests/test_routing_model.py
+++ b/tests/test_routing_model.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from millfork_scheduling.book import ServerBook
+from millfork_scheduling.server_table import ServerTable
 from millfork_standins.bench.engine_model import Agenda, EngineModel, Generation
 from millfork_standins.bench.routing import (
     LARGE,
@@ -56,18 +56,18 @@
     assert first_at(0) < first_at(3) < first_at(12) < first_at(20)
 
 
-@pytest.mark.parametrize('book', [RandomBook, RoundRobinBook])
-def test_more_first_tokens_are_in_time_than_without_a_look_at_the_load(book):
+@pytest.mark.parametrize('table', [RandomBook, RoundRobinBook])
+def test_more_first_tokens_are_in_time_than_without_a_look_at_the_load(table):
     rate = SHAPE.capacity * 1.2
-    built = RoutingModel(SHAPE, ServerBook, rate, 1).run(10.0)
-    plain = RoutingModel(SHAPE, book, rate, 1).run(10.0)
+    built = RoutingModel(SHAPE, ServerTable, rate, 1).run(10.0)
+    plain = RoutingModel(SHAPE, table, rate, 1).run(10.0)
     assert built.share('in time') > 1.5 * plain.share('in time')
 
 
 def test_under_lasting_load_slots_go_to_those_who_can_be_in_time():
     load = SHAPE.capacity * 1.2
     counted = sum(
-        (RoutingModel(SHAPE, ServerBook, load, seed).run(10.0).counts for seed in range(3)),
+        (RoutingModel(SHAPE, ServerTable, load, seed).run(10.0).counts for seed in range(3)),
         Counter(),
     )
     assert counted['in time'] > 0.6 * counted['asked']
@@ -76,12 +76,12 @@
 
 def test_many_entries_do_not_choose_the_same_engine():
     shape = FleetShape('many entries', 24, 12, 40)
-    found = RoutingModel(shape, ServerBook, shape.capacity * 1.2, 1).run(6.0)
+    found = RoutingModel(shape, ServerTable, shape.capacity * 1.2, 1).run(6.0)
     assert found.share('in time') > 0.5
 
 
 def test_a_seed_gives_the_same_run():
-    runs = [RoutingModel(SHAPE, ServerBook, 50.0, 3).run(6.0) for _ in range(2)]
+    runs = [RoutingModel(SHAPE, ServerTable, 50.0, 3).run(6.0) for _ in range(2)]
     assert runs[0] == runs[1]
     assert runs[0].counts['asked'] > 100
 
@@ -94,7 +94,7 @@
     """
     rate = LARGE.capacity * 1.2
     usual, sooner = (
-        RoutingModel(LARGE, ServerBook, rate, 1, near_report_s).run(7.0)
+        RoutingModel(LARGE, ServerTable, rate, 1, near_report_s).run(7.0)
         for near_report_s in (REPORT_S, REPORT_S / 3)
     )
     assert sooner.share('in time') > usual.share('in time') + 0.02
