--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -11,15 +11,15 @@
 
 from millfork_core.ids import InstanceId, ServiceName, ZoneId
 from millfork_registry.records import EndpointState, Lease, LeaseState, ServedVersion
-from millfork_routing.budget import USED_SHARE, SharedBudget
-from millfork_routing.documents import EngineFigures
-from millfork_scheduling.book import ServerBook
-from millfork_scheduling.paths import pair_up
-from millfork_scheduling.placement import Wanted
+from millfork_routing.documents import EngineSpec
+from millfork_routing.shared_budget import USED_SHARE, SharedBudget
+from millfork_scheduling.paths import find_paths
+from millfork_scheduling.placement import Requirements
 from millfork_scheduling.prediction import first_token_ms
-from millfork_scheduling.server import MOST_SUSPICION_S
+from millfork_scheduling.server import MAX_SUSPICION_S
+from millfork_scheduling.server_table import ServerTable
 
-ENGINE = EngineFigures(
+ENGINE = EngineSpec(
     slots=16,
     tokens=300_000,
     step_ms=9.0,
@@ -53,8 +53,8 @@
 
 
 @pytest.fixture
-def book(clock):
-    return ServerBook(ZoneId('z1'), Random(1), clock)
+def table(clock):
+    return ServerTable(ZoneId('z1'), Random(1), clock)
 
 
 def lease(instance, zone='z1', state=LeaseState.READY, version=1, first=0, end=16):
@@ -71,70 +71,72 @@
     )  # fmt: skip
 
 
-def chosen(book, wanted=None, tried=()):
-    choice = book.choose(wanted or Wanted(SERVICE), {InstanceId(name) for name in tried})
+def chosen(table, requirements=None, tried=()):
+    choice = table.choose(
+        requirements or Requirements(SERVICE), {InstanceId(name) for name in tried}
+    )
     return choice.server.instance if choice else None
 
 
-def test_a_back_end_that_leaves_gets_nothing(book):
-    book.take_leases([lease(1), lease(2)])
-    dropped = book.take_leases([lease(1, state=LeaseState.DRAINING), lease(2)])
+def test_a_back_end_that_leaves_gets_nothing(table):
+    table.apply_leases([lease(1), lease(2)])
+    dropped = table.apply_leases([lease(1, state=LeaseState.DRAINING), lease(2)])
     assert [server.instance for server in dropped] == ['i-1']
-    assert {chosen(book) for _ in range(20)} == {'i-2'}
+    assert {chosen(table) for _ in range(20)} == {'i-2'}
 
 
-def test_none_is_asked_twice(book):
-    book.take_leases([lease(1), lease(2)])
-    assert chosen(book, tried=['i-1']) == 'i-2'
-    assert chosen(book, tried=['i-1', 'i-2']) is None
+def test_none_is_asked_twice(table):
+    table.apply_leases([lease(1), lease(2)])
+    assert chosen(table, tried=['i-1']) == 'i-2'
+    assert chosen(table, tried=['i-1', 'i-2']) is None
 
 
-def test_a_failing_back_end_is_left_alone_unless_there_is_no_other(book, clock):
-    book.take_leases([lease(1), lease(2)])
-    book.servers[InstanceId('i-1')].note_failure(clock.now)
-    assert {chosen(book) for _ in range(20)} == {'i-2'}
-    assert chosen(book, tried=['i-2']) == 'i-1'
+def test_a_failing_back_end_is_left_alone_unless_there_is_no_other(table, clock):
+    table.apply_leases([lease(1), lease(2)])
+    table.servers[InstanceId('i-1')].note_failure(clock.now)
+    assert {chosen(table) for _ in range(20)} == {'i-2'}
+    assert chosen(table, tried=['i-2']) == 'i-1'
 
 
-def test_suspicion_grows_and_has_an_end(book, clock):
-    book.take_leases([lease(1)])
-    server = book.servers[InstanceId('i-1')]
+def test_suspicion_grows_and_has_an_end(table, clock):
+    table.apply_leases([lease(1)])
+    server = table.servers[InstanceId('i-1')]
     for _ in range(9):
         server.note_failure(clock.now)
-    assert server.suspect_until == clock.now + MOST_SUSPICION_S
+    assert server.suspect_until == clock.now + MAX_SUSPICION_S
     server.note_outcome(failed=False)
     server.note_failure(clock.now)
-    assert server.suspect_until < clock.now + MOST_SUSPICION_S
+    assert server.suspect_until < clock.now + MAX_SUSPICION_S
 
 
-def test_an_engine_without_all_layers_of_a_good_version_is_none(book):
-    wanted = Wanted(SERVICE, ENGINE, least_version=2)
-    book.take_leases([lease(1, version=1), lease(2, version=2, end=8), lease(3, version=2)])
-    assert {chosen(book, wanted) for _ in range(20)} == {'i-3'}
+def test_an_engine_without_all_layers_of_a_good_version_is_none(table):
+    requirements = Requirements(SERVICE, ENGINE, least_version=2)
+    table.apply_leases([lease(1, version=1), lease(2, version=2, end=8), lease(3, version=2)])
+    assert {chosen(table, requirements) for _ in range(20)} == {'i-3'}
 
 
-def test_an_engine_that_changes_gets_nothing(book):
-    book.take_leases([lease(1), lease(2)])
-    book.take_reports([report(1, changing_to=2), report(2)])
-    assert {chosen(book, Wanted(SERVICE, ENGINE)) for _ in range(20)} == {'i-2'}
+def test_an_engine_that_changes_gets_nothing(table):
+    table.apply_leases([lease(1), lease(2)])
+    table.apply_reports([report(1, changing_to=2), report(2)])
+    assert {chosen(table, Requirements(SERVICE, ENGINE)) for _ in range(20)} == {'i-2'}
 
 
-def test_a_report_counts_once_and_old_heartbeats_do_not_undo_it(book):
-    book.take_leases([lease(1)])
+def test_a_report_counts_once_and_old_heartbeats_do_not_undo_it(table):
+    table.apply_leases([lease(1)])
     newer = (ServedVersion('m', 2, 0, 16),)
-    book.take_reports([report(1, served=newer, running=5)])
-    server = book.servers[InstanceId('i-1')]
+    table.apply_reports([report(1, served=newer, running=5)])
+    server = table.servers[InstanceId('i-1')]
     server.mine += 1
-    book.take_reports([report(1, served=newer, running=5)])
-    assert server.occupied(book.monotonic()) == 6
-    book.take_leases([lease(1)])
-    assert server.newest_whole(16) == 2
+    table.apply_reports([report(1, served=newer, running=5)])
+    assert server.occupied(table.monotonic()) == 6
+    table.apply_leases([lease(1)])
+    assert server.newest_complete_version(16) == 2
 
 
-def test_the_emptier_engine_is_taken(book):
-    book.take_leases([lease(1), lease(2)])
-    book.take_reports([report(1, running=16, queued=4), report(2, running=3)])
-    assert {chosen(book, Wanted(SERVICE, ENGINE, 0, 0, 900)) for _ in range(20)} == {'i-2'}
+def test_the_emptier_engine_is_taken(table):
+    table.apply_leases([lease(1), lease(2)])
+    table.apply_reports([report(1, running=16, queued=4), report(2, running=3)])
+    assert {chosen(table, Requirements(SERVICE, ENGINE, 0, 0, 900)) for _ in range(20)} == {'i-2'}
 
 
 @given(
@@ -177,118 +179,121 @@
     return [lease(1, version=version, end=8), lease(2, version=version, first=8)]
 
 
-def test_two_engines_that_hold_all_layers_between_them_are_a_path(book):
-    book.take_leases(halves())
-    choice = book.choose(Wanted(SERVICE, ENGINE, 2, 2, 900), set())
+def test_two_engines_that_hold_all_layers_between_them_are_a_path(table):
+    table.apply_leases(halves())
+    choice = table.choose(Requirements(SERVICE, ENGINE, 2, 2, 900), set())
     assert [server.instance for server in choice.servers] == ['i-1', 'i-2']
     assert (choice.path.split, choice.version(16)) == (8, 2)
 
 
-def test_there_is_no_path_of_two_versions_nor_of_one_that_is_about_to_end(book):
-    book.take_leases([lease(1, version=2, end=8), lease(2, version=3, first=8)])
-    assert book.choose(Wanted(SERVICE, ENGINE, 0, 2, 900), set()) is None
-    book.take_leases(halves())
-    assert book.choose(Wanted(SERVICE, ENGINE, 0, 3, 900), set()) is None
+def test_there_is_no_path_of_two_versions_nor_of_one_that_is_about_to_end(table):
+    table.apply_leases([lease(1, version=2, end=8), lease(2, version=3, first=8)])
+    assert table.choose(Requirements(SERVICE, ENGINE, 0, 2, 900), set()) is None
+    table.apply_leases(halves())
+    assert table.choose(Requirements(SERVICE, ENGINE, 0, 3, 900), set()) is None
 
 
-def test_a_path_needs_both_of_its_parts(book, clock):
-    book.take_leases(halves())
-    wanted = Wanted(SERVICE, ENGINE, 2, 2, 900)
-    assert book.choose(wanted, {InstanceId('i-2')}) is None
-    book.take_reports([report(2, changing_to=3, served=(ServedVersion('m', 2, 8, 16),))])
-    assert book.choose(wanted, set()) is None
+def test_a_path_needs_both_of_its_parts(table, clock):
+    table.apply_leases(halves())
+    requirements = Requirements(SERVICE, ENGINE, 2, 2, 900)
+    assert table.choose(requirements, {InstanceId('i-2')}) is None
+    table.apply_reports([report(2, changing_to=3, served=(ServedVersion('m', 2, 8, 16),))])
+    assert table.choose(requirements, set()) is None
 
 
 def test_an_engine_is_in_one_path_at_most():
-    book = ServerBook(ZoneId('z1'), Random(1), Clock())
-    book.take_leases([*halves(), lease(3, version=2, end=8), lease(4, 'z2', version=2, first=8)])
-    paths = pair_up(list(book.servers.values()), ENGINE, 2)
+    table = ServerTable(ZoneId('z1'), Random(1), Clock())
+    table.apply_leases([*halves(), lease(3, version=2, end=8), lease(4, 'z2', version=2, first=8)])
+    paths = find_paths(list(table.servers.values()), ENGINE, 2)
     assert [[part.instance for part in path.servers] for path in paths] == [
         ['i-1', 'i-2'],
         ['i-3', 'i-4'],
     ]
 
 
-def test_lateness_is_learned_and_fades_when_nothing_tells_of_it(book, clock):
-    book.take_leases([lease(1)])
-    server = book.servers[InstanceId('i-1')]
-    wanted = Wanted(SERVICE, ENGINE, 0, 0, 900)
-    usual = book.choose(wanted, set()).first_token_ms
+def test_lateness_is_learned_and_fades_when_nothing_tells_of_it(table, clock):
+    table.apply_leases([lease(1)])
+    server = table.servers[InstanceId('i-1')]
+    requirements = Requirements(SERVICE, ENGINE, 0, 0, 900)
+    usual = table.choose(requirements, set()).first_token_ms
     for _ in range(50):
-        book.note_first_token(server, 5000)
-    late = book.choose(wanted, set()).first_token_ms
+        table.note_first_token(server, 5000)
+    late = table.choose(requirements, set()).first_token_ms
     assert late > usual + 500
     clock.now += 10
-    assert book.choose(wanted, set()).first_token_ms < usual + 10
+    assert table.choose(requirements, set()).first_token_ms < usual + 10
 
 
-def test_a_slow_engine_is_passed_over_after_one_late_token(book):
-    book.take_leases([lease(1), lease(2)])
-    book.note_first_token(book.servers[InstanceId('i-1')], 2000)
-    wanted = Wanted(SERVICE, ENGINE, 0, 0, 900)
-    assert {chosen(book, wanted) for _ in range(20)} == {'i-2'}
+def test_a_slow_engine_is_passed_over_after_one_late_token(table):
+    table.apply_leases([lease(1), lease(2)])
+    table.note_first_token(table.servers[InstanceId('i-1')], 2000)
+    requirements = Requirements(SERVICE, ENGINE, 0, 0, 900)
+    assert {chosen(table, requirements) for _ in range(20)} == {'i-2'}
 
 
-def test_what_can_not_go_on_elsewhere_goes_to_an_engine_that_does_not_change_soon(book):
-    book.take_leases([lease('old', version=1), lease('new', zone='z2', version=2)])
+def test_what_can_not_go_on_elsewhere_goes_to_an_engine_that_does_not_change_soon(table):
+    table.apply_leases([lease('old', version=1), lease('new', zone='z2', version=2)])
     chosen = {
-        book.choose(
-            Wanted(SERVICE, ENGINE, newest_version=2, prompt_tokens=900, last_send=True), set()
+        table.choose(
+            Requirements(SERVICE, ENGINE, newest_version=2, prompt_tokens=900, last_send=True),
+            set(),
         ).server.instance
         for _ in range(20)
     }
     assert chosen == {'i-new'}
     chosen = {
-        book.choose(Wanted(SERVICE, ENGINE, newest_version=2), set()).server.instance
+        table.choose(Requirements(SERVICE, ENGINE, newest_version=2), set()).server.instance
         for _ in range(20)
     }
     assert 'i-old' in chosen
 
 
-def test_a_slow_back_end_gets_nothing_that_would_begin_after_its_version_ends(book, clock):
-    book.take_leases([lease('quick'), lease('slow')])
+def test_a_slow_back_end_gets_nothing_that_would_begin_after_its_version_ends(table, clock):
+    table.apply_leases([lease('quick'), lease('slow')])
     for _ in range(5):
-        book.note_first_token(book.servers[InstanceId('i-slow')], 800.0)
+        table.note_first_token(table.servers[InstanceId('i-slow')], 800.0)
     endings = ((2, clock.now + 1.2),)
-    wanted = Wanted(SERVICE, ENGINE, newest_version=2, endings=endings)
-    assert book.choose(wanted, set()).server.instance == 'i-quick'
-    assert book.choose(wanted, {InstanceId('i-quick')}) is None
+    requirements = Requirements(SERVICE, ENGINE, newest_version=2, endings=endings)
+    assert table.choose(requirements, set()).server.instance == 'i-quick'
+    assert table.choose(requirements, {InstanceId('i-quick')}) is None
     clock.now += 1.0
-    assert book.choose(wanted, set()) is None
+    assert table.choose(requirements, set()) is None
 
 
 @pytest.mark.parametrize(('begun', 'taken'), [(0, 4), (1, 5), (2, 14), (3, 23)])
-def test_of_a_rush_the_others_are_taken_to_have_their_part(book, clock, begun, taken):
-    book.take_leases([lease(1)])
-    book.take_reports([report(1, running=4)])
-    server = book.servers[InstanceId('i-1')]
+def test_of_a_rush_the_others_are_taken_to_have_their_part(table, clock, begun, taken):
+    table.apply_leases([lease(1)])
+    table.apply_reports([report(1, running=4)])
+    server = table.servers[InstanceId('i-1')]
     server.mine += begun
-    assert server.taken(clock.now, 9) == taken
+    assert server.likely_occupied(clock.now, 9) == taken
 
 
-def test_without_a_report_the_others_are_taken_to_have_as_many(book, clock):
-    book.take_leases([lease(1)])
-    server = book.servers[InstanceId('i-1')]
+def test_without_a_report_the_others_are_taken_to_have_as_many(table, clock):
+    table.apply_leases([lease(1)])
+    server = table.servers[InstanceId('i-1')]
     server.mine = 2
-    assert server.taken(clock.now, 9) == 18
+    assert server.likely_occupied(clock.now, 9) == 18
 
 
-def test_the_freest_engines_are_looked_at_while_many_slots_are_free(book):
+def test_the_freest_engines_are_looked_at_while_many_slots_are_free(table):
     """
     Three engines of eight are full, by chance those that were compared: 57 of 128 slots. With
     72 of 128 taken there are none to spare, and who is turned away is turned away at once.
 
     """
     running = {1: 16, 2: 16, 3: 16, 4: 2, 5: 3, 6: 4, 7: 0, 8: 0}
-    book.take_leases([lease(number) for number in running])
-    book.take_reports([report(number, running=taken) for number, taken in running.items()])
-    wanted = Wanted(SERVICE, ENGINE, 0, 0, 900)
-    freest = [server.instance for server in book.compare_freest(wanted, {InstanceId('i-3')})]
+    table.apply_leases([lease(number) for number in running])
+    table.apply_reports([report(number, running=taken) for number, taken in running.items()])
+    requirements = Requirements(SERVICE, ENGINE, 0, 0, 900)
+    freest = [
+        server.instance for server in table.freest_candidates(requirements, {InstanceId('i-3')})
+    ]
     assert freest == ['i-7', 'i-8', 'i-4']
-    book.take_reports([report(number, 2, running=9) for number in running])
-    assert book.compare_freest(wanted, set()) == []
+    table.apply_reports([report(number, 2, running=9) for number in running])
+    assert table.freest_candidates(requirements, set()) == []
 
 
-def test_a_plain_service_has_no_freest_engines(book):
-    book.take_leases([lease(1)])
-    assert book.compare_freest(Wanted(SERVICE), set()) == []
+def test_a_plain_service_has_no_freest_engines(table):
+    table.apply_leases([lease(1)])
+    assert table.freest_candidates(Requirements(SERVICE), set()) == []
--- a/tests/test_repeat_budget.py
+++ b/tests/test_shared_budget.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from millfork_core.ids import ServiceName
-from millfork_routing.budget import SharedBudget
+from millfork_routing.shared_budget import SharedBudget
 from tests.test_servers import Clock
 
 SERVICE = ServiceName('pool')
@@ -50,10 +50,10 @@
             WINDOW_S,
             lambda: self.told,
             self.clock,
-            lambda: self.in_touch(position),
+            lambda: self.has_quorum(position),
         )
 
-    def in_touch(self, position):
+    def has_quorum(self, position):
         """
         In a cut, every second entry is on the side that has a majority of the replicas.
 
--- a/tests/test_silent_ends.py
+++ b/tests/test_silent_ends.py
@@ -78,7 +78,7 @@
 
 def test_one_behind_a_cut_that_is_heard_again_has_not():
     def hear(server, env):
-        server.heard_at = env.monotonic() + 1
+        server.last_received_at = env.monotonic() + 1
 
     assert ends_counted([Address.SILENT] * 5, hear) == 0
 
--- a/tests/test_suspicions.py
+++ b/tests/test_suspicions.py
@@ -28,15 +28,15 @@
     decode_suspicions,
     encode_suspicions,
 )
-from millfork_scheduling.fates import Fate
+from millfork_scheduling.incarnation_status import IncarnationStatus
 from millfork_scheduling.quarantine import (
-    ENDS,
+    MIN_ENDS_AT_FAULT,
     TRIAL_AFTER_S,
     TRIAL_SPREAD_S,
-    Standing,
-    Trials,
-    ends_after,
-    standing_of,
+    SuspicionLevel,
+    TrialSchedule,
+    count_ends,
+    suspicion_level_of,
 )
 from millfork_scheduling.server import Server
 from millforkd.proxy import ends as ends_module
@@ -48,7 +48,7 @@
 MOST_TRIALS_A_S = 2
 
 
-def suspected(number=ENDS):
+def suspected(number=MIN_ENDS_AT_FAULT):
     suspicion = Suspicion(FINGERPRINT)
     for index in range(number):
         suspicion = suspicion.with_broken(IncarnationKey(f'i-{index}/1'))
@@ -99,25 +99,25 @@
 
 
 def test_a_request_is_suspected_after_it_broke_off_at_three_back_ends():
-    standings = [standing_of(suspected(number)) for number in range(ENDS + 1)]
-    assert standings == [Standing.FREE] * ENDS + [Standing.SUSPECTED]
+    standings = [suspicion_level_of(suspected(number)) for number in range(MIN_ENDS_AT_FAULT + 1)]
+    assert standings == [SuspicionLevel.FREE] * MIN_ENDS_AT_FAULT + [SuspicionLevel.SUSPECTED]
     again = suspected(1).with_broken(IncarnationKey('i-0/1'))
     assert again == suspected(1)
 
 
 def test_ends_count_by_sequence_and_each_incarnation_once():
     now = suspected()
-    assert ends_after(Suspicion(FINGERPRINT), now, IncarnationKey('i-0/1')) == 1
-    assert ends_after(suspected(2), now, IncarnationKey('i-2/1')) == ENDS
-    assert ends_after(suspected(2), now, IncarnationKey('i-1/1')) == 2
+    assert count_ends(Suspicion(FINGERPRINT), now, IncarnationKey('i-0/1')) == 1
+    assert count_ends(suspected(2), now, IncarnationKey('i-2/1')) == MIN_ENDS_AT_FAULT
+    assert count_ends(suspected(2), now, IncarnationKey('i-1/1')) == 2
     lives_on = now.without(IncarnationKey('i-0/1'))
-    assert ends_after(suspected(2), lives_on, IncarnationKey('i-2/1')) == 2
-    assert ends_after(suspected(0).with_end(), now, IncarnationKey('i-2/1')) == 2
+    assert count_ends(suspected(2), lives_on, IncarnationKey('i-2/1')) == 2
+    assert count_ends(suspected(0).with_end(), now, IncarnationKey('i-2/1')) == 2
 
 
 def test_one_that_lives_on_is_suspected_no_more():
     left = suspected().with_end().without(IncarnationKey('i-1/1'))
-    assert standing_of(left) is Standing.FREE
+    assert suspicion_level_of(left) is SuspicionLevel.FREE
     assert (left.epoch, left.ends, left.broken) == (1, 1, ('i-0/1', 'i-2/1'))
 
 
@@ -152,7 +152,9 @@
 def test_a_suspected_request_is_tried_once_in_a_while_and_by_few_entries():
     clock = Clock()
     entries = 20
-    trials = [Trials(random.Random(number), clock, lambda: entries) for number in range(entries)]
+    trials = [
+        TrialSchedule(random.Random(number), clock, lambda: entries) for number in range(entries)
+    ]
     begun = []
     started_at = clock.now
     while clock.now < started_at + LONG_S:
@@ -165,14 +167,14 @@
 
 def test_what_is_learned_of_a_request_puts_its_trial_off():
     clock = Clock()
-    trials = Trials(random.Random(1), clock, lambda: 1)
+    trials = TrialSchedule(random.Random(1), clock, lambda: 1)
     assert not trials.begin(suspected())
     clock.now += TRIAL_AFTER_S + TRIAL_SPREAD_S
-    assert not trials.begin(suspected(ENDS + 1))
-    assert not trials.begin(suspected(ENDS + 1))
+    assert not trials.begin(suspected(MIN_ENDS_AT_FAULT + 1))
+    assert not trials.begin(suspected(MIN_ENDS_AT_FAULT + 1))
     clock.now += TRIAL_AFTER_S + TRIAL_SPREAD_S
-    assert trials.begin(suspected(ENDS + 1))
-    assert not trials.begin(suspected(ENDS + 1))
+    assert trials.begin(suspected(MIN_ENDS_AT_FAULT + 1))
+    assert not trials.begin(suspected(MIN_ENDS_AT_FAULT + 1))
 
 
 def test_an_allowance_is_there_again_after_its_time():
@@ -202,7 +204,7 @@
         self.ends.look = self.look
 
     def fate(self, server, since):
-        return self.fates.get(server.instance, Fate.UNKNOWN)
+        return self.fates.get(server.instance, IncarnationStatus.UNKNOWN)
 
     async def look(self, server):
         return self.found
@@ -224,17 +226,19 @@
                 await curio.sleep(0.005)
 
 
-@pytest.mark.parametrize('fate', [Fate.ENDED, Fate.LIVES])
+@pytest.mark.parametrize('fate', [IncarnationStatus.ENDED, IncarnationStatus.LIVES])
 def test_a_request_is_suspected_until_the_fates_of_its_back_ends_are_known(fate):
     async def run():
         broken = Broken()
-        for number in range(ENDS):
+        for number in range(MIN_ENDS_AT_FAULT):
             await broken.break_off(number)
-        assert standing_of(broken.known) is Standing.SUSPECTED
-        broken.fates = {f'i-{number}': fate for number in range(ENDS)}
+        assert suspicion_level_of(broken.known) is SuspicionLevel.SUSPECTED
+        broken.fates = {f'i-{number}': fate for number in range(MIN_ENDS_AT_FAULT)}
         await broken.until(lambda: not broken.ends.watches)
-        standing = Standing.AT_FAULT if fate is Fate.ENDED else Standing.FREE
-        assert standing_of(broken.known) is standing
+        standing = (
+            SuspicionLevel.AT_FAULT if fate is IncarnationStatus.ENDED else SuspicionLevel.FREE
+        )
+        assert suspicion_level_of(broken.known) is standing
 
     curio.run(run)
 
@@ -244,7 +248,7 @@
 
     async def run():
         broken = Broken()
-        for number in range(ENDS):
+        for number in range(MIN_ENDS_AT_FAULT):
             await broken.break_off(number)
         await broken.until(lambda: not broken.ends.watches)
         assert broken.known.is_clear
@@ -262,14 +266,14 @@
         broken = Broken()
         broken.found = Address.REFUSES
         before = broken.known
-        for number in range(2 * ENDS):
+        for number in range(2 * MIN_ENDS_AT_FAULT):
             server = Server(
                 InstanceId(f'i-{number}'), ServiceName('s'), '127.0.0.1', 1, ZoneId('z1'), 16
             )
             await broken.ends.note_broken(server, before)
         await broken.until(lambda: not broken.ends.watches)
         assert broken.known.ends == 1
-        assert standing_of(broken.known) is Standing.SUSPECTED
+        assert suspicion_level_of(broken.known) is SuspicionLevel.SUSPECTED
 
     curio.run(run)
 
@@ -282,12 +286,12 @@
 
     async def run():
         broken = Broken()
-        broken.fates = {'i-0': Fate.LIVES}
+        broken.fates = {'i-0': IncarnationStatus.LIVES}
         server = Server(InstanceId('i-0'), ServiceName('s'), '127.0.0.1', 1, ZoneId('z1'), 16)
         for _ in range(2):
             await broken.ends.note_left(server, broken.known)
         await curio.sleep(0.05)
-        broken.fates = {'i-0': Fate.ENDED}
+        broken.fates = {'i-0': IncarnationStatus.ENDED}
         await broken.until(lambda: broken.known.ends == 1)
 
     curio.run(run)
--- a/tests/test_turned_away_on_listed_fleets.py
+++ b/tests/test_turned_away_on_listed_fleets.py
@@ -14,7 +14,7 @@
 
 from millfork_core.ids import InstanceId, ZoneId
 from millfork_core.verdicts import Reason, Verdict
-from millfork_routing.balance import FIRST_PASSED_OVER_S, MOST_PASSED_OVER_S, Backend, choose
+from millfork_routing.balance import FIRST_PASSED_OVER_S, MAX_PASSED_OVER_S, Backend, choose
 from millfork_standins.deployments import LANTING
 from millfork_standins.execution_log import read_executions
 from millfork_standins.fleet import Fleet
@@ -123,13 +123,13 @@
         waits.append(backend.passed_over_until - sent_at - 1)
     assert waits == sorted(waits)
     assert waits[0] == pytest.approx(FIRST_PASSED_OVER_S)
-    assert waits[-1] == pytest.approx(MOST_PASSED_OVER_S)
+    assert waits[-1] == pytest.approx(MAX_PASSED_OVER_S)
     until = backend.passed_over_until
     backend.note_turned_away(70, 82)
     assert backend.passed_over_until == until
-    backend.note_taken(70)
+    backend.note_accepted(70)
     assert backend.turned_away
-    backend.note_taken(90)
+    backend.note_accepted(90)
     assert not backend.turned_away
 
 
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -11,7 +11,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import InstanceId, Revision, ServiceName, ZoneId
-from millfork_scheduling.placement import Wanted
+from millfork_scheduling.placement import Requirements
 from millfork_state.commands import Versioned, encode_versioned
 from millfork_state.keys import version_key
 from millfork_state.view import Held, View
@@ -79,7 +79,7 @@
 
 def test_a_request_is_sent_again_by_what_holds_then(view, versions, clock):
     admission = Admission(versions.env, versions)
-    wanted = admission.as_of_now(Wanted(ServiceName('s'), ENGINE), False)
+    wanted = admission.as_of_now(Requirements(ServiceName('s'), ENGINE), False)
     name(view, versions, 2)
     assert wanted.least_version == 0
     clock.now += SWITCH_S
