--- a/packages/millfork-scheduling/millfork_scheduling/__init__.py
+++ b/packages/millfork-scheduling/millfork_scheduling/__init__.py
@@ -1,7 +1,7 @@
 """
-How requests wait, are turned away, are placed and come back.
+Decisions on admission, placement, rejection and retries of requests.
 
-Decisions only: no sockets, tasks or clocks of their own. Each module opens with the load
-that it answers. `millforkd` asks them, and so does the model of engines in the bench.
+The modules use no sockets, tasks or clocks of their own. Each describes at its top the load
+that it is made for. They are used by `millforkd` and by the engine model of the benchmarks.
 
 """
--- a/packages/millfork-scheduling/millfork_scheduling/admission.py
+++ b/packages/millfork-scheduling/millfork_scheduling/admission.py
@@ -1,29 +1,31 @@
 """
-Whether a request is worth sending to the engine that was chosen for it.
+Whether a request is sent to the engine that was chosen for it, or refused.
 
-It answers lasting load near and above what the engines carry. There each request that is
-served late holds a slot for as long as one in time would, and those that came back after
-a refusal are late already: sent alike, they fill the engines, and nobody is in time.
+Under lasting load near or above capacity, a request that is served late holds a slot for as
+long as one that is in time, and requests retried after a refusal are late already. If all were
+sent, they would fill the engines and no request would be in time.
 
 """
 
 from dataclasses import dataclass
 from typing import Final
 
-# Of the time left for the first token, what a prediction may take. The rest is for the way
-# and for what reports 0.15 s to 0.3 s old can't tell.
+# The share of the time left for the first token that a prediction may use up. The rest covers
+# the network and changes since the reports, which are 0.15 s to 0.3 s old.
 FIRST_TOKEN_SHARE: Final = 0.75
-# What would be late goes only to an engine with fewer of its slots taken than this share;
-# the rest is kept for those who can be in time.
+# A request that would be late is sent only to an engine with a smaller share of its slots
+# occupied; the other slots are kept for requests that can be in time.
 LATE_MAX_OCCUPIED_SHARE: Final = 0.75
 
 
 @dataclass(frozen=True, slots=True)
 class StartEstimate:
     """
-    What is expected of a request at an engine: the time to its first token and the time
-    left in which one is wanted (ms; none left: below 0), the requests there and its slots,
-    and how old what is known of them is, in ms (infinity: nothing was told).
+    The expected start of a request at an engine.
+
+    `expected_ms` is the time to the first token, `remaining_ms` the time left until the target
+    (negative if it has passed), `occupied` the number of requests there, and `load_age_ms` the
+    age of the last known load (infinity if there is none).
 
     """
 
@@ -39,7 +41,7 @@
 
 def overdue_ms(start_estimate: StartEstimate) -> float:
     """
-    By how much the first token is expected too late, in ms; 0 or less: in time.
+    The expected lateness of the first token, in ms; 0 or less if it is in time.
 
     """
     return start_estimate.expected_ms - max(start_estimate.remaining_ms, 0.0) * FIRST_TOKEN_SHARE
@@ -47,7 +49,7 @@
 
 def is_worth_sending(start_estimate: StartEstimate) -> bool:
     """
-    Whether it would be in time, or takes a slot that nobody in time is likely to want.
+    Whether the request would be in time, or the engine has slots to spare for late requests.
 
     """
     if overdue_ms(start_estimate) <= 0:
@@ -57,8 +59,8 @@
 
 def depends_on_first_try(start_estimate: StartEstimate) -> bool:
     """
-    Whether it is sent if it is a first try, as the prospect takes it, and is not if its
-    caller was turned away before.
+    Whether the request would be sent if it is its caller's first try, as the estimate assumes,
+    but refused if the caller was turned away before.
 
     """
     if overdue_ms(start_estimate) > 0:
--- a/packages/millfork-scheduling/millfork_scheduling/availability.py
+++ b/packages/millfork-scheduling/millfork_scheduling/availability.py
@@ -1,9 +1,9 @@
 """
-What one incarnation of a back end said of itself, and whether it may be sent to.
+The backpressure signals of one incarnation of a back end, and whether requests may be sent to it.
 
-It answers a back end in need that names how many requests a second it takes. Only its answers
-tell when that is over, so some requests go on reaching it. One that leaves may say so to
-entries before any replica takes its heartbeat, as behind a cut.
+An overloaded back end announces how many requests a second it accepts. Only its answers show
+when the limit is over, so some requests must continue to reach it. A back end that leaves may
+tell entries so before any replica receives its heartbeat, for example during a partition.
 
 """
 
@@ -17,22 +17,23 @@
 from millfork_core.ids import Incarnation, InstanceId
 from millfork_scheduling.limit_share import LimitShare
 
-# A daemon's report is up to this old when it comes: it may have been made before an answer
-# that named a limit.
+# A daemon's report is up to this old on arrival, so it may have been made before an answer that
+# announced a limit.
 REPORT_LAG_S: Final = 0.6
-# Beyond this a rest is not believed: the back end would be closed for good.
+# Longer rests are cut to this: the back end could otherwise be closed for good.
 MAX_REST_S: Final = 300.0
-# A request that asks whether a rest is over has its answer by then, or says nothing.
+# If the request that probes whether a rest is over has no answer by then, another may probe.
 PROBE_TIMEOUT_S: Final = 1.0
-# An incarnation that leaves is gone within seconds; a lease behind a long cut may come back.
+# An incarnation that leaves is gone within seconds, but after a long partition its lease may
+# come back.
 REMEMBERED_S: Final = 3600.0
-# Three times as many as there are back ends at the two-year size.
+# Three times the number of back ends at the size planned for two years ahead.
 MAX_REMEMBERED: Final = 10_000
 
 
 class SignalSource(Enum):
     """
-    How an entry was told.
+    Where an entry received a signal from.
 
     """
 
@@ -42,7 +43,7 @@
 
 class Signal(Enum):
     """
-    What a back end can say of itself.
+    A kind of backpressure signal.
 
     """
 
@@ -53,7 +54,7 @@
 
 class SignalEvent(Enum):
     """
-    What becomes of a signal.
+    A change in the state of a signal.
 
     """
 
@@ -65,8 +66,10 @@
 @dataclass(slots=True)
 class RestPeriod:
     """
-    The rests that a back end asked this entry for. Once one is over, a single request asks
-    whether it takes more; the others wait for its answer. Times are monotonic seconds.
+    The rest period that a back end asked this entry for, in monotonic seconds.
+
+    Once it is over, a single request probes whether the back end accepts requests again; the
+    others wait for its answer.
 
     """
 
@@ -75,7 +78,7 @@
 
     def extend(self, rest_s: float, now: float) -> None:
         """
-        Take another rest; an answer that was under way shortens none.
+        Extend the period by a newly requested rest. An answer sent earlier doesn't shorten it.
 
         """
         self.until = max(self.until, now + min(rest_s, MAX_REST_S))
@@ -83,21 +86,21 @@
 
     def opens_in_s(self, now: float) -> float:
         """
-        Seconds until a request may be sent, 0 if one may now.
+        The time until a request may be sent, in seconds; 0 if one may be sent now.
 
         """
         return max(self.until - now, self.probed_at + PROBE_TIMEOUT_S - now, 0.0)
 
     def note_sent(self, now: float) -> None:
         """
-        A request is sent after the rest, to ask.
+        Record that a request was sent, which probes whether the rest is over.
 
         """
         self.probed_at = now
 
     def is_ended_by(self, sent_at: float) -> bool:
         """
-        Whether the answer to what was sent at a moment, not turned away, ends it.
+        Whether the period is ended by the answer to an accepted request sent at `sent_at`.
 
         """
         return sent_at >= self.until
@@ -105,7 +108,7 @@
 
 class ClosureReason(Enum):
     """
-    Why a back end may not be sent to now, by its own word.
+    The signal by which a back end forbids requests now.
 
     """
 
@@ -117,7 +120,7 @@
 @dataclass(frozen=True, slots=True)
 class Closure:
     """
-    Why a back end may not be sent to, and in how many seconds it may be, as expected.
+    Why no request may be sent to a back end, and the expected time until one may, in seconds.
 
     """
 
@@ -128,8 +131,10 @@
 @dataclass(frozen=True, slots=True)
 class SignalChange:
     """
-    A signal that began, changed or ended, and its value: of a limit, requests a second; of a
-    rest, its seconds, and how long ago it was over when an answer ended it.
+    A signal that began, changed or ended.
+
+    `value` is the rate of a limit in requests a second, or the length of a rest in seconds; for
+    an ended rest it is the time between its end and the answer that ended it.
 
     """
 
@@ -141,7 +146,7 @@
 @dataclass(slots=True)
 class Availability:
     """
-    What one incarnation of a back end said of itself last. Times are monotonic seconds.
+    The last signals of one incarnation of a back end. Times are monotonic seconds.
 
     """
 
@@ -149,17 +154,17 @@
     limit: LimitShare | None = None
     limit_named_at: float = float('-inf')
     rest: RestPeriod | None = None
-    # An incarnation that leaves comes back no more, whatever its heartbeats say.
+    # An incarnation that leaves never comes back, whatever its heartbeats say.
     leaving: bool = False
-    # What the daemon beside it said last: where incarnations are not told, its word may be
-    # of the engine before this one.
+    # The last report of the daemon beside it. Without incarnations the report may describe the
+    # previous engine, so it can be revoked.
     reported_leaving: bool = False
 
     def apply_answer(
         self, backpressure: Backpressure, sent_at: float, now: float, turned_away: bool = False
     ) -> list[SignalChange]:
         """
-        Take what the answer to a request says that was sent at a moment; returns what changed.
+        Apply the signals in the answer to a request sent at `sent_at`; returns the changes.
 
         """
         changes = self._take_leaving(backpressure.leaving)
@@ -167,7 +172,7 @@
         if backpressure.limit_per_s is not None:
             return changes + self._start_or_change_limit(backpressure.limit_per_s, now)
         if sent_at <= self.limit_named_at:
-            # The back end may have answered before it named the limit.
+            # The back end may have answered before it announced the limit.
             return changes
         return changes + self._end_limit()
 
@@ -193,7 +198,7 @@
 
     def apply_report(self, backpressure: Backpressure, now: float) -> list[SignalChange]:
         """
-        Take what the daemon beside a back end was told; returns what changed.
+        Apply the signals reported by the daemon beside the back end; returns the changes.
 
         """
         changes = self._report_leaving(backpressure.leaving)
@@ -213,7 +218,7 @@
 
     def closure(self, now: float, entries: int) -> Closure | None:
         """
-        Why nothing may be sent now by this entry, one of so many; None if something may.
+        Why this entry, one of `entries`, may send no request now; None if it may.
 
         """
         if self.leaving or self.reported_leaving:
@@ -227,7 +232,7 @@
 
     def note_sent(self, now: float, entries: int) -> None:
         """
-        Count a request that is sent.
+        Record a request that is sent.
 
         """
         if self.rest is not None:
@@ -253,20 +258,20 @@
 
 class LapsedAvailabilities:
     """
-    What incarnations said of themselves whose lease is away: when it comes back, nothing of
-    that has changed.
+    The availabilities of incarnations whose lease is gone. They are still valid if the lease of
+    the same incarnation comes back.
 
     """
 
     def __init__(self, random: Random, monotonic: Callable[[], float]) -> None:
         self.random = random
         self.monotonic = monotonic
-        # With the moment at which the lease went, the latest last.
+        # With the time at which the lease was lost; ordered by that time.
         self.kept: dict[tuple[InstanceId, Incarnation], tuple[float, Availability]] = {}
 
     def store(self, key: tuple[InstanceId, Incarnation], availability: Availability) -> None:
         """
-        The lease of an incarnation goes.
+        Store the availability of an incarnation that lost its lease.
 
         """
         now = self.monotonic()
@@ -279,7 +284,8 @@
 
     def restore(self, key: tuple[InstanceId, Incarnation]) -> Availability:
         """
-        The lease of an incarnation comes, for the first time or again.
+        Remove and return the availability of an incarnation that has a lease again; a new
+        availability if none is stored.
 
         """
         _, availability = self.kept.pop(key, (0.0, Availability(self.random)))
--- a/packages/millfork-scheduling/millfork_scheduling/first_tries.py
+++ b/packages/millfork-scheduling/millfork_scheduling/first_tries.py
@@ -1,12 +1,12 @@
 """
-Whether a request is its caller's first try, by the time that its caller gives it.
+Detection of a caller's first try by the deadline of its request.
 
-It answers lasting load above what the engines carry, where many of those who come were
-turned away before: their first token is late whatever is done, and a slot for one of them
-is one that somebody in time can't have. What is left to such a caller is less than others
-begin with; but on some fleets callers begin with very different times, and there a short
-one says nothing by itself. So the times that first tries come with are learned while nobody
-is turned away, and a request is only judged where its time lies outside of them.
+Under lasting load above capacity, many callers were turned away before. Their first token is
+late in any case, and a slot given to one of them is lost to a request that could be in time. A
+returning caller has a shorter deadline left than callers begin with. But on some fleets callers
+begin with very different deadlines, so a short one proves nothing by itself. Therefore the
+deadlines of first tries are learned while nobody is turned away, and a request is taken for a
+retry only if its deadline is outside their range.
 
 """
 
@@ -14,38 +14,40 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-# Times that differ by less are alike: the way takes some ms of each. Who was turned away
-# has lost more.
+# Deadlines that differ by less count as equal, as transit takes some ms of each. A caller that
+# was turned away has lost more.
 DEADLINE_TOLERANCE_MS: Final = 120
-# After somebody was turned away, those who come may be returning for so long: callers wait
-# 6 s.
+# For this time after a caller was turned away, requests may come from returning callers, as
+# callers wait 6 s.
 RETURN_WINDOW_S: Final = 8.0
-# Times kept for each route, and how many say enough.
+# The number of first-try deadlines kept for each route, and the number needed for a judgement.
 MAX_DEADLINES_KEPT: Final = 128
 MIN_FIRST_TRIES: Final = 20
-# Routes come and go with configurations; of so many the times are kept, 2 KB each.
+# Routes come and go with configurations; deadlines are kept for this many, 2 KB each.
 MAX_ROUTES: Final = 2000
-# Before so much was seen, as after a start under load: callers begin alike where so many of
-# the latest, returns among them, have the longest time but for the ms that their way takes.
-# Two or three that happen to lie so close are no evidence: by them, 1 in 14 first tries of
-# callers with 0.85 to all of the usual time was taken for a return.
+# Used before enough first tries were seen, as after a start under load. Callers are assumed to
+# begin with one common deadline if this share of the latest requests, including retries, have
+# the longest deadline within the ms that transit takes. Two or three that lie so close by chance
+# are no evidence: they made 1 in 14 first tries of callers that begin with 0.85 to 1 times the
+# usual deadline count as retries.
 LATEST_KEPT: Final = 16
 COMMON_DEADLINE_SHARE: Final = 0.4
 MIN_COMMON_DEADLINES: Final = 4
 SAME_DEADLINE_MS: Final = 20
-# Below the shortest of a route's first tries but for these: calls for probing, and returns
-# that were taken for first ones.
+# The share of a route's shortest first-try deadlines that is ignored: probes, and retries that
+# were taken for first tries.
 OUTLIER_SHARE: Final = 0.05
-# A few first tries don't show the shortest there is: how far below it may lie, as a share of
-# what they differ by.
+# The observed first tries may not include the shortest deadline. It may lie below them by this
+# share of their range.
 UNSEEN_MARGIN_SHARE: Final = 0.2
 
 
 @dataclass(frozen=True, slots=True)
 class Judgement:
     """
-    The time since the caller's first try as far as is known, in ms (0: this is it), and
-    whether its time can't tell, so that it is worth asking who remembers.
+    The estimated time since the caller's first try in ms (0: this is the first try).
+
+    `is_undecided` if the deadline doesn't show it, so that other entries should be asked.
 
     """
 
@@ -56,8 +58,8 @@
 @dataclass(slots=True)
 class RouteDeadlines:
     """
-    The times that callers gave the requests of one route, in ms: the longest of all, the
-    latest, and those of first tries.
+    The deadlines of one route's requests in ms: the longest of all, the latest ones, and those
+    of first tries.
 
     """
 
@@ -67,7 +69,7 @@
 
     def share_one_deadline(self) -> bool:
         """
-        Whether callers seem to begin with the same time, by the latest of them.
+        Whether callers seem to begin with the same deadline, judged by the latest requests.
 
         """
         longest = sum(time_ms >= self.longest - SAME_DEADLINE_MS for time_ms in self.latest)
@@ -76,7 +78,7 @@
 
 class FirstTryDetector:
     """
-    What one entry learned of the times that callers give, by route.
+    Learns the deadlines of first tries by route, and judges requests by them.
 
     """
 
@@ -86,14 +88,14 @@
 
     def note_turned_away(self, now: float) -> None:
         """
-        A caller was turned away, and may come back.
+        Record that a caller was turned away and may come back.
 
         """
         self.turned_away_at = now
 
     def judge(self, route: str, deadline_ms: int, now: float) -> Judgement:
         """
-        Judge a request by its deadline, and learn from it while nobody returns.
+        Judge a request by its deadline; the deadline is learned while no caller may be returning.
 
         """
         times = self._deadlines_of(route)
--- a/packages/millfork-scheduling/millfork_scheduling/fleet_index.py
+++ b/packages/millfork-scheduling/millfork_scheduling/fleet_index.py
@@ -1,5 +1,5 @@
 """
-The back ends of a fleet by service and address, and those among which one entry draws.
+An index of the back ends of a fleet, by service and by address.
 
 """
 
@@ -10,9 +10,9 @@
 from millfork_core.ids import ServiceName, ZoneId
 from millfork_scheduling.server import Server
 
-# Of each service, among how many engines of the own zone and of others an entry draws: it
-# keeps a connection to the daemons beside them. Where entries are few, more, so that each
-# engine is drawn by some of them.
+# The number of engines of each service that an entry uses, of its own zone and of the others. It
+# keeps a connection to the daemon beside each of them. With few entries each uses more engines,
+# so that every engine is used by several entries.
 MAX_NEAR: Final = 32
 MAX_FAR: Final = 16
 ENTRIES_PER_ENGINE: Final = 6
@@ -20,7 +20,7 @@
 
 class FleetIndex:
     """
-    The back ends with a lease, made anew whenever leases change.
+    The back ends that hold a lease; rebuilt on every change of the leases.
 
     """
 
@@ -28,14 +28,14 @@
         self.zone = zone
         self.entries = entries
         self.by_service: dict[ServiceName, list[Server]] = {}
-        # Those to draw from, of the own zone and of all others.
+        # The back ends that this entry uses: those of its own zone and those of all others.
         self.near: dict[ServiceName, list[Server]] = {}
         self.far: dict[ServiceName, list[Server]] = {}
         self.by_address: dict[tuple[str, int], Server] = {}
 
     def rebuild(self, servers: Iterable[Server]) -> None:
         """
-        Take all back ends.
+        Build the index from all back ends.
 
         """
         self.by_service = {}
@@ -55,7 +55,7 @@
 
 def _keep_least(servers: dict[ServiceName, list[Server]], service: ServiceName, most: int) -> None:
     """
-    Keep so many back ends of a service, by their order of drawing.
+    Keep the back ends of a service with the lowest `draw_order`, at most `most` of them.
 
     """
     found = servers.get(service, [])
--- a/packages/millfork-scheduling/millfork_scheduling/incarnation_status.py
+++ b/packages/millfork-scheduling/millfork_scheduling/incarnation_status.py
@@ -1,9 +1,9 @@
 """
-Whether an incarnation of a back end under which an answer broke off has ended.
+Whether an incarnation of a back end has ended after one of its answers broke off.
 
-An address says little: while a large process is torn down it takes connections for a second
-or more after those it had are gone, and the next process may take it over unnoticed. What
-answers, or lives at its place, later on tells.
+Probing the address isn't enough: a large process that is being torn down accepts connections
+for a second or more after its existing ones are gone, and the next process may take over the
+address unnoticed. Later answers, reports and leases show whether the incarnation lives on.
 
 """
 
@@ -13,18 +13,18 @@
 
 from millfork_scheduling.server import Server
 
-# What a back end sent before it ended may be read this much later, as all that came
-# while this entry was busy is read at once.
+# Data that a back end sent before it ended may be read this much later, as a busy entry reads
+# everything that arrived meanwhile at once.
 READ_DELAY_S: Final = 0.1
-# A daemon tells what its engine said up to this long ago.
+# A daemon's report may describe the engine as it was this long ago.
 REPORT_LAG_S: Final = 1.0
-# The lease of a back end that ended has run out by then, also here.
+# After this time the lease of a back end that ended has expired, and this entry knows it.
 LEASE_EXPIRED_S: Final = 6.0
 
 
 class IncarnationStatus(Enum):
     """
-    What became of an incarnation.
+    Whether an incarnation has ended, as far as this process knows.
 
     """
 
@@ -37,8 +37,8 @@
     server: Server, since: float, known: Iterable[Server] = (), now: float = float('-inf')
 ) -> IncarnationStatus:
     """
-    What became of a back end since a moment, in monotonic seconds; `known` are the back ends
-    with a lease now that have its id or its address.
+    Whether a back end has ended since a moment (monotonic seconds). `known` are the back ends
+    that hold a lease now and have the same instance or address.
 
     """
     if server.replaced:
@@ -53,7 +53,7 @@
 
 def _was_active(server: Server, since: float) -> bool:
     """
-    Whether something came from a back end that it can only have sent after a moment.
+    Whether anything was received that the back end can only have sent after `since`.
 
     """
     if any(sent_at > since for sent_at in server.answered.values()):
--- a/packages/millfork-scheduling/millfork_scheduling/limit_share.py
+++ b/packages/millfork-scheduling/millfork_scheduling/limit_share.py
@@ -1,12 +1,13 @@
 """
-One entry's share of the requests a second that a back end takes from all entries together.
+One entry's share of the requests per second that a back end accepts from all entries together.
 
-Entries don't ask one another before a request, so each keeps to an equal share. The sum has
-to stay near the limit also over some seconds, whoever saved up before:
+Entries don't coordinate before a request, so each keeps to an equal share. The sum of all
+entries has to stay near the limit over some seconds, including requests saved up before:
 
-- Few entries: each saves at most one request, or what its share allows in a second.
-- Many: what all of them may have saved would together exceed what a back end tolerates, so
-  nothing is saved. Each second an entry draws whether it may send one, at odds of its share.
+- Few entries: each saves at most one request, or as many as its share allows in a second.
+- Many entries: the saved requests of all would together exceed what a back end tolerates, so
+  none are saved. Each second an entry draws at random, with its share as the probability,
+  whether it may send a request.
 
 """
 
@@ -15,42 +16,42 @@
 from random import Random
 from typing import Final
 
-# What a back end tolerates in a window: this much of its limit, and some requests. Those sent
-# within the margin before a window may arrive in it.
+# In each window a back end tolerates this multiple of its limit plus a number of requests.
+# Requests sent within the margin before a window may arrive in it.
 WINDOW_S: Final = 4.0
 ARRIVAL_MARGIN_S: Final = 0.4
 TOLERATED_RATIO: Final = 1.5
 TOLERATED_REQUESTS: Final = 5
-# Of the limit, what entries that draw share out: sums of draws vary.
+# The share of the limit that entries use when they draw, as the sum of random draws varies.
 DRAWN_SHARE: Final = 0.8
 DRAW_INTERVAL_S: Final = 1.0
-# A back end that takes nothing at all could never tell that its limit is over.
+# The lowest rate: a back end that receives no requests could never signal the end of its limit.
 MIN_PER_S: Final = 0.1
 
 
 @dataclass(slots=True)
 class LimitShare:
     """
-    The requests that this entry may send now to a back end that named a limit.
+    The requests that this entry may send now to a back end that announced a limit.
 
     """
 
     random: Random
-    # Requests a second, from all entries together.
+    # Requests per second from all entries together.
     limit_per_s: float
-    # Monotonic seconds of the last look.
+    # When `saved` was last updated, in monotonic seconds.
     counted_at: float
     saved: float = field(init=False)
 
     def __post_init__(self) -> None:
         self.limit_per_s = max(self.limit_per_s, MIN_PER_S)
         self.saved = 0.0
-        # Draws of entries that hear of the limit at the same moment are spread.
+        # Spreads the draws of entries that learn of the limit at the same moment.
         self.counted_at -= self.random.random() * DRAW_INTERVAL_S
 
     def set_limit(self, limit_per_s: float) -> bool:
         """
-        Take another limit, whether it differs; what is saved stays.
+        Set the limit and return whether it changed; saved requests are kept.
 
         """
         before, self.limit_per_s = self.limit_per_s, max(limit_per_s, MIN_PER_S)
@@ -58,7 +59,7 @@
 
     def can_send(self, now: float, entries: int) -> bool:
         """
-        Whether a request may be sent now, with so many entries in the fleet.
+        Whether a request may be sent now, with this number of entries in the fleet.
 
         """
         self._count(now, entries)
@@ -66,7 +67,7 @@
 
     def consume(self, now: float, entries: int) -> bool:
         """
-        Take the place of one request, if there is one.
+        Use up the permission for one request; returns False if there is none.
 
         """
         if not self.can_send(now, entries):
@@ -76,7 +77,7 @@
 
     def expected_wait_s(self, now: float, entries: int) -> float:
         """
-        Seconds until this entry may send the next request, as expected.
+        The expected time until this entry may send its next request, in seconds.
 
         """
         if self.can_send(now, entries):
--- a/packages/millfork-scheduling/millfork_scheduling/load_queries.py
+++ b/packages/millfork-scheduling/millfork_scheduling/load_queries.py
@@ -1,9 +1,9 @@
 """
-When to ask for the load of engines before one of them is chosen.
+Whether an entry asks for the current load of engines before it chooses one.
 
-It answers load near and above what the engines carry, where what entries know of engines is
-up to 0.3 s old and others send meanwhile: the engine that looks best is full when the request
-gets there. Where all engines compared have slots to spare, as old a report will do.
+Under load near or above capacity, reports are up to 0.3 s old and other entries send requests
+meanwhile, so the engine that looks best may be full when the request arrives. If all compared
+engines have spare slots, the last reports are good enough.
 
 """
 
@@ -12,13 +12,13 @@
 
 from millfork_scheduling.server import Server
 
-# Of its slots, what one engine of those compared has taken at least.
+# Loads are asked for once any compared engine has this share of its slots occupied.
 FRESH_LOADS_OCCUPIED_SHARE: Final = 0.7
 
 
 def needs_fresh_loads(servers: Iterable[Server], now: float, entries: int) -> bool:
     """
-    Whether the choice among some engines may hang on what happened since their reports.
+    Whether the choice among the engines may depend on what happened since their reports.
 
     """
     return any(
--- a/packages/millfork-scheduling/millfork_scheduling/paths.py
+++ b/packages/millfork-scheduling/millfork_scheduling/paths.py
@@ -1,5 +1,5 @@
 """
-Paths: two back ends that hold a model's layers between them.
+Paths: pairs of back ends that together hold all layers of a model.
 
 """
 
@@ -12,8 +12,8 @@
 @dataclass(frozen=True, slots=True)
 class Path:
     """
-    Two back ends that hold a model's layers between them: the first those
-    before `split`, the second the rest.
+    Two back ends that together hold all layers of a model: the first holds the layers before
+    `split`, the second the remaining ones.
 
     """
 
@@ -33,9 +33,10 @@
 
 def find_paths(servers: list[Server], engine: EngineSpec, newest: int) -> list[Path]:
     """
-    The paths over back ends that hold the newest version in part; all entries
-    that know the same pair alike, within a zone where they can. An older
-    version has none, as its back ends are about to change.
+    The paths over back ends that hold some layers of the newest version.
+
+    Entries that know the same back ends find the same paths; pairs within one zone are
+    preferred. Older versions have no paths, as their back ends are about to change version.
 
     """
     lower: list[tuple[Server, int]] = []
--- a/packages/millfork-scheduling/millfork_scheduling/placement.py
+++ b/packages/millfork-scheduling/millfork_scheduling/placement.py
@@ -1,11 +1,11 @@
 """
-Which back end a request is sent to.
+The choice of the back end that a request is sent to.
 
-It answers loads that are uneven between back ends, and entries that all see the same
-reports, 0.15 s to 0.3 s old: the least loaded engine would get the requests of all
-entries at once. So each choice is among a few engines taken at random, the best of which
-is nearly as good as the best of all and seldom the same for two entries; and a back end
-that fails or is late is left to others for a while.
+Loads differ between back ends, and all entries see the same reports, which are 0.15 s to 0.3 s
+old: if all chose the least loaded engine, it would get the requests of all entries at once. So
+each choice is among a few randomly sampled engines. The best of these is nearly as good as the
+best of all and seldom the same for two entries. Back ends that fail or are late are avoided for
+a while.
 
 """
 
@@ -20,40 +20,38 @@
 from millfork_scheduling.paths import Path
 from millfork_scheduling.server import Server
 
-# What a failure rate of 1 counts for, in full loads of a back end.
+# The cost of a failure rate of 1, in full loads of a back end.
 FAILURE_COST_LOADS: Final = 3.0
-# What each token of a path costs whose parts lie in two zones, in ms: the way
-# there and back.
+# The cost of each answer token of a path whose engines lie in two zones: one round trip.
 PATH_TOKEN_HOP_MS: Final = 5.0
-# What another zone costs an engine's request, in ms: the way there and back.
+# The cost of an engine in another zone: one round trip.
 OTHER_ZONE_COST_MS: Final = 10.0
-# What a failure rate of 1 costs an engine's request, in ms.
+# The cost of a failure rate of 1 at an engine.
 FAILURE_COST_MS: Final = 3000.0
-# Choices are spread over predictions that differ by less, in ms: the entries
-# would all take the same engine.
+# Random jitter of the costs; without it all entries would choose the same engine.
 COST_JITTER_MS: Final = 30.0
-# What another zone costs, in full loads: a nearer one is taken while it is
-# not fuller by this.
+# The cost of a back end in another zone, in full loads: one in the own zone is preferred unless
+# it is fuller by more than this.
 OTHER_ZONE_COST_LOADS: Final = 0.15
-# The engines among which one is chosen: so many of the own zone and so many of others, at
-# random, as many entries would else all choose the same one.
+# The number of engines sampled for each choice, from the own zone and from the others. With
+# larger samples many entries would choose the same engine.
 NEAR_COMPARED: Final = 2
 FAR_COMPARED: Final = 1
-# What an engine of a version that ends soon costs a request that could not go on
-# elsewhere, in ms: about as much as admission lets one wait.
+# The cost of an engine whose version ends soon, for a request that could not continue at another
+# back end: about as long as admission lets a request wait.
 ENDING_VERSION_COST_MS: Final = 300.0
-# A request is sent to a version that ends only where its first token is expected this long
-# before, as a slow link delays it.
+# A request is sent to a version that ends soon only if its first token is expected this long
+# before the end, as a slow link may delay it.
 VERSION_END_MARGIN_S: Final = 0.5
-# The same where no daemon beside the engine takes the version away in time.
+# The margin for an engine without a daemon that would withdraw the version in time.
 VERSION_END_MARGIN_WITHOUT_DAEMON_S: Final = 1.2
 
 
 @dataclass(frozen=True, slots=True)
 class Requirements:
     """
-    What a request needs of a back end: a service; for an engine, its figures,
-    the oldest version that will do, and the newest that was named.
+    What a request requires of a back end: the service; for engines also the engine spec, the
+    oldest acceptable version and the newest announced version.
 
     """
 
@@ -62,15 +60,15 @@
     least_version: int = 0
     newest_version: int = 0
     prompt_tokens: int = 0
-    # Whether it can be sent to no other back end after this one.
+    # Whether the request can't be sent to another back end after this one.
     last_send: bool = False
-    # For each version named lately, when nothing may begin on an older one
-    # (monotonic seconds).
+    # For each recently announced version, the moment from which no request may begin on an
+    # older version (monotonic seconds).
     endings: tuple[tuple[int, float], ...] = ()
 
     def ends_at(self, version: int) -> float:
         """
-        When the request may no longer begin on a version.
+        The moment from which the request may no longer begin on `version`; infinity if none.
 
         """
         return min((at for newer, at in self.endings if newer > version), default=float('inf'))
@@ -79,9 +77,10 @@
 @dataclass(frozen=True, slots=True)
 class Choice:
     """
-    The back end for a request (of a path: its first part), and the time to
-    its first token there, in ms (0 for one that is no engine): by the figures
-    alone, and as expected from how far the figures were off lately.
+    The back end chosen for a request; for a path, its first engine.
+
+    `spec_first_token_ms` is the time to the first token by the engine spec, `first_token_ms` the
+    same corrected by the recent lateness. Both are 0 for back ends that aren't engines.
 
     """
 
@@ -93,14 +92,14 @@
     @property
     def servers(self) -> list[Server]:
         """
-        All back ends that a request is sent through.
+        All back ends that the request passes through.
 
         """
         return [self.server] if self.path is None else self.path.servers
 
     def version(self, layers: int) -> int | None:
         """
-        The version of the weights on which the request would run.
+        The version of the weights that the request would run on.
 
         """
         return (
@@ -113,8 +112,8 @@
 @dataclass(frozen=True, slots=True)
 class SelectionContext:
     """
-    What an entry knows at one moment: the time (monotonic seconds), its zone, how many
-    entries there are, and how late first tokens of the service came lately, in ms.
+    The inputs of a choice besides the back ends: the time (monotonic seconds), the zone of the
+    entry, the number of entries, and the recent lateness of the service's first tokens in ms.
 
     """
 
@@ -126,7 +125,7 @@
 
 def choose_plain(servers: Iterable[Server], context: SelectionContext, random: Random) -> Choice:
     """
-    The back end of a plain service that is least loaded, near ones first.
+    The least loaded back end of a service without engines; the own zone is preferred.
 
     """
     return Choice(min(servers, key=lambda server: _plain_cost(server, context, random)))
@@ -148,8 +147,8 @@
     random: Random,
 ) -> Choice | None:
     """
-    Of a few engines the one at which the first token is expected soonest, near ones
-    first; None if none would begin before its version ends.
+    The engine with the earliest expected first token, among a random sample of `servers`; the
+    own zone is preferred. None if no engine would begin before its version ends.
 
     """
     by_first = {path.first.instance: path for path in paths}
@@ -157,7 +156,7 @@
     choose_cheapest = partial(
         _cheapest, requirements=requirements, engine=engine, by_first=by_first, context=context
     )
-    # Of the few, all may be about to change their version: then any other will do.
+    # All sampled engines may be about to change version; then all others are considered.
     return choose_cheapest(
         sample_engines(able, context.zone, random), random=random
     ) or choose_cheapest(able, random=random)
@@ -165,8 +164,8 @@
 
 def filter_startable(servers: list[Server], engine: EngineSpec, paths: list[Path]) -> list[Server]:
     """
-    Those of some back ends to which a request can be sent: they hold the model whole, or
-    begin a path whose second part is among them.
+    The back ends that a request can be sent to: those that hold all layers, and the first
+    engines of paths whose second engine is among `servers`.
 
     """
     by_first = {path.first.instance: path for path in paths}
@@ -176,7 +175,7 @@
         if server.newest_complete_version(engine.layers) is None and (
             path is None or path.second not in servers
         ):
-            # The second part of a path, or a first whose second is out.
+            # It is the second engine of a path, or the second of its path is not available.
             continue
         able.append(server)
     return able
@@ -184,7 +183,8 @@
 
 def sample_engines(servers: list[Server], zone: ZoneId, random: Random) -> list[Server]:
     """
-    Some engines at random, most of them near; as many where no zone has enough.
+    A random sample of engines, most of them of the own zone. It is filled up from either side
+    if the other has too few.
 
     """
     count = NEAR_COMPARED + FAR_COMPARED
@@ -228,15 +228,15 @@
     choice: Choice, expected_ms: float, requirements: Requirements, engine: EngineSpec, now: float
 ) -> bool:
     """
-    Whether the version there may end before the request surely begins.
+    Whether the version of the chosen back end may end before the request has safely begun.
 
     """
     version = choice.version(engine.layers)
     if version is None or version >= requirements.newest_version:
         return False
     latest_ms = max(expected_ms, choice.spec_first_token_ms)
-    unguarded = any(server.lacks_daemon_reports(now) for server in choice.servers)
-    margin_s = VERSION_END_MARGIN_WITHOUT_DAEMON_S if unguarded else VERSION_END_MARGIN_S
+    has_no_daemon = any(server.lacks_daemon_reports(now) for server in choice.servers)
+    margin_s = VERSION_END_MARGIN_WITHOUT_DAEMON_S if has_no_daemon else VERSION_END_MARGIN_S
     return now + latest_ms / 1000 > requirements.ends_at(version) - margin_s
 
 
@@ -244,7 +244,7 @@
     choice: Choice, requirements: Requirements, engine: EngineSpec, zone: ZoneId
 ) -> float:
     """
-    What speaks against an engine besides its first token, in ms.
+    The cost of an engine in addition to its time to the first token, in ms.
 
     """
     server = choice.server
--- a/packages/millfork-scheduling/millfork_scheduling/prediction.py
+++ b/packages/millfork-scheduling/millfork_scheduling/prediction.py
@@ -1,10 +1,9 @@
 """
-How long an engine will take to the first token of a request.
+Prediction of an engine's time to the first token of a request.
 
-Prompts are read one after the other, and a request that finds all slots taken
-waits until one comes free. The figures come with the operator's document, the
-load from the endpoint daemon beside the engine, the time of a request from
-those that this entry saw through.
+An engine reads prompts one after the other, and a request that finds all slots occupied waits
+for a free one. The engine spec comes from the operator's document, the load from the endpoint
+daemon beside the engine, and the service time from this entry's completed requests.
 
 """
 
@@ -12,16 +11,16 @@
 
 from millfork_routing.documents import EngineSpec
 
-# Without a request seen through: tokens come about this much slower than the
-# engine's step alone, as prompts of others are read between them.
+# Used before the first request has completed: tokens are about this much slower than the steps
+# of the engine alone, as prompts of other requests are read in between.
 READING_SLOWDOWN: Final = 1.7
-# The first token leaves with the pass in which the prompt's end is read.
+# The first token is sent with the pass that reads the end of the prompt.
 PASSES_TO_FIRST: Final = 1.5
 
 
 def read_ms(engine: EngineSpec, prompt_tokens: int) -> float:
     """
-    Milliseconds that reading a prompt takes.
+    The time to read a prompt, in ms.
 
     """
     if engine.read_per_s <= 0:
@@ -32,7 +31,7 @@
 
 def usual_service_s(engine: EngineSpec) -> float:
     """
-    Seconds that a usual request holds a slot, before any was seen.
+    The time that a usual request holds a slot, in seconds, by the engine spec alone.
 
     """
     return engine.usual_answer * engine.step_ms * READING_SLOWDOWN / 1000
@@ -47,13 +46,13 @@
     pace: float,
 ) -> float:
     """
-    Milliseconds from a request's arrival at an engine to its first token,
-    with `occupied` requests there, `unread` of them without a first token.
+    The time from a request's arrival at an engine to its first token, in ms, with `occupied`
+    other requests there, `unread` of which have no first token yet.
 
     """
     passes = PASSES_TO_FIRST * engine.step_ms * engine.steps_per_event
     reading = read_ms(engine, prompt_tokens)
-    # Those that wait for a slot are not being read.
+    # Prompts of requests that wait for a slot are not being read.
     in_slots = min(unread, engine.slots)
     ahead = max(in_slots - max(occupied - engine.slots, 0), 0)
     reading += ahead * read_ms(engine, engine.usual_prompt) / 2
--- a/packages/millfork-scheduling/millfork_scheduling/quarantine.py
+++ b/packages/millfork-scheduling/millfork_scheduling/quarantine.py
@@ -1,12 +1,12 @@
 """
-Which requests are sent no more, as they end the back ends that run them.
+Which requests are quarantined because they crash the back ends that run them.
 
-It answers a request that is at fault itself and whose callers come back, to any entry:
-each send costs a back end for seconds and breaks off all that runs there. Others that ran
-there are not to be refused for it: one answer that comes whole clears a request.
+A request that crashes back ends is retried by its caller, at any entry. Each send costs a back
+end for seconds and breaks off all other requests that run there. Those other requests must not
+be refused for it: one complete answer clears a request of suspicion.
 
-Where back ends end late, or all at the same moment as in a loss of power, it takes a while to
-tell the two apart: such a request is sent again now and then, and refused meanwhile.
+If back ends end late, or all at once as in a loss of power, it takes a while to tell crashing
+requests from others. Meanwhile a suspected request is refused, apart from occasional trials.
 
 """
 
@@ -18,32 +18,33 @@
 from millfork_core.ids import Fingerprint, IncarnationKey
 from millfork_registry.suspects import Suspicion
 
-# One end tells nothing, as all that ran there is under suspicion.
+# After this many ends of back ends a request is at fault. A single end proves nothing, as every
+# request that ran on the back end is suspected.
 MIN_ENDS_AT_FAULT: Final = 3
-# A suspected request is tried again this long after the last that was learned of it: by then
-# most back ends that broke off are known to have ended, or to live.
+# A suspected request is tried again this long after its last news. By then it is known of most
+# back ends whose answers broke off whether they have ended.
 TRIAL_AFTER_S: Final = 2.0
-# Entries try at different moments, so that the others hear what became of the first trial: up
-# to this time later for each entry that there is, which makes two trials a second at most.
+# Entries spread their trials at random over this time multiplied by the number of entries, so
+# that most learn the outcome of the first trial. The fleet makes at most two trials a second.
 TRIAL_SPREAD_S: Final = 1.0
 MAX_TRIALS: Final = 4096
 
 
 class SuspicionLevel(Enum):
     """
-    Whether a request may be sent.
+    How strongly a request is suspected of crashing back ends, and so whether it may be sent.
 
     """
 
     FREE = 'free'
-    # It broke off at so many back ends that it may be at fault.
+    # Its answers broke off at so many back ends that it may be at fault.
     SUSPECTED = 'suspected'
     AT_FAULT = 'at_fault'
 
 
 def is_at_fault(suspicion: Suspicion) -> bool:
     """
-    Whether a request is taken to end whatever runs it.
+    Whether a request is considered to crash every back end that runs it.
 
     """
     return suspicion.ends >= MIN_ENDS_AT_FAULT
@@ -61,20 +62,22 @@
 
 def count_ends(before: Suspicion, now: Suspicion, ended: IncarnationKey) -> int:
     """
-    The ends one after another under a request with one more, by what was known when it was
-    sent there and what is known now: of what had broken off before, what lives on is no end.
+    The number of successive ends under a request, including a new one at `ended`.
+
+    `before` is the suspicion when the request was sent there, `now` the present one.
+    Incarnations whose answers broke off before but that are known to live on don't count.
 
     """
     earlier = set(before.broken) & set(now.broken)
     if ended in earlier:
-        # It broke off there before, so this is no other end.
+        # This incarnation is counted already.
         return max(before.ends, len(earlier))
     return max(before.ends, len(earlier)) + 1
 
 
 class TrialSchedule:
     """
-    When one entry sends suspected requests again.
+    When one entry sends suspected requests again as trials.
 
     """
 
@@ -84,12 +87,12 @@
         self.random = random
         self.monotonic = monotonic
         self.entries = entries
-        # By request: what was known of it, and from when on it may be tried, in monotonic s.
+        # By request: its last known suspicion, and when it may be tried (monotonic seconds).
         self.due: dict[Fingerprint, tuple[Suspicion, float]] = {}
 
     def begin(self, suspicion: Suspicion) -> bool:
         """
-        Whether a suspected request may be sent now; if so, no other one for a while.
+        Whether a suspected request may be sent now. If so, its next trial is scheduled.
 
         """
         now = self.monotonic()
--- a/packages/millfork-scheduling/millfork_scheduling/retry_after.py
+++ b/packages/millfork-scheduling/millfork_scheduling/retry_after.py
@@ -1,9 +1,9 @@
 """
-When a caller that is turned away is told to come back.
+How long a rejected caller is told to wait before it retries.
 
-It answers callers that all return at once, at the moment at which what turned them away
-is not over yet: they are spread, and sent away for as long as a place takes to come free.
-Callers heed a third of the time they have left, 2 s of the usual 6 s.
+Callers that all retried at the same moment, before the reason for the rejection is over,
+would be rejected again. So the waits are spread at random, and last about as long as a slot
+takes to come free. Callers wait at most a third of their remaining time: 2 s of the usual 6 s.
 
 """
 
@@ -13,26 +13,27 @@
 from millfork_core.verdicts import Reason
 from millfork_scheduling.availability import Closure, ClosureReason
 
-# A place comes free in about a tenth of a second; spread over more than that.
+# A slot comes free in about 0.1 s; the waits are spread over more than that.
 MIN_WAIT_MS: Final = 150
 MAX_WAIT_MS: Final = 600
 SPREAD_WAIT_MS: Final = 250
-# Where nothing can serve a request at the moment: engines change their weights within
-# two seconds, servers are replaced within some.
+# The wait while no back end can serve a request: engines change their weights within two
+# seconds, and servers are replaced within some seconds.
 NOTHING_SERVES_MS: Final = 1500
-# The longest wait for back ends that rest; others may have come by then.
+# The longest wait for back ends that asked for a rest; others may have joined by then.
 MAX_REST_MS: Final = 10_000
 NOTHING_SERVES_SPREAD_MS: Final = 400
-# After other refusals, by reason: short, as a place comes free in a fraction of a second.
+# Waits after other refusals, by reason. They are short, as a slot comes free in a fraction of
+# a second.
 AFTER_REFUSAL_MS: Final[dict[Reason, int]] = {
     Reason.NOT_READY: 500,
     Reason.UNREACHABLE: 300,
     Reason.BUSY: 300,
     Reason.RETRY_BUDGET: 500,
     Reason.EXPIRED: 0,
-    # By then most of what broke off is known to have ended, or to live.
+    # By then it is known of most back ends whose answers broke off whether they have ended.
     Reason.SUSPECTED: 2000,
-    # Waiting changes nothing.
+    # A quarantined request is refused however long its caller waits.
     Reason.QUARANTINED: 0,
 }
 DEFAULT_WAIT_MS: Final = 300
@@ -40,7 +41,7 @@
 
 def full_engines_wait_ms(overdue_ms: float, random: Random) -> int:
     """
-    Milliseconds until a caller may come back whose first token would have been this late.
+    The wait of a caller whose first token would have been this late, in ms.
 
     """
     late_ms = min(max(overdue_ms, 0.0), MAX_WAIT_MS)
@@ -49,7 +50,7 @@
 
 def nothing_serves_wait_ms(random: Random) -> int:
     """
-    Milliseconds until a caller may come back where no back end can serve it.
+    The wait of a caller that no back end can serve, in ms.
 
     """
     return NOTHING_SERVES_MS + int(random.random() * NOTHING_SERVES_SPREAD_MS)
@@ -57,9 +58,9 @@
 
 def closed_wait_ms(closure: Closure, random: Random) -> int:
     """
-    Milliseconds until a caller may come back where all back ends that could serve it are
-    closed by their own word: when the first of them opens. Only a rest has an end that is
-    told; otherwise others may begin to serve, or another entry may have a place, before.
+    The wait, in ms, of a caller whose suitable back ends are all closed by their own signals,
+    until the first of them opens. Only a rest has an announced end; other closures are capped
+    lower, as other back ends may start to serve, or another entry may be able to send.
 
     """
     most_ms = MAX_REST_MS if closure.closure_reason is ClosureReason.RESTING else NOTHING_SERVES_MS
@@ -69,7 +70,7 @@
 
 def refusal_wait_ms(reason: Reason) -> int:
     """
-    Milliseconds until a caller may come back after another refusal.
+    The wait of a caller after a refusal for the given reason, in ms.
 
     """
     return AFTER_REFUSAL_MS.get(reason, DEFAULT_WAIT_MS)
--- a/packages/millfork-scheduling/millfork_scheduling/server.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server.py
@@ -1,5 +1,5 @@
 """
-One back end that an entry reaches directly: its load, its failures, its pace.
+One back end that an entry sends requests to directly: its load, failures and pace.
 
 """
 
@@ -19,36 +19,36 @@
 from millfork_scheduling.availability import Availability
 from millfork_scheduling.prediction import first_token_ms, usual_service_s
 
-# A back end that failed is left alone this long, doubling with each failure.
+# A back end that failed is avoided for this time, doubled with each further failure.
 FIRST_SUSPICION_S: Final = 0.5
 MAX_SUSPICION_S: Final = 4.0
-# One that turns a request away is left alone this long, doubling with each one in a row: it
-# may be full for a moment, or turn all away.
+# A back end that turns a request away is avoided for this time, doubled with each rejection in
+# a row: it may be full for a moment, or reject everything.
 FIRST_TURNED_AWAY_S: Final = 0.05
 MAX_TURNED_AWAY_S: Final = 2.0
-# One request's weight in a back end's failure rate.
+# Weight of one request in a back end's failure rate.
 FAILURE_WEIGHT: Final = 0.1
-# One request's weight in the mean time of requests at an engine.
+# Weight of one request in the mean service time of an engine.
 SERVICE_TIME_WEIGHT: Final = 0.1
 LATENESS_HALF_LIFE_S: Final = 0.7
-# The same for one back end, of which an entry sees about one a second: a slow
-# one is known after its first.
+# Weight of one first token in a back end's mean lateness. An entry sees about one a second from
+# each back end, so a slow back end is recognised after its first token.
 SERVER_LATENESS_WEIGHT: Final = 0.5
-# A stuck engine's lateness says nothing of the others.
+# Cap of one first token's lateness, as a stuck engine says nothing about the others.
 MAX_LATENESS_MS: Final = 800.0
-# A daemon reports each 0.15 s; one that doesn't for so long is gone, stands still, or is cut off.
+# Daemons report every 0.15 s. One that is silent for this time is gone, frozen or cut off.
 DAEMON_SILENT_S: Final = 0.6
-# A report older than this says nothing about the load now.
+# An older report says nothing about the present load.
 REPORT_VALID_S: Final = 2.0
 
 
 @dataclass(slots=True)
 class Lateness:
     """
-    A mean of how much later than by the figures first tokens came, in ms.
+    The mean delay of first tokens against the prediction from the engine spec, in ms.
 
-    It fades while no first token comes: it would else keep out the requests
-    that could tell that it is over.
+    It decays while no first token arrives. Otherwise a high value would keep away the requests
+    that could show that the delay is over.
 
     """
 
@@ -61,7 +61,7 @@
 
     def note(self, late_ms: float, now: float) -> None:
         """
-        Take one first token's lateness into the mean.
+        Add the lateness of one first token to the mean.
 
         """
         late_ms = min(max(late_ms, -MAX_LATENESS_MS), MAX_LATENESS_MS)
@@ -73,8 +73,9 @@
 @dataclass(frozen=True, slots=True)
 class Load:
     """
-    The requests that run and wait at an engine, its pace (over 1: slower than usual), and how
-    many of the requests are this entry's: all of them, and those without a first token.
+    The requests running and queued at an engine, and its pace (above 1: slower than usual).
+
+    `mine` counts this entry's own requests there, `mine_unread` those without a first token.
 
     """
 
@@ -100,21 +101,21 @@
     slots: int
     served: tuple[ServedVersion, ...] = ()
     incarnation: Incarnation = UNTOLD_INCARNATION
-    # Whether another incarnation has taken its place: what was sent here is lost.
+    # Whether another incarnation has replaced this one; requests sent to this one are lost.
     replaced: bool = False
-    # What it said of itself.
+    # The backpressure signals that it sent.
     availability: Availability = field(default_factory=Availability)
-    # What its last heartbeat said; an endpoint's report is newer.
+    # The versions in its last heartbeat. Reports of endpoint daemons are newer.
     lease_served: tuple[ServedVersion, ...] = ()
     changing: bool = False
     report_sequence: int = -1
-    # The instance of the endpoint daemon beside it; empty until it reported.
+    # The instance of the endpoint daemon on its host; empty before the first report.
     daemon: str = ''
-    # When this entry first heard of its lease.
+    # When this entry first received its lease, in monotonic seconds.
     known_since: float = float('inf')
-    # Which ones are drawn where there are many: those with the least, the same ones always.
+    # In large fleets an entry uses only the back ends with the lowest values, so always the same.
     draw_order: float = 0.0
-    # Requests of this entry there, and those of them without a first token.
+    # This entry's own requests there, and those of them without a first token.
     mine: int = 0
     mine_unread: int = 0
     reported: int = 0
@@ -122,28 +123,27 @@
     mine_at_report: int = 0
     mine_unread_at_report: int = 0
     pace: float = 1.0
-    # How long a request of this entry took there, in seconds; None: no
-    # request was seen through yet.
+    # The mean time of this entry's requests there, in seconds; None before the first has ended.
     service_s: float | None = None
     reported_at: float = float('-inf')
     failures: int = 0
     failure_rate: float = 0.0
-    # Requests that it turned away one after another, and when it last did.
+    # The number of requests turned away in a row, and when the last one was.
     turned_away: int = 0
     turned_away_at: float = float('-inf')
     suspect_until: float = float('-inf')
-    # When this entry last received anything from it.
+    # When this entry last received data from it.
     last_received_at: float = float('-inf')
-    # When the latest of the requests was sent whose answer began, by rank.
+    # By rank: when the latest request was sent among those whose answers have begun.
     answered: dict[int | None, float] = field(default_factory=dict)
-    # How much later than by the figures its first tokens come.
+    # The delay of its first tokens against the prediction from the engine spec.
     lateness: 'Lateness' = field(default_factory=lambda: Lateness(SERVER_LATENESS_WEIGHT))
-    # Versions that it refused lately, and until when to believe that.
+    # Versions that it refused lately, and until when the refusal is taken as valid.
     refused: dict[int, float] = field(default_factory=dict)
 
     def is_other_incarnation(self, incarnation: Incarnation) -> bool:
         """
-        Whether what was told is of another incarnation than this one, as far as is known.
+        Whether `incarnation` differs from this back end's; False if either is unknown.
 
         """
         if not incarnation or not self.incarnation:
@@ -152,14 +152,14 @@
 
     def lacks_daemon_reports(self, now: float) -> bool:
         """
-        Whether the daemon beside it does not report, or does so no more.
+        Whether the daemon beside the back end has sent no report for `DAEMON_SILENT_S`.
 
         """
         return now - max(self.reported_at, self.known_since) > DAEMON_SILENT_S
 
     def set_load(self, load: Load, now: float) -> None:
         """
-        Take what runs and waits there, as told at this moment.
+        Set the load that was reported at the moment `now`.
 
         """
         self.reported = load.running + load.queued
@@ -171,10 +171,12 @@
 
     def occupied(self, now: float, entries: int = 1) -> int:
         """
-        Requests there: the last report, which lags, corrected by what this
-        entry has begun and ended since, and by what the others will have:
-        they see the same report and choose alike. Without a report the others are
-        taken to have as many.
+        The estimated number of requests at the back end.
+
+        The last report lags, so it is corrected by the requests that this entry has begun and
+        ended since. The other entries see the same report and choose alike, so requests begun
+        here are multiplied by `entries`. Without a recent report, every entry is assumed to
+        have as many requests there as this one.
 
         """
         if now - self.reported_at > REPORT_VALID_S:
@@ -184,9 +186,11 @@
 
     def likely_occupied(self, now: float, entries: int) -> int:
         """
-        Requests there as `occupied` tells, but where this entry began only one since the
-        report, that says nothing of the others: callers would be turned away from free
-        slots. Where it began more, there is a rush, and the others do alike.
+        The number of requests there like `occupied`, but estimated lower after few own requests.
+
+        If this entry began only one request since the report, the other entries may have begun
+        none; assuming otherwise would turn callers away from free slots. If it began more, there
+        is a rush, and the others are assumed to have begun as many.
 
         """
         if now - self.reported_at > REPORT_VALID_S:
@@ -196,7 +200,7 @@
 
     def unread(self, now: float, entries: int = 1) -> int:
         """
-        Requests there that have no first token yet, as `occupied` is known.
+        The number of requests there without a first token, estimated like `occupied`.
 
         """
         if now - self.reported_at > REPORT_VALID_S:
@@ -208,7 +212,7 @@
         self, engine: EngineSpec, prompt_tokens: int, now: float, entries: int
     ) -> float:
         """
-        The time to the first token that a request sent now would have.
+        The predicted time to the first token of a request sent now, in ms.
 
         """
         service_s = self.service_s if self.service_s is not None else usual_service_s(engine)
@@ -223,7 +227,7 @@
 
     def note_service_time(self, seconds: float) -> None:
         """
-        Take one request's time there into the mean.
+        Add the time of one request at the back end to the mean.
 
         """
         if self.service_s is None:
@@ -233,7 +237,7 @@
 
     def note_failure(self, now: float) -> None:
         """
-        It did not answer as it should: leave it alone for a while.
+        Record a failure; the back end is avoided for a while.
 
         """
         wait = min(FIRST_SUSPICION_S * 2**self.failures, MAX_SUSPICION_S)
@@ -243,12 +247,13 @@
 
     def note_turned_away(self, sent_at: float, now: float) -> None:
         """
-        It turned away what was sent at a moment: leave it alone for a while, as what it does
-        not run takes no place there, and it would look the freest of all.
+        Record that it turned away a request sent at `sent_at`; it is avoided for a while.
+
+        Rejected requests occupy no slots, so it would otherwise look like the freest back end.
 
         """
         if sent_at < self.turned_away_at:
-            # Sent before the last one was known to be turned away: that says nothing more.
+            # Sent before the last rejection was known, so it is no further evidence.
             return
         wait = min(FIRST_TURNED_AWAY_S * 2**self.turned_away, MAX_TURNED_AWAY_S)
         self.turned_away += 1
@@ -257,7 +262,7 @@
 
     def note_accepted(self, sent_at: float) -> None:
         """
-        It took what was sent at a moment.
+        Record that it accepted a request sent at `sent_at`.
 
         """
         if sent_at >= self.turned_away_at:
@@ -265,7 +270,7 @@
 
     def note_outcome(self, failed: bool) -> None:
         """
-        Count one request's outcome into the failure rate.
+        Add the outcome of one request to the failure rate.
 
         """
         self.failure_rate += FAILURE_WEIGHT * (float(failed) - self.failure_rate)
@@ -274,21 +279,21 @@
 
     def note_answered(self, urgency: int | None, began: float) -> None:
         """
-        The answer begins to a request of a rank that was sent at `began`.
+        Record that the answer to a request of this rank, sent at `began`, has begun.
 
         """
         self.answered[urgency] = max(began, self.answered.get(urgency, began))
 
     def answered_since(self, urgency: int | None, began: float) -> bool:
         """
-        Whether it answered a request of the same rank that was sent after `began`.
+        Whether it began to answer a request of the same rank that was sent after `began`.
 
         """
         return self.answered.get(urgency, float('-inf')) > began
 
     def newest_complete_version(self, layers: int) -> int | None:
         """
-        The newest version of which it holds all layers, if any.
+        The newest version of which it holds all layers; None if there is none.
 
         """
         whole = [item.version for item in self.served if item.is_whole(layers)]
--- a/packages/millfork-scheduling/millfork_scheduling/server_table.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server_table.py
@@ -1,5 +1,5 @@
 """
-The back ends that an entry reaches directly.
+The table of the back ends that an entry sends requests to directly.
 
 """
 
@@ -30,20 +30,22 @@
 )
 from millfork_scheduling.server import REPORT_VALID_S, Lateness, Load, Server
 
-# As many engines are looked at one by one for each request.
+# For a service with at most this many engines, each choice examines all of them.
 MAX_SCANNED: Final = 24
-# Of more, so many are drawn on either side to find the few to compare.
+# For a larger service, a choice examines a random sample of this size from the engines of the
+# own zone, and one from those of the other zones.
 SAMPLE_SIZE: Final = 16
-# While less of all slots is taken, a caller is not turned away for the few compared.
+# While a smaller share of all slots is occupied, a caller is not turned away only because the
+# sampled engines are full.
 MAX_OCCUPIED_SHARE: Final = 0.5
-# One first token's weight in the mean lateness: an entry sees some ten a second,
-# so the mean follows a change of load within a second.
+# Weight of one first token in a service's mean lateness. An entry sees about ten first tokens
+# a second, so the mean follows a change of load within a second.
 LATENESS_WEIGHT: Final = 0.1
 
 
 class ServerTable:
     """
-    All back ends with a lease, by id.
+    All back ends that hold a usable lease, by instance.
 
     """
 
@@ -57,23 +59,24 @@
     ) -> None:
         self.zone = zone
         self.entries = entries
-        # The most that were known lately: those that can't be seen now may send as well.
+        # The highest number of entries seen lately. Entries that are out of reach now may still
+        # send requests.
         self.most_entries = most_entries
-        # How much later than by the figures first tokens came lately, in ms.
+        # How much later than predicted from the engine spec first tokens came lately, in ms.
         self.lateness: dict[ServiceName, Lateness] = {}
         self.random = random
         self.monotonic = monotonic
         self.servers: dict[InstanceId, Server] = {}
         self.index = FleetIndex(zone, entries)
-        # Counts what may change who is a path; the paths found at one count, by service
-        # and newest version.
+        # Incremented by every change that may affect paths. `paths` caches the paths found and
+        # the value of `changes` they were found at, by service and newest version.
         self.changes = 0
         self.paths: dict[tuple[ServiceName, int], tuple[int, list[Path]]] = {}
         self.lapsed = LapsedAvailabilities(random, monotonic)
 
     def apply_leases(self, leases: Iterable[Lease]) -> list[Server]:
         """
-        Take all leases; returns the back ends that are no longer used.
+        Replace the leases by the given ones; returns the back ends that are no longer used.
 
         """
         usable = {InstanceId(lease.instance): lease for lease in leases if lease.usable}
@@ -82,8 +85,8 @@
             lease = usable.get(key)
             if lease is not None and lease.incarnation == server.incarnation:
                 continue
-            # Nothing that was learned of one incarnation holds for the next: its weights,
-            # load, failures and connections ended with it.
+            # Nothing learned about one incarnation holds for the next one: its weights, load,
+            # failures and connections ended with it.
             server.replaced = lease is not None
             dropped.append(server)
             self.lapsed.store((key, server.incarnation), server.availability)
@@ -113,8 +116,8 @@
             )
             before = self.index.by_address.get((lease.host, lease.port))
             if before is not None:
-                # What was last reported there was of the engine before this one: its
-                # weights and load were else taken for those of an empty engine.
+                # The last report from this address describes the previous engine. Applied to
+                # the new one, it would show weights and load that the new engine doesn't have.
                 made.report_sequence = before.report_sequence
             self.servers[key] = made
             return
@@ -129,16 +132,16 @@
         self, states: Iterable[EndpointState]
     ) -> list[tuple[Server, list[SignalChange]]]:
         """
-        Take what endpoint daemons said of the engines beside them; returns what changed of
-        what engines say of themselves.
+        Apply the reports of endpoint daemons about their engines; returns, by back end, the
+        changed backpressure signals.
 
         """
         now = self.monotonic()
         changes = []
         for state in states:
             server = self.index.by_address.get((state.host, state.port))
-            # Any other one is newer: the registry takes a lower sequence only where an
-            # instance's clock began anew.
+            # Any other sequence is newer: the registry accepts a lower one only after the clock
+            # of an instance was reset.
             if server is None or state.sequence == server.report_sequence:
                 continue
             server.report_sequence = state.sequence
@@ -146,12 +149,12 @@
                 continue
             if server.is_other_incarnation(state.incarnation):
                 if state.incarnation > server.incarnation:
-                    # The engine that the lease is of has ended.
+                    # The engine that holds the lease has ended.
                     server.served = ()
                     self.changes += 1
                 continue
-            told = Backpressure(state.limit_per_s, state.leaving)
-            changes.append((server, server.availability.apply_report(told, now)))
+            backpressure = Backpressure(state.limit_per_s, state.leaving)
+            changes.append((server, server.availability.apply_report(backpressure, now)))
             changing = bool(state.changing_to)
             if (changing, state.served) != (server.changing, server.served):
                 self.changes += 1
@@ -166,7 +169,7 @@
 
     def incarnation_status(self, server: Server, since: float) -> IncarnationStatus:
         """
-        What became of a back end since a moment, in monotonic seconds.
+        Whether a back end has ended since a moment (monotonic seconds).
 
         """
         by_id = self.servers.get(server.instance)
@@ -176,8 +179,8 @@
 
     def sample_candidates(self, requirements: Requirements, tried: set[InstanceId]) -> list[Server]:
         """
-        The few engines among which to choose, with the second parts of paths; none for a
-        plain service.
+        A few engines to choose from, including the second engines of paths; empty for a
+        service without engines.
 
         """
         if requirements.engine is None:
@@ -199,8 +202,8 @@
 
     def freest_candidates(self, requirements: Requirements, tried: set[InstanceId]) -> list[Server]:
         """
-        The few engines with the fewest requests by their reports, of those to draw from that
-        hold the model whole; none while `MAX_OCCUPIED_SHARE` of all their slots are taken.
+        The engines with the smallest reported share of occupied slots, of those in the index
+        that hold all layers; empty once `MAX_OCCUPIED_SHARE` of their slots are occupied.
 
         """
         engine = requirements.engine
@@ -229,8 +232,8 @@
         candidates: list[Server] | None = None,
     ) -> Choice | None:
         """
-        The back end for a request, one of those compared if any still will do; None if there
-        is none that can serve it.
+        The back end for a request: one of the candidates if any is still usable, else any
+        other. None if no back end can serve the request.
 
         """
         now = self.monotonic()
@@ -258,7 +261,7 @@
         self, server: Server, requirements: Requirements, paths: list[Path], tried: set[InstanceId]
     ) -> bool:
         """
-        Whether an engine that was compared a moment ago will still do.
+        Whether an engine that was sampled a moment ago can still serve the request.
 
         """
         if self.servers.get(server.instance) is not server or server.instance in tried:
@@ -267,7 +270,7 @@
 
     def _paths(self, service: ServiceName, engine: EngineSpec, newest: int) -> list[Path]:
         """
-        The paths as they are; found anew only where something changed.
+        The current paths of a service, computed again only after a change.
 
         """
         changes, paths = self.paths.get((service, newest), (-1, []))
@@ -280,8 +283,8 @@
         self, requirements: Requirements, paths: list[Path], tried: set[InstanceId], now: float
     ) -> list[Server]:
         """
-        The few engines to compare, drawn without a look at all of them: none if there
-        are not many, or of those drawn too few will do.
+        A few candidate engines from a random sample, found without examining all engines.
+        Empty if the service has few engines, or too few of the sample can serve the request.
 
         """
         if len(self.index.by_service.get(requirements.service, [])) <= MAX_SCANNED:
@@ -309,8 +312,8 @@
         self, server: Server, by_first: dict[InstanceId, Server], requirements: Requirements
     ) -> list[Server]:
         """
-        The engines that a request is sent through if it is sent to this one; none if it
-        begins no path.
+        The engines that a request passes through if it is sent to this one; empty if the
+        engine neither holds all layers nor is the first of a path.
 
         """
         if (
@@ -344,7 +347,8 @@
         self, requirements: Requirements, paths: list[Path], tried: set[InstanceId], now: float
     ) -> list[Server]:
         """
-        All back ends that can serve a request, without the suspected ones if others can.
+        All back ends that can serve a request. Suspected ones are included only if no other
+        can.
 
         """
         able = [
@@ -357,14 +361,14 @@
 
     def closure(self, server: Server) -> Closure | None:
         """
-        Why a back end may not be sent to by its own word; None if it may.
+        Why a back end's own signals forbid sending to it now; None if they don't.
 
         """
         return server.availability.closure(self.monotonic(), max(self.most_entries(), 1))
 
     def note_sent(self, servers: Iterable[Server]) -> None:
         """
-        Count a request that is sent through some back ends.
+        Record a request that is sent through the given back ends.
 
         """
         for server in servers:
@@ -372,8 +376,8 @@
 
     def first_to_open(self, requirements: Requirements) -> Closure | None:
         """
-        Of the back ends that could serve a request but for their own word, the closure that
-        is over first; None if there is no such back end.
+        The closure that is expected to end first, among back ends that meet the requirements
+        but closed themselves by their own signals; None if there is no such back end.
 
         """
         now = self.monotonic()
@@ -392,8 +396,8 @@
 
     def note_first_token(self, server: Server, late_ms: float) -> None:
         """
-        Take one first token's lateness, against the figures, into the means
-        of the back end and of its service.
+        Add the lateness of one first token against the prediction from the engine spec to
+        the means of the back end and of its service.
 
         """
         now = self.monotonic()
@@ -414,7 +418,7 @@
         self, server: Server, requirements: Requirements, paths: list[Path], now: float
     ) -> bool:
         """
-        Whether a back end has what a request needs, whatever it said of itself.
+        Whether a back end meets the requirements of a request, apart from its own signals.
 
         """
         engine = requirements.engine
@@ -431,7 +435,8 @@
         self, server: Server, requirements: Requirements, paths: list[Path], now: float
     ) -> bool:
         """
-        Whether it has a part in a path of the newest version.
+        Whether the back end belongs to a path of the newest version that meets the
+        requirements and whose engines didn't refuse that version.
 
         """
         for path in paths:
--- a/packages/millfork-scheduling/millfork_scheduling/turned_away.py
+++ b/packages/millfork-scheduling/millfork_scheduling/turned_away.py
@@ -1,23 +1,23 @@
 """
-The requests that were turned away lately, by what they say.
+The requests that were turned away lately, by fingerprint of their content.
 
-It answers callers that come back to another entry than the one that turned them away,
-with a new request id and, on some fleets, with times that tell nothing.
+A caller may come back to another entry than the one that turned it away, with a new request
+id and, on some fleets, with a deadline that doesn't show that it was turned away before.
 
 """
 
 from typing import Final
 
-# As long as a caller comes back, and some: they wait 6 s.
+# Slightly longer than callers keep retrying, as they wait 6 s.
 REMEMBERED_S: Final = 8.0
-# A hundred bytes each. At the two-year size a zone of 35 entries turns away 300 a second
-# when one request in ten is; this keeps ten times as many.
+# About 100 bytes each. At the size planned for two years ahead, a zone of 35 entries that
+# rejects one request in ten turns away 300 a second; this limit holds ten times as many.
 MAX_REMEMBERED: Final = 25_000
 
 
 class TurnedAwayRequests:
     """
-    When each was first tried, in monotonic seconds; the ones noted last come last.
+    When each request was first tried, in monotonic seconds; the last recorded come last.
 
     """
 
@@ -27,7 +27,7 @@
 
     def note(self, fingerprint: bytes, elapsed_ms: int, now: float) -> None:
         """
-        A request was turned away so long after its first try.
+        Record a request that was turned away `elapsed_ms` after its first try.
 
         """
         self._forget_old(now)
@@ -39,7 +39,7 @@
 
     def elapsed_ms(self, fingerprint: bytes, now: float) -> int | None:
         """
-        Milliseconds since a request's first try; None if it was not turned away lately.
+        The time since a request's first try, in ms; None if it was not turned away lately.
 
         """
         self._forget_old(now)
--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -308,7 +308,9 @@
         (
             Edit(
                 C + 'placement.py',
-                'choose_cheapest(\n        sample_engines(able, context.zone, random), random=random\n    ) or',
+                'choose_cheapest(\n'
+                '        sample_engines(able, context.zone, random), random=random\n'
+                '    ) or',
                 'None or',
             ),
         ),
