--- a/packages/millfork-routing/millfork_routing/__init__.py
+++ b/packages/millfork-routing/millfork_routing/__init__.py
@@ -1,4 +1,4 @@
 """
-Decisions on the path of a request: balance, limits, retries.
+Decisions on a request's way to a back end: routes, load balancing, limits and retries.
 
 """
--- a/packages/millfork-routing/millfork_routing/balance.py
+++ b/packages/millfork-routing/millfork_routing/balance.py
@@ -1,5 +1,5 @@
 """
-Which endpoint gets a request.
+Load balancing: the choice of the endpoint for a request.
 
 """
 
@@ -9,11 +9,11 @@
 from millfork_core.ids import InstanceId, OrganisationId, ZoneId
 from millfork_core.ranks import rank
 
-# A preferred endpoint is passed over once it is this much above the mean.
+# The preferred endpoint is skipped once its load exceeds the mean by this factor.
 BOUNDED_LOAD: Final = 1.25
 DEFAULT_LIMIT: Final = 8
-# One that turns a request away is passed over this long, doubling with each one in a row: it
-# may be full for a moment, or turn all away.
+# An endpoint that turns a request away is skipped for this time, doubled with each rejection in a
+# row: it may be full for a moment, or reject everything.
 FIRST_PASSED_OVER_S: Final = 0.05
 MAX_PASSED_OVER_S: Final = 2.0
 
@@ -21,8 +21,8 @@
 @dataclass(frozen=True, slots=True)
 class BusyNotice:
     """
-    An endpoint's word to one organisation that all its places are taken:
-    until when to believe it, and when the caller may come back.
+    An endpoint's notice that it has no place for an organisation: until when it is considered
+    valid (monotonic seconds), and the wait until the caller may retry.
 
     """
 
@@ -33,7 +33,7 @@
 @dataclass(slots=True)
 class Backend:
     """
-    One endpoint as an entry sees it.
+    One endpoint as known to an entry.
 
     """
 
@@ -45,21 +45,21 @@
     mine: int = 0
     leaving: bool = False
     suspect_until: float = 0.0
-    # Requests that its back end turned away one after another, when it last did, and until
-    # when others are asked first.
+    # The number of requests that its back end turned away in a row, when the last one was, and
+    # until when other endpoints are preferred.
     turned_away: int = 0
     turned_away_at: float = float('-inf')
     passed_over_until: float = float('-inf')
     busy: dict[OrganisationId, BusyNotice] = field(default_factory=dict)
     served: dict[str, str] = field(default_factory=dict)
-    # When its process started, in ns since 1970; 0 where it was not told.
+    # When its process started, in ns since 1970; 0 if unknown.
     start: int = 0
 
     @property
     def occupied(self) -> int:
         """
-        Requests in progress there: the last report, which lags, corrected
-        by what this entry has begun and ended since.
+        The estimated number of requests in progress: the last report, which lags, corrected by
+        the requests that this entry has begun and ended since.
 
         """
         return max(self.reported + self.mine - self.mine_at_report, self.mine)
@@ -70,8 +70,8 @@
 
     def busy_for(self, organisation: OrganisationId, now: float) -> BusyNotice | None:
         """
-        Whether it lately refused this organisation; another's flood is no
-        reason to pass it over.
+        The valid busy notice for this organisation, if any. Notices are kept by organisation, as
+        the flood of one must not close the endpoint to the others.
 
         """
         busy = self.busy.get(organisation)
@@ -79,12 +79,12 @@
 
     def note_turned_away(self, sent_at: float, now: float) -> None:
         """
-        Its back end turned away what was sent at a moment: what it does not run takes no
-        place there, and it would look the least loaded of all.
+        Record that its back end turned away a request sent at `sent_at`. Rejected requests
+        occupy no place, so the endpoint would otherwise look the least loaded.
 
         """
         if sent_at < self.turned_away_at:
-            # Sent before the last one was known to be turned away: that says nothing more.
+            # Sent before the last rejection was known, so it is no further evidence.
             return
         wait_s = min(FIRST_PASSED_OVER_S * 2.0**self.turned_away, MAX_PASSED_OVER_S)
         self.passed_over_until = now + wait_s
@@ -93,7 +93,7 @@
 
     def note_accepted(self, sent_at: float) -> None:
         """
-        Its back end took what was sent at a moment.
+        Record that its back end accepted a request sent at `sent_at`.
 
         """
         if sent_at >= self.turned_away_at:
@@ -101,7 +101,7 @@
 
     def apply_report(self, occupied: int, limit: int) -> None:
         """
-        Take a load report as of now.
+        Apply a load report that describes the present moment.
 
         """
         self.reported = occupied
@@ -111,7 +111,7 @@
 
 def is_usable(backend: Backend, organisation: OrganisationId, now: float) -> bool:
     """
-    Whether the endpoint may be asked for this organisation's request.
+    Whether a request of this organisation may be sent to the endpoint.
 
     """
     if backend.leaving or backend.suspect_until > now:
@@ -128,15 +128,17 @@
     now: float,
 ) -> Backend | None:
     """
-    The endpoint for a request: in this zone while one there has room, then
-    elsewhere; among those the one that the affinity key prefers, unless it
-    is loaded well above the mean; without a key, the least loaded.
+    The endpoint for a request; None if no endpoint is usable.
+
+    Endpoints with free capacity in this zone are preferred, then those with free capacity in any
+    zone. Among them the affinity key decides, except that endpoints loaded well above the mean
+    are skipped; without a key, the least loaded is chosen.
 
     """
     able = [b for b in backends if b.instance not in tried and is_usable(b, organisation, now)]
     if not able:
         return None
-    # Where all turn away, they are asked all the same.
+    # If all endpoints turned requests away lately, they are used nevertheless.
     able = [b for b in able if b.passed_over_until <= now] or able
     local = [b for b in able if b.zone == zone and b.load < 1]
     free = local or [b for b in able if b.load < 1] or able
--- a/packages/millfork-routing/millfork_routing/documents.py
+++ b/packages/millfork-routing/millfork_routing/documents.py
@@ -1,5 +1,5 @@
 """
-The operator's document: which requests go to which services, and for whom.
+The operator's configuration document: routes, services and organisations.
 
 """
 
@@ -12,7 +12,7 @@
 
 class RouteKind(Enum):
     """
-    What kind of request a route carries.
+    The kind of requests of a route, which decides whether they may be repeated.
 
     """
 
@@ -24,7 +24,7 @@
 @dataclass(frozen=True, slots=True)
 class Share:
     """
-    A service's part of a route's requests; weights are relative.
+    A service's share of a route's requests; weights are relative to their sum.
 
     """
 
@@ -37,10 +37,10 @@
     """
     One host and path prefix, and how its requests are served.
 
-    `timeout_ms` is the longest a request is held, `target_ms` the time in
-    which an answer (a stream's first event) is wanted, `gap_ms` the longest
-    pause between events that is still in time (0: none named), `priority`
-    the rank (0 first), `max_attempts` the most back ends for one request.
+    `timeout_ms` is the maximum time of a request, `target_ms` the target time to the answer (for
+    streams to the first event), `gap_ms` the longest acceptable pause between events (0: not
+    configured), `priority` the rank (0 first), `max_attempts` the maximum number of back ends
+    tried for one request.
 
     """
 
@@ -60,7 +60,7 @@
     @property
     def repeatable(self) -> bool:
         """
-        Whether a request may run more than once.
+        Whether a request may be executed more than once.
 
         """
         if self.kind is RouteKind.SAFE:
@@ -71,12 +71,12 @@
 @dataclass(frozen=True, slots=True)
 class EngineSpec:
     """
-    What an engine of a service can do. Times are ms, memory is tokens.
+    The capacity and speed of the engines of a service. Times are ms, memory is tokens.
 
-    A step writes one token for each running request and costs `step_ms`,
-    plus `per_sequence_ms` for each request and `per_context_ms` for each
-    1,000 tokens of its context; prompts are read at `read_per_s` tokens a
-    second. `steps_per_event` steps pass between two events of a stream.
+    A step generates one token for each running request and takes `step_ms`, plus
+    `per_sequence_ms` for each request and `per_context_ms` for each 1,000 tokens of its context.
+    Prompts are read at `read_per_s` tokens a second. `steps_per_event` steps pass between two
+    events of a stream.
 
     """
 
@@ -100,23 +100,23 @@
 @dataclass(frozen=True, slots=True)
 class OriginSpec:
     """
-    Where a service's weights come from.
+    The origin server of a service's weights.
 
     """
 
     host: str
     port: int
     max_connections: int
-    # The availability zone that it is in, if it is said.
+    # The availability zone that it is in; empty if not configured.
     zone: str = ''
-    # What its link carries; 0: not said.
+    # The capacity of its link; 0: not configured.
     bytes_per_s: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Service:
     """
-    One service: its cap of connections for each back end, over all callers.
+    One service. `max_connections` caps the connections to each back end, over all callers.
 
     """
 
@@ -129,7 +129,7 @@
 @dataclass(frozen=True, slots=True)
 class Organisation:
     """
-    One organisation, its API keys, and its rank (0 first), if it has one.
+    One organisation, its API keys, and its rank (0 first; None: the route's rank applies).
 
     """
 
@@ -141,7 +141,7 @@
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
     """
-    What a caller may send, and how long a connection may rest.
+    Limits on the size of callers' requests and on the idle time of their connections.
 
     """
 
@@ -156,7 +156,7 @@
 @dataclass(frozen=True, slots=True)
 class Document:
     """
-    One version of the whole configuration.
+    One version of the complete configuration.
 
     """
 
@@ -169,7 +169,7 @@
 
 def find_problems(document: Document) -> list[str]:
     """
-    Everything that makes a document unacceptable; empty if it is good.
+    The reasons why a document is invalid; empty if it is valid.
 
     """
     return [*_route_problems(document), *_key_problems(document)]
--- a/packages/millfork-routing/millfork_routing/limits.py
+++ b/packages/millfork-routing/millfork_routing/limits.py
@@ -1,5 +1,5 @@
 """
-Fair shares: who may begin, who waits, who is refused at once.
+Fair sharing of slots between organisations, and caps on requests in progress.
 
 """
 
@@ -22,7 +22,7 @@
 @dataclass(slots=True)
 class Waiter:
     """
-    A request waiting for a slot, until a moment on the monotonic clock.
+    A request that waits for a slot until the moment `until` (monotonic seconds).
 
     """
 
@@ -34,11 +34,11 @@
 
 class FairQueue:
     """
-    Slots of one back end, shared by start-time fair queueing.
+    The slots of one back end, shared between organisations by start-time fair queueing.
 
-    Each organisation has a queue of its own and a virtual time, which moves
-    on by 1 / share with each slot it gets; the least virtual time is next. A
-    flood from one waits behind itself, and one that was quiet comes next.
+    Each organisation has its own queue and a virtual time, which advances by 1 / share with each
+    slot that it gets. The organisation with the lowest virtual time is served next. So a flood
+    of requests delays only its own organisation, and one that was idle is served next.
 
     """
 
@@ -56,14 +56,14 @@
         self.running = 0
         self.waiting = 0
         self.queues: OrderedDict[OrganisationId, deque[Waiter]] = OrderedDict()
-        # Fractions, as rounding would let one overtake another.
+        # Fractions, as rounding errors would let one organisation overtake another.
         self.virtual_times: dict[OrganisationId, Fraction] = {}
         self.virtual_now = Fraction(0)
         self.service_time_s = FIRST_SERVICE_TIME_S
 
     def expected_wait_s(self, organisation: OrganisationId) -> float:
         """
-        Seconds until a request of this organisation would begin.
+        The expected time until a new request of this organisation gets a slot, in seconds.
 
         """
         if self.running < self.slots:
@@ -77,7 +77,7 @@
 
     def refusal_wait_ms(self, organisation: OrganisationId, max_wait_s: float) -> int:
         """
-        0 if a request may wait here, else when to come back, in ms.
+        0 if a request may join the queue, else the wait until its caller should retry, in ms.
 
         """
         wait_s = self.expected_wait_s(organisation)
@@ -88,7 +88,7 @@
 
     def _queue_capacity(self, organisation: OrganisationId) -> int:
         """
-        Places in the queue for one organisation: its share of all places.
+        The number of requests that one organisation may queue: its share of all places.
 
         """
         if self.running < self.slots:
@@ -99,7 +99,7 @@
 
     async def join(self, organisation: OrganisationId, until: float) -> Waiter:
         """
-        Wait in line; the returned waiter's `granted` is set with its slot.
+        Join the queue; `granted` of the returned waiter is set when it gets its slot.
 
         """
         waiter = Waiter(organisation, until)
@@ -112,7 +112,7 @@
 
     async def leave(self, waiter: Waiter) -> None:
         """
-        Give up a place in line, or the slot.
+        Release the waiter's slot, or its place in the queue.
 
         """
         if waiter.has_slot:
@@ -129,7 +129,7 @@
 
     def learn_service_time(self, seconds: float) -> None:
         """
-        Take one request's time on the back end into the estimate.
+        Add the time of one request on the back end, in seconds, to the mean service time.
 
         """
         self.service_time_s += SERVICE_TIME_WEIGHT * (seconds - self.service_time_s)
@@ -148,8 +148,10 @@
 
     def _next(self, organisation: OrganisationId) -> Waiter | None:
         """
-        Take the organisation's next waiter; of organisations at the same
-        virtual time, the one served longest ago comes first.
+        Remove and return the organisation's next waiter; None if that one has timed out.
+
+        The organisation is moved to the end of `queues`, so that of organisations at the same
+        virtual time the one served longest ago comes first.
 
         """
         queue = self.queues[organisation]
@@ -159,14 +161,14 @@
         if not queue:
             del self.queues[organisation]
         if waiter.until < self.monotonic():
-            # Its owner wakes by its own time-out; a slot would be wasted.
+            # The waiting task ends by its own time-out, so a slot would be wasted on it.
             return None
         return waiter
 
     def _add_queue(self, organisation: OrganisationId) -> None:
         """
-        An organisation that waits again starts at the present virtual time:
-        it is not owed what it left unused, and waits for no one's arrears.
+        Add a queue for an organisation that has none. It starts at the current virtual time or
+        later, so it gets no credit for slots that it left unused while idle.
 
         """
         if len(self.virtual_times) > MAX_ORGANISATIONS_REMEMBERED:
@@ -179,7 +181,7 @@
 
 class InFlightCounter:
     """
-    Requests in progress on one entry, by organisation, under a ceiling.
+    Counts the requests in progress on one entry by organisation, up to a ceiling for each.
 
     """
 
@@ -189,7 +191,7 @@
 
     def begin(self, organisation: OrganisationId) -> bool:
         """
-        Count a request in; False if the organisation is at its ceiling.
+        Count a new request; returns False if the organisation is at its ceiling.
 
         """
         count = self.counts.get(organisation, 0)
@@ -199,8 +201,8 @@
         return True
 
     def end(self, organisation: OrganisationId) -> None:
-        left = self.counts[organisation] - 1
-        if left:
-            self.counts[organisation] = left
+        remaining = self.counts[organisation] - 1
+        if remaining:
+            self.counts[organisation] = remaining
             return
         del self.counts[organisation]
--- a/packages/millfork-routing/millfork_routing/retries.py
+++ b/packages/millfork-routing/millfork_routing/retries.py
@@ -1,5 +1,5 @@
 """
-Whether an attempt may be followed by another.
+Whether a refused attempt may be retried: the verdict, and the budget of each organisation.
 
 """
 
@@ -12,7 +12,7 @@
 
 WINDOW_S: Final = 10.0
 
-# Refusals of a single endpoint, which another may not share.
+# Reasons that concern a single endpoint, so that another may accept the request.
 RETRIABLE_REASONS: Final = frozenset(
     {
         Reason.UNREACHABLE,
@@ -39,8 +39,8 @@
 
 class RetryBudget:
     """
-    Retries allowed for each organisation and service: a floor for each
-    window of ten seconds, plus a ratio of the requests.
+    The retries allowed to each organisation and service: in each window of ten seconds a fixed
+    floor, plus a ratio of the requests.
 
     """
 
@@ -60,14 +60,14 @@
 
     def note_request(self, organisation: OrganisationId, service: str) -> None:
         """
-        A first attempt earns a part of a retry.
+        Count a first attempt, which adds `ratio` to the allowed retries.
 
         """
         self._window(organisation, service).requests += 1
 
     def spend(self, organisation: OrganisationId, service: str) -> bool:
         """
-        Take one retry from the budget, if there is one.
+        Take one retry from the budget; returns False if none is left.
 
         """
         window = self._window(organisation, service)
@@ -79,8 +79,8 @@
 
 def may_retry(refusal: Refusal, repeatable: bool) -> bool:
     """
-    Whether the verdict allows another attempt: always where the request did
-    not run, else only if it may be repeated.
+    Whether a refused request may be sent again: the reason must be retriable, and the request
+    must not have run or be repeatable.
 
     """
     if refusal.reason not in RETRIABLE_REASONS:
--- a/packages/millfork-routing/millfork_routing/routes.py
+++ b/packages/millfork-routing/millfork_routing/routes.py
@@ -1,5 +1,5 @@
 """
-The route table: a document, prepared for look-ups.
+The route table: a configuration document with indexes for look-ups.
 
 """
 
@@ -9,7 +9,7 @@
 
 class RouteTable:
     """
-    One document in force.
+    The document in force, indexed by service, API key and host.
 
     """
 
@@ -39,7 +39,8 @@
 
     def find(self, host: str, path: str) -> Route | None:
         """
-        The route of a request: its host's longest prefix of the path.
+        The route of a request: of the routes of its host, the one with the longest matching path
+        prefix. None if no route matches.
 
         """
         name = host.lower()
@@ -51,7 +52,7 @@
 
     def organisation_of_key(self, key: str) -> Organisation | None:
         """
-        The organisation that holds an API key.
+        The organisation that an API key belongs to; None if the key is unknown.
 
         """
         return self.organisations_by_key.get(key)
@@ -59,8 +60,8 @@
 
 def pick_service(route: Route, draw: float) -> ServiceName:
     """
-    The service of one request by its route's weights; `draw` is uniform
-    in [0, 1).
+    Choose the service of one request by the weights of its route; `draw` is a uniform random
+    number in [0, 1).
 
     """
     total = sum(share.weight for share in route.shares)
@@ -74,7 +75,7 @@
 
 def priority_of(route: Route, organisation: Organisation | None) -> int:
     """
-    The rank of a request; the organisation's goes before the route's.
+    The rank of a request; the organisation's rank takes precedence over the route's.
 
     """
     if organisation is not None and organisation.priority is not None:
--- a/packages/millfork-routing/millfork_routing/shared_budget.py
+++ b/packages/millfork-routing/millfork_routing/shared_budget.py
@@ -1,21 +1,21 @@
 """
-The budget of repeats that all entries share, without talking about it.
+The budget of repeats that all entries share without communicating about it.
 
-Each entry may send its part: a ratio of its own requests, and an equal part
-of the fixed allowance. The parts sum to less than the whole, also where entries
-know little of each other:
+Each entry may use its share: a ratio of its own requests, and an equal share of the fixed
+allowance. The shares sum to less than the whole budget, even if entries know little of each
+other:
 
-- The process before this one may have spent the part of this entry, so a process
-  has little of the ratio and none of the fixed allowance in its first window.
-- The allowance is divided by the most entries known lately: those that can't be
-  seen now, behind a cut or because they start again, draw on it all the same.
-- An entry has none of the allowance before it was in touch with a majority of the
-  replicas for a whole window. Only one side of a cut is, so the sides can't both divide
-  the whole allowance by the entries that they see: two halves of 40 entries, all begun
-  during a cut, sent 320 repeats of 272 allowed.
+- The previous process of this entry may have spent the entry's share, so in its first window a
+  process has little of the ratio and none of the fixed allowance.
+- The allowance is divided by the highest number of entries known lately: entries that are
+  partitioned off or restarting use their share of it nevertheless.
+- An entry has no share of the allowance until it was in contact with a majority of the replicas
+  for a whole window. Only one side of a partition is, so the two sides can't both divide the
+  whole allowance by the entries that they see. Without this rule, two halves of 40 entries that
+  all started during a partition sent 320 repeats of 272 allowed.
 
-Without these, 40 entries that were killed three times in 10 s sent 844 repeats of
-736 allowed, while servers turned four of five requests away.
+Without these rules, 40 entries that were killed three times in 10 s sent 844 repeats of 736
+allowed, while servers turned four of five requests away.
 
 """
 
@@ -27,11 +27,11 @@
 from millfork_core.ids import ServiceName
 from millfork_core.windows import ENTRIES_REMEMBERED_S, MostLately
 
-# Of the whole budget; the rest is for entries that were just added, and for sends that
-# reach their back end later than others, within one window.
+# The share of the whole budget that is used. The rest covers entries that were just added, and
+# sends that reach their back end later than others within one window.
 USED_SHARE: Final = 0.7
-# Of the ratio, in a process's first window: the one before it may have spent the share
-# above in the same window, and both together are less than the whole.
+# The share of the ratio that is used in a process's first window. The previous process may have
+# spent `USED_SHARE` in the same window; both together stay below the whole.
 FIRST_WINDOW_SHARE: Final = 0.2
 
 
@@ -44,9 +44,9 @@
 @dataclass(frozen=True, slots=True)
 class BudgetShare:
     """
-    One entry's part for a service: repeats sent and requests within the window, the
-    repeats allowed, and the number of entries that the fixed allowance was divided by (0:
-    this process has none of it).
+    One entry's share of the budget for a service: repeats sent and requests within the window,
+    the repeats allowed, and the number of entries that the fixed allowance was divided by (0:
+    this process has no share of it).
 
     """
 
@@ -58,7 +58,7 @@
 
 def without_quorum() -> bool:
     """
-    The case of an entry that knows nothing of a majority of the replicas.
+    The default for entries that don't know whether they reach a majority of the replicas.
 
     """
     return False
@@ -66,10 +66,10 @@
 
 class SharedBudget:
     """
-    One entry's part of the budget, for each service.
+    One entry's share of the budget, for each service.
 
-    `entries` tells how many entries there are as far as a replica knows, `has_quorum`
-    whether that replica is in touch with a majority of them now.
+    `entries` returns the number of entries known to the entry's replica, `has_quorum` whether
+    that replica is in contact with a majority of the replicas now.
 
     """
 
@@ -89,15 +89,15 @@
         self.monotonic = monotonic
         self.has_quorum = has_quorum
         self.began = monotonic()
-        # Since when it has been in touch; once that was a whole window, a loss of touch
-        # no longer changes it.
+        # Since when there has been contact with a majority. Once that has lasted a whole window,
+        # a loss of contact no longer resets it.
         self.quorum_since: float | None = None
         self.most_entries = MostLately(ENTRIES_REMEMBERED_S)
         self.windows: dict[ServiceName, _Window] = {}
 
     def note_request(self, service: ServiceName) -> None:
         """
-        Count the first sending of a request.
+        Count a request when it is sent for the first time.
 
         """
         self.count_entries()
@@ -106,18 +106,18 @@
 
     def spend(self, service: ServiceName) -> bool:
         """
-        Take one repeat, if there is one left.
+        Take one repeat from the budget; returns False if none is left.
 
         """
-        part = self.current_share(service)
-        if part.spent + 1 > part.allowed:
+        share = self.current_share(service)
+        if share.spent + 1 > share.allowed:
             return False
         self.windows[service].repeats.append(self.monotonic())
         return True
 
     def current_share(self, service: ServiceName) -> BudgetShare:
         """
-        This entry's part as it is now.
+        This entry's present share for a service.
 
         """
         window = self._window(service)
@@ -135,8 +135,8 @@
 
     def count_entries(self) -> int:
         """
-        The most entries known lately; to be called now and then, so that those are
-        remembered that can't be seen any more.
+        The highest number of entries known lately. It must be called regularly, so that entries
+        that are out of reach now are remembered.
 
         """
         now = self.monotonic()
@@ -144,7 +144,7 @@
         if not self.has_quorum():
             if not self._knows_all_entries():
                 self.quorum_since = None
-            # Those behind the cut draw on the allowance for as long as it lasts.
+            # Entries behind the partition use the allowance for as long as it lasts.
             return max(self.most_entries.most, entries)
         if self.quorum_since is None:
             self.quorum_since = now
@@ -152,7 +152,7 @@
 
     def _knows_all_entries(self) -> bool:
         """
-        Whether this entry knows of all that draw on the fixed allowance.
+        Whether this entry knows all entries that use the fixed allowance.
 
         """
         since = self.quorum_since
--- a/packages/millfork-scheduling/millfork_scheduling/first_tries.py
+++ b/packages/millfork-scheduling/millfork_scheduling/first_tries.py
@@ -72,8 +72,8 @@
         Whether callers seem to begin with the same deadline, judged by the latest requests.
 
         """
-        longest = sum(time_ms >= self.longest - SAME_DEADLINE_MS for time_ms in self.latest)
-        return longest >= max(MIN_COMMON_DEADLINES, COMMON_DEADLINE_SHARE * len(self.latest))
+        alike = sum(time_ms >= self.longest - SAME_DEADLINE_MS for time_ms in self.latest)
+        return alike >= max(MIN_COMMON_DEADLINES, COMMON_DEADLINE_SHARE * len(self.latest))
 
 
 class FirstTryDetector:
@@ -83,7 +83,7 @@
     """
 
     def __init__(self) -> None:
-        self.times: dict[str, RouteDeadlines] = {}
+        self.deadlines_by_route: dict[str, RouteDeadlines] = {}
         self.turned_away_at = float('-inf')
 
     def note_turned_away(self, now: float) -> None:
@@ -98,28 +98,32 @@
         Judge a request by its deadline; the deadline is learned while no caller may be returning.
 
         """
-        times = self._deadlines_of(route)
-        times.longest = max(times.longest, deadline_ms)
-        times.latest.append(deadline_ms)
+        deadlines = self._deadlines_of(route)
+        deadlines.longest = max(deadlines.longest, deadline_ms)
+        deadlines.latest.append(deadline_ms)
         if now - self.turned_away_at > RETURN_WINDOW_S:
-            times.first.append(deadline_ms)
-        if deadline_ms >= times.longest - DEADLINE_TOLERANCE_MS:
+            deadlines.first.append(deadline_ms)
+        if deadline_ms >= deadlines.longest - DEADLINE_TOLERANCE_MS:
             return Judgement()
-        if len(times.first) < MIN_FIRST_TRIES:
-            alike = times.share_one_deadline()
-            return Judgement(times.longest - deadline_ms) if alike else Judgement(is_undecided=True)
-        ordered = sorted(times.first)
+        if len(deadlines.first) < MIN_FIRST_TRIES:
+            alike = deadlines.share_one_deadline()
+            return (
+                Judgement(deadlines.longest - deadline_ms)
+                if alike
+                else Judgement(is_undecided=True)
+            )
+        ordered = sorted(deadlines.first)
         shortest = ordered[int(len(ordered) * OUTLIER_SHARE)]
-        margin_ms = max(DEADLINE_TOLERANCE_MS, UNSEEN_MARGIN_SHARE * (times.longest - shortest))
+        margin_ms = max(DEADLINE_TOLERANCE_MS, UNSEEN_MARGIN_SHARE * (deadlines.longest - shortest))
         if deadline_ms >= shortest - margin_ms:
             return Judgement(is_undecided=True)
         usual = ordered[len(ordered) // 2]
         return Judgement(usual - deadline_ms)
 
     def _deadlines_of(self, route: str) -> RouteDeadlines:
-        times = self.times.get(route)
-        if times is None:
-            if len(self.times) >= MAX_ROUTES:
-                del self.times[next(iter(self.times))]
-            times = self.times[route] = RouteDeadlines()
-        return times
+        deadlines = self.deadlines_by_route.get(route)
+        if deadlines is None:
+            if len(self.deadlines_by_route) >= MAX_ROUTES:
+                del self.deadlines_by_route[next(iter(self.deadlines_by_route))]
+            deadlines = self.deadlines_by_route[route] = RouteDeadlines()
+        return deadlines
--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -134,7 +134,7 @@
         (
             Edit(
                 C + 'placement.py',
-                'VERSION_END_MARGIN_WITHOUT_DAEMON_S if unguarded',
+                'VERSION_END_MARGIN_WITHOUT_DAEMON_S if has_no_daemon',
                 'VERSION_END_MARGIN_S if unguarded',
             ),
         ),
--- a/tests/test_first_tries.py
+++ b/tests/test_first_tries.py
@@ -125,7 +125,7 @@
 def test_the_routes_remembered_are_bounded(alike):
     for number in range(MAX_ROUTES + 5):
         alike.judge(f'other-{number}', 6000, 1.0)
-    assert len(alike.times) == MAX_ROUTES
+    assert len(alike.deadlines_by_route) == MAX_ROUTES
 
 
 def test_a_few_odd_ones_do_not_hide_who_comes_back():
