--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -10,7 +10,7 @@
 SEEDED_FLEETS: Final = (
     Mutation(
         'a back end that names a limit gets a share of it from each entry',
-        'tests/test_limit_shares.py::test_others_get_what_is_over_a_limit',
+        'tests/test_limit_shares.py::test_requests_over_a_limit_go_to_other_back_ends',
         (
             Edit(
                 C + 'availability.py',
@@ -26,7 +26,7 @@
     ),
     Mutation(
         'an answer to what was sent before a limit was named does not end it',
-        'tests/test_limit_shares.py::test_only_an_answer_to_what_was_sent_since_ends_a_limit',
+        'tests/test_limit_shares.py::test_only_an_answer_to_a_later_request_ends_a_limit',
         (Edit(C + 'availability.py', 'if sent_at <= self.limit_named_at:', 'if False:'),),
     ),
     Mutation(
@@ -38,12 +38,12 @@
     Mutation(
         'a back end that said that it leaves is sent to no more',
         'tests/test_closed_back_ends.py::'
-        'test_neither_heartbeats_nor_answers_bring_back_one_that_leaves',
+        'test_neither_heartbeats_nor_answers_reopen_a_leaving_back_end',
         (Edit(C + 'availability.py', 'if self.leaving or self.reported_leaving:', 'if False:'),),
     ),
     Mutation(
         'what an incarnation said outlives its lease',
-        'tests/test_closed_back_ends.py::test_a_rest_is_of_one_incarnation',
+        'tests/test_closed_back_ends.py::test_a_rest_applies_to_one_incarnation_only',
         (
             Edit(
                 C + 'availability.py',
@@ -54,7 +54,7 @@
     ),
     Mutation(
         'a rest is not shortened by an answer that was under way',
-        'tests/test_closed_back_ends.py::test_answers_that_were_under_way_do_not_shorten_a_rest',
+        'tests/test_closed_back_ends.py::test_answers_sent_earlier_do_not_shorten_a_rest',
         (
             Edit(
                 C + 'availability.py',
@@ -65,7 +65,7 @@
     ),
     Mutation(
         'one request asks whether a rest is over',
-        'tests/test_closed_back_ends.py::test_one_request_asks_whether_a_rest_is_over',
+        'tests/test_closed_back_ends.py::test_one_request_probes_whether_a_rest_is_over',
         (Edit(C + 'availability.py', 'self.probed_at + PROBE_TIMEOUT_S - now, 0.0', '0.0'),),
     ),
     Mutation(
@@ -94,13 +94,12 @@
     Mutation(
         'a slow engine gets nothing that its version would outlive',
         'tests/test_servers.py::'
-        'test_a_slow_back_end_gets_nothing_that_would_begin_after_its_version_ends',
+        'test_a_slow_engine_gets_no_request_that_would_begin_after_its_version_ends',
         (Edit(C + 'placement.py', 'requirements.ends_at(version) - margin_s', "float('inf')"),),
     ),
     Mutation(
         'first tries are told from returns where callers begin with different times',
-        'tests/test_first_tries.py::'
-        'test_where_callers_begin_with_different_times_a_short_one_tells_nothing',
+        'tests/test_first_tries.py::test_with_different_deadlines_a_short_one_is_undecided',
         (Edit(C + 'first_tries.py', 'if deadline_ms >= shortest - margin_ms:', 'if False:'),),
     ),
     Mutation(
@@ -130,7 +129,7 @@
     Mutation(
         'an engine without its daemon is sent to for less long before a version ends',
         'tests/test_engines_without_daemon_reports.py::'
-        'test_nothing_sent_behind_a_slow_link_begins_after_the_end',
+        'test_no_request_sent_over_a_slow_link_begins_after_the_end',
         (
             Edit(
                 C + 'placement.py',
@@ -164,7 +163,7 @@
     ),
     Mutation(
         'engines are drawn by some entry where entries are few',
-        'tests/test_choice_in_large_fleets.py::test_every_engine_is_drawn_by_some_entry',
+        'tests/test_choice_in_large_fleets.py::test_every_engine_is_used_by_some_entry',
         (
             Edit(
                 C + 'fleet_index.py',
@@ -175,8 +174,7 @@
     ),
     Mutation(
         'a connection on which questions stay unanswered is closed',
-        'tests/test_load_queries.py::'
-        'test_a_connection_that_is_silent_for_good_is_closed_and_dialled_anew',
+        'tests/test_load_queries.py::test_a_silent_connection_is_closed_and_dialled_again',
         (Edit(D + 'proxy/questions.py', 'await self._close_if_silent(connection)', 'pass'),),
     ),
     Mutation(
@@ -194,13 +192,13 @@
     Mutation(
         'the daemons beside engines are asked for loads',
         'tests/test_load_queries.py::'
-        'test_the_engine_that_is_free_now_is_chosen_and_not_the_one_that_was',
+        'test_the_engine_that_is_free_now_is_chosen_despite_old_reports',
         (Edit(D + 'proxy/asking.py', 'server.set_load(load, now)', 'pass'),),
     ),
     Mutation(
         'two requests do not show that callers begin alike',
         'tests/test_first_tries.py::'
-        'test_first_tries_of_callers_that_differ_are_not_taken_for_returns',
+        'test_first_tries_with_different_deadlines_are_not_taken_for_retries',
         (
             Edit(
                 C + 'first_tries.py',
@@ -293,7 +291,7 @@
     ),
     Mutation(
         'late requests leave slots to those who can be in time',
-        'tests/test_routing_model.py::test_under_lasting_load_slots_go_to_those_who_can_be_in_time',
+        'tests/test_routing_model.py::test_under_lasting_load_slots_go_to_requests_that_can_be_in_time',
         (
             Edit(
                 C + 'admission.py',
@@ -546,7 +544,7 @@
     Mutation(
         'a new engine does not take over the report of the one before it',
         'tests/test_reports_of_earlier_incarnations.py::'
-        'test_a_new_engine_is_not_taken_to_serve_what_the_one_before_it_served',
+        'test_a_new_engine_does_not_inherit_the_reported_versions_of_its_predecessor',
         (
             Edit(
                 C + 'server_table.py',
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -49,12 +49,12 @@
 
 
 @pytest.mark.parametrize(('expected_ms', 'admitted'), [(100, True), (290, True), (320, False)])
-def test_a_first_request_is_sent_where_it_will_be_in_time(expected_ms, admitted):
+def test_a_first_try_is_sent_only_if_it_is_expected_in_time(expected_ms, admitted):
     assert (wait_ms(expected_ms) == 0) == admitted
 
 
 @pytest.mark.parametrize(('elapsed_ms', 'admitted'), [(150, True), (300, False), (900, False)])
-def test_one_that_comes_back_is_measured_from_its_first_try(elapsed_ms, admitted):
+def test_a_retry_is_measured_from_its_first_try(elapsed_ms, admitted):
     assert (wait_ms(100, elapsed_ms) == 0) == admitted
 
 
@@ -69,24 +69,24 @@
         (True, 5000, 14, False),
     ],
 )
-def test_others_are_asked_only_where_it_decides(is_undecided, expected_ms, running, hinges):
+def test_other_entries_are_asked_only_if_the_answer_decides(
+    is_undecided, expected_ms, running, hinges
+):
     made = admission()
     job = job_of(made)
     job.is_undecided = is_undecided
     assert made.depends_on_first_try(job, choice_of(made, expected_ms, running)) == hinges
 
 
-def test_who_is_refused_hears_when_to_come_back():
+def test_a_refused_caller_is_given_a_minimum_wait():
     assert wait_ms(500) >= MIN_WAIT_MS
 
 
 @pytest.mark.parametrize(('running', 'admitted'), [(3, True), (11, True), (12, False)])
-def test_what_would_be_late_takes_only_slots_that_nobody_in_time_is_likely_to_want(
-    running, admitted
-):
+def test_late_requests_get_only_spare_slots(running, admitted):
     assert (wait_ms(5000, running=running) == 0) == admitted
     assert (wait_ms(100, elapsed_ms=900, running=running) == 0) == admitted
 
 
-def test_a_plain_service_takes_what_comes():
+def test_a_service_without_engines_admits_every_request():
     assert wait_ms(5000, engine=None) == 0
--- a/tests/test_choice_in_large_fleets.py
+++ b/tests/test_choice_in_large_fleets.py
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize('engines', [60, 2800])
-def test_what_is_looked_at_does_not_grow_with_the_fleet(engines, monkeypatch):
+def test_the_number_of_examined_engines_does_not_grow_with_the_fleet(engines, monkeypatch):
     table = table_of([NEW] * engines)
     looks = []
     real = ServerTable._can_serve_now
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize(('engines', 'entries'), [(60, 1), (60, 3), (200, 8), (2800, 380)])
-def test_every_engine_is_drawn_by_some_entry(engines, entries):
+def test_every_engine_is_used_by_some_entry(engines, entries):
     """
     An entry keeps to some of many engines, as it has a connection to the daemon beside each.
     One entry before 60 engines kept to 28 of them, and 0.44 of its callers were refused on the
@@ -93,7 +93,7 @@
     st.sets(st.integers(0, 59), max_size=30),
     st.integers(1, 2),
 )
-def test_none_is_taken_that_may_not_be(held, tried, suspected, changing, least):
+def test_no_excluded_engine_is_chosen(held, tried, suspected, changing, least):
     table = table_of(held)
     now = table.monotonic()
     table.apply_reports(
@@ -125,7 +125,7 @@
     st.lists(SERVED, min_size=4, max_size=12),
     st.lists(st.tuples(st.integers(0, 11), SERVED, st.booleans()), max_size=10),
 )
-def test_paths_are_those_of_the_engines_as_they_are(held, changes):
+def test_cached_paths_follow_every_change_of_the_engines(held, changes):
     table = table_of(held)
     for sequence, (number, served, changing) in enumerate(changes, 2):
         table._paths(SERVICE, ENGINE, 2)
--- a/tests/test_closed_back_ends.py
+++ b/tests/test_closed_back_ends.py
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize('engine', [None, ENGINE])
-def test_neither_heartbeats_nor_answers_bring_back_one_that_leaves(table, clock, engine):
+def test_neither_heartbeats_nor_answers_reopen_a_leaving_back_end(table, clock, engine):
     assert [change.event for change in answer(table, 1, LEAVES)] == [SignalEvent.BEGAN]
     # Its answer to a request that was sent before.
     clock.now += 1
@@ -74,7 +74,7 @@
     assert {table.choose(requirements, set()).server.instance for _ in range(20)} == {'i-2'}
 
 
-def test_another_incarnation_at_the_address_begins_clean(table):
+def test_a_new_incarnation_at_the_address_starts_without_signals(table):
     answer(table, 1, LEAVES)
     table.apply_leases([lease(1, LATER), lease(2)])
     assert closed_for(table, 1) is None
@@ -83,19 +83,19 @@
     assert closed_for(table, 1) is None
 
 
-def test_where_all_leave_nobody_is_sent_there(table):
+def test_no_back_end_is_chosen_if_all_are_leaving(table):
     answer(table, 1, LEAVES)
     answer(table, 2, LEAVES)
     assert table.choose(Requirements(SERVICE), set()) is None
     assert table.first_to_open(Requirements(SERVICE)).closure_reason is ClosureReason.LEAVING
 
 
-def test_the_daemon_beside_an_engine_tells_all_entries_that_it_leaves(table):
+def test_a_daemon_report_closes_a_leaving_engine(table):
     table.apply_reports([report(1, 1, leaving=True)])
     assert closed_for(table, 1) is ClosureReason.LEAVING
 
 
-def test_a_daemon_that_told_of_an_engine_before_corrects_itself(table):
+def test_a_daemon_report_about_the_previous_engine_is_corrected_by_the_next(table):
     """
     Where engines do not say when they started, a report may be of the one that was at the
     address before.
@@ -108,7 +108,7 @@
     assert closed_for(table, 1) is None
 
 
-def test_a_daemon_reads_what_its_engine_says_of_itself():
+def test_a_daemon_reads_the_signals_of_its_engine():
     class Client:
         async def fetch(self, method, path, headers, body, timeout):
             said = [(standins.LEAVING, '1'), (standins.LIMIT, '2.5')]
@@ -126,7 +126,7 @@
     return server(table, number).availability.apply_answer(told, now - sent_ago_s, now, True)
 
 
-def test_a_back_end_that_rests_is_no_last_resort(table):
+def test_a_resting_back_end_is_not_used_as_last_resort(table):
     turn_away(table, 1)
     assert {table.choose(Requirements(SERVICE), set()).server.instance for _ in range(20)} == {
         'i-2'
@@ -140,7 +140,7 @@
     )
 
 
-def test_answers_that_were_under_way_do_not_shorten_a_rest(table, clock):
+def test_answers_sent_earlier_do_not_shorten_a_rest(table, clock):
     turn_away(table, 1)
     clock.now += 0.2
     turn_away(table, 1, Backpressure(rest_s=0.5), sent_ago_s=0.3)
@@ -149,7 +149,7 @@
     assert closed_for(table, 1) is ClosureReason.RESTING
 
 
-def test_one_request_asks_whether_a_rest_is_over(table, clock):
+def test_one_request_probes_whether_a_rest_is_over(table, clock):
     turn_away(table, 1)
     clock.now += 3.1
     assert closed_for(table, 1) is None
@@ -162,7 +162,7 @@
     assert closed_for(table, 1) is None
 
 
-def test_the_one_that_asks_may_be_turned_away_or_lost(table, clock):
+def test_the_probe_of_a_rest_may_be_turned_away_or_lost(table, clock):
     turn_away(table, 1)
     clock.now += 3.1
     table.note_sent([server(table, 1)])
@@ -176,13 +176,13 @@
     assert closed_for(table, 1) is None
 
 
-def test_no_rest_closes_a_back_end_for_good(table, clock):
+def test_the_length_of_a_rest_is_bounded(table, clock):
     turn_away(table, 1, Backpressure(rest_s=1e15))
     clock.now += MAX_REST_S + 0.01
     assert closed_for(table, 1) is None
 
 
-def test_a_rest_is_of_one_incarnation(table):
+def test_a_rest_applies_to_one_incarnation_only(table):
     turn_away(table, 1)
     table.apply_leases([lease(2)])
     table.apply_leases([lease(1), lease(2)])
@@ -200,13 +200,13 @@
         (Closure(ClosureReason.LEAVING, float('inf')), NOTHING_SERVES_MS),
     ],
 )
-def test_callers_are_told_when_the_first_back_end_opens(closure, least_ms):
+def test_callers_wait_until_the_first_back_end_opens(closure, least_ms):
     waits = {closed_wait_ms(closure, Random(seed)) for seed in range(20)}
     assert min(waits) >= least_ms
     assert max(waits) <= least_ms + SPREAD_WAIT_MS
 
 
-def test_one_that_turns_away_is_left_to_others_for_longer_each_time(table, clock):
+def test_a_back_end_that_turns_requests_away_is_avoided_longer_each_time(table, clock):
     found = server(table, 1)
     pauses = []
     for _ in range(8):
@@ -228,13 +228,13 @@
     assert found.turned_away == 1
 
 
-def test_where_all_turn_away_they_are_still_tried(table, clock):
+def test_back_ends_are_still_tried_if_all_turn_requests_away(table, clock):
     for number in (1, 2):
         server(table, number).note_turned_away(clock.now, clock.now)
     assert table.choose(Requirements(SERVICE), set()) is not None
 
 
-def test_one_that_leaves_after_a_long_life_is_remembered(table, clock):
+def test_a_back_end_that_leaves_after_a_long_life_is_remembered(table, clock):
     clock.now += 2 * REMEMBERED_S
     answer(table, 1, LEAVES)
     table.apply_leases([lease(2), lease(3)])
@@ -243,7 +243,7 @@
     assert closed_for(table, 1) is ClosureReason.LEAVING
 
 
-def test_refusals_name_only_back_ends_that_could_serve(table):
+def test_only_back_ends_that_could_serve_count_as_closed(table):
     table.apply_reports([report(1, 1, changing_to=2), report(2, 1, changing_to=2)])
     answer(table, 1, LEAVES)
     assert table.first_to_open(Requirements(SERVICE, ENGINE, 0, 1, 900)) is None
--- a/tests/test_engines_without_daemon_reports.py
+++ b/tests/test_engines_without_daemon_reports.py
@@ -59,11 +59,11 @@
 
 
 @pytest.mark.parametrize('daemon_silent_s', [2.0, 3.0, 8.0])
-def test_nothing_sent_behind_a_slow_link_begins_after_the_end(daemon_silent_s):
+def test_no_request_sent_over_a_slow_link_begins_after_the_end(daemon_silent_s):
     assert last_sent_before(10.0, daemon_silent_s) > LINK_S
 
 
-def test_an_entry_that_starts_beside_a_silent_daemon_sends_nothing_late():
+def test_an_entry_without_any_daemon_report_sends_no_late_request():
     """
     The daemon fell silent before this entry started, and never reported here: a request was sent
     0.77 s before the end of its version, and behind a slow link could have begun after it.
@@ -83,5 +83,5 @@
     assert ends_at - last > LINK_S
 
 
-def test_an_engine_with_a_daemon_beside_it_is_sent_to_for_longer():
+def test_an_engine_with_a_reporting_daemon_is_used_for_longer():
     assert last_sent_before(10.0, 0.0) < LINK_S
--- a/tests/test_first_tries.py
+++ b/tests/test_first_tries.py
@@ -40,12 +40,12 @@
     return learned([random.randint(5190, 6080) for _ in range(100)])
 
 
-def test_where_callers_begin_alike_a_shorter_time_tells_who_comes_back(alike):
+def test_with_one_common_deadline_a_shorter_one_shows_a_retry(alike):
     assert alike.judge('r', 6074, 1.0) == Judgement()
     assert alike.judge('r', 5630, 1.0).elapsed_ms == pytest.approx(446, abs=10)
 
 
-def test_where_callers_begin_with_different_times_a_short_one_tells_nothing(spread):
+def test_with_different_deadlines_a_short_one_is_undecided(spread):
     """
     Half of the first tries of such a fleet were taken for returns: their time left was
     below 0 at once, and they were sent only to engines with slots to spare.
@@ -55,7 +55,7 @@
         assert spread.judge('r', deadline_ms, 1.0) == Judgement(is_undecided=True)
 
 
-def test_a_time_shorter_than_any_first_try_tells_also_there(spread):
+def test_a_deadline_shorter_than_any_first_try_shows_a_retry(spread):
     assert spread.judge('r', 4900, 1.0).elapsed_ms > 500
 
 
@@ -65,7 +65,7 @@
     return [made.judge('r', deadline_ms, 0.1) for deadline_ms in deadlines][-1]
 
 
-def test_after_a_start_under_load_the_latest_tell_whether_callers_begin_alike():
+def test_after_a_start_under_load_the_latest_deadlines_decide():
     random = Random(1)
     assert under_load([6080, 6078, 5700, 6079, 5600, 6075, 5650]).elapsed_ms == 430
     spread = [random.randint(5190, 6080) for _ in range(12)]
@@ -93,7 +93,7 @@
 @pytest.mark.parametrize(
     'counted', [range(MIN_FIRST_TRIES), range(MIN_FIRST_TRIES, 3 * MIN_FIRST_TRIES)]
 )
-def test_first_tries_of_callers_that_differ_are_not_taken_for_returns(least, counted):
+def test_first_tries_with_different_deadlines_are_not_taken_for_retries(least, counted):
     """
     A caller was turned away while two thirds of the slots were free. Its entry had judged 14
     requests of the route; six of them happened to lie within 120 ms of the longest time, so
@@ -107,7 +107,7 @@
     assert taken_for_returns(least, counted) < MISTAKEN
 
 
-def test_those_that_may_return_are_not_learned_from(alike):
+def test_deadlines_of_possible_retries_are_not_learned(alike):
     alike.note_turned_away(10.0)
     for _ in range(200):
         alike.judge('r', 5600, 10.5)
@@ -118,7 +118,7 @@
     assert alike.judge('r', 5600, now) == Judgement(is_undecided=True)
 
 
-def test_each_route_has_times_of_its_own(alike):
+def test_each_route_has_its_own_deadlines(alike):
     assert alike.judge('other', 2500, 1.0) == Judgement()
 
 
@@ -128,19 +128,19 @@
     assert len(alike.deadlines_by_route) == MAX_ROUTES
 
 
-def test_a_few_odd_ones_do_not_hide_who_comes_back():
+def test_a_few_outliers_do_not_hide_retries():
     made = learned([6080] * 60 + [900, 1500])
     assert made.judge('r', 5500, 1.0).elapsed_ms == 580
 
 
-def test_what_was_turned_away_is_known_by_what_it_says():
+def test_a_request_turned_away_is_recognised_by_its_fingerprint():
     table = TurnedAwayRequests()
     table.note(b'a', 0, 10.0)
     assert table.elapsed_ms(b'a', 10.4) == pytest.approx(400, abs=1)
     assert table.elapsed_ms(b'b', 10.4) is None
 
 
-def test_the_first_try_counts_however_often_it_was_turned_away():
+def test_the_time_counts_from_the_first_try_after_several_rejections():
     table = TurnedAwayRequests()
     table.note(b'a', 0, 10.0)
     table.note(b'a', 500, 10.5)
@@ -149,7 +149,7 @@
     assert table.elapsed_ms(b'a', 11.0) == pytest.approx(1000, abs=1)
 
 
-def test_old_ones_are_forgotten_and_their_number_is_bounded():
+def test_old_rejections_are_forgotten_and_their_number_is_bounded():
     table = TurnedAwayRequests()
     table.note(b'old', 0, 0.0)
     for number in range(MAX_REMEMBERED + 10):
@@ -162,7 +162,7 @@
 
 
 @pytest.mark.parametrize('least', [1.0, 0.85])
-def test_under_lasting_load_no_less_is_in_time_for_not_being_told_who_returns(least):
+def test_under_lasting_load_detected_retries_cost_no_requests_in_time(least):
     """
     Callers that begin with 0.85 to all of the usual time, at 1.2 times what the engines
     carry. Those who came back were told from first tries by the longest time seen: 0.54 in
--- a/tests/test_incarnation_status.py
+++ b/tests/test_incarnation_status.py
@@ -24,7 +24,7 @@
     return made
 
 
-def test_nothing_is_known_at_first():
+def test_the_status_is_unknown_at_first():
     broken = server()
     broken.answered = {None: BROKE_AT - 1}
     broken.last_received_at = BROKE_AT + READ_DELAY_S / 2
@@ -33,12 +33,12 @@
 
 
 @pytest.mark.parametrize('other', [server('i-2'), server(incarnation=2)])
-def test_it_ended_once_another_lives_at_its_place(other):
+def test_it_has_ended_once_another_instance_or_incarnation_replaces_it(other):
     other.last_received_at = BROKE_AT + 1
     assert determine_status(server(), BROKE_AT, [other]) is IncarnationStatus.ENDED
 
 
-def test_it_ended_once_it_is_replaced():
+def test_it_has_ended_once_it_is_marked_replaced():
     broken = server()
     broken.replaced = True
     assert determine_status(broken, BROKE_AT) is IncarnationStatus.ENDED
@@ -53,7 +53,7 @@
     ],
 )
 @pytest.mark.parametrize('lease_ran_out_between', [False, True])
-def test_it_lives_on_where_something_came_from_it_that_was_sent_later(heard, lease_ran_out_between):
+def test_it_lives_on_if_data_sent_later_was_received(heard, lease_ran_out_between):
     broken = server()
     known = server() if lease_ran_out_between else broken
     for name, value in heard.items():
@@ -61,7 +61,7 @@
     assert determine_status(broken, BROKE_AT, [known]) is IncarnationStatus.LIVES
 
 
-def test_it_lives_on_where_its_lease_outlasts_what_leases_do():
+def test_it_lives_on_if_its_lease_outlasts_the_usual_expiry():
     """
     An entry that sent nothing there meanwhile counted an end 7.7 s after an answer broke off.
 
@@ -73,7 +73,7 @@
     assert determine_status(broken, BROKE_AT, [], later + 0.1) is IncarnationStatus.UNKNOWN
 
 
-def test_reports_say_nothing_of_a_back_end_whose_start_is_not_told():
+def test_reports_are_no_evidence_for_a_back_end_without_incarnation():
     broken = server(incarnation=0)
     broken.reported_at = BROKE_AT + REPORT_LAG_S * 2
     assert determine_status(broken, BROKE_AT) is IncarnationStatus.UNKNOWN
--- a/tests/test_limit_shares.py
+++ b/tests/test_limit_shares.py
@@ -43,13 +43,13 @@
 
 
 @pytest.mark.parametrize('entries', [1, 6])
-def test_a_few_entries_with_many_callers_use_the_limit(entries):
+def test_a_few_entries_with_many_callers_use_up_the_limit(entries):
     random = Random(entries)
     sent = play(Shares(2.0, entries, random), 2.0, entries, 20.0, random)
     assert len(sent) >= 0.9 * 2.0 * 60
 
 
-def test_a_back_end_that_takes_nothing_is_asked_now_and_then():
+def test_a_back_end_with_limit_0_is_still_sent_a_few_requests():
     share = LimitShare(Random(1), 0.0, 100.0)
     sent = sum(share.consume(100 + step * 0.1, 1) for step in range(1000))
     assert sent == pytest.approx(MIN_PER_S * 100, abs=2)
@@ -90,14 +90,14 @@
 
 
 @pytest.mark.parametrize('engine', [None, ENGINE])
-def test_others_get_what_is_over_a_limit(table, clock, engine):
+def test_requests_over_a_limit_go_to_other_back_ends(table, clock, engine):
     name(table, 1, 0.2, clock.now)
     requirements = Requirements(SERVICE, engine, 0, 1, 900)
     assert {table.choose(requirements, set()).server.instance for _ in range(20)} == {'i-2'}
     assert table.closure(server(table, 1)).closure_reason is ClosureReason.LIMITED
 
 
-def test_a_limited_back_end_is_no_last_resort(table, clock):
+def test_a_limited_back_end_is_not_used_as_last_resort(table, clock):
     name(table, 1, 0.2, clock.now)
     name(table, 2, 0.2, clock.now)
     assert table.choose(Requirements(SERVICE), set()) is None
@@ -111,7 +111,7 @@
     assert [found.instance for found in table.freest_candidates(requirements, set())] == ['i-2']
 
 
-def test_only_an_answer_to_what_was_sent_since_ends_a_limit(table, clock):
+def test_only_an_answer_to_a_later_request_ends_a_limit(table, clock):
     named = name(table, 1, 2.0, clock.now - 0.1)
     assert [(change.signal, change.event) for change in named] == [
         (Signal.LIMIT, SignalEvent.BEGAN)
@@ -125,7 +125,7 @@
     assert table.closure(server(table, 1)) is None
 
 
-def test_a_limit_that_changes_leaves_what_is_saved(table, clock):
+def test_a_changed_limit_keeps_saved_requests(table, clock):
     name(table, 1, 6.0, clock.now)
     clock.now += 1.5
     assert table.closure(server(table, 1)) is None
@@ -136,7 +136,7 @@
     assert table.closure(server(table, 1)) is not None
 
 
-def test_one_daemon_tells_all_entries_when_a_limit_begins_and_ends(table, clock):
+def test_daemon_reports_begin_and_end_a_limit(table, clock):
     [(told, changes)] = table.apply_reports([report(1, 1, limit=0.5)])
     assert told.instance == 'i-1'
     assert [change.event for change in changes] == [SignalEvent.BEGAN]
@@ -150,13 +150,13 @@
     assert table.closure(server(table, 1)) is None
 
 
-def test_daemons_tell_of_engines_that_do_not_say_when_they_started(table, clock):
+def test_daemon_reports_apply_to_engines_without_incarnation(table, clock):
     table.apply_leases([lease(1, UNTOLD_INCARNATION), lease(2)])
     table.apply_reports([report(1, 1, 0.5, UNTOLD_INCARNATION)])
     assert table.closure(server(table, 1)) is not None
 
 
-def test_a_limit_is_of_one_incarnation(table, clock):
+def test_a_limit_applies_to_one_incarnation_only(table, clock):
     name(table, 1, 0.2, clock.now)
     table.apply_leases([lease(2)])
     table.apply_leases([lease(1), lease(2)])
@@ -167,7 +167,7 @@
     assert table.closure(server(table, 1)) is None
 
 
-def test_a_limit_that_changes_with_each_report_waits_for_the_next_feed():
+def test_a_slightly_changed_limit_waits_for_the_next_feed():
     first = report(1, 1, limit=2.0)
     assert not report(1, 2, limit=2.1).says_more_than(first)
     assert report(1, 2).says_more_than(first)
--- a/tests/test_load_queries.py
+++ b/tests/test_load_queries.py
@@ -99,7 +99,7 @@
     return Fleet()
 
 
-def test_the_engine_that_is_free_now_is_chosen_and_not_the_one_that_was(fleet):
+def test_the_engine_that_is_free_now_is_chosen_despite_old_reports(fleet):
     """
     Thirteen entries before four engines, at 1.2 times what these carry, had 0.52 of first
     tokens in time where a single entry that sees all its own choices had 0.69; with reports
@@ -115,7 +115,7 @@
     assert fleet.server(0).reported_unread == 9
 
 
-def test_nobody_is_asked_while_all_have_slots_to_spare(fleet):
+def test_no_daemon_is_asked_while_all_engines_have_spare_slots(fleet):
     fleet.clock.now += 0.1
     fleet.report(running=(3, 8, 9))
     assert curio.run(fleet.choose) == 'i-0'
@@ -146,7 +146,7 @@
     assert '10.0.0.1:10' in fleet.asked
 
 
-def test_a_daemon_that_answers_late_is_believed_and_passed_over(fleet):
+def test_a_late_answer_of_a_daemon_is_used_and_the_daemon_skipped(fleet):
     async def run():
         server = fleet.server(0)
         connection = fleet.peers.connections[InstanceId(server.daemon)]
@@ -164,7 +164,7 @@
     assert fleet.questions.questions.silent.is_silent('10.0.0.1:10')
 
 
-def test_a_daemon_that_gives_no_answer_is_passed_over(fleet):
+def test_a_daemon_without_an_answer_is_skipped(fleet):
     async def run():
         server = fleet.server(0)
 
@@ -179,7 +179,7 @@
     assert fleet.questions.questions.silent.is_silent('10.0.0.1:10')
 
 
-def test_a_connection_that_is_silent_for_good_is_closed_and_dialled_anew(fleet):
+def test_a_silent_connection_is_closed_and_dialled_again(fleet):
     """
     Open connections may go silent without a reset while new ones work. Questions on one were
     given up after some milliseconds and left it open, so its daemon was asked in vain until a
@@ -211,7 +211,7 @@
     assert fleet.dialled == ['10.0.0.1:10']
 
 
-def test_a_caller_waits_for_no_connection(fleet):
+def test_a_caller_does_not_wait_for_a_connection(fleet):
     del fleet.peers.connections[InstanceId('10.0.0.1:10')]
 
     async def run():
@@ -224,7 +224,7 @@
     assert '10.0.0.1:10' not in fleet.asked
 
 
-def test_what_is_told_of_the_next_engine_at_an_address_is_not_taken_for_this_one(fleet):
+def test_the_load_of_another_incarnation_is_ignored(fleet):
     fleet.loads['10.0.0.1:10'] = EngineLoad(True, 0, 0, 100, BORN + 500)
     curio.run(fleet.choose)
     assert fleet.server(0).reported == 8
@@ -253,7 +253,7 @@
     return EngineLoads(env, engine, lambda: answers)
 
 
-def test_the_engine_is_asked_once_for_all_who_ask_at_the_same_moment():
+def test_simultaneous_queries_ask_the_engine_once():
     engine, clock = Engine(), Clock()
     loads = loads_of(engine, clock)
 
@@ -269,7 +269,7 @@
     assert curio.run(loads.now).running == 7
 
 
-def test_of_an_engine_that_does_not_answer_nothing_is_told_and_nobody_waits():
+def test_an_engine_without_an_answer_yields_an_empty_load_at_once():
     assert curio.run(loads_of(Engine(None), Clock()).now) == EngineLoad()
     engine = Engine()
     assert curio.run(loads_of(engine, Clock(), answers=False).now) == EngineLoad()
--- a/tests/test_reports_of_earlier_incarnations.py
+++ b/tests/test_reports_of_earlier_incarnations.py
@@ -25,7 +25,7 @@
     )  # fmt: skip
 
 
-def test_a_new_engine_is_not_taken_to_serve_what_the_one_before_it_served():
+def test_a_new_engine_does_not_inherit_the_reported_versions_of_its_predecessor():
     clock = Clock()
     table = ServerTable(ZoneId('z1'), Random(1), clock)
     table.apply_leases([lease('i-old', 9, WHOLE)])
@@ -38,7 +38,7 @@
     assert table.choose(Requirements(ServiceName('s'), ENGINE), set()) is None
 
 
-def test_a_machine_whose_clock_began_anew_is_believed_again():
+def test_reports_are_applied_again_after_a_clock_reset():
     clock = Clock()
     table = ServerTable(ZoneId('z1'), Random(1), clock)
     table.apply_leases([lease('i-old', 9, WHOLE)])
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -38,7 +38,7 @@
     return Organisation(OrganisationId(name), keys, priority)
 
 
-def test_a_good_document_has_no_problems():
+def test_a_valid_document_has_no_problems():
     assert find_problems(document(route(), organisations=[organisation('a', 'k')])) == []
 
 
@@ -53,7 +53,7 @@
         (document(organisations=[organisation('a', 'k'), organisation('b', 'k')]), 'share a key'),
     ],
 )
-def test_what_makes_a_document_unacceptable(bad, says):
+def test_invalid_documents_are_rejected_with_a_reason(bad, says):
     assert any(says in problem for problem in find_problems(bad))
 
 
@@ -65,7 +65,7 @@
     assert table.find('other', '/a/') is None
 
 
-def test_an_organisation_has_its_keys_and_its_rank():
+def test_organisations_are_found_by_key_and_determine_the_rank():
     first = organisation('a', 'k', 'l', priority=0)
     table = RouteTable(document(route(), organisations=[first]))
     assert table.organisation_of_key('l') is first
@@ -74,7 +74,7 @@
     assert priority_of(route(), organisation('b')) == 1
 
 
-def test_only_safe_routes_and_resumable_streams_may_run_again():
+def test_only_safe_routes_and_resumable_streams_are_repeatable():
     assert route(kind=RouteKind.SAFE).repeatable
     assert not route(kind=RouteKind.UNSAFE, resumable=True).repeatable
     assert not route(kind=RouteKind.STREAMING).repeatable
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -40,19 +40,19 @@
     return found.instance if found else None
 
 
-def test_the_least_loaded_of_the_own_zone():
+def test_the_least_loaded_endpoint_of_the_own_zone_is_chosen():
     assert pick([backend('a', mine=2), backend('b', mine=1), backend('c', THERE)]) == 'b'
 
 
-def test_spills_over_before_the_own_zone_is_overfull():
+def test_another_zone_is_used_once_the_own_zone_is_full():
     assert pick([backend('a', mine=4), backend('c', THERE, mine=3)]) == 'c'
 
 
-def test_goes_on_at_home_when_all_are_full():
+def test_the_own_zone_is_used_if_all_zones_are_full():
     assert pick([backend('a', mine=4), backend('c', THERE, mine=6)]) == 'a'
 
 
-def test_never_one_that_was_tried_leaves_or_is_suspect():
+def test_tried_leaving_and_suspected_endpoints_are_not_chosen():
     backends = [backend('a'), backend('b', leaving=True), backend('c', suspect_until=2.0)]
     assert pick(backends, tried=['a']) is None
     assert pick(backends, tried=['a'], now=3.0) == 'c'
@@ -66,7 +66,7 @@
     assert pick([full], ONE, now=3.0) == 'a'
 
 
-def test_a_lagging_report_is_corrected_by_what_was_sent_since():
+def test_a_report_is_corrected_by_requests_sent_since():
     one = backend('a', mine=2)
     one.apply_report(3, 4)
     assert one.occupied == 3
@@ -76,7 +76,7 @@
     assert one.occupied == 1
 
 
-def test_prompts_alike_go_to_one_endpoint_until_it_is_loaded():
+def test_equal_prompts_go_to_one_endpoint_until_it_is_loaded():
     names = [backend(str(number)) for number in range(6)]
     first = pick(names, affinity='org/prompt')
     assert {pick(names, affinity='org/prompt') for _ in range(5)} == {first}
@@ -97,7 +97,7 @@
     return [waiter.has_slot for waiter in waiters]
 
 
-def test_a_flood_waits_behind_itself():
+def test_a_flood_delays_only_its_own_organisation():
     async def run():
         line = queue()
         flood = await join(line, ONE, ONE, ONE, ONE, ONE)
@@ -111,7 +111,7 @@
     assert sum(flood) == 1
 
 
-def test_shares_weigh_the_turns():
+def test_slots_are_granted_by_share():
     async def run():
         line = queue(slots=1, waiting=100, shares={ONE: 3})
         (running,) = await join(line, TWO)
@@ -125,7 +125,7 @@
     assert curio.run(run) == 6
 
 
-def test_refuses_at_once_what_would_come_too_late():
+def test_requests_that_would_wait_too_long_are_refused_at_once():
     async def run():
         line = queue(slots=1, waiting=100)
         line.service_time_s = 1.0
@@ -137,7 +137,7 @@
     assert hasty == 3000
 
 
-def test_places_in_line_are_shared():
+def test_queue_places_are_shared():
     async def run():
         line = queue(slots=1, waiting=4)
         await join(line, TWO, TWO, ONE, ONE, ONE)
@@ -187,7 +187,7 @@
         (Reason.TOO_LARGE, Verdict.MAY_HAVE_RUN, True, False),
     ],
 )
-def test_retries_go_by_verdict_and_reason(reason, verdict, repeatable, again):
+def test_retries_depend_on_verdict_and_reason(reason, verdict, repeatable, again):
     assert may_retry(Refusal(reason, verdict), repeatable) is again
 
 
--- a/tests/test_routing_model.py
+++ b/tests/test_routing_model.py
@@ -22,7 +22,7 @@
 SHAPE = FleetShape('six', 6, 16, 7)
 
 
-def test_an_engine_runs_no_more_than_its_slots_and_ends_all():
+def test_an_engine_fills_at_most_its_slots_and_completes_all_requests():
     agenda = Agenda()
     engine = EngineModel(agenda, ENGINE)
     firsts, ended = [], []
@@ -42,7 +42,7 @@
     assert not engine.busy
 
 
-def test_prompts_before_it_delay_a_first_token():
+def test_earlier_prompts_delay_a_first_token():
     def first_at(before):
         agenda = Agenda()
         engine = EngineModel(agenda, ENGINE)
@@ -57,14 +57,14 @@
 
 
 @pytest.mark.parametrize('table', [RandomBook, RoundRobinBook])
-def test_more_first_tokens_are_in_time_than_without_a_look_at_the_load(table):
+def test_more_first_tokens_are_in_time_than_with_load_blind_choices(table):
     rate = SHAPE.capacity * 1.2
     built = RoutingModel(SHAPE, ServerTable, rate, 1).run(10.0)
     plain = RoutingModel(SHAPE, table, rate, 1).run(10.0)
     assert built.share('in time') > 1.5 * plain.share('in time')
 
 
-def test_under_lasting_load_slots_go_to_those_who_can_be_in_time():
+def test_under_lasting_load_slots_go_to_requests_that_can_be_in_time():
     load = SHAPE.capacity * 1.2
     counted = sum(
         (RoutingModel(SHAPE, ServerTable, load, seed).run(10.0).counts for seed in range(3)),
@@ -80,13 +80,13 @@
     assert found.share('in time') > 0.5
 
 
-def test_a_seed_gives_the_same_run():
+def test_equal_seeds_give_equal_runs():
     runs = [RoutingModel(SHAPE, ServerTable, 50.0, 3).run(6.0) for _ in range(2)]
     assert runs[0] == runs[1]
     assert runs[0].counts['asked'] > 100
 
 
-def test_on_a_fleet_of_many_entries_the_age_of_loads_binds():
+def test_in_large_fleets_fresher_load_reports_help():
     """
     What binds at this size, for whoever looks for the next gain: 0.59 of first tokens in
     time with loads told each 0.15 s, 0.66 where the own zone's are told each 0.05 s.
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -78,27 +78,27 @@
     return choice.server.instance if choice else None
 
 
-def test_a_back_end_that_leaves_gets_nothing(table):
+def test_a_draining_back_end_gets_no_requests(table):
     table.apply_leases([lease(1), lease(2)])
     dropped = table.apply_leases([lease(1, state=LeaseState.DRAINING), lease(2)])
     assert [server.instance for server in dropped] == ['i-1']
     assert {chosen(table) for _ in range(20)} == {'i-2'}
 
 
-def test_none_is_asked_twice(table):
+def test_no_back_end_is_tried_twice(table):
     table.apply_leases([lease(1), lease(2)])
     assert chosen(table, tried=['i-1']) == 'i-2'
     assert chosen(table, tried=['i-1', 'i-2']) is None
 
 
-def test_a_failing_back_end_is_left_alone_unless_there_is_no_other(table, clock):
+def test_a_failing_back_end_is_avoided_unless_there_is_no_other(table, clock):
     table.apply_leases([lease(1), lease(2)])
     table.servers[InstanceId('i-1')].note_failure(clock.now)
     assert {chosen(table) for _ in range(20)} == {'i-2'}
     assert chosen(table, tried=['i-2']) == 'i-1'
 
 
-def test_suspicion_grows_and_has_an_end(table, clock):
+def test_suspicion_grows_up_to_a_bound_and_ends(table, clock):
     table.apply_leases([lease(1)])
     server = table.servers[InstanceId('i-1')]
     for _ in range(9):
@@ -109,19 +109,19 @@
     assert server.suspect_until < clock.now + MAX_SUSPICION_S
 
 
-def test_an_engine_without_all_layers_of_a_good_version_is_none(table):
+def test_an_engine_needs_all_layers_of_an_acceptable_version(table):
     requirements = Requirements(SERVICE, ENGINE, least_version=2)
     table.apply_leases([lease(1, version=1), lease(2, version=2, end=8), lease(3, version=2)])
     assert {chosen(table, requirements) for _ in range(20)} == {'i-3'}
 
 
-def test_an_engine_that_changes_gets_nothing(table):
+def test_an_engine_that_changes_version_gets_no_requests(table):
     table.apply_leases([lease(1), lease(2)])
     table.apply_reports([report(1, changing_to=2), report(2)])
     assert {chosen(table, Requirements(SERVICE, ENGINE)) for _ in range(20)} == {'i-2'}
 
 
-def test_a_report_counts_once_and_old_heartbeats_do_not_undo_it(table):
+def test_a_report_is_applied_once_and_not_undone_by_old_heartbeats(table):
     table.apply_leases([lease(1)])
     newer = (ServedVersion('m', 2, 0, 16),)
     table.apply_reports([report(1, served=newer, running=5)])
@@ -133,7 +133,7 @@
     assert server.newest_complete_version(16) == 2
 
 
-def test_the_emptier_engine_is_taken(table):
+def test_the_less_loaded_engine_is_chosen(table):
     table.apply_leases([lease(1), lease(2)])
     table.apply_reports([report(1, running=16, queued=4), report(2, running=3)])
     assert {chosen(table, Requirements(SERVICE, ENGINE, 0, 0, 900)) for _ in range(20)} == {'i-2'}
@@ -150,7 +150,7 @@
     assert first_token_ms(ENGINE, prompt, occupied, unread, service_s, 2.0) > now
 
 
-def test_a_full_engine_makes_wait_for_a_slot():
+def test_a_full_engine_adds_the_wait_for_a_slot():
     free = first_token_ms(ENGINE, 900, 15, 0, 1.6, 1.0)
     full = first_token_ms(ENGINE, 900, 16, 0, 1.6, 1.0)
     assert full - free == pytest.approx(100)
@@ -179,21 +179,21 @@
     return [lease(1, version=version, end=8), lease(2, version=version, first=8)]
 
 
-def test_two_engines_that_hold_all_layers_between_them_are_a_path(table):
+def test_two_engines_that_together_hold_all_layers_form_a_path(table):
     table.apply_leases(halves())
     choice = table.choose(Requirements(SERVICE, ENGINE, 2, 2, 900), set())
     assert [server.instance for server in choice.servers] == ['i-1', 'i-2']
     assert (choice.path.split, choice.version(16)) == (8, 2)
 
 
-def test_there_is_no_path_of_two_versions_nor_of_one_that_is_about_to_end(table):
+def test_paths_need_one_version_that_is_the_newest(table):
     table.apply_leases([lease(1, version=2, end=8), lease(2, version=3, first=8)])
     assert table.choose(Requirements(SERVICE, ENGINE, 0, 2, 900), set()) is None
     table.apply_leases(halves())
     assert table.choose(Requirements(SERVICE, ENGINE, 0, 3, 900), set()) is None
 
 
-def test_a_path_needs_both_of_its_parts(table, clock):
+def test_a_path_needs_both_of_its_engines(table, clock):
     table.apply_leases(halves())
     requirements = Requirements(SERVICE, ENGINE, 2, 2, 900)
     assert table.choose(requirements, {InstanceId('i-2')}) is None
@@ -211,7 +211,7 @@
     ]
 
 
-def test_lateness_is_learned_and_fades_when_nothing_tells_of_it(table, clock):
+def test_lateness_is_learned_and_decays_without_new_tokens(table, clock):
     table.apply_leases([lease(1)])
     server = table.servers[InstanceId('i-1')]
     requirements = Requirements(SERVICE, ENGINE, 0, 0, 900)
@@ -224,14 +224,14 @@
     assert table.choose(requirements, set()).first_token_ms < usual + 10
 
 
-def test_a_slow_engine_is_passed_over_after_one_late_token(table):
+def test_a_slow_engine_is_avoided_after_one_late_token(table):
     table.apply_leases([lease(1), lease(2)])
     table.note_first_token(table.servers[InstanceId('i-1')], 2000)
     requirements = Requirements(SERVICE, ENGINE, 0, 0, 900)
     assert {chosen(table, requirements) for _ in range(20)} == {'i-2'}
 
 
-def test_what_can_not_go_on_elsewhere_goes_to_an_engine_that_does_not_change_soon(table):
+def test_a_last_send_prefers_an_engine_that_does_not_change_version_soon(table):
     table.apply_leases([lease('old', version=1), lease('new', zone='z2', version=2)])
     chosen = {
         table.choose(
@@ -248,7 +248,7 @@
     assert 'i-old' in chosen
 
 
-def test_a_slow_back_end_gets_nothing_that_would_begin_after_its_version_ends(table, clock):
+def test_a_slow_engine_gets_no_request_that_would_begin_after_its_version_ends(table, clock):
     table.apply_leases([lease('quick'), lease('slow')])
     for _ in range(5):
         table.note_first_token(table.servers[InstanceId('i-slow')], 800.0)
@@ -261,7 +261,7 @@
 
 
 @pytest.mark.parametrize(('begun', 'taken'), [(0, 4), (1, 5), (2, 14), (3, 23)])
-def test_of_a_rush_the_others_are_taken_to_have_their_part(table, clock, begun, taken):
+def test_in_a_rush_other_entries_are_assumed_to_send_as_many(table, clock, begun, taken):
     table.apply_leases([lease(1)])
     table.apply_reports([report(1, running=4)])
     server = table.servers[InstanceId('i-1')]
@@ -269,14 +269,14 @@
     assert server.likely_occupied(clock.now, 9) == taken
 
 
-def test_without_a_report_the_others_are_taken_to_have_as_many(table, clock):
+def test_without_a_report_other_entries_are_assumed_to_have_as_many_requests(table, clock):
     table.apply_leases([lease(1)])
     server = table.servers[InstanceId('i-1')]
     server.mine = 2
     assert server.likely_occupied(clock.now, 9) == 18
 
 
-def test_the_freest_engines_are_looked_at_while_many_slots_are_free(table):
+def test_the_freest_engines_are_considered_while_many_slots_are_free(table):
     """
     Three engines of eight are full, by chance those that were compared: 57 of 128 slots. With
     72 of 128 taken there are none to spare, and who is turned away is turned away at once.
@@ -294,6 +294,6 @@
     assert table.freest_candidates(requirements, set()) == []
 
 
-def test_a_plain_service_has_no_freest_engines(table):
+def test_a_service_without_engines_has_no_freest_engines(table):
     table.apply_leases([lease(1)])
     assert table.freest_candidates(Requirements(SERVICE), set()) == []
--- a/tests/test_shared_budget.py
+++ b/tests/test_shared_budget.py
@@ -116,7 +116,7 @@
         ('calm', 8, True),
     ]
 )
-def test_restarts_and_cuts_never_take_the_entries_beyond_the_budget(days):
+def test_restarts_and_partitions_never_exceed_the_budget(days):
     fleet = Fleet()
     for _ in range(CALM_TICKS):
         fleet.tick(spends=False)
--- a/tests/test_suspicions.py
+++ b/tests/test_suspicions.py
@@ -68,7 +68,7 @@
 
 @settings(deadline=None)
 @given(STEPS)
-def test_all_agree_once_each_has_told_what_it_knows(steps):
+def test_all_processes_agree_after_exchanging_suspicions(steps):
     async def run():
         processes = [Suspects(Clock()) for _ in range(3)]
 
@@ -105,7 +105,7 @@
     assert again == suspected(1)
 
 
-def test_ends_count_by_sequence_and_each_incarnation_once():
+def test_only_successive_ends_count_and_each_incarnation_once():
     now = suspected()
     assert count_ends(Suspicion(FINGERPRINT), now, IncarnationKey('i-0/1')) == 1
     assert count_ends(suspected(2), now, IncarnationKey('i-2/1')) == MIN_ENDS_AT_FAULT
@@ -115,13 +115,13 @@
     assert count_ends(suspected(0).with_end(), now, IncarnationKey('i-2/1')) == 2
 
 
-def test_one_that_lives_on_is_suspected_no_more():
+def test_a_request_is_cleared_by_a_back_end_that_lives_on():
     left = suspected().with_end().without(IncarnationKey('i-1/1'))
     assert suspicion_level_of(left) is SuspicionLevel.FREE
     assert (left.epoch, left.ends, left.broken) == (1, 1, ('i-0/1', 'i-2/1'))
 
 
-def test_what_nobody_was_told_is_withdrawn_without_a_trace():
+def test_an_unpublished_suspicion_is_withdrawn_without_a_trace():
     async def run():
         suspects = Suspects(Clock())
         suspects.note_privately(suspected(1))
@@ -138,7 +138,7 @@
     curio.run(run)
 
 
-def test_where_records_are_many_those_that_suspect_nothing_go_first():
+def test_records_without_suspicion_are_dropped_first():
     async def run():
         suspects = Suspects(Clock())
         await suspects.note(suspected())
@@ -149,7 +149,7 @@
     curio.run(run)
 
 
-def test_a_suspected_request_is_tried_once_in_a_while_and_by_few_entries():
+def test_trials_of_a_suspected_request_are_rare_across_all_entries():
     clock = Clock()
     entries = 20
     trials = [
@@ -165,7 +165,7 @@
     assert len(begun) <= MOST_TRIALS_A_S * LONG_S
 
 
-def test_what_is_learned_of_a_request_puts_its_trial_off():
+def test_news_about_a_request_postpones_its_trial():
     clock = Clock()
     trials = TrialSchedule(random.Random(1), clock, lambda: 1)
     assert not trials.begin(suspected())
@@ -177,7 +177,7 @@
     assert not trials.begin(suspected(MIN_ENDS_AT_FAULT + 1))
 
 
-def test_an_allowance_is_there_again_after_its_time():
+def test_an_allowance_is_restored_after_its_window():
     allowance = Allowance(2, 10)
     assert [allowance.spend(now) for now in (0, 1, 2, 10.5, 10.6, 12)] == [
         True,
@@ -227,7 +227,7 @@
 
 
 @pytest.mark.parametrize('fate', [IncarnationStatus.ENDED, IncarnationStatus.LIVES])
-def test_a_request_is_suspected_until_the_fates_of_its_back_ends_are_known(fate):
+def test_a_request_is_suspected_until_the_status_of_its_back_ends_is_known(fate):
     async def run():
         broken = Broken()
         for number in range(MIN_ENDS_AT_FAULT):
@@ -243,7 +243,7 @@
     curio.run(run)
 
 
-def test_back_ends_of_which_nothing_is_heard_count_as_living(monkeypatch):
+def test_back_ends_of_unknown_status_count_as_living(monkeypatch):
     monkeypatch.setattr(ends_module, 'WATCHED_S', 0.1)
 
     async def run():
@@ -256,7 +256,7 @@
     curio.run(run)
 
 
-def test_ends_at_one_moment_count_as_one_and_are_suspected():
+def test_simultaneous_ends_count_as_one_and_raise_suspicion():
     """
     As in a loss of power: each was sent there before anything was known.
 
@@ -278,7 +278,7 @@
     curio.run(run)
 
 
-def test_a_back_end_that_answers_others_may_end_after_a_caller_left():
+def test_a_back_end_that_still_answers_may_end_after_a_caller_left():
     """
     Its answers tell nothing then: it may go on with the request of the one that left.
 
--- a/tests/test_wait_for_first_document.py
+++ b/tests/test_wait_for_first_document.py
@@ -33,7 +33,7 @@
     return made.env.monotonic() - began
 
 
-def test_a_caller_waits_until_there_is_something_to_serve_with():
+def test_a_caller_waits_for_the_first_document():
     async def run():
         made = admission()
         waiting = await curio.spawn(made.until_begun, caller(6000))
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize(('deadline_ms', 'most_s'), [(400, 0.1), (60_000, 0.2)])
-def test_it_waits_for_no_more_than_a_part_of_its_time_and_of_the_beginning(
+def test_the_wait_is_bounded_by_the_deadline_and_the_startup_period(
     monkeypatch, deadline_ms, most_s
 ):
     monkeypatch.setattr(admissions, 'BEGINNING_S', 0.2)
@@ -62,7 +62,7 @@
     curio.run(run)
 
 
-def test_later_nobody_waits(monkeypatch):
+def test_no_caller_waits_after_the_startup_period(monkeypatch):
     monkeypatch.setattr(admissions, 'BEGINNING_S', 0.0)
 
     async def run():
@@ -79,7 +79,7 @@
     return RouteTable(Document(1, (route,), (Service(ServiceName('s'), 4),), ()))
 
 
-def test_what_a_caller_waited_is_taken_from_its_time():
+def test_the_wait_is_subtracted_from_the_deadline():
     # The deadline was counted from the end of the wait, so that back ends were handed up to
     # a quarter more time than the caller had left: 1500 ms of 1500 after a wait of 375.
     made = admission()
