--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,5 +1,5 @@
 """
-Whether a request is worth sending to the back end that was chosen for it.
+Admission: whether a request is sent to the back end that was chosen for it.
 
 """
 
@@ -62,9 +62,9 @@
     ('is_undecided', 'expected_ms', 'running', 'hinges'),
     [
         (True, 100, 14, True),
-        # Its time has told.
+        # Its deadline has decided already.
         (False, 100, 14, False),
-        # It is sent in any case, or in none.
+        # It is sent, or refused, in either case.
         (True, 100, 3, False),
         (True, 5000, 14, False),
     ],
--- a/tests/test_choice_in_large_fleets.py
+++ b/tests/test_choice_in_large_fleets.py
@@ -1,6 +1,6 @@
 """
-The choice of an engine where there are many: what it looks at does not grow with the fleet,
-and it takes none that a look at all of them would not.
+The choice of an engine from a sample in large fleets: the number of examined engines does not
+grow with the fleet, and no engine is chosen that a full scan would exclude.
 
 """
 
@@ -69,9 +69,9 @@
 @pytest.mark.parametrize(('engines', 'entries'), [(60, 1), (60, 3), (200, 8), (2800, 380)])
 def test_every_engine_is_used_by_some_entry(engines, entries):
     """
-    An entry keeps to some of many engines, as it has a connection to the daemon beside each.
-    One entry before 60 engines kept to 28 of them, and 0.44 of its callers were refused on the
-    model at 0.9 times what the engines carry.
+    An entry uses only some of many engines, as it has a connection to the daemon beside each.
+    A single entry used only 28 of 60 engines, and in the model refused 0.44 of its callers at
+    0.9 times the capacity of the engines.
 
     """
     drawn = Counter()
--- a/tests/test_closed_back_ends.py
+++ b/tests/test_closed_back_ends.py
@@ -1,5 +1,5 @@
 """
-Back ends that are not sent to by their own word, and when they are again.
+Back ends that close themselves by backpressure signals, and when they open again.
 
 """
 
@@ -63,7 +63,7 @@
 @pytest.mark.parametrize('engine', [None, ENGINE])
 def test_neither_heartbeats_nor_answers_reopen_a_leaving_back_end(table, clock, engine):
     assert [change.event for change in answer(table, 1, LEAVES)] == [SignalEvent.BEGAN]
-    # Its answer to a request that was sent before.
+    # Its answer to a request that was sent earlier.
     clock.now += 1
     answer(table, 1, NO_BACKPRESSURE)
     table.apply_reports([report(1, 1)])
@@ -78,7 +78,7 @@
     answer(table, 1, LEAVES)
     table.apply_leases([lease(1, LATER), lease(2)])
     assert closed_for(table, 1) is None
-    # What the daemon still tells is of the one before.
+    # The daemon's report still describes the previous incarnation.
     table.apply_reports([report(1, 1, leaving=True)])
     assert closed_for(table, 1) is None
 
@@ -97,8 +97,7 @@
 
 def test_a_daemon_report_about_the_previous_engine_is_corrected_by_the_next(table):
     """
-    Where engines do not say when they started, a report may be of the one that was at the
-    address before.
+    If engines have no incarnation, a report may describe the previous engine at the address.
 
     """
     table.apply_leases([lease(1, UNTOLD_INCARNATION), lease(2)])
--- a/tests/test_engines_without_daemon_reports.py
+++ b/tests/test_engines_without_daemon_reports.py
@@ -1,11 +1,10 @@
 """
-The end of a version at an engine whose daemon is gone.
+The end of a version at an engine whose daemon sends no reports.
 
-Entries stop sending to a version a while before its end, but a request was seen to begin 1.1 s
-after it was sent, behind a slow link. The daemon beside the engine takes the version away
-in time; one that was killed, or stands still, does not, and a request sent 0.9 s before the
-end began 0.2 s after it. Its reports stop: an entry that has none for a while counts on nobody
-there.
+Entries stop sending to a version some time before its end, but over a slow link a request began
+1.1 s after it was sent. The daemon beside the engine withdraws the version in time. A killed or
+frozen daemon does not, and a request sent 0.9 s before the end began 0.2 s after it. As reports
+stop in this case, an entry without recent reports uses a longer margin.
 
 """
 
@@ -28,8 +27,8 @@
 
 def last_sent_before(end_s, daemon_silent_s):
     """
-    How long before the end of version 1 the last request is sent to an engine that serves it,
-    in seconds, of requests that come every 10 ms.
+    The time between the last request sent to an engine that serves version 1 and the end of that
+    version, in seconds. Requests come every 10 ms.
 
     """
     clock = Clock()
@@ -65,8 +64,8 @@
 
 def test_an_entry_without_any_daemon_report_sends_no_late_request():
     """
-    The daemon fell silent before this entry started, and never reported here: a request was sent
-    0.77 s before the end of its version, and behind a slow link could have begun after it.
+    The daemon fell silent before this entry started, so the entry never had a report. It sent a
+    request 0.77 s before the end of its version, which over a slow link could begin after it.
 
     """
     clock = Clock()
--- a/tests/test_first_tries.py
+++ b/tests/test_first_tries.py
@@ -1,5 +1,5 @@
 """
-Telling a caller's first try from one that comes back.
+Telling a caller's first try from a retry.
 
 """
 
@@ -17,8 +17,8 @@
 from millfork_scheduling.turned_away import MAX_REMEMBERED, REMEMBERED_S, TurnedAwayRequests
 from millfork_standins.bench.returning import SHIFTED, ReturningModel, Way
 
-# Of first tries, what may be taken for returns: seldom enough that no caller is refused for it
-# in calm.
+# The share of first tries that may be taken for retries: low enough that no caller is refused
+# because of it under low load.
 MISTAKEN = 0.002
 
 
@@ -47,8 +47,8 @@
 
 def test_with_different_deadlines_a_short_one_is_undecided(spread):
     """
-    Half of the first tries of such a fleet were taken for returns: their time left was
-    below 0 at once, and they were sent only to engines with slots to spare.
+    Half of the first tries of such a fleet were taken for retries: their remaining time was below
+    0 at once, and they were sent only to engines with spare slots.
 
     """
     for deadline_ms in range(5200, 5900, 50):
@@ -74,8 +74,8 @@
 
 def taken_for_returns(least, counted):
     """
-    The share of first tries taken for returns, of callers that begin with `least` to all of
-    the usual time, at entries of which each has judged as many of the route as `counted` says.
+    The share of first tries taken for retries. Callers begin with `least` to 1 times the usual
+    deadline; of the requests that each entry judges, those at the positions `counted` count.
 
     """
     taken = []
@@ -96,12 +96,12 @@
 def test_first_tries_with_different_deadlines_are_not_taken_for_retries(least, counted):
     """
     A caller was turned away while two thirds of the slots were free. Its entry had judged 14
-    requests of the route; six of them happened to lie within 120 ms of the longest time, so
-    callers seemed to begin alike, and the next, with 677 ms less, was taken for one that had
-    come back: no time was left to it. Any two times looked alike, so entries that had just
-    started and routes with little traffic took 0.074 of their first 20 first tries for returns
-    where callers begin with 0.85 to all of the usual time, and 0.269 with 0.95 to all. Of the
-    next 40 they took 0.012 where callers begin with half of it or more.
+    requests of the route; six of them happened to be within 120 ms of the longest deadline, so
+    callers seemed to share one deadline. The next, 677 ms shorter, was taken for a retry without
+    remaining time. Any two deadlines counted as equal. So entries that had just started, and
+    routes with little traffic, took 0.074 of their first 20 first tries for retries if callers
+    begin with 0.85 to 1 times the usual deadline, and 0.269 with 0.95 to 1 times. Of the next 40
+    they took 0.012 if callers begin with half of it or more.
 
     """
     assert taken_for_returns(least, counted) < MISTAKEN
@@ -144,7 +144,7 @@
     table = TurnedAwayRequests()
     table.note(b'a', 0, 10.0)
     table.note(b'a', 500, 10.5)
-    # Told of late, or by an entry that did not know of the first one.
+    # Reported late, or by an entry that did not know of the first try.
     table.note(b'a', 0, 10.6)
     assert table.elapsed_ms(b'a', 11.0) == pytest.approx(1000, abs=1)
 
@@ -164,9 +164,9 @@
 @pytest.mark.parametrize('least', [1.0, 0.85])
 def test_under_lasting_load_detected_retries_cost_no_requests_in_time(least):
     """
-    Callers that begin with 0.85 to all of the usual time, at 1.2 times what the engines
-    carry. Those who came back were told from first tries by the longest time seen: 0.54 in
-    time, 0.70 where it is known who they are.
+    Callers begin with 0.85 to 1 times the usual deadline, at 1.2 times the capacity of the
+    engines. When retries were told from first tries by the longest deadline seen, 0.54 of the
+    requests were in time, against 0.70 if the retries are known exactly.
 
     """
 
--- a/tests/test_incarnation_status.py
+++ b/tests/test_incarnation_status.py
@@ -1,5 +1,5 @@
 """
-What an entry can tell of a back end under which an answer broke off.
+Whether an entry takes a back end for ended or living after one of its answers broke off.
 
 """
 
@@ -63,7 +63,8 @@
 
 def test_it_lives_on_if_its_lease_outlasts_the_usual_expiry():
     """
-    An entry that sent nothing there meanwhile counted an end 7.7 s after an answer broke off.
+    An entry that sent no requests there in the meantime counted an end 7.7 s after an answer
+    broke off, though the back end lived on.
 
     """
     broken = server(incarnation=0)
--- a/tests/test_limit_shares.py
+++ b/tests/test_limit_shares.py
@@ -1,5 +1,5 @@
 """
-How entries keep, together, to a limit that a back end names.
+How all entries together keep to a rate limit that a back end announces.
 
 """
 
@@ -141,7 +141,7 @@
     assert told.instance == 'i-1'
     assert [change.event for change in changes] == [SignalEvent.BEGAN]
     assert table.closure(server(table, 1)) is not None
-    # Made before the engine named its limit, as it comes this soon.
+    # It arrives so soon that it was made before the engine announced its limit.
     clock.now += REPORT_LAG_S / 2
     table.apply_reports([report(1, 2)])
     assert table.closure(server(table, 1)) is not None
--- a/tests/test_load_queries.py
+++ b/tests/test_load_queries.py
@@ -1,5 +1,5 @@
 """
-What an entry asks the daemons beside engines before it chooses one.
+Queries for the load of engines, sent to the daemons beside them before one is chosen.
 
 """
 
@@ -25,14 +25,14 @@
 WHOLE = (ServedVersion('m', 1, 0, 16),)
 REQUIREMENTS = Requirements(SERVICE, ENGINE, 0, 1, 900)
 BORN = 1_700_000_000_000
-# Much longer than anybody is waited for.
+# Much longer than any wait for an answer.
 FOREVER_S = 5.0
 
 
 class Fleet:
     """
-    An entry and three engines of 16 slots, with a daemon beside each. Reports are old: they
-    say that the first has 8 requests, the others 12.
+    An entry and three engines of 16 slots, with a daemon beside each. The last reports are old:
+    they show 8 requests at the first engine and 12 at the others.
 
     """
 
@@ -49,7 +49,7 @@
             for number in range(3)
         )  # fmt: skip
         self.report(running=(8, 12, 12))
-        # What the daemons say, by their instance; None: nothing, ever.
+        # The answers of the daemons by instance; None: the daemon never answers.
         self.loads = {
             '10.0.0.1:10': EngineLoad(True, 16, 9, 100, BORN),
             '10.0.0.1:11': EngineLoad(True, 2, 0, 100, BORN),
@@ -101,12 +101,12 @@
 
 def test_the_engine_that_is_free_now_is_chosen_despite_old_reports(fleet):
     """
-    Thirteen entries before four engines, at 1.2 times what these carry, had 0.52 of first
-    tokens in time where a single entry that sees all its own choices had 0.69; with reports
-    each 0.02 s instead of 0.15 s they had 0.66, and with returns known exactly 0.52: what was
-    lost went to engines that others had filled since their reports. `Request ended` lines tell
-    the same: `first_ms=784 expected_ms=144 left_ms=405 occupied=15`. In 20 s of a fleet of six
-    engines 82 first tokens were late that were expected in time, and 55 once daemons were asked.
+    Thirteen entries with four engines, at 1.2 times their capacity, had 0.52 of first tokens in
+    time. A single entry, which knows all choices, had 0.69. With reports every 0.02 s instead of
+    0.15 s they had 0.66, and with retries known exactly 0.52. So the loss was due to engines that
+    other entries had filled since their reports. `Request ended` lines show the same:
+    `first_ms=784 expected_ms=144 left_ms=405 occupied=15`. In 20 s of a fleet of six engines 82
+    first tokens were late though expected in time, and 55 once daemons were asked.
 
     """
     assert curio.run(fleet.choose) == 'i-1'
@@ -124,8 +124,8 @@
 
 def test_a_daemon_that_does_not_answer_is_not_waited_for(fleet):
     """
-    Daemons stand still, are cut off, or send behind links full of weights. The others'
-    answers count all the same, and the silent one is not waited for with each request.
+    A daemon may be frozen, be cut off, or send over a link that is full of weights. The answers
+    of the others are used nevertheless, and later requests don't wait for the silent one.
 
     """
     fleet.loads['10.0.0.1:10'] = None
@@ -133,7 +133,7 @@
     async def run():
         async with curio.timeout_after(FOREVER_S / 2):
             await fleet.choose()
-        # It has not answered by now; what the entry does when the answer is overdue.
+        # The answer is overdue; this is the entry's reaction to that.
         fleet.questions.questions.silent.note('10.0.0.1:10')
         fleet.asked.clear()
         await fleet.choose()
@@ -181,9 +181,9 @@
 
 def test_a_silent_connection_is_closed_and_dialled_again(fleet):
     """
-    Open connections may go silent without a reset while new ones work. Questions on one were
-    given up after some milliseconds and left it open, so its daemon was asked in vain until a
-    ping found out, 13 s later.
+    Open connections may go silent without a reset while new ones work. Queries on such a
+    connection timed out after some milliseconds but left it open, so its daemon was asked in vain
+    until a ping failed, 13 s later.
 
     """
     connection = fleet.peers.connections[InstanceId('10.0.0.1:10')]
@@ -232,7 +232,7 @@
 
 class Engine:
     """
-    An engine that answers its daemon, and counts how often it is asked.
+    An engine that answers its daemon and counts the queries.
 
     """
 
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -1,5 +1,5 @@
 """
-Documents: what makes one unacceptable, and what a request's route is.
+Validation of configuration documents, and the look-up of routes.
 
 """
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,5 +1,5 @@
 """
-Choice of endpoint, fair queues, retries.
+Choice of an endpoint, fair queues and retries.
 
 """
 
--- a/tests/test_routing_model.py
+++ b/tests/test_routing_model.py
@@ -1,5 +1,5 @@
 """
-The model of engines that routing is measured on, and what routing gains there.
+The engine model of the routing benchmark, and the gain of routing on it.
 
 """
 
@@ -88,8 +88,8 @@
 
 def test_in_large_fleets_fresher_load_reports_help():
     """
-    What binds at this size, for whoever looks for the next gain: 0.59 of first tokens in
-    time with loads told each 0.15 s, 0.66 where the own zone's are told each 0.05 s.
+    The age of load reports limits large fleets: 0.59 of first tokens were in time with reports
+    every 0.15 s, and 0.66 with reports every 0.05 s within the own zone.
 
     """
     rate = LARGE.capacity * 1.2
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -1,5 +1,5 @@
 """
-Which back end gets a request, what is expected of it, and the shared budget.
+Choice of a back end, prediction of its first token, and the shared budget.
 
 """
 
@@ -278,8 +278,8 @@
 
 def test_the_freest_engines_are_considered_while_many_slots_are_free(table):
     """
-    Three engines of eight are full, by chance those that were compared: 57 of 128 slots. With
-    72 of 128 taken there are none to spare, and who is turned away is turned away at once.
+    Three of eight engines are full, by chance the sampled ones; 57 of 128 slots are occupied.
+    With 72 of 128 occupied there are none to spare, and callers are turned away at once.
 
     """
     running = {1: 16, 2: 16, 3: 16, 4: 2, 5: 3, 6: 4, 7: 0, 8: 0}
--- a/tests/test_shared_budget.py
+++ b/tests/test_shared_budget.py
@@ -1,9 +1,11 @@
 """
-Entries that were restarted three times within ten seconds, while servers turned four of
-five requests away, sent repeats beyond the budget of all: each new process had its whole
-part of the fixed allowance again, though the one before it had spent that already. While
-entries came back, and on either side of a cut, they also divided the allowance by the few
-entries that their replica knew of then, not by all that draw on it.
+The shared budget of repeats during restarts and partitions.
+
+Entries that were restarted three times within ten seconds, while servers turned four of five
+requests away, exceeded the shared budget: each new process had the entry's whole share of the
+fixed allowance again, though the previous one had spent it. While entries restarted, and on
+both sides of a partition, they also divided the allowance by the few entries that their replica
+knew then, not by all entries that use it.
 
 """
 
@@ -20,23 +22,23 @@
 WINDOW_S = 10.0
 ENTRIES = 40
 TICK_S = 0.5
-# What one entry gets in a tick, of which all but a fifth is turned away.
+# The requests that one entry receives in a tick; all but a fifth of them are turned away.
 REQUESTS = 3
-# After all restarted, replicas know of all entries again this much later.
+# After a restart of all entries, replicas know all of them again after this time.
 KNOWN_AGAIN_TICKS = 4
-# The fleet runs for this long before anything happens to it.
+# The fleet runs for this long before the first disturbance.
 CALM_TICKS = int(2 * WINDOW_S / TICK_S)
 
 
 class Fleet:
     """
-    Entries that share one budget, and what their back ends receive of them.
+    Entries that share one budget, and the requests and repeats that back ends receive from them.
 
     """
 
     def __init__(self):
         self.clock = Clock()
-        # What replicas tell of the number of entries.
+        # The number of entries that replicas report.
         self.told = ENTRIES
         self.unknown_ticks = 0
         self.budgets = [self.started(position) for position in range(ENTRIES)]
@@ -55,7 +57,7 @@
 
     def has_quorum(self, position):
         """
-        In a cut, every second entry is on the side that has a majority of the replicas.
+        In a partition, every second entry is on the side with a majority of the replicas.
 
         """
         is_cut = self.told in (ENTRIES // 2, ENTRIES // 3)
@@ -63,7 +65,7 @@
 
     def tick(self, spends):
         """
-        Half a second of traffic, and the promise.
+        Run half a second of traffic and check the budget.
 
         """
         self.clock.now += TICK_S
@@ -101,7 +103,7 @@
 )
 
 
-# An example runs 40 entries for up to half a minute of their time: 0.05 s to 0.7 s.
+# An example simulates 40 entries for up to half a minute, which takes 0.05 s to 0.7 s.
 @settings(deadline=None)
 @given(st.lists(st.tuples(TROUBLES, st.integers(1, 8), st.booleans()), max_size=8))
 @example([('calm', 8, True), ('all restart', 4, True), ('all restart', 4, True)])
--- a/tests/test_suspicions.py
+++ b/tests/test_suspicions.py
@@ -1,5 +1,6 @@
 """
-Requests whose answers broke off, before it is known whether their back ends ended.
+Suspicions against requests whose answers broke off, until it is known whether their back ends
+ended.
 
 """
 
@@ -191,7 +192,7 @@
 
 class Broken:
     """
-    Back ends under which the same request breaks off one after another.
+    Back ends at which the answers to the same request break off one after another.
 
     """
 
@@ -258,7 +259,7 @@
 
 def test_simultaneous_ends_count_as_one_and_raise_suspicion():
     """
-    As in a loss of power: each was sent there before anything was known.
+    As in a loss of power: each request was sent before any of the ends was known.
 
     """
 
@@ -280,7 +281,7 @@
 
 def test_a_back_end_that_still_answers_may_end_after_a_caller_left():
     """
-    Its answers tell nothing then: it may go on with the request of the one that left.
+    Its answers are no evidence then: it may still run the request of the caller that left.
 
     """
 
--- a/tests/test_wait_for_first_document.py
+++ b/tests/test_wait_for_first_document.py
@@ -1,5 +1,5 @@
 """
-An entry that starts: callers wait for its first document, not for ever.
+Callers of a starting entry wait for its first document, for a bounded time.
 
 """
 
@@ -80,8 +80,8 @@
 
 
 def test_the_wait_is_subtracted_from_the_deadline():
-    # The deadline was counted from the end of the wait, so that back ends were handed up to
-    # a quarter more time than the caller had left: 1500 ms of 1500 after a wait of 375.
+    # The deadline was counted from the end of the wait, so back ends got up to a quarter more
+    # time than the caller had left: 1500 ms of 1500 after a wait of 375.
     made = admission()
     made.table = route_table()
     came_at = made.env.monotonic() - 0.375
