--- a/packages/millfork-routing/millfork_routing/balance.py
+++ b/packages/millfork-routing/millfork_routing/balance.py
@@ -41,8 +41,8 @@
     zone: ZoneId
     limit: int = DEFAULT_LIMIT
     reported: int = 0
-    mine_at_report: int = 0
-    mine: int = 0
+    own_at_report: int = 0
+    own_requests: int = 0
     leaving: bool = False
     suspect_until: float = 0.0
     # The number of requests that its back end turned away in a row, when the last one was, and
@@ -62,7 +62,7 @@
         the requests that this entry has begun and ended since.
 
         """
-        return max(self.reported + self.mine - self.mine_at_report, self.mine)
+        return max(self.reported + self.own_requests - self.own_at_report, self.own_requests)
 
     @property
     def load(self) -> float:
@@ -106,7 +106,7 @@
         """
         self.reported = occupied
         self.limit = max(limit, 1)
-        self.mine_at_report = self.mine
+        self.own_at_report = self.own_requests
 
 
 def is_usable(backend: Backend, organisation: OrganisationId, now: float) -> bool:
--- a/packages/millfork-routing/millfork_routing/limits.py
+++ b/packages/millfork-routing/millfork_routing/limits.py
@@ -68,10 +68,10 @@
         """
         if self.running < self.slots:
             return 0.0
-        mine = len(self.queues.get(organisation, ())) + 1
+        queued = len(self.queues.get(organisation, ())) + 1
         shares = sum(self.share(name) for name in self.queues if name != organisation)
         own_share = self.share(organisation)
-        ahead = mine * (1 + shares / own_share)
+        ahead = queued * (1 + shares / own_share)
         ahead = min(ahead, self.waiting + 1)
         return ahead * self.service_time_s / self.slots
 
--- a/packages/millfork-scheduling/millfork_scheduling/server.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server.py
@@ -75,15 +75,15 @@
     """
     The requests running and queued at an engine, and its pace (above 1: slower than usual).
 
-    `mine` counts this entry's own requests there, `mine_unread` those without a first token.
+    `own_requests` counts this entry's own requests there, `own_unread` those without a first token.
 
     """
 
     running: int
     queued: int
     pace: float
-    mine: int
-    mine_unread: int
+    own_requests: int
+    own_unread: int
 
 
 @dataclass(slots=True, eq=False)
@@ -116,12 +116,12 @@
     # In large fleets an entry uses only the back ends with the lowest values, so always the same.
     draw_order: float = 0.0
     # This entry's own requests there, and those of them without a first token.
-    mine: int = 0
-    mine_unread: int = 0
+    own_requests: int = 0
+    own_unread: int = 0
     reported: int = 0
     reported_unread: int = 0
-    mine_at_report: int = 0
-    mine_unread_at_report: int = 0
+    own_at_report: int = 0
+    own_unread_at_report: int = 0
     pace: float = 1.0
     # The mean time of this entry's requests there, in seconds; None before the first has ended.
     service_s: float | None = None
@@ -164,8 +164,8 @@
         """
         self.reported = load.running + load.queued
         self.reported_unread = load.queued
-        self.mine_at_report = load.mine
-        self.mine_unread_at_report = load.mine_unread
+        self.own_at_report = load.own_requests
+        self.own_unread_at_report = load.own_unread
         self.pace = load.pace
         self.reported_at = now
 
@@ -180,9 +180,9 @@
 
         """
         if now - self.reported_at > REPORT_VALID_S:
-            return self.mine * entries
-        begun = self.mine - self.mine_at_report
-        return max(self.reported + begun * (entries if begun > 0 else 1), self.mine)
+            return self.own_requests * entries
+        begun = self.own_requests - self.own_at_report
+        return max(self.reported + begun * (entries if begun > 0 else 1), self.own_requests)
 
     def likely_occupied(self, now: float, entries: int) -> int:
         """
@@ -195,7 +195,7 @@
         """
         if now - self.reported_at > REPORT_VALID_S:
             return self.occupied(now, entries)
-        rush = max(self.mine - self.mine_at_report - 1, 0)
+        rush = max(self.own_requests - self.own_at_report - 1, 0)
         return self.occupied(now) + rush * (entries - 1)
 
     def unread(self, now: float, entries: int = 1) -> int:
@@ -204,9 +204,9 @@
 
         """
         if now - self.reported_at > REPORT_VALID_S:
-            return self.mine_unread * entries
-        begun = self.mine_unread - self.mine_unread_at_report
-        return max(self.reported_unread + begun * (entries if begun > 0 else 1), self.mine_unread)
+            return self.own_unread * entries
+        begun = self.own_unread - self.own_unread_at_report
+        return max(self.reported_unread + begun * (entries if begun > 0 else 1), self.own_unread)
 
     def first_token_ms(
         self, engine: EngineSpec, prompt_tokens: int, now: float, entries: int
--- a/packages/millfork-scheduling/millfork_scheduling/server_table.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server_table.py
@@ -160,7 +160,9 @@
                 self.changes += 1
             server.changing = changing
             server.daemon = state.instance
-            load = Load(state.running, state.queued, state.pace, server.mine, server.mine_unread)
+            load = Load(
+                state.running, state.queued, state.pace, server.own_requests, server.own_unread
+            )
             server.set_load(load, now)
             if state.served != server.served:
                 server.served = state.served
--- a/packages/millfork-standins/millfork_standins/bench/routing.py
+++ b/packages/millfork-standins/millfork_standins/bench/routing.py
@@ -304,11 +304,11 @@
 
         """
         way_s = NEAR_S if server.zone == book.zone else FAR_S
-        mine, mine_unread = server.mine, server.mine_unread
+        mine, own_unread = server.own_requests, server.own_unread
 
         def look() -> None:
             engine = self.engines[server.port]
-            load = Load(len(engine.running), len(engine.queue), 1.0, mine, mine_unread)
+            load = Load(len(engine.running), len(engine.queue), 1.0, mine, own_unread)
             self.agenda.after(way_s, partial(take, server, load))
 
         self.agenda.after(way_s + self.look_s, look)
--- a/packages/millforkd/millforkd/entry/dispatch.py
+++ b/packages/millforkd/millforkd/entry/dispatch.py
@@ -146,12 +146,12 @@
         request_id = RequestId(f'{self.env.instance}-{self.seed}-{next(self.numbers)}')
         attempt = Attempt(self.env, request_id, backend, connection)
         self.attempts[request_id] = attempt
-        backend.mine += 1
+        backend.own_requests += 1
         sent_at = self.env.monotonic()
         try:
             refusal = await self._attempt_steps(call, attempt, delivery)
         finally:
-            backend.mine -= 1
+            backend.own_requests -= 1
             del self.attempts[request_id]
             if attempt.started and not attempt.ended:
                 await self.env.spawn(self._call_off, call, attempt)
--- a/packages/millforkd/millforkd/proxy/admission.py
+++ b/packages/millforkd/millforkd/proxy/admission.py
@@ -173,7 +173,7 @@
             start_estimate.occupied,
             server.reported,
             server.reported_unread,
-            server.mine,
+            server.own_requests,
             start_estimate.load_age_ms,
             server.pace,
         )
--- a/packages/millforkd/millforkd/proxy/asking.py
+++ b/packages/millforkd/millforkd/proxy/asking.py
@@ -69,7 +69,7 @@
     async def _ask(self, server: Server, connection: Connection) -> None:
         asked_at = self.env.monotonic()
         daemon = server.daemon
-        mine, mine_unread = server.mine, server.mine_unread
+        mine, own_unread = server.own_requests, server.own_unread
         reply = await self.questions.ask(daemon, connection, AskLoad(), ANSWER_TIMEOUT_S)
         now = self.env.monotonic()
         if reply is None or now - asked_at > WAIT_S:
@@ -79,5 +79,5 @@
         if server.is_other_incarnation(Incarnation(reply.incarnation)):
             log.info('Told of the load of another engine. server={}', server.instance)
             return
-        load = Load(reply.running, reply.queued, reply.pace_percent / 100, mine, mine_unread)
+        load = Load(reply.running, reply.queued, reply.pace_percent / 100, mine, own_unread)
         server.set_load(load, now)
--- a/packages/millforkd/millforkd/proxy/job.py
+++ b/packages/millforkd/millforkd/proxy/job.py
@@ -37,8 +37,8 @@
         return self.choice.server
 
     def begin(self) -> None:
-        self.server.mine += 1
-        self.server.mine_unread += 1
+        self.server.own_requests += 1
+        self.server.own_unread += 1
 
     def note_first(self) -> None:
         """
@@ -47,11 +47,11 @@
         """
         if self.unread:
             self.unread = False
-            self.server.mine_unread -= 1
+            self.server.own_unread -= 1
 
     def end(self) -> None:
         self.note_first()
-        self.server.mine -= 1
+        self.server.own_requests -= 1
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -37,7 +37,7 @@
 
 def choice_of(made, expected_ms, running):
     server = Server(InstanceId('i-1'), ServiceName('s'), '10.0.0.1', 80, ZoneId('z1'), 16)
-    server.mine = server.mine_at_report = server.reported = running
+    server.own_requests = server.own_at_report = server.reported = running
     server.reported_at = made.env.monotonic()
     return Choice(server, expected_ms, expected_ms)
 
--- a/tests/test_choice_in_large_fleets.py
+++ b/tests/test_choice_in_large_fleets.py
@@ -44,26 +44,26 @@
     )  # fmt: skip
 
 
-def table_of(held, seed=1):
+def table_of(served_by_engine, seed=1):
     table = ServerTable(ZoneId('z1'), Random(seed), Clock())
-    table.apply_leases(lease(number, served) for number, served in enumerate(held))
+    table.apply_leases(lease(number, served) for number, served in enumerate(served_by_engine))
     return table
 
 
 @pytest.mark.parametrize('engines', [60, 2800])
 def test_the_number_of_examined_engines_does_not_grow_with_the_fleet(engines, monkeypatch):
     table = table_of([NEW] * engines)
-    looks = []
-    real = ServerTable._can_serve_now
+    checks = []
+    original = ServerTable._can_serve_now
 
     def able(self, *arguments):
-        looks.append(arguments)
-        return real(self, *arguments)
+        checks.append(arguments)
+        return original(self, *arguments)
 
     monkeypatch.setattr(ServerTable, '_can_serve_now', able)
     for _ in range(50):
         assert table.choose(Requirements(SERVICE, ENGINE, 2, 2), set()) is not None
-    assert len(looks) <= 50 * 2 * SAMPLE_SIZE
+    assert len(checks) <= 50 * 2 * SAMPLE_SIZE
 
 
 @pytest.mark.parametrize(('engines', 'entries'), [(60, 1), (60, 3), (200, 8), (2800, 380)])
@@ -93,26 +93,28 @@
     st.sets(st.integers(0, 59), max_size=30),
     st.integers(1, 2),
 )
-def test_no_excluded_engine_is_chosen(held, tried, suspected, changing, least):
-    table = table_of(held)
+def test_no_excluded_engine_is_chosen(served_by_engine, tried, suspected, changing, least):
+    table = table_of(served_by_engine)
     now = table.monotonic()
     table.apply_reports(
-        report(number, 5, held[number], changing_to=2) for number in changing if number < len(held)
+        report(number, 5, served_by_engine[number], changing_to=2)
+        for number in changing
+        if number < len(served_by_engine)
     )
     for number in suspected:
-        if number < len(held):
+        if number < len(served_by_engine):
             table.servers[f'i-{number}'].suspect_until = now + 1
     requirements = Requirements(SERVICE, ENGINE, least, 2)
-    barred = {f'i-{number}' for number in tried}
+    excluded = {f'i-{number}' for number in tried}
     paths = table._paths(SERVICE, ENGINE, 2)
-    of_all = table._choose_from_all(requirements, paths, barred, _context(table))
+    full_scan_choice = table._choose_from_all(requirements, paths, excluded, _context(table))
     for _ in range(20):
-        choice = table.choose(requirements, barred)
-        assert (choice is None) == (of_all is None)
+        choice = table.choose(requirements, excluded)
+        assert (choice is None) == (full_scan_choice is None)
         if choice is None:
             continue
         for server in choice.servers:
-            assert server.instance not in barred
+            assert server.instance not in excluded
             assert not server.changing
         assert choice.version(ENGINE.layers) >= least
 
@@ -125,8 +127,8 @@
     st.lists(SERVED, min_size=4, max_size=12),
     st.lists(st.tuples(st.integers(0, 11), SERVED, st.booleans()), max_size=10),
 )
-def test_cached_paths_follow_every_change_of_the_engines(held, changes):
-    table = table_of(held)
+def test_cached_paths_follow_every_change_of_the_engines(served_by_engine, changes):
+    table = table_of(served_by_engine)
     for sequence, (number, served, changing) in enumerate(changes, 2):
         table._paths(SERVICE, ENGINE, 2)
         table.apply_reports([report(number, sequence, served, 2 if changing else 0)])
--- a/tests/test_closed_back_ends.py
+++ b/tests/test_closed_back_ends.py
@@ -120,17 +120,17 @@
 RESTS = Backpressure(rest_s=3.0)
 
 
-def turn_away(table, number, told=RESTS, sent_ago_s=0.0):
+def reject(table, number, told=RESTS, sent_ago_s=0.0):
     now = table.monotonic()
     return server(table, number).availability.apply_answer(told, now - sent_ago_s, now, True)
 
 
 def test_a_resting_back_end_is_not_used_as_last_resort(table):
-    turn_away(table, 1)
+    reject(table, 1)
     assert {table.choose(Requirements(SERVICE), set()).server.instance for _ in range(20)} == {
         'i-2'
     }
-    turn_away(table, 2, Backpressure(rest_s=1.0))
+    reject(table, 2, Backpressure(rest_s=1.0))
     assert table.choose(Requirements(SERVICE), set()) is None
     soonest = table.first_to_open(Requirements(SERVICE))
     assert (soonest.closure_reason, soonest.opens_in_s) == (
@@ -140,16 +140,16 @@
 
 
 def test_answers_sent_earlier_do_not_shorten_a_rest(table, clock):
-    turn_away(table, 1)
+    reject(table, 1)
     clock.now += 0.2
-    turn_away(table, 1, Backpressure(rest_s=0.5), sent_ago_s=0.3)
+    reject(table, 1, Backpressure(rest_s=0.5), sent_ago_s=0.3)
     answer(table, 1, NO_BACKPRESSURE, sent_ago_s=0.4)
     clock.now += 2.7
     assert closed_for(table, 1) is ClosureReason.RESTING
 
 
 def test_one_request_probes_whether_a_rest_is_over(table, clock):
-    turn_away(table, 1)
+    reject(table, 1)
     clock.now += 3.1
     assert closed_for(table, 1) is None
     table.note_sent([server(table, 1)])
@@ -162,11 +162,11 @@
 
 
 def test_the_probe_of_a_rest_may_be_turned_away_or_lost(table, clock):
-    turn_away(table, 1)
+    reject(table, 1)
     clock.now += 3.1
     table.note_sent([server(table, 1)])
     clock.now += 0.1
-    turn_away(table, 1, sent_ago_s=0.1)
+    reject(table, 1, sent_ago_s=0.1)
     clock.now += 2.9
     assert closed_for(table, 1) is ClosureReason.RESTING
     clock.now += 0.2
@@ -176,13 +176,13 @@
 
 
 def test_the_length_of_a_rest_is_bounded(table, clock):
-    turn_away(table, 1, Backpressure(rest_s=1e15))
+    reject(table, 1, Backpressure(rest_s=1e15))
     clock.now += MAX_REST_S + 0.01
     assert closed_for(table, 1) is None
 
 
 def test_a_rest_applies_to_one_incarnation_only(table):
-    turn_away(table, 1)
+    reject(table, 1)
     table.apply_leases([lease(2)])
     table.apply_leases([lease(1), lease(2)])
     assert closed_for(table, 1) is ClosureReason.RESTING
--- a/tests/test_engines_without_daemon_reports.py
+++ b/tests/test_engines_without_daemon_reports.py
@@ -41,8 +41,8 @@
     reported = began - REPORT_S
     for step in range(int(end_s * 100)):
         clock.now = began + step / 100
-        lives = began + end_s - clock.now > daemon_silent_s
-        if lives and clock.now - reported >= REPORT_S:
+        daemon_reports = began + end_s - clock.now > daemon_silent_s
+        if daemon_reports and clock.now - reported >= REPORT_S:
             reported = clock.now
             state = EndpointState(
                 'e-1', SERVICE, 'z1', '10.0.0.1', 80, int(clock.now * 1000), reachable=True,
--- a/tests/test_first_tries.py
+++ b/tests/test_first_tries.py
@@ -22,7 +22,7 @@
 MISTAKEN = 0.002
 
 
-def learned(deadlines):
+def detector_with(deadlines):
     made = FirstTryDetector()
     for deadline_ms in deadlines:
         made.judge('r', deadline_ms, 0.0)
@@ -30,33 +30,33 @@
 
 
 @pytest.fixture
-def alike():
-    return learned([6080 - number % 10 for number in range(MIN_FIRST_TRIES)])
+def common_deadline():
+    return detector_with([6080 - number % 10 for number in range(MIN_FIRST_TRIES)])
 
 
 @pytest.fixture
-def spread():
+def mixed_deadlines():
     random = Random(1)
-    return learned([random.randint(5190, 6080) for _ in range(100)])
+    return detector_with([random.randint(5190, 6080) for _ in range(100)])
 
 
-def test_with_one_common_deadline_a_shorter_one_shows_a_retry(alike):
-    assert alike.judge('r', 6074, 1.0) == Judgement()
-    assert alike.judge('r', 5630, 1.0).elapsed_ms == pytest.approx(446, abs=10)
+def test_with_one_common_deadline_a_shorter_one_shows_a_retry(common_deadline):
+    assert common_deadline.judge('r', 6074, 1.0) == Judgement()
+    assert common_deadline.judge('r', 5630, 1.0).elapsed_ms == pytest.approx(446, abs=10)
 
 
-def test_with_different_deadlines_a_short_one_is_undecided(spread):
+def test_with_different_deadlines_a_short_one_is_undecided(mixed_deadlines):
     """
     Half of the first tries of such a fleet were taken for retries: their remaining time was below
     0 at once, and they were sent only to engines with spare slots.
 
     """
     for deadline_ms in range(5200, 5900, 50):
-        assert spread.judge('r', deadline_ms, 1.0) == Judgement(is_undecided=True)
+        assert mixed_deadlines.judge('r', deadline_ms, 1.0) == Judgement(is_undecided=True)
 
 
-def test_a_deadline_shorter_than_any_first_try_shows_a_retry(spread):
-    assert spread.judge('r', 4900, 1.0).elapsed_ms > 500
+def test_a_deadline_shorter_than_any_first_try_shows_a_retry(mixed_deadlines):
+    assert mixed_deadlines.judge('r', 4900, 1.0).elapsed_ms > 500
 
 
 def under_load(deadlines):
@@ -68,11 +68,11 @@
 def test_after_a_start_under_load_the_latest_deadlines_decide():
     random = Random(1)
     assert under_load([6080, 6078, 5700, 6079, 5600, 6075, 5650]).elapsed_ms == 430
-    spread = [random.randint(5190, 6080) for _ in range(12)]
-    assert under_load([*spread, 5600]) == Judgement(is_undecided=True)
+    mixed_deadlines = [random.randint(5190, 6080) for _ in range(12)]
+    assert under_load([*mixed_deadlines, 5600]) == Judgement(is_undecided=True)
 
 
-def taken_for_returns(least, counted):
+def share_taken_for_retries(least, counted):
     """
     The share of first tries taken for retries. Callers begin with `least` to 1 times the usual
     deadline; of the requests that each entry judges, those at the positions `counted` count.
@@ -104,32 +104,32 @@
     they took 0.012 if callers begin with half of it or more.
 
     """
-    assert taken_for_returns(least, counted) < MISTAKEN
+    assert share_taken_for_retries(least, counted) < MISTAKEN
 
 
-def test_deadlines_of_possible_retries_are_not_learned(alike):
-    alike.note_turned_away(10.0)
+def test_deadlines_of_possible_retries_are_not_learned(common_deadline):
+    common_deadline.note_turned_away(10.0)
     for _ in range(200):
-        alike.judge('r', 5600, 10.5)
-    assert alike.judge('r', 5600, 10.6).elapsed_ms > 400
+        common_deadline.judge('r', 5600, 10.5)
+    assert common_deadline.judge('r', 5600, 10.6).elapsed_ms > 400
     now = 10.6 + RETURN_WINDOW_S
     for _ in range(200):
-        alike.judge('r', 5600, now)
-    assert alike.judge('r', 5600, now) == Judgement(is_undecided=True)
+        common_deadline.judge('r', 5600, now)
+    assert common_deadline.judge('r', 5600, now) == Judgement(is_undecided=True)
 
 
-def test_each_route_has_its_own_deadlines(alike):
-    assert alike.judge('other', 2500, 1.0) == Judgement()
+def test_each_route_has_its_own_deadlines(common_deadline):
+    assert common_deadline.judge('other', 2500, 1.0) == Judgement()
 
 
-def test_the_routes_remembered_are_bounded(alike):
+def test_the_routes_remembered_are_bounded(common_deadline):
     for number in range(MAX_ROUTES + 5):
-        alike.judge(f'other-{number}', 6000, 1.0)
-    assert len(alike.deadlines_by_route) == MAX_ROUTES
+        common_deadline.judge(f'other-{number}', 6000, 1.0)
+    assert len(common_deadline.deadlines_by_route) == MAX_ROUTES
 
 
 def test_a_few_outliers_do_not_hide_retries():
-    made = learned([6080] * 60 + [900, 1500])
+    made = detector_with([6080] * 60 + [900, 1500])
     assert made.judge('r', 5500, 1.0).elapsed_ms == 580
 
 
--- a/tests/test_incarnation_status.py
+++ b/tests/test_incarnation_status.py
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize(
-    'heard',
+    'evidence',
     [
         {'answered': {None: BROKE_AT + 0.01}},
         {'last_received_at': BROKE_AT + READ_DELAY_S * 2},
@@ -53,10 +53,10 @@
     ],
 )
 @pytest.mark.parametrize('lease_ran_out_between', [False, True])
-def test_it_lives_on_if_data_sent_later_was_received(heard, lease_ran_out_between):
+def test_it_lives_on_if_data_sent_later_was_received(evidence, lease_ran_out_between):
     broken = server()
     known = server() if lease_ran_out_between else broken
-    for name, value in heard.items():
+    for name, value in evidence.items():
         setattr(known, name, value)
     assert determine_status(broken, BROKE_AT, [known]) is IncarnationStatus.LIVES
 
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -125,7 +125,7 @@
     book.apply_leases([lease(FIRST, 9)])
     book.apply_reports([report(FIRST, 500, running=16)])
     before = book.servers['i-1']
-    before.mine = 3
+    before.own_requests = 3
     before.refused[1] = clock.now + 60
     before.note_failure(clock.now)
     before.lateness.note(500.0, clock.now)
@@ -133,7 +133,7 @@
     assert before.replaced
     after = book.servers['i-1']
     assert after is not before
-    assert (after.served, after.mine, after.reported) == ((), 0, 0)
+    assert (after.served, after.own_requests, after.reported) == ((), 0, 0)
     assert (after.failures, after.refused, after.lateness.mean_ms) == (0, {}, 0.0)
 
 
--- a/tests/test_limit_shares.py
+++ b/tests/test_limit_shares.py
@@ -84,22 +84,22 @@
     return table.servers[InstanceId(f'i-{number}')]
 
 
-def name(table, number, limit, sent_at):
-    told = Backpressure(limit)
-    return server(table, number).availability.apply_answer(told, sent_at, table.monotonic())
+def announce_limit(table, number, limit, sent_at):
+    backpressure = Backpressure(limit)
+    return server(table, number).availability.apply_answer(backpressure, sent_at, table.monotonic())
 
 
 @pytest.mark.parametrize('engine', [None, ENGINE])
 def test_requests_over_a_limit_go_to_other_back_ends(table, clock, engine):
-    name(table, 1, 0.2, clock.now)
+    announce_limit(table, 1, 0.2, clock.now)
     requirements = Requirements(SERVICE, engine, 0, 1, 900)
     assert {table.choose(requirements, set()).server.instance for _ in range(20)} == {'i-2'}
     assert table.closure(server(table, 1)).closure_reason is ClosureReason.LIMITED
 
 
 def test_a_limited_back_end_is_not_used_as_last_resort(table, clock):
-    name(table, 1, 0.2, clock.now)
-    name(table, 2, 0.2, clock.now)
+    announce_limit(table, 1, 0.2, clock.now)
+    announce_limit(table, 2, 0.2, clock.now)
     assert table.choose(Requirements(SERVICE), set()) is None
     assert 0 < table.first_to_open(Requirements(SERVICE)).opens_in_s <= 6 / 0.2
 
@@ -107,12 +107,12 @@
 def test_slots_of_limited_engines_are_not_free(table, clock):
     table.apply_reports([report(1, 1), report(2, 1)])
     requirements = Requirements(SERVICE, ENGINE, 0, 1, 900)
-    name(table, 1, 0.2, clock.now)
+    announce_limit(table, 1, 0.2, clock.now)
     assert [found.instance for found in table.freest_candidates(requirements, set())] == ['i-2']
 
 
 def test_only_an_answer_to_a_later_request_ends_a_limit(table, clock):
-    named = name(table, 1, 2.0, clock.now - 0.1)
+    named = announce_limit(table, 1, 2.0, clock.now - 0.1)
     assert [(change.signal, change.event) for change in named] == [
         (Signal.LIMIT, SignalEvent.BEGAN)
     ]
@@ -126,10 +126,10 @@
 
 
 def test_a_changed_limit_keeps_saved_requests(table, clock):
-    name(table, 1, 6.0, clock.now)
+    announce_limit(table, 1, 6.0, clock.now)
     clock.now += 1.5
     assert table.closure(server(table, 1)) is None
-    changed = name(table, 1, 0.6, clock.now - 0.1)
+    changed = announce_limit(table, 1, 0.6, clock.now - 0.1)
     assert [change.event for change in changed] == [SignalEvent.CHANGED]
     assert table.closure(server(table, 1)) is None
     table.note_sent([server(table, 1)])
@@ -137,8 +137,8 @@
 
 
 def test_daemon_reports_begin_and_end_a_limit(table, clock):
-    [(told, changes)] = table.apply_reports([report(1, 1, limit=0.5)])
-    assert told.instance == 'i-1'
+    [(found, changes)] = table.apply_reports([report(1, 1, limit=0.5)])
+    assert found.instance == 'i-1'
     assert [change.event for change in changes] == [SignalEvent.BEGAN]
     assert table.closure(server(table, 1)) is not None
     # It arrives so soon that it was made before the engine announced its limit.
@@ -157,7 +157,7 @@
 
 
 def test_a_limit_applies_to_one_incarnation_only(table, clock):
-    name(table, 1, 0.2, clock.now)
+    announce_limit(table, 1, 0.2, clock.now)
     table.apply_leases([lease(2)])
     table.apply_leases([lease(1), lease(2)])
     assert table.closure(server(table, 1)) is not None
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -31,8 +31,8 @@
         return self.now
 
 
-def backend(name, zone=HERE, mine=0, **fields):
-    return Backend(InstanceId(name), zone, limit=4, mine=mine, **fields)
+def backend(name, zone=HERE, own_requests=0, **fields):
+    return Backend(InstanceId(name), zone, limit=4, own_requests=own_requests, **fields)
 
 
 def pick(backends, organisation=ONE, affinity='', tried=(), now=1.0):
@@ -41,15 +41,18 @@
 
 
 def test_the_least_loaded_endpoint_of_the_own_zone_is_chosen():
-    assert pick([backend('a', mine=2), backend('b', mine=1), backend('c', THERE)]) == 'b'
+    assert (
+        pick([backend('a', own_requests=2), backend('b', own_requests=1), backend('c', THERE)])
+        == 'b'
+    )
 
 
 def test_another_zone_is_used_once_the_own_zone_is_full():
-    assert pick([backend('a', mine=4), backend('c', THERE, mine=3)]) == 'c'
+    assert pick([backend('a', own_requests=4), backend('c', THERE, own_requests=3)]) == 'c'
 
 
 def test_the_own_zone_is_used_if_all_zones_are_full():
-    assert pick([backend('a', mine=4), backend('c', THERE, mine=6)]) == 'a'
+    assert pick([backend('a', own_requests=4), backend('c', THERE, own_requests=6)]) == 'a'
 
 
 def test_tried_leaving_and_suspected_endpoints_are_not_chosen():
@@ -67,12 +70,12 @@
 
 
 def test_a_report_is_corrected_by_requests_sent_since():
-    one = backend('a', mine=2)
+    one = backend('a', own_requests=2)
     one.apply_report(3, 4)
     assert one.occupied == 3
-    one.mine = 4
+    one.own_requests = 4
     assert one.occupied == 5
-    one.mine = 0
+    one.own_requests = 0
     assert one.occupied == 1
 
 
@@ -81,7 +84,7 @@
     first = pick(names, affinity='org/prompt')
     assert {pick(names, affinity='org/prompt') for _ in range(5)} == {first}
     preferred = next(b for b in names if b.instance == first)
-    preferred.mine = 3
+    preferred.own_requests = 3
     assert pick(names, affinity='org/prompt') != first
 
 
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -126,7 +126,7 @@
     newer = (ServedVersion('m', 2, 0, 16),)
     table.apply_reports([report(1, served=newer, running=5)])
     server = table.servers[InstanceId('i-1')]
-    server.mine += 1
+    server.own_requests += 1
     table.apply_reports([report(1, served=newer, running=5)])
     assert server.occupied(table.monotonic()) == 6
     table.apply_leases([lease(1)])
@@ -265,14 +265,14 @@
     table.apply_leases([lease(1)])
     table.apply_reports([report(1, running=4)])
     server = table.servers[InstanceId('i-1')]
-    server.mine += begun
+    server.own_requests += begun
     assert server.likely_occupied(clock.now, 9) == taken
 
 
 def test_without_a_report_other_entries_are_assumed_to_have_as_many_requests(table, clock):
     table.apply_leases([lease(1)])
     server = table.servers[InstanceId('i-1')]
-    server.mine = 2
+    server.own_requests = 2
     assert server.likely_occupied(clock.now, 9) == 18
 
 
--- a/tests/test_shared_budget.py
+++ b/tests/test_shared_budget.py
@@ -39,18 +39,18 @@
     def __init__(self):
         self.clock = Clock()
         # The number of entries that replicas report.
-        self.told = ENTRIES
+        self.known_entries = ENTRIES
         self.unknown_ticks = 0
-        self.budgets = [self.started(position) for position in range(ENTRIES)]
+        self.budgets = [self.new_budget(position) for position in range(ENTRIES)]
         self.requests = []
         self.repeats = []
 
-    def started(self, position=None):
+    def new_budget(self, position=None):
         return SharedBudget(
             RATIO,
             SLACK,
             WINDOW_S,
-            lambda: self.told,
+            lambda: self.known_entries,
             self.clock,
             lambda: self.has_quorum(position),
         )
@@ -60,7 +60,7 @@
         In a partition, every second entry is on the side with a majority of the replicas.
 
         """
-        is_cut = self.told in (ENTRIES // 2, ENTRIES // 3)
+        is_cut = self.known_entries in (ENTRIES // 2, ENTRIES // 3)
         return not is_cut or (position is not None and position % 2 == 0)
 
     def tick(self, spends):
@@ -70,8 +70,8 @@
         """
         self.clock.now += TICK_S
         self.unknown_ticks = max(self.unknown_ticks - 1, 0)
-        if not self.unknown_ticks and self.told == 1:
-            self.told = ENTRIES
+        if not self.unknown_ticks and self.known_entries == 1:
+            self.known_entries = ENTRIES
         for budget in self.budgets:
             for _ in range(REQUESTS):
                 budget.note_request(SERVICE)
@@ -83,29 +83,29 @@
         repeats = sum(moment > since for moment in self.repeats)
         assert repeats <= RATIO * requests + SLACK
 
-    def strike(self, trouble):
-        if trouble == 'all restart':
-            self.budgets = [self.started(position) for position in range(ENTRIES)]
-            self.told = 1
+    def disturb(self, disturbance):
+        if disturbance == 'all restart':
+            self.budgets = [self.new_budget(position) for position in range(ENTRIES)]
+            self.known_entries = 1
             self.unknown_ticks = KNOWN_AGAIN_TICKS
-        if trouble == 'half restart':
-            self.budgets[::2] = [self.started(position) for position in range(0, ENTRIES, 2)]
-        if trouble == 'cut':
-            self.told = ENTRIES // 2
-        if trouble == 'cut in three':
-            self.told = ENTRIES // 3
-        if trouble == 'all known':
-            self.told = ENTRIES
+        if disturbance == 'half restart':
+            self.budgets[::2] = [self.new_budget(position) for position in range(0, ENTRIES, 2)]
+        if disturbance == 'cut':
+            self.known_entries = ENTRIES // 2
+        if disturbance == 'cut in three':
+            self.known_entries = ENTRIES // 3
+        if disturbance == 'all known':
+            self.known_entries = ENTRIES
 
 
-TROUBLES = st.sampled_from(
+DISTURBANCES = st.sampled_from(
     ['calm', 'all restart', 'half restart', 'cut', 'cut in three', 'all known']
 )
 
 
 # An example simulates 40 entries for up to half a minute, which takes 0.05 s to 0.7 s.
 @settings(deadline=None)
-@given(st.lists(st.tuples(TROUBLES, st.integers(1, 8), st.booleans()), max_size=8))
+@given(st.lists(st.tuples(DISTURBANCES, st.integers(1, 8), st.booleans()), max_size=8))
 @example([('calm', 8, True), ('all restart', 4, True), ('all restart', 4, True)])
 @example([('cut in three', 8, False), ('calm', 20, True)])
 @example(
@@ -118,11 +118,11 @@
         ('calm', 8, True),
     ]
 )
-def test_restarts_and_partitions_never_exceed_the_budget(days):
+def test_restarts_and_partitions_never_exceed_the_budget(steps):
     fleet = Fleet()
     for _ in range(CALM_TICKS):
         fleet.tick(spends=False)
-    for trouble, ticks, spends in days:
-        fleet.strike(trouble)
+    for disturbance, ticks, spends in steps:
+        fleet.disturb(disturbance)
         for _ in range(ticks):
             fleet.tick(spends)
--- a/tests/test_suspicions.py
+++ b/tests/test_suspicions.py
@@ -45,8 +45,8 @@
 from tests.test_servers import Clock
 
 FINGERPRINT = Fingerprint('ab')
-LONG_S = 200.0
-MOST_TRIALS_A_S = 2
+DURATION_S = 200.0
+MAX_TRIALS_PER_S = 2
 
 
 def suspected(number=MIN_ENDS_AT_FAULT):
@@ -100,8 +100,8 @@
 
 
 def test_a_request_is_suspected_after_it_broke_off_at_three_back_ends():
-    standings = [suspicion_level_of(suspected(number)) for number in range(MIN_ENDS_AT_FAULT + 1)]
-    assert standings == [SuspicionLevel.FREE] * MIN_ENDS_AT_FAULT + [SuspicionLevel.SUSPECTED]
+    levels = [suspicion_level_of(suspected(number)) for number in range(MIN_ENDS_AT_FAULT + 1)]
+    assert levels == [SuspicionLevel.FREE] * MIN_ENDS_AT_FAULT + [SuspicionLevel.SUSPECTED]
     again = suspected(1).with_broken(IncarnationKey('i-0/1'))
     assert again == suspected(1)
 
@@ -158,12 +158,12 @@
     ]
     begun = []
     started_at = clock.now
-    while clock.now < started_at + LONG_S:
+    while clock.now < started_at + DURATION_S:
         begun += [clock.now for trial in trials if trial.begin(suspected())]
         clock.now += 0.05
     assert begun[0] - started_at >= TRIAL_AFTER_S
-    assert LONG_S / (TRIAL_AFTER_S + entries * TRIAL_SPREAD_S) * entries <= len(begun)
-    assert len(begun) <= MOST_TRIALS_A_S * LONG_S
+    assert DURATION_S / (TRIAL_AFTER_S + entries * TRIAL_SPREAD_S) * entries <= len(begun)
+    assert len(begun) <= MAX_TRIALS_PER_S * DURATION_S
 
 
 def test_news_about_a_request_postpones_its_trial():
@@ -190,7 +190,7 @@
     ]
 
 
-class Broken:
+class FailingBackEnds:
     """
     Back ends at which the answers to the same request break off one after another.
 
@@ -199,13 +199,13 @@
     def __init__(self):
         self.env = Environment(InstanceId('a:1'), ZoneId('z1'))
         self.suspects = Suspects(self.env.monotonic)
-        self.fates = {}
-        self.ends = Ends(self.env, self.suspects, self.fate)
+        self.statuses = {}
+        self.ends = Ends(self.env, self.suspects, self.status)
         self.found = Address.ANSWERS
         self.ends.look = self.look
 
-    def fate(self, server, since):
-        return self.fates.get(server.instance, IncarnationStatus.UNKNOWN)
+    def status(self, server, since):
+        return self.statuses.get(server.instance, IncarnationStatus.UNKNOWN)
 
     async def look(self, server):
         return self.found
@@ -227,19 +227,19 @@
                 await curio.sleep(0.005)
 
 
-@pytest.mark.parametrize('fate', [IncarnationStatus.ENDED, IncarnationStatus.LIVES])
-def test_a_request_is_suspected_until_the_status_of_its_back_ends_is_known(fate):
+@pytest.mark.parametrize('status', [IncarnationStatus.ENDED, IncarnationStatus.LIVES])
+def test_a_request_is_suspected_until_the_status_of_its_back_ends_is_known(status):
     async def run():
-        broken = Broken()
+        broken = FailingBackEnds()
         for number in range(MIN_ENDS_AT_FAULT):
             await broken.break_off(number)
         assert suspicion_level_of(broken.known) is SuspicionLevel.SUSPECTED
-        broken.fates = {f'i-{number}': fate for number in range(MIN_ENDS_AT_FAULT)}
+        broken.statuses = {f'i-{number}': status for number in range(MIN_ENDS_AT_FAULT)}
         await broken.until(lambda: not broken.ends.watches)
-        standing = (
-            SuspicionLevel.AT_FAULT if fate is IncarnationStatus.ENDED else SuspicionLevel.FREE
+        level = (
+            SuspicionLevel.AT_FAULT if status is IncarnationStatus.ENDED else SuspicionLevel.FREE
         )
-        assert suspicion_level_of(broken.known) is standing
+        assert suspicion_level_of(broken.known) is level
 
     curio.run(run)
 
@@ -248,7 +248,7 @@
     monkeypatch.setattr(ends_module, 'WATCHED_S', 0.1)
 
     async def run():
-        broken = Broken()
+        broken = FailingBackEnds()
         for number in range(MIN_ENDS_AT_FAULT):
             await broken.break_off(number)
         await broken.until(lambda: not broken.ends.watches)
@@ -264,7 +264,7 @@
     """
 
     async def run():
-        broken = Broken()
+        broken = FailingBackEnds()
         broken.found = Address.REFUSES
         before = broken.known
         for number in range(2 * MIN_ENDS_AT_FAULT):
@@ -286,13 +286,13 @@
     """
 
     async def run():
-        broken = Broken()
-        broken.fates = {'i-0': IncarnationStatus.LIVES}
+        broken = FailingBackEnds()
+        broken.statuses = {'i-0': IncarnationStatus.LIVES}
         server = Server(InstanceId('i-0'), ServiceName('s'), '127.0.0.1', 1, ZoneId('z1'), 16)
         for _ in range(2):
             await broken.ends.note_left(server, broken.known)
         await curio.sleep(0.05)
-        broken.fates = {'i-0': IncarnationStatus.ENDED}
+        broken.statuses = {'i-0': IncarnationStatus.ENDED}
         await broken.until(lambda: broken.known.ends == 1)
 
     curio.run(run)
