--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -157,7 +157,7 @@
     book = ServerTable(ZoneId('z1'), Random(1), clock)
     book.apply_leases([lease(FIRST, 9)])
     attempt = Attempt(Choice(book.servers['i-1']), clock.now)
-    job = SimpleNamespace(wanted=Requirements(ServiceName('s')))
+    job = SimpleNamespace(requirements=Requirements(ServiceName('s')))
     waiting = Waiting(Environment(InstanceId('a:1'), ZoneId('z1'), monotonic=clock), None)
     waiting.check_engine(job, attempt, None)
     book.apply_leases([lease(SECOND, 1)])
--- a/tests/test_late_ends_at_endpoints.py
+++ b/tests/test_late_ends_at_endpoints.py
@@ -13,7 +13,7 @@
 from millfork_core.verdicts import Reason, Refusal, Verdict
 from millfork_routing.balance import Backend
 from millfork_scheduling.incarnation_status import IncarnationStatus
-from millfork_scheduling.quarantine import ENDS
+from millfork_scheduling.quarantine import MIN_ENDS_AT_FAULT
 from millfork_settings.models import RoutingSettings
 from millfork_state.view import View
 from millfork_wire.connection import PeerLost
@@ -179,11 +179,11 @@
 def test_a_call_is_suspected_until_the_fates_of_its_back_ends_are_told():
     async def run():
         breaks = Breaks()
-        for number in range(ENDS):
+        for number in range(MIN_ENDS_AT_FAULT):
             assert breaks.barred is None
             await breaks.break_off(number)
         assert breaks.barred is Reason.SUSPECTED
-        for number in range(ENDS):
+        for number in range(MIN_ENDS_AT_FAULT):
             await breaks.tell(number, ended=True)
         assert breaks.barred is Reason.QUARANTINED
 
@@ -193,10 +193,10 @@
 def test_a_fate_that_overtakes_the_end_of_its_attempt_counts():
     async def run():
         breaks = Breaks()
-        for number in range(ENDS):
+        for number in range(MIN_ENDS_AT_FAULT):
             await breaks.tell(number, ended=number > 0)
             await breaks.break_off(number)
-        assert breaks.crashes.known(breaks.call).ends == ENDS - 1
+        assert breaks.crashes.known(breaks.call).ends == MIN_ENDS_AT_FAULT - 1
         assert not breaks.crashes.early_fates and not breaks.crashes.pending
 
     curio.run(run)
@@ -206,7 +206,7 @@
     async def run():
         breaks = Breaks()
         known = breaks.crashes.known(breaks.call)
-        for number in range(ENDS):
+        for number in range(MIN_ENDS_AT_FAULT):
             outcome = BrokeOff(
                 Reason.BACKEND_FAILED,
                 Verdict.MAY_HAVE_RUN,
@@ -224,7 +224,9 @@
 def test_a_lost_endpoint_ended_if_another_process_has_its_place(ended):
     async def run():
         breaks = Breaks()
-        endpoints = [Backend(InstanceId(f'e-{n}'), ZoneId('z'), start=1) for n in range(ENDS)]
+        endpoints = [
+            Backend(InstanceId(f'e-{n}'), ZoneId('z'), start=1) for n in range(MIN_ENDS_AT_FAULT)
+        ]
         for endpoint in endpoints:
             attempt = Attempt(breaks.env, RequestId(f'r-{endpoint.instance}'), endpoint, None)
             await attempt.take(Lost())
@@ -245,7 +247,7 @@
 
     async def run():
         breaks = Breaks()
-        for number in range(ENDS):
+        for number in range(MIN_ENDS_AT_FAULT):
             await breaks.break_off(number)
         await curio.sleep(0.001)
         await breaks.crashes.keep_house()
@@ -273,7 +275,7 @@
 def test_a_call_whose_time_was_up_counts_if_its_back_end_ends(ended):
     async def run():
         breaks = Breaks()
-        for number in range(ENDS):
+        for number in range(MIN_ENDS_AT_FAULT):
             request_id = RequestId(f'r-{number}')
             incarnation = IncarnationKey(f'e-{number}/1.0')
             breaks.crashes.note_left(breaks.call, request_id, incarnation)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -21,7 +21,7 @@
     decode_suspicions,
     encode_suspicions,
 )
-from millfork_scheduling.quarantine import ENDS, is_at_fault
+from millfork_scheduling.quarantine import MIN_ENDS_AT_FAULT, is_at_fault
 from millfork_scheduling.server import Server
 from millfork_state.machine import Machine
 from millfork_state.view import View
@@ -65,7 +65,7 @@
     async def run():
         suspects = Suspects(Clock())
         late = suspects.of(FINGERPRINT)
-        for _ in range(ENDS):
+        for _ in range(MIN_ENDS_AT_FAULT):
             late = suspects.of(FINGERPRINT)
             await suspects.note(late.with_end())
         assert is_at_fault(suspects.of(FINGERPRINT))
@@ -183,7 +183,7 @@
     async def run():
         entry = Entry()
         listing = list_of(entry, Clock())
-        for _ in range(ENDS):
+        for _ in range(MIN_ENDS_AT_FAULT):
             assert not entry.quarantine.bars(entry.job)
             await entry.end()
         assert entry.quarantine.bars(entry.job)
@@ -199,7 +199,7 @@
     async def run():
         entry = Entry()
         listing = list_of(entry, Clock())
-        for _ in range(ENDS):
+        for _ in range(MIN_ENDS_AT_FAULT):
             await entry.end()
         await listing.settle()
         await entry.quarantine.clear(entry.job)
@@ -216,7 +216,7 @@
         listing = list_of(entry, clock)
         for number in range(MOST_HELD + 3):
             clock.now += 0.001
-            await entry.suspects.note(Suspicion(Fingerprint(f'{number}'), 0, ENDS))
+            await entry.suspects.note(Suspicion(Fingerprint(f'{number}'), 0, MIN_ENDS_AT_FAULT))
             await listing.settle()
             entry.suspects.table.drop(f'{number}')
         assert len(entry.view.items) == MOST_HELD
