--- a/tests/test_repeat_budget_in_cuts.py
+++ b/tests/test_repeat_budget_in_cuts.py
@@ -20,8 +20,8 @@
 def test_entries_that_began_during_a_cut_stay_within_the_budget():
     fleet = Fleet()
     # Both halves of the entries follow replicas that see their own half only.
-    fleet.told = ENTRIES // 2
-    fleet.budgets = [fleet.started() for _ in range(ENTRIES)]
+    fleet.known_entries = ENTRIES // 2
+    fleet.budgets = [fleet.new_budget() for _ in range(ENTRIES)]
     requests, repeats = [], []
     for tick in range(int(3 * WINDOW_S / TICK_S)):
         fleet.clock.now += TICK_S
@@ -50,18 +50,18 @@
 
 def test_the_side_of_a_cut_with_a_majority_has_its_part_of_the_allowance():
     fleet = Fleet()
-    fleet.told = ENTRIES // 2
-    fleet.budgets = [fleet.started(position) for position in range(ENTRIES)]
+    fleet.known_entries = ENTRIES // 2
+    fleet.budgets = [fleet.new_budget(position) for position in range(ENTRIES)]
     assert SLACK / 2 < allowances(fleet) <= SLACK
 
 
 def test_entries_behind_a_cut_keep_their_part_for_as_long_as_it_lasts():
     fleet = Fleet()
     assert SLACK / 2 < allowances(fleet) <= SLACK
-    before = fleet.budgets[1].part(SERVICE).allowed
-    fleet.told = ENTRIES // 2
+    before = fleet.budgets[1].current_share(SERVICE).allowed
+    fleet.known_entries = ENTRIES // 2
     fleet.clock.now += 2 * ENTRIES_REMEMBERED_S
-    assert fleet.budgets[1].part(SERVICE).allowed == before
+    assert fleet.budgets[1].current_share(SERVICE).allowed == before
 
 
 def test_a_replica_tells_of_the_most_entries_that_it_knew_of_lately():
