--- a/packages/millfork-scheduling/millfork_scheduling/availability.py
+++ b/packages/millfork-scheduling/millfork_scheduling/availability.py
@@ -167,8 +167,8 @@
         Apply the signals in the answer to a request sent at `sent_at`; returns the changes.
 
         """
-        changes = self._take_leaving(backpressure.leaving)
-        changes += self._take_rest(backpressure.rest_s or 0.0, sent_at, now, turned_away)
+        changes = self._apply_leaving(backpressure.leaving)
+        changes += self._apply_rest(backpressure.rest_s or 0.0, sent_at, now, turned_away)
         if backpressure.limit_per_s is not None:
             return changes + self._start_or_change_limit(backpressure.limit_per_s, now)
         if sent_at <= self.limit_named_at:
@@ -176,7 +176,7 @@
             return changes
         return changes + self._end_limit()
 
-    def _take_rest(
+    def _apply_rest(
         self, rest_s: float, sent_at: float, now: float, turned_away: bool
     ) -> list[SignalChange]:
         rest = self.rest
@@ -190,7 +190,7 @@
         self.rest = None
         return [SignalChange(Signal.REST, SignalEvent.ENDED, now - rest.until)]
 
-    def _take_leaving(self, leaving: bool) -> list[SignalChange]:
+    def _apply_leaving(self, leaving: bool) -> list[SignalChange]:
         if not leaving or self.leaving:
             return []
         self.leaving = True
--- a/packages/millfork-scheduling/millfork_scheduling/placement.py
+++ b/packages/millfork-scheduling/millfork_scheduling/placement.py
@@ -35,8 +35,8 @@
 OTHER_ZONE_COST_LOADS: Final = 0.15
 # The number of engines sampled for each choice, from the own zone and from the others. With
 # larger samples many entries would choose the same engine.
-NEAR_COMPARED: Final = 2
-FAR_COMPARED: Final = 1
+NEAR_SAMPLED: Final = 2
+FAR_SAMPLED: Final = 1
 # The cost of an engine whose version ends soon, for a request that could not continue at another
 # back end: about as long as admission lets a request wait.
 ENDING_VERSION_COST_MS: Final = 300.0
@@ -152,14 +152,14 @@
 
     """
     by_first = {path.first.instance: path for path in paths}
-    able = filter_startable(servers, engine, paths)
+    eligible = filter_startable(servers, engine, paths)
     choose_cheapest = partial(
         _cheapest, requirements=requirements, engine=engine, by_first=by_first, context=context
     )
     # All sampled engines may be about to change version; then all others are considered.
     return choose_cheapest(
-        sample_engines(able, context.zone, random), random=random
-    ) or choose_cheapest(able, random=random)
+        sample_engines(eligible, context.zone, random), random=random
+    ) or choose_cheapest(eligible, random=random)
 
 
 def filter_startable(servers: list[Server], engine: EngineSpec, paths: list[Path]) -> list[Server]:
@@ -169,7 +169,7 @@
 
     """
     by_first = {path.first.instance: path for path in paths}
-    able: list[Server] = []
+    eligible: list[Server] = []
     for server in servers:
         path = by_first.get(server.instance)
         if server.newest_complete_version(engine.layers) is None and (
@@ -177,8 +177,8 @@
         ):
             # It is the second engine of a path, or the second of its path is not available.
             continue
-        able.append(server)
-    return able
+        eligible.append(server)
+    return eligible
 
 
 def sample_engines(servers: list[Server], zone: ZoneId, random: Random) -> list[Server]:
@@ -187,13 +187,13 @@
     if the other has too few.
 
     """
-    count = NEAR_COMPARED + FAR_COMPARED
+    count = NEAR_SAMPLED + FAR_SAMPLED
     if len(servers) <= count:
         return servers
     shuffled = random.sample(servers, len(servers))
     near = [server for server in shuffled if server.zone == zone]
     far = [server for server in shuffled if server.zone != zone]
-    near_taken = max(NEAR_COMPARED, count - len(far))
+    near_taken = max(NEAR_SAMPLED, count - len(far))
     return [*near[:near_taken], *far[: count - min(len(near), near_taken)]]
 
 
--- a/packages/millfork-scheduling/millfork_scheduling/server_table.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server_table.py
@@ -18,8 +18,8 @@
 from millfork_scheduling.incarnation_status import IncarnationStatus, determine_status
 from millfork_scheduling.paths import Path, find_paths
 from millfork_scheduling.placement import (
-    FAR_COMPARED,
-    NEAR_COMPARED,
+    FAR_SAMPLED,
+    NEAR_SAMPLED,
     Choice,
     Requirements,
     SelectionContext,
@@ -92,15 +92,15 @@
             self.lapsed.store((key, server.incarnation), server.availability)
             del self.servers[key]
         for key, lease in usable.items():
-            self._take_lease(key, lease)
+            self._apply_lease(key, lease)
         self.changes += 1
         self.index.rebuild(self.servers.values())
         return dropped
 
-    def _take_lease(self, key: InstanceId, lease: Lease) -> None:
+    def _apply_lease(self, key: InstanceId, lease: Lease) -> None:
         server = self.servers.get(key)
         if server is None:
-            made = Server(
+            new_server = Server(
                 key,
                 ServiceName(lease.service),
                 lease.host,
@@ -118,8 +118,8 @@
             if before is not None:
                 # The last report from this address describes the previous engine. Applied to
                 # the new one, it would show weights and load that the new engine doesn't have.
-                made.report_sequence = before.report_sequence
-            self.servers[key] = made
+                new_server.report_sequence = before.report_sequence
+            self.servers[key] = new_server
             return
         if lease.served == server.lease_served:
             return
@@ -193,13 +193,13 @@
         if drawn:
             return drawn
         by_first = {path.first.instance: path.second for path in paths}
-        able = filter_startable(
+        eligible = filter_startable(
             self._unsuspected(requirements, paths, tried, now), requirements.engine, paths
         )
         return [
-            part
-            for server in sample_engines(able, self.zone, self.random)
-            for part in self._servers_through(server, by_first, requirements)
+            member
+            for server in sample_engines(eligible, self.zone, self.random)
+            for member in self._servers_through(server, by_first, requirements)
         ]
 
     def freest_candidates(self, requirements: Requirements, tried: set[InstanceId]) -> list[Server]:
@@ -215,17 +215,19 @@
         servers = self.index.near.get(requirements.service, []) + self.index.far.get(
             requirements.service, []
         )
-        able = [
+        eligible = [
             server
             for server in servers
-            if self._is_untried(server, tried, now)
+            if self._is_untried_and_trusted(server, tried, now)
             and self._can_serve_now(server, requirements, [], now)
             and server.newest_complete_version(engine.layers) is not None
         ]
-        taken = sum(server.likely_occupied(now, self.entries()) for server in able)
-        if taken >= MAX_OCCUPIED_SHARE * sum(server.slots for server in able):
+        taken = sum(server.likely_occupied(now, self.entries()) for server in eligible)
+        if taken >= MAX_OCCUPIED_SHARE * sum(server.slots for server in eligible):
             return []
-        return nsmallest(NEAR_COMPARED + FAR_COMPARED, able, key=partial(_occupied_share, now=now))
+        return nsmallest(
+            NEAR_SAMPLED + FAR_SAMPLED, eligible, key=partial(_occupied_share, now=now)
+        )
 
     def choose(
         self,
@@ -295,16 +297,18 @@
         far = self.index.far.get(requirements.service, [])
         by_first = {path.first.instance: path.second for path in paths}
         drawn: list[Server] = []
-        for servers, count in ((near, NEAR_COMPARED), (far, FAR_COMPARED)):
+        for servers, count in ((near, NEAR_SAMPLED), (far, FAR_SAMPLED)):
             found = 0
             for server in self.random.sample(servers, min(len(servers), SAMPLE_SIZE)):
                 if found == count:
                     break
-                parts = self._servers_through(server, by_first, requirements)
-                if not parts or any(not self._is_untried(part, tried, now) for part in parts):
+                members = self._servers_through(server, by_first, requirements)
+                if not members or any(
+                    not self._is_untried_and_trusted(member, tried, now) for member in members
+                ):
                     continue
-                if all(self._can_serve_now(part, requirements, paths, now) for part in parts):
-                    drawn += parts
+                if all(self._can_serve_now(member, requirements, paths, now) for member in members):
+                    drawn += members
                     found += 1
             if found < count:
                 return []
@@ -326,7 +330,7 @@
         second = by_first.get(server.instance)
         return [server, second] if second is not None else []
 
-    def _is_untried(self, server: Server, tried: set[InstanceId], now: float) -> bool:
+    def _is_untried_and_trusted(self, server: Server, tried: set[InstanceId], now: float) -> bool:
         return server.instance not in tried and server.suspect_until <= now
 
     def _choose_from_all(
@@ -353,13 +357,13 @@
         can.
 
         """
-        able = [
+        eligible = [
             server
             for server in self.index.by_service.get(requirements.service, [])
             if server.instance not in tried
             and self._can_serve_now(server, requirements, paths, now)
         ]
-        return [server for server in able if server.suspect_until <= now] or able
+        return [server for server in eligible if server.suspect_until <= now] or eligible
 
     def closure(self, server: Server) -> Closure | None:
         """
@@ -443,7 +447,7 @@
         """
         for path in paths:
             if server in path.servers:
-                refused = [part.refused.get(path.version, now) for part in path.servers]
+                refused = [member.refused.get(path.version, now) for member in path.servers]
                 return path.version >= requirements.least_version and max(refused) <= now
         return False
 
--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -307,7 +307,7 @@
             Edit(
                 C + 'placement.py',
                 'choose_cheapest(\n'
-                '        sample_engines(able, context.zone, random), random=random\n'
+                '        sample_engines(eligible, context.zone, random), random=random\n'
                 '    ) or',
                 'None or',
             ),
