--- a/packages/millfork-routing/millfork_routing/limits.py
+++ b/packages/millfork-routing/millfork_routing/limits.py
@@ -1,5 +1,5 @@
 """
-Fair shares: who may begin, who waits, who is refused at once.
+Fair sharing of slots between organisations, and caps on requests in progress.
 
 """
 
@@ -16,13 +16,13 @@
 SERVICE_TIME_WEIGHT: Final = 0.1
 FIRST_SERVICE_TIME_S: Final = 0.2
 MIN_RETRY_AFTER_MS: Final = 100
-MAX_REMEMBERED: Final = 10_000
+MAX_ORGANISATIONS_REMEMBERED: Final = 10_000
 
 
 @dataclass(slots=True)
 class Waiter:
     """
-    A request waiting for a slot, until a moment on the monotonic clock.
+    A request that waits for a slot until the moment `until` (monotonic seconds).
 
     """
 
@@ -34,77 +34,77 @@
 
 class FairQueue:
     """
-    Slots of one back end, shared by start-time fair queueing.
+    The slots of one back end, shared between organisations by start-time fair queueing.
 
-    Each organisation has a queue of its own and a virtual time, which moves
-    on by 1 / share with each slot it gets; the least virtual time is next. A
-    flood from one waits behind itself, and one that was quiet comes next.
+    Each organisation has its own queue and a virtual time, which advances by 1 / share with each
+    slot that it gets. The organisation with the lowest virtual time is served next. So a flood
+    of requests delays only its own organisation, and one that was idle is served next.
 
     """
 
     def __init__(
         self,
         slots: int,
-        most_waiting: int,
+        max_waiting: int,
         share: Callable[[OrganisationId], int],
         monotonic: Callable[[], float],
     ) -> None:
         self.slots = slots
-        self.most_waiting = most_waiting
+        self.max_waiting = max_waiting
         self.share = share
         self.monotonic = monotonic
         self.running = 0
         self.waiting = 0
         self.queues: OrderedDict[OrganisationId, deque[Waiter]] = OrderedDict()
-        # Fractions, as rounding would let one overtake another.
-        self.virtual: dict[OrganisationId, Fraction] = {}
+        # Fractions, as rounding errors would let one organisation overtake another.
+        self.virtual_times: dict[OrganisationId, Fraction] = {}
         self.virtual_now = Fraction(0)
         self.service_time_s = FIRST_SERVICE_TIME_S
 
     def expected_wait_s(self, organisation: OrganisationId) -> float:
         """
-        Seconds until a request of this organisation would begin.
+        The expected time until a new request of this organisation gets a slot, in seconds.
 
         """
         if self.running < self.slots:
             return 0.0
-        mine = len(self.queues.get(organisation, ())) + 1
+        queued = len(self.queues.get(organisation, ())) + 1
         shares = sum(self.share(name) for name in self.queues if name != organisation)
         own_share = self.share(organisation)
-        ahead = mine * (1 + shares / own_share)
+        ahead = queued * (1 + shares / own_share)
         ahead = min(ahead, self.waiting + 1)
         return ahead * self.service_time_s / self.slots
 
-    def refuses(self, organisation: OrganisationId, patience_s: float) -> int:
+    def refusal_wait_ms(self, organisation: OrganisationId, max_wait_s: float) -> int:
         """
-        0 if a request may wait here, else when to come back, in ms.
+        0 if a request may join the queue, else the wait until its caller should retry, in ms.
 
         """
         wait_s = self.expected_wait_s(organisation)
         queued = len(self.queues.get(organisation, ()))
-        if wait_s <= patience_s and queued < self._room(organisation):
+        if wait_s <= max_wait_s and queued < self._queue_capacity(organisation):
             return 0
         return max(int(wait_s * 1000), MIN_RETRY_AFTER_MS)
 
-    def _room(self, organisation: OrganisationId) -> int:
+    def _queue_capacity(self, organisation: OrganisationId) -> int:
         """
-        Places in the queue for one organisation: its share of all places.
+        The number of requests that one organisation may queue: its share of all places.
 
         """
         if self.running < self.slots:
-            return self.slots + self.most_waiting
+            return self.slots + self.max_waiting
         shares = sum(self.share(name) for name in self.queues if name != organisation)
         own_share = self.share(organisation)
-        return max(self.most_waiting * own_share // (shares + own_share), 1)
+        return max(self.max_waiting * own_share // (shares + own_share), 1)
 
     async def join(self, organisation: OrganisationId, until: float) -> Waiter:
         """
-        Wait in line; the returned waiter's `granted` is set with its slot.
+        Join the queue; `granted` of the returned waiter is set when it gets its slot.
 
         """
         waiter = Waiter(organisation, until)
         if organisation not in self.queues:
-            self._enter(organisation)
+            self._add_queue(organisation)
         self.queues[organisation].append(waiter)
         self.waiting += 1
         await self._grant()
@@ -112,7 +112,7 @@
 
     async def leave(self, waiter: Waiter) -> None:
         """
-        Give up a place in line, or the slot.
+        Release the waiter's slot, or its place in the queue.
 
         """
         if waiter.has_slot:
@@ -129,27 +129,29 @@
 
     def learn_service_time(self, seconds: float) -> None:
         """
-        Take one request's time on the back end into the estimate.
+        Add the time of one request on the back end, in seconds, to the mean service time.
 
         """
         self.service_time_s += SERVICE_TIME_WEIGHT * (seconds - self.service_time_s)
 
     async def _grant(self) -> None:
         while self.running < self.slots and self.queues:
-            organisation = min(self.queues, key=lambda name: self.virtual[name])
+            organisation = min(self.queues, key=lambda name: self.virtual_times[name])
             waiter = self._next(organisation)
             if waiter is None:
                 continue
-            self.virtual_now = self.virtual[organisation]
-            self.virtual[organisation] += Fraction(1, self.share(organisation))
+            self.virtual_now = self.virtual_times[organisation]
+            self.virtual_times[organisation] += Fraction(1, self.share(organisation))
             waiter.has_slot = True
             self.running += 1
             await waiter.granted.set()
 
     def _next(self, organisation: OrganisationId) -> Waiter | None:
         """
-        Take the organisation's next waiter; of organisations at the same
-        virtual time, the one served longest ago comes first.
+        Remove and return the organisation's next waiter; None if that one has timed out.
+
+        The organisation is moved to the end of `queues`, so that of organisations at the same
+        virtual time the one served longest ago comes first.
 
         """
         queue = self.queues[organisation]
@@ -159,27 +161,27 @@
         if not queue:
             del self.queues[organisation]
         if waiter.until < self.monotonic():
-            # Its owner wakes by its own time-out; a slot would be wasted.
+            # The waiting task ends by its own time-out, so a slot would be wasted on it.
             return None
         return waiter
 
-    def _enter(self, organisation: OrganisationId) -> None:
+    def _add_queue(self, organisation: OrganisationId) -> None:
         """
-        An organisation that waits again starts at the present virtual time:
-        it is not owed what it left unused, and waits for no one's arrears.
+        Add a queue for an organisation that has none. It starts at the current virtual time or
+        later, so it gets no credit for slots that it left unused while idle.
 
         """
-        if len(self.virtual) > MAX_REMEMBERED:
-            self.virtual = {name: self.virtual[name] for name in self.queues}
-        self.virtual[organisation] = max(
-            self.virtual.get(organisation, self.virtual_now), self.virtual_now
+        if len(self.virtual_times) > MAX_ORGANISATIONS_REMEMBERED:
+            self.virtual_times = {name: self.virtual_times[name] for name in self.queues}
+        self.virtual_times[organisation] = max(
+            self.virtual_times.get(organisation, self.virtual_now), self.virtual_now
         )
         self.queues[organisation] = deque()
 
 
-class InFlight:
+class InFlightCounter:
     """
-    Requests in progress on one entry, by organisation, under a ceiling.
+    Counts the requests in progress on one entry by organisation, up to a ceiling for each.
 
     """
 
@@ -189,7 +191,7 @@
 
     def begin(self, organisation: OrganisationId) -> bool:
         """
-        Count a request in; False if the organisation is at its ceiling.
+        Count a new request; returns False if the organisation is at its ceiling.
 
         """
         count = self.counts.get(organisation, 0)
@@ -199,8 +201,8 @@
         return True
 
     def end(self, organisation: OrganisationId) -> None:
-        left = self.counts[organisation] - 1
-        if left:
-            self.counts[organisation] = left
+        remaining = self.counts[organisation] - 1
+        if remaining:
+            self.counts[organisation] = remaining
             return
         del self.counts[organisation]
--- a/packages/millfork-scheduling/millfork_scheduling/fleet_index.py
+++ b/packages/millfork-scheduling/millfork_scheduling/fleet_index.py
@@ -1,5 +1,5 @@
 """
-The back ends of a fleet by service and address, and those among which one entry draws.
+An index of the back ends of a fleet, by service and by address.
 
 """
 
@@ -10,17 +10,17 @@
 from millfork_core.ids import ServiceName, ZoneId
 from millfork_scheduling.server import Server
 
-# Of each service, among how many engines of the own zone and of others an entry draws: it
-# keeps a connection to the daemons beside them. Where entries are few, more, so that each
-# engine is drawn by some of them.
-MOST_NEAR: Final = 32
-MOST_FAR: Final = 16
-DRAWN_BY: Final = 6
+# The number of engines of each service that an entry uses, of its own zone and of the others. It
+# keeps a connection to the daemon beside each of them. With few entries each uses more engines,
+# so that every engine is used by several entries.
+MAX_NEAR: Final = 32
+MAX_FAR: Final = 16
+ENTRIES_PER_ENGINE: Final = 6
 
 
 class FleetIndex:
     """
-    The back ends with a lease, made anew whenever leases change.
+    The back ends that hold a lease; rebuilt on every change of the leases.
 
     """
 
@@ -28,14 +28,14 @@
         self.zone = zone
         self.entries = entries
         self.by_service: dict[ServiceName, list[Server]] = {}
-        # Those to draw from, of the own zone and of all others.
+        # The back ends that this entry uses: those of its own zone and those of all others.
         self.near: dict[ServiceName, list[Server]] = {}
         self.far: dict[ServiceName, list[Server]] = {}
         self.by_address: dict[tuple[str, int], Server] = {}
 
     def rebuild(self, servers: Iterable[Server]) -> None:
         """
-        Take all back ends.
+        Build the index from all back ends.
 
         """
         self.by_service = {}
@@ -48,14 +48,14 @@
             side.setdefault(server.service, []).append(server)
             self.by_address[(server.host, server.port)] = server
         for service, found in self.by_service.items():
-            share = DRAWN_BY * len(found) // max(self.entries(), 1)
-            _keep_least(self.near, service, max(MOST_NEAR, share))
-            _keep_least(self.far, service, max(MOST_FAR, share))
+            share = ENTRIES_PER_ENGINE * len(found) // max(self.entries(), 1)
+            _keep_least(self.near, service, max(MAX_NEAR, share))
+            _keep_least(self.far, service, max(MAX_FAR, share))
 
 
 def _keep_least(servers: dict[ServiceName, list[Server]], service: ServiceName, most: int) -> None:
     """
-    Keep so many back ends of a service, by their order of drawing.
+    Keep the back ends of a service with the lowest `draw_order`, at most `most` of them.
 
     """
     found = servers.get(service, [])
--- /dev/null
+++ b/packages/millfork-scheduling/millfork_scheduling/server_table.py
@@ -0,0 +1,456 @@
+"""
+The table of the back ends that an entry sends requests to directly.
+
+"""
+
+from collections.abc import Callable, Iterable
+from functools import partial
+from heapq import nsmallest
+from random import Random
+from typing import Final
+
+from millfork_adapter.exchange import Backpressure
+from millfork_core.ids import InstanceId, ServiceName, ZoneId
+from millfork_registry.records import EndpointState, Lease
+from millfork_routing.documents import EngineSpec
+from millfork_scheduling.availability import Closure, LapsedAvailabilities, SignalChange
+from millfork_scheduling.fleet_index import FleetIndex
+from millfork_scheduling.incarnation_status import IncarnationStatus, determine_status
+from millfork_scheduling.paths import Path, find_paths
+from millfork_scheduling.placement import (
+    FAR_SAMPLED,
+    NEAR_SAMPLED,
+    Choice,
+    Requirements,
+    SelectionContext,
+    choose_engine,
+    choose_plain,
+    filter_startable,
+    sample_engines,
+)
+from millfork_scheduling.server import REPORT_VALID_S, Lateness, Load, Server
+
+# For a service with at most this many engines, each choice examines all of them.
+MAX_SCANNED: Final = 24
+# For a larger service, a choice examines a random sample of this size from the engines of the
+# own zone, and one from those of the other zones.
+SAMPLE_SIZE: Final = 16
+# While a smaller share of all slots is occupied, a caller is not turned away only because the
+# sampled engines are full.
+MAX_OCCUPIED_SHARE: Final = 0.5
+# Weight of one first token in a service's mean lateness. An entry sees about ten first tokens
+# a second, so the mean follows a change of load within a second.
+LATENESS_WEIGHT: Final = 0.1
+
+
+class ServerTable:
+    """
+    All back ends that hold a usable lease, by instance.
+
+    """
+
+    def __init__(
+        self,
+        zone: ZoneId,
+        random: Random,
+        monotonic: Callable[[], float],
+        entries: Callable[[], int] = lambda: 1,
+        most_entries: Callable[[], int] = lambda: 1,
+    ) -> None:
+        self.zone = zone
+        self.entries = entries
+        # The highest number of entries seen lately. Entries that are out of reach now may still
+        # send requests.
+        self.most_entries = most_entries
+        # How much later than predicted from the engine spec first tokens came lately, in ms.
+        self.lateness: dict[ServiceName, Lateness] = {}
+        self.random = random
+        self.monotonic = monotonic
+        self.servers: dict[InstanceId, Server] = {}
+        self.index = FleetIndex(zone, entries)
+        # Incremented by every change that may affect paths. `paths` caches the paths found and
+        # the value of `changes` they were found at, by service and newest version.
+        self.changes = 0
+        self.paths: dict[tuple[ServiceName, int], tuple[int, list[Path]]] = {}
+        self.lapsed = LapsedAvailabilities(random, monotonic)
+
+    def apply_leases(self, leases: Iterable[Lease]) -> list[Server]:
+        """
+        Replace the leases by the given ones; returns the back ends that are no longer used.
+
+        """
+        usable = {InstanceId(lease.instance): lease for lease in leases if lease.usable}
+        dropped = []
+        for key, server in list(self.servers.items()):
+            lease = usable.get(key)
+            if lease is not None and lease.incarnation == server.incarnation:
+                continue
+            # Nothing learned about one incarnation holds for the next one: its weights, load,
+            # failures and connections ended with it.
+            server.replaced = lease is not None
+            dropped.append(server)
+            self.lapsed.store((key, server.incarnation), server.availability)
+            del self.servers[key]
+        for key, lease in usable.items():
+            self._apply_lease(key, lease)
+        self.changes += 1
+        self.index.rebuild(self.servers.values())
+        return dropped
+
+    def _apply_lease(self, key: InstanceId, lease: Lease) -> None:
+        server = self.servers.get(key)
+        if server is None:
+            new_server = Server(
+                key,
+                ServiceName(lease.service),
+                lease.host,
+                lease.port,
+                ZoneId(lease.zone),
+                max(lease.slots, 1),
+                lease.served,
+                lease.incarnation,
+                lease_served=lease.served,
+                draw_order=self.random.random(),
+                known_since=self.monotonic(),
+                availability=self.lapsed.restore((key, lease.incarnation)),
+            )
+            before = self.index.by_address.get((lease.host, lease.port))
+            if before is not None:
+                # The last report from this address describes the previous engine. Applied to
+                # the new one, it would show weights and load that the new engine doesn't have.
+                new_server.report_sequence = before.report_sequence
+            self.servers[key] = new_server
+            return
+        if lease.served == server.lease_served:
+            return
+        server.lease_served = lease.served
+        if self.monotonic() - server.reported_at > REPORT_VALID_S:
+            server.served = lease.served
+            server.refused.clear()
+
+    def apply_reports(
+        self, states: Iterable[EndpointState]
+    ) -> list[tuple[Server, list[SignalChange]]]:
+        """
+        Apply the reports of endpoint daemons about their engines; returns, by back end, the
+        changed backpressure signals.
+
+        """
+        now = self.monotonic()
+        changes = []
+        for state in states:
+            server = self.index.by_address.get((state.host, state.port))
+            # Any other sequence is newer: the registry accepts a lower one only after the clock
+            # of an instance was reset.
+            if server is None or state.sequence == server.report_sequence:
+                continue
+            server.report_sequence = state.sequence
+            if not state.reachable:
+                continue
+            if server.is_other_incarnation(state.incarnation):
+                if state.incarnation > server.incarnation:
+                    # The engine that holds the lease has ended.
+                    server.served = ()
+                    self.changes += 1
+                continue
+            backpressure = Backpressure(state.limit_per_s, state.leaving)
+            changes.append((server, server.availability.apply_report(backpressure, now)))
+            changing = bool(state.changing_to)
+            if (changing, state.served) != (server.changing, server.served):
+                self.changes += 1
+            server.changing = changing
+            server.daemon = state.instance
+            load = Load(
+                state.running, state.queued, state.pace, server.own_requests, server.own_unread
+            )
+            server.set_load(load, now)
+            if state.served != server.served:
+                server.served = state.served
+                server.refused.clear()
+        return changes
+
+    def incarnation_status(self, server: Server, since: float) -> IncarnationStatus:
+        """
+        Whether a back end has ended since a moment (monotonic seconds).
+
+        """
+        by_id = self.servers.get(server.instance)
+        by_address = self.index.by_address.get((server.host, server.port))
+        known = [other for other in (by_id, by_address) if other is not None]
+        return determine_status(server, since, known, self.monotonic())
+
+    def sample_candidates(self, requirements: Requirements, tried: set[InstanceId]) -> list[Server]:
+        """
+        A few engines to choose from, including the second engines of paths; empty for a
+        service without engines.
+
+        """
+        if requirements.engine is None:
+            return []
+        now = self.monotonic()
+        paths = self._paths(requirements.service, requirements.engine, requirements.newest_version)
+        drawn = self._sample(requirements, paths, tried, now)
+        if drawn:
+            return drawn
+        by_first = {path.first.instance: path.second for path in paths}
+        eligible = filter_startable(
+            self._unsuspected(requirements, paths, tried, now), requirements.engine, paths
+        )
+        return [
+            member
+            for server in sample_engines(eligible, self.zone, self.random)
+            for member in self._servers_through(server, by_first, requirements)
+        ]
+
+    def freest_candidates(self, requirements: Requirements, tried: set[InstanceId]) -> list[Server]:
+        """
+        The engines with the smallest reported share of occupied slots, of those in the index
+        that hold all layers; empty once `MAX_OCCUPIED_SHARE` of their slots are occupied.
+
+        """
+        engine = requirements.engine
+        if engine is None:
+            return []
+        now = self.monotonic()
+        servers = self.index.near.get(requirements.service, []) + self.index.far.get(
+            requirements.service, []
+        )
+        eligible = [
+            server
+            for server in servers
+            if self._is_untried_and_trusted(server, tried, now)
+            and self._can_serve_now(server, requirements, [], now)
+            and server.newest_complete_version(engine.layers) is not None
+        ]
+        taken = sum(server.likely_occupied(now, self.entries()) for server in eligible)
+        if taken >= MAX_OCCUPIED_SHARE * sum(server.slots for server in eligible):
+            return []
+        return nsmallest(
+            NEAR_SAMPLED + FAR_SAMPLED, eligible, key=partial(_occupied_share, now=now)
+        )
+
+    def choose(
+        self,
+        requirements: Requirements,
+        tried: set[InstanceId],
+        candidates: list[Server] | None = None,
+    ) -> Choice | None:
+        """
+        The back end for a request: one of the candidates if any is still usable, else any
+        other. None if no back end can serve the request.
+
+        """
+        now = self.monotonic()
+        late_ms = self._lateness_of(requirements.service).now_ms(now)
+        context = SelectionContext(now, self.zone, self.entries(), late_ms)
+        if requirements.engine is None:
+            return self._choose_from_all(requirements, [], tried, context)
+        paths = self._paths(requirements.service, requirements.engine, requirements.newest_version)
+        if candidates is None:
+            drawn = self._sample(requirements, paths, tried, now)
+        else:
+            drawn = [
+                server
+                for server in candidates
+                if self._is_still_usable(server, requirements, paths, tried)
+            ]
+        choice = None
+        if drawn:
+            choice = choose_engine(
+                drawn, requirements, requirements.engine, paths, context, self.random
+            )
+        return choice or self._choose_from_all(requirements, paths, tried, context)
+
+    def _is_still_usable(
+        self, server: Server, requirements: Requirements, paths: list[Path], tried: set[InstanceId]
+    ) -> bool:
+        """
+        Whether an engine that was sampled a moment ago can still serve the request.
+
+        """
+        if self.servers.get(server.instance) is not server or server.instance in tried:
+            return False
+        return self._can_serve_now(server, requirements, paths, self.monotonic())
+
+    def _paths(self, service: ServiceName, engine: EngineSpec, newest: int) -> list[Path]:
+        """
+        The current paths of a service, computed again only after a change.
+
+        """
+        changes, paths = self.paths.get((service, newest), (-1, []))
+        if changes != self.changes:
+            paths = find_paths(self.index.by_service.get(service, []), engine, newest)
+            self.paths[service, newest] = (self.changes, paths)
+        return paths
+
+    def _sample(
+        self, requirements: Requirements, paths: list[Path], tried: set[InstanceId], now: float
+    ) -> list[Server]:
+        """
+        A few candidate engines from a random sample, found without examining all engines.
+        Empty if the service has few engines, or too few of the sample can serve the request.
+
+        """
+        if len(self.index.by_service.get(requirements.service, [])) <= MAX_SCANNED:
+            return []
+        near = self.index.near.get(requirements.service, [])
+        far = self.index.far.get(requirements.service, [])
+        by_first = {path.first.instance: path.second for path in paths}
+        drawn: list[Server] = []
+        for servers, count in ((near, NEAR_SAMPLED), (far, FAR_SAMPLED)):
+            found = 0
+            for server in self.random.sample(servers, min(len(servers), SAMPLE_SIZE)):
+                if found == count:
+                    break
+                members = self._servers_through(server, by_first, requirements)
+                if not members or any(
+                    not self._is_untried_and_trusted(member, tried, now) for member in members
+                ):
+                    continue
+                if all(self._can_serve_now(member, requirements, paths, now) for member in members):
+                    drawn += members
+                    found += 1
+            if found < count:
+                return []
+        return drawn
+
+    def _servers_through(
+        self, server: Server, by_first: dict[InstanceId, Server], requirements: Requirements
+    ) -> list[Server]:
+        """
+        The engines that a request passes through if it is sent to this one; empty if the
+        engine neither holds all layers nor is the first of a path.
+
+        """
+        if (
+            requirements.engine is None
+            or server.newest_complete_version(requirements.engine.layers) is not None
+        ):
+            return [server]
+        second = by_first.get(server.instance)
+        return [server, second] if second is not None else []
+
+    def _is_untried_and_trusted(self, server: Server, tried: set[InstanceId], now: float) -> bool:
+        return server.instance not in tried and server.suspect_until <= now
+
+    def _choose_from_all(
+        self,
+        requirements: Requirements,
+        paths: list[Path],
+        tried: set[InstanceId],
+        context: SelectionContext,
+    ) -> Choice | None:
+        trusted = self._unsuspected(requirements, paths, tried, context.now)
+        if not trusted:
+            return None
+        if requirements.engine is None:
+            return choose_plain(trusted, context, self.random)
+        return choose_engine(
+            trusted, requirements, requirements.engine, paths, context, self.random
+        )
+
+    def _unsuspected(
+        self, requirements: Requirements, paths: list[Path], tried: set[InstanceId], now: float
+    ) -> list[Server]:
+        """
+        All back ends that can serve a request. Suspected ones are included only if no other
+        can.
+
+        """
+        eligible = [
+            server
+            for server in self.index.by_service.get(requirements.service, [])
+            if server.instance not in tried
+            and self._can_serve_now(server, requirements, paths, now)
+        ]
+        return [server for server in eligible if server.suspect_until <= now] or eligible
+
+    def closure(self, server: Server) -> Closure | None:
+        """
+        Why a back end's own signals forbid sending to it now; None if they don't.
+
+        """
+        return server.availability.closure(self.monotonic(), max(self.most_entries(), 1))
+
+    def note_sent(self, servers: Iterable[Server]) -> None:
+        """
+        Record a request that is sent through the given back ends.
+
+        """
+        for server in servers:
+            server.availability.note_sent(self.monotonic(), max(self.most_entries(), 1))
+
+    def first_to_open(self, requirements: Requirements) -> Closure | None:
+        """
+        The closure that is expected to end first, among back ends that meet the requirements
+        but closed themselves by their own signals; None if there is no such back end.
+
+        """
+        now = self.monotonic()
+        paths: list[Path] = []
+        if requirements.engine is not None:
+            paths = self._paths(
+                requirements.service, requirements.engine, requirements.newest_version
+            )
+        closures = [
+            self.closure(server)
+            for server in self.index.by_service.get(requirements.service, [])
+            if self._meets_requirements(server, requirements, paths, now)
+        ]
+        found = [closure for closure in closures if closure is not None]
+        return min(found, key=lambda closure: closure.opens_in_s, default=None)
+
+    def note_first_token(self, server: Server, late_ms: float) -> None:
+        """
+        Add the lateness of one first token against the prediction from the engine spec to
+        the means of the back end and of its service.
+
+        """
+        now = self.monotonic()
+        server.lateness.note(late_ms, now)
+        self._lateness_of(server.service).note(late_ms, now)
+
+    def _lateness_of(self, service: ServiceName) -> Lateness:
+        return self.lateness.setdefault(service, Lateness(LATENESS_WEIGHT))
+
+    def _can_serve_now(
+        self, server: Server, requirements: Requirements, paths: list[Path], now: float
+    ) -> bool:
+        return self.closure(server) is None and self._meets_requirements(
+            server, requirements, paths, now
+        )
+
+    def _meets_requirements(
+        self, server: Server, requirements: Requirements, paths: list[Path], now: float
+    ) -> bool:
+        """
+        Whether a back end meets the requirements of a request, apart from its own signals.
+
+        """
+        engine = requirements.engine
+        if engine is None:
+            return True
+        if server.changing:
+            return False
+        version = server.newest_complete_version(engine.layers)
+        if version is None:
+            return self._is_in_usable_path(server, requirements, paths, now)
+        return version >= requirements.least_version and server.refused.get(version, now) <= now
+
+    def _is_in_usable_path(
+        self, server: Server, requirements: Requirements, paths: list[Path], now: float
+    ) -> bool:
+        """
+        Whether the back end belongs to a path of the newest version that meets the
+        requirements and whose engines didn't refuse that version.
+
+        """
+        for path in paths:
+            if server in path.servers:
+                refused = [member.refused.get(path.version, now) for member in path.servers]
+                return path.version >= requirements.least_version and max(refused) <= now
+        return False
+
+
+def _occupied_share(server: Server, now: float) -> float:
+    return server.occupied(now) / server.slots
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,5 +1,5 @@
 """
-Whether a request is worth sending to the back end that was chosen for it.
+Admission: whether a request is sent to the back end that was chosen for it.
 
 """
 
@@ -9,8 +9,8 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import InstanceId, ServiceName, ZoneId
-from millfork_scheduling.placement import Choice, Wanted
-from millfork_scheduling.returning import LEAST_WAIT_MS
+from millfork_scheduling.placement import Choice, Requirements
+from millfork_scheduling.retry_after import MIN_WAIT_MS
 from millfork_scheduling.server import Server
 from millfork_state.view import View
 from millforkd.proxy.admission import Admission
@@ -28,7 +28,7 @@
 def job_of(made, elapsed_ms=0, engine=ENGINE):
     return SimpleNamespace(
         caller=SimpleNamespace(request_id='id'),
-        wanted=Wanted(ServiceName('s'), engine),
+        requirements=Requirements(ServiceName('s'), engine),
         elapsed_ms=elapsed_ms,
         began=made.env.monotonic(),
         route=SimpleNamespace(target_ms=TARGET_MS),
@@ -37,7 +37,7 @@
 
 def choice_of(made, expected_ms, running):
     server = Server(InstanceId('i-1'), ServiceName('s'), '10.0.0.1', 80, ZoneId('z1'), 16)
-    server.mine = server.mine_at_report = server.reported = running
+    server.own_requests = server.own_at_report = server.reported = running
     server.reported_at = made.env.monotonic()
     return Choice(server, expected_ms, expected_ms)
 
@@ -49,44 +49,44 @@
 
 
 @pytest.mark.parametrize(('expected_ms', 'admitted'), [(100, True), (290, True), (320, False)])
-def test_a_first_request_is_sent_where_it_will_be_in_time(expected_ms, admitted):
+def test_a_first_try_is_sent_only_if_it_is_expected_in_time(expected_ms, admitted):
     assert (wait_ms(expected_ms) == 0) == admitted
 
 
 @pytest.mark.parametrize(('elapsed_ms', 'admitted'), [(150, True), (300, False), (900, False)])
-def test_one_that_comes_back_is_measured_from_its_first_try(elapsed_ms, admitted):
+def test_a_retry_is_measured_from_its_first_try(elapsed_ms, admitted):
     assert (wait_ms(100, elapsed_ms) == 0) == admitted
 
 
 @pytest.mark.parametrize(
-    ('is_open', 'expected_ms', 'running', 'hinges'),
+    ('is_undecided', 'expected_ms', 'running', 'hinges'),
     [
         (True, 100, 14, True),
-        # Its time has told.
+        # Its deadline has decided already.
         (False, 100, 14, False),
-        # It is sent in any case, or in none.
+        # It is sent, or refused, in either case.
         (True, 100, 3, False),
         (True, 5000, 14, False),
     ],
 )
-def test_others_are_asked_only_where_it_decides(is_open, expected_ms, running, hinges):
+def test_other_entries_are_asked_only_if_the_answer_decides(
+    is_undecided, expected_ms, running, hinges
+):
     made = admission()
     job = job_of(made)
-    job.is_open = is_open
-    assert made.hinges_on_first_try(job, choice_of(made, expected_ms, running)) == hinges
+    job.is_undecided = is_undecided
+    assert made.depends_on_first_try(job, choice_of(made, expected_ms, running)) == hinges
 
 
-def test_who_is_refused_hears_when_to_come_back():
-    assert wait_ms(500) >= LEAST_WAIT_MS
+def test_a_refused_caller_is_given_a_minimum_wait():
+    assert wait_ms(500) >= MIN_WAIT_MS
 
 
 @pytest.mark.parametrize(('running', 'admitted'), [(3, True), (11, True), (12, False)])
-def test_what_would_be_late_takes_only_slots_that_nobody_in_time_is_likely_to_want(
-    running, admitted
-):
+def test_late_requests_get_only_spare_slots(running, admitted):
     assert (wait_ms(5000, running=running) == 0) == admitted
     assert (wait_ms(100, elapsed_ms=900, running=running) == 0) == admitted
 
 
-def test_a_plain_service_takes_what_comes():
+def test_a_service_without_engines_admits_every_request():
     assert wait_ms(5000, engine=None) == 0
--- a/tests/test_first_tries.py
+++ b/tests/test_first_tries.py
@@ -1,5 +1,5 @@
 """
-Telling a caller's first try from one that comes back.
+Telling a caller's first try from a retry.
 
 """
 
@@ -8,80 +8,80 @@
 import pytest
 
 from millfork_scheduling.first_tries import (
-    ENOUGH,
-    MOST_ROUTES,
-    RETURNING_FOR_S,
-    FirstTries,
+    MAX_ROUTES,
+    MIN_FIRST_TRIES,
+    RETURN_WINDOW_S,
+    FirstTryDetector,
     Judgement,
 )
-from millfork_scheduling.turned_away import KEPT_S, MOST_KEPT, TurnedAway
+from millfork_scheduling.turned_away import MAX_REMEMBERED, REMEMBERED_S, TurnedAwayRequests
 from millfork_standins.bench.returning import SHIFTED, ReturningModel, Way
 
-# Of first tries, what may be taken for returns: seldom enough that no caller is refused for it
-# in calm.
+# The share of first tries that may be taken for retries: low enough that no caller is refused
+# because of it under low load.
 MISTAKEN = 0.002
 
 
-def learned(deadlines):
-    made = FirstTries()
+def detector_with(deadlines):
+    made = FirstTryDetector()
     for deadline_ms in deadlines:
         made.judge('r', deadline_ms, 0.0)
     return made
 
 
 @pytest.fixture
-def alike():
-    return learned([6080 - number % 10 for number in range(ENOUGH)])
+def common_deadline():
+    return detector_with([6080 - number % 10 for number in range(MIN_FIRST_TRIES)])
 
 
 @pytest.fixture
-def spread():
+def mixed_deadlines():
     random = Random(1)
-    return learned([random.randint(5190, 6080) for _ in range(100)])
+    return detector_with([random.randint(5190, 6080) for _ in range(100)])
 
 
-def test_where_callers_begin_alike_a_shorter_time_tells_who_comes_back(alike):
-    assert alike.judge('r', 6074, 1.0) == Judgement()
-    assert alike.judge('r', 5630, 1.0).elapsed_ms == pytest.approx(446, abs=10)
+def test_with_one_common_deadline_a_shorter_one_shows_a_retry(common_deadline):
+    assert common_deadline.judge('r', 6074, 1.0) == Judgement()
+    assert common_deadline.judge('r', 5630, 1.0).elapsed_ms == pytest.approx(446, abs=10)
 
 
-def test_where_callers_begin_with_different_times_a_short_one_tells_nothing(spread):
+def test_with_different_deadlines_a_short_one_is_undecided(mixed_deadlines):
     """
-    Half of the first tries of such a fleet were taken for returns: their time left was
-    below 0 at once, and they were sent only to engines with slots to spare.
+    Half of the first tries of such a fleet were taken for retries: their remaining time was below
+    0 at once, and they were sent only to engines with spare slots.
 
     """
     for deadline_ms in range(5200, 5900, 50):
-        assert spread.judge('r', deadline_ms, 1.0) == Judgement(is_open=True)
+        assert mixed_deadlines.judge('r', deadline_ms, 1.0) == Judgement(is_undecided=True)
 
 
-def test_a_time_shorter_than_any_first_try_tells_also_there(spread):
-    assert spread.judge('r', 4900, 1.0).elapsed_ms > 500
+def test_a_deadline_shorter_than_any_first_try_shows_a_retry(mixed_deadlines):
+    assert mixed_deadlines.judge('r', 4900, 1.0).elapsed_ms > 500
 
 
 def under_load(deadlines):
-    made = FirstTries()
+    made = FirstTryDetector()
     made.note_turned_away(0.0)
     return [made.judge('r', deadline_ms, 0.1) for deadline_ms in deadlines][-1]
 
 
-def test_after_a_start_under_load_the_latest_tell_whether_callers_begin_alike():
+def test_after_a_start_under_load_the_latest_deadlines_decide():
     random = Random(1)
     assert under_load([6080, 6078, 5700, 6079, 5600, 6075, 5650]).elapsed_ms == 430
-    spread = [random.randint(5190, 6080) for _ in range(12)]
-    assert under_load([*spread, 5600]) == Judgement(is_open=True)
+    mixed_deadlines = [random.randint(5190, 6080) for _ in range(12)]
+    assert under_load([*mixed_deadlines, 5600]) == Judgement(is_undecided=True)
 
 
-def taken_for_returns(least, counted):
+def share_taken_for_retries(least, counted):
     """
-    The share of first tries taken for returns, of callers that begin with `least` to all of
-    the usual time, at entries of which each has judged as many of the route as `counted` says.
+    The share of first tries taken for retries. Callers begin with `least` to 1 times the usual
+    deadline; of the requests that each entry judges, those at the positions `counted` count.
 
     """
     taken = []
     for seed in range(200):
         random = Random(seed)
-        tries = FirstTries()
+        tries = FirstTryDetector()
         for judged in range(counted.stop):
             judgement = tries.judge('r', int(6000 * random.uniform(least, 1.0)), 0.0)
             if judged in counted:
@@ -90,81 +90,83 @@
 
 
 @pytest.mark.parametrize('least', [0.5, 0.6, 0.7, 0.8, 0.85, 0.9, 0.95])
-@pytest.mark.parametrize('counted', [range(ENOUGH), range(ENOUGH, 3 * ENOUGH)])
-def test_first_tries_of_callers_that_differ_are_not_taken_for_returns(least, counted):
+@pytest.mark.parametrize(
+    'counted', [range(MIN_FIRST_TRIES), range(MIN_FIRST_TRIES, 3 * MIN_FIRST_TRIES)]
+)
+def test_first_tries_with_different_deadlines_are_not_taken_for_retries(least, counted):
     """
     A caller was turned away while two thirds of the slots were free. Its entry had judged 14
-    requests of the route; six of them happened to lie within 120 ms of the longest time, so
-    callers seemed to begin alike, and the next, with 677 ms less, was taken for one that had
-    come back: no time was left to it. Any two times looked alike, so entries that had just
-    started and routes with little traffic took 0.074 of their first 20 first tries for returns
-    where callers begin with 0.85 to all of the usual time, and 0.269 with 0.95 to all. Of the
-    next 40 they took 0.012 where callers begin with half of it or more.
+    requests of the route; six of them happened to be within 120 ms of the longest deadline, so
+    callers seemed to share one deadline. The next, 677 ms shorter, was taken for a retry without
+    remaining time. Any two deadlines counted as equal. So entries that had just started, and
+    routes with little traffic, took 0.074 of their first 20 first tries for retries if callers
+    begin with 0.85 to 1 times the usual deadline, and 0.269 with 0.95 to 1 times. Of the next 40
+    they took 0.012 if callers begin with half of it or more.
 
     """
-    assert taken_for_returns(least, counted) < MISTAKEN
+    assert share_taken_for_retries(least, counted) < MISTAKEN
 
 
-def test_those_that_may_return_are_not_learned_from(alike):
-    alike.note_turned_away(10.0)
+def test_deadlines_of_possible_retries_are_not_learned(common_deadline):
+    common_deadline.note_turned_away(10.0)
     for _ in range(200):
-        alike.judge('r', 5600, 10.5)
-    assert alike.judge('r', 5600, 10.6).elapsed_ms > 400
-    now = 10.6 + RETURNING_FOR_S
+        common_deadline.judge('r', 5600, 10.5)
+    assert common_deadline.judge('r', 5600, 10.6).elapsed_ms > 400
+    now = 10.6 + RETURN_WINDOW_S
     for _ in range(200):
-        alike.judge('r', 5600, now)
-    assert alike.judge('r', 5600, now) == Judgement(is_open=True)
+        common_deadline.judge('r', 5600, now)
+    assert common_deadline.judge('r', 5600, now) == Judgement(is_undecided=True)
 
 
-def test_each_route_has_times_of_its_own(alike):
-    assert alike.judge('other', 2500, 1.0) == Judgement()
+def test_each_route_has_its_own_deadlines(common_deadline):
+    assert common_deadline.judge('other', 2500, 1.0) == Judgement()
 
 
-def test_the_routes_remembered_are_bounded(alike):
-    for number in range(MOST_ROUTES + 5):
-        alike.judge(f'other-{number}', 6000, 1.0)
-    assert len(alike.times) == MOST_ROUTES
+def test_the_routes_remembered_are_bounded(common_deadline):
+    for number in range(MAX_ROUTES + 5):
+        common_deadline.judge(f'other-{number}', 6000, 1.0)
+    assert len(common_deadline.deadlines_by_route) == MAX_ROUTES
 
 
-def test_a_few_odd_ones_do_not_hide_who_comes_back():
-    made = learned([6080] * 60 + [900, 1500])
+def test_a_few_outliers_do_not_hide_retries():
+    made = detector_with([6080] * 60 + [900, 1500])
     assert made.judge('r', 5500, 1.0).elapsed_ms == 580
 
 
-def test_what_was_turned_away_is_known_by_what_it_says():
-    table = TurnedAway()
+def test_a_request_turned_away_is_recognised_by_its_fingerprint():
+    table = TurnedAwayRequests()
     table.note(b'a', 0, 10.0)
     assert table.elapsed_ms(b'a', 10.4) == pytest.approx(400, abs=1)
     assert table.elapsed_ms(b'b', 10.4) is None
 
 
-def test_the_first_try_counts_however_often_it_was_turned_away():
-    table = TurnedAway()
+def test_the_time_counts_from_the_first_try_after_several_rejections():
+    table = TurnedAwayRequests()
     table.note(b'a', 0, 10.0)
     table.note(b'a', 500, 10.5)
-    # Told of late, or by an entry that did not know of the first one.
+    # Reported late, or by an entry that did not know of the first try.
     table.note(b'a', 0, 10.6)
     assert table.elapsed_ms(b'a', 11.0) == pytest.approx(1000, abs=1)
 
 
-def test_old_ones_are_forgotten_and_their_number_is_bounded():
-    table = TurnedAway()
+def test_old_rejections_are_forgotten_and_their_number_is_bounded():
+    table = TurnedAwayRequests()
     table.note(b'old', 0, 0.0)
-    for number in range(MOST_KEPT + 10):
+    for number in range(MAX_REMEMBERED + 10):
         table.note(number.to_bytes(4, 'big'), 0, 1.0)
-    assert len(table.first_tried) <= MOST_KEPT
+    assert len(table.first_tried) <= MAX_REMEMBERED
     assert table.elapsed_ms(b'old', 1.0) is None
-    assert table.elapsed_ms((MOST_KEPT).to_bytes(4, 'big'), 1.0) == 0
-    assert table.elapsed_ms((MOST_KEPT).to_bytes(4, 'big'), 2.0 + KEPT_S) is None
+    assert table.elapsed_ms((MAX_REMEMBERED).to_bytes(4, 'big'), 1.0) == 0
+    assert table.elapsed_ms((MAX_REMEMBERED).to_bytes(4, 'big'), 2.0 + REMEMBERED_S) is None
     assert not table.first_tried
 
 
 @pytest.mark.parametrize('least', [1.0, 0.85])
-def test_under_lasting_load_no_less_is_in_time_for_not_being_told_who_returns(least):
+def test_under_lasting_load_detected_retries_cost_no_requests_in_time(least):
     """
-    Callers that begin with 0.85 to all of the usual time, at 1.2 times what the engines
-    carry. Those who came back were told from first tries by the longest time seen: 0.54 in
-    time, 0.70 where it is known who they are.
+    Callers begin with 0.85 to 1 times the usual deadline, at 1.2 times the capacity of the
+    engines. When retries were told from first tries by the longest deadline seen, 0.54 of the
+    requests were in time, against 0.70 if the retries are known exactly.
 
     """
 
--- a/tests/test_late_ends_at_endpoints.py
+++ b/tests/test_late_ends_at_endpoints.py
@@ -12,8 +12,8 @@
 from millfork_core.ids import IncarnationKey, InstanceId, RequestId, ZoneId
 from millfork_core.verdicts import Reason, Refusal, Verdict
 from millfork_routing.balance import Backend
-from millfork_scheduling.fates import Fate
-from millfork_scheduling.quarantine import ENDS
+from millfork_scheduling.incarnation_status import IncarnationStatus
+from millfork_scheduling.quarantine import MIN_ENDS_AT_FAULT
 from millfork_settings.models import RoutingSettings
 from millfork_state.view import View
 from millfork_wire.connection import PeerLost
@@ -80,11 +80,11 @@
 @pytest.mark.parametrize(
     ('tells', 'found', 'fate'),
     [
-        ('a', Address.ANSWERS, Fate.LIVES),
-        ('b', Address.ANSWERS, Fate.ENDED),
-        ('', Address.REFUSES, Fate.ENDED),
-        ('', Address.ANSWERS, Fate.UNKNOWN),
-        ('', Address.SILENT, Fate.UNKNOWN),
+        ('a', Address.ANSWERS, IncarnationStatus.LIVES),
+        ('b', Address.ANSWERS, IncarnationStatus.ENDED),
+        ('', Address.REFUSES, IncarnationStatus.ENDED),
+        ('', Address.ANSWERS, IncarnationStatus.UNKNOWN),
+        ('', Address.SILENT, IncarnationStatus.UNKNOWN),
     ],
 )
 def test_what_an_engine_tells_and_its_address_show(monkeypatch, tells, found, fate):
@@ -119,11 +119,15 @@
         back_end.found = Address.REFUSES
         ends = back_end.ends()
         first = ends.key_of(ends.number)
-        assert await ends.note_broken(RequestId('r'), Entry(), ends.number) is Fate.ENDED
+        assert (
+            await ends.note_broken(RequestId('r'), Entry(), ends.number) is IncarnationStatus.ENDED
+        )
         ends.note_incarnation('b', ends.env.monotonic())
         back_end.tells = 'b'
         assert ends.key_of(ends.number) != first
-        assert await ends.note_broken(RequestId('s'), Entry(), ends.number) is Fate.LIVES
+        assert (
+            await ends.note_broken(RequestId('s'), Entry(), ends.number) is IncarnationStatus.LIVES
+        )
 
     curio.run(run)
 
@@ -132,7 +136,9 @@
     async def run():
         ends = BackEnd(monkeypatch).ends(asks=False)
         entry = Entry()
-        assert await ends.note_broken(RequestId('r'), entry, ends.number) is Fate.UNKNOWN
+        assert (
+            await ends.note_broken(RequestId('r'), entry, ends.number) is IncarnationStatus.UNKNOWN
+        )
         ends.note_answer(ends.env.monotonic())
         await until(lambda: entry.told == [BackEndFate('r', False)])
 
@@ -173,11 +179,11 @@
 def test_a_call_is_suspected_until_the_fates_of_its_back_ends_are_told():
     async def run():
         breaks = Breaks()
-        for number in range(ENDS):
+        for number in range(MIN_ENDS_AT_FAULT):
             assert breaks.barred is None
             await breaks.break_off(number)
         assert breaks.barred is Reason.SUSPECTED
-        for number in range(ENDS):
+        for number in range(MIN_ENDS_AT_FAULT):
             await breaks.tell(number, ended=True)
         assert breaks.barred is Reason.QUARANTINED
 
@@ -187,10 +193,10 @@
 def test_a_fate_that_overtakes_the_end_of_its_attempt_counts():
     async def run():
         breaks = Breaks()
-        for number in range(ENDS):
+        for number in range(MIN_ENDS_AT_FAULT):
             await breaks.tell(number, ended=number > 0)
             await breaks.break_off(number)
-        assert breaks.crashes.known(breaks.call).ends == ENDS - 1
+        assert breaks.crashes.known(breaks.call).ends == MIN_ENDS_AT_FAULT - 1
         assert not breaks.crashes.early_fates and not breaks.crashes.pending
 
     curio.run(run)
@@ -200,7 +206,7 @@
     async def run():
         breaks = Breaks()
         known = breaks.crashes.known(breaks.call)
-        for number in range(ENDS):
+        for number in range(MIN_ENDS_AT_FAULT):
             outcome = BrokeOff(
                 Reason.BACKEND_FAILED,
                 Verdict.MAY_HAVE_RUN,
@@ -218,7 +224,9 @@
 def test_a_lost_endpoint_ended_if_another_process_has_its_place(ended):
     async def run():
         breaks = Breaks()
-        endpoints = [Backend(InstanceId(f'e-{n}'), ZoneId('z'), start=1) for n in range(ENDS)]
+        endpoints = [
+            Backend(InstanceId(f'e-{n}'), ZoneId('z'), start=1) for n in range(MIN_ENDS_AT_FAULT)
+        ]
         for endpoint in endpoints:
             attempt = Attempt(breaks.env, RequestId(f'r-{endpoint.instance}'), endpoint, None)
             await attempt.take(Lost())
@@ -239,7 +247,7 @@
 
     async def run():
         breaks = Breaks()
-        for number in range(ENDS):
+        for number in range(MIN_ENDS_AT_FAULT):
             await breaks.break_off(number)
         await curio.sleep(0.001)
         await breaks.crashes.keep_house()
@@ -267,7 +275,7 @@
 def test_a_call_whose_time_was_up_counts_if_its_back_end_ends(ended):
     async def run():
         breaks = Breaks()
-        for number in range(ENDS):
+        for number in range(MIN_ENDS_AT_FAULT):
             request_id = RequestId(f'r-{number}')
             incarnation = IncarnationKey(f'e-{number}/1.0')
             breaks.crashes.note_left(breaks.call, request_id, incarnation)
--- a/tests/test_load_questions.py
+++ b/tests/test_load_queries.py
@@ -1,5 +1,5 @@
 """
-What an entry asks the daemons beside engines before it chooses one.
+Queries for the load of engines, sent to the daemons beside them before one is chosen.
 
 """
 
@@ -12,8 +12,8 @@
 from millfork_core.environment import Environment
 from millfork_core.ids import InstanceId, ServiceName, ZoneId
 from millfork_registry.records import EndpointState, Lease, LeaseState, ServedVersion
-from millfork_scheduling.book import ServerBook
-from millfork_scheduling.placement import Wanted
+from millfork_scheduling.placement import Requirements
+from millfork_scheduling.server_table import ServerTable
 from millfork_wire.connection import PeerTimedOut, PeerUnreachable
 from millfork_wire.messages import EngineLoad
 from millforkd.beside.load import SHARED_S, EngineLoads
@@ -23,16 +23,16 @@
 
 SERVICE = ServiceName('s')
 WHOLE = (ServedVersion('m', 1, 0, 16),)
-WANTED = Wanted(SERVICE, ENGINE, 0, 1, 900)
+REQUIREMENTS = Requirements(SERVICE, ENGINE, 0, 1, 900)
 BORN = 1_700_000_000_000
-# Much longer than anybody is waited for.
+# Much longer than any wait for an answer.
 FOREVER_S = 5.0
 
 
 class Fleet:
     """
-    An entry and three engines of 16 slots, with a daemon beside each. Reports are old: they
-    say that the first has 8 requests, the others 12.
+    An entry and three engines of 16 slots, with a daemon beside each. The last reports are old:
+    they show 8 requests at the first engine and 12 at the others.
 
     """
 
@@ -40,8 +40,8 @@
         self.clock = Clock()
         self.random = Random(1)
         env = Environment(InstanceId('10.0.0.9:1'), ZoneId('z1'), monotonic=self.clock)
-        self.book = ServerBook(ZoneId('z1'), self.random, self.clock, lambda: 10)
-        self.book.take_leases(
+        self.table = ServerTable(ZoneId('z1'), self.random, self.clock, lambda: 10)
+        self.table.apply_leases(
             Lease(
                 f'i-{number}', SERVICE, '10.0.0.1', number, 'z1', 16, LeaseState.READY, 1, 'r',
                 WHOLE, BORN,
@@ -49,7 +49,7 @@
             for number in range(3)
         )  # fmt: skip
         self.report(running=(8, 12, 12))
-        # What the daemons say, by their instance; None: nothing, ever.
+        # The answers of the daemons by instance; None: the daemon never answers.
         self.loads = {
             '10.0.0.1:10': EngineLoad(True, 16, 9, 100, BORN),
             '10.0.0.1:11': EngineLoad(True, 2, 0, 100, BORN),
@@ -60,10 +60,10 @@
         self.answering = curio.Event()
         connections = {InstanceId(name): self.connection(name) for name in self.loads}
         self.peers = SimpleNamespace(connections=connections, connect=self.connect)
-        self.questions = LoadQuestions(env, self.peers, self.book)
+        self.questions = LoadQuestions(env, self.peers, self.table)
 
     def report(self, running):
-        self.book.take_reports(
+        self.table.apply_reports(
             EndpointState(
                 f'10.0.0.1:{number + 10}', SERVICE, 'z1', '10.0.0.1', number,
                 int(self.clock.now * 1000), reachable=True, running=running[number], served=WHOLE,
@@ -86,12 +86,12 @@
         raise PeerUnreachable('cut off')
 
     def server(self, number):
-        return self.book.servers[InstanceId(f'i-{number}')]
+        return self.table.servers[InstanceId(f'i-{number}')]
 
     async def choose(self):
-        compared = self.book.compare(WANTED, set())
+        compared = self.table.sample_candidates(REQUIREMENTS, set())
         await self.questions.refresh(compared)
-        return self.book.choose(WANTED, set(), compared).server.instance
+        return self.table.choose(REQUIREMENTS, set(), compared).server.instance
 
 
 @pytest.fixture
@@ -99,14 +99,14 @@
     return Fleet()
 
 
-def test_the_engine_that_is_free_now_is_chosen_and_not_the_one_that_was(fleet):
+def test_the_engine_that_is_free_now_is_chosen_despite_old_reports(fleet):
     """
-    Thirteen entries before four engines, at 1.2 times what these carry, had 0.52 of first
-    tokens in time where a single entry that sees all its own choices had 0.69; with reports
-    each 0.02 s instead of 0.15 s they had 0.66, and with returns known exactly 0.52: what was
-    lost went to engines that others had filled since their reports. `Request ended` lines tell
-    the same: `first_ms=784 expected_ms=144 left_ms=405 occupied=15`. In 20 s of a fleet of six
-    engines 82 first tokens were late that were expected in time, and 55 once daemons were asked.
+    Thirteen entries with four engines, at 1.2 times their capacity, had 0.52 of first tokens in
+    time. A single entry, which knows all choices, had 0.69. With reports every 0.02 s instead of
+    0.15 s they had 0.66, and with retries known exactly 0.52. So the loss was due to engines that
+    other entries had filled since their reports. `Request ended` lines show the same:
+    `first_ms=784 expected_ms=144 left_ms=405 occupied=15`. In 20 s of a fleet of six engines 82
+    first tokens were late though expected in time, and 55 once daemons were asked.
 
     """
     assert curio.run(fleet.choose) == 'i-1'
@@ -115,7 +115,7 @@
     assert fleet.server(0).reported_unread == 9
 
 
-def test_nobody_is_asked_while_all_have_slots_to_spare(fleet):
+def test_no_daemon_is_asked_while_all_engines_have_spare_slots(fleet):
     fleet.clock.now += 0.1
     fleet.report(running=(3, 8, 9))
     assert curio.run(fleet.choose) == 'i-0'
@@ -124,8 +124,8 @@
 
 def test_a_daemon_that_does_not_answer_is_not_waited_for(fleet):
     """
-    Daemons stand still, are cut off, or send behind links full of weights. The others'
-    answers count all the same, and the silent one is not waited for with each request.
+    A daemon may be frozen, be cut off, or send over a link that is full of weights. The answers
+    of the others are used nevertheless, and later requests don't wait for the silent one.
 
     """
     fleet.loads['10.0.0.1:10'] = None
@@ -133,7 +133,7 @@
     async def run():
         async with curio.timeout_after(FOREVER_S / 2):
             await fleet.choose()
-        # It has not answered by now; what the entry does when the answer is overdue.
+        # The answer is overdue; this is the entry's reaction to that.
         fleet.questions.questions.silent.note('10.0.0.1:10')
         fleet.asked.clear()
         await fleet.choose()
@@ -146,7 +146,7 @@
     assert '10.0.0.1:10' in fleet.asked
 
 
-def test_a_daemon_that_answers_late_is_believed_and_passed_over(fleet):
+def test_a_late_answer_of_a_daemon_is_used_and_the_daemon_skipped(fleet):
     async def run():
         server = fleet.server(0)
         connection = fleet.peers.connections[InstanceId(server.daemon)]
@@ -164,7 +164,7 @@
     assert fleet.questions.questions.silent.is_silent('10.0.0.1:10')
 
 
-def test_a_daemon_that_gives_no_answer_is_passed_over(fleet):
+def test_a_daemon_without_an_answer_is_skipped(fleet):
     async def run():
         server = fleet.server(0)
 
@@ -179,11 +179,11 @@
     assert fleet.questions.questions.silent.is_silent('10.0.0.1:10')
 
 
-def test_a_connection_that_is_silent_for_good_is_closed_and_dialled_anew(fleet):
+def test_a_silent_connection_is_closed_and_dialled_again(fleet):
     """
-    Open connections may go silent without a reset while new ones work. Questions on one were
-    given up after some milliseconds and left it open, so its daemon was asked in vain until a
-    ping found out, 13 s later.
+    Open connections may go silent without a reset while new ones work. Queries on such a
+    connection timed out after some milliseconds but left it open, so its daemon was asked in vain
+    until a ping failed, 13 s later.
 
     """
     connection = fleet.peers.connections[InstanceId('10.0.0.1:10')]
@@ -211,7 +211,7 @@
     assert fleet.dialled == ['10.0.0.1:10']
 
 
-def test_a_caller_waits_for_no_connection(fleet):
+def test_a_caller_does_not_wait_for_a_connection(fleet):
     del fleet.peers.connections[InstanceId('10.0.0.1:10')]
 
     async def run():
@@ -224,7 +224,7 @@
     assert '10.0.0.1:10' not in fleet.asked
 
 
-def test_what_is_told_of_the_next_engine_at_an_address_is_not_taken_for_this_one(fleet):
+def test_the_load_of_another_incarnation_is_ignored(fleet):
     fleet.loads['10.0.0.1:10'] = EngineLoad(True, 0, 0, 100, BORN + 500)
     curio.run(fleet.choose)
     assert fleet.server(0).reported == 8
@@ -232,7 +232,7 @@
 
 class Engine:
     """
-    An engine that answers its daemon, and counts how often it is asked.
+    An engine that answers its daemon and counts the queries.
 
     """
 
@@ -253,7 +253,7 @@
     return EngineLoads(env, engine, lambda: answers)
 
 
-def test_the_engine_is_asked_once_for_all_who_ask_at_the_same_moment():
+def test_simultaneous_queries_ask_the_engine_once():
     engine, clock = Engine(), Clock()
     loads = loads_of(engine, clock)
 
@@ -269,7 +269,7 @@
     assert curio.run(loads.now).running == 7
 
 
-def test_of_an_engine_that_does_not_answer_nothing_is_told_and_nobody_waits():
+def test_an_engine_without_an_answer_yields_an_empty_load_at_once():
     assert curio.run(loads_of(Engine(None), Clock()).now) == EngineLoad()
     engine = Engine()
     assert curio.run(loads_of(engine, Clock(), answers=False).now) == EngineLoad()
--- /dev/null
+++ b/tests/test_shared_budget.py
@@ -0,0 +1,128 @@
+"""
+The shared budget of repeats during restarts and partitions.
+
+Entries that were restarted three times within ten seconds, while servers turned four of five
+requests away, exceeded the shared budget: each new process had the entry's whole share of the
+fixed allowance again, though the previous one had spent it. While entries restarted, and on
+both sides of a partition, they also divided the allowance by the few entries that their replica
+knew then, not by all entries that use it.
+
+"""
+
+from hypothesis import example, given, settings
+from hypothesis import strategies as st
+
+from millfork_core.ids import ServiceName
+from millfork_routing.shared_budget import SharedBudget
+from tests.test_servers import Clock
+
+SERVICE = ServiceName('pool')
+RATIO = 0.2
+SLACK = 232
+WINDOW_S = 10.0
+ENTRIES = 40
+TICK_S = 0.5
+# The requests that one entry receives in a tick; all but a fifth of them are turned away.
+REQUESTS = 3
+# After a restart of all entries, replicas know all of them again after this time.
+KNOWN_AGAIN_TICKS = 4
+# The fleet runs for this long before the first disturbance.
+CALM_TICKS = int(2 * WINDOW_S / TICK_S)
+
+
+class Fleet:
+    """
+    Entries that share one budget, and the requests and repeats that back ends receive from them.
+
+    """
+
+    def __init__(self):
+        self.clock = Clock()
+        # The number of entries that replicas report.
+        self.known_entries = ENTRIES
+        self.unknown_ticks = 0
+        self.budgets = [self.new_budget(position) for position in range(ENTRIES)]
+        self.requests = []
+        self.repeats = []
+
+    def new_budget(self, position=None):
+        return SharedBudget(
+            RATIO,
+            SLACK,
+            WINDOW_S,
+            lambda: self.known_entries,
+            self.clock,
+            lambda: self.has_quorum(position),
+        )
+
+    def has_quorum(self, position):
+        """
+        In a partition, every second entry is on the side with a majority of the replicas.
+
+        """
+        is_cut = self.known_entries in (ENTRIES // 2, ENTRIES // 3)
+        return not is_cut or (position is not None and position % 2 == 0)
+
+    def tick(self, spends):
+        """
+        Run half a second of traffic and check the budget.
+
+        """
+        self.clock.now += TICK_S
+        self.unknown_ticks = max(self.unknown_ticks - 1, 0)
+        if not self.unknown_ticks and self.known_entries == 1:
+            self.known_entries = ENTRIES
+        for budget in self.budgets:
+            for _ in range(REQUESTS):
+                budget.note_request(SERVICE)
+                self.requests.append(self.clock.now)
+                if spends and budget.spend(SERVICE):
+                    self.repeats.append(self.clock.now)
+        since = self.clock.now - WINDOW_S
+        requests = sum(moment > since for moment in self.requests)
+        repeats = sum(moment > since for moment in self.repeats)
+        assert repeats <= RATIO * requests + SLACK
+
+    def disturb(self, disturbance):
+        if disturbance == 'all restart':
+            self.budgets = [self.new_budget(position) for position in range(ENTRIES)]
+            self.known_entries = 1
+            self.unknown_ticks = KNOWN_AGAIN_TICKS
+        if disturbance == 'half restart':
+            self.budgets[::2] = [self.new_budget(position) for position in range(0, ENTRIES, 2)]
+        if disturbance == 'cut':
+            self.known_entries = ENTRIES // 2
+        if disturbance == 'cut in three':
+            self.known_entries = ENTRIES // 3
+        if disturbance == 'all known':
+            self.known_entries = ENTRIES
+
+
+DISTURBANCES = st.sampled_from(
+    ['calm', 'all restart', 'half restart', 'cut', 'cut in three', 'all known']
+)
+
+
+# An example simulates 40 entries for up to half a minute, which takes 0.05 s to 0.7 s.
+@settings(deadline=None)
+@given(st.lists(st.tuples(DISTURBANCES, st.integers(1, 8), st.booleans()), max_size=8))
+@example([('calm', 8, True), ('all restart', 4, True), ('all restart', 4, True)])
+@example([('cut in three', 8, False), ('calm', 20, True)])
+@example(
+    [
+        ('cut', 5, True),
+        ('all restart', 4, False),
+        ('calm', 8, True),
+        ('half restart', 5, True),
+        ('cut in three', 3, False),
+        ('calm', 8, True),
+    ]
+)
+def test_restarts_and_partitions_never_exceed_the_budget(steps):
+    fleet = Fleet()
+    for _ in range(CALM_TICKS):
+        fleet.tick(spends=False)
+    for disturbance, ticks, spends in steps:
+        fleet.disturb(disturbance)
+        for _ in range(ticks):
+            fleet.tick(spends)
--- a/tests/test_suspicions.py
+++ b/tests/test_suspicions.py
@@ -1,5 +1,6 @@
 """
-Requests whose answers broke off, before it is known whether their back ends ended.
+Suspicions against requests whose answers broke off, until it is known whether their back ends
+ended.
 
 """
 
@@ -28,15 +29,15 @@
     decode_suspicions,
     encode_suspicions,
 )
-from millfork_scheduling.fates import Fate
+from millfork_scheduling.incarnation_status import IncarnationStatus
 from millfork_scheduling.quarantine import (
-    ENDS,
+    MIN_ENDS_AT_FAULT,
     TRIAL_AFTER_S,
     TRIAL_SPREAD_S,
-    Standing,
-    Trials,
-    ends_after,
-    standing_of,
+    SuspicionLevel,
+    TrialSchedule,
+    count_ends,
+    suspicion_level_of,
 )
 from millfork_scheduling.server import Server
 from millforkd.proxy import ends as ends_module
@@ -44,11 +45,11 @@
 from tests.test_servers import Clock
 
 FINGERPRINT = Fingerprint('ab')
-LONG_S = 200.0
-MOST_TRIALS_A_S = 2
+DURATION_S = 200.0
+MAX_TRIALS_PER_S = 2
 
 
-def suspected(number=ENDS):
+def suspected(number=MIN_ENDS_AT_FAULT):
     suspicion = Suspicion(FINGERPRINT)
     for index in range(number):
         suspicion = suspicion.with_broken(IncarnationKey(f'i-{index}/1'))
@@ -68,7 +69,7 @@
 
 @settings(deadline=None)
 @given(STEPS)
-def test_all_agree_once_each_has_told_what_it_knows(steps):
+def test_all_processes_agree_after_exchanging_suspicions(steps):
     async def run():
         processes = [Suspects(Clock()) for _ in range(3)]
 
@@ -99,29 +100,29 @@
 
 
 def test_a_request_is_suspected_after_it_broke_off_at_three_back_ends():
-    standings = [standing_of(suspected(number)) for number in range(ENDS + 1)]
-    assert standings == [Standing.FREE] * ENDS + [Standing.SUSPECTED]
+    levels = [suspicion_level_of(suspected(number)) for number in range(MIN_ENDS_AT_FAULT + 1)]
+    assert levels == [SuspicionLevel.FREE] * MIN_ENDS_AT_FAULT + [SuspicionLevel.SUSPECTED]
     again = suspected(1).with_broken(IncarnationKey('i-0/1'))
     assert again == suspected(1)
 
 
-def test_ends_count_by_sequence_and_each_incarnation_once():
+def test_only_successive_ends_count_and_each_incarnation_once():
     now = suspected()
-    assert ends_after(Suspicion(FINGERPRINT), now, IncarnationKey('i-0/1')) == 1
-    assert ends_after(suspected(2), now, IncarnationKey('i-2/1')) == ENDS
-    assert ends_after(suspected(2), now, IncarnationKey('i-1/1')) == 2
+    assert count_ends(Suspicion(FINGERPRINT), now, IncarnationKey('i-0/1')) == 1
+    assert count_ends(suspected(2), now, IncarnationKey('i-2/1')) == MIN_ENDS_AT_FAULT
+    assert count_ends(suspected(2), now, IncarnationKey('i-1/1')) == 2
     lives_on = now.without(IncarnationKey('i-0/1'))
-    assert ends_after(suspected(2), lives_on, IncarnationKey('i-2/1')) == 2
-    assert ends_after(suspected(0).with_end(), now, IncarnationKey('i-2/1')) == 2
+    assert count_ends(suspected(2), lives_on, IncarnationKey('i-2/1')) == 2
+    assert count_ends(suspected(0).with_end(), now, IncarnationKey('i-2/1')) == 2
 
 
-def test_one_that_lives_on_is_suspected_no_more():
+def test_a_request_is_cleared_by_a_back_end_that_lives_on():
     left = suspected().with_end().without(IncarnationKey('i-1/1'))
-    assert standing_of(left) is Standing.FREE
+    assert suspicion_level_of(left) is SuspicionLevel.FREE
     assert (left.epoch, left.ends, left.broken) == (1, 1, ('i-0/1', 'i-2/1'))
 
 
-def test_what_nobody_was_told_is_withdrawn_without_a_trace():
+def test_an_unpublished_suspicion_is_withdrawn_without_a_trace():
     async def run():
         suspects = Suspects(Clock())
         suspects.note_privately(suspected(1))
@@ -138,7 +139,7 @@
     curio.run(run)
 
 
-def test_where_records_are_many_those_that_suspect_nothing_go_first():
+def test_records_without_suspicion_are_dropped_first():
     async def run():
         suspects = Suspects(Clock())
         await suspects.note(suspected())
@@ -149,33 +150,35 @@
     curio.run(run)
 
 
-def test_a_suspected_request_is_tried_once_in_a_while_and_by_few_entries():
+def test_trials_of_a_suspected_request_are_rare_across_all_entries():
     clock = Clock()
     entries = 20
-    trials = [Trials(random.Random(number), clock, lambda: entries) for number in range(entries)]
+    trials = [
+        TrialSchedule(random.Random(number), clock, lambda: entries) for number in range(entries)
+    ]
     begun = []
     started_at = clock.now
-    while clock.now < started_at + LONG_S:
+    while clock.now < started_at + DURATION_S:
         begun += [clock.now for trial in trials if trial.begin(suspected())]
         clock.now += 0.05
     assert begun[0] - started_at >= TRIAL_AFTER_S
-    assert LONG_S / (TRIAL_AFTER_S + entries * TRIAL_SPREAD_S) * entries <= len(begun)
-    assert len(begun) <= MOST_TRIALS_A_S * LONG_S
+    assert DURATION_S / (TRIAL_AFTER_S + entries * TRIAL_SPREAD_S) * entries <= len(begun)
+    assert len(begun) <= MAX_TRIALS_PER_S * DURATION_S
 
 
-def test_what_is_learned_of_a_request_puts_its_trial_off():
+def test_news_about_a_request_postpones_its_trial():
     clock = Clock()
-    trials = Trials(random.Random(1), clock, lambda: 1)
+    trials = TrialSchedule(random.Random(1), clock, lambda: 1)
     assert not trials.begin(suspected())
     clock.now += TRIAL_AFTER_S + TRIAL_SPREAD_S
-    assert not trials.begin(suspected(ENDS + 1))
-    assert not trials.begin(suspected(ENDS + 1))
+    assert not trials.begin(suspected(MIN_ENDS_AT_FAULT + 1))
+    assert not trials.begin(suspected(MIN_ENDS_AT_FAULT + 1))
     clock.now += TRIAL_AFTER_S + TRIAL_SPREAD_S
-    assert trials.begin(suspected(ENDS + 1))
-    assert not trials.begin(suspected(ENDS + 1))
+    assert trials.begin(suspected(MIN_ENDS_AT_FAULT + 1))
+    assert not trials.begin(suspected(MIN_ENDS_AT_FAULT + 1))
 
 
-def test_an_allowance_is_there_again_after_its_time():
+def test_an_allowance_is_restored_after_its_window():
     allowance = Allowance(2, 10)
     assert [allowance.spend(now) for now in (0, 1, 2, 10.5, 10.6, 12)] == [
         True,
@@ -187,22 +190,22 @@
     ]
 
 
-class Broken:
+class FailingBackEnds:
     """
-    Back ends under which the same request breaks off one after another.
+    Back ends at which the answers to the same request break off one after another.
 
     """
 
     def __init__(self):
         self.env = Environment(InstanceId('a:1'), ZoneId('z1'))
         self.suspects = Suspects(self.env.monotonic)
-        self.fates = {}
-        self.ends = Ends(self.env, self.suspects, self.fate)
+        self.statuses = {}
+        self.ends = Ends(self.env, self.suspects, self.status)
         self.found = Address.ANSWERS
         self.ends.look = self.look
 
-    def fate(self, server, since):
-        return self.fates.get(server.instance, Fate.UNKNOWN)
+    def status(self, server, since):
+        return self.statuses.get(server.instance, IncarnationStatus.UNKNOWN)
 
     async def look(self, server):
         return self.found
@@ -224,27 +227,29 @@
                 await curio.sleep(0.005)
 
 
-@pytest.mark.parametrize('fate', [Fate.ENDED, Fate.LIVES])
-def test_a_request_is_suspected_until_the_fates_of_its_back_ends_are_known(fate):
+@pytest.mark.parametrize('status', [IncarnationStatus.ENDED, IncarnationStatus.LIVES])
+def test_a_request_is_suspected_until_the_status_of_its_back_ends_is_known(status):
     async def run():
-        broken = Broken()
-        for number in range(ENDS):
+        broken = FailingBackEnds()
+        for number in range(MIN_ENDS_AT_FAULT):
             await broken.break_off(number)
-        assert standing_of(broken.known) is Standing.SUSPECTED
-        broken.fates = {f'i-{number}': fate for number in range(ENDS)}
+        assert suspicion_level_of(broken.known) is SuspicionLevel.SUSPECTED
+        broken.statuses = {f'i-{number}': status for number in range(MIN_ENDS_AT_FAULT)}
         await broken.until(lambda: not broken.ends.watches)
-        standing = Standing.AT_FAULT if fate is Fate.ENDED else Standing.FREE
-        assert standing_of(broken.known) is standing
+        level = (
+            SuspicionLevel.AT_FAULT if status is IncarnationStatus.ENDED else SuspicionLevel.FREE
+        )
+        assert suspicion_level_of(broken.known) is level
 
     curio.run(run)
 
 
-def test_back_ends_of_which_nothing_is_heard_count_as_living(monkeypatch):
+def test_back_ends_of_unknown_status_count_as_living(monkeypatch):
     monkeypatch.setattr(ends_module, 'WATCHED_S', 0.1)
 
     async def run():
-        broken = Broken()
-        for number in range(ENDS):
+        broken = FailingBackEnds()
+        for number in range(MIN_ENDS_AT_FAULT):
             await broken.break_off(number)
         await broken.until(lambda: not broken.ends.watches)
         assert broken.known.is_clear
@@ -252,42 +257,42 @@
     curio.run(run)
 
 
-def test_ends_at_one_moment_count_as_one_and_are_suspected():
+def test_simultaneous_ends_count_as_one_and_raise_suspicion():
     """
-    As in a loss of power: each was sent there before anything was known.
+    As in a loss of power: each request was sent before any of the ends was known.
 
     """
 
     async def run():
-        broken = Broken()
+        broken = FailingBackEnds()
         broken.found = Address.REFUSES
         before = broken.known
-        for number in range(2 * ENDS):
+        for number in range(2 * MIN_ENDS_AT_FAULT):
             server = Server(
                 InstanceId(f'i-{number}'), ServiceName('s'), '127.0.0.1', 1, ZoneId('z1'), 16
             )
             await broken.ends.note_broken(server, before)
         await broken.until(lambda: not broken.ends.watches)
         assert broken.known.ends == 1
-        assert standing_of(broken.known) is Standing.SUSPECTED
+        assert suspicion_level_of(broken.known) is SuspicionLevel.SUSPECTED
 
     curio.run(run)
 
 
-def test_a_back_end_that_answers_others_may_end_after_a_caller_left():
+def test_a_back_end_that_still_answers_may_end_after_a_caller_left():
     """
-    Its answers tell nothing then: it may go on with the request of the one that left.
+    Its answers are no evidence then: it may still run the request of the caller that left.
 
     """
 
     async def run():
-        broken = Broken()
-        broken.fates = {'i-0': Fate.LIVES}
+        broken = FailingBackEnds()
+        broken.statuses = {'i-0': IncarnationStatus.LIVES}
         server = Server(InstanceId('i-0'), ServiceName('s'), '127.0.0.1', 1, ZoneId('z1'), 16)
         for _ in range(2):
             await broken.ends.note_left(server, broken.known)
         await curio.sleep(0.05)
-        broken.fates = {'i-0': Fate.ENDED}
+        broken.statuses = {'i-0': IncarnationStatus.ENDED}
         await broken.until(lambda: broken.known.ends == 1)
 
     curio.run(run)
