--- a/packages/millfork-standins/millfork_standins/bench/routing.py
+++ b/packages/millfork-standins/millfork_standins/bench/routing.py
@@ -315,10 +315,10 @@
             self._count(asked, 'refused')
             return
         job = self._job(wanted, self._elapsed_ms(asked, book))
-        wait_ms = 0 if self.admits_all else self.admissions[book].wait_ms(job, choice)
+        wait_ms = 0 if self.admits_all else self.admissions[book].return_after_ms(job, choice)
         if wait_ms and (freest := book.compare_freest(wanted, set())):
             choice = book.choose(wanted, set(), freest) or choice
-            wait_ms = self.admissions[book].wait_ms(job, choice)
+            wait_ms = self.admissions[book].return_after_ms(job, choice)
         if not wait_ms:
             self._start(asked, book, choice)
             return
@@ -343,13 +343,13 @@
         way_s = NEAR_S if choice.server.zone == book.zone else FAR_S
 
         def first() -> None:
-            took_ms = (self.agenda.now + way_s - attempt.began) * 1000
+            took_ms = (self.agenda.now + way_s - attempt.started_at) * 1000
             book.note_first_token(choice.server, took_ms - choice.by_figures_ms)
-            attempt.note_first()
+            attempt.mark_first_token()
             self._note_first(asked, (self.agenda.now + way_s - asked.at) * 1000)
 
         def end() -> None:
-            choice.server.note_service_time(self.agenda.now - attempt.began)
+            choice.server.note_service_time(self.agenda.now - attempt.started_at)
             attempt.end()
 
         generation = Generation(asked.prompt, asked.answer, first, end)
--- /dev/null
+++ b/packages/millforkd/millforkd/end_watch.py
@@ -0,0 +1,179 @@
+"""
+Probes a back end whose answers broke off until it is known whether it ended.
+
+"""
+
+from collections.abc import Awaitable, Callable
+from dataclasses import dataclass, field
+from enum import Enum
+from typing import Final, Generic, TypeVar
+
+import curio
+
+from millfork_core.environment import Environment
+from millfork_core.logs import Part, logger
+from millfork_core.sockets import connect
+from millfork_scheduling.fates import Fate
+
+# All requests that break off because a back end ended do so within a few milliseconds. A
+# listener that is just closing may also reset one connection before it refuses the next.
+GROUPING_DELAY_S: Final = 0.01
+PROBES_BEFORE_RETURN: Final = 2
+# Watches that aren't urgent start with the probe interval that follows this many probes.
+UNHURRIED_PROBES: Final = 4
+# Zones are a few milliseconds apart. A timeout proves nothing, as a network partition also
+# causes one.
+PROBE_TIMEOUT_S: Final = 0.4
+# The longest wait for the result of a watch. Probing takes some milliseconds where the address
+# answers; without an answer the result may take seconds.
+MAX_PROBE_WAIT_S: Final = 0.05
+
+# A back end in an unknown state is probed at least this often and for this long: an instance
+# that lost power is back within seconds, and leases behind a network partition expire meanwhile.
+MAX_PROBE_INTERVAL_S: Final = 0.5
+MAX_WATCH_S: Final = 20.0
+
+# An end within this time after a caller left is attributed to the caller's request: a back end
+# that continues with the request has finished it by then, or has ended.
+CALLER_LEFT_WATCH_S: Final = 2.0
+
+log = logger(Part.DAEMON)
+
+Subject = TypeVar('Subject')
+
+
+class ProbeResult(Enum):
+    """
+    The result of connecting to an address.
+
+    """
+
+    ANSWERS = 'answers'
+    REFUSES = 'refuses'
+    SILENT = 'silent'
+
+
+async def probe_address(host: str, port: int) -> ProbeResult:
+    """
+    Connect to an address and close the connection again.
+
+    """
+    try:
+        async with curio.timeout_after(PROBE_TIMEOUT_S):
+            sock = await connect(host, port)
+    except ConnectionRefusedError:
+        return ProbeResult.REFUSES
+    except (OSError, curio.TaskTimeout) as error:
+        log.info(
+            'Unknown whether a back end ended. address={}:{} error={}',
+            host,
+            port,
+            type(error).__name__,
+        )
+        return ProbeResult.SILENT
+    await sock.close()
+    return ProbeResult.ANSWERS
+
+
+@dataclass(slots=True)
+class Interruption(Generic[Subject]):
+    """
+    A request or reservation that broke off at a back end; `at` is in monotonic seconds.
+
+    """
+
+    subject: Subject
+    at: float
+
+
+@dataclass(slots=True)
+class EndWatch(Generic[Subject]):
+    """
+    Watches one back end. `probe` connects to its address. `liveness` returns what other sources
+    say about the back end since an interruption. `on_resolved` receives the result and the
+    interruptions that it applies to; the result is UNKNOWN only after `max_watch_s`.
+
+    """
+
+    env: Environment
+    probe: Callable[[], Awaitable[ProbeResult]]
+    liveness: Callable[[Interruption[Subject]], Fate]
+    on_resolved: Callable[[Fate, list[Interruption[Subject]]], Awaitable[None]]
+    max_interval_s: float = MAX_PROBE_INTERVAL_S
+    max_watch_s: float = MAX_WATCH_S
+    interruptions: dict[str, Interruption[Subject]] = field(default_factory=dict)
+    probes: int = 0
+    # Set by each urgent interruption, as the back end may be ending at this moment.
+    probe_now: curio.Event = field(default_factory=curio.Event)
+    # Set once the result is known, or after PROBES_BEFORE_RETURN probes without one.
+    probed: curio.Event = field(default_factory=curio.Event)
+
+    async def add(self, key: str, subject: Subject, at_once: bool = True) -> None:
+        """
+        Add an interruption that happens now; it replaces an earlier one with the same key.
+        Without `at_once` the next probe isn't brought forward: the back end may end only later.
+
+        """
+        was_idle = not self.interruptions
+        self.interruptions[key] = Interruption(subject, self.env.monotonic())
+        if at_once:
+            self.probes = 0
+            self.probed.clear()
+            await self.probe_now.set()
+            return
+        if was_idle:
+            self.probes = UNHURRIED_PROBES
+
+    async def wait_until_probed(self) -> None:
+        """
+        Wait for the result of the watch, for MAX_PROBE_WAIT_S at most.
+
+        """
+        try:
+            async with curio.timeout_after(MAX_PROBE_WAIT_S):
+                await self.probed.wait()
+        except curio.TaskTimeout:
+            log.debug('Not known yet whether a back end ended.')
+
+    async def run(self) -> None:
+        """
+        Probe the back end until all interruptions are resolved.
+
+        """
+        while self.interruptions:
+            await self._pause()
+            await self._resolve(self.env.monotonic(), ProbeResult.ANSWERS)
+            if self.interruptions:
+                probed_at = self.env.monotonic()
+                result = await self.probe()
+                self.probes += 1
+                await self._resolve(probed_at, result)
+            if self.probes >= PROBES_BEFORE_RETURN or not self.interruptions:
+                await self.probed.set()
+
+    async def _pause(self) -> None:
+        """
+        Wait for the time of the next probe; the interval doubles from probe to probe.
+
+        """
+        pause_s = min(GROUPING_DELAY_S * 2.0 ** max(self.probes - 1, 0), self.max_interval_s)
+        try:
+            async with curio.timeout_after(pause_s):
+                await self.probe_now.wait()
+        except curio.TaskTimeout:
+            return
+        self.probe_now.clear()
+        await curio.sleep(GROUPING_DELAY_S)
+
+    async def _resolve(self, probed_at: float, result: ProbeResult) -> None:
+        resolved: dict[Fate, list[Interruption[Subject]]] = {}
+        for key, broken in list(self.interruptions.items()):
+            fate = self.liveness(broken)
+            if fate is Fate.UNKNOWN and result is ProbeResult.REFUSES and broken.at <= probed_at:
+                fate = Fate.ENDED
+            if fate is Fate.UNKNOWN and self.env.monotonic() - broken.at <= self.max_watch_s:
+                continue
+            del self.interruptions[key]
+            resolved.setdefault(fate, []).append(broken)
+        for fate, interruptions in resolved.items():
+            await self.on_resolved(fate, interruptions)
--- a/packages/millforkd/millforkd/endpoint/ends.py
+++ b/packages/millforkd/millforkd/endpoint/ends.py
@@ -14,7 +14,13 @@
 from millfork_scheduling.fates import Fate
 from millfork_wire.connection import Connection, PeerLost
 from millfork_wire.messages import BackEndFate
-from millforkd.watching import LEFT_WATCHED_S, Address, Break, Watch, look_at
+from millforkd.end_watch import (
+    CALLER_LEFT_WATCH_S,
+    EndWatch,
+    Interruption,
+    ProbeResult,
+    probe_address,
+)
 
 NO_ANSWER = ''
 
@@ -63,7 +69,7 @@
         # When the latest of what it answered was sent, in monotonic seconds.
         self.answered_sent_at = float('-inf')
         self.keys = itertools.count(1)
-        self.watch: Watch[Broken] = Watch(env, self._look, self._fate, self._settle)
+        self.watch: EndWatch[Broken] = EndWatch(env, self._probe, self._fate, self._resolve)
         self.is_watching = False
 
     def key_of(self, number: int) -> IncarnationKey:
@@ -101,7 +107,7 @@
         """
         broken = Broken(request_id, connection, number)
         await self._add(broken)
-        await self.watch.until_looked()
+        await self.watch.wait_until_probed()
         broken.is_awaited = False
         return broken.fate
 
@@ -128,24 +134,24 @@
         finally:
             self.is_watching = False
 
-    def _fate(self, broken: Break[Broken]) -> Fate:
-        if broken.item.number < self.number:
+    def _fate(self, broken: Interruption[Broken]) -> Fate:
+        if broken.subject.number < self.number:
             return Fate.ENDED
-        if broken.item.called_off:
-            is_over = self.env.monotonic() - broken.at > LEFT_WATCHED_S
+        if broken.subject.called_off:
+            is_over = self.env.monotonic() - broken.at > CALLER_LEFT_WATCH_S
             return Fate.LIVES if is_over else Fate.UNKNOWN
         return Fate.LIVES if self.answered_sent_at > broken.at else Fate.UNKNOWN
 
-    async def _look(self) -> Address:
+    async def _probe(self) -> ProbeResult:
         if self.ask is not None:
             asked_at = self.env.monotonic()
             told = await self.ask()
             if told != NO_ANSWER:
                 self.note_incarnation(told, asked_at)
-                return Address.ANSWERS
-        return await look_at(*self.address())
+                return ProbeResult.ANSWERS
+        return await probe_address(*self.address())
 
-    async def _settle(self, fate: Fate, broken: list[Break[Broken]]) -> None:
+    async def _resolve(self, fate: Fate, broken: list[Interruption[Broken]]) -> None:
         after_ms = (self.env.monotonic() - min(item.at for item in broken)) * 1000
         log.info(
             'Back end after answers broke off: {}. requests={} after_ms={:.0f}',
@@ -153,12 +159,12 @@
             len(broken),
             after_ms,
         )
-        if fate is Fate.ENDED and any(item.item.number == self.number for item in broken):
+        if fate is Fate.ENDED and any(item.subject.number == self.number for item in broken):
             self._begin_next()
         for item in broken:
-            item.item.fate = fate
-            if not item.item.is_awaited:
-                await self._tell(item.item)
+            item.subject.fate = fate
+            if not item.subject.is_awaited:
+                await self._tell(item.subject)
 
     async def _tell(self, broken: Broken) -> None:
         try:
--- a/packages/millforkd/millforkd/entry/crashes.py
+++ b/packages/millforkd/millforkd/entry/crashes.py
@@ -22,7 +22,7 @@
 from millforkd.entry.attempts import BrokeOff, Call, endpoint_key
 from millforkd.fingerprints import fingerprint_of
 from millforkd.quarantine import Quarantine
-from millforkd.suspecting import Suspecting
+from millforkd.suspicion_updates import SuspicionUpdater
 
 DETAILS: Final = {
     Standing.AT_FAULT: 'back ends end when they run this request',
@@ -83,7 +83,7 @@
     ) -> None:
         self.env = env
         self.suspects = Suspects(env.monotonic)
-        self.suspecting = Suspecting(env, self.suspects)
+        self.suspecting = SuspicionUpdater(env, self.suspects)
         self.pending: dict[RequestId, Pending] = {}
         self.early_fates: dict[RequestId, bool] = {}
         self.quarantine = Quarantine(
--- a/packages/millforkd/millforkd/proxy/admission.py
+++ b/packages/millforkd/millforkd/proxy/admission.py
@@ -33,9 +33,9 @@
 # An entry that starts has its first document and leases 0.5 s to 0.8 s later, as long as
 # replicas that start with it take to hear of each other. Those who come meanwhile wait:
 # turned away, all of them would come back together, for the only other try they have.
-BEGINNING_S: Final = 1.0
+STARTUP_WAIT_S: Final = 1.0
 # Of a caller's time, what it waits then at most.
-BEGINNING_SHARE: Final = 0.25
+STARTUP_WAIT_SHARE: Final = 0.25
 
 log = logger(Part.PROXY)
 
@@ -55,23 +55,23 @@
         self.entries = entries
         self.table: RouteTable | None = None
         # Set once there are a document and back ends.
-        self.begun = curio.Event()
-        self.began = env.monotonic()
+        self.ready_event = curio.Event()
+        self.created_at = env.monotonic()
         self.first_tries = FirstTries()
 
-    async def until_begun(self, caller: CallerRequest) -> None:
+    async def wait_until_ready(self, caller: CallerRequest) -> None:
         """
         Wait for a document and back ends, while they may come any moment.
 
         """
-        if self.begun.is_set():
+        if self.ready_event.is_set():
             return
-        wait_s = self.began + BEGINNING_S - self.env.monotonic()
+        wait_s = self.created_at + STARTUP_WAIT_S - self.env.monotonic()
         if caller.deadline_ms is not None:
-            wait_s = min(wait_s, caller.deadline_ms * BEGINNING_SHARE / 1000)
+            wait_s = min(wait_s, caller.deadline_ms * STARTUP_WAIT_SHARE / 1000)
         try:
             async with curio.timeout_after(max(wait_s, 0.0)):
-                await self.begun.wait()
+                await self.ready_event.wait()
         except curio.TaskTimeout:
             log.debug('Not ready in {:.2f} s. id={}', wait_s, caller.request_id)
 
@@ -113,7 +113,7 @@
             judgement.is_open,
         )
 
-    def as_of_now(self, wanted: Wanted, last_send: bool) -> Wanted:
+    def with_current_versions(self, wanted: Wanted, last_send: bool) -> Wanted:
         """
         What a request needs at this moment: a version that was good when it
         came may have ended since.
@@ -141,18 +141,18 @@
         does not tell.
 
         """
-        if job.wanted.engine is None or not job.is_open:
+        if job.wanted.engine is None or not job.needs_first_try_lookup:
             return False
         return hinges_on_first_try(self._prospect(job, choice))
 
     def _prospect(self, job: Job, choice: Choice) -> Prospect:
         now = self.env.monotonic()
-        left_ms = job.route.target_ms - job.elapsed_ms - (now - job.began) * 1000
+        left_ms = job.route.target_ms - job.elapsed_ms - (now - job.received_at) * 1000
         occupied = choice.server.taken(now, self.entries())
         age_ms = (now - choice.server.reported_at) * 1000
         return Prospect(choice.first_token_ms, left_ms, occupied, choice.server.slots, age_ms)
 
-    def wait_ms(self, job: Job, choice: Choice) -> int:
+    def return_after_ms(self, job: Job, choice: Choice) -> int:
         """
         0 if a request is worth sending; else when its caller may come back.
 
--- a/packages/millforkd/millforkd/proxy/backpressure.py
+++ b/packages/millforkd/millforkd/proxy/backpressure.py
@@ -15,7 +15,7 @@
 log = logger(Part.PROXY)
 
 
-class BackpressureIntake:
+class BackpressureRecorder:
     """
     Takes what was told of back ends.
 
--- a/packages/millforkd/millforkd/proxy/daemon.py
+++ b/packages/millforkd/millforkd/proxy/daemon.py
@@ -34,13 +34,13 @@
 from millforkd.beside.origin import Origin, origin_in
 from millforkd.document import document_in
 from millforkd.proxy.admission import Admission
-from millforkd.proxy.asking import LoadQuestions
 from millforkd.proxy.cache import PieceCache
 from millforkd.proxy.connections import Pools
 from millforkd.proxy.fingerprints import Fingerprints
 from millforkd.proxy.forwarding import Forwarding
-from millforkd.proxy.recall import Recall
-from millforkd.proxy.suspicions import SuspicionTeller
+from millforkd.proxy.load_queries import LoadQueries
+from millforkd.proxy.suspicion_reporter import SuspicionReporter
+from millforkd.proxy.turned_away_directory import TurnedAwayDirectory
 from millforkd.quarantine import Quarantine
 from millforkd.seeded import feed_for, fleet_key
 
@@ -53,7 +53,7 @@
 # For a report that is passed on to a replica; the next one follows in 0.15 s.
 REPORT_TIMEOUT_S: Final = 0.3
 # The entries of a large fleet.
-UNTOLD_ENTRIES: Final = 380
+DEFAULT_ENTRY_COUNT: Final = 380
 
 log = logger(Part.PROXY)
 
@@ -96,7 +96,7 @@
             lambda: self.following.connected,
         )
         fingerprints = Fingerprints(fleet_key(settings), lambda: self.view.cluster)
-        self.recall = Recall(env, self.peers, self.discovery.caches, fingerprints)
+        self.turned_away = TurnedAwayDirectory(env, self.peers, self.discovery.caches, fingerprints)
         trials = Trials(env.random, env.monotonic, self.most_entries)
         self.forwarding = Forwarding(
             env,
@@ -106,10 +106,12 @@
             self.pools,
             self.budget,
             Quarantine(self.registry.suspects, self.view, fingerprints, trials),
-            self.recall,
-            LoadQuestions(env, self.peers, self.book),
+            self.turned_away,
+            LoadQueries(env, self.peers, self.book),
+        )
+        self.suspicion_reporter = SuspicionReporter(
+            env, self.peers, self.following, self.registry.suspects
         )
-        self.suspicions = SuspicionTeller(env, self.peers, self.following, self.registry.suspects)
         self.document: Document | None = None
         origin = Origin(env, adapter, str(settings.address), lambda: origin_in(self.document))
         self.cache = PieceCache(env, self.peers, origin, self.discovery.caches)
@@ -140,7 +142,7 @@
         take the whole of a limit for its share.
 
         """
-        return self.following.most_entries if self.following.entries_told else UNTOLD_ENTRIES
+        return self.following.most_entries if self.following.entries_told else DEFAULT_ENTRY_COUNT
 
     @property
     def in_progress(self) -> int:
@@ -160,7 +162,7 @@
         await self.env.keep(self.following.run)
         await self.env.keep(self.relaying.keep)
         await self.env.keep(self._take_changes)
-        await self.env.keep(self.suspicions.keep)
+        await self.env.keep(self.suspicion_reporter.keep)
         await self.env.keep(self._keep_house)
         if self.ready_server is not None:
             await self.env.keep(self.ready_server.run)
@@ -215,7 +217,7 @@
                 self.forwarding.backpressure.note(server, changes, ToldBy.DAEMON)
             self.reports_taken = self.registry.endpoints.version
             if self.admission.table is not None and self.book.servers:
-                await self.admission.begun.set()
+                await self.admission.ready_event.set()
 
     def _take_document(self) -> None:
         found = document_in(self.view, self.adapter, self.document_revision)
@@ -319,8 +321,8 @@
 
     @on.register
     async def _(self, message: messages.NoteTurnedAway, connection: Connection) -> None:
-        self.recall.on_note(message)
+        self.turned_away.on_note(message)
 
     @on.register
     async def _(self, message: messages.AskTurnedAway, connection: Connection) -> Message:
-        return self.recall.on_ask(message)
+        return self.turned_away.on_ask(message)
--- /dev/null
+++ b/packages/millforkd/millforkd/proxy/end_detection.py
@@ -0,0 +1,192 @@
+"""
+Detects which back ends ended, and which requests they were running.
+
+An answer may break off because of a connection, a link or the answer itself. Whether the
+back end ended may be known only seconds later, so a request stays suspected until its back
+end is known to have ended or to be alive. All requests of this entry at a back end break off
+when it ends, so one watch per back end covers them.
+
+"""
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from functools import partial
+from typing import Final
+
+from millfork_core.environment import Environment
+from millfork_core.ids import Fingerprint, IncarnationKey
+from millfork_core.logs import Part, logger
+from millfork_registry.suspects import Suspects, Suspicion
+from millfork_scheduling.fates import Fate, fate_of
+from millfork_scheduling.server import Server
+from millforkd.end_watch import (
+    CALLER_LEFT_WATCH_S,
+    MAX_PROBE_INTERVAL_S,
+    MAX_WATCH_S,
+    EndWatch,
+    Interruption,
+    ProbeResult,
+    probe_address,
+)
+from millforkd.suspicion_updates import SuspicionUpdater
+
+log = logger(Part.PROXY)
+
+
+# How long requests whose callers left are remembered, and how many of them.
+CALLER_LEFT_MEMORY_S: Final = 60.0
+MAX_ABANDONED_REQUESTS: Final = 1024
+
+
+@dataclass(frozen=True, slots=True)
+class AbandonedRequest:
+    """
+    A request whose caller left. `at` is in monotonic seconds; `before` is the suspicion of
+    the request when it was sent.
+
+    """
+
+    at: float
+    server: Server
+    before: Suspicion
+
+
+@dataclass(frozen=True, slots=True)
+class SentRequest:
+    """
+    A request whose answer broke off, or whose caller left before the answer came. `before` is
+    the suspicion of the request when it was sent to the back end.
+
+    """
+
+    before: Suspicion
+    caller_left: bool = False
+
+
+def incarnation_key(server: Server) -> IncarnationKey:
+    return IncarnationKey(f'{server.instance}/{server.incarnation}')
+
+
+class EndDetector:
+    """
+    Runs one watch for each back end at which answers broke off.
+
+    """
+
+    def __init__(
+        self,
+        env: Environment,
+        suspects: Suspects,
+        liveness_of: Callable[[Server, float], Fate] = fate_of,
+    ) -> None:
+        self.env = env
+        self.liveness_of = liveness_of
+        self.suspicion_updater = SuspicionUpdater(env, suspects)
+        self.watches: dict[IncarnationKey, EndWatch[SentRequest]] = {}
+        # The last abandonment of each request whose caller left.
+        self.abandoned: dict[Fingerprint, AbandonedRequest] = {}
+
+    async def note_caller_left(self, server: Server, before: Suspicion) -> None:
+        """
+        Note that a caller left, or that its deadline passed, before the back end answered. No
+        answer breaks off then if the back end ends, so from the second time on the back end is
+        watched.
+
+        """
+        now = self.env.monotonic()
+        last = self.abandoned.pop(before.fingerprint, None)
+        self.abandoned[before.fingerprint] = AbandonedRequest(now, server, before)
+        if len(self.abandoned) > MAX_ABANDONED_REQUESTS:
+            del self.abandoned[next(iter(self.abandoned))]
+        if last is None or now - last.at > CALLER_LEFT_MEMORY_S:
+            return
+        await self._add(server, SentRequest(before, caller_left=True))
+        if now - last.at < CALLER_LEFT_WATCH_S:
+            await self._add(last.server, SentRequest(last.before, caller_left=True))
+
+    async def note_broken(self, server: Server, before: Suspicion) -> None:
+        """
+        Note that an answer of a back end broke off; `before` is the suspicion of the request
+        when it was sent there. Returns once the back end was probed, or soon after a timeout.
+
+        """
+        watch = await self._add(server, SentRequest(before))
+        await self.suspicion_updater.note_broken(before.fingerprint, incarnation_key(server))
+        await watch.wait_until_probed()
+
+    async def _add(self, server: Server, sent: SentRequest) -> EndWatch[SentRequest]:
+        key = incarnation_key(server)
+        watch = self.watches.get(key)
+        is_new = watch is None
+        if watch is None:
+            watch = self._watch(server, key)
+            self.watches[key] = watch
+        earlier = watch.interruptions.get(sent.before.fingerprint)
+        if earlier is not None:
+            before = max(earlier.subject.before, sent.before, key=lambda item: item.order)
+            sent = SentRequest(before, sent.caller_left and earlier.subject.caller_left)
+        await watch.add(sent.before.fingerprint, sent, at_once=not sent.caller_left)
+        if is_new:
+            await self.env.spawn(self._run_watch, watch, key)
+        return watch
+
+    def _watch(self, server: Server, key: IncarnationKey) -> EndWatch[SentRequest]:
+        return EndWatch(
+            self.env,
+            partial(self._probe, server),
+            partial(self._fate, server),
+            partial(self._resolve, key),
+            MAX_PROBE_INTERVAL_S,
+            MAX_WATCH_S,
+        )
+
+    def _fate(self, server: Server, broken: Interruption[SentRequest]) -> Fate:
+        fate = self.liveness_of(server, broken.at)
+        if fate is Fate.ENDED or not broken.subject.caller_left:
+            return fate
+        # The back end may still run the request while it answers others.
+        watch_is_over = self.env.monotonic() - broken.at > CALLER_LEFT_WATCH_S
+        return Fate.LIVES if watch_is_over else Fate.UNKNOWN
+
+    async def _run_watch(self, watch: EndWatch[SentRequest], key: IncarnationKey) -> None:
+        try:
+            await watch.run()
+        finally:
+            del self.watches[key]
+
+    async def _resolve(
+        self, key: IncarnationKey, fate: Fate, broken: list[Interruption[SentRequest]]
+    ) -> None:
+        if fate is Fate.ENDED:
+            self._log_end(key, broken)
+        if fate is Fate.UNKNOWN:
+            log.info('It stayed unknown whether a back end ended. incarnation={}', key)
+        for item in broken:
+            if fate is Fate.ENDED:
+                if item.subject.caller_left:
+                    await self.suspicion_updater.note_broken(item.subject.before.fingerprint, key)
+                await self.suspicion_updater.note_end(item.subject.before, key)
+                continue
+            await self.suspicion_updater.note_no_end(item.subject.before.fingerprint, key)
+
+    def _log_end(self, key: IncarnationKey, broken: list[Interruption[SentRequest]]) -> None:
+        log.info(
+            'Back end ended. incarnation={} requests={} after_ms={:.0f} fingerprints={}',
+            key,
+            len(broken),
+            (self.env.monotonic() - min(item.at for item in broken)) * 1000,
+            ','.join(sorted(item.subject.before.fingerprint for item in broken)),
+        )
+
+    async def _probe(self, server: Server) -> ProbeResult:
+        result = await self.probe(server)
+        if result is ProbeResult.ANSWERS:
+            self.env.metrics.count(self.env.metrics.connections, event='probe')
+        return result
+
+    async def probe(self, server: Server) -> ProbeResult:
+        """
+        Connect to a back end's address.
+
+        """
+        return await probe_address(server.host, server.port)
--- a/packages/millforkd/millforkd/proxy/events.py
+++ b/packages/millforkd/millforkd/proxy/event_stream.py
@@ -11,7 +11,7 @@
 MAX_EVENT_BYTES: Final = 1024 * 1024
 
 
-class NotEvents(Exception):
+class InvalidEventStream(Exception):
     """
     The bytes are not a stream of events.
 
@@ -41,7 +41,7 @@
         if not end:
             self.rest = data
             if len(data) > MAX_EVENT_BYTES:
-                raise NotEvents(f'no event ends in {len(data)} bytes')
+                raise InvalidEventStream(f'no event ends in {len(data)} bytes')
             return b''
         whole = data[:end]
         self.rest = data[end:]
--- a/packages/millforkd/millforkd/proxy/forwarding.py
+++ b/packages/millforkd/millforkd/proxy/forwarding.py
@@ -1,5 +1,5 @@
 """
-The path of a request: admitted, sent to a back end, answered or refused.
+Handles a request: admits it, sends it to back ends, and answers or refuses it.
 
 """
 
@@ -20,15 +20,15 @@
 from millfork_scheduling.returning import after_refusal, while_closed, while_nothing_serves
 from millfork_web.server import CallerGone, Exchange
 from millforkd.proxy.admission import Admission
-from millforkd.proxy.asking import LoadQuestions
-from millforkd.proxy.backpressure import BackpressureIntake
+from millforkd.proxy.backpressure import BackpressureRecorder
 from millforkd.proxy.connections import Pools
-from millforkd.proxy.endings import Endings
-from millforkd.proxy.ends import Ends
-from millforkd.proxy.job import Failed, Job
-from millforkd.proxy.recall import Recall
-from millforkd.proxy.relaying import Relaying
-from millforkd.proxy.sending import BROKEN, LAST_WORD_S, Sending
+from millforkd.proxy.end_detection import EndDetector
+from millforkd.proxy.job import FailedAttempt, Job
+from millforkd.proxy.load_queries import LoadQueries
+from millforkd.proxy.outcomes import RequestOutcomes
+from millforkd.proxy.request_sender import BROKEN, REFUSAL_MARGIN_S, RequestSender
+from millforkd.proxy.response_relay import ResponseRelay
+from millforkd.proxy.turned_away_directory import TurnedAwayDirectory
 from millforkd.quarantine import Quarantine
 
 log = logger(Part.PROXY)
@@ -36,7 +36,7 @@
 
 class Forwarding:
     """
-    Serves callers' requests.
+    Serves callers' requests at the back ends of the fleet.
 
     """
 
@@ -49,8 +49,8 @@
         pools: Pools,
         budget: SharedBudget,
         quarantine: Quarantine[Job],
-        recall: Recall,
-        loads: LoadQuestions,
+        turned_away: TurnedAwayDirectory,
+        load_queries: LoadQueries,
     ) -> None:
         self.env = env
         self.adapter = adapter
@@ -59,12 +59,12 @@
         self.pools = pools
         self.budget = budget
         self.quarantine = quarantine
-        self.recall = recall
-        self.loads = loads
-        self.backpressure = BackpressureIntake(env)
-        self.ends = Ends(env, quarantine.suspects, book.fate)
-        self.relaying = Relaying(env, adapter, book)
-        self.sending = Sending(
+        self.turned_away = turned_away
+        self.load_queries = load_queries
+        self.backpressure = BackpressureRecorder(env)
+        self.end_detector = EndDetector(env, quarantine.suspects, book.fate)
+        self.response_relay = ResponseRelay(env, adapter, book)
+        self.request_sender = RequestSender(
             env,
             adapter,
             admission,
@@ -72,25 +72,25 @@
             pools,
             budget,
             quarantine,
-            self.relaying,
+            self.response_relay,
             self.backpressure,
         )
-        self.endings = Endings(env, adapter)
+        self.outcomes = RequestOutcomes(env, adapter)
 
     async def answer(self, exchange: Exchange) -> None:
         """
         Answer one request.
 
         """
-        came_at = self.env.monotonic()
+        received_at = self.env.monotonic()
         try:
             caller = self.adapter.read_caller(exchange.request)
         except BadCall as error:
-            await self.endings.refuse(exchange, '', Refusal(Reason.BAD_REQUEST, detail=str(error)))
+            await self.outcomes.refuse(exchange, '', Refusal(Reason.BAD_REQUEST, detail=str(error)))
             return
         try:
-            await self.admission.until_begun(caller)
-            job = self.admission.admit(exchange, caller, came_at)
+            await self.admission.wait_until_ready(caller)
+            job = self.admission.admit(exchange, caller, received_at)
         except Refused as error:
             log.info(
                 'Refused. id={} reason={} detail={}',
@@ -98,33 +98,33 @@
                 error.refusal.reason.value,
                 error.refusal.detail,
             )
-            await self.endings.refuse(exchange, caller.request_id, error.refusal)
+            await self.outcomes.refuse(exchange, caller.request_id, error.refusal)
             return
-        await self._serve_watched(job)
+        await self._serve_until_caller_leaves(job)
 
-    async def _serve_watched(self, job: Job) -> None:
+    async def _serve_until_caller_leaves(self, job: Job) -> None:
         """
-        Serve a job; should its caller leave, stop at once.
+        Serve a job; stop at once if its caller disconnects.
 
         """
         current = await curio.current_task()
-        watcher = await self.env.spawn(self._watch, job, current)
+        watcher = await self.env.spawn(self._watch_caller, job, current)
         try:
             await self._serve(job)
         except curio.TaskCancelled:
             if not job.caller_gone:
                 raise
-            self.endings.note(job, 'caller_gone')
-            raise CallerGone('the caller left') from None
+            self.outcomes.note(job, 'caller_gone')
+            raise CallerGone('the caller disconnected') from None
         except CallerGone:
-            self.endings.note(job, 'caller_gone')
+            self.outcomes.note(job, 'caller_gone')
             raise
         finally:
-            # Whole: the socket is closed next, and the event loop must not hold it
-            # for the watcher then.
+            # Wait until the watcher has ended: the socket is closed next, and the event loop
+            # must not be waiting on it for the watcher then.
             await watcher.cancel()
 
-    async def _watch(self, job: Job, task: curio.Task) -> None:
+    async def _watch_caller(self, job: Job, task: curio.Task) -> None:
         try:
             await job.exchange.until_caller_gone()
         except OSError:
@@ -135,60 +135,60 @@
     async def _serve(self, job: Job) -> None:
         refusal = await self._attempt(job)
         if refusal is None:
-            self.endings.note(job, 'served')
+            self.outcomes.note(job, 'served')
             return
         await self._note_turned_away(job)
-        if job.started:
+        if job.answer_started:
             await job.exchange.break_off()
-            self.endings.note(job, 'broken_off', refusal)
+            self.outcomes.note(job, 'broken_off', refusal)
             return
-        if job.held is not None:
-            await self.relaying.held(job, job.held)
-            self.endings.note(job, 'served_failure', refusal)
+        if job.held_answer is not None:
+            await self.response_relay.respond_held(job, job.held_answer)
+            self.outcomes.note(job, 'served_failure', refusal)
             return
-        await self.endings.refuse(job.exchange, job.caller.request_id, refusal)
-        self.endings.note(job, 'refused', refusal)
+        await self.outcomes.refuse(job.exchange, job.caller.request_id, refusal)
+        self.outcomes.note(job, 'refused', refusal)
 
     async def _note_turned_away(self, job: Job) -> None:
         """
-        Its caller may come back, with less time than it began with.
+        Record the refusal: the caller may retry with a shorter deadline than it first had.
 
         """
         self.admission.first_tries.note_turned_away(self.env.monotonic())
         if job.wanted.engine is not None:
-            await self.recall.note(job)
+            await self.turned_away.note(job)
 
     async def _attempt(self, job: Job) -> Refusal | None:
         """
-        Send a job to one back end after another; None once it is answered.
+        Send a job to one back end after another; None if the caller received an answer.
 
         """
-        paid = False
+        budget_spent = False
         while True:
-            refusal = self._barred(job)
+            refusal = self._refusal_before_send(job)
             if refusal is not None:
                 return refusal
             last_send = len(job.tried) + 1 >= job.route.max_attempts
-            job.wanted = self.admission.as_of_now(job.wanted, last_send)
+            job.wanted = self.admission.with_current_versions(job.wanted, last_send)
             choice = await self._choose(job)
             if choice is None:
                 return self._no_server(job)
-            if not job.tried and not job.started:
+            if not job.tried and not job.answer_started:
                 await self._look_up_first_try(job, choice)
-                wait_ms = self.admission.wait_ms(job, choice)
+                wait_ms = self.admission.return_after_ms(job, choice)
                 if wait_ms:
                     choice = self._among_freest(job) or choice
-                    wait_ms = self.admission.wait_ms(job, choice)
+                    wait_ms = self.admission.return_after_ms(job, choice)
                 if wait_ms:
                     return Refusal(Reason.BUSY, Verdict.NOT_RUN, 'all servers are busy', wait_ms)
-            if job.tried and not paid and not self.budget.spend(job.wanted.service):
+            if job.tried and not budget_spent and not self.budget.spend(job.wanted.service):
                 return self._final(job, Reason.RETRY_BUDGET)
             server = choice.server
             before = self.quarantine.known(job)
             failed = await self._send(job, choice, before)
             if failed is None:
                 return None
-            paid = not failed.sent
+            budget_spent = not failed.sent
             job.failures.append(failed)
             self.env.metrics.retried(failed.reason)
             log.info(
@@ -199,49 +199,49 @@
                 failed.reason.value,
                 failed.verdict.value,
                 failed.detail,
-                (self.env.monotonic() - job.began) * 1000,
+                (self.env.monotonic() - job.received_at) * 1000,
                 before.fingerprint,
                 self.quarantine.known(job).ends,
             )
 
-    async def _send(self, job: Job, choice: Choice, before: Suspicion) -> Failed | None:
+    async def _send(self, job: Job, choice: Choice, before: Suspicion) -> FailedAttempt | None:
         """
-        One attempt, and what it tells of its back ends; None if the caller has its answer.
+        Make one attempt and note failed back ends; None if the caller received its answer.
 
         """
-        job.unanswered = ()
+        job.pending_servers = ()
         try:
-            failed = await self.sending.send(job, choice)
+            failed = await self.request_sender.send(job, choice)
         except (curio.TaskCancelled, CallerGone):
-            await self._note_left(job, before)
+            await self._note_callers_left(job, before)
             raise
         if failed is None:
             return None
         if failed.verdict is not Verdict.NOT_RUN and failed.reason in BROKEN:
             for part in choice.servers:
-                await self.ends.note_broken(part, before)
+                await self.end_detector.note_broken(part, before)
         if failed.reason is Reason.TIMED_OUT:
-            await self._note_left(job, before)
+            await self._note_callers_left(job, before)
         return failed
 
-    async def _note_left(self, job: Job, before: Suspicion) -> None:
-        for server in job.unanswered:
-            await self.ends.note_left(server, before)
+    async def _note_callers_left(self, job: Job, before: Suspicion) -> None:
+        for server in job.pending_servers:
+            await self.end_detector.note_caller_left(server, before)
 
     async def _choose(self, job: Job) -> Choice | None:
         """
-        The back end for a job, by loads as they are now where the choice hangs on them.
+        Choose a back end, with current loads where the choice depends on them.
 
         """
         tried = set(job.tried)
         compared = self.book.compare(job.wanted, tried)
-        await self.loads.refresh(compared)
+        await self.load_queries.refresh(compared)
         return self.book.choose(job.wanted, tried, compared or None)
 
     def _among_freest(self, job: Job) -> Choice | None:
         """
-        The back end for a job that none of those compared would take, while many slots are
-        free elsewhere.
+        Choose among the back ends with most free slots, for a job that all back ends compared
+        so far were too busy for.
 
         """
         tried = set(job.tried)
@@ -251,22 +251,22 @@
     async def _look_up_first_try(self, job: Job, choice: Choice) -> None:
         if not self.admission.hinges_on_first_try(job, choice):
             return
-        job.is_open = False
-        job.elapsed_ms = await self.recall.elapsed_ms(job)
+        job.needs_first_try_lookup = False
+        job.elapsed_ms = await self.turned_away.elapsed_ms(job)
 
-    def _barred(self, job: Job) -> Refusal | None:
+    def _refusal_before_send(self, job: Job) -> Refusal | None:
         """
-        Why a job may not be sent (again), if so.
+        The refusal if a job may not be sent, or not again; otherwise None.
 
         """
-        if job.left_s(self.env.monotonic()) < LAST_WORD_S:
+        if job.remaining_s(self.env.monotonic()) < REFUSAL_MARGIN_S:
             return self._final(job, Reason.TIMED_OUT if job.tried else Reason.EXPIRED)
         standing = self.quarantine.bars(job)
         if standing is Standing.AT_FAULT:
-            detail = 'back ends end when they run this request'
+            detail = 'back ends ended while running this request'
             return self._final(job, Reason.QUARANTINED, detail)
         if standing is Standing.SUSPECTED:
-            detail = 'back ends broke off when they ran this request'
+            detail = 'back ends broke off while running this request'
             return self._final(job, Reason.SUSPECTED, detail)
         if not job.failures:
             return None
@@ -287,16 +287,16 @@
         if closure is not None:
             wait_ms = while_closed(closure, self.env.random)
             reason = Reason(closure.closed_for.value)
-            return Refusal(reason, Verdict.NOT_RUN, 'no server takes more', wait_ms)
+            return Refusal(reason, Verdict.NOT_RUN, 'no server takes more requests', wait_ms)
         wait_ms = while_nothing_serves(self.env.random)
-        return Refusal(Reason.NO_ENDPOINT, Verdict.NOT_RUN, 'no server', wait_ms)
+        return Refusal(Reason.NO_ENDPOINT, Verdict.NOT_RUN, 'no server is available', wait_ms)
 
-    def _final(self, job: Job, reason: Reason, why: str = '') -> Refusal:
+    def _final(self, job: Job, reason: Reason, detail: str = '') -> Refusal:
         """
-        The refusal of a job, with the verdict over all of its attempts.
+        The refusal of a job; its verdict covers all attempts.
 
         """
-        detail = why or '; '.join(failed.detail for failed in job.failures)
+        detail = detail or '; '.join(failed.detail for failed in job.failures)
         if job.may_have_run:
             return Refusal(reason, Verdict.MAY_HAVE_RUN, detail)
         return Refusal(reason, Verdict.NOT_RUN, detail, after_refusal(reason))
--- a/packages/millforkd/millforkd/proxy/job.py
+++ b/packages/millforkd/millforkd/proxy/job.py
@@ -1,5 +1,5 @@
 """
-One caller's request on its way: what it needs, and what became of it so far.
+The state of one caller's request: its requirements, attempts and answer.
 
 """
 
@@ -15,7 +15,7 @@
 from millfork_scheduling.server import Server
 from millfork_web.server import Exchange
 
-# The rank at an engine of a request whose route has the usual rank.
+# The urgency (queue rank at an engine; 0 is served first) for a route with the usual priority.
 USUAL_URGENCY: Final = 5
 USUAL_PRIORITY: Final = 1
 LEAST_URGENCY: Final = 9
@@ -24,13 +24,13 @@
 @dataclass(slots=True)
 class Attempt:
     """
-    One sending of a job, counted at its back end while it lasts.
+    One attempt to serve a job at a back end, counted there while it is in progress.
 
     """
 
     choice: Choice
-    began: float
-    unread: bool = True
+    started_at: float
+    awaiting_first_token: bool = True
 
     @property
     def server(self) -> Server:
@@ -40,38 +40,38 @@
         self.server.mine += 1
         self.server.mine_unread += 1
 
-    def note_first(self) -> None:
+    def mark_first_token(self) -> None:
         """
-        The first token is here.
+        Note that the first token has arrived, so the prompt has been read.
 
         """
-        if self.unread:
-            self.unread = False
+        if self.awaiting_first_token:
+            self.awaiting_first_token = False
             self.server.mine_unread -= 1
 
     def end(self) -> None:
-        self.note_first()
+        self.mark_first_token()
         self.server.mine -= 1
 
 
 @dataclass(frozen=True, slots=True)
-class Failed:
+class FailedAttempt:
     """
-    One attempt that brought the caller no answer.
+    An attempt that ended without an answer for the caller.
 
     """
 
     reason: Reason
     verdict: Verdict
     detail: str
-    # False: nothing was sent, so the next sending repeats no more than this one would have.
+    # False: nothing was sent, so the next attempt isn't a further repeat for the retry budget.
     sent: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class HeldAnswer:
     """
-    A back end's own failure, kept in case that no other does better.
+    An error answer of a back end, passed on only if no other back end gives a better answer.
 
     """
 
@@ -83,8 +83,8 @@
 @dataclass(slots=True)
 class Job:
     """
-    One request. Times are monotonic seconds; `deadline` is when the caller
-    or the route gives it up, whichever is first.
+    One request. Times are in monotonic seconds; `deadline` is the earlier one of the
+    caller's and the route's deadline.
 
     """
 
@@ -94,39 +94,40 @@
     organisation: Organisation | None
     wanted: Wanted
     priority: int
-    began: float
+    received_at: float
     deadline: float
     document_version: int
-    # The time since the caller's first try, in ms, as far as is known; 0: this is it.
+    # The time since the caller's first try, as far as known; 0: this is the first try.
     elapsed_ms: int = 0
-    # Whether what is left to the caller can't tell that, and nobody was asked yet.
-    is_open: bool = False
-    # What was expected of it when it was last weighed.
+    # Whether the remaining deadline doesn't show if this is the first try, and the turned-away
+    # directory wasn't asked yet.
+    needs_first_try_lookup: bool = False
+    # The prediction that the last decision on admission was based on.
     prospect: Prospect = NO_PROSPECT
     tried: list[InstanceId] = field(default_factory=list)
-    failures: list[Failed] = field(default_factory=list)
-    # The version of the weights that the last sending named (0: none), and how long before
-    # its end that was, in ms (infinity: no newer one was named).
+    failures: list[FailedAttempt] = field(default_factory=list)
+    # The version of the weights that the last attempt named (0: none), and the time from then
+    # until that version ends (infinity: no newer version was known).
     sent_version: int = 0
     sent_before_end_ms: float = float('inf')
-    held: HeldAnswer | None = None
+    held_answer: HeldAnswer | None = None
     status: int = 0
-    first_at: float | None = None
-    # The last event that the caller has, once its answer has begun.
+    first_byte_at: float | None = None
+    # The id of the last event passed on to the caller, for a stream that has started.
     last_event: int | None = None
-    started: bool = False
+    answer_started: bool = False
     caller_gone: bool = False
-    # What it says, once somebody asked.
+    # Computed when it is first needed.
     fingerprint: Fingerprint | None = None
-    # The back ends that have it and did not answer yet.
-    unanswered: tuple[Server, ...] = ()
+    # The back ends that the request was sent to and that haven't answered yet.
+    pending_servers: tuple[Server, ...] = ()
 
     @property
     def urgency(self) -> int | None:
         """
-        The rank at an engine (0 first), by the rank of route or organisation
-        alone: an engine serves those of one rank in the order in which they
-        come, which is what the time to a first token is predicted from.
+        The queue rank at an engine (0 is served first). It depends only on the priority of
+        the route or organisation: an engine serves requests of one rank in order of arrival,
+        and the prediction of the time to the first token relies on that order.
 
         """
         if self.wanted.engine is None:
@@ -140,10 +141,10 @@
     @property
     def resume_after(self) -> int | None:
         """
-        The event after which another back end is to go on.
+        The id of the event after which another back end resumes the stream.
 
         """
         return self.last_event if self.last_event is not None else self.caller.last_event_id
 
-    def left_s(self, now: float) -> float:
+    def remaining_s(self, now: float) -> float:
         return self.deadline - now
--- a/packages/millforkd/millforkd/proxy/asking.py
+++ b/packages/millforkd/millforkd/proxy/load_queries.py
@@ -20,7 +20,7 @@
 from millfork_wire.connection import Connection
 from millfork_wire.messages import AskLoad, EngineLoad
 from millfork_wire.peers import Peers
-from millforkd.proxy.questions import Questions
+from millforkd.proxy.peer_queries import PeerQueries
 
 # A caller waits for loads this long at most.
 WAIT_S: Final = 0.02
@@ -32,7 +32,7 @@
 log = logger(Part.PROXY)
 
 
-class LoadQuestions:
+class LoadQueries:
     """
     What one entry asks the daemons beside engines.
 
@@ -41,7 +41,7 @@
     def __init__(self, env: Environment, peers: Peers, book: ServerBook) -> None:
         self.env = env
         self.book = book
-        self.questions = Questions(env, peers, 'load_untold', PASSED_OVER_S)
+        self.queries = PeerQueries(env, peers, 'load_untold', PASSED_OVER_S)
 
     async def refresh(self, servers: list[Server]) -> None:
         """
@@ -55,7 +55,7 @@
         for server in servers:
             if not server.daemon:
                 continue
-            connection = await self.questions.connection(server.daemon)
+            connection = await self.queries.open_connection(server.daemon)
             if connection is None:
                 continue
             asked.append(await self.env.spawn(self._ask, server, connection))
@@ -70,10 +70,10 @@
         asked_at = self.env.monotonic()
         daemon = server.daemon
         mine, mine_unread = server.mine, server.mine_unread
-        reply = await self.questions.ask(daemon, connection, AskLoad(), ANSWER_TIMEOUT_S)
+        reply = await self.queries.ask(daemon, connection, AskLoad(), ANSWER_TIMEOUT_S)
         now = self.env.monotonic()
         if reply is None or now - asked_at > WAIT_S:
-            self.questions.silent.note(daemon)
+            self.queries.silent.note(daemon)
         if not isinstance(reply, EngineLoad) or not reply.known:
             return
         if server.is_another(Incarnation(reply.incarnation)):
--- a/packages/millforkd/millforkd/proxy/endings.py
+++ b/packages/millforkd/millforkd/proxy/outcomes.py
@@ -24,7 +24,7 @@
 log = logger(Part.PROXY)
 
 
-class Endings:
+class RequestOutcomes:
     """
     Refuses, logs and counts.
 
@@ -56,10 +56,10 @@
         kind = job.route.kind.value
         metrics = self.env.metrics
         metrics.count(metrics.requests, outcome=outcome)
-        metrics.request_seconds.add({'kind': kind}, now - job.began)
+        metrics.request_seconds.add({'kind': kind}, now - job.received_at)
         first_ms = -1.0
-        if job.first_at is not None:
-            first_ms = (job.first_at - job.began) * 1000
+        if job.first_byte_at is not None:
+            first_ms = (job.first_byte_at - job.received_at) * 1000
             metrics.first_seconds.add({'kind': kind}, first_ms / 1000)
         log.info(
             'Request ended. id={} outcome={} status={} route={} service={} organisation={} '
@@ -75,7 +75,7 @@
             job.document_version,
             ','.join(job.tried),
             first_ms,
-            (now - job.began) * 1000,
+            (now - job.received_at) * 1000,
             refusal.reason.value if refusal is not None else '',
             refusal.verdict.value if refusal is not None else '',
             job.prospect.expected_ms,
--- a/packages/millforkd/millforkd/proxy/questions.py
+++ b/packages/millforkd/millforkd/proxy/peer_queries.py
@@ -25,9 +25,9 @@
 log = logger(Part.PROXY)
 
 
-class Questions:
+class PeerQueries:
     """
-    The questions of one kind; `unanswered` names those without an answer in the metrics.
+    The questions of one kind; `unanswered_event` names those without an answer in the metrics.
 
     """
 
@@ -35,17 +35,17 @@
         self,
         env: Environment,
         peers: Peers,
-        unanswered: str,
+        unanswered_event: str,
         passed_over_s: float = PASSED_OVER_S,
     ) -> None:
         self.env = env
         self.peers = peers
-        self.unanswered = unanswered
+        self.unanswered_event = unanswered_event
         self.silent = SilentPeers(env.monotonic, passed_over_s)
         # Those to which a connection is coming up.
-        self.dialled: set[str] = set()
+        self.connecting: set[str] = set()
 
-    async def connection(self, name: str) -> Connection | None:
+    async def open_connection(self, name: str) -> Connection | None:
         """
         The connection to a process that answers; without one it is brought up for later.
 
@@ -55,8 +55,8 @@
         connection = self.peers.connections.get(InstanceId(name))
         if connection is not None and not connection.closed:
             return connection
-        if name not in self.dialled:
-            self.dialled.add(name)
+        if name not in self.connecting:
+            self.connecting.add(name)
             await self.env.spawn(self._dial, name)
         return None
 
@@ -64,7 +64,7 @@
         try:
             await self.connect(name)
         finally:
-            self.dialled.discard(name)
+            self.connecting.discard(name)
 
     async def connect(self, name: str) -> Connection | None:
         """
@@ -89,8 +89,8 @@
             # Not by `Peers.call`, which ends connections that are silent for as long.
             return await connection.call(question, timeout)
         except PeerError as error:
-            self.env.metrics.count(self.env.metrics.wire, event=self.unanswered)
-            log.info('No answer. asked={} event={} why={}', name, self.unanswered, error)
+            self.env.metrics.count(self.env.metrics.wire, event=self.unanswered_event)
+            log.info('No answer. asked={} event={} why={}', name, self.unanswered_event, error)
             if isinstance(error, PeerTimedOut):
                 await self._close_if_silent(connection)
             return None
--- a/packages/millforkd/millforkd/proxy/sending.py
+++ b/packages/millforkd/millforkd/proxy/request_sender.py
@@ -1,5 +1,5 @@
 """
-One attempt of a request at one back end: sent, and its answer passed on.
+Sends a request to one back end and passes its answer on to the caller.
 
 """
 
@@ -16,24 +16,24 @@
 from millfork_scheduling.book import ServerBook
 from millfork_scheduling.placement import Choice
 from millforkd.proxy.admission import Admission
-from millforkd.proxy.backpressure import BackpressureIntake
+from millforkd.proxy.backpressure import BackpressureRecorder
 from millforkd.proxy.connections import Pools, SendFailed, ServerConnection
-from millforkd.proxy.job import Attempt, Failed, Job
-from millforkd.proxy.relaying import Relaying
-from millforkd.proxy.waiting import Waiting
+from millforkd.proxy.job import Attempt, FailedAttempt, Job
+from millforkd.proxy.response_monitor import ResponseMonitor
+from millforkd.proxy.response_relay import ResponseRelay
 from millforkd.quarantine import Quarantine
 
-# Of the deadline, so that the last word reaches the caller before it leaves.
-LAST_WORD_S: Final = 0.03
-# A version that a server refused is not asked of it again this long; its
-# next report says more.
+# Reserved at the end of the deadline, so that a refusal reaches the caller before it gives up.
+REFUSAL_MARGIN_S: Final = 0.03
+# A version that a server refused isn't requested from it again for this long; its next report
+# arrives meanwhile.
 REFUSED_VERSION_S: Final = 0.5
 BROKEN: Final = frozenset({Reason.UNREACHABLE, Reason.CONNECTION_LOST, Reason.TRUNCATED})
 
 
 class NotSent(SendFailed):
     """
-    What a back end was chosen for has changed while a connection to it came up, so
+    The reason for choosing a back end no longer applied once a connection to it was open, so
     nothing was sent.
 
     """
@@ -42,7 +42,7 @@
         super().__init__(reason, Verdict.NOT_RUN, detail)
 
 
-class Sending:
+class RequestSender:
     """
     Sends requests to back ends.
 
@@ -57,8 +57,8 @@
         pools: Pools,
         budget: SharedBudget,
         quarantine: Quarantine[Job],
-        relaying: Relaying,
-        backpressure: BackpressureIntake,
+        response_relay: ResponseRelay,
+        backpressure: BackpressureRecorder,
     ) -> None:
         self.env = env
         self.adapter = adapter
@@ -67,13 +67,13 @@
         self.pools = pools
         self.budget = budget
         self.quarantine = quarantine
-        self.relaying = relaying
+        self.response_relay = response_relay
         self.backpressure = backpressure
-        self.waiting = Waiting(env, admission)
+        self.response_monitor = ResponseMonitor(env, admission)
 
-    async def send(self, job: Job, choice: Choice) -> Failed | None:
+    async def send(self, job: Job, choice: Choice) -> FailedAttempt | None:
         """
-        One attempt; None if the caller has its answer.
+        Make one attempt; None if the caller has received its answer.
 
         """
         server = choice.server
@@ -83,21 +83,23 @@
         connection = None
         keep_s = None
         try:
-            async with curio.timeout_after(job.left_s(self.env.monotonic()) - LAST_WORD_S):
+            async with curio.timeout_after(
+                job.remaining_s(self.env.monotonic()) - REFUSAL_MARGIN_S
+            ):
                 connection = await pool.take(fresh=not job.route.repeatable)
                 keep_s = await self._exchange(job, attempt, connection)
-            job.unanswered = ()
-            server.note_service_time(self.env.monotonic() - attempt.began)
+            job.pending_servers = ()
+            server.note_service_time(self.env.monotonic() - attempt.started_at)
             if connection.reusable:
                 await self.quarantine.clear(job)
             return None
         except NotSent as error:
-            return Failed(error.reason, error.verdict, error.detail, sent=False)
+            return FailedAttempt(error.reason, error.verdict, error.detail, sent=False)
         except SendFailed as error:
             return self._failed(job, choice, error.reason, error.verdict, error.detail)
         except curio.TaskTimeout:
             verdict = Verdict.NOT_RUN if connection is None else Verdict.MAY_HAVE_RUN
-            return self._failed(job, choice, Reason.TIMED_OUT, verdict, 'the time is up')
+            return self._failed(job, choice, Reason.TIMED_OUT, verdict, 'the deadline has passed')
         finally:
             attempt.end()
             if connection is not None:
@@ -105,16 +107,16 @@
 
     def _failed(
         self, job: Job, choice: Choice, reason: Reason, verdict: Verdict, detail: str
-    ) -> Failed:
+    ) -> FailedAttempt:
         now = self.env.monotonic()
         for server in choice.servers:
             if server.instance not in job.tried:
                 job.tried.append(server.instance)
-            silent = reason is Reason.TIMED_OUT and server.heard_at < job.began
-            # One that changes was told to break off what runs.
+            silent = reason is Reason.TIMED_OUT and server.heard_at < job.received_at
+            # A back end that changes its weights is expected to break off running requests.
             if (silent or reason in BROKEN) and not server.changing:
                 server.note_failure(now)
-        return Failed(reason, verdict, detail)
+        return FailedAttempt(reason, verdict, detail)
 
     def _note_version(self, job: Job, version: int | None) -> None:
         engine = job.wanted.engine
@@ -128,38 +130,39 @@
 
     def _check_version(self, engine: EngineFigures, version: int | None) -> None:
         """
-        A connection may take 0.4 s to come up, and nothing calls back from a slow link
-        what is sent too late.
+        Check the version again after connecting: that may take 0.4 s, and a request that is
+        sent too late can't be recalled from a slow link.
 
-        :raises NotSent: if a request may not be sent to a version (None: the engine has
-            none whole by now) any more.
+        :raises NotSent: if requests may no longer be sent to the version (None: the engine no
+            longer has a complete version).
 
         """
         least = self.admission.versions.least(engine.model)
         if version is None or version < least:
-            detail = f'the engine has version {version}, the oldest to be sent to is {least}'
+            detail = f'the engine has version {version}, but requests need at least version {least}'
             raise NotSent(Reason.VERSION_MISMATCH, detail)
 
     def _check_open(self, choice: Choice) -> None:
         """
-        A back end may have said something of itself while a connection came up.
+        Check backpressure again: a back end may have signalled it while connecting.
 
-        :raises NotSent: if a request may not be sent to it by its own word.
+        :raises NotSent: if a back end has signalled that it takes no requests.
 
         """
         for server in choice.servers:
             closure = self.book.closure(server)
             if closure is not None:
-                detail = f'{server.instance} takes no more for {closure.opens_in_s:.1f} s'
+                detail = f'{server.instance} takes no requests for {closure.opens_in_s:.1f} s'
                 raise NotSent(Reason(closure.closed_for.value), detail)
 
     async def _exchange(
         self, job: Job, attempt: Attempt, connection: ServerConnection
     ) -> float | None:
         """
-        Send, read, pass on. Returns how long the connection may be kept.
+        Send the request, read the answer and pass it on. Returns the keep-alive time of the
+        connection in seconds, None if the server named none.
 
-        :raises SendFailed: if the caller has no whole answer.
+        :raises SendFailed: if the caller hasn't received a complete answer.
 
         """
         server = attempt.server
@@ -170,27 +173,27 @@
             self._check_version(job.wanted.engine, version)
         self._check_open(attempt.choice)
         now = self.env.monotonic()
-        orders = SendOrders(
+        send_orders = SendOrders(
             str(server.instance),
-            max(int(job.left_s(now) * 1000), 1),
+            max(int(job.remaining_s(now) * 1000), 1),
             job.organisation.name if job.organisation is not None else '',
             self.admission.table is not None and self.admission.table.needs_keys,
             version,
             job.urgency,
             job.resume_after if job.last_event is not None else None,
-            _parts_of(attempt.choice, job.wanted.engine),
+            _path_parts(attempt.choice, job.wanted.engine),
         )
         if not job.tried:
             self.budget.note_request(job.wanted.service)
         job.tried += [part.instance for part in attempt.choice.servers]
         self.book.note_sent(attempt.choice.servers)
-        headers = self.adapter.forward(request, orders)
+        headers = self.adapter.forward(request, send_orders)
         self._note_version(job, version)
-        job.unanswered = tuple(attempt.choice.servers)
+        job.pending_servers = tuple(attempt.choice.servers)
         await connection.send(request.method, request.path, headers, request.body)
-        await self.waiting.read_head(job, attempt, connection, version)
+        await self.response_monitor.read_head(job, attempt, connection, version)
         server.heard_at = self.env.monotonic()
-        server.note_answered(job.urgency, attempt.began)
+        server.note_answered(job.urgency, attempt.started_at)
         head = self.adapter.read_answer(connection.status, connection.headers)
         if head.request_id and head.request_id != job.caller.request_id:
             raise SendFailed(
@@ -203,24 +206,24 @@
             if version is not None and (head.elsewhere or through_path):
                 server.refused[version] = self.env.monotonic() + REFUSED_VERSION_S
             raise SendFailed(Reason.BUSY, Verdict.NOT_RUN, f'the server answered {head.status}')
-        if head.status >= 500 and job.route.repeatable and not job.started:
-            job.held = await self.relaying.hold(connection)
+        if head.status >= 500 and job.route.repeatable and not job.answer_started:
+            job.held_answer = await self.response_relay.read_failure(connection)
             server.note_outcome(failed=True)
             raise SendFailed(
                 Reason.BACKEND_FAILED, Verdict.RAN, f'the server answered {head.status}'
             )
         job.status = head.status
         if job.route.kind is RouteKind.STREAMING and head.status < 300:
-            await self.relaying.stream(job, attempt, connection)
+            await self.response_relay.stream(job, attempt, connection)
         else:
-            await self.relaying.whole(job, connection)
+            await self.response_relay.respond(job, connection)
         server.note_outcome(failed=head.status >= 500)
         return 0.0 if head.closing else head.keep_s
 
 
-def _parts_of(choice: Choice, engine: EngineFigures | None) -> tuple[PathPart, ...]:
+def _path_parts(choice: Choice, engine: EngineFigures | None) -> tuple[PathPart, ...]:
     """
-    The path of a choice, as the back end is told it.
+    The engines of a pipelined choice and their layer ranges, as sent to the back end.
 
     """
     path = choice.path
--- a/packages/millforkd/millforkd/proxy/waiting.py
+++ b/packages/millforkd/millforkd/proxy/response_monitor.py
@@ -1,5 +1,5 @@
 """
-Waiting for an answer to begin, and when to wait no longer.
+Waits for the start of an answer and gives up on back ends that won't answer soon.
 
 """
 
@@ -13,19 +13,19 @@
 from millforkd.proxy.connections import SendFailed, ServerConnection
 from millforkd.proxy.job import Attempt, Job
 
-# A request that waits for its answer is looked after this often.
+# How often a request that waits for its answer is checked.
 HEAD_POLL_S: Final = 0.25
-# Under load a server sends this entry something many times in this time.
+# A loaded server sends data to this entry many times within this period.
 SILENT_SERVER_S: Final = 1.2
-# A server that answers what was sent this much later has passed a request over, or
-# its connection is silent while others work: requests of one rank begin in turn, and
+# If a server answers requests that were sent this much later, it has skipped this request, or
+# this request's connection is dead while others work: requests of one rank start in order, and
 # reading the longest prompt takes 0.2 s.
 OVERTAKEN_S: Final = 0.3
 
 
-class Waiting:
+class ResponseMonitor:
     """
-    Looks after requests that were sent and have no answer yet.
+    Monitors requests that were sent and have no answer yet.
 
     """
 
@@ -37,8 +37,8 @@
         self, job: Job, attempt: Attempt, connection: ServerConnection, version: int | None
     ) -> None:
         """
-        Wait for an answer to begin. A request that may run again is taken
-        back from a back end that will not begin it soon.
+        Wait for the head of an answer. A repeatable request is withdrawn from a back end that
+        won't start it soon.
 
         """
         if not job.route.repeatable:
@@ -55,36 +55,36 @@
 
     def check_engine(self, job: Job, attempt: Attempt, version: int | None) -> None:
         """
-        :raises SendFailed: if the back end will not begin the request soon.
+        :raises SendFailed: if the back end won't start the request soon.
 
         """
         now = self.env.monotonic()
         engine = job.wanted.engine
         if engine is not None and version is not None:
-            ends = self.admission.versions.ends_at(engine.model, version)
-            if ends is not None and now > ends - HEAD_POLL_S:
-                detail = f'version {version} ends before the request began'
+            ends_at = self.admission.versions.ends_at(engine.model, version)
+            if ends_at is not None and now > ends_at - HEAD_POLL_S:
+                detail = f'version {version} ends before the request starts'
                 raise SendFailed(Reason.VERSION_MISMATCH, Verdict.MAY_HAVE_RUN, detail)
         for server in attempt.choice.servers:
             if server.replaced:
-                detail = f'{server.instance} has started again'
+                detail = f'{server.instance} has restarted'
                 raise SendFailed(Reason.CONNECTION_LOST, Verdict.MAY_HAVE_RUN, detail)
             if server.changing:
-                detail = 'the engine changes its weights first'
+                detail = 'the engine changes its weights before it starts the request'
                 raise SendFailed(Reason.NOT_SERVABLE, Verdict.MAY_HAVE_RUN, detail)
 
     def check_silence(self, job: Job, attempt: Attempt, connection: ServerConnection) -> None:
         """
-        :raises SendFailed: if nothing came for too long from the back end, or on
-            this connection while the back end answers later requests.
+        :raises SendFailed: if the back end sent nothing for too long, or if it answers later
+            requests but sends nothing on this connection.
 
         """
         now = self.env.monotonic()
         server = attempt.server
-        silent_s = now - max(attempt.began, server.heard_at)
-        if server.answered_since(job.urgency, attempt.began + OVERTAKEN_S):
-            silent_s = now - attempt.began
+        silent_s = now - max(attempt.started_at, server.heard_at)
+        if server.answered_since(job.urgency, attempt.started_at + OVERTAKEN_S):
+            silent_s = now - attempt.started_at
         if silent_s > SILENT_SERVER_S:
             connection.lost = True
-            detail = f'nothing from the server for {silent_s:.1f} s'
+            detail = f'the server sent nothing for {silent_s:.1f} s'
             raise SendFailed(Reason.CONNECTION_LOST, Verdict.MAY_HAVE_RUN, detail)
--- a/packages/millforkd/millforkd/proxy/relaying.py
+++ b/packages/millforkd/millforkd/proxy/response_relay.py
@@ -13,19 +13,19 @@
 from millfork_scheduling.book import ServerBook
 from millfork_web.models import Response, without
 from millforkd.proxy.connections import SendFailed, ServerConnection
-from millforkd.proxy.events import EventSplitter, NotEvents
+from millforkd.proxy.event_stream import EventSplitter, InvalidEventStream
 from millforkd.proxy.job import Attempt, HeldAnswer, Job
 
-# An answer up to this size is passed on only when it is whole.
-GATHERED_BYTES: Final = 64 * 1024
-# A stream that may be resumed is left after this silence; its callers wait
-# two seconds at the least.
+# Answers up to this size are passed on only when complete.
+BUFFERED_BYTES: Final = 64 * 1024
+# A resumable stream is given up after this long without data; its callers wait at least two
+# seconds.
 STREAM_STALL_S: Final = 1.2
 
 
-class Relaying:
+class ResponseRelay:
     """
-    The ways in which an answer reaches the caller.
+    Passes complete answers, large answers and event streams on to callers.
 
     """
 
@@ -34,9 +34,9 @@
         self.adapter = adapter
         self.book = book
 
-    async def hold(self, connection: ServerConnection) -> HeldAnswer:
+    async def read_failure(self, connection: ServerConnection) -> HeldAnswer:
         """
-        Read a back end's failure, to be passed on if nothing better comes.
+        Read an error answer, to be passed on if no other back end gives a better one.
 
         """
         body = bytearray()
@@ -45,75 +45,75 @@
         headers = self.adapter.relayed(connection.headers)
         return HeldAnswer(connection.status, headers, bytes(body))
 
-    async def held(self, job: Job, held: HeldAnswer) -> None:
+    async def respond_held(self, job: Job, held: HeldAnswer) -> None:
         """
-        Pass on a failure that was held.
+        Pass on an error answer that was read with `read_failure`.
 
         """
         job.status = held.status
         headers = without(held.headers, 'content-length')
         await job.exchange.respond(Response(held.status, headers, held.body))
 
-    async def whole(self, job: Job, connection: ServerConnection) -> None:
+    async def respond(self, job: Job, connection: ServerConnection) -> None:
         """
-        Pass an answer on: whole if it is small, else as it comes.
+        Pass an answer on: at once when complete if it is small, otherwise as it arrives.
 
         """
         body = bytearray()
         while data := await connection.read():
             body += data
-            if len(body) > GATHERED_BYTES:
-                await self._large(job, connection, bytes(body))
+            if len(body) > BUFFERED_BYTES:
+                await self._respond_large(job, connection, bytes(body))
                 return
-        job.first_at = self.env.monotonic()
+        job.first_byte_at = self.env.monotonic()
         headers = without(self.adapter.relayed(connection.headers), 'content-length')
         await job.exchange.respond(Response(connection.status, headers, bytes(body)))
 
-    async def _large(self, job: Job, connection: ServerConnection, begun: bytes) -> None:
-        job.started = True
-        job.first_at = self.env.monotonic()
+    async def _respond_large(self, job: Job, connection: ServerConnection, received: bytes) -> None:
+        job.answer_started = True
+        job.first_byte_at = self.env.monotonic()
         headers = self.adapter.relayed(connection.headers)
         await job.exchange.start(connection.status, headers)
-        await job.exchange.write(begun)
+        await job.exchange.write(received)
         while data := await connection.read():
             await job.exchange.write(data)
         await job.exchange.finish()
 
     async def stream(self, job: Job, attempt: Attempt, connection: ServerConnection) -> None:
         """
-        Pass whole events on as they come; an answer that has begun goes on.
+        Pass complete events on as they arrive; a stream that has started before is resumed.
 
         """
         splitter = EventSplitter()
-        resumed = job.started
+        resumed = job.answer_started
         while data := await self._event_bytes(job, connection):
             attempt.server.heard_at = self.env.monotonic()
             try:
-                whole = splitter.feed(data)
-            except NotEvents as error:
+                events = splitter.feed(data)
+            except InvalidEventStream as error:
                 raise SendFailed(Reason.TRUNCATED, Verdict.RAN, str(error)) from error
-            if not whole:
+            if not events:
                 continue
-            self._note_first(job, attempt, resumed)
+            self._note_first_token(job, attempt, resumed)
             if resumed:
                 _check_resumed(job, splitter)
                 resumed = False
-            await self._write(job, connection, whole)
+            await self._write(job, connection, events)
             if splitter.last_id is not None:
                 job.last_event = splitter.last_id
-        if splitter.rest or not job.started:
+        if splitter.rest or not job.answer_started:
             await self._write(job, connection, splitter.rest)
         await job.exchange.finish()
 
-    def _note_first(self, job: Job, attempt: Attempt, resumed: bool) -> None:
-        if attempt.unread and job.wanted.engine is not None and not resumed:
-            took_ms = (self.env.monotonic() - attempt.began) * 1000
-            late_ms = took_ms - attempt.choice.by_figures_ms
+    def _note_first_token(self, job: Job, attempt: Attempt, resumed: bool) -> None:
+        if attempt.awaiting_first_token and job.wanted.engine is not None and not resumed:
+            first_token_ms = (self.env.monotonic() - attempt.started_at) * 1000
+            late_ms = first_token_ms - attempt.choice.by_figures_ms
             self.book.note_first_token(attempt.server, late_ms)
-        attempt.note_first()
+        attempt.mark_first_token()
 
     async def _event_bytes(self, job: Job, connection: ServerConnection) -> bytes:
-        if not job.started or not job.route.repeatable:
+        if not job.answer_started or not job.route.repeatable:
             return await connection.read()
         try:
             async with curio.timeout_after(STREAM_STALL_S):
@@ -124,9 +124,9 @@
             raise SendFailed(Reason.CONNECTION_LOST, Verdict.RAN, detail) from None
 
     async def _write(self, job: Job, connection: ServerConnection, data: bytes) -> None:
-        if not job.started:
-            job.started = True
-            job.first_at = self.env.monotonic()
+        if not job.answer_started:
+            job.answer_started = True
+            job.first_byte_at = self.env.monotonic()
             headers = self.adapter.relayed(connection.headers)
             await job.exchange.start(connection.status, headers)
         if data:
@@ -135,10 +135,10 @@
 
 def _check_resumed(job: Job, splitter: EventSplitter) -> None:
     """
-    A resumed stream must go on with the next event.
+    Check that a resumed stream continues with the next event.
 
     """
     if job.last_event is None or splitter.first_id == job.last_event + 1:
         return
-    detail = f'resumed after {job.last_event} with {splitter.first_id}'
+    detail = f'stream resumed after event {job.last_event} with event {splitter.first_id}'
     raise SendFailed(Reason.TRUNCATED, Verdict.RAN, detail)
--- a/packages/millforkd/millforkd/proxy/suspicions.py
+++ b/packages/millforkd/millforkd/proxy/suspicion_reporter.py
@@ -17,14 +17,14 @@
 from millfork_wire.peers import Peers
 
 # As a report of load, it may cross two regions.
-TELL_TIMEOUT_S: Final = 0.3
+REPORT_TIMEOUT_S: Final = 0.3
 # Where nobody took it, it is told again this much later.
-AGAIN_S: Final = 0.15
+RETRY_S: Final = 0.15
 
 log = logger(Part.PROXY)
 
 
-class SuspicionTeller:
+class SuspicionReporter:
     """
     Tells what this entry knows and its replica does not.
 
@@ -46,23 +46,23 @@
         while True:
             await self.suspects.news.wait()
             self.suspects.news.clear()
-            while self.suspects.untold and not await self._tell():
-                await curio.sleep(AGAIN_S)
+            while self.suspects.untold and not await self._report():
+                await curio.sleep(RETRY_S)
 
-    async def _tell(self) -> bool:
-        told = dict(self.suspects.untold)
+    async def _report(self) -> bool:
+        reported = dict(self.suspects.untold)
         name = self.following.reports_to
         if not name:
             return False
-        report = SuspicionReport(encode_suspicions(list(told.values())))
+        report = SuspicionReport(encode_suspicions(list(reported.values())))
         try:
-            reply = await self.peers.call(address_of(name), report, TELL_TIMEOUT_S)
+            reply = await self.peers.call(address_of(name), report, REPORT_TIMEOUT_S)
         except PeerError as error:
             log.info('Suspicions not told to {}: {}.', name, error)
             return False
         if not isinstance(reply, Done) or not reply.ok:
             return False
-        for fingerprint, suspicion in told.items():
+        for fingerprint, suspicion in reported.items():
             if self.suspects.untold.get(fingerprint) == suspicion:
                 del self.suspects.untold[fingerprint]
         return True
--- a/packages/millforkd/millforkd/suspecting.py
+++ b/packages/millforkd/millforkd/suspicion_updates.py
@@ -1,5 +1,5 @@
 """
-What a process that sends requests learns of back ends under which they broke off.
+Updates suspicions when requests break off at back ends and when those back ends end.
 
 """
 
@@ -11,49 +11,50 @@
 from millfork_registry.suspects import Suspects, Suspicion
 from millfork_scheduling.quarantine import ends_after
 
-# So many first breaks of requests are told to others at once, and within which time. Where
-# many answers break off at back ends that live on, most are cleared before anybody is told.
-TOLD_AT_ONCE: Final = 4
-TOLD_WITHIN_S: Final = 20.0
+# The number of newly suspected requests that are published immediately, per window. Where many
+# answers break off at back ends that stay alive, most suspicions are cleared before they would
+# be published.
+IMMEDIATE_REPORTS: Final = 4
+IMMEDIATE_REPORTS_WINDOW_S: Final = 20.0
 
 
-class Suspecting:
+class SuspicionUpdater:
     """
-    Keeps its suspicions up to date.
+    Applies the observations of one sending process to its suspicions.
 
     """
 
     def __init__(self, env: Environment, suspects: Suspects) -> None:
         self.env = env
         self.suspects = suspects
-        self.told_at_once = Allowance(TOLD_AT_ONCE, TOLD_WITHIN_S)
+        self.immediate_reports = Allowance(IMMEDIATE_REPORTS, IMMEDIATE_REPORTS_WINDOW_S)
 
     async def note_broken(self, fingerprint: Fingerprint, incarnation: IncarnationKey) -> None:
         """
-        A request broke off at an incarnation of a back end.
+        Note that a request broke off at an incarnation of a back end.
 
         """
         known = self.suspects.of(fingerprint)
         self.suspects.note_privately(known.with_broken(incarnation))
-        if not known.is_clear or self.told_at_once.spend(self.env.monotonic()):
+        if not known.is_clear or self.immediate_reports.spend(self.env.monotonic()):
             await self.suspects.publish(fingerprint)
 
     async def note_end(self, before: Suspicion, incarnation: IncarnationKey) -> None:
         """
-        The incarnation has ended; `before` is what was known of the request when it was
-        sent there.
+        Note that the incarnation has ended; `before` is the suspicion of the request at the
+        time when it was sent there.
 
         """
         known = self.suspects.of(before.fingerprint)
         if incarnation in known.broken:
             await self.suspects.note(known.with_ends(ends_after(before, known, incarnation)))
             return
-        # It was cleared meanwhile.
+        # The suspicion was cleared after the request broke off.
         await self.suspects.note(before.with_end())
 
     async def note_no_end(self, fingerprint: Fingerprint, incarnation: IncarnationKey) -> None:
         """
-        The incarnation lives on, or nothing is known of it for too long.
+        Note that the incarnation is alive, or that its state stayed unknown for too long.
 
         """
         known = self.suspects.of(fingerprint)
--- a/tests/mutations_listed.py
+++ b/tests/mutations_listed.py
@@ -50,7 +50,7 @@
     Mutation(
         'an endpoint tells an entry what it finds out later of its back end',
         'tests/test_late_ends_at_endpoints.py::test_what_becomes_known_later_is_told_to_the_entry',
-        (Edit(D + 'endpoint/ends.py', 'if not item.item.is_awaited:', 'if False:'),),
+        (Edit(D + 'endpoint/ends.py', 'if not item.subject.is_awaited:', 'if False:'),),
     ),
     Mutation(
         'an entry suspects a call whose back ends may have ended',
--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -33,7 +33,7 @@
         'nothing is sent to a back end that closed while a connection came up',
         'tests/test_forwarding.py::'
         'test_nothing_is_sent_to_a_back_end_that_names_a_limit_while_a_connection_comes_up',
-        (Edit(D + 'proxy/sending.py', 'if closure is not None:', 'if False:'),),
+        (Edit(D + 'proxy/request_sender.py', 'if closure is not None:', 'if False:'),),
     ),
     Mutation(
         'a back end that said that it leaves is sent to no more',
@@ -141,12 +141,18 @@
     ),
     Mutation(
         'a back end that is silent is looked at again',
-        'tests/test_silent_ends.py::test_a_back_end_that_was_silent_and_refuses_then_has_ended',
-        (Edit(D + 'watching.py', 'while self.breaks:', 'for _ in range(LOOKS):'),),
+        'tests/test_ends_of_silent_back_ends.py::test_a_back_end_that_was_silent_and_refuses_then_has_ended',
+        (
+            Edit(
+                D + 'end_watch.py',
+                'while self.interruptions:',
+                'for _ in range(PROBES_BEFORE_RETURN):',
+            ),
+        ),
     ),
     Mutation(
         'no refusal promises not run after an attempt that may have run',
-        'tests/test_promised_refusals.py::'
+        'tests/test_not_run_refusals.py::'
         'test_no_refusal_promises_not_run_after_an_attempt_that_may_have_run',
         (
             Edit(
@@ -171,7 +177,7 @@
         'a connection on which questions stay unanswered is closed',
         'tests/test_load_questions.py::'
         'test_a_connection_that_is_silent_for_good_is_closed_and_dialled_anew',
-        (Edit(D + 'proxy/questions.py', 'await self._close_if_silent(connection)', 'pass'),),
+        (Edit(D + 'proxy/peer_queries.py', 'await self._close_if_silent(connection)', 'pass'),),
     ),
     Mutation(
         'nobody is turned away for the few engines compared',
@@ -183,7 +189,7 @@
         'the daemons beside engines are asked for loads',
         'tests/test_load_questions.py::'
         'test_the_engine_that_is_free_now_is_chosen_and_not_the_one_that_was',
-        (Edit(D + 'proxy/asking.py', 'server.take_load(load, now)', 'pass'),),
+        (Edit(D + 'proxy/load_queries.py', 'server.take_load(load, now)', 'pass'),),
     ),
     Mutation(
         'two requests do not show that callers begin alike',
@@ -199,8 +205,8 @@
     ),
     Mutation(
         'what was turned away is remembered by an entry of the zone',
-        'tests/test_recall.py::test_a_caller_that_comes_back_is_known_at_any_entry_of_its_zone',
-        (Edit(D + 'proxy/recall.py', 'return reply.elapsed_ms', 'return 0'),),
+        'tests/test_turned_away_directory.py::test_a_caller_that_comes_back_is_known_at_any_entry_of_its_zone',
+        (Edit(D + 'proxy/turned_away_directory.py', 'return reply.elapsed_ms', 'return 0'),),
     ),
     Mutation(
         'a replica is up to date once it holds what was committed',
@@ -261,8 +267,8 @@
         'tests/test_forwarding.py::test_a_connection_that_went_silent_beside_others_that_work_is_left',
         (
             Edit(
-                D + 'proxy/waiting.py',
-                'if server.answered_since(job.urgency, attempt.began + OVERTAKEN_S):',
+                D + 'proxy/response_monitor.py',
+                'if server.answered_since(job.urgency, attempt.started_at + OVERTAKEN_S):',
                 'if False:',
             ),
         ),
@@ -378,7 +384,7 @@
         'test_nothing_is_sent_to_a_version_that_ends_while_a_connection_comes_up',
         (
             Edit(
-                D + 'proxy/sending.py',
+                D + 'proxy/request_sender.py',
                 'if version is None or version < least:',
                 'if version is None:',
             ),
@@ -390,7 +396,7 @@
         'test_nothing_is_sent_to_an_engine_that_has_no_whole_version_by_then',
         (
             Edit(
-                D + 'proxy/sending.py',
+                D + 'proxy/request_sender.py',
                 'if version is None or version < least:',
                 'if version is not None and version < least:',
             ),
@@ -402,8 +408,8 @@
         (
             Edit(
                 D + 'proxy/forwarding.py',
-                'paid = not failed.sent',
-                'paid = False',
+                'budget_spent = not failed.sent',
+                'budget_spent = False',
             ),
         ),
     ),
@@ -722,7 +728,7 @@
         'an end counts only where the address takes no connections',
         'tests/test_quarantine.py::'
         'test_an_answer_that_broke_off_counts_only_where_the_back_end_has_ended',
-        (Edit(D + 'watching.py', 'return Address.ANSWERS\n', 'return Address.REFUSES\n'),),
+        (Edit(D + 'end_watch.py', 'return ProbeResult.ANSWERS\n', 'return ProbeResult.REFUSES\n'),),
     ),
     Mutation(
         'a request stays under suspicion until the fate of its back end is known',
@@ -740,8 +746,8 @@
         'tests/test_ends_after_their_callers_left.py',
         (
             Edit(
-                D + 'proxy/ends.py',
-                'if last is None or now - last.at > LEFT_REMEMBERED_S:',
+                D + 'proxy/end_detection.py',
+                'if last is None or now - last.at > CALLER_LEFT_MEMORY_S:',
                 'if True:',
             ),
         ),
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -30,7 +30,7 @@
         caller=SimpleNamespace(request_id='id'),
         wanted=Wanted(ServiceName('s'), engine),
         elapsed_ms=elapsed_ms,
-        began=made.env.monotonic(),
+        received_at=made.env.monotonic(),
         route=SimpleNamespace(target_ms=TARGET_MS),
     )
 
@@ -42,20 +42,20 @@
     return Choice(server, expected_ms, expected_ms)
 
 
-def wait_ms(expected_ms, elapsed_ms=0, engine=ENGINE, running=16):
+def return_after_ms(expected_ms, elapsed_ms=0, engine=ENGINE, running=16):
     made = admission()
     job = job_of(made, elapsed_ms, engine)
-    return made.wait_ms(job, choice_of(made, expected_ms, running))
+    return made.return_after_ms(job, choice_of(made, expected_ms, running))
 
 
 @pytest.mark.parametrize(('expected_ms', 'admitted'), [(100, True), (290, True), (320, False)])
 def test_a_first_request_is_sent_where_it_will_be_in_time(expected_ms, admitted):
-    assert (wait_ms(expected_ms) == 0) == admitted
+    assert (return_after_ms(expected_ms) == 0) == admitted
 
 
 @pytest.mark.parametrize(('elapsed_ms', 'admitted'), [(150, True), (300, False), (900, False)])
 def test_one_that_comes_back_is_measured_from_its_first_try(elapsed_ms, admitted):
-    assert (wait_ms(100, elapsed_ms) == 0) == admitted
+    assert (return_after_ms(100, elapsed_ms) == 0) == admitted
 
 
 @pytest.mark.parametrize(
@@ -72,21 +72,21 @@
 def test_others_are_asked_only_where_it_decides(is_open, expected_ms, running, hinges):
     made = admission()
     job = job_of(made)
-    job.is_open = is_open
+    job.needs_first_try_lookup = is_open
     assert made.hinges_on_first_try(job, choice_of(made, expected_ms, running)) == hinges
 
 
 def test_who_is_refused_hears_when_to_come_back():
-    assert wait_ms(500) >= LEAST_WAIT_MS
+    assert return_after_ms(500) >= LEAST_WAIT_MS
 
 
 @pytest.mark.parametrize(('running', 'admitted'), [(3, True), (11, True), (12, False)])
 def test_what_would_be_late_takes_only_slots_that_nobody_in_time_is_likely_to_want(
     running, admitted
 ):
-    assert (wait_ms(5000, running=running) == 0) == admitted
-    assert (wait_ms(100, elapsed_ms=900, running=running) == 0) == admitted
+    assert (return_after_ms(5000, running=running) == 0) == admitted
+    assert (return_after_ms(100, elapsed_ms=900, running=running) == 0) == admitted
 
 
 def test_a_plain_service_takes_what_comes():
-    assert wait_ms(5000, engine=None) == 0
+    assert return_after_ms(5000, engine=None) == 0
--- a/tests/test_beginning.py
+++ b/tests/test_beginning.py
@@ -36,12 +36,12 @@
 def test_a_caller_waits_until_there_is_something_to_serve_with():
     async def run():
         made = admission()
-        waiting = await curio.spawn(made.until_begun, caller(6000))
+        waiting = await curio.spawn(made.wait_until_ready, caller(6000))
         await curio.sleep(0)
         assert not waiting.terminated
-        await made.begun.set()
+        await made.ready_event.set()
         await waiting.join()
-        assert made.env.monotonic() - made.began < admissions.BEGINNING_S
+        assert made.env.monotonic() - made.created_at < admissions.STARTUP_WAIT_S
 
     curio.run(run)
 
@@ -50,25 +50,25 @@
 def test_it_waits_for_no_more_than_a_part_of_its_time_and_of_the_beginning(
     monkeypatch, deadline_ms, most_s
 ):
-    monkeypatch.setattr(admissions, 'BEGINNING_S', 0.2)
+    monkeypatch.setattr(admissions, 'STARTUP_WAIT_S', 0.2)
 
     async def run():
         made = admission()
-        took_s = await waited_s(made, made.until_begun(caller(deadline_ms)))
+        took_s = await waited_s(made, made.wait_until_ready(caller(deadline_ms)))
         assert most_s * 0.9 < took_s < most_s + 1.0
-        again_s = await waited_s(made, made.until_begun(caller(deadline_ms)))
+        again_s = await waited_s(made, made.wait_until_ready(caller(deadline_ms)))
         assert again_s < most_s + 1.0
 
     curio.run(run)
 
 
 def test_later_nobody_waits(monkeypatch):
-    monkeypatch.setattr(admissions, 'BEGINNING_S', 0.0)
+    monkeypatch.setattr(admissions, 'STARTUP_WAIT_S', 0.0)
 
     async def run():
         made = admission()
         async with curio.timeout_after(5.0):
-            await made.until_begun(caller(6000))
+            await made.wait_until_ready(caller(6000))
 
     curio.run(run)
 
@@ -86,7 +86,7 @@
     made.table = route_table()
     came_at = made.env.monotonic() - 0.375
     job = made.admit(None, caller(1500), came_at)
-    assert job.left_s(came_at) == pytest.approx(1.5)
+    assert job.remaining_s(came_at) == pytest.approx(1.5)
     with pytest.raises(Refused) as refused:
         made.admit(None, caller(370), came_at)
     assert refused.value.refusal.reason is Reason.EXPIRED
--- a/tests/test_silent_ends.py
+++ b/tests/test_ends_of_silent_back_ends.py
@@ -17,8 +17,8 @@
 from millfork_core.ids import Fingerprint, InstanceId, ServiceName, ZoneId
 from millfork_registry.suspects import Suspects, Suspicion
 from millfork_scheduling.server import Server
-from millforkd.proxy import ends as ends_module
-from millforkd.proxy.ends import Address, Ends
+from millforkd.proxy import end_detection
+from millforkd.proxy.end_detection import EndDetector, ProbeResult
 
 FINGERPRINT = Fingerprint('ab')
 ENOUGH_S = 5.0
@@ -26,8 +26,8 @@
 
 @pytest.fixture(autouse=True)
 def quick_looks(monkeypatch):
-    monkeypatch.setattr(ends_module, 'WATCH_EVERY_S', 0.001)
-    monkeypatch.setattr(ends_module, 'WATCHED_S', 0.2)
+    monkeypatch.setattr(end_detection, 'MAX_PROBE_INTERVAL_S', 0.001)
+    monkeypatch.setattr(end_detection, 'MAX_WATCH_S', 0.2)
 
 
 def ends_counted(found, meanwhile=None):
@@ -40,16 +40,16 @@
     async def run():
         env = Environment(InstanceId('a:1'), ZoneId('z1'))
         suspects = Suspects(env.monotonic)
-        ends = Ends(env, suspects)
+        ends = EndDetector(env, suspects)
         server = Server(InstanceId('i-1'), ServiceName('s'), '127.0.0.1', 1, ZoneId('z1'), 16)
         looks = list(found)
 
-        async def look(server):
+        async def probe(server):
             if len(looks) == 1 and meanwhile is not None:
                 meanwhile(server, env)
             return looks.pop(0) if len(looks) > 1 else looks[0]
 
-        ends.look = look
+        ends.probe = probe
         await ends.note_broken(server, Suspicion(FINGERPRINT))
         try:
             async with curio.timeout_after(ENOUGH_S):
@@ -65,27 +65,27 @@
 
 
 def test_a_back_end_that_was_silent_and_refuses_then_has_ended():
-    silent = [Address.SILENT] * 5
-    assert ends_counted([*silent, Address.REFUSES]) == 1
+    silent = [ProbeResult.SILENT] * 5
+    assert ends_counted([*silent, ProbeResult.REFUSES]) == 1
 
 
 def test_one_that_was_silent_and_lives_on_as_another_incarnation_has_ended():
     def replace(server, env):
         server.replaced = True
 
-    assert ends_counted([Address.SILENT] * 5, replace) == 1
+    assert ends_counted([ProbeResult.SILENT] * 5, replace) == 1
 
 
 def test_one_behind_a_cut_that_is_heard_again_has_not():
     def hear(server, env):
         server.heard_at = env.monotonic() + 1
 
-    assert ends_counted([Address.SILENT] * 5, hear) == 0
+    assert ends_counted([ProbeResult.SILENT] * 5, hear) == 0
 
 
 def test_nor_has_one_that_takes_connections_again():
-    assert ends_counted([Address.SILENT] * 3 + [Address.ANSWERS]) == 0
+    assert ends_counted([ProbeResult.SILENT] * 3 + [ProbeResult.ANSWERS]) == 0
 
 
 def test_of_one_that_stays_silent_nothing_is_known():
-    assert ends_counted([Address.SILENT] * 5) == 0
+    assert ends_counted([ProbeResult.SILENT] * 5) == 0
--- a/tests/test_events.py
+++ b/tests/test_event_stream.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from millforkd.proxy.events import MAX_EVENT_BYTES, EventSplitter, NotEvents
+from millforkd.proxy.event_stream import MAX_EVENT_BYTES, EventSplitter, InvalidEventStream
 
 EVENTS = [b'id: %d\ndata: token %d\n\n' % (number, number) for number in range(1, 6)]
 
@@ -40,5 +40,5 @@
 
 
 def test_endless_bytes_without_an_event_are_refused():
-    with pytest.raises(NotEvents):
+    with pytest.raises(InvalidEventStream):
         EventSplitter().feed(b'x' * (MAX_EVENT_BYTES + 1))
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -16,7 +16,7 @@
 from millfork_state.view import View
 from millfork_wire.connection import PeerUnreachable
 from millfork_wire.messages import Done, FindReplicas, Follow, Leases, Replicas
-from millforkd.proxy.daemon import UNTOLD_ENTRIES, ProxyDaemon
+from millforkd.proxy.daemon import DEFAULT_ENTRY_COUNT, ProxyDaemon
 
 ZONES = {'10.0.0.1:7': 'far', '10.0.0.2:7': 'near'}
 
@@ -126,7 +126,7 @@
     async def run():
         # By way of another follower.
         await made.take(InstanceId('10.0.0.8:7'), told)
-        assert ProxyDaemon.most_entries(daemon) == UNTOLD_ENTRIES
+        assert ProxyDaemon.most_entries(daemon) == DEFAULT_ENTRY_COUNT
         await made.take(made.source, told)
         assert ProxyDaemon.most_entries(daemon) == 7
 
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -23,9 +23,9 @@
 from millforkd.proxy.connections import SendFailed
 from millforkd.proxy.fingerprints import Fingerprints
 from millforkd.proxy.forwarding import Forwarding
-from millforkd.proxy.job import Attempt, Failed, Job
-from millforkd.proxy.waiting import OVERTAKEN_S, SILENT_SERVER_S
-from millforkd.proxy.waiting import Waiting as ProxyWaiting
+from millforkd.proxy.job import Attempt, FailedAttempt, Job
+from millforkd.proxy.response_monitor import OVERTAKEN_S, SILENT_SERVER_S
+from millforkd.proxy.response_monitor import ResponseMonitor as ResponseMonitor
 from millforkd.quarantine import Quarantine
 from tests.test_servers import ENGINE, Clock
 
@@ -41,7 +41,7 @@
     def __init__(self, urgency=5):
         self.clock = Clock()
         env = Environment(InstanceId('a:1'), ZoneId('z1'), monotonic=self.clock)
-        self.waiting = ProxyWaiting(env, None)
+        self.waiting = ResponseMonitor(env, None)
         self.server = Server(InstanceId('i-1'), ServiceName('s'), '10.0.0.1', 80, ZoneId('z1'), 16)
         self.job = SimpleNamespace(urgency=urgency)
         self.attempt = Attempt(Choice(self.server), self.clock.now)
@@ -56,7 +56,7 @@
 
         """
         self.server.heard_at = self.clock.now
-        self.server.note_answered(urgency, self.attempt.began + sent_later_s)
+        self.server.note_answered(urgency, self.attempt.started_at + sent_later_s)
 
 
 def test_a_request_waits_while_its_back_end_answers_earlier_ones():
@@ -123,8 +123,8 @@
         admission = SimpleNamespace(
             versions=versions,
             table=None,
-            as_of_now=lambda wanted, last_send: wanted,
-            wait_ms=lambda job, choice: 0,
+            with_current_versions=lambda wanted, last_send: wanted,
+            return_after_ms=lambda job, choice: 0,
             hinges_on_first_try=lambda job, choice: False,
         )
         adapter = SimpleNamespace(forward=lambda request, orders: [])
@@ -214,7 +214,7 @@
 def test_a_repeat_that_was_not_sent_is_paid_for_once():
     ending = Ending(1, 1, 2)
     ending.job.tried.append(InstanceId('i-9'))
-    ending.job.failures.append(Failed(Reason.BUSY, Verdict.NOT_RUN, 'full'))
+    ending.job.failures.append(FailedAttempt(Reason.BUSY, Verdict.NOT_RUN, 'full'))
     ending.least = 0
     ending.run()
     assert ending.sent == ['i-2']
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -35,7 +35,7 @@
 from millforkd.beside.pieces import WeightsId
 from millforkd.proxy.connections import SendFailed
 from millforkd.proxy.job import Attempt
-from millforkd.proxy.waiting import Waiting
+from millforkd.proxy.response_monitor import ResponseMonitor
 from tests.test_registry import HEARTBEAT_S, LEASE_S, Clock, state_of
 from tests.test_rollouts import Engines
 from tests.test_servers import ENGINE
@@ -158,7 +158,7 @@
     book.take_leases([lease(FIRST, 9)])
     attempt = Attempt(Choice(book.servers['i-1']), clock.now)
     job = SimpleNamespace(wanted=Wanted(ServiceName('s')))
-    waiting = Waiting(Environment(InstanceId('a:1'), ZoneId('z1'), monotonic=clock), None)
+    waiting = ResponseMonitor(Environment(InstanceId('a:1'), ZoneId('z1'), monotonic=clock), None)
     waiting.check_engine(job, attempt, None)
     book.take_leases([lease(SECOND, 1)])
     with pytest.raises(SendFailed):
--- a/tests/test_late_ends_at_endpoints.py
+++ b/tests/test_late_ends_at_endpoints.py
@@ -18,6 +18,7 @@
 from millfork_state.view import View
 from millfork_wire.connection import PeerLost
 from millfork_wire.messages import BackEndFate, Cancelled, End, Reserve, Reserved
+from millforkd.end_watch import ProbeResult
 from millforkd.endpoint import ends as ends_module
 from millforkd.endpoint.ends import Ends
 from millforkd.entry import crashes as crashes_module
@@ -25,7 +26,6 @@
 from millforkd.entry.crashes import Crashes
 from millforkd.entry.delivery import Delivery
 from millforkd.entry.dispatch import Dispatch
-from millforkd.watching import Address
 
 ADDRESS = ('127.0.0.1', 1)
 
@@ -54,12 +54,12 @@
 
     def __init__(self, monkeypatch, tells='a'):
         self.tells = tells
-        self.found = Address.ANSWERS
+        self.found = ProbeResult.ANSWERS
 
-        async def look_at(host, port):
+        async def probe_address(host, port):
             return self.found
 
-        monkeypatch.setattr(ends_module, 'look_at', look_at)
+        monkeypatch.setattr(ends_module, 'probe_address', probe_address)
 
     def ends(self, asks=True):
         env = Environment(InstanceId('e-1'), ZoneId('z'))
@@ -80,11 +80,11 @@
 @pytest.mark.parametrize(
     ('tells', 'found', 'fate'),
     [
-        ('a', Address.ANSWERS, Fate.LIVES),
-        ('b', Address.ANSWERS, Fate.ENDED),
-        ('', Address.REFUSES, Fate.ENDED),
-        ('', Address.ANSWERS, Fate.UNKNOWN),
-        ('', Address.SILENT, Fate.UNKNOWN),
+        ('a', ProbeResult.ANSWERS, Fate.LIVES),
+        ('b', ProbeResult.ANSWERS, Fate.ENDED),
+        ('', ProbeResult.REFUSES, Fate.ENDED),
+        ('', ProbeResult.ANSWERS, Fate.UNKNOWN),
+        ('', ProbeResult.SILENT, Fate.UNKNOWN),
     ],
 )
 def test_what_an_engine_tells_and_its_address_show(monkeypatch, tells, found, fate):
@@ -116,7 +116,7 @@
 def test_what_breaks_off_after_an_end_is_of_the_next_incarnation(monkeypatch):
     async def run():
         back_end = BackEnd(monkeypatch, tells='')
-        back_end.found = Address.REFUSES
+        back_end.found = ProbeResult.REFUSES
         ends = back_end.ends()
         first = ends.key_of(ends.number)
         assert await ends.note_broken(RequestId('r'), Entry(), ends.number) is Fate.ENDED
--- a/tests/test_load_questions.py
+++ b/tests/test_load_questions.py
@@ -17,8 +17,8 @@
 from millfork_wire.connection import PeerTimedOut, PeerUnreachable
 from millfork_wire.messages import EngineLoad
 from millforkd.beside.load import SHARED_S, EngineLoads
-from millforkd.proxy.asking import PASSED_OVER_S, WAIT_S, LoadQuestions
-from millforkd.proxy.questions import SILENT_S
+from millforkd.proxy.load_queries import PASSED_OVER_S, WAIT_S, LoadQueries
+from millforkd.proxy.peer_queries import SILENT_S
 from tests.test_servers import ENGINE, Clock
 
 SERVICE = ServiceName('s')
@@ -60,7 +60,7 @@
         self.answering = curio.Event()
         connections = {InstanceId(name): self.connection(name) for name in self.loads}
         self.peers = SimpleNamespace(connections=connections, connect=self.connect)
-        self.questions = LoadQuestions(env, self.peers, self.book)
+        self.queries = LoadQueries(env, self.peers, self.book)
 
     def report(self, running):
         self.book.take_reports(
@@ -90,7 +90,7 @@
 
     async def choose(self):
         compared = self.book.compare(WANTED, set())
-        await self.questions.refresh(compared)
+        await self.queries.refresh(compared)
         return self.book.choose(WANTED, set(), compared).server.instance
 
 
@@ -134,7 +134,7 @@
         async with curio.timeout_after(FOREVER_S / 2):
             await fleet.choose()
         # It has not answered by now; what the entry does when the answer is overdue.
-        fleet.questions.questions.silent.note('10.0.0.1:10')
+        fleet.queries.queries.silent.note('10.0.0.1:10')
         fleet.asked.clear()
         await fleet.choose()
 
@@ -157,11 +157,11 @@
             return await call(message, timeout)
 
         connection.call = late
-        await fleet.questions._ask(server, connection)
+        await fleet.queries._ask(server, connection)
 
     curio.run(run)
     assert fleet.server(0).reported == 25
-    assert fleet.questions.questions.silent.is_silent('10.0.0.1:10')
+    assert fleet.queries.queries.silent.is_silent('10.0.0.1:10')
 
 
 def test_a_daemon_that_gives_no_answer_is_passed_over(fleet):
@@ -172,11 +172,11 @@
             raise PeerTimedOut('silent')
 
         connection = SimpleNamespace(call=call, last_heard=fleet.clock.now)
-        await fleet.questions._ask(server, connection)
+        await fleet.queries._ask(server, connection)
 
     curio.run(run)
     assert fleet.server(0).reported == 8
-    assert fleet.questions.questions.silent.is_silent('10.0.0.1:10')
+    assert fleet.queries.queries.silent.is_silent('10.0.0.1:10')
 
 
 def test_a_connection_that_is_silent_for_good_is_closed_and_dialled_anew(fleet):
--- a/tests/test_promised_refusals.py
+++ b/tests/test_not_run_refusals.py
@@ -15,18 +15,18 @@
 from millfork_core.environment import Environment
 from millfork_core.ids import InstanceId, ZoneId
 from millfork_core.verdicts import Reason, Verdict
-from millforkd.proxy.asking import WAIT_S
-from millforkd.proxy.endings import status_of
 from millforkd.proxy.forwarding import Forwarding
-from millforkd.proxy.job import Failed, Job
-from millforkd.proxy.recall import ASK_TIMEOUT_S
+from millforkd.proxy.job import FailedAttempt, Job
+from millforkd.proxy.load_queries import WAIT_S
+from millforkd.proxy.outcomes import status_of
+from millforkd.proxy.turned_away_directory import ASK_TIMEOUT_S
 
 PROMISES = {408, 421, 429, 503}
 SHORTEST_AIM_S = 0.38
 HELD_SHARE = 1 / 8
 
 FAILURES = st.lists(
-    st.builds(Failed, st.sampled_from(Reason), st.sampled_from(Verdict), st.just('detail')),
+    st.builds(FailedAttempt, st.sampled_from(Reason), st.sampled_from(Verdict), st.just('detail')),
     max_size=3,
 )
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -26,7 +26,7 @@
 from millfork_state.machine import Machine
 from millfork_state.view import View
 from millfork_web.models import Request
-from millforkd.proxy.ends import Ends
+from millforkd.proxy.end_detection import EndDetector
 from millforkd.proxy.fingerprints import Fingerprints
 from millforkd.quarantine import Quarantine
 from millforkd.replica.quarantine import HELD_MS, MOST_HELD, QuarantineList
@@ -242,7 +242,7 @@
     async def run():
         env = Environment(InstanceId('a:1'), ZoneId('z1'))
         suspects = Suspects(env.monotonic)
-        ends = Ends(env, suspects)
+        ends = EndDetector(env, suspects)
         server = Server(InstanceId('i-1'), ServiceName('s'), '127.0.0.1', port, ZoneId('z1'), 16)
         await ends.note_broken(server, Suspicion(FINGERPRINT))
         return suspects.of(FINGERPRINT).ends
--- a/tests/test_suspicions.py
+++ b/tests/test_suspicions.py
@@ -39,8 +39,8 @@
     standing_of,
 )
 from millfork_scheduling.server import Server
-from millforkd.proxy import ends as ends_module
-from millforkd.proxy.ends import Address, Ends
+from millforkd.proxy import end_detection
+from millforkd.proxy.end_detection import EndDetector, ProbeResult
 from tests.test_servers import Clock
 
 FINGERPRINT = Fingerprint('ab')
@@ -197,14 +197,14 @@
         self.env = Environment(InstanceId('a:1'), ZoneId('z1'))
         self.suspects = Suspects(self.env.monotonic)
         self.fates = {}
-        self.ends = Ends(self.env, self.suspects, self.fate)
-        self.found = Address.ANSWERS
-        self.ends.look = self.look
+        self.ends = EndDetector(self.env, self.suspects, self.fate)
+        self.found = ProbeResult.ANSWERS
+        self.ends.probe = self.probe
 
     def fate(self, server, since):
         return self.fates.get(server.instance, Fate.UNKNOWN)
 
-    async def look(self, server):
+    async def probe(self, server):
         return self.found
 
     async def break_off(self, number):
@@ -240,7 +240,7 @@
 
 
 def test_back_ends_of_which_nothing_is_heard_count_as_living(monkeypatch):
-    monkeypatch.setattr(ends_module, 'WATCHED_S', 0.1)
+    monkeypatch.setattr(end_detection, 'MAX_WATCH_S', 0.1)
 
     async def run():
         broken = Broken()
@@ -260,7 +260,7 @@
 
     async def run():
         broken = Broken()
-        broken.found = Address.REFUSES
+        broken.found = ProbeResult.REFUSES
         before = broken.known
         for number in range(2 * ENDS):
             server = Server(
@@ -285,7 +285,7 @@
         broken.fates = {'i-0': Fate.LIVES}
         server = Server(InstanceId('i-0'), ServiceName('s'), '127.0.0.1', 1, ZoneId('z1'), 16)
         for _ in range(2):
-            await broken.ends.note_left(server, broken.known)
+            await broken.ends.note_caller_left(server, broken.known)
         await curio.sleep(0.05)
         broken.fates = {'i-0': Fate.ENDED}
         await broken.until(lambda: broken.known.ends == 1)
--- a/tests/test_recall.py
+++ b/tests/test_turned_away_directory.py
@@ -16,7 +16,7 @@
 from millfork_wire.messages import AskTurnedAway, CacheAddress, NoteTurnedAway
 from millforkd.proxy.fingerprints import Fingerprints
 from millforkd.proxy.job import Job
-from millforkd.proxy.recall import Recall
+from millforkd.proxy.turned_away_directory import TurnedAwayDirectory
 from tests.test_servers import ENGINE, Clock
 
 NAMES = [f'10.1.0.{number}:1' for number in range(6)]
@@ -40,7 +40,7 @@
         for name in NAMES:
             env = Environment(InstanceId(name), ZoneId('z1'), monotonic=self.clock)
             peers = SimpleNamespace(connect=self.connect, connections=Connections(self))
-            self.entries[name] = Recall(env, peers, lambda: known, fingerprints)
+            self.entries[name] = TurnedAwayDirectory(env, peers, lambda: known, fingerprints)
 
     async def connect(self, address):
         if address.instance in self.cut:
@@ -130,7 +130,7 @@
 def test_only_entries_that_all_are_told_of_remember(zone):
     for number in range(50):
         zone.turned_away(NAMES[5], zone.job(bytes([number])))
-    kept = {name: len(entry.table.first_tried) for name, entry in zone.entries.items()}
+    kept = {name: len(entry.first_tries.first_tried) for name, entry in zone.entries.items()}
     assert sum(kept.values()) == 50
     assert all(kept[name] for name in NAMES[:4])
     assert not any(kept[name] for name in NAMES[4:])
@@ -146,7 +146,7 @@
     zone.cut = set(NAMES[:3])
     for number in range(12):
         zone.turned_away(NAMES[5], zone.job(bytes([number])))
-    assert zone.entries[NAMES[3]].table.first_tried
+    assert zone.entries[NAMES[3]].first_tries.first_tried
     job = zone.job(b'later')
     zone.turned_away(NAMES[5], job)
     zone.clock.now += 0.3
@@ -162,6 +162,6 @@
 
 def test_no_body_and_no_key_leaves_the_entry(zone):
     job = zone.job(b'a private body')
-    told = zone.entries[NAMES[5]]._told(job)
+    told = zone.entries[NAMES[5]]._short_fingerprint(job)
     assert told not in b'a private body' and len(NoteTurnedAway(told).fingerprint) == 8
     assert AskTurnedAway(told).fingerprint == told
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -79,11 +79,11 @@
 
 def test_a_request_is_sent_again_by_what_holds_then(view, versions, clock):
     admission = Admission(versions.env, versions)
-    wanted = admission.as_of_now(Wanted(ServiceName('s'), ENGINE), False)
+    wanted = admission.with_current_versions(Wanted(ServiceName('s'), ENGINE), False)
     name(view, versions, 2)
     assert wanted.least_version == 0
     clock.now += SWITCH_S
-    assert admission.as_of_now(wanted, False).least_version == 2
+    assert admission.with_current_versions(wanted, False).least_version == 2
 
 
 FIGURES = replace(ENGINE, pieces=100, piece_bytes=1000)
