--- a/packages/millforkd/millforkd/fingerprints.py
+++ b/packages/millforkd/millforkd/fingerprints.py
@@ -1,9 +1,9 @@
 """
-What a request says, told from others without its text.
+Fingerprints identify requests by their content, without storing the content.
 
-Callers that try again come with a new request id and to any entry; path, caller and body
-stay. They are hashed with the fleet's key, as bodies are private: neither state nor logs
-hold them, and who reads either can't try out guesses without the key.
+A caller that retries uses a new request id and any entry, but the same path and body. These are
+hashed with the fleet's key, as bodies are private: state and logs hold only the hash, and
+without the key nobody can check a guess against it.
 
 """
 
@@ -18,14 +18,15 @@
 
 def fingerprint_of(key: bytes, cluster: str, parts: Iterable[str], body: bytes) -> Fingerprint:
     """
-    The keyed hash of what a request consists of; all entries of a cluster make the same.
+    The keyed hash of the parts and the body of a request; all entries of a cluster compute the
+    same one.
 
     """
     hash_key = hashlib.sha256(key + cluster.encode()).digest()
-    made = hashlib.blake2b(digest_size=DIGEST_BYTES, key=hash_key)
+    keyed_hash = hashlib.blake2b(digest_size=DIGEST_BYTES, key=hash_key)
     for part in parts:
-        # Lengths keep what ends one part from beginning the next.
-        made.update(len(part.encode()).to_bytes(4, 'big'))
-        made.update(part.encode())
-    made.update(body)
-    return Fingerprint(made.hexdigest())
+        # Lengths keep different splits of the same text into parts apart.
+        keyed_hash.update(len(part.encode()).to_bytes(4, 'big'))
+        keyed_hash.update(part.encode())
+    keyed_hash.update(body)
+    return Fingerprint(keyed_hash.hexdigest())
--- a/packages/millforkd/millforkd/proxy/__init__.py
+++ b/packages/millforkd/millforkd/proxy/__init__.py
@@ -1,4 +1,4 @@
 """
-The entry role of a seeded fleet: callers' requests straight to back ends.
+The entry role of a seeded fleet: forwards callers' requests directly to back ends.
 
 """
--- a/packages/millforkd/millforkd/proxy/admission.py
+++ b/packages/millforkd/millforkd/proxy/admission.py
@@ -1,5 +1,5 @@
 """
-From a caller's request to a job: route, organisation, service, deadline.
+Admits requests: finds the route, organisation, service and deadline of each one.
 
 """
 
@@ -28,13 +28,13 @@
 from millforkd.proxy.job import Job
 from millforkd.versions import Versions
 
-# A back end that answers at the last moment still needs the way back.
-MIN_SENT_MS: Final = 20
-# An entry that starts has its first document and leases 0.5 s to 0.8 s later, as long as
-# replicas that start with it take to hear of each other. Those who come meanwhile wait:
-# turned away, all of them would come back together, for the only other try they have.
+# The least remaining time for sending a request: its answer has to travel back in time.
+MIN_REMAINING_MS: Final = 20
+# A starting entry receives its first document and leases after 0.5 s to 0.8 s, the time that
+# replicas that start with it need to discover each other. Requests wait meanwhile: callers
+# that are refused would all return at once, and each retries only once.
 STARTUP_WAIT_S: Final = 1.0
-# Of a caller's time, what it waits then at most.
+# The largest share of a caller's deadline that a request waits for that.
 STARTUP_WAIT_SHARE: Final = 0.25
 
 log = logger(Part.PROXY)
@@ -42,7 +42,7 @@
 
 class Admission:
     """
-    Decides what a request is, by the document in force.
+    Turns requests into jobs, by the current document.
 
     """
 
@@ -51,17 +51,17 @@
     ) -> None:
         self.env = env
         self.versions = versions
-        # How many entries there are, as far as is known.
-        self.entries = entries
+        # The known number of entries.
+        self.entry_count = entries
         self.table: RouteTable | None = None
-        # Set once there are a document and back ends.
+        # Set once the entry has a document and back ends.
         self.ready_event = curio.Event()
         self.created_at = env.monotonic()
         self.first_tries = FirstTries()
 
     async def wait_until_ready(self, caller: CallerRequest) -> None:
         """
-        Wait for a document and back ends, while they may come any moment.
+        Wait until there are a document and back ends, while the entry is starting.
 
         """
         if self.ready_event.is_set():
@@ -75,17 +75,17 @@
         except curio.TaskTimeout:
             log.debug('Not ready in {:.2f} s. id={}', wait_s, caller.request_id)
 
-    def admit(self, exchange: Exchange, caller: CallerRequest, came_at: float) -> Job:
+    def admit(self, exchange: Exchange, caller: CallerRequest, received_at: float) -> Job:
         """
-        The job of a request that came at a moment (monotonic seconds): its time counts
-        from there, also where it waited since.
+        The job of a request that arrived at `received_at` (monotonic seconds). Its deadline
+        counts from then and so includes the time that it waited here.
 
-        :raises Refused: if no document allows it.
+        :raises Refused: if the document doesn't admit the request, or no time remains.
 
         """
         table = self.table
         if table is None:
-            raise Refused(Refusal(Reason.NOT_READY, detail='no document yet'))
+            raise Refused(Refusal(Reason.NOT_READY, detail='no document received yet'))
         route = table.find(caller.host, caller.path)
         if route is None:
             raise Refused(Refusal(Reason.NOT_FOUND, detail='no route'))
@@ -95,10 +95,10 @@
         limit_ms = route.timeout_ms
         if caller.deadline_ms is not None:
             limit_ms = min(limit_ms, caller.deadline_ms)
-        deadline = came_at + limit_ms / 1000
-        if (deadline - self.env.monotonic()) * 1000 < MIN_SENT_MS:
-            raise Refused(Refusal(Reason.EXPIRED, detail='no time is left'))
-        judgement = self._judge(route, caller)
+        deadline = received_at + limit_ms / 1000
+        if (deadline - self.env.monotonic()) * 1000 < MIN_REMAINING_MS:
+            raise Refused(Refusal(Reason.EXPIRED, detail='no time remains'))
+        judgement = self._estimate_first_try(route, caller)
         return Job(
             exchange,
             caller,
@@ -106,7 +106,7 @@
             organisation,
             Wanted(name, service.engine, prompt_tokens=caller.prompt_tokens),
             priority_of(route, organisation),
-            came_at,
+            received_at,
             deadline,
             table.version,
             judgement.elapsed_ms,
@@ -115,8 +115,8 @@
 
     def with_current_versions(self, wanted: Wanted, last_send: bool) -> Wanted:
         """
-        What a request needs at this moment: a version that was good when it
-        came may have ended since.
+        Update the versions that a request may be sent to: a version that was valid when the
+        request arrived may have ended since.
 
         """
         if wanted.engine is None:
@@ -130,15 +130,15 @@
             endings=self.versions.endings(model),
         )
 
-    def _judge(self, route: Route, caller: CallerRequest) -> Judgement:
+    def _estimate_first_try(self, route: Route, caller: CallerRequest) -> Judgement:
         if caller.deadline_ms is None:
             return Judgement()
         return self.first_tries.judge(route.name, caller.deadline_ms, self.env.monotonic())
 
     def hinges_on_first_try(self, job: Job, choice: Choice) -> bool:
         """
-        Whether a request is sent only if this is its caller's first try, and its time
-        does not tell.
+        Whether the decision to send a request depends on whether this is its caller's first
+        try, and its deadline doesn't show that.
 
         """
         if job.wanted.engine is None or not job.needs_first_try_lookup:
@@ -148,13 +148,13 @@
     def _prospect(self, job: Job, choice: Choice) -> Prospect:
         now = self.env.monotonic()
         left_ms = job.route.target_ms - job.elapsed_ms - (now - job.received_at) * 1000
-        occupied = choice.server.taken(now, self.entries())
+        occupied = choice.server.taken(now, self.entry_count())
         age_ms = (now - choice.server.reported_at) * 1000
         return Prospect(choice.first_token_ms, left_ms, occupied, choice.server.slots, age_ms)
 
     def return_after_ms(self, job: Job, choice: Choice) -> int:
         """
-        0 if a request is worth sending; else when its caller may come back.
+        0 if a request is worth sending, otherwise the milliseconds until its caller may retry.
 
         """
         if job.wanted.engine is None:
--- a/packages/millforkd/millforkd/proxy/backpressure.py
+++ b/packages/millforkd/millforkd/proxy/backpressure.py
@@ -1,5 +1,5 @@
 """
-What back ends say of themselves: taken from their answers, logged and counted.
+Records backpressure signals of back ends: applies, logs and counts them.
 
 """
 
@@ -17,32 +17,32 @@
 
 class BackpressureRecorder:
     """
-    Takes what was told of back ends.
+    Records backpressure signals.
 
     """
 
     def __init__(self, env: Environment) -> None:
         self.env = env
 
-    def take_answer(self, job: Job, server: Server, head: AnswerHead, sent_at: float) -> None:
+    def record_answer(self, job: Job, server: Server, head: AnswerHead, sent_at: float) -> None:
         """
-        Take what an answer says of the back end that gave it, to a job that was sent there at
-        a moment (monotonic seconds).
+        Record the signals of an answer of a back end to a job that was sent there at `sent_at`
+        (monotonic seconds).
 
         """
-        told = head.backpressure
-        if told.unread:
+        signals = head.backpressure
+        if signals.unread:
             self.env.metrics.count(
                 self.env.metrics.backpressure, signal='unread', event='', told_by='answer'
             )
             log.warning(
-                'A back end says of itself what can not be read. server={} id={} {}',
+                'A backpressure signal can not be read. server={} id={} {}',
                 server.instance,
                 job.caller.request_id,
-                told.unread,
+                signals.unread,
             )
         now = self.env.monotonic()
-        changes = server.availability.take_answer(told, sent_at, now, head.not_run)
+        changes = server.availability.take_answer(signals, sent_at, now, head.not_run)
         self.note(server, changes, ToldBy.ANSWER, job.caller.request_id)
         if not head.not_run:
             server.note_taken(sent_at)
@@ -57,7 +57,7 @@
         request_id: str = '',
     ) -> None:
         """
-        Log and count what changed.
+        Log and count changes of signals.
 
         """
         for change in changes:
--- a/packages/millforkd/millforkd/proxy/cache.py
+++ b/packages/millforkd/millforkd/proxy/cache.py
@@ -1,10 +1,10 @@
 """
-Pieces of weights that pass through this entry, kept for the daemons of its zone.
+Caches pieces of weights at an entry, for the endpoint daemons of its zone.
 
-An engine's instance has a slow link that carries what it receives and what it
-sends together; an entry's is wide. So each zone's daemons take the pieces from
-the zone's entries. Of these, the ones nearest to the origin draw each piece
-once, and those of the other zones take it from them.
+The instance of an engine has a slow link that is shared by both directions; an entry has a
+fast one. So the daemons of a zone fetch pieces from the entries of the zone. The entries
+nearest to the origin fetch each piece from the origin once, and the entries of other zones
+fetch it from them. The entry that fetches a piece from the origin is its fetcher.
 
 """
 
@@ -35,39 +35,38 @@
 from millforkd.beside.silence import SilentPeers
 from millforkd.beside.sources import DIGESTS, in_turn
 
-# Pieces drawn from the origin at once: enough to fill its link.
-DRAWN_AT_ONCE: Final = 3
-# Pieces brought ahead of those asked for, at once.
-AHEAD_AT_ONCE: Final = 2
-# Who asks a cache takes it for silent after a second; 'not yet' comes well before.
+# Enough concurrent fetches to use the whole link of the origin.
+MAX_CONCURRENT_ORIGIN_FETCHES: Final = 3
+MAX_CONCURRENT_PREFETCHES: Final = 2
+# A requester takes a cache for silent after a second; this one answers 'not yet' well before.
 WAIT_S: Final = 0.5
-# Another cache says 'not yet' after WAIT_S, and no two zones are 0.1 s apart.
+# Another cache answers 'not yet' after WAIT_S, and the latency between zones is below 0.1 s.
 PEER_TIMEOUT_S: Final = 0.8
-# A piece that came spoilt is drawn once more.
-DRAWS: Final = 2
-# After a round in which nothing came.
+# A piece that arrives corrupt is fetched once more.
+MAX_ORIGIN_ATTEMPTS: Final = 2
+# The pause after a prefetch round that fetched nothing.
 RETRY_S: Final = 0.2
-# A version of which nobody asked for a piece for so long is not wanted at the moment: who
-# wants one asks again after 0.5 s and a pause of RETRY_S.
+# A version without a request for this long is not needed at the moment: a daemon that needs
+# one repeats its request after 0.5 s and a pause of RETRY_S.
 WANTED_S: Final = 1.2
 NOT_YET: Final = 'not yet'
 ORIGIN_FAILS: Final = 'the origin does not answer'
 OTHERS_FIRST: Final = 'the origin sends other pieces first'
-# A drawer has its pieces from the origin, only not the one asked for, if so much of its
-# equal part of the origin's rate came over the last second. A slowed instance has less.
-AT_IT_SHARE: Final = 0.25
-RATE_OVER_S: Final = 1.0
-# A drawer that says 'not yet' is at it: whoever drew the piece beside it would only
-# make the origin slower. After so many answers it is too slow itself (half a second
-# each; a slowed instance needs five times as long as others).
-PATIENCE: Final = 6
+# A fetcher counts as fetching at full rate if it received at least this share of its equal part
+# of the origin's rate within RATE_WINDOW_S. A slowed instance receives less.
+MIN_RATE_SHARE: Final = 0.25
+RATE_WINDOW_S: Final = 1.0
+# A fetcher that answers 'not yet' is fetching the piece; another fetch of the same piece would
+# only slow down the origin. After this many such answers (half a second each) the fetcher
+# counts as too slow: a slowed instance needs five times as long as others.
+MAX_NOT_YET_ANSWERS: Final = 6
 
 log = logger(Part.WEIGHTS)
 
 
 class PieceCache:
     """
-    The pieces of the last versions asked for.
+    Holds the pieces of the versions that were requested last.
 
     """
 
@@ -83,200 +82,213 @@
         self.origin = origin
         self.caches = caches
         self.store = PieceStore()
-        # What is on its way, by version and piece (None: the digests).
-        self.coming: dict[tuple[WeightsId, int | None], curio.Event] = {}
-        self.drawing = curio.Semaphore(DRAWN_AT_ONCE)
-        self.ahead: set[WeightsId] = set()
-        # When a piece was last asked for, by version.
-        self.asked_at: dict[WeightsId, float] = {}
+        # Fetches in progress, by version and piece (None: the digests).
+        self.pending: dict[tuple[WeightsId, int | None], curio.Event] = {}
+        self.origin_slots = curio.Semaphore(MAX_CONCURRENT_ORIGIN_FETCHES)
+        self.prefetching: set[WeightsId] = set()
+        # The time of the last request for a piece, by version.
+        self.last_requested_at: dict[WeightsId, float] = {}
         self.silent = SilentPeers(env.monotonic)
-        # When how many bytes came from the origin, over the last second.
-        self.drawn: deque[tuple[float, int]] = deque()
-        # How often a drawer had a piece not yet.
-        self.not_yet: Counter[tuple[WeightsId, int]] = Counter()
+        # The times and sizes of pieces received from the origin within RATE_WINDOW_S.
+        self.received_from_origin: deque[tuple[float, int]] = deque()
+        # The number of 'not yet' answers of fetchers, by version and piece.
+        self.not_yet_answers: Counter[tuple[WeightsId, int]] = Counter()
 
     async def manifest(self, message: GetManifest) -> Manifest:
         """
-        Answer a daemon that asks for the digests.
+        Answer a request for the digests of a version.
 
         """
-        weights = _weights_of(message.digest)
-        if weights is None or not await self._have_digests(weights, message.draw, self._until()):
-            return Manifest(reason=self._why_not())
+        weights = _parse_weights_id(message.digest)
+        if weights is None or not await self._ensure_digests(
+            weights, message.draw, self._answer_deadline()
+        ):
+            return Manifest(reason=self._reason())
         return Manifest(True, encode_digests(self.store.of(weights).digests), False)
 
     async def chunk(self, message: GetChunk) -> Chunk:
         """
-        Answer a daemon, or another cache, that asks for a piece. What is not
-        here in time is brought all the same, for the next one who asks.
+        Answer a daemon or another cache that requests a piece. A fetch that isn't complete in
+        time continues, and serves later requests.
 
         """
-        until = self._until()
-        weights = _weights_of(message.manifest)
-        if weights is None or not await self._have_digests(weights, message.draw, until):
-            return Chunk(reason=self._why_not())
-        self.asked_at[weights] = self.env.monotonic()
-        if weights not in self.ahead:
-            self.ahead.intersection_update(self.store.sets)
-            for old in self.asked_at.keys() - self.store.sets.keys() - {weights}:
-                del self.asked_at[old]
-            self.ahead.add(weights)
-            await self.env.spawn(self._bring_ahead, weights)
-        await self._have(weights, message.index, message.draw, until)
+        deadline = self._answer_deadline()
+        weights = _parse_weights_id(message.manifest)
+        if weights is None or not await self._ensure_digests(weights, message.draw, deadline):
+            return Chunk(reason=self._reason())
+        self.last_requested_at[weights] = self.env.monotonic()
+        if weights not in self.prefetching:
+            self.prefetching.intersection_update(self.store.sets)
+            for old in self.last_requested_at.keys() - self.store.sets.keys() - {weights}:
+                del self.last_requested_at[old]
+            self.prefetching.add(weights)
+            await self.env.spawn(self._prefetch, weights)
+        await self._ensure_piece(weights, message.index, message.draw, deadline)
         data = self.store.of(weights).pieces.get(message.index)
         if data is None:
-            return Chunk(reason=self._why_not())
+            return Chunk(reason=self._reason())
         self.env.metrics.count(self.env.metrics.chunk_bytes, len(data), source='cached')
         return Chunk(True, data)
 
-    def _why_not(self) -> str:
+    def _reason(self) -> str:
         if self.origin.failing:
             return ORIGIN_FAILS
-        return OTHERS_FIRST if self._draws_apace() else NOT_YET
+        return OTHERS_FIRST if self._receives_at_full_rate() else NOT_YET
 
-    def _draws_apace(self) -> bool:
+    def _receives_at_full_rate(self) -> bool:
         """
-        Whether the origin, not this drawer, is what a piece waits for. Each cache that drew
-        beside it made the origin slower: 4.6 copies sent for the two that were wanted, the
-        first engine whole 12.8 s after an origin that sends one in 4.4 s was back.
+        Whether the origin is the bottleneck and not this fetcher. When other caches then also
+        fetched a piece from the origin, it sent 4.6 copies instead of two, and the first engine
+        was complete 12.8 s after an outage of an origin that sends one copy in 4.4 s.
 
         """
         figures = self.origin.figures()
         if figures is None or not figures.bytes_per_s:
             return False
         now = self.env.monotonic()
-        while self.drawn and now - self.drawn[0][0] > RATE_OVER_S:
-            self.drawn.popleft()
-        came = sum(size for _, size in self.drawn)
-        return came >= AT_IT_SHARE * RATE_OVER_S * figures.bytes_per_s / NAMED_ELSEWHERE
+        while self.received_from_origin and now - self.received_from_origin[0][0] > RATE_WINDOW_S:
+            self.received_from_origin.popleft()
+        received_bytes = sum(size for _, size in self.received_from_origin)
+        return (
+            received_bytes >= MIN_RATE_SHARE * RATE_WINDOW_S * figures.bytes_per_s / NAMED_ELSEWHERE
+        )
 
-    def _until(self) -> float:
+    def _answer_deadline(self) -> float:
         return self.env.monotonic() + WAIT_S
 
-    async def _have_digests(self, weights: WeightsId, draw: bool, until: float) -> bool:
+    async def _ensure_digests(self, weights: WeightsId, draw: bool, deadline: float) -> bool:
         held = self.store.of(weights)
         if not held.digests:
-            await self._once((weights, None), until, self._bring_digests, held, draw)
+            await self._fetch_once((weights, None), deadline, self._fetch_digests, held, draw)
         return bool(held.digests)
 
-    async def _bring_digests(self, held: PieceSet, draw: bool) -> None:
+    async def _fetch_digests(self, held: PieceSet, draw: bool) -> None:
         """
-        The digests are drawn once as well: drawn by each of 98 entries and 102 daemons,
-        they kept the origin's link from a third of the pieces in the first 2.5 s.
+        Fetch the digests, from the origin only once for all caches: when 98 entries and 102
+        daemons each fetched them, a third fewer pieces fit on the origin's link in the first
+        2.5 s.
 
         """
-        if draw or not await self._left_to_drawer(held, DIGESTS):
+        if draw or not await self._fetch_from_cache(held, DIGESTS):
             await self.origin.draw_digests(held)
 
-    async def _have(self, weights: WeightsId, index: int, draw: bool, until: float) -> None:
+    async def _ensure_piece(
+        self, weights: WeightsId, index: int, draw: bool, deadline: float
+    ) -> None:
         """
-        Have a piece here, if it comes before `until`.
+        Fetch a piece if it is missing; returns at `deadline` at the latest.
 
         """
         held = self.store.of(weights)
         if 0 <= index < len(held.digests) and index not in held.pieces:
-            await self._once((weights, index), until, self._bring, weights, index, draw)
+            await self._fetch_once((weights, index), deadline, self._fetch, weights, index, draw)
 
-    async def _once(
+    async def _fetch_once(
         self,
         key: tuple[WeightsId, int | None],
-        until: float,
-        bring: Callable[..., Any],
+        deadline: float,
+        fetch: Callable[..., Any],
         *args: object,
     ) -> None:
         """
-        Bring something, or wait for whoever is at it, at most until then.
+        Fetch pieces or digests, or wait for a fetch in progress, until `deadline` at most.
 
         """
-        coming = self.coming.get(key)
-        if coming is None:
-            coming = curio.Event()
-            self.coming[key] = coming
-            await self.env.spawn(self._carry, key, bring, *args)
+        pending = self.pending.get(key)
+        if pending is None:
+            pending = curio.Event()
+            self.pending[key] = pending
+            await self.env.spawn(self._run_fetch, key, fetch, *args)
         try:
-            async with curio.timeout_after(until - self.env.monotonic()):
-                await coming.wait()
+            async with curio.timeout_after(deadline - self.env.monotonic()):
+                await pending.wait()
         except curio.TaskTimeout:
-            log.debug('Not here in time: {} of {}.', key[1], key[0])
+            log.debug('Not fetched in time: {} of {}.', key[1], key[0])
 
-    async def _carry(
-        self, key: tuple[WeightsId, int | None], bring: Callable[..., Any], *args: object
+    async def _run_fetch(
+        self, key: tuple[WeightsId, int | None], fetch: Callable[..., Any], *args: object
     ) -> None:
         try:
-            await bring(*args)
+            await fetch(*args)
         finally:
-            await self.coming.pop(key).set()
+            await self.pending.pop(key).set()
 
-    async def _bring(self, weights: WeightsId, index: int, draw: bool) -> None:
+    async def _fetch(self, weights: WeightsId, index: int, draw: bool) -> None:
         held = self.store.of(weights)
-        if not draw and await self._left_to_drawer(held, index):
+        if not draw and await self._fetch_from_cache(held, index):
             return
-        async with self.drawing:
-            for _ in range(DRAWS):
+        async with self.origin_slots:
+            for _ in range(MAX_ORIGIN_ATTEMPTS):
                 if index not in held.pieces:
-                    await self._draw(held, index)
+                    await self._fetch_from_origin(held, index)
 
-    async def _draw(self, held: PieceSet, index: int) -> None:
+    async def _fetch_from_origin(self, held: PieceSet, index: int) -> None:
         data = await self.origin.draw_piece(held, index)
         if data is not None:
-            self.drawn.append((self.env.monotonic(), len(data)))
+            self.received_from_origin.append((self.env.monotonic(), len(data)))
 
-    async def _left_to_drawer(self, held: PieceSet, index: int) -> bool:
+    async def _fetch_from_cache(self, held: PieceSet, index: int) -> bool:
         """
-        Ask the drawer of a piece (or of the digests) for it, and the next one if it is
-        silent; False if this cache is to draw it.
+        Request a piece (or the digests) from its fetcher, and from the next one if that is
+        silent; False if this cache has to fetch it from the origin.
 
         """
-        place = (held.weights, index)
+        key = (held.weights, index)
         own = str(self.env.instance)
-        while self.not_yet[place] < PATIENCE:
-            drawer = self._drawer_of(held.weights, index)
-            if drawer == own:
+        while self.not_yet_answers[key] < MAX_NOT_YET_ANSWERS:
+            fetcher = self._fetcher_of(held.weights, index)
+            if fetcher == own:
                 return False
-            reply = await self._ask(drawer, held.weights, index)
+            reply = await self._ask(fetcher, held.weights, index)
             if reply is None:
                 continue
             if not reply.found:
-                # Nobody would get more from an origin that is down, or sends what it can.
-                self.not_yet[place] += reply.reason not in (ORIGIN_FAILS, OTHERS_FIRST)
+                # Another fetcher wouldn't get more from an origin that is down or at its limit.
+                self.not_yet_answers[key] += reply.reason not in (ORIGIN_FAILS, OTHERS_FIRST)
                 return True
-            del self.not_yet[place]
-            return await self._keep(held, index, reply, drawer)
+            del self.not_yet_answers[key]
+            return await self._keep(held, index, reply, fetcher)
         return False
 
-    async def _keep(self, held: PieceSet, index: int, reply: Chunk | Manifest, drawer: str) -> bool:
+    async def _keep(
+        self, held: PieceSet, index: int, reply: Chunk | Manifest, fetcher: str
+    ) -> bool:
         if isinstance(reply, Chunk):
-            return await keep_if_good(self.env, held, index, reply.data, 'cache', drawer)
+            return await keep_if_good(self.env, held, index, reply.data, 'cache', fetcher)
         try:
             await held.learn_digests(decode_digests(reply.body))
         except msgspec.DecodeError as error:
-            log.warning('Digests of {} from {} can not be read: {}.', held.weights, drawer, error)
+            log.warning(
+                'Digests of {} from {} can not be decoded: {}.', held.weights, fetcher, error
+            )
             return False
         return True
 
-    def _drawer_of(self, weights: WeightsId, index: int) -> str:
+    def _fetcher_of(self, weights: WeightsId, index: int) -> str:
         """
-        The cache that draws a piece; those that were silent lately are passed
-        over, this one is always there.
+        The cache that fetches a piece from the origin. Caches that were silent lately are left
+        out; without any other this cache is the fetcher.
 
         """
         answering = [cache for cache in self.caches() if not self.silent.is_silent(cache.instance)]
         names = [cache.instance for cache in drawers(answering, self._origin_zone())]
         return in_turn(names, weights, index)[0] if names else str(self.env.instance)
 
-    async def _ask(self, drawer: str, weights: WeightsId, index: int) -> Chunk | Manifest | None:
+    async def _ask(self, fetcher: str, weights: WeightsId, index: int) -> Chunk | Manifest | None:
         """
-        A drawer's answer; None if it is silent.
+        The answer of a fetcher; None if it is silent.
 
         """
         message: GetChunk | GetManifest = GetChunk(str(weights), index, draw=True)
         if index == DIGESTS:
             message = GetManifest(str(weights), draw=True)
         try:
-            reply = await self.peers.call(address_of(drawer), message, PEER_TIMEOUT_S)
+            reply = await self.peers.call(address_of(fetcher), message, PEER_TIMEOUT_S)
         except PeerError as error:
-            log.info('Piece {} of {} not from cache {}: {}.', index, weights, drawer, error)
-            self.silent.note(drawer)
+            log.info(
+                'Piece {} of {} was not received from cache {}: {}.', index, weights, fetcher, error
+            )
+            self.silent.note(fetcher)
             return None
         return reply if isinstance(reply, Chunk | Manifest) else Chunk(reason='no cache')
 
@@ -284,38 +296,38 @@
         figures = self.origin.figures()
         return figures.zone if figures is not None else ''
 
-    # Ahead of those who ask: a slow link must not wait for the way to the origin,
-    # and an origin that fails must have been drawn from as early as can be.
+    # Prefetching keeps the slow links of engines from waiting for the origin, and gets pieces
+    # from the origin before it may fail.
 
-    async def _bring_ahead(self, weights: WeightsId) -> None:
+    async def _prefetch(self, weights: WeightsId) -> None:
         """
-        Bring the pieces that will be asked of this cache until they are here or
-        newer versions took their place.
+        Fetch the pieces that daemons will request from this cache, until all are held or newer
+        versions have replaced them.
 
         """
-        near = [cache.instance for cache in self.caches() if cache.zone == self.env.zone]
+        zone_caches = [cache.instance for cache in self.caches() if cache.zone == self.env.zone]
         own = str(self.env.instance)
         held = self.store.of(weights)
-        mine = [
+        own_indexes = [
             index
-            for index in ahead_order(len(held.digests))
-            if not near or in_turn(near, weights, index)[0] == own
+            for index in prefetch_order(len(held.digests))
+            if not zone_caches or in_turn(zone_caches, weights, index)[0] == own
         ]
         while self.store.find(weights) is held and self._is_wanted(weights):
-            queue = [index for index in reversed(mine) if index not in held.pieces]
+            queue = [index for index in reversed(own_indexes) if index not in held.pieces]
             if not queue:
                 break
             before = len(held.pieces)
             async with curio.TaskGroup() as group:
-                for _ in range(AHEAD_AT_ONCE):
-                    await group.spawn(self._work_ahead, weights, queue)
+                for _ in range(MAX_CONCURRENT_PREFETCHES):
+                    await group.spawn(self._run_prefetcher, weights, queue)
             if len(held.pieces) == before:
                 await curio.sleep(RETRY_S)
         if not self._is_wanted(weights):
-            # The next who asks begins it again.
-            self.ahead.discard(weights)
+            # The next request starts prefetching again.
+            self.prefetching.discard(weights)
         log.info(
-            'Pieces brought ahead. weights={} held={} of={}',
+            'Prefetching ended. weights={} held={} of={}',
             weights,
             len(held.pieces),
             len(held.digests),
@@ -323,30 +335,30 @@
 
     def _is_wanted(self, weights: WeightsId) -> bool:
         """
-        Whether a version is still asked for. One that is not delays another where the
-        origin's link binds.
+        Whether a version is still requested. Prefetching one that is not would delay other
+        versions where the origin's link is the bottleneck.
 
         """
-        return self.env.monotonic() - self.asked_at.get(weights, float('-inf')) < WANTED_S
+        return self.env.monotonic() - self.last_requested_at.get(weights, float('-inf')) < WANTED_S
 
-    async def _work_ahead(self, weights: WeightsId, queue: list[int]) -> None:
+    async def _run_prefetcher(self, weights: WeightsId, queue: list[int]) -> None:
         while queue and self._is_wanted(weights):
-            await self._have(weights, queue.pop(), False, self._until())
+            await self._ensure_piece(weights, queue.pop(), False, self._answer_deadline())
 
 
-def ahead_order(pieces: int) -> list[int]:
+def prefetch_order(pieces: int) -> list[int]:
     """
-    The first piece of each half in turn: an engine that serves nothing takes one
-    half of the layers first, and the origin fills the links of both at once.
+    The piece indexes, alternating between both halves: an engine without weights fetches one
+    half of the layers first, so the origin can serve engines of both halves at once.
 
     """
     half = -(-pieces // 2)
     return sorted(range(pieces), key=lambda index: (index % half, index))
 
 
-def _weights_of(text: str) -> WeightsId | None:
+def _parse_weights_id(text: str) -> WeightsId | None:
     try:
         return parse_weights_id(text)
     except ValueError as error:
-        log.warning('A bad id of weights: {}.', error)
+        log.warning('Invalid id of weights: {}.', error)
         return None
--- a/packages/millforkd/millforkd/proxy/connections.py
+++ b/packages/millforkd/millforkd/proxy/connections.py
@@ -1,5 +1,5 @@
 """
-Connections to back ends, kept for each one under its cap.
+Connection pools for back ends.
 
 """
 
@@ -19,25 +19,25 @@
 from millfork_web.models import Headers
 
 READ_BYTES: Final = 64 * 1024
-# On, with no time to send what is left.
+# SO_LINGER on with a timeout of 0 s: closing discards unsent data and resets the connection.
 RESET_ON_CLOSE: Final = struct.pack('ii', 1, 0)
-# Zones are a few milliseconds apart; an opening packet that is lost is sent
-# again only after a second, which is too late for most requests.
+# Zones are a few milliseconds apart. A lost SYN is repeated only after a second, which is too
+# late for most requests.
 CONNECT_TIMEOUT_S: Final = 0.4
-# Idle connections are closed this long before their server would.
+# Idle connections are closed this long before their server would close them.
 KEEP_MARGIN_S: Final = 1.0
-# A server that tells no time is not trusted with idle connections for long.
+# The keep-alive time for a server that names none; it may close idle connections early.
 DEFAULT_KEEP_S: Final = 4.0
-# A request that must not run twice goes only over a connection that was in
-# use this lately: the server may be closing an older one.
-FRESH_S: Final = 0.3
+# A request that must not run twice is sent only on a connection that was in use within this
+# time: the server may be closing an older one.
+RECENT_USE_S: Final = 0.3
 
 log = logger(Part.PROXY)
 
 
 class SendFailed(Exception):
     """
-    No whole answer came; reason and verdict say what is known.
+    No complete answer was received; reason and verdict say what is known of the request.
 
     """
 
@@ -50,7 +50,7 @@
 
 class ServerConnection:
     """
-    One connection to one back end, used for one request at a time.
+    A connection to a back end, used for one request at a time.
 
     """
 
@@ -62,18 +62,18 @@
         self.reused = False
         self.status = 0
         self.headers: Headers = []
-        self.whole = False
-        # Whether it broke off or went silent.
+        self.complete = False
+        # Whether the connection broke off or went silent.
         self.lost = False
 
     async def send(self, method: str, path: str, headers: Headers, body: bytes) -> None:
         """
-        Send a whole request.
+        Send a request.
 
-        :raises SendFailed: MAY_HAVE_RUN, as part of it may have arrived.
+        :raises SendFailed: MAY_HAVE_RUN, as part of the request may have arrived.
 
         """
-        self.whole = False
+        self.complete = False
         if body or method not in ('GET', 'HEAD', 'DELETE', 'OPTIONS'):
             headers = [item for item in headers if item[0] != 'content-length']
             headers = [*headers, ('content-length', str(len(body)))]
@@ -85,38 +85,38 @@
         try:
             await self.sock.sendall(data)
         except OSError as error:
-            raise self._lost(str(error)) from error
+            raise self._connection_lost(str(error)) from error
 
     async def read_head(self) -> None:
         """
         Read the head of the answer.
 
-        :raises SendFailed: MAY_HAVE_RUN, if none comes.
+        :raises SendFailed: MAY_HAVE_RUN, if no answer arrives.
 
         """
-        event = await self._next()
+        event = await self._next_event()
         while isinstance(event, h11.InformationalResponse):
-            event = await self._next()
+            event = await self._next_event()
         if not isinstance(event, h11.Response):
-            raise self._lost('the server closed without an answer')
+            raise self._connection_lost('the server closed the connection without an answer')
         self.status = event.status_code
         self.headers = [(name.decode(), value.decode('latin-1')) for name, value in event.headers]
 
     async def read(self) -> bytes:
         """
-        The next bytes of the body; none at its end.
+        The next bytes of the body; empty at its end.
 
         :raises SendFailed: if the body breaks off.
 
         """
-        if self.whole:
+        if self.complete:
             return b''
-        event = await self._next()
+        event = await self._next_event()
         if isinstance(event, h11.EndOfMessage):
-            self.whole = True
+            self.complete = True
             return b''
         if not isinstance(event, h11.Data):
-            raise self._lost('the body broke off')
+            raise self._connection_lost('the body broke off')
         data = bytes(event.data)
         while self.http.their_state is h11.SEND_BODY:
             event = self.http.next_event()
@@ -124,22 +124,22 @@
                 break
             data += bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
-            self.whole = True
+            self.complete = True
         return data
 
-    async def drop_body(self) -> None:
+    async def discard_body(self) -> None:
         """
-        Read the rest of an answer, so that the connection can be kept.
+        Read and discard the rest of an answer, so that the connection can be reused.
 
         """
         while await self.read():
             pass
 
-    def _lost(self, detail: str) -> SendFailed:
+    def _connection_lost(self, detail: str) -> SendFailed:
         self.lost = True
         return SendFailed(Reason.CONNECTION_LOST, Verdict.MAY_HAVE_RUN, detail)
 
-    async def _next(self) -> Any:
+    async def _next_event(self) -> Any:
         try:
             while True:
                 event = self.http.next_event()
@@ -147,35 +147,34 @@
                     return event
                 self.http.receive_data(await self.sock.recv(READ_BYTES))
         except OSError as error:
-            raise self._lost(str(error)) from error
+            raise self._connection_lost(str(error)) from error
         except h11.RemoteProtocolError as error:
             raise SendFailed(Reason.TRUNCATED, Verdict.MAY_HAVE_RUN, str(error)) from error
 
     @property
     def reusable(self) -> bool:
         """
-        Whether the answer was read whole and nothing came after it.
+        Whether the answer was read completely and no data followed it.
 
         """
         done = self.http.our_state is h11.DONE and self.http.their_state is h11.DONE
-        return self.whole and done and not self.http.trailing_data[0]
+        return self.complete and done and not self.http.trailing_data[0]
 
     async def abandon(self) -> None:
         """
-        Reset the connection, so that what the network still holds of a
-        request never reaches the server.
+        Reset the connection, so that the unsent part of a request never reaches the server.
 
         """
         try:
             self.sock.setsockopt(socket_.SOL_SOCKET, socket_.SO_LINGER, RESET_ON_CLOSE)
         except OSError as error:
-            log.debug('No reset of a connection: {}.', error)
+            log.debug('A connection could not be reset: {}.', error)
         await self.sock.close()
 
     @property
     def is_quiet(self) -> bool:
         """
-        Whether an idle connection is open and has sent nothing.
+        Whether an idle connection is open and has received nothing.
 
         """
         return is_quiet(self.sock)
@@ -193,25 +192,26 @@
         self.port = port
         self.idle: deque[ServerConnection] = deque()
         self.open = 0
-        self.dropped = False
+        self.is_closed = False
 
-    async def take(self, fresh: bool) -> ServerConnection:
+    async def acquire(self, recently_used: bool) -> ServerConnection:
         """
-        A connection for one request, kept or new.
+        A pooled or new connection for one request; with `recently_used`, a pooled one only if
+        it was in use within RECENT_USE_S.
 
-        :raises SendFailed: NOT_RUN, if none can be had.
+        :raises SendFailed: NOT_RUN, if no connection can be opened.
 
         """
         while self.idle:
             connection = self.idle.pop()
             idle_s = self.env.monotonic() - connection.used_at
-            limit_s = FRESH_S if fresh else connection.keep_s - KEEP_MARGIN_S
+            limit_s = RECENT_USE_S if recently_used else connection.keep_s - KEEP_MARGIN_S
             if idle_s < limit_s and connection.is_quiet:
                 connection.http.start_next_cycle()
                 connection.reused = True
                 return connection
             await self.close(connection)
-            if fresh:
+            if recently_used:
                 break
         return await self._connect()
 
@@ -226,13 +226,13 @@
         self.env.metrics.count(self.env.metrics.connections, event='opened')
         return ServerConnection(sock)
 
-    async def give_back(self, connection: ServerConnection, keep_s: float | None) -> None:
+    async def release(self, connection: ServerConnection, keep_s: float | None) -> None:
         """
-        Keep a connection for the next request, or close it. What broke off or
-        silenced one may have done so to all that rest: only new ones tell.
+        Keep a connection for the next request, or close it. If it was lost, all idle
+        connections are closed, as they may be lost for the same reason.
 
         """
-        if self.dropped or not connection.reusable:
+        if self.is_closed or not connection.reusable:
             await self.close(connection)
             if connection.lost:
                 await self.close_idle()
@@ -244,14 +244,14 @@
 
     async def close(self, connection: ServerConnection) -> None:
         self.open -= 1
-        if connection.whole:
+        if connection.complete:
             await connection.sock.close()
             return
         await connection.abandon()
 
     async def close_old(self) -> None:
         """
-        Close the idle connections whose server is about to.
+        Close the idle connections that their server is about to close.
 
         """
         now = self.env.monotonic()
@@ -265,8 +265,8 @@
 
 class Pools:
     """
-    The pools of all back ends. One address may be given to another back
-    end, so a pool belongs to one back end's id.
+    The pools of all back ends, by instance id: an address may be reassigned to another
+    back end.
 
     """
 
@@ -281,14 +281,14 @@
             self.pools[server.instance] = pool
         return pool
 
-    async def drop(self, server: Server) -> None:
+    async def remove(self, server: Server) -> None:
         """
-        Close what is idle to a back end that is no longer used.
+        Remove the pool of a back end that is no longer used, and close its idle connections.
 
         """
         pool = self.pools.pop(server.instance, None)
         if pool is not None:
-            pool.dropped = True
+            pool.is_closed = True
             await pool.close_idle()
 
     async def close_old(self) -> None:
--- a/packages/millforkd/millforkd/proxy/daemon.py
+++ b/packages/millforkd/millforkd/proxy/daemon.py
@@ -1,5 +1,5 @@
 """
-An entry that reaches back ends directly.
+The daemon of an entry that sends requests directly to back ends.
 
 """
 
@@ -44,15 +44,15 @@
 from millforkd.quarantine import Quarantine
 from millforkd.seeded import feed_for, fleet_key
 
-# The balancer asks each second and needs two misses to look away.
-BALANCER_LOOKS_AWAY_S: Final = 2.5
-# Of the time that a planned stop has, left for the end itself.
+# The load balancer polls each second and removes an entry after two failed polls.
+BALANCER_REMOVAL_S: Final = 2.5
+# The part of a planned stop's grace period that is reserved for ending the process.
 STOP_MARGIN_S: Final = 0.5
 DRAIN_POLL_S: Final = 0.05
-HOUSEKEEPING_S: Final = 0.5
-# For a report that is passed on to a replica; the next one follows in 0.15 s.
+HOUSEKEEPING_INTERVAL_S: Final = 0.5
+# The timeout of passing a report on to a replica; the next report follows in 0.15 s.
 REPORT_TIMEOUT_S: Final = 0.3
-# The entries of a large fleet.
+# The number of entries assumed while it is unknown: that of a large fleet.
 DEFAULT_ENTRY_COUNT: Final = 380
 
 log = logger(Part.PROXY)
@@ -60,7 +60,7 @@
 
 class ProxyDaemon:
     """
-    One entry instance.
+    Runs one entry instance.
 
     """
 
@@ -129,17 +129,17 @@
         self.admin = Admin(env, settings, self.is_ready)
         self.stopping = False
         self.document_revision = 0
-        # The change of leases that the book has.
-        self.leases_taken = -1
-        # The change of reports that the book has.
-        self.reports_taken = 0
-        # The repeats within the window that were last logged, by service.
+        # The version of the leases that the server book has.
+        self.applied_leases_version = -1
+        # The version of the endpoint reports that the server book has.
+        self.applied_reports_version = 0
+        # The last logged number of repeats within the window, by service.
         self.repeats_logged: dict[ServiceName, int] = {}
 
     def most_entries(self) -> int:
         """
-        The most entries known lately; many before any replica told, as this entry would else
-        take the whole of a limit for its share.
+        The largest number of entries known lately. Before a replica has sent one, a large
+        number is assumed: otherwise this entry would use the whole of a shared limit.
 
         """
         return self.following.most_entries if self.following.entries_told else DEFAULT_ENTRY_COUNT
@@ -161,32 +161,32 @@
         await self.env.keep(self.admin.run)
         await self.env.keep(self.following.run)
         await self.env.keep(self.relaying.keep)
-        await self.env.keep(self._take_changes)
-        await self.env.keep(self.suspicion_reporter.keep)
-        await self.env.keep(self._keep_house)
+        await self.env.keep(self._apply_changes)
+        await self.env.keep(self.suspicion_reporter.run)
+        await self.env.keep(self._run_housekeeping)
         if self.ready_server is not None:
             await self.env.keep(self.ready_server.run)
         await self.env.keep(self.server.run)
 
     async def reload(self, settings: SeededSettings) -> None:
         """
-        Take changed settings: other seeds.
+        Apply changed settings: the list of seeds.
 
         """
         self.discovery.take_seeds(settings.seed_instances)
 
     async def drain(self) -> None:
         """
-        A planned stop: out of the balancer first, then the end of what is in
-        progress.
+        Stop as planned: wait until the load balancer sends no more requests, then until the
+        requests in progress have ended.
 
         """
         self.stopping = True
         started = self.env.monotonic()
         limit_s = self.settings.promises.grace_s - STOP_MARGIN_S
         self.server.closing = True
-        await curio.sleep(min(BALANCER_LOOKS_AWAY_S, limit_s))
-        # From here on, what comes could not be promised an answer in time.
+        await curio.sleep(min(BALANCER_REMOVAL_S, limit_s))
+        # A request that arrives from here on might not be answered before the entry stops.
         await self.server.stop_accepting()
         while self.server.active and self.env.monotonic() - started < limit_s:
             await curio.sleep(DRAIN_POLL_S)
@@ -194,32 +194,34 @@
             self.env.metrics.count(self.env.metrics.requests, outcome='cut_off_by_deadline')
             log.warning('Stopping with {} requests in progress.', self.server.active)
 
-    async def _take_changes(self) -> None:
+    async def _apply_changes(self) -> None:
         """
-        The task that puts what the feed brought into force.
+        The task that applies changes received from the feed.
 
         """
         while True:
             await self.following.changed.wait()
             self.following.changed.clear()
-            self._take_document()
+            self._apply_document()
             if self.view.cluster:
                 self.versions.refresh()
-            # Loads change with each message of the feed, leases seldom.
-            if self.registry.leases.version != self.leases_taken:
-                self.leases_taken = self.registry.leases.version
-                # A back end that is new here may have been reported on before.
-                self.reports_taken = 0
+            # Each message of the feed changes loads; leases change rarely.
+            if self.registry.leases.version != self.applied_leases_version:
+                self.applied_leases_version = self.registry.leases.version
+                # Reports on a new back end may have arrived before its lease.
+                self.applied_reports_version = 0
                 for server in self.book.take_leases(self.registry.leases.values()):
-                    await self.pools.drop(server)
-            told = self.book.take_reports(self.registry.endpoints.since(self.reports_taken))
-            for server, changes in told:
+                    await self.pools.remove(server)
+            signals = self.book.take_reports(
+                self.registry.endpoints.since(self.applied_reports_version)
+            )
+            for server, changes in signals:
                 self.forwarding.backpressure.note(server, changes, ToldBy.DAEMON)
-            self.reports_taken = self.registry.endpoints.version
+            self.applied_reports_version = self.registry.endpoints.version
             if self.admission.table is not None and self.book.servers:
                 await self.admission.ready_event.set()
 
-    def _take_document(self) -> None:
+    def _apply_document(self) -> None:
         found = document_in(self.view, self.adapter, self.document_revision)
         if found is None:
             return
@@ -229,9 +231,9 @@
         self.server.idle_timeout_s = document.limits.idle_timeout_ms / 1000
         self.server.max_body = document.limits.max_body_bytes
 
-    async def _keep_house(self) -> None:
+    async def _run_housekeeping(self) -> None:
         while True:
-            await curio.sleep(HOUSEKEEPING_S)
+            await curio.sleep(HOUSEKEEPING_INTERVAL_S)
             await self.pools.close_old()
             self.budget.count_entries()
             self.registry.suspects.forget_old()
@@ -240,17 +242,17 @@
 
     def _log_repeats(self) -> None:
         for service in list(self.budget.windows):
-            part = self.budget.part(service)
-            if part.spent == self.repeats_logged.get(service, 0):
+            allowance = self.budget.part(service)
+            if allowance.spent == self.repeats_logged.get(service, 0):
                 continue
-            self.repeats_logged[service] = part.spent
+            self.repeats_logged[service] = allowance.spent
             log.info(
                 'Repeats. service={} spent={} allowed={:.1f} requests={} entries={}',
                 service,
-                part.spent,
-                part.allowed,
-                part.requests,
-                part.entries,
+                allowance.spent,
+                allowance.allowed,
+                allowance.requests,
+                allowance.entries,
             )
 
     async def _answer_ready(self, exchange: Exchange) -> None:
@@ -284,7 +286,7 @@
     @on.register
     async def _(self, message: messages.EndpointReport, connection: Connection) -> Message:
         """
-        An endpoint daemon is cut off from the replicas: pass its report on.
+        Pass on a report of an endpoint daemon that can't reach the replicas.
 
         """
         if not self.following.connected:
@@ -299,15 +301,15 @@
     @on.register
     async def _(self, message: messages.SuspicionReport, connection: Connection) -> Message:
         """
-        An entry is cut off from the replicas: take what it knows, and pass it on.
+        Note the suspicions of an entry that can't reach the replicas, and publish them.
 
         """
         try:
-            told = decode_suspicions(message.body)
+            suspicions = decode_suspicions(message.body)
         except msgspec.DecodeError as error:
-            log.warning('Suspicions of {} can not be read: {}.', connection.peer, error)
+            log.warning('Suspicions of {} can not be decoded: {}.', connection.peer, error)
             return messages.Done(False)
-        for suspicion in told:
+        for suspicion in suspicions:
             await self.registry.suspects.note(suspicion)
         return messages.Done(True)
 
--- a/packages/millforkd/millforkd/proxy/event_stream.py
+++ b/packages/millforkd/millforkd/proxy/event_stream.py
@@ -1,13 +1,13 @@
 """
-Splitting a stream into whole events (text/event-stream).
+Splits an event stream (text/event-stream) into complete events.
 
 """
 
 from typing import Final
 
-EVENT_ENDS: Final = (b'\n\n', b'\r\n\r\n')
+EVENT_DELIMITERS: Final = (b'\n\n', b'\r\n\r\n')
 ID_FIELD: Final = b'id:'
-# A stream without any event end in this many bytes is not one.
+# More bytes than this without the end of an event are not an event stream.
 MAX_EVENT_BYTES: Final = 1024 * 1024
 
 
@@ -20,58 +20,58 @@
 
 class EventSplitter:
     """
-    Holds back the bytes of an event that is not whole yet.
+    Holds back the bytes of an event that is not complete yet.
 
     """
 
     def __init__(self) -> None:
-        self.rest = b''
+        self.incomplete = b''
         self.last_id: int | None = None
         self.first_id: int | None = None
 
     def feed(self, data: bytes) -> bytes:
         """
-        Take bytes; return those of the events that are now whole.
+        Add bytes; return those of the events that are now complete.
 
-        :raises NotEvents: if no event ends in a reasonable time.
+        :raises InvalidEventStream: if no event ends within MAX_EVENT_BYTES.
 
         """
-        data = self.rest + data
-        end = max(_end_of(data, mark) for mark in EVENT_ENDS)
+        data = self.incomplete + data
+        end = max(_end_of_last_event(data, delimiter) for delimiter in EVENT_DELIMITERS)
         if not end:
-            self.rest = data
+            self.incomplete = data
             if len(data) > MAX_EVENT_BYTES:
-                raise InvalidEventStream(f'no event ends in {len(data)} bytes')
+                raise InvalidEventStream(f'no end of an event in {len(data)} bytes')
             return b''
-        whole = data[:end]
-        self.rest = data[end:]
-        self._note_ids(whole)
-        return whole
+        complete_events = data[:end]
+        self.incomplete = data[end:]
+        self._note_ids(complete_events)
+        return complete_events
 
-    def _note_ids(self, whole: bytes) -> None:
+    def _note_ids(self, complete_events: bytes) -> None:
         if self.first_id is None:
-            self.first_id = _first_id(whole)
-        at = whole.rfind(b'\n' + ID_FIELD)
+            self.first_id = _first_id(complete_events)
+        at = complete_events.rfind(b'\n' + ID_FIELD)
         if at >= 0:
-            self.last_id = _id_in(whole[at + 1 :])
-        elif whole.startswith(ID_FIELD):
-            self.last_id = _id_in(whole)
+            self.last_id = _id_in(complete_events[at + 1 :])
+        elif complete_events.startswith(ID_FIELD):
+            self.last_id = _id_in(complete_events)
 
 
-def _end_of(data: bytes, mark: bytes) -> int:
+def _end_of_last_event(data: bytes, delimiter: bytes) -> int:
     """
-    Where the last whole event ends, 0 if there is none.
+    The offset after the last complete event, 0 if there is none.
 
     """
-    at = data.rfind(mark)
-    return at + len(mark) if at >= 0 else 0
+    at = data.rfind(delimiter)
+    return at + len(delimiter) if at >= 0 else 0
 
 
-def _first_id(whole: bytes) -> int | None:
-    if whole.startswith(ID_FIELD):
-        return _id_in(whole)
-    at = whole.find(b'\n' + ID_FIELD)
-    return _id_in(whole[at + 1 :]) if at >= 0 else None
+def _first_id(complete_events: bytes) -> int | None:
+    if complete_events.startswith(ID_FIELD):
+        return _id_in(complete_events)
+    at = complete_events.find(b'\n' + ID_FIELD)
+    return _id_in(complete_events[at + 1 :]) if at >= 0 else None
 
 
 def _id_in(line: bytes) -> int | None:
--- a/packages/millforkd/millforkd/proxy/fingerprints.py
+++ b/packages/millforkd/millforkd/proxy/fingerprints.py
@@ -1,5 +1,5 @@
 """
-The fingerprints of requests of seeded fleets.
+Computes the fingerprints of requests in seeded fleets.
 
 """
 
@@ -13,7 +13,7 @@
 
 class Fingerprints:
     """
-    The fingerprints of one fleet; all entries of a cluster make the same.
+    Computes fingerprints for one fleet; all entries of a cluster get the same ones.
 
     """
 
@@ -23,7 +23,7 @@
 
     def of(self, job: Job) -> Fingerprint:
         """
-        The fingerprint of a job's request; made once, as a body may be long.
+        The fingerprint of a job's request; computed once, as a body may be long.
 
         """
         if job.fingerprint is None:
@@ -33,7 +33,7 @@
 
     def of_request(self, request: Request, caller: str) -> Fingerprint:
         """
-        The fingerprint of a request of one caller.
+        The fingerprint of a request; `caller` is its organisation's name or API key.
 
         """
         return fingerprint_of(
--- a/packages/millforkd/millforkd/proxy/forwarding.py
+++ b/packages/millforkd/millforkd/proxy/forwarding.py
@@ -114,10 +114,10 @@
         except curio.TaskCancelled:
             if not job.caller_gone:
                 raise
-            self.outcomes.note(job, 'caller_gone')
+            self.outcomes.record(job, 'caller_gone')
             raise CallerGone('the caller disconnected') from None
         except CallerGone:
-            self.outcomes.note(job, 'caller_gone')
+            self.outcomes.record(job, 'caller_gone')
             raise
         finally:
             # Wait until the watcher has ended: the socket is closed next, and the event loop
@@ -135,19 +135,19 @@
     async def _serve(self, job: Job) -> None:
         refusal = await self._attempt(job)
         if refusal is None:
-            self.outcomes.note(job, 'served')
+            self.outcomes.record(job, 'served')
             return
         await self._note_turned_away(job)
         if job.answer_started:
             await job.exchange.break_off()
-            self.outcomes.note(job, 'broken_off', refusal)
+            self.outcomes.record(job, 'broken_off', refusal)
             return
         if job.held_answer is not None:
             await self.response_relay.respond_held(job, job.held_answer)
-            self.outcomes.note(job, 'served_failure', refusal)
+            self.outcomes.record(job, 'served_failure', refusal)
             return
         await self.outcomes.refuse(job.exchange, job.caller.request_id, refusal)
-        self.outcomes.note(job, 'refused', refusal)
+        self.outcomes.record(job, 'refused', refusal)
 
     async def _note_turned_away(self, job: Job) -> None:
         """
@@ -172,7 +172,7 @@
             job.wanted = self.admission.with_current_versions(job.wanted, last_send)
             choice = await self._choose(job)
             if choice is None:
-                return self._no_server(job)
+                return self._no_server_refusal(job)
             if not job.tried and not job.answer_started:
                 await self._look_up_first_try(job, choice)
                 wait_ms = self.admission.return_after_ms(job, choice)
@@ -182,7 +182,7 @@
                 if wait_ms:
                     return Refusal(Reason.BUSY, Verdict.NOT_RUN, 'all servers are busy', wait_ms)
             if job.tried and not budget_spent and not self.budget.spend(job.wanted.service):
-                return self._final(job, Reason.RETRY_BUDGET)
+                return self._final_refusal(job, Reason.RETRY_BUDGET)
             server = choice.server
             before = self.quarantine.known(job)
             failed = await self._send(job, choice, before)
@@ -260,27 +260,27 @@
 
         """
         if job.remaining_s(self.env.monotonic()) < REFUSAL_MARGIN_S:
-            return self._final(job, Reason.TIMED_OUT if job.tried else Reason.EXPIRED)
+            return self._final_refusal(job, Reason.TIMED_OUT if job.tried else Reason.EXPIRED)
         standing = self.quarantine.bars(job)
         if standing is Standing.AT_FAULT:
             detail = 'back ends ended while running this request'
-            return self._final(job, Reason.QUARANTINED, detail)
+            return self._final_refusal(job, Reason.QUARANTINED, detail)
         if standing is Standing.SUSPECTED:
             detail = 'back ends broke off while running this request'
-            return self._final(job, Reason.SUSPECTED, detail)
+            return self._final_refusal(job, Reason.SUSPECTED, detail)
         if not job.failures:
             return None
         last = job.failures[-1]
         if job.may_have_run and not job.route.repeatable:
-            return self._final(job, last.reason)
+            return self._final_refusal(job, last.reason)
         if len(job.tried) >= job.route.max_attempts:
-            return self._final(job, last.reason)
+            return self._final_refusal(job, last.reason)
         return None
 
-    def _no_server(self, job: Job) -> Refusal:
+    def _no_server_refusal(self, job: Job) -> Refusal:
         closure = self.book.soonest(job.wanted)
         if job.tried:
-            refusal = self._final(job, job.failures[-1].reason)
+            refusal = self._final_refusal(job, job.failures[-1].reason)
             if closure is None or refusal.verdict is not Verdict.NOT_RUN:
                 return refusal
             return replace(refusal, retry_after_ms=while_closed(closure, self.env.random))
@@ -291,7 +291,7 @@
         wait_ms = while_nothing_serves(self.env.random)
         return Refusal(Reason.NO_ENDPOINT, Verdict.NOT_RUN, 'no server is available', wait_ms)
 
-    def _final(self, job: Job, reason: Reason, detail: str = '') -> Refusal:
+    def _final_refusal(self, job: Job, reason: Reason, detail: str = '') -> Refusal:
         """
         The refusal of a job; its verdict covers all attempts.
 
--- a/packages/millforkd/millforkd/proxy/load_queries.py
+++ b/packages/millforkd/millforkd/proxy/load_queries.py
@@ -1,9 +1,9 @@
 """
-Asking the daemons beside a few engines for what runs and waits there now.
+Queries the daemons of a few engines for their current loads.
 
-An engine is chosen by reports that are up to 0.3 s old; where that may mislead, the daemons
-beside the engines compared are asked first. Nobody is waited for long: an answer that comes
-late is taken for the next choice, and its daemon is not waited for again for a while.
+Engines are chosen by reports that are up to 0.3 s old. Where old reports may lead to a wrong
+choice, the daemons of the engines compared are queried first. The wait is short: a late answer
+is used for the next choice, and its daemon isn't queried again for a while.
 
 """
 
@@ -22,11 +22,11 @@
 from millfork_wire.peers import Peers
 from millforkd.proxy.peer_queries import PeerQueries
 
-# A caller waits for loads this long at most.
+# How long a request waits for loads at most.
 WAIT_S: Final = 0.02
-# After this an answer says no more than the next report will.
+# By then the next report says the same as an answer.
 ANSWER_TIMEOUT_S: Final = 0.15
-# A daemon that did not answer in time is not asked again for so long.
+# How long a daemon that didn't answer in time isn't queried.
 PASSED_OVER_S: Final = 0.5
 
 log = logger(Part.PROXY)
@@ -34,7 +34,7 @@
 
 class LoadQueries:
     """
-    What one entry asks the daemons beside engines.
+    Queries loads for one entry.
 
     """
 
@@ -45,39 +45,39 @@
 
     async def refresh(self, servers: list[Server]) -> None:
         """
-        Bring the loads of some engines up to date where the choice may hang on them; returns
-        once all that were asked have answered, or after `WAIT_S`.
+        Update the loads of some engines where the choice may depend on them; returns once all
+        queries are answered, or after `WAIT_S`.
 
         """
         if not is_worth_asking(servers, self.env.monotonic(), self.book.entries()):
             return
-        asked = []
+        tasks = []
         for server in servers:
             if not server.daemon:
                 continue
             connection = await self.queries.open_connection(server.daemon)
             if connection is None:
                 continue
-            asked.append(await self.env.spawn(self._ask, server, connection))
+            tasks.append(await self.env.spawn(self._ask, server, connection))
         try:
             async with curio.timeout_after(WAIT_S):
-                for task in asked:
+                for task in tasks:
                     await task.wait()
         except curio.TaskTimeout:
             self.env.metrics.count(self.env.metrics.wire, event='load_late')
 
     async def _ask(self, server: Server, connection: Connection) -> None:
-        asked_at = self.env.monotonic()
+        queried_at = self.env.monotonic()
         daemon = server.daemon
         mine, mine_unread = server.mine, server.mine_unread
         reply = await self.queries.ask(daemon, connection, AskLoad(), ANSWER_TIMEOUT_S)
         now = self.env.monotonic()
-        if reply is None or now - asked_at > WAIT_S:
+        if reply is None or now - queried_at > WAIT_S:
             self.queries.silent.note(daemon)
         if not isinstance(reply, EngineLoad) or not reply.known:
             return
         if server.is_another(Incarnation(reply.incarnation)):
-            log.info('Told of the load of another engine. server={}', server.instance)
+            log.info('A load report belongs to another engine. server={}', server.instance)
             return
         load = Load(reply.running, reply.queued, reply.pace_percent / 100, mine, mine_unread)
         server.take_load(load, now)
--- a/packages/millforkd/millforkd/proxy/outcomes.py
+++ b/packages/millforkd/millforkd/proxy/outcomes.py
@@ -1,5 +1,5 @@
 """
-How a request ended: the entry's own answer, the log line, the counters.
+Sends refusals, and logs and counts the outcomes of requests.
 
 """
 
@@ -26,7 +26,7 @@
 
 class RequestOutcomes:
     """
-    Refuses, logs and counts.
+    Sends refusals and records outcomes.
 
     """
 
@@ -36,7 +36,7 @@
 
     async def refuse(self, exchange: Exchange, request_id: str, refusal: Refusal) -> None:
         """
-        Send the entry's own answer, at once.
+        Answer a request with a refusal by the entry itself.
 
         """
         self.env.metrics.refused(refusal.reason, 'proxy')
@@ -47,9 +47,9 @@
         response.headers = headers + self.adapter.refusal_headers(request_id, wait_ms)
         await exchange.respond(response)
 
-    def note(self, job: Job, outcome: str, refusal: Refusal | None = None) -> None:
+    def record(self, job: Job, outcome: str, refusal: Refusal | None = None) -> None:
         """
-        Log and count how a job ended.
+        Log and count the outcome of a job.
 
         """
         now = self.env.monotonic()
@@ -92,13 +92,13 @@
 
 def status_of(refusal: Refusal) -> int:
     """
-    The status of a refusal: one that promises 'not run' only where it holds.
+    The HTTP status of a refusal; a status that promises 'not run' only if that is certain.
 
     """
     if refusal.reason in CLIENT_ERRORS:
         return refusal.http_status
     if refusal.reason is Reason.QUARANTINED:
-        # Final: whoever reads 'not run' comes back, and this one never will be.
+        # A caller retries after 'not run', but a quarantined request is never served.
         return LOST_STATUS
     if refusal.verdict is Verdict.NOT_RUN:
         return NOT_RUN_STATUS
--- a/packages/millforkd/millforkd/proxy/peer_queries.py
+++ b/packages/millforkd/millforkd/proxy/peer_queries.py
@@ -1,10 +1,10 @@
 """
-Questions to other processes that a caller waits for.
+Queries to other processes, sent while a caller's request waits for the answer.
 
-Nobody is waited for long: no connection is brought up meanwhile, an answer is given up after
-milliseconds, and who gave none is passed over for a while. A connection on which nothing was
-heard for long may be silent for good, without a reset, while a new one would work: it is
-closed with the first question that it leaves unanswered.
+The waits are short: a query doesn't wait for a new connection, an answer is given up after
+milliseconds, and a peer that didn't answer is not queried for a while. A connection without
+received data for long may be dead without a reset, while a new one would work: it is closed
+with the first query that isn't answered on it.
 
 """
 
@@ -19,15 +19,15 @@
 from millfork_wire.peers import Peers
 from millforkd.beside.silence import PASSED_OVER_S, SilentPeers
 
-# Where others are heard on a connection more often, a single question may be late.
-SILENT_S: Final = 1.0
+# A connection that received data within this time is kept: a single answer may be late.
+MIN_SILENCE_S: Final = 1.0
 
 log = logger(Part.PROXY)
 
 
 class PeerQueries:
     """
-    The questions of one kind; `unanswered_event` names those without an answer in the metrics.
+    Sends queries of one kind; `unanswered_event` counts those without an answer in the metrics.
 
     """
 
@@ -42,12 +42,13 @@
         self.peers = peers
         self.unanswered_event = unanswered_event
         self.silent = SilentPeers(env.monotonic, passed_over_s)
-        # Those to which a connection is coming up.
+        # The peers to which a connection is being opened.
         self.connecting: set[str] = set()
 
     async def open_connection(self, name: str) -> Connection | None:
         """
-        The connection to a process that answers; without one it is brought up for later.
+        The open connection to a peer that answers. Without one, None is returned and a
+        connection is opened for later queries.
 
         """
         if self.silent.is_silent(name):
@@ -57,10 +58,10 @@
             return connection
         if name not in self.connecting:
             self.connecting.add(name)
-            await self.env.spawn(self._dial, name)
+            await self.env.spawn(self._connect_in_background, name)
         return None
 
-    async def _dial(self, name: str) -> None:
+    async def _connect_in_background(self, name: str) -> None:
         try:
             await self.connect(name)
         finally:
@@ -68,36 +69,41 @@
 
     async def connect(self, name: str) -> Connection | None:
         """
-        The connection to a process, brought up if there is none; None if it can't be.
+        The connection to a peer, opened if there is none; None if that fails.
 
         """
         try:
             return await self.peers.connect(address_of(name))
         except PeerError as error:
-            log.info('No connection for questions. to={} why={}', name, error)
+            log.info('No connection for queries. to={} why={}', name, error)
             self.silent.note(name)
             return None
 
     async def ask(
-        self, name: str, connection: Connection, question: Message, timeout: float
+        self, name: str, connection: Connection, query: Message, timeout: float
     ) -> Message | None:
         """
-        The answer to a question within `timeout` seconds, if there is one.
+        The answer to a query, or None if there is none within `timeout` seconds.
 
         """
         try:
-            # Not by `Peers.call`, which ends connections that are silent for as long.
-            return await connection.call(question, timeout)
+            # `Peers.call` would close a connection that is silent for `timeout` seconds.
+            return await connection.call(query, timeout)
         except PeerError as error:
             self.env.metrics.count(self.env.metrics.wire, event=self.unanswered_event)
-            log.info('No answer. asked={} event={} why={}', name, self.unanswered_event, error)
+            log.info(
+                'A query was not answered. asked={} event={} why={}',
+                name,
+                self.unanswered_event,
+                error,
+            )
             if isinstance(error, PeerTimedOut):
                 await self._close_if_silent(connection)
             return None
 
     async def _close_if_silent(self, connection: Connection) -> None:
         silent_s = self.env.monotonic() - connection.last_heard
-        if silent_s < SILENT_S:
+        if silent_s < MIN_SILENCE_S:
             return
         log.info(
             'A silent connection is closed. peer={} silent_s={:.1f}', connection.peer, silent_s
--- a/packages/millforkd/millforkd/proxy/request_sender.py
+++ b/packages/millforkd/millforkd/proxy/request_sender.py
@@ -86,7 +86,7 @@
             async with curio.timeout_after(
                 job.remaining_s(self.env.monotonic()) - REFUSAL_MARGIN_S
             ):
-                connection = await pool.take(fresh=not job.route.repeatable)
+                connection = await pool.acquire(recently_used=not job.route.repeatable)
                 keep_s = await self._exchange(job, attempt, connection)
             job.pending_servers = ()
             server.note_service_time(self.env.monotonic() - attempt.started_at)
@@ -103,7 +103,7 @@
         finally:
             attempt.end()
             if connection is not None:
-                await pool.give_back(connection, keep_s)
+                await pool.release(connection, keep_s)
 
     def _failed(
         self, job: Job, choice: Choice, reason: Reason, verdict: Verdict, detail: str
@@ -199,9 +199,9 @@
             raise SendFailed(
                 Reason.TRUNCATED, Verdict.MAY_HAVE_RUN, 'the answer belongs to another request'
             )
-        self.backpressure.take_answer(job, server, head, now)
+        self.backpressure.record_answer(job, server, head, now)
         if head.not_run:
-            await connection.drop_body()
+            await connection.discard_body()
             through_path = attempt.choice.path is not None
             if version is not None and (head.elsewhere or through_path):
                 server.refused[version] = self.env.monotonic() + REFUSED_VERSION_S
--- a/packages/millforkd/millforkd/proxy/response_relay.py
+++ b/packages/millforkd/millforkd/proxy/response_relay.py
@@ -101,8 +101,8 @@
             await self._write(job, connection, events)
             if splitter.last_id is not None:
                 job.last_event = splitter.last_id
-        if splitter.rest or not job.answer_started:
-            await self._write(job, connection, splitter.rest)
+        if splitter.incomplete or not job.answer_started:
+            await self._write(job, connection, splitter.incomplete)
         await job.exchange.finish()
 
     def _note_first_token(self, job: Job, attempt: Attempt, resumed: bool) -> None:
--- a/packages/millforkd/millforkd/proxy/suspicion_reporter.py
+++ b/packages/millforkd/millforkd/proxy/suspicion_reporter.py
@@ -1,5 +1,5 @@
 """
-Telling replicas which requests back ends ended under.
+Reports suspicions to replicas: which requests may end back ends.
 
 """
 
@@ -16,9 +16,9 @@
 from millfork_wire.messages import Done, SuspicionReport
 from millfork_wire.peers import Peers
 
-# As a report of load, it may cross two regions.
+# Like a load report, a suspicion report may cross two regions.
 REPORT_TIMEOUT_S: Final = 0.3
-# Where nobody took it, it is told again this much later.
+# The pause before a report that wasn't accepted is repeated.
 RETRY_S: Final = 0.15
 
 log = logger(Part.PROXY)
@@ -26,7 +26,7 @@
 
 class SuspicionReporter:
     """
-    Tells what this entry knows and its replica does not.
+    Reports the suspicions that this entry hasn't reported yet.
 
     """
 
@@ -38,9 +38,9 @@
         self.following = following
         self.suspects = suspects
 
-    async def keep(self) -> None:
+    async def run(self) -> None:
         """
-        The task that tells, and tells again until somebody took it.
+        The task that sends reports, and repeats each one until it is accepted.
 
         """
         while True:
@@ -58,7 +58,7 @@
         try:
             reply = await self.peers.call(address_of(name), report, REPORT_TIMEOUT_S)
         except PeerError as error:
-            log.info('Suspicions not told to {}: {}.', name, error)
+            log.info('Suspicions were not reported to {}: {}.', name, error)
             return False
         if not isinstance(reply, Done) or not reply.ok:
             return False
--- a/packages/millforkd/millforkd/proxy/turned_away_directory.py
+++ b/packages/millforkd/millforkd/proxy/turned_away_directory.py
@@ -1,10 +1,10 @@
 """
-Asking whether a request was turned away before.
+A directory of requests that were turned away, distributed over the entries of a zone.
 
-Callers come back to any entry of their zone. What was turned away is remembered by one of
-the few entries that every entry of the zone is told of, chosen by what the request says:
-told there without waiting, and asked there only where an answer decides whether the request
-is sent. Without an answer in time it counts as a first try.
+Callers that were turned away retry at any entry of their zone. Each such request is recorded at
+its owner: one of the few entries that all entries of the zone know of, chosen by fingerprint.
+Recording doesn't wait, and the owner is queried only where its answer decides whether the
+request is sent. A request without an answer in time counts as a first try.
 
 """
 
@@ -27,9 +27,9 @@
 from millforkd.proxy.job import Job
 from millforkd.proxy.peer_queries import PeerQueries
 
-# The way within a zone takes 1 ms to 3 ms there and back. A twentieth of the shortest aims.
+# A round trip within a zone takes 1 ms to 3 ms. This is a twentieth of the shortest targets.
 ASK_TIMEOUT_S: Final = 0.02
-# So many bytes of a fingerprint tell the requests of some seconds apart.
+# Enough bytes of a fingerprint to distinguish the requests of some seconds.
 FINGERPRINT_PREFIX_BYTES: Final = 8
 
 log = logger(Part.PROXY)
@@ -37,7 +37,7 @@
 
 class TurnedAwayDirectory:
     """
-    What this entry and the others of its zone remember of requests turned away.
+    Records and looks up requests that entries of this zone turned away.
 
     """
 
@@ -49,7 +49,7 @@
         fingerprints: Fingerprints,
     ) -> None:
         self.env = env
-        # The entries that others are told of.
+        # Returns the entries that all entries of their zone know of.
         self.list_entries = list_entries
         self.fingerprints = fingerprints
         self.first_tries = TurnedAway()
@@ -57,7 +57,7 @@
 
     async def note(self, job: Job) -> None:
         """
-        Remember that a job was turned away; returns at once.
+        Record that a job was turned away; returns at once.
 
         """
         now = self.env.monotonic()
@@ -71,7 +71,7 @@
 
     async def elapsed_ms(self, job: Job) -> int:
         """
-        Milliseconds since a job's first try; 0 if this is it, or nobody knows.
+        Milliseconds since a job's first try; 0 if this is the first one, or if it is unknown.
 
         """
         fingerprint = self._short_fingerprint(job)
@@ -82,14 +82,14 @@
 
     def on_note(self, message: NoteTurnedAway) -> None:
         """
-        Another entry turned a request away.
+        Record a request that another entry turned away.
 
         """
         self.first_tries.note(message.fingerprint, message.elapsed_ms, self.env.monotonic())
 
     def on_ask(self, message: AskTurnedAway) -> TurnedAwayBefore:
         """
-        Another entry asks whether a request was turned away.
+        Answer another entry's query for a request.
 
         """
         elapsed_ms = self.first_tries.elapsed_ms(message.fingerprint, self.env.monotonic())
@@ -100,7 +100,7 @@
 
     def _owner_of(self, fingerprint: bytes) -> str:
         """
-        Who remembers a request: all entries of a zone find the same one.
+        The entry that records a request; all entries of a zone choose the same one.
 
         """
         zone = str(self.env.zone)
@@ -128,4 +128,6 @@
         try:
             await connection.notify(message)
         except PeerLost as error:
-            log.info('Not told of one that was turned away. to={} why={}', owner, error)
+            log.info(
+                'A turned-away request was not recorded at its owner. to={} why={}', owner, error
+            )
--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -236,7 +236,7 @@
         (
             Edit(
                 D + 'proxy/cache.py',
-                'if not draw and await self._left_to_drawer(held, index):',
+                'if not draw and await self._fetch_from_cache(held, index):',
                 'if False:',
             ),
         ),
@@ -244,7 +244,13 @@
     Mutation(
         'a piece is left to a drawer that is at it',
         'tests/test_caches.py::test_a_piece_that_its_drawer_brings_is_not_drawn_beside_it',
-        (Edit(D + 'proxy/cache.py', 'self.not_yet[place] < PATIENCE', 'not self.not_yet[place]'),),
+        (
+            Edit(
+                D + 'proxy/cache.py',
+                'self.not_yet_answers[key] < MAX_NOT_YET_ANSWERS',
+                'not self.not_yet_answers[key]',
+            ),
+        ),
     ),
     Mutation(
         'a drawer whose origin sends other pieces first is waited for',
@@ -663,7 +669,7 @@
         (
             Edit(
                 D + 'proxy/cache.py',
-                'if draw or not await self._left_to_drawer(held, DIGESTS):',
+                'if draw or not await self._fetch_from_cache(held, DIGESTS):',
                 'if True:',
             ),
         ),
--- a/tests/test_beginning.py
+++ b/tests/test_beginning.py
@@ -84,9 +84,9 @@
     # a quarter more time than the caller had left: 1500 ms of 1500 after a wait of 375.
     made = admission()
     made.table = route_table()
-    came_at = made.env.monotonic() - 0.375
-    job = made.admit(None, caller(1500), came_at)
-    assert job.remaining_s(came_at) == pytest.approx(1.5)
+    received_at = made.env.monotonic() - 0.375
+    job = made.admit(None, caller(1500), received_at)
+    assert job.remaining_s(received_at) == pytest.approx(1.5)
     with pytest.raises(Refused) as refused:
-        made.admit(None, caller(370), came_at)
+        made.admit(None, caller(370), received_at)
     assert refused.value.refusal.reason is Reason.EXPIRED
--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -19,7 +19,7 @@
 from millforkd.beside.pieces import WeightsId, decode_digests
 from millforkd.beside.silence import PASSED_OVER_S
 from millforkd.proxy import cache as caching
-from millforkd.proxy.cache import PieceCache, ahead_order
+from millforkd.proxy.cache import PieceCache, prefetch_order
 
 PIECES = tuple(bytes([number]) * 8 for number in range(6))
 ASKED_DIGESTS = 'digests'
@@ -93,7 +93,7 @@
     return made
 
 
-def cache_and_its_drawer():
+def cache_and_its_fetcher():
     """
     A cache, and the one of another zone that draws for it; each has an origin of
     its own that counts, and brings nothing ahead.
@@ -102,10 +102,10 @@
     caches = [CacheAddress('10.0.0.1:1', 'z1'), CacheAddress('10.0.0.2:1', 'z2')]
     peers = StandInPeers()
     cache = cache_at('10.0.0.2:1', 'z2', StandInOrigin(), peers, caches)
-    drawer = cache_at('10.0.0.1:1', 'z1', StandInOrigin(), peers, caches)
-    for made in (cache, drawer):
-        made.ahead.add(WeightsId('m', 2))
-    return cache, drawer
+    fetcher = cache_at('10.0.0.1:1', 'z1', StandInOrigin(), peers, caches)
+    for made in (cache, fetcher):
+        made.prefetching.add(WeightsId('m', 2))
+    return cache, fetcher
 
 
 @given(CACHES, st.sampled_from(['z1', 'z2', 'z3']))
@@ -193,7 +193,7 @@
         assert not (await cache.chunk(GetChunk('m@2', 0))).found
         now += caching.WANTED_S + 0.1
         async with curio.timeout_after(5):
-            while WeightsId('m', 2) in cache.ahead:
+            while WeightsId('m', 2) in cache.prefetching:
                 await curio.sleep(0)
         drawn = len(origin.drawn)
         for _ in range(50):
@@ -211,7 +211,7 @@
 
 @given(st.integers(0, 200))
 def test_both_halves_are_brought_ahead_alike(pieces):
-    order = ahead_order(pieces)
+    order = prefetch_order(pieces)
     assert sorted(order) == list(range(pieces))
     for count in range(pieces + 1):
         lower = sum(index < pieces / 2 for index in order[:count])
@@ -237,7 +237,7 @@
         origin, peers = StandInOrigin(), StandInPeers()
         peers.silent = True
         cache = cache_at('10.0.0.2:1', 'z2', origin, peers, caches)
-        cache.ahead.add(WeightsId('m', 2))
+        cache.prefetching.add(WeightsId('m', 2))
         now = 100.0
         cache.silent.monotonic = lambda: now
         for index in range(4):
@@ -256,16 +256,16 @@
     monkeypatch.setattr(caching, 'WAIT_S', 0.05)
 
     async def run():
-        cache, drawer = cache_and_its_drawer()
+        cache, fetcher = cache_and_its_fetcher()
         here = curio.Event()
-        real = drawer.origin.draw_piece
+        real = fetcher.origin.draw_piece
 
         async def draw_piece(held, index):
             await here.wait()
             return await real(held, index)
 
-        drawer.origin.draw_piece = draw_piece
-        for _ in range(caching.PATIENCE - 1):
+        fetcher.origin.draw_piece = draw_piece
+        for _ in range(caching.MAX_NOT_YET_ANSWERS - 1):
             assert not (await cache.chunk(GetChunk('m@2', 3))).found
         assert cache.origin.drawn == []
         await here.set()
@@ -281,13 +281,13 @@
     monkeypatch.setattr(caching, 'WAIT_S', 0.02)
 
     async def run():
-        cache, drawer = cache_and_its_drawer()
-        drawer.origin.spoilt = 10_000
-        drawer.origin.failing = True
-        for _ in range(caching.PATIENCE * 3):
+        cache, fetcher = cache_and_its_fetcher()
+        fetcher.origin.spoilt = 10_000
+        fetcher.origin.failing = True
+        for _ in range(caching.MAX_NOT_YET_ANSWERS * 3):
             assert not (await cache.chunk(GetChunk('m@2', 3))).found
         assert cache.origin.drawn == []
-        drawer.origin.spoilt = 0
+        fetcher.origin.spoilt = 0
         async with curio.timeout_after(5):
             while not (await cache.chunk(GetChunk('m@2', 3))).found:
                 pass
@@ -307,25 +307,25 @@
     monkeypatch.setattr(caching, 'WAIT_S', 0.02)
 
     async def run():
-        cache, drawer = cache_and_its_drawer()
-        real = drawer.origin.draw_piece
+        cache, fetcher = cache_and_its_fetcher()
+        real = fetcher.origin.draw_piece
         # Of the origin's rate two drawers have a half each: four pieces of eight bytes.
-        drawer.origin.bytes_per_s = cache.origin.bytes_per_s = 64.0
+        fetcher.origin.bytes_per_s = cache.origin.bytes_per_s = 64.0
 
         async def draw_piece(held, index):
             if index == 3:
                 await curio.sleep(30)
             return await real(held, index)
 
-        drawer.origin.draw_piece = draw_piece
-        for number in range(caching.PATIENCE * 3):
+        fetcher.origin.draw_piece = draw_piece
+        for number in range(caching.MAX_NOT_YET_ANSWERS * 3):
             version = f'm@{number + 10}'
-            drawer.ahead.add(WeightsId('m', number + 10))
+            fetcher.prefetching.add(WeightsId('m', number + 10))
             for index in (0, 1):
-                assert (await drawer.chunk(GetChunk(version, index, draw=True))).found
+                assert (await fetcher.chunk(GetChunk(version, index, draw=True))).found
             assert not (await cache.chunk(GetChunk('m@2', 3))).found
         assert cache.origin.drawn == []
-        cache.env.ended = drawer.env.ended = True
+        cache.env.ended = fetcher.env.ended = True
 
     curio.run(run)
 
@@ -334,17 +334,17 @@
     monkeypatch.setattr(caching, 'WAIT_S', 0.05)
 
     async def run():
-        cache, drawer = cache_and_its_drawer()
+        cache, fetcher = cache_and_its_fetcher()
 
         async def draw_piece(held, index):
             await curio.sleep(30)
 
-        drawer.origin.draw_piece = draw_piece
+        fetcher.origin.draw_piece = draw_piece
         async with curio.timeout_after(10):
             while not (await cache.chunk(GetChunk('m@2', 3))).found:
                 pass
         assert cache.origin.drawn == [3]
-        cache.env.ended = drawer.env.ended = True
+        cache.env.ended = fetcher.env.ended = True
 
     curio.run(run)
 
@@ -372,7 +372,7 @@
         caches = [CacheAddress('10.0.0.1:1', 'z1')]
         origin, peers = StandInOrigin(), StandInPeers()
         cache = cache_at('10.0.0.3:1', 'z1', origin, peers, caches)
-        cache.ahead.add(WeightsId('m', 2))
+        cache.prefetching.add(WeightsId('m', 2))
         assert (await cache.chunk(GetChunk('m@2', 1, draw=True))).data == PIECES[1]
         assert peers.asked == []
 
--- a/tests/test_event_stream.py
+++ b/tests/test_event_stream.py
@@ -23,7 +23,7 @@
         out += whole
         stream = stream[cut:]
     assert out == b''.join(EVENTS)
-    assert (splitter.first_id, splitter.last_id, splitter.rest) == (1, 5, b'')
+    assert (splitter.first_id, splitter.last_id, splitter.incomplete) == (1, 5, b'')
 
 
 def test_an_event_cut_off_is_not_passed_on():
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -154,7 +154,7 @@
         return Choice(self.servers.pop(0)) if self.servers else None
 
     def pool_of(self, server):
-        async def take(fresh):
+        async def acquire(recently_used):
             self.least = 2
             self.ended(server)
             return SimpleNamespace(send=send, read_head=read_head, lost=False)
@@ -165,10 +165,10 @@
         async def read_head():
             raise SendFailed(Reason.CONNECTION_LOST, Verdict.MAY_HAVE_RUN, 'closed')
 
-        async def give_back(connection, keep_s):
+        async def release(connection, keep_s):
             self.dropped.append(server.instance)
 
-        return SimpleNamespace(take=take, give_back=give_back)
+        return SimpleNamespace(acquire=acquire, release=release)
 
     def ended(self, server):
         pass
--- a/tests/test_load_questions.py
+++ b/tests/test_load_questions.py
@@ -18,7 +18,7 @@
 from millfork_wire.messages import EngineLoad
 from millforkd.beside.load import SHARED_S, EngineLoads
 from millforkd.proxy.load_queries import PASSED_OVER_S, WAIT_S, LoadQueries
-from millforkd.proxy.peer_queries import SILENT_S
+from millforkd.proxy.peer_queries import MIN_SILENCE_S
 from tests.test_servers import ENGINE, Clock
 
 SERVICE = ServiceName('s')
@@ -200,7 +200,7 @@
     async def run():
         await fleet.choose()
         assert not connection.closed
-        fleet.clock.now += SILENT_S + PASSED_OVER_S
+        fleet.clock.now += MIN_SILENCE_S + PASSED_OVER_S
         await fleet.choose()
         assert connection.closed
         fleet.clock.now += PASSED_OVER_S + 0.01
--- a/tests/test_not_run_refusals.py
+++ b/tests/test_not_run_refusals.py
@@ -35,7 +35,7 @@
     env = Environment(InstanceId('a:1'), ZoneId('z1'))
     forwarding = SimpleNamespace(env=env)
     job = Job(None, None, None, None, None, 1, 0.0, 6.0, 1, failures=failures)
-    return Forwarding._final(forwarding, job, reason)
+    return Forwarding._final_refusal(forwarding, job, reason)
 
 
 @given(FAILURES, st.sampled_from([*Reason]))
--- a/tests/test_proxy_connections.py
+++ b/tests/test_proxy_connections.py
@@ -49,7 +49,7 @@
 
     """
     pool = pool_to(listener)
-    connection = await pool.take(fresh=False)
+    connection = await pool.acquire(recently_used=False)
     peer = listener.accept()
     await connection.send('GET', '/', HEADERS, b'')
     return pool, connection, peer
@@ -68,8 +68,8 @@
         peer.sendall(WHOLE)
         await connection.read_head()
         assert await whole_body(connection) == b'ok'
-        await pool.give_back(connection, 30.0)
-        assert await pool.take(fresh=False) is connection
+        await pool.release(connection, 30.0)
+        assert await pool.acquire(recently_used=False) is connection
 
     with Listener() as listener:
         curio.run(run, listener)
@@ -81,8 +81,8 @@
         peer.sendall(WHOLE + WHOLE)
         await connection.read_head()
         await whole_body(connection)
-        await pool.give_back(connection, 30.0)
-        assert await pool.take(fresh=False) is not connection
+        await pool.release(connection, 30.0)
+        assert await pool.acquire(recently_used=False) is not connection
 
     with Listener() as listener:
         curio.run(run, listener)
@@ -94,12 +94,12 @@
         peer.sendall(WHOLE)
         await connection.read_head()
         await whole_body(connection)
-        await pool.give_back(connection, 30.0)
+        await pool.release(connection, 30.0)
         peer.sendall(WHOLE)
         async with curio.timeout_after(5):
             while connection.is_quiet:
                 await curio.sleep(0.01)
-        assert await pool.take(fresh=False) is not connection
+        assert await pool.acquire(recently_used=False) is not connection
 
     with Listener() as listener:
         curio.run(run, listener)
@@ -111,14 +111,14 @@
         peer.sendall(WHOLE)
         await resting.read_head()
         await whole_body(resting)
-        lost = await pool.take(fresh=False)
+        lost = await pool.acquire(recently_used=False)
         other = listener.accept()
-        await pool.give_back(resting, 30.0)
+        await pool.release(resting, 30.0)
         await lost.send('GET', '/', HEADERS, b'')
         other.close()
         with pytest.raises(SendFailed):
             await lost.read_head()
-        await pool.give_back(lost, None)
+        await pool.release(lost, None)
         assert not pool.idle
         assert pool.open == 0
 
@@ -129,11 +129,11 @@
 def test_a_request_given_up_is_reset_and_not_just_closed():
     async def run(listener):
         pool = pool_to(listener)
-        connection = await pool.take(fresh=False)
+        connection = await pool.acquire(recently_used=False)
         peer = listener.accept()
         await connection.send('POST', '/', HEADERS, b'body')
         assert peer.recv(1)
-        await pool.give_back(connection, None)
+        await pool.release(connection, None)
         with pytest.raises(ConnectionResetError):
             while peer.recv(65536):
                 continue
@@ -184,7 +184,7 @@
     async def run(port):
         env = Environment(InstanceId('a:1'), ZoneId('zone'))
         with pytest.raises(SendFailed) as failure:
-            await Pool(env, '127.0.0.1', port).take(fresh=True)
+            await Pool(env, '127.0.0.1', port).acquire(recently_used=True)
         assert failure.value.reason is Reason.UNREACHABLE
         assert failure.value.verdict is Verdict.NOT_RUN
 
