--- a/packages/millforkd/millforkd/proxy/forwarding.py
+++ b/packages/millforkd/millforkd/proxy/forwarding.py
@@ -143,7 +143,7 @@
             self.outcomes.record(job, 'broken_off', refusal)
             return
         if job.held_answer is not None:
-            await self.response_relay.respond_held(job, job.held_answer)
+            await self.response_relay.relay_held(job, job.held_answer)
             self.outcomes.record(job, 'served_failure', refusal)
             return
         await self.outcomes.refuse(job.exchange, job.caller.request_id, refusal)
@@ -291,12 +291,12 @@
         wait_ms = while_nothing_serves(self.env.random)
         return Refusal(Reason.NO_ENDPOINT, Verdict.NOT_RUN, 'no server is available', wait_ms)
 
-    def _final_refusal(self, job: Job, reason: Reason, detail: str = '') -> Refusal:
+    def _final_refusal(self, job: Job, reason: Reason, explanation: str = '') -> Refusal:
         """
         The refusal of a job; its verdict covers all attempts.
 
         """
-        detail = detail or '; '.join(failed.detail for failed in job.failures)
+        detail = explanation or '; '.join(failed.detail for failed in job.failures)
         if job.may_have_run:
             return Refusal(reason, Verdict.MAY_HAVE_RUN, detail)
         return Refusal(reason, Verdict.NOT_RUN, detail, after_refusal(reason))
--- a/packages/millforkd/millforkd/proxy/request_sender.py
+++ b/packages/millforkd/millforkd/proxy/request_sender.py
@@ -216,7 +216,7 @@
         if job.route.kind is RouteKind.STREAMING and head.status < 300:
             await self.response_relay.stream(job, attempt, connection)
         else:
-            await self.response_relay.respond(job, connection)
+            await self.response_relay.relay(job, connection)
         server.note_outcome(failed=head.status >= 500)
         return 0.0 if head.closing else head.keep_s
 
--- a/packages/millforkd/millforkd/proxy/response_relay.py
+++ b/packages/millforkd/millforkd/proxy/response_relay.py
@@ -45,7 +45,7 @@
         headers = self.adapter.relayed(connection.headers)
         return HeldAnswer(connection.status, headers, bytes(body))
 
-    async def respond_held(self, job: Job, held: HeldAnswer) -> None:
+    async def relay_held(self, job: Job, held: HeldAnswer) -> None:
         """
         Pass on an error answer that was read with `read_failure`.
 
@@ -54,7 +54,7 @@
         headers = without(held.headers, 'content-length')
         await job.exchange.respond(Response(held.status, headers, held.body))
 
-    async def respond(self, job: Job, connection: ServerConnection) -> None:
+    async def relay(self, job: Job, connection: ServerConnection) -> None:
         """
         Pass an answer on: at once when complete if it is small, otherwise as it arrives.
 
--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -32,7 +32,7 @@
     Mutation(
         'nothing is sent to a back end that closed while a connection came up',
         'tests/test_forwarding.py::'
-        'test_nothing_is_sent_to_a_back_end_that_names_a_limit_while_a_connection_comes_up',
+        'test_nothing_is_sent_to_a_back_end_that_names_a_limit_while_connecting',
         (Edit(D + 'proxy/request_sender.py', 'if closure is not None:', 'if False:'),),
     ),
     Mutation(
@@ -71,7 +71,7 @@
     Mutation(
         'a back end that turns requests away is left to others for a while',
         'tests/test_turned_away_at_once.py::'
-        'test_a_back_end_that_turns_all_away_draws_no_more_than_its_share',
+        'test_a_back_end_that_turns_all_requests_away_gets_no_more_than_its_share',
         (
             Edit(
                 D + 'proxy/backpressure.py',
@@ -141,7 +141,7 @@
     ),
     Mutation(
         'a back end that is silent is looked at again',
-        'tests/test_ends_of_silent_back_ends.py::test_a_back_end_that_was_silent_and_refuses_then_has_ended',
+        'tests/test_ends_of_silent_back_ends.py::test_a_silent_back_end_that_refuses_connections_later_has_ended',
         (
             Edit(
                 D + 'end_watch.py',
@@ -205,7 +205,7 @@
     ),
     Mutation(
         'what was turned away is remembered by an entry of the zone',
-        'tests/test_turned_away_directory.py::test_a_caller_that_comes_back_is_known_at_any_entry_of_its_zone',
+        'tests/test_turned_away_directory.py::test_a_retry_is_recognised_at_any_entry_of_its_zone',
         (Edit(D + 'proxy/turned_away_directory.py', 'return reply.elapsed_ms', 'return 0'),),
     ),
     Mutation(
@@ -270,7 +270,7 @@
     ),
     Mutation(
         'a connection that is silent beside others is left',
-        'tests/test_forwarding.py::test_a_connection_that_went_silent_beside_others_that_work_is_left',
+        'tests/test_forwarding.py::test_a_silent_connection_to_a_working_back_end_is_given_up',
         (
             Edit(
                 D + 'proxy/response_monitor.py',
@@ -386,8 +386,7 @@
     ),
     Mutation(
         'nothing is sent to a version that ends while a connection comes up',
-        'tests/test_forwarding.py::'
-        'test_nothing_is_sent_to_a_version_that_ends_while_a_connection_comes_up',
+        'tests/test_forwarding.py::test_nothing_is_sent_to_a_version_that_ends_while_connecting',
         (
             Edit(
                 D + 'proxy/request_sender.py',
@@ -398,8 +397,7 @@
     ),
     Mutation(
         'nothing is sent to an engine that has no whole version by then',
-        'tests/test_forwarding.py::'
-        'test_nothing_is_sent_to_an_engine_that_has_no_whole_version_by_then',
+        'tests/test_forwarding.py::test_nothing_is_sent_to_an_engine_without_a_complete_version',
         (
             Edit(
                 D + 'proxy/request_sender.py',
@@ -410,7 +408,7 @@
     ),
     Mutation(
         'a repeat that was not sent is paid for once',
-        'tests/test_forwarding.py::test_a_repeat_that_was_not_sent_is_paid_for_once',
+        'tests/test_forwarding.py::test_a_repeat_that_was_not_sent_spends_the_budget_once',
         (
             Edit(
                 D + 'proxy/forwarding.py',
--- a/tests/test_ends_of_silent_back_ends.py
+++ b/tests/test_ends_of_silent_back_ends.py
@@ -1,12 +1,11 @@
 """
-A request that silences the back ends that run it.
+Ends of back ends whose instances lose power while they run a request.
 
-A back end whose whole instance loses power under a request closes nothing: its connections
-and its address are silent. An end was proved by a refused connection alone, at the moment at
-which the answer broke off, so such a request ended one back end after another and was never
-counted: `Not known whether a back end ended. server=i-1 error=TaskTimeout`, and no more was
-looked. Behind a cut it is as silent, but there the back end is heard again; one that lost power
-refuses connections once its instance is back, or lives on as another incarnation.
+Such an instance closes no connections and its address is silent. Back ends were probed only when
+an answer broke off, and only a refused connection counted as an end, so a request that ended one
+back end after another was never counted. A network partition looks the same, but after it the
+back end answers again; after a loss of power it refuses connections once its instance is back,
+or returns as another incarnation.
 
 """
 
@@ -21,71 +20,71 @@
 from millforkd.proxy.end_detection import EndDetector, ProbeResult
 
 FINGERPRINT = Fingerprint('ab')
-ENOUGH_S = 5.0
+TIMEOUT_S = 5.0
 
 
 @pytest.fixture(autouse=True)
-def quick_looks(monkeypatch):
+def short_probe_intervals(monkeypatch):
     monkeypatch.setattr(end_detection, 'MAX_PROBE_INTERVAL_S', 0.001)
     monkeypatch.setattr(end_detection, 'MAX_WATCH_S', 0.2)
 
 
-def ends_counted(found, meanwhile=None):
+def count_ends(probe_results, before_last_probe=None):
     """
-    The ends counted of a request whose answer broke off at a back end, where looks at its
-    address find these things, and the last one ever after.
+    The ends counted for a request whose answer broke off at a back end, where probes of its
+    address have these results; the last result repeats.
 
     """
 
     async def run():
         env = Environment(InstanceId('a:1'), ZoneId('z1'))
         suspects = Suspects(env.monotonic)
-        ends = EndDetector(env, suspects)
+        end_detector = EndDetector(env, suspects)
         server = Server(InstanceId('i-1'), ServiceName('s'), '127.0.0.1', 1, ZoneId('z1'), 16)
-        looks = list(found)
+        remaining_results = list(probe_results)
 
         async def probe(server):
-            if len(looks) == 1 and meanwhile is not None:
-                meanwhile(server, env)
-            return looks.pop(0) if len(looks) > 1 else looks[0]
+            if len(remaining_results) == 1 and before_last_probe is not None:
+                before_last_probe(server, env)
+            return remaining_results.pop(0) if len(remaining_results) > 1 else remaining_results[0]
 
-        ends.probe = probe
-        await ends.note_broken(server, Suspicion(FINGERPRINT))
+        end_detector.probe = probe
+        await end_detector.note_broken(server, Suspicion(FINGERPRINT))
         try:
-            async with curio.timeout_after(ENOUGH_S):
-                while not suspects.of(FINGERPRINT).ends and len(looks) > 1:
+            async with curio.timeout_after(TIMEOUT_S):
+                while not suspects.of(FINGERPRINT).ends and len(remaining_results) > 1:
                     await curio.sleep(0.001)
         except curio.TaskTimeout:
             pass
-        # What is known by now is noted within the next look.
+        # The next probe notes what is known by now.
         await curio.sleep(0.05)
         return suspects.of(FINGERPRINT).ends
 
     return curio.run(run)
 
 
-def test_a_back_end_that_was_silent_and_refuses_then_has_ended():
+def test_a_silent_back_end_that_refuses_connections_later_has_ended():
     silent = [ProbeResult.SILENT] * 5
-    assert ends_counted([*silent, ProbeResult.REFUSES]) == 1
+    assert count_ends([*silent, ProbeResult.REFUSES]) == 1
 
 
-def test_one_that_was_silent_and_lives_on_as_another_incarnation_has_ended():
+def test_a_silent_back_end_that_returns_as_another_incarnation_has_ended():
     def replace(server, env):
         server.replaced = True
 
-    assert ends_counted([ProbeResult.SILENT] * 5, replace) == 1
+    assert count_ends([ProbeResult.SILENT] * 5, replace) == 1
 
 
-def test_one_behind_a_cut_that_is_heard_again_has_not():
-    def hear(server, env):
+def test_a_back_end_that_answers_after_a_partition_has_not_ended():
+    def receive_answer(server, env):
         server.heard_at = env.monotonic() + 1
 
-    assert ends_counted([ProbeResult.SILENT] * 5, hear) == 0
+    assert count_ends([ProbeResult.SILENT] * 5, receive_answer) == 0
 
 
-def test_nor_has_one_that_takes_connections_again():
-    assert ends_counted([ProbeResult.SILENT] * 3 + [ProbeResult.ANSWERS]) == 0
+def test_a_back_end_that_accepts_connections_again_has_not_ended():
+    assert count_ends([ProbeResult.SILENT] * 3 + [ProbeResult.ANSWERS]) == 0
 
 
-def test_of_one_that_stays_silent_nothing_is_known():
-    assert ends_counted([ProbeResult.SILENT] * 5) == 0
+def test_the_end_of_a_back_end_that_stays_silent_is_unknown():
+    assert count_ends([ProbeResult.SILENT] * 5) == 0
--- a/tests/test_event_stream.py
+++ b/tests/test_event_stream.py
@@ -1,5 +1,5 @@
 """
-Streams are passed on event by event, however the bytes are cut.
+The splitter passes an event stream on in complete events, however its bytes are split.
 
 """
 
@@ -13,26 +13,26 @@
 
 
 @given(st.lists(st.integers(1, 12), max_size=40))
-def test_only_whole_events_leave_and_all_bytes_do(cuts):
+def test_only_complete_events_and_all_bytes_are_passed_on(cuts):
     stream = b''.join(EVENTS)
     splitter = EventSplitter()
     out = b''
     for cut in [*cuts, len(stream)]:
-        whole = splitter.feed(stream[:cut])
-        assert not whole or whole.endswith(b'\n\n')
-        out += whole
+        events = splitter.feed(stream[:cut])
+        assert not events or events.endswith(b'\n\n')
+        out += events
         stream = stream[cut:]
     assert out == b''.join(EVENTS)
     assert (splitter.first_id, splitter.last_id, splitter.incomplete) == (1, 5, b'')
 
 
-def test_an_event_cut_off_is_not_passed_on():
+def test_an_incomplete_event_is_held_back():
     splitter = EventSplitter()
     assert splitter.feed(EVENTS[0] + b'id: 2\ndata: to') == EVENTS[0]
     assert splitter.last_id == 1
 
 
-def test_fields_before_the_id_and_other_line_ends_are_left_as_they_are():
+def test_other_fields_and_line_ends_are_unchanged():
     splitter = EventSplitter()
     event = b'weights: 2\r\nid: 7\r\ndata: x\r\n\r\n'
     assert splitter.feed(event) == event
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -1,5 +1,5 @@
 """
-When a request is not sent after all, and when one that waits for its answer is taken back.
+Requests that are not sent after connecting, or given up while they wait for an answer.
 
 """
 
@@ -29,12 +29,12 @@
 from millforkd.quarantine import Quarantine
 from tests.test_servers import ENGINE, Clock
 
-LONG_S = SILENT_SERVER_S + 0.1
+TOO_LONG_S = SILENT_SERVER_S + 0.1
 
 
-class Waiting:
+class WaitingRequest:
     """
-    A request that waits at a back end, seen from the entry that sent it.
+    A request that an entry has sent and that waits for an answer of its back end.
 
     """
 
@@ -50,9 +50,9 @@
     def check(self):
         self.waiting.check_silence(self.job, self.attempt, self.connection)
 
-    def answers(self, sent_later_s, urgency=5):
+    def answer_other(self, sent_later_s, urgency=5):
         """
-        The back end answers another request, sent so much later.
+        The back end answers another request that was sent `sent_later_s` after this one.
 
         """
         self.server.heard_at = self.clock.now
@@ -60,18 +60,18 @@
 
 
 def test_a_request_waits_while_its_back_end_answers_earlier_ones():
-    waiting = Waiting()
-    waiting.clock.now += LONG_S
-    waiting.answers(-0.5)
-    waiting.answers(OVERTAKEN_S / 2)
+    waiting = WaitingRequest()
+    waiting.clock.now += TOO_LONG_S
+    waiting.answer_other(-0.5)
+    waiting.answer_other(OVERTAKEN_S / 2)
     waiting.check()
     assert not waiting.connection.lost
 
 
-def test_a_silent_back_end_is_left():
-    waiting = Waiting()
+def test_a_silent_back_end_is_given_up():
+    waiting = WaitingRequest()
     waiting.check()
-    waiting.clock.now += LONG_S
+    waiting.clock.now += TOO_LONG_S
     with pytest.raises(SendFailed) as failed:
         waiting.check()
     assert (failed.value.reason, failed.value.verdict) == (
@@ -81,27 +81,28 @@
     assert waiting.connection.lost
 
 
-def test_a_connection_that_went_silent_beside_others_that_work_is_left():
-    waiting = Waiting()
-    waiting.clock.now += LONG_S
-    waiting.answers(OVERTAKEN_S * 2)
+def test_a_silent_connection_to_a_working_back_end_is_given_up():
+    waiting = WaitingRequest()
+    waiting.clock.now += TOO_LONG_S
+    waiting.answer_other(OVERTAKEN_S * 2)
     with pytest.raises(SendFailed):
         waiting.check()
     assert waiting.connection.lost
 
 
-def test_requests_of_another_rank_may_go_first():
-    waiting = Waiting()
-    waiting.clock.now += LONG_S
-    waiting.answers(OVERTAKEN_S * 2, urgency=1)
+def test_answers_to_requests_of_another_rank_prove_nothing():
+    waiting = WaitingRequest()
+    waiting.clock.now += TOO_LONG_S
+    waiting.answer_other(OVERTAKEN_S * 2, urgency=1)
     waiting.check()
     assert not waiting.connection.lost
 
 
-class Ending:
+class EndingVersion:
     """
-    An entry whose connections take so long that version 1 may no longer be sent to when
-    one is there. Its engines are chosen in turn; who gets a request ends the connection.
+    An entry whose connections open so slowly that version 1 has ended for new requests by
+    then. Its engines are chosen in order; an engine that receives a request closes the
+    connection.
 
     """
 
@@ -109,7 +110,7 @@
         self.clock = Clock()
         self.least = 0
         self.sent = []
-        self.dropped = []
+        self.released = []
         self.servers = []
         for number, version in enumerate(served):
             server = Server(InstanceId(f'i-{number}'), ServiceName('s'), 'h', 80, ZoneId('z1'), 16)
@@ -156,7 +157,7 @@
     def pool_of(self, server):
         async def acquire(recently_used):
             self.least = 2
-            self.ended(server)
+            self.on_connect(server)
             return SimpleNamespace(send=send, read_head=read_head, lost=False)
 
         async def send(*args):
@@ -166,11 +167,11 @@
             raise SendFailed(Reason.CONNECTION_LOST, Verdict.MAY_HAVE_RUN, 'closed')
 
         async def release(connection, keep_s):
-            self.dropped.append(server.instance)
+            self.released.append(server.instance)
 
         return SimpleNamespace(acquire=acquire, release=release)
 
-    def ended(self, server):
+    def on_connect(self, server):
         pass
 
     def run(self):
@@ -181,63 +182,63 @@
         return self.budget.part(ServiceName('s')).spent
 
 
-def test_nothing_is_sent_to_a_version_that_ends_while_a_connection_comes_up():
+def test_nothing_is_sent_to_a_version_that_ends_while_connecting():
     """
-    An engine is chosen, then a connection is taken to it, for up to 0.4 s. What was then
-    sent on the version chosen came into the last 0.9 s of that version, which are kept for
-    what is already on its way. Nothing was sent, so the engine that gets the request is
-    the first and not a repeat.
+    Opening a connection to the chosen engine may take 0.4 s. Requests for the chosen version
+    were then sent within the last 0.9 s of that version, which are reserved for requests that
+    are already on their way. As nothing was sent to the first engine, sending to the next one
+    isn't a repeat.
 
     """
-    ending = Ending(1, 2)
-    refusal = ending.run()
-    assert ending.sent == ['i-1']
-    assert ending.job.tried == ['i-1']
-    assert ending.spent == 0
-    assert ending.dropped == ['i-0', 'i-1']
+    scenario = EndingVersion(1, 2)
+    refusal = scenario.run()
+    assert scenario.sent == ['i-1']
+    assert scenario.job.tried == ['i-1']
+    assert scenario.spent == 0
+    assert scenario.released == ['i-0', 'i-1']
     assert refusal.reason is Reason.CONNECTION_LOST
-    assert [failed.reason for failed in ending.job.failures][0] is Reason.VERSION_MISMATCH
+    assert [failed.reason for failed in scenario.job.failures][0] is Reason.VERSION_MISMATCH
 
 
-def test_nothing_is_sent_to_an_engine_that_has_no_whole_version_by_then():
-    ending = Ending(2, 2)
+def test_nothing_is_sent_to_an_engine_without_a_complete_version():
+    scenario = EndingVersion(2, 2)
 
     def empty_first(server):
         if server.instance == 'i-0':
             server.served = (ServedVersion(ENGINE.model, 1, 0, 1),)
 
-    ending.ended = empty_first
-    ending.run()
-    assert ending.sent == ['i-1']
+    scenario.on_connect = empty_first
+    scenario.run()
+    assert scenario.sent == ['i-1']
 
 
-def test_a_repeat_that_was_not_sent_is_paid_for_once():
-    ending = Ending(1, 1, 2)
-    ending.job.tried.append(InstanceId('i-9'))
-    ending.job.failures.append(FailedAttempt(Reason.BUSY, Verdict.NOT_RUN, 'full'))
-    ending.least = 0
-    ending.run()
-    assert ending.sent == ['i-2']
-    assert ending.job.tried == ['i-9', 'i-2']
-    assert ending.spent == 1
+def test_a_repeat_that_was_not_sent_spends_the_budget_once():
+    scenario = EndingVersion(1, 1, 2)
+    scenario.job.tried.append(InstanceId('i-9'))
+    scenario.job.failures.append(FailedAttempt(Reason.BUSY, Verdict.NOT_RUN, 'full'))
+    scenario.least = 0
+    scenario.run()
+    assert scenario.sent == ['i-2']
+    assert scenario.job.tried == ['i-9', 'i-2']
+    assert scenario.spent == 1
 
 
-def test_what_was_sent_to_no_engine_is_refused_as_if_there_were_none():
-    ending = Ending(1)
-    refusal = ending.run()
-    assert ending.sent == []
+def test_a_request_that_was_sent_to_no_engine_is_refused_as_no_endpoint():
+    scenario = EndingVersion(1)
+    refusal = scenario.run()
+    assert scenario.sent == []
     assert (refusal.reason, refusal.verdict) == (Reason.NO_ENDPOINT, Verdict.NOT_RUN)
 
 
-def test_nothing_is_sent_to_a_back_end_that_names_a_limit_while_a_connection_comes_up():
-    ending = Ending(2, 2)
+def test_nothing_is_sent_to_a_back_end_that_names_a_limit_while_connecting():
+    scenario = EndingVersion(2, 2)
 
     def name_limit(server):
         if server.instance == 'i-0':
-            now = ending.clock.now
+            now = scenario.clock.now
             server.availability.take_answer(Backpressure(0.1), now, now)
 
-    ending.ended = name_limit
-    ending.run()
-    assert ending.sent == ['i-1']
-    assert [failed.reason for failed in ending.job.failures][0] is Reason.LIMITED
+    scenario.on_connect = name_limit
+    scenario.run()
+    assert scenario.sent == ['i-1']
+    assert [failed.reason for failed in scenario.job.failures][0] is Reason.LIMITED
--- a/tests/test_not_run_refusals.py
+++ b/tests/test_not_run_refusals.py
@@ -1,9 +1,9 @@
 """
-What a refusal promises, and how long a caller is held for one.
+Refusals promise 'not run' only where it is certain, and are sent without much delay.
 
-A status that says 'not run' binds: the request has not run and never will, whatever became of
-its attempts. Who can't be served hears so at once: the questions that are asked first (engines'
-loads, who was turned away) together take less than an eighth of the shortest aim.
+Callers rely on a status that says 'not run': the request has not run and never will, whatever
+happened to its attempts. The queries before a refusal (loads of engines, the turned-away
+directory) together take less than an eighth of the shortest target.
 
 """
 
@@ -21,9 +21,9 @@
 from millforkd.proxy.outcomes import status_of
 from millforkd.proxy.turned_away_directory import ASK_TIMEOUT_S
 
-PROMISES = {408, 421, 429, 503}
-SHORTEST_AIM_S = 0.38
-HELD_SHARE = 1 / 8
+NOT_RUN_STATUSES = {408, 421, 429, 503}
+SHORTEST_TARGET_S = 0.38
+MAX_QUERY_SHARE = 1 / 8
 
 FAILURES = st.lists(
     st.builds(FailedAttempt, st.sampled_from(Reason), st.sampled_from(Verdict), st.just('detail')),
@@ -44,8 +44,8 @@
     may_have_run = any(failed.verdict is not Verdict.NOT_RUN for failed in failures)
     if may_have_run:
         assert refusal.verdict is not Verdict.NOT_RUN
-        assert status_of(refusal) not in PROMISES
+        assert status_of(refusal) not in NOT_RUN_STATUSES
 
 
-def test_who_is_turned_away_is_not_held_for_questions():
-    assert WAIT_S + ASK_TIMEOUT_S < HELD_SHARE * SHORTEST_AIM_S
+def test_queries_take_a_small_share_of_the_shortest_target():
+    assert WAIT_S + ASK_TIMEOUT_S < MAX_QUERY_SHARE * SHORTEST_TARGET_S
--- a/tests/test_proxy_connections.py
+++ b/tests/test_proxy_connections.py
@@ -1,5 +1,5 @@
 """
-Connections of an entry to back ends: what is kept, what is reset.
+Connections of an entry to back ends: which are reused, and which are reset.
 
 """
 
@@ -13,13 +13,13 @@
 from millfork_core.verdicts import Reason, Verdict
 from millforkd.proxy.connections import Pool, SendFailed
 
-WHOLE = b'HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok'
+COMPLETE_ANSWER = b'HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok'
 HEADERS = [('host', 'h')]
 
 
 class Listener:
     """
-    A server that answers by hand.
+    A listening socket whose connections the test reads and writes itself.
 
     """
 
@@ -43,9 +43,9 @@
     return Pool(env, '127.0.0.1', listener.port)
 
 
-async def asked(listener):
+async def pool_with_sent_request(listener):
     """
-    A pool, its first connection with a request sent on it, and the server's end.
+    A pool, a connection of it that a request was sent on, and the server's socket.
 
     """
     pool = pool_to(listener)
@@ -55,19 +55,19 @@
     return pool, connection, peer
 
 
-async def whole_body(connection):
+async def read_body(connection):
     body = b''
     while data := await connection.read():
         body += data
     return body
 
 
-def test_a_connection_is_kept_after_a_whole_answer():
+def test_a_connection_is_kept_after_a_complete_answer():
     async def run(listener):
-        pool, connection, peer = await asked(listener)
-        peer.sendall(WHOLE)
+        pool, connection, peer = await pool_with_sent_request(listener)
+        peer.sendall(COMPLETE_ANSWER)
         await connection.read_head()
-        assert await whole_body(connection) == b'ok'
+        assert await read_body(connection) == b'ok'
         await pool.release(connection, 30.0)
         assert await pool.acquire(recently_used=False) is connection
 
@@ -75,12 +75,12 @@
         curio.run(run, listener)
 
 
-def test_bytes_after_a_whole_answer_belong_to_no_request():
+def test_a_connection_with_bytes_after_the_answer_is_not_reused():
     async def run(listener):
-        pool, connection, peer = await asked(listener)
-        peer.sendall(WHOLE + WHOLE)
+        pool, connection, peer = await pool_with_sent_request(listener)
+        peer.sendall(COMPLETE_ANSWER + COMPLETE_ANSWER)
         await connection.read_head()
-        await whole_body(connection)
+        await read_body(connection)
         await pool.release(connection, 30.0)
         assert await pool.acquire(recently_used=False) is not connection
 
@@ -88,14 +88,14 @@
         curio.run(run, listener)
 
 
-def test_a_late_answer_on_a_resting_connection_ends_it():
+def test_a_late_answer_on_an_idle_connection_ends_it():
     async def run(listener):
-        pool, connection, peer = await asked(listener)
-        peer.sendall(WHOLE)
+        pool, connection, peer = await pool_with_sent_request(listener)
+        peer.sendall(COMPLETE_ANSWER)
         await connection.read_head()
-        await whole_body(connection)
+        await read_body(connection)
         await pool.release(connection, 30.0)
-        peer.sendall(WHOLE)
+        peer.sendall(COMPLETE_ANSWER)
         async with curio.timeout_after(5):
             while connection.is_quiet:
                 await curio.sleep(0.01)
@@ -105,15 +105,15 @@
         curio.run(run, listener)
 
 
-def test_what_rests_is_not_trusted_once_a_connection_is_lost():
+def test_idle_connections_are_closed_once_one_is_lost():
     async def run(listener):
-        pool, resting, peer = await asked(listener)
-        peer.sendall(WHOLE)
-        await resting.read_head()
-        await whole_body(resting)
+        pool, idle_connection, peer = await pool_with_sent_request(listener)
+        peer.sendall(COMPLETE_ANSWER)
+        await idle_connection.read_head()
+        await read_body(idle_connection)
         lost = await pool.acquire(recently_used=False)
         other = listener.accept()
-        await pool.release(resting, 30.0)
+        await pool.release(idle_connection, 30.0)
         await lost.send('GET', '/', HEADERS, b'')
         other.close()
         with pytest.raises(SendFailed):
@@ -126,7 +126,7 @@
         curio.run(run, listener)
 
 
-def test_a_request_given_up_is_reset_and_not_just_closed():
+def test_the_connection_of_an_abandoned_request_is_reset():
     async def run(listener):
         pool = pool_to(listener)
         connection = await pool.acquire(recently_used=False)
@@ -151,15 +151,15 @@
         b'',
     ],
 )
-def test_an_answer_that_breaks_off_is_never_whole(answer):
+def test_an_answer_that_breaks_off_is_never_complete(answer):
     async def run(listener):
-        pool, connection, peer = await asked(listener)
+        pool, connection, peer = await pool_with_sent_request(listener)
         peer.recv(65536)
         peer.sendall(answer)
         peer.close()
         with pytest.raises(SendFailed) as failure:
             await connection.read_head()
-            await whole_body(connection)
+            await read_body(connection)
         assert failure.value.verdict is Verdict.MAY_HAVE_RUN
         assert not connection.reusable
 
@@ -167,20 +167,20 @@
         curio.run(run, listener)
 
 
-def test_an_answer_without_length_is_whole_when_its_connection_ends():
+def test_an_answer_without_length_is_complete_when_its_connection_ends():
     async def run(listener):
-        pool, connection, peer = await asked(listener)
+        pool, connection, peer = await pool_with_sent_request(listener)
         peer.recv(65536)
         peer.sendall(b'HTTP/1.1 200 OK\r\n\r\nall of it')
         peer.close()
         await connection.read_head()
-        assert await whole_body(connection) == b'all of it'
+        assert await read_body(connection) == b'all of it'
 
     with Listener() as listener:
         curio.run(run, listener)
 
 
-def test_nothing_ran_where_there_is_no_connection():
+def test_a_failed_connection_means_not_run():
     async def run(port):
         env = Environment(InstanceId('a:1'), ZoneId('zone'))
         with pytest.raises(SendFailed) as failure:
--- a/tests/test_turned_away_directory.py
+++ b/tests/test_turned_away_directory.py
@@ -1,5 +1,5 @@
 """
-What the entries of a zone tell each other of requests that were turned away.
+Entries of a zone record turned-away requests at a shared owner and look them up there.
 
 """
 
@@ -20,21 +20,21 @@
 from tests.test_servers import ENGINE, Clock
 
 NAMES = [f'10.1.0.{number}:1' for number in range(6)]
-FAR = '10.2.0.1:1'
+OTHER_ZONE_ENTRY = '10.2.0.1:1'
 
 
 class Zone:
     """
-    Entries that reach each other at once, but for those that are cut off.
+    Entries that reach each other without delay, except for unreachable ones.
 
     """
 
-    def __init__(self, keepers=4):
+    def __init__(self, owners=4):
         self.clock = Clock()
-        self.cut = set()
+        self.unreachable = set()
         self.slow = set()
-        told_of = [*((name, 'z1') for name in NAMES[:keepers]), (FAR, 'z2')]
-        known = [CacheAddress(name, zone) for name, zone in told_of]
+        entry_zones = [*((name, 'z1') for name in NAMES[:owners]), (OTHER_ZONE_ENTRY, 'z2')]
+        known = [CacheAddress(name, zone) for name, zone in entry_zones]
         fingerprints = Fingerprints(b'key', lambda: 'cluster')
         self.entries = {}
         for name in NAMES:
@@ -43,7 +43,7 @@
             self.entries[name] = TurnedAwayDirectory(env, peers, lambda: known, fingerprints)
 
     async def connect(self, address):
-        if address.instance in self.cut:
+        if address.instance in self.unreachable:
             raise PeerUnreachable('cut off')
         return SimpleNamespace(
             closed=False,
@@ -73,23 +73,23 @@
             exchange, caller, None, None, Wanted('s', ENGINE), 1, now, now + 6, 1, elapsed_ms
         )
 
-    def turned_away(self, name, job):
+    def turn_away(self, name, job):
         async def run():
             entry = self.entries[name]
             await entry.note(job)
-            # What is told is told by a task.
+            # A task sends the record.
             await curio.sleep(0)
             await curio.sleep(0)
 
         curio.run(run)
 
-    def asked(self, name, job):
+    def look_up(self, name, job):
         return curio.run(self.entries[name].elapsed_ms, job)
 
 
 class Connections:
     """
-    An open connection to everybody that is not cut off.
+    Open connections to all entries that are reachable.
 
     """
 
@@ -97,7 +97,7 @@
         self.zone = zone
 
     def get(self, name):
-        if name in self.zone.cut:
+        if name in self.zone.unreachable:
             return None
         address = SimpleNamespace(instance=name)
         call = self.zone.call_of(address)
@@ -109,27 +109,27 @@
     return Zone()
 
 
-@pytest.mark.parametrize('back_at', NAMES)
-def test_a_caller_that_comes_back_is_known_at_any_entry_of_its_zone(zone, back_at):
-    zone.turned_away(NAMES[5], zone.job())
+@pytest.mark.parametrize('retried_at', NAMES)
+def test_a_retry_is_recognised_at_any_entry_of_its_zone(zone, retried_at):
+    zone.turn_away(NAMES[5], zone.job())
     zone.clock.now += 0.4
-    assert zone.asked(back_at, zone.job()) == pytest.approx(400, abs=1)
+    assert zone.look_up(retried_at, zone.job()) == pytest.approx(400, abs=1)
 
 
 def test_another_request_of_the_same_caller_is_a_first_try(zone):
-    zone.turned_away(NAMES[5], zone.job(b'a'))
-    assert zone.asked(NAMES[4], zone.job(b'b')) == 0
+    zone.turn_away(NAMES[5], zone.job(b'a'))
+    assert zone.look_up(NAMES[4], zone.job(b'b')) == 0
 
 
-def test_its_first_try_counts_also_where_it_was_turned_away_before(zone):
-    zone.turned_away(NAMES[5], zone.job(elapsed_ms=300))
+def test_time_since_the_first_try_includes_earlier_retries(zone):
+    zone.turn_away(NAMES[5], zone.job(elapsed_ms=300))
     zone.clock.now += 0.2
-    assert zone.asked(NAMES[4], zone.job()) == pytest.approx(500, abs=1)
+    assert zone.look_up(NAMES[4], zone.job()) == pytest.approx(500, abs=1)
 
 
-def test_only_entries_that_all_are_told_of_remember(zone):
+def test_only_entries_that_all_know_of_record_requests(zone):
     for number in range(50):
-        zone.turned_away(NAMES[5], zone.job(bytes([number])))
+        zone.turn_away(NAMES[5], zone.job(bytes([number])))
     kept = {name: len(entry.first_tries.first_tried) for name, entry in zone.entries.items()}
     assert sum(kept.values()) == 50
     assert all(kept[name] for name in NAMES[:4])
@@ -137,31 +137,34 @@
 
 
 def test_without_an_answer_in_time_it_counts_as_a_first_try(zone):
-    zone.turned_away(NAMES[5], zone.job())
+    zone.turn_away(NAMES[5], zone.job())
     zone.slow = set(NAMES)
-    assert zone.asked(NAMES[4], zone.job()) == 0
+    assert zone.look_up(NAMES[4], zone.job()) == 0
 
 
-def test_who_is_cut_off_is_passed_over(zone):
-    zone.cut = set(NAMES[:3])
+def test_unreachable_entries_are_passed_over(zone):
+    zone.unreachable = set(NAMES[:3])
     for number in range(12):
-        zone.turned_away(NAMES[5], zone.job(bytes([number])))
+        zone.turn_away(NAMES[5], zone.job(bytes([number])))
     assert zone.entries[NAMES[3]].first_tries.first_tried
     job = zone.job(b'later')
-    zone.turned_away(NAMES[5], job)
+    zone.turn_away(NAMES[5], job)
     zone.clock.now += 0.3
-    assert zone.asked(NAMES[5], job) == pytest.approx(300, abs=1)
+    assert zone.look_up(NAMES[5], job) == pytest.approx(300, abs=1)
 
 
-def test_an_entry_that_knows_of_no_other_remembers_by_itself():
-    zone = Zone(keepers=0)
-    zone.turned_away(NAMES[5], zone.job())
+def test_an_entry_that_knows_no_other_records_requests_itself():
+    zone = Zone(owners=0)
+    zone.turn_away(NAMES[5], zone.job())
     zone.clock.now += 0.3
-    assert zone.asked(NAMES[5], zone.job()) == pytest.approx(300, abs=1)
+    assert zone.look_up(NAMES[5], zone.job()) == pytest.approx(300, abs=1)
 
 
 def test_no_body_and_no_key_leaves_the_entry(zone):
     job = zone.job(b'a private body')
-    told = zone.entries[NAMES[5]]._short_fingerprint(job)
-    assert told not in b'a private body' and len(NoteTurnedAway(told).fingerprint) == 8
-    assert AskTurnedAway(told).fingerprint == told
+    short_fingerprint = zone.entries[NAMES[5]]._short_fingerprint(job)
+    assert (
+        short_fingerprint not in b'a private body'
+        and len(NoteTurnedAway(short_fingerprint).fingerprint) == 8
+    )
+    assert AskTurnedAway(short_fingerprint).fingerprint == short_fingerprint
