--- a/packages/millforkd/millforkd/proxy/admission.py
+++ b/packages/millforkd/millforkd/proxy/admission.py
@@ -163,8 +163,9 @@
         prospect = self._prospect(job, choice)
         job.prospect = prospect
         log.debug(
-            'Weighed. id={} server={} expected_ms={:.0f} figures_ms={:.0f} left_ms={:.0f} '
-            'occupied={} reported={} unread={} mine={} report_age_ms={:.0f} pace={:.2f}',
+            'Admission decided. id={} server={} expected_ms={:.0f} figures_ms={:.0f} '
+            'left_ms={:.0f} occupied={} reported={} unread={} mine={} report_age_ms={:.0f} '
+            'pace={:.2f}',
             job.caller.request_id,
             server.instance,
             prospect.expected_ms,
--- a/packages/millforkd/millforkd/proxy/cache.py
+++ b/packages/millforkd/millforkd/proxy/cache.py
@@ -52,7 +52,7 @@
 NOT_YET: Final = 'not yet'
 ORIGIN_FAILS: Final = 'the origin does not answer'
 OTHERS_FIRST: Final = 'the origin sends other pieces first'
-# A fetcher counts as fetching at full rate if it received at least this share of its equal part
+# The origin counts as the bottleneck if a fetcher received at least this share of its equal part
 # of the origin's rate within RATE_WINDOW_S. A slowed instance receives less.
 MIN_RATE_SHARE: Final = 0.25
 RATE_WINDOW_S: Final = 1.0
@@ -133,9 +133,9 @@
     def _reason(self) -> str:
         if self.origin.failing:
             return ORIGIN_FAILS
-        return OTHERS_FIRST if self._receives_at_full_rate() else NOT_YET
+        return OTHERS_FIRST if self._is_limited_by_origin() else NOT_YET
 
-    def _receives_at_full_rate(self) -> bool:
+    def _is_limited_by_origin(self) -> bool:
         """
         Whether the origin is the bottleneck and not this fetcher. When other caches then also
         fetched a piece from the origin, it sent 4.6 copies instead of two, and the first engine
--- a/packages/millforkd/millforkd/proxy/job.py
+++ b/packages/millforkd/millforkd/proxy/job.py
@@ -64,7 +64,7 @@
     reason: Reason
     verdict: Verdict
     detail: str
-    # False: nothing was sent, so the next attempt isn't a further repeat for the retry budget.
+    # False: nothing was sent, so the next attempt takes its place and spends no retry budget.
     sent: bool = True
 
 
--- a/packages/millforkd/millforkd/proxy/request_sender.py
+++ b/packages/millforkd/millforkd/proxy/request_sender.py
@@ -113,7 +113,7 @@
             if server.instance not in job.tried:
                 job.tried.append(server.instance)
             silent = reason is Reason.TIMED_OUT and server.heard_at < job.received_at
-            # A back end that changes its weights is expected to break off running requests.
+            # A back end that changes its weights was told to break off running requests.
             if (silent or reason in BROKEN) and not server.changing:
                 server.note_failure(now)
         return FailedAttempt(reason, verdict, detail)
@@ -122,11 +122,11 @@
         engine = job.wanted.engine
         if engine is None or version is None:
             return
-        ends = self.admission.versions.ends_at(engine.model, version)
+        version_ends_at = self.admission.versions.ends_at(engine.model, version)
         job.sent_version = version
         job.sent_before_end_ms = float('inf')
-        if ends is not None:
-            job.sent_before_end_ms = (ends - self.env.monotonic()) * 1000
+        if version_ends_at is not None:
+            job.sent_before_end_ms = (version_ends_at - self.env.monotonic()) * 1000
 
     def _check_version(self, engine: EngineFigures, version: int | None) -> None:
         """
--- a/packages/millforkd/millforkd/proxy/response_monitor.py
+++ b/packages/millforkd/millforkd/proxy/response_monitor.py
@@ -61,8 +61,8 @@
         now = self.env.monotonic()
         engine = job.wanted.engine
         if engine is not None and version is not None:
-            ends_at = self.admission.versions.ends_at(engine.model, version)
-            if ends_at is not None and now > ends_at - HEAD_POLL_S:
+            version_ends_at = self.admission.versions.ends_at(engine.model, version)
+            if version_ends_at is not None and now > version_ends_at - HEAD_POLL_S:
                 detail = f'version {version} ends before the request starts'
                 raise SendFailed(Reason.VERSION_MISMATCH, Verdict.MAY_HAVE_RUN, detail)
         for server in attempt.choice.servers:
--- a/packages/millforkd/millforkd/proxy/response_relay.py
+++ b/packages/millforkd/millforkd/proxy/response_relay.py
@@ -1,5 +1,5 @@
 """
-Passing a back end's answer on to the caller.
+Passes the answers of back ends on to callers.
 
 """
 
@@ -17,7 +17,7 @@
 from millforkd.proxy.job import Attempt, HeldAnswer, Job
 
 # Answers up to this size are passed on only when complete.
-BUFFERED_BYTES: Final = 64 * 1024
+MAX_BUFFERED_BYTES: Final = 64 * 1024
 # A resumable stream is given up after this long without data; its callers wait at least two
 # seconds.
 STREAM_STALL_S: Final = 1.2
@@ -62,7 +62,7 @@
         body = bytearray()
         while data := await connection.read():
             body += data
-            if len(body) > BUFFERED_BYTES:
+            if len(body) > MAX_BUFFERED_BYTES:
                 await self._respond_large(job, connection, bytes(body))
                 return
         job.first_byte_at = self.env.monotonic()
