--- a/packages/millforkd/millforkd/endpoint/ends.py
+++ b/packages/millforkd/millforkd/endpoint/ends.py
@@ -14,7 +14,7 @@
 from millfork_scheduling.incarnation_status import IncarnationStatus
 from millfork_wire.connection import Connection, PeerLost
 from millfork_wire.messages import BackEndFate
-from millforkd.watching import LEFT_WATCHED_S, Address, Break, Watch, look_at
+from millforkd.end_watch import CALLER_LEFT_WATCH_S, ProbeResult, Interruption, EndWatch, probe_address
 
 NO_ANSWER = ''
 
@@ -63,7 +63,7 @@
         # When the latest of what it answered was sent, in monotonic seconds.
         self.answered_sent_at = float('-inf')
         self.keys = itertools.count(1)
-        self.watch: Watch[Broken] = Watch(env, self._look, self._fate, self._settle)
+        self.watch: EndWatch[Broken] = EndWatch(env, self._probe, self._fate, self._resolve)
         self.is_watching = False
 
     def key_of(self, number: int) -> IncarnationKey:
@@ -103,7 +103,7 @@
         """
         broken = Broken(request_id, connection, number)
         await self._add(broken)
-        await self.watch.until_looked()
+        await self.watch.wait_until_probed()
         broken.is_awaited = False
         return broken.fate
 
@@ -130,11 +130,11 @@
         finally:
             self.is_watching = False
 
-    def _fate(self, broken: Break[Broken]) -> IncarnationStatus:
-        if broken.item.number < self.number:
+    def _fate(self, broken: Interruption[Broken]) -> IncarnationStatus:
+        if broken.subject.number < self.number:
             return IncarnationStatus.ENDED
-        if broken.item.called_off:
-            is_over = self.env.monotonic() - broken.at > LEFT_WATCHED_S
+        if broken.subject.called_off:
+            is_over = self.env.monotonic() - broken.at > CALLER_LEFT_WATCH_S
             return IncarnationStatus.LIVES if is_over else IncarnationStatus.UNKNOWN
         return (
             IncarnationStatus.LIVES
@@ -142,16 +142,16 @@
             else IncarnationStatus.UNKNOWN
         )
 
-    async def _look(self) -> Address:
+    async def _probe(self) -> ProbeResult:
         if self.ask is not None:
             asked_at = self.env.monotonic()
             told = await self.ask()
             if told != NO_ANSWER:
                 self.note_incarnation(told, asked_at)
-                return Address.ANSWERS
-        return await look_at(*self.address())
+                return ProbeResult.ANSWERS
+        return await probe_address(*self.address())
 
-    async def _settle(self, fate: IncarnationStatus, broken: list[Break[Broken]]) -> None:
+    async def _resolve(self, fate: IncarnationStatus, broken: list[Interruption[Broken]]) -> None:
         after_ms = (self.env.monotonic() - min(item.at for item in broken)) * 1000
         log.info(
             'Back end after answers broke off: {}. requests={} after_ms={:.0f}',
@@ -160,13 +160,13 @@
             after_ms,
         )
         if fate is IncarnationStatus.ENDED and any(
-            item.item.number == self.number for item in broken
+            item.subject.number == self.number for item in broken
         ):
             self._begin_next()
         for item in broken:
-            item.item.fate = fate
-            if not item.item.is_awaited:
-                await self._tell(item.item)
+            item.subject.fate = fate
+            if not item.subject.is_awaited:
+                await self._tell(item.subject)
 
     async def _tell(self, broken: Broken) -> None:
         try:
--- /dev/null
+++ b/packages/millforkd/millforkd/proxy/event_stream.py
@@ -0,0 +1,79 @@
+"""
+Splits an event stream (text/event-stream) into complete events.
+
+"""
+
+from typing import Final
+
+EVENT_DELIMITERS: Final = (b'\n\n', b'\r\n\r\n')
+ID_FIELD: Final = b'id:'
+# More bytes than this without the end of an event are not an event stream.
+MAX_EVENT_BYTES: Final = 1024 * 1024
+
+
+class InvalidEventStream(Exception):
+    """
+    The bytes are not a stream of events.
+
+    """
+
+
+class EventSplitter:
+    """
+    Holds back the bytes of an event that is not complete yet.
+
+    """
+
+    def __init__(self) -> None:
+        self.incomplete = b''
+        self.last_id: int | None = None
+        self.first_id: int | None = None
+
+    def feed(self, data: bytes) -> bytes:
+        """
+        Add bytes; return those of the events that are now complete.
+
+        :raises InvalidEventStream: if no event ends within MAX_EVENT_BYTES.
+
+        """
+        data = self.incomplete + data
+        end = max(_end_of_last_event(data, delimiter) for delimiter in EVENT_DELIMITERS)
+        if not end:
+            self.incomplete = data
+            if len(data) > MAX_EVENT_BYTES:
+                raise InvalidEventStream(f'no end of an event in {len(data)} bytes')
+            return b''
+        complete_events = data[:end]
+        self.incomplete = data[end:]
+        self._note_ids(complete_events)
+        return complete_events
+
+    def _note_ids(self, complete_events: bytes) -> None:
+        if self.first_id is None:
+            self.first_id = _first_id(complete_events)
+        at = complete_events.rfind(b'\n' + ID_FIELD)
+        if at >= 0:
+            self.last_id = _id_in(complete_events[at + 1 :])
+        elif complete_events.startswith(ID_FIELD):
+            self.last_id = _id_in(complete_events)
+
+
+def _end_of_last_event(data: bytes, delimiter: bytes) -> int:
+    """
+    The offset after the last complete event, 0 if there is none.
+
+    """
+    at = data.rfind(delimiter)
+    return at + len(delimiter) if at >= 0 else 0
+
+
+def _first_id(complete_events: bytes) -> int | None:
+    if complete_events.startswith(ID_FIELD):
+        return _id_in(complete_events)
+    at = complete_events.find(b'\n' + ID_FIELD)
+    return _id_in(complete_events[at + 1 :]) if at >= 0 else None
+
+
+def _id_in(line: bytes) -> int | None:
+    text = line[len(ID_FIELD) :].split(b'\n', 1)[0].strip()
+    return int(text) if text.isdigit() else None
--- a/packages/millforkd/millforkd/proxy/endings.py
+++ b/packages/millforkd/millforkd/proxy/outcomes.py
@@ -1,5 +1,5 @@
 """
-How a request ended: the entry's own answer, the log line, the counters.
+Sends refusals, and logs and counts the outcomes of requests.
 
 """
 
@@ -24,9 +24,9 @@
 log = logger(Part.PROXY)
 
 
-class Endings:
+class RequestOutcomes:
     """
-    Refuses, logs and counts.
+    Sends refusals and records outcomes.
 
     """
 
@@ -36,7 +36,7 @@
 
     async def refuse(self, exchange: Exchange, request_id: str, refusal: Refusal) -> None:
         """
-        Send the entry's own answer, at once.
+        Answer a request with a refusal by the entry itself.
 
         """
         self.env.metrics.refused(refusal.reason, 'proxy')
@@ -47,19 +47,19 @@
         response.headers = headers + self.adapter.refusal_headers(request_id, wait_ms)
         await exchange.respond(response)
 
-    def note(self, job: Job, outcome: str, refusal: Refusal | None = None) -> None:
+    def record(self, job: Job, outcome: str, refusal: Refusal | None = None) -> None:
         """
-        Log and count how a job ended.
+        Log and count the outcome of a job.
 
         """
         now = self.env.monotonic()
         kind = job.route.kind.value
         metrics = self.env.metrics
         metrics.count(metrics.requests, outcome=outcome)
-        metrics.request_seconds.add({'kind': kind}, now - job.began)
+        metrics.request_seconds.add({'kind': kind}, now - job.received_at)
         first_ms = -1.0
-        if job.first_at is not None:
-            first_ms = (job.first_at - job.began) * 1000
+        if job.first_byte_at is not None:
+            first_ms = (job.first_byte_at - job.received_at) * 1000
             metrics.first_seconds.add({'kind': kind}, first_ms / 1000)
         log.info(
             'Request ended. id={} outcome={} status={} route={} service={} organisation={} '
@@ -75,7 +75,7 @@
             job.document_version,
             ','.join(job.tried),
             first_ms,
-            (now - job.began) * 1000,
+            (now - job.received_at) * 1000,
             refusal.reason.value if refusal is not None else '',
             refusal.verdict.value if refusal is not None else '',
             job.start_estimate.expected_ms,
@@ -92,13 +92,13 @@
 
 def status_of(refusal: Refusal) -> int:
     """
-    The status of a refusal: one that promises 'not run' only where it holds.
+    The HTTP status of a refusal; a status that promises 'not run' only if that is certain.
 
     """
     if refusal.reason in CLIENT_ERRORS:
         return refusal.http_status
     if refusal.reason is Reason.QUARANTINED:
-        # Final: whoever reads 'not run' comes back, and this one never will be.
+        # A caller retries after 'not run', but a quarantined request is never served.
         return LOST_STATUS
     if refusal.verdict is Verdict.NOT_RUN:
         return NOT_RUN_STATUS
--- /dev/null
+++ b/packages/millforkd/millforkd/proxy/turned_away_directory.py
@@ -0,0 +1,133 @@
+"""
+A directory of requests that were turned away, distributed over the entries of a zone.
+
+Callers that were turned away retry at any entry of their zone. Each such request is recorded at
+its owner: one of the few entries that all entries of the zone know of, chosen by fingerprint.
+Recording doesn't wait, and the owner is queried only where its answer decides whether the
+request is sent. A request without an answer in time counts as a first try.
+
+"""
+
+from collections.abc import Callable
+from typing import Final
+
+from millfork_core.environment import Environment
+from millfork_core.logs import Part, logger
+from millfork_core.ranks import rank
+from millfork_scheduling.turned_away import TurnedAwayRequests
+from millfork_wire.connection import PeerLost
+from millfork_wire.messages import (
+    AskTurnedAway,
+    CacheAddress,
+    NoteTurnedAway,
+    TurnedAwayBefore,
+)
+from millfork_wire.peers import Peers
+from millforkd.proxy.fingerprints import Fingerprints
+from millforkd.proxy.job import Job
+from millforkd.proxy.peer_queries import PeerQueries
+
+# A round trip within a zone takes 1 ms to 3 ms. This is a twentieth of the shortest targets.
+ASK_TIMEOUT_S: Final = 0.02
+# Enough bytes of a fingerprint to distinguish the requests of some seconds.
+FINGERPRINT_PREFIX_BYTES: Final = 8
+
+log = logger(Part.PROXY)
+
+
+class TurnedAwayDirectory:
+    """
+    Records and looks up requests that entries of this zone turned away.
+
+    """
+
+    def __init__(
+        self,
+        env: Environment,
+        peers: Peers,
+        list_entries: Callable[[], list[CacheAddress]],
+        fingerprints: Fingerprints,
+    ) -> None:
+        self.env = env
+        # Returns the entries that all entries of their zone know of.
+        self.list_entries = list_entries
+        self.fingerprints = fingerprints
+        self.first_tries = TurnedAwayRequests()
+        self.queries = PeerQueries(env, peers, 'first_try_unknown')
+
+    async def note(self, job: Job) -> None:
+        """
+        Record that a job was turned away; returns at once.
+
+        """
+        now = self.env.monotonic()
+        elapsed_ms = job.elapsed_ms + int((now - job.received_at) * 1000)
+        message = NoteTurnedAway(self._short_fingerprint(job), elapsed_ms)
+        owner = self._owner_of(message.fingerprint)
+        if owner == str(self.env.instance):
+            self.on_note(message)
+            return
+        await self.env.spawn(self._notify, owner, message)
+
+    async def elapsed_ms(self, job: Job) -> int:
+        """
+        Milliseconds since a job's first try; 0 if this is the first one, or if it is unknown.
+
+        """
+        fingerprint = self._short_fingerprint(job)
+        owner = self._owner_of(fingerprint)
+        if owner == str(self.env.instance):
+            return self.first_tries.elapsed_ms(fingerprint, self.env.monotonic()) or 0
+        return await self._ask(owner, AskTurnedAway(fingerprint))
+
+    def on_note(self, message: NoteTurnedAway) -> None:
+        """
+        Record a request that another entry turned away.
+
+        """
+        self.first_tries.note(message.fingerprint, message.elapsed_ms, self.env.monotonic())
+
+    def on_ask(self, message: AskTurnedAway) -> TurnedAwayBefore:
+        """
+        Answer another entry's query for a request.
+
+        """
+        elapsed_ms = self.first_tries.elapsed_ms(message.fingerprint, self.env.monotonic())
+        return TurnedAwayBefore(elapsed_ms is not None, elapsed_ms or 0)
+
+    def _short_fingerprint(self, job: Job) -> bytes:
+        return bytes.fromhex(self.fingerprints.of(job))[:FINGERPRINT_PREFIX_BYTES]
+
+    def _owner_of(self, fingerprint: bytes) -> str:
+        """
+        The entry that records a request; all entries of a zone choose the same one.
+
+        """
+        zone = str(self.env.zone)
+        names = [
+            entry.instance
+            for entry in self.list_entries()
+            if entry.zone == zone and not self.queries.silent.is_silent(entry.instance)
+        ]
+        key = fingerprint.hex()
+        return max(names, key=lambda name: rank(key, name), default=str(self.env.instance))
+
+    async def _ask(self, owner: str, message: AskTurnedAway) -> int:
+        connection = await self.queries.open_connection(owner)
+        if connection is None:
+            return 0
+        reply = await self.queries.ask(owner, connection, message, ASK_TIMEOUT_S)
+        if not isinstance(reply, TurnedAwayBefore) or not reply.found:
+            return 0
+        return reply.elapsed_ms
+
+    async def _notify(self, owner: str, message: NoteTurnedAway) -> None:
+        connection = await self.queries.connect(owner)
+        if connection is None:
+            return
+        try:
+            await connection.notify(message)
+        except PeerLost as error:
+            log.info(
+                'A turned-away request was not recorded at its owner. to={} why={}', owner, error
+            )
--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -32,8 +32,8 @@
     Mutation(
         'nothing is sent to a back end that closed while a connection came up',
         'tests/test_forwarding.py::'
-        'test_nothing_is_sent_to_a_back_end_that_names_a_limit_while_a_connection_comes_up',
-        (Edit(D + 'proxy/sending.py', 'if closure is not None:', 'if False:'),),
+        'test_nothing_is_sent_to_a_back_end_that_names_a_limit_while_connecting',
+        (Edit(D + 'proxy/request_sender.py', 'if closure is not None:', 'if False:'),),
     ),
     Mutation(
         'a back end that said that it leaves is sent to no more',
@@ -71,7 +71,7 @@
     Mutation(
         'a back end that turns requests away is left to others for a while',
         'tests/test_turned_away_at_once.py::'
-        'test_a_back_end_that_turns_all_away_draws_no_more_than_its_share',
+        'test_a_back_end_that_turns_all_requests_away_gets_no_more_than_its_share',
         (
             Edit(
                 D + 'proxy/backpressure.py',
@@ -146,12 +146,12 @@
     ),
     Mutation(
         'a back end that is silent is looked at again',
-        'tests/test_silent_ends.py::test_a_back_end_that_was_silent_and_refuses_then_has_ended',
-        (Edit(D + 'watching.py', 'while self.breaks:', 'for _ in range(LOOKS):'),),
+        'tests/test_ends_of_silent_back_ends.py::test_a_silent_back_end_that_refuses_connections_later_has_ended',
+        (Edit(D + 'end_watch.py', 'while self.interruptions:', 'for _ in range(PROBES_BEFORE_RETURN):'),),
     ),
     Mutation(
         'no refusal promises not run after an attempt that may have run',
-        'tests/test_promised_refusals.py::'
+        'tests/test_not_run_refusals.py::'
         'test_no_refusal_promises_not_run_after_an_attempt_that_may_have_run',
         (
             Edit(
@@ -175,7 +175,7 @@
     Mutation(
         'a connection on which questions stay unanswered is closed',
         'tests/test_load_queries.py::test_a_silent_connection_is_closed_and_dialled_again',
-        (Edit(D + 'proxy/questions.py', 'await self._close_if_silent(connection)', 'pass'),),
+        (Edit(D + 'proxy/peer_queries.py', 'await self._close_if_silent(connection)', 'pass'),),
     ),
     Mutation(
         'nobody is turned away for the few engines compared',
@@ -193,7 +193,7 @@
         'the daemons beside engines are asked for loads',
         'tests/test_load_queries.py::'
         'test_the_engine_that_is_free_now_is_chosen_despite_old_reports',
-        (Edit(D + 'proxy/asking.py', 'server.set_load(load, now)', 'pass'),),
+        (Edit(D + 'proxy/load_queries.py', 'server.set_load(load, now)', 'pass'),),
     ),
     Mutation(
         'two requests do not show that callers begin alike',
@@ -209,8 +209,8 @@
     ),
     Mutation(
         'what was turned away is remembered by an entry of the zone',
-        'tests/test_recall.py::test_a_caller_that_comes_back_is_known_at_any_entry_of_its_zone',
-        (Edit(D + 'proxy/recall.py', 'return reply.elapsed_ms', 'return 0'),),
+        'tests/test_turned_away_directory.py::test_a_retry_is_recognised_at_any_entry_of_its_zone',
+        (Edit(D + 'proxy/turned_away_directory.py', 'return reply.elapsed_ms', 'return 0'),),
     ),
     Mutation(
         'a replica is up to date once it holds what was committed',
@@ -240,7 +240,7 @@
         (
             Edit(
                 D + 'proxy/cache.py',
-                'if not draw and await self._left_to_drawer(held, index):',
+                'if not draw and await self._fetch_from_cache(held, index):',
                 'if False:',
             ),
         ),
@@ -248,7 +248,7 @@
     Mutation(
         'a piece is left to a drawer that is at it',
         'tests/test_caches.py::test_a_piece_that_its_drawer_brings_is_not_drawn_beside_it',
-        (Edit(D + 'proxy/cache.py', 'self.not_yet[place] < PATIENCE', 'not self.not_yet[place]'),),
+        (Edit(D + 'proxy/cache.py', 'self.not_yet_answers[key] < MAX_NOT_YET_ANSWERS', 'not self.not_yet_answers[key]'),),
     ),
     Mutation(
         'a drawer whose origin sends other pieces first is waited for',
@@ -268,11 +268,11 @@
     ),
     Mutation(
         'a connection that is silent beside others is left',
-        'tests/test_forwarding.py::test_a_connection_that_went_silent_beside_others_that_work_is_left',
+        'tests/test_forwarding.py::test_a_silent_connection_to_a_working_back_end_is_given_up',
         (
             Edit(
-                D + 'proxy/waiting.py',
-                'if server.answered_since(job.urgency, attempt.began + OVERTAKEN_S):',
+                D + 'proxy/response_monitor.py',
+                'if server.answered_since(job.urgency, attempt.started_at + OVERTAKEN_S):',
                 'if False:',
             ),
         ),
@@ -386,11 +386,11 @@
     ),
     Mutation(
         'nothing is sent to a version that ends while a connection comes up',
-        'tests/test_forwarding.py::'
+        'tests/test_forwarding.py::test_nothing_is_sent_to_a_version_that_ends_while_connecting'
         'test_nothing_is_sent_to_a_version_that_ends_while_a_connection_comes_up',
         (
             Edit(
-                D + 'proxy/sending.py',
+                D + 'proxy/request_sender.py',
                 'if version is None or version < least:',
                 'if version is None:',
             ),
@@ -399,10 +399,10 @@
     Mutation(
         'nothing is sent to an engine that has no whole version by then',
         'tests/test_forwarding.py::'
-        'test_nothing_is_sent_to_an_engine_that_has_no_whole_version_by_then',
+        'tests/test_forwarding.py::test_nothing_is_sent_to_an_engine_without_a_complete_version',
         (
             Edit(
-                D + 'proxy/sending.py',
+                D + 'proxy/request_sender.py',
                 'if version is None or version < least:',
                 'if version is not None and version < least:',
             ),
@@ -410,12 +410,12 @@
     ),
     Mutation(
         'a repeat that was not sent is paid for once',
-        'tests/test_forwarding.py::test_a_repeat_that_was_not_sent_is_paid_for_once',
+        'tests/test_forwarding.py::test_a_repeat_that_was_not_sent_spends_the_budget_once',
         (
             Edit(
                 D + 'proxy/forwarding.py',
-                'paid = not failed.sent',
-                'paid = False',
+                'budget_spent = not failed.sent',
+                'budget_spent = False',
             ),
         ),
     ),
@@ -669,7 +669,7 @@
         (
             Edit(
                 D + 'proxy/cache.py',
-                'if draw or not await self._left_to_drawer(held, DIGESTS):',
+                'if draw or not await self._fetch_from_cache(held, DIGESTS):',
                 'if True:',
             ),
         ),
@@ -734,7 +734,7 @@
         'an end counts only where the address takes no connections',
         'tests/test_quarantine.py::'
         'test_an_answer_that_broke_off_counts_only_where_the_back_end_has_ended',
-        (Edit(D + 'watching.py', 'return Address.ANSWERS\n', 'return Address.REFUSES\n'),),
+        (Edit(D + 'end_watch.py', 'return ProbeResult.ANSWERS\n', 'return ProbeResult.REFUSES\n'),),
     ),
     Mutation(
         'a request stays under suspicion until the fate of its back end is known',
@@ -752,8 +752,8 @@
         'tests/test_ends_after_their_callers_left.py',
         (
             Edit(
-                D + 'proxy/ends.py',
-                'if last is None or now - last.at > LEFT_REMEMBERED_S:',
+                D + 'proxy/end_detection.py',
+                'if last is None or now - last.at > CALLER_LEFT_MEMORY_S:',
                 'if True:',
             ),
         ),
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -30,7 +30,7 @@
         caller=SimpleNamespace(request_id='id'),
         requirements=Requirements(ServiceName('s'), engine),
         elapsed_ms=elapsed_ms,
-        began=made.env.monotonic(),
+        received_at=made.env.monotonic(),
         route=SimpleNamespace(target_ms=TARGET_MS),
     )
 
@@ -42,20 +42,20 @@
     return Choice(server, expected_ms, expected_ms)
 
 
-def wait_ms(expected_ms, elapsed_ms=0, engine=ENGINE, running=16):
+def return_after_ms(expected_ms, elapsed_ms=0, engine=ENGINE, running=16):
     made = admission()
     job = job_of(made, elapsed_ms, engine)
-    return made.wait_ms(job, choice_of(made, expected_ms, running))
+    return made.return_after_ms(job, choice_of(made, expected_ms, running))
 
 
 @pytest.mark.parametrize(('expected_ms', 'admitted'), [(100, True), (290, True), (320, False)])
 def test_a_first_try_is_sent_only_if_it_is_expected_in_time(expected_ms, admitted):
-    assert (wait_ms(expected_ms) == 0) == admitted
+    assert (return_after_ms(expected_ms) == 0) == admitted
 
 
 @pytest.mark.parametrize(('elapsed_ms', 'admitted'), [(150, True), (300, False), (900, False)])
 def test_a_retry_is_measured_from_its_first_try(elapsed_ms, admitted):
-    assert (wait_ms(100, elapsed_ms) == 0) == admitted
+    assert (return_after_ms(100, elapsed_ms) == 0) == admitted
 
 
 @pytest.mark.parametrize(
@@ -79,14 +79,14 @@
 
 
 def test_a_refused_caller_is_given_a_minimum_wait():
-    assert wait_ms(500) >= MIN_WAIT_MS
+    assert return_after_ms(500) >= MIN_WAIT_MS
 
 
 @pytest.mark.parametrize(('running', 'admitted'), [(3, True), (11, True), (12, False)])
 def test_late_requests_get_only_spare_slots(running, admitted):
-    assert (wait_ms(5000, running=running) == 0) == admitted
-    assert (wait_ms(100, elapsed_ms=900, running=running) == 0) == admitted
+    assert (return_after_ms(5000, running=running) == 0) == admitted
+    assert (return_after_ms(100, elapsed_ms=900, running=running) == 0) == admitted
 
 
 def test_a_service_without_engines_admits_every_request():
-    assert wait_ms(5000, engine=None) == 0
+    assert return_after_ms(5000, engine=None) == 0
--- a/tests/test_late_ends_at_endpoints.py
+++ b/tests/test_late_ends_at_endpoints.py
@@ -25,7 +25,7 @@
 from millforkd.entry.crashes import Crashes
 from millforkd.entry.delivery import Delivery
 from millforkd.entry.dispatch import Dispatch
-from millforkd.watching import Address
+from millforkd.end_watch import ProbeResult
 
 ADDRESS = ('127.0.0.1', 1)
 
@@ -54,12 +54,12 @@
 
     def __init__(self, monkeypatch, tells='a'):
         self.tells = tells
-        self.found = Address.ANSWERS
+        self.found = ProbeResult.ANSWERS
 
-        async def look_at(host, port):
+        async def probe_address(host, port):
             return self.found
 
-        monkeypatch.setattr(ends_module, 'look_at', look_at)
+        monkeypatch.setattr(ends_module, 'probe_address', probe_address)
 
     def ends(self, asks=True):
         env = Environment(InstanceId('e-1'), ZoneId('z'))
@@ -80,11 +80,11 @@
 @pytest.mark.parametrize(
     ('tells', 'found', 'fate'),
     [
-        ('a', Address.ANSWERS, IncarnationStatus.LIVES),
-        ('b', Address.ANSWERS, IncarnationStatus.ENDED),
-        ('', Address.REFUSES, IncarnationStatus.ENDED),
-        ('', Address.ANSWERS, IncarnationStatus.UNKNOWN),
-        ('', Address.SILENT, IncarnationStatus.UNKNOWN),
+        ('a', ProbeResult.ANSWERS, IncarnationStatus.LIVES),
+        ('b', ProbeResult.ANSWERS, IncarnationStatus.ENDED),
+        ('', ProbeResult.REFUSES, IncarnationStatus.ENDED),
+        ('', ProbeResult.ANSWERS, IncarnationStatus.UNKNOWN),
+        ('', ProbeResult.SILENT, IncarnationStatus.UNKNOWN),
     ],
 )
 def test_what_an_engine_tells_and_its_address_show(monkeypatch, tells, found, fate):
@@ -116,7 +116,7 @@
 def test_what_breaks_off_after_an_end_is_of_the_next_incarnation(monkeypatch):
     async def run():
         back_end = BackEnd(monkeypatch, tells='')
-        back_end.found = Address.REFUSES
+        back_end.found = ProbeResult.REFUSES
         ends = back_end.ends()
         first = ends.key_of(ends.number)
         assert (
--- a/tests/test_load_queries.py
+++ b/tests/test_load_queries.py
@@ -17,8 +17,8 @@
 from millfork_wire.connection import PeerTimedOut, PeerUnreachable
 from millfork_wire.messages import EngineLoad
 from millforkd.beside.load import SHARED_S, EngineLoads
-from millforkd.proxy.asking import PASSED_OVER_S, WAIT_S, LoadQuestions
-from millforkd.proxy.questions import SILENT_S
+from millforkd.proxy.load_queries import PASSED_OVER_S, WAIT_S, LoadQueries
+from millforkd.proxy.peer_queries import MIN_SILENCE_S
 from tests.test_servers import ENGINE, Clock
 
 SERVICE = ServiceName('s')
@@ -60,7 +60,7 @@
         self.answering = curio.Event()
         connections = {InstanceId(name): self.connection(name) for name in self.loads}
         self.peers = SimpleNamespace(connections=connections, connect=self.connect)
-        self.questions = LoadQuestions(env, self.peers, self.table)
+        self.queries = LoadQueries(env, self.peers, self.table)
 
     def report(self, running):
         self.table.apply_reports(
@@ -90,7 +90,7 @@
 
     async def choose(self):
         compared = self.table.sample_candidates(REQUIREMENTS, set())
-        await self.questions.refresh(compared)
+        await self.queries.refresh(compared)
         return self.table.choose(REQUIREMENTS, set(), compared).server.instance
 
 
@@ -134,7 +134,7 @@
         async with curio.timeout_after(FOREVER_S / 2):
             await fleet.choose()
         # The answer is overdue; this is the entry's reaction to that.
-        fleet.questions.questions.silent.note('10.0.0.1:10')
+        fleet.queries.queries.silent.note('10.0.0.1:10')
         fleet.asked.clear()
         await fleet.choose()
 
@@ -157,11 +157,11 @@
             return await call(message, timeout)
 
         connection.call = late
-        await fleet.questions._ask(server, connection)
+        await fleet.queries._ask(server, connection)
 
     curio.run(run)
     assert fleet.server(0).reported == 25
-    assert fleet.questions.questions.silent.is_silent('10.0.0.1:10')
+    assert fleet.queries.queries.silent.is_silent('10.0.0.1:10')
 
 
 def test_a_daemon_without_an_answer_is_skipped(fleet):
@@ -172,11 +172,11 @@
             raise PeerTimedOut('silent')
 
         connection = SimpleNamespace(call=call, last_heard=fleet.clock.now)
-        await fleet.questions._ask(server, connection)
+        await fleet.queries._ask(server, connection)
 
     curio.run(run)
     assert fleet.server(0).reported == 8
-    assert fleet.questions.questions.silent.is_silent('10.0.0.1:10')
+    assert fleet.queries.queries.silent.is_silent('10.0.0.1:10')
 
 
 def test_a_silent_connection_is_closed_and_dialled_again(fleet):
@@ -200,7 +200,7 @@
     async def run():
         await fleet.choose()
         assert not connection.closed
-        fleet.clock.now += SILENT_S + PASSED_OVER_S
+        fleet.clock.now += MIN_SILENCE_S + PASSED_OVER_S
         await fleet.choose()
         assert connection.closed
         fleet.clock.now += PASSED_OVER_S + 0.01
--- a/tests/test_suspicions.py
+++ b/tests/test_suspicions.py
@@ -40,8 +40,8 @@
     suspicion_level_of,
 )
 from millfork_scheduling.server import Server
-from millforkd.proxy import ends as ends_module
-from millforkd.proxy.ends import Address, Ends
+from millforkd.proxy import end_detection as end_detection
+from millforkd.proxy.end_detection import ProbeResult, EndDetector
 from tests.test_servers import Clock
 
 FINGERPRINT = Fingerprint('ab')
@@ -200,14 +200,14 @@
         self.env = Environment(InstanceId('a:1'), ZoneId('z1'))
         self.suspects = Suspects(self.env.monotonic)
         self.statuses = {}
-        self.ends = Ends(self.env, self.suspects, self.status)
-        self.found = Address.ANSWERS
-        self.ends.look = self.look
+        self.ends = EndDetector(self.env, self.suspects, self.status)
+        self.found = ProbeResult.ANSWERS
+        self.ends.probe = self.probe
 
     def status(self, server, since):
         return self.statuses.get(server.instance, IncarnationStatus.UNKNOWN)
 
-    async def look(self, server):
+    async def probe(self, server):
         return self.found
 
     async def break_off(self, number):
@@ -245,7 +245,7 @@
 
 
 def test_back_ends_of_unknown_status_count_as_living(monkeypatch):
-    monkeypatch.setattr(ends_module, 'WATCHED_S', 0.1)
+    monkeypatch.setattr(end_detection, 'MAX_WATCH_S', 0.1)
 
     async def run():
         broken = FailingBackEnds()
@@ -265,7 +265,7 @@
 
     async def run():
         broken = FailingBackEnds()
-        broken.found = Address.REFUSES
+        broken.found = ProbeResult.REFUSES
         before = broken.known
         for number in range(2 * MIN_ENDS_AT_FAULT):
             server = Server(
@@ -290,7 +290,7 @@
         broken.statuses = {'i-0': IncarnationStatus.LIVES}
         server = Server(InstanceId('i-0'), ServiceName('s'), '127.0.0.1', 1, ZoneId('z1'), 16)
         for _ in range(2):
-            await broken.ends.note_left(server, broken.known)
+            await broken.ends.note_caller_left(server, broken.known)
         await curio.sleep(0.05)
         broken.statuses = {'i-0': IncarnationStatus.ENDED}
         await broken.until(lambda: broken.known.ends == 1)
