--- a/packages/millfork-registry/millfork_registry/following.py
+++ b/packages/millfork-registry/millfork_registry/feed_client.py
@@ -18,7 +18,7 @@
 from millfork_registry.records import decode_leases, decode_states
 from millfork_registry.registry import Registry
 from millfork_registry.suspects import decode_suspicions
-from millfork_registry.switch_ends import SwitchEnds
+from millfork_registry.version_cutoffs import VersionCutoffs
 from millfork_state.commands import decode_versioned
 from millfork_state.keys import VERSION_PREFIX
 from millfork_state.view import View
@@ -49,7 +49,7 @@
 log = logger(Part.REGISTRY)
 
 
-class Following:
+class FeedClient:
     """
     The one replica that this process listens to.
 
@@ -83,7 +83,7 @@
         self.relay = ''
         self.asked_relay = ''
         # When requests may no longer begin on what came before a version.
-        self.switch_ends = SwitchEnds()
+        self.version_cutoffs = VersionCutoffs()
         self.asked_at = 0.0
         # Set whenever leases or configuration changed.
         self.changed = curio.Event()
@@ -159,7 +159,7 @@
         Take what an answer to a question of `asked_at` told of versions named lately.
 
         """
-        if self.switch_ends.note(asked_at, switches):
+        if self.version_cutoffs.note(asked_at, switches):
             await self.changed.set()
 
     def _knows_of_untold(self) -> bool:
@@ -168,7 +168,7 @@
 
         """
         return any(
-            self.switch_ends.at(key.removeprefix(VERSION_PREFIX), decode_versioned(value).version)
+            self.version_cutoffs.at(key.removeprefix(VERSION_PREFIX), decode_versioned(value).version)
             is None
             for key, value in self.view.prefixed(VERSION_PREFIX).items()
         )
--- a/packages/millfork-registry/millfork_registry/relaying.py
+++ b/packages/millfork-registry/millfork_registry/feed_relay.py
@@ -16,7 +16,7 @@
 from millfork_core.environment import Environment
 from millfork_core.logs import Part, logger
 from millfork_registry.discovery import address_of
-from millfork_registry.following import Following
+from millfork_registry.feed_client import FeedClient
 from millfork_registry.records import encode_records
 from millfork_registry.suspects import encode_suspicions
 from millfork_wire.connection import Connection, PeerError, PeerLost
@@ -33,15 +33,15 @@
 log = logger(Part.REGISTRY)
 
 
-class Relaying:
+class FeedRelay:
     """
     Asks for the feed where it is lost, and passes it on to those who ask.
 
     """
 
-    def __init__(self, env: Environment, following: Following) -> None:
+    def __init__(self, env: Environment, feed_client: FeedClient) -> None:
         self.env = env
-        self.following = following
+        self.feed_client = feed_client
         self.versions = FeedSent()
         # The versions named lately, as this process knows of them.
         self.switches: Callable[[], list[VersionSwitch]] = list
@@ -60,15 +60,15 @@
                 await curio.sleep(NOBODY_S)
 
     def _is_lost(self) -> bool:
-        following = self.following
-        heard_s = self.env.monotonic() - following.heard_at
-        return bool(following.view.cluster) and heard_s > LOST_AFTER_S
+        feed_client = self.feed_client
+        heard_s = self.env.monotonic() - feed_client.heard_at
+        return bool(feed_client.view.cluster) and heard_s > LOST_AFTER_S
 
     def _leave(self) -> None:
-        if not self.following.relay:
+        if not self.feed_client.relay:
             return
-        log.info('A replica is heard again; the relay {} is left.', self.following.relay)
-        self.following.relay = ''
+        log.info('A replica is heard again; the relay {} is left.', self.feed_client.relay)
+        self.feed_client.relay = ''
 
     async def _ask_on(self) -> bool:
         """
@@ -76,20 +76,20 @@
 
         """
         for name in self._candidates():
-            if name != self.following.relay:
+            if name != self.feed_client.relay:
                 self.versions = FeedSent()
             if not await self._ask(name):
                 continue
-            if name != self.following.relay:
+            if name != self.feed_client.relay:
                 log.notice('The feed comes by way of {}.', name)
                 self.env.metrics.count(self.env.metrics.wire, event='relay_taken')
-            self.following.relay = name
+            self.feed_client.relay = name
             return True
-        self.following.relay = ''
+        self.feed_client.relay = ''
         return False
 
     async def _ask(self, name: str) -> bool:
-        view = self.following.view
+        view = self.feed_client.view
         before = self.versions
         question = AskFeed(
             view.cluster,
@@ -99,17 +99,17 @@
             before.suspicion_version,
         )
         # Set first: the feed overtakes the reply.
-        self.following.asked_relay = name
+        self.feed_client.asked_relay = name
         asked_at = self.env.monotonic()
         try:
-            reply = await self.following.peers.call(address_of(name), question, ASK_TIMEOUT_S)
+            reply = await self.feed_client.peers.call(address_of(name), question, ASK_TIMEOUT_S)
         except PeerError as error:
             log.debug('No feed by way of {}: {}.', name, error)
             return False
         if not isinstance(reply, FeedSent) or not reply.ok:
             return False
         self.versions = reply
-        await self.following.note_switches(asked_at, reply.switches)
+        await self.feed_client.note_switches(asked_at, reply.switches)
         return True
 
     def _candidates(self) -> list[str]:
@@ -119,16 +119,16 @@
         """
         own = str(self.env.instance)
         zone = str(self.env.zone)
-        caches = self.following.discovery.caches()
+        caches = self.feed_client.discovery.caches()
         found = [(cache.zone != zone, 0, cache.instance) for cache in caches]
         found += [
             (state.zone != zone, 1, state.instance)
-            for state in self.following.registry.endpoints.values()
+            for state in self.feed_client.registry.endpoints.values()
         ]
         self.env.random.shuffle(found)
         ordered = [name for _, _, name in sorted(found, key=lambda item: item[:2])]
-        present = [self.following.relay] if self.following.relay else []
-        others = [name for name in ordered if name not in (own, self.following.relay)]
+        present = [self.feed_client.relay] if self.feed_client.relay else []
+        others = [name for name in ordered if name not in (own, self.feed_client.relay)]
         return present + others
 
     async def answer(self, connection: Connection, question: AskFeed) -> FeedSent:
@@ -136,13 +136,13 @@
         Pass on what this process heard, to a follower that is cut off.
 
         """
-        following = self.following
-        if not following.connected:
+        feed_client = self.feed_client
+        if not feed_client.connected:
             return FeedSent()
         now = self.env.monotonic()
-        registry = following.registry
-        update = following.view.update_since(question.cluster, question.revision)
-        update.age_ms = following.age_ms + int((now - following.heard_at) * 1000)
+        registry = feed_client.registry
+        update = feed_client.view.update_since(question.cluster, question.revision)
+        update.age_ms = feed_client.age_ms + int((now - feed_client.heard_at) * 1000)
         leases = registry.leases.since(question.lease_version)
         reports = registry.endpoints.since(question.report_version)
         suspicions = registry.suspects.table.since(question.suspicion_version)
@@ -156,10 +156,10 @@
         feed = Leases(
             not question.lease_version,
             registry.settled,
-            following.entries,
+            feed_client.entries,
             encode_records(leases) if leases else b'',
             encode_records(reports) if reports else b'',
-            following.most_entries,
+            feed_client.most_entries,
             encode_suspicions(suspicions),
         )
         try:
--- a/packages/millfork-registry/millfork_registry/registry.py
+++ b/packages/millfork-registry/millfork_registry/registry.py
@@ -18,7 +18,7 @@
 from millfork_core.logs import Part, logger
 from millfork_registry.records import EndpointState, Lease, LeaseState
 from millfork_registry.suspects import Suspects
-from millfork_registry.table import Table
+from millfork_registry.versioned_table import VersionedTable
 
 # A lease runs out after this many heartbeats that did not come.
 MISSED_HEARTBEATS: Final = 3.5
@@ -58,8 +58,8 @@
         self.env = env
         self.lease_s = heartbeat_s * MISSED_HEARTBEATS
         self.apart_s = heartbeat_s * APART_SHARE
-        self.leases: Table[Lease] = Table()
-        self.endpoints: Table[EndpointState] = Table()
+        self.leases: VersionedTable[Lease] = VersionedTable()
+        self.endpoints: VersionedTable[EndpointState] = VersionedTable()
         self.suspects = Suspects(env.monotonic)
         self.heard: dict[str, float] = {}
         self.ended: dict[str, float] = {}
--- a/packages/millfork-registry/millfork_registry/suspects.py
+++ b/packages/millfork-registry/millfork_registry/suspects.py
@@ -15,7 +15,7 @@
 
 from millfork_core.ids import Fingerprint, IncarnationKey
 from millfork_core.logs import Part, logger
-from millfork_registry.table import Table
+from millfork_registry.versioned_table import VersionedTable
 
 # A job that runs each hour may end one back end with each of its tries.
 REMEMBERED_S: Final = 24 * 3600.0
@@ -128,7 +128,7 @@
 
     def __init__(self, monotonic: Callable[[], float]) -> None:
         self.monotonic = monotonic
-        self.table: Table[Suspicion] = Table()
+        self.table: VersionedTable[Suspicion] = VersionedTable()
         self.changed_at: dict[Fingerprint, float] = {}
         # What those that this process hears from do not know; set `news` with it.
         self.untold: dict[Fingerprint, Suspicion] = {}
--- a/packages/millfork-registry/millfork_registry/switch_ends.py
+++ b/packages/millfork-registry/millfork_registry/version_cutoffs.py
@@ -18,7 +18,7 @@
 MS_PER_S: Final = 1000
 
 
-class SwitchEnds:
+class VersionCutoffs:
     """
     The ends by model and version, in monotonic seconds.
 
--- a/packages/millfork-registry/millfork_registry/table.py
+++ b/packages/millfork-registry/millfork_registry/versioned_table.py
@@ -10,7 +10,7 @@
 Record = TypeVar('Record')
 
 
-class Table(Generic[Record]):
+class VersionedTable(Generic[Record]):
     """
     Records in the order of their last change, so that what came after a
     change is found without a look at the rest.
--- a/packages/millforkd/millforkd/beside/daemon.py
+++ b/packages/millforkd/millforkd/beside/daemon.py
@@ -76,8 +76,8 @@
         self.discovery = feed.discovery
         self.view = feed.view
         self.registry = feed.registry
-        self.following = feed.following
-        self.relaying = feed.relaying
+        self.feed_client = feed.feed_client
+        self.feed_relay = feed.feed_relay
         self.link = Link(_link_bytes_per_s(settings), TRANSFER_SHARE, True, env.monotonic)
         self.engine = LocalEngine(
             adapter, Client(*self.engine_address, source=str(settings.address))
@@ -123,8 +123,8 @@
         await self.env.keep(self.peers.listen)
         await self.env.keep(self.peers.probe_idle)
         await self.env.keep(self.admin.run)
-        await self.env.keep(self.following.run)
-        await self.env.keep(self.relaying.keep)
+        await self.env.keep(self.feed_client.run)
+        await self.env.keep(self.feed_relay.keep)
         await self.env.keep(self._keep_reporting)
         await self.env.keep(self.rollout.keep)
         await self.env.keep(self.expiry.keep)
@@ -201,7 +201,7 @@
         Tell the replica that this daemon follows, or whoever passes it on.
 
         """
-        source = self.following.reports_to
+        source = self.feed_client.reports_to
         if not source:
             return
         body = msgspec.msgpack.encode(self._state())
@@ -269,7 +269,7 @@
         Answer a peer's message.
 
         """
-        if await self.following.take(connection.peer, message):
+        if await self.feed_client.take(connection.peer, message):
             return None
         reply: Message | None = await self.on(message, connection)
         return reply
@@ -281,7 +281,7 @@
 
     @on.register
     async def _(self, message: messages.AskFeed, connection: Connection) -> Message:
-        return await self.relaying.answer(connection, message)
+        return await self.feed_relay.answer(connection, message)
 
     @on.register
     async def _(self, message: messages.AskLoad, connection: Connection) -> Message:
--- a/packages/millforkd/millforkd/beside/expiry.py
+++ b/packages/millforkd/millforkd/beside/expiry.py
@@ -26,7 +26,7 @@
 from millforkd.beside.pieces import PieceSet, PieceStore, WeightsId
 from millforkd.beside.rollout import Rollout
 from millforkd.beside.target import Target
-from millforkd.switching import LAST_SENT_S
+from millforkd.version_switching import LAST_SEND_BEFORE_END_S
 
 POLL_S: Final = 0.05
 # The engine is emptied so long before requests may not begin on the old version any more:
@@ -116,7 +116,7 @@
             return False
         if not self.rollout.serves_another(target):
             return False
-        return self.env.monotonic() > target.due + LAST_SENT_S - EMPTIED_BEFORE_S
+        return self.env.monotonic() > target.due + LAST_SEND_BEFORE_END_S - EMPTIED_BEFORE_S
 
     async def _empty(self, target: Target) -> None:
         async with self.rollout.ordering:
--- a/packages/millforkd/millforkd/beside/rollout.py
+++ b/packages/millforkd/millforkd/beside/rollout.py
@@ -24,7 +24,7 @@
 from millforkd.beside.layout import Layers, Place, part_served
 from millforkd.beside.pieces import PieceSet, PieceStore, WeightsId
 from millforkd.beside.target import Target
-from millforkd.switching import LAST_SENT_S
+from millforkd.version_switching import LAST_SEND_BEFORE_END_S
 
 # Entries stop sending to this engine within this time of being told.
 TELL_S: Final = 0.15
@@ -283,7 +283,7 @@
 
         """
         now = self.env.monotonic()
-        ends = target.due + LAST_SENT_S
+        ends = target.due + LAST_SEND_BEFORE_END_S
         until = max(now + LATE_DRAIN_S, min(now + DRAIN_S, ends))
         while self.env.monotonic() < until:
             report = await self.engine.report()
--- a/packages/millforkd/millforkd/beside/target.py
+++ b/packages/millforkd/millforkd/beside/target.py
@@ -15,7 +15,7 @@
 from millfork_core.logs import Part, logger
 from millfork_routing.documents import EngineFigures
 from millforkd.beside.pieces import PieceStore, WeightsId
-from millforkd.switching import LAST_SENT_S
+from millforkd.version_switching import LAST_SEND_BEFORE_END_S
 from millforkd.versions import Versions
 
 # The first version of every model.
@@ -83,7 +83,7 @@
         weights = WeightsId(figures.model, self._version(figures, now, ends))
         known = self.known
         since = known.since if known is not None and known.weights == weights else now
-        due = ends - LAST_SENT_S
+        due = ends - LAST_SEND_BEFORE_END_S
         target = Target(weights, figures.layers, figures.pieces, since, due)
         if known is None or known.weights != weights:
             self.progress = (0, now)
@@ -122,7 +122,7 @@
 
         """
         here_at = now + self._bringing_s(figures, version)
-        return here_at + CHANGE_S < self._ends_at(figures, version) - LAST_SENT_S
+        return here_at + CHANGE_S < self._ends_at(figures, version) - LAST_SEND_BEFORE_END_S
 
     def _by_way_of_s(self, figures: EngineFigures, version: int, now: float, ends: float) -> float:
         """
@@ -134,9 +134,9 @@
         """
         here_at = now + self._bringing_s(figures, version)
         whole_s = figures.pieces * figures.piece_bytes / self.bytes_per_s
-        served_until = max(now, ends - LAST_SENT_S)
+        served_until = max(now, ends - LAST_SEND_BEFORE_END_S)
         before_s = max(here_at + CHANGE_S - served_until, 0.0)
-        last_sent = self._ends_at(figures, version) - LAST_SENT_S
+        last_sent = self._ends_at(figures, version) - LAST_SEND_BEFORE_END_S
         after_s = max(here_at + whole_s + CHANGE_S - last_sent, 0.0)
         return before_s + after_s + CHANGE_S
 
@@ -150,7 +150,7 @@
         if self._is_stuck(newest, now):
             return float('inf')
         here_at = now + self._bringing_s(figures, newest)
-        return max(here_at + CHANGE_S - max(now, ends - LAST_SENT_S), 0.0)
+        return max(here_at + CHANGE_S - max(now, ends - LAST_SEND_BEFORE_END_S), 0.0)
 
     def _bringing_s(self, figures: EngineFigures, version: int) -> float:
         """
--- a/packages/millforkd/millforkd/proxy/daemon.py
+++ b/packages/millforkd/millforkd/proxy/daemon.py
@@ -75,15 +75,15 @@
         self.discovery = feed.discovery
         self.view = feed.view
         self.registry = feed.registry
-        self.following = feed.following
-        self.relaying = feed.relaying
+        self.feed_client = feed.feed_client
+        self.feed_relay = feed.feed_relay
         self.versions = feed.versions
-        self.admission = Admission(env, self.versions, lambda: self.following.entries)
+        self.admission = Admission(env, self.versions, lambda: self.feed_client.entries)
         self.book = ServerBook(
             env.zone,
             env.random,
             env.monotonic,
-            lambda: self.following.entries,
+            lambda: self.feed_client.entries,
             self.most_entries,
         )
         self.pools = Pools(env)
@@ -91,9 +91,9 @@
             promises.retry_ratio,
             promises.retry_slack,
             promises.retry_window_s,
-            lambda: self.following.most_entries,
+            lambda: self.feed_client.most_entries,
             env.monotonic,
-            lambda: self.following.connected,
+            lambda: self.feed_client.connected,
         )
         fingerprints = Fingerprints(fleet_key(settings), lambda: self.view.cluster)
         self.recall = Recall(env, self.peers, self.discovery.caches, fingerprints)
@@ -109,7 +109,7 @@
             self.recall,
             LoadQuestions(env, self.peers, self.book),
         )
-        self.suspicions = SuspicionTeller(env, self.peers, self.following, self.registry.suspects)
+        self.suspicions = SuspicionTeller(env, self.peers, self.feed_client, self.registry.suspects)
         self.document: Document | None = None
         origin = Origin(env, adapter, str(settings.address), lambda: origin_in(self.document))
         self.cache = PieceCache(env, self.peers, origin, self.discovery.caches)
@@ -140,7 +140,7 @@
         take the whole of a limit for its share.
 
         """
-        return self.following.most_entries if self.following.entries_told else UNTOLD_ENTRIES
+        return self.feed_client.most_entries if self.feed_client.entries_told else UNTOLD_ENTRIES
 
     @property
     def in_progress(self) -> int:
@@ -157,8 +157,8 @@
         await self.env.keep(self.peers.listen)
         await self.env.keep(self.peers.probe_idle)
         await self.env.keep(self.admin.run)
-        await self.env.keep(self.following.run)
-        await self.env.keep(self.relaying.keep)
+        await self.env.keep(self.feed_client.run)
+        await self.env.keep(self.feed_relay.keep)
         await self.env.keep(self._take_changes)
         await self.env.keep(self.suspicions.keep)
         await self.env.keep(self._keep_house)
@@ -198,8 +198,8 @@
 
         """
         while True:
-            await self.following.changed.wait()
-            self.following.changed.clear()
+            await self.feed_client.changed.wait()
+            self.feed_client.changed.clear()
             self._take_document()
             if self.view.cluster:
                 self.versions.refresh()
@@ -265,7 +265,7 @@
         Answer a peer's message.
 
         """
-        if await self.following.take(connection.peer, message):
+        if await self.feed_client.take(connection.peer, message):
             return None
         reply: Message | None = await self.on(message, connection)
         return reply
@@ -277,7 +277,7 @@
 
     @on.register
     async def _(self, message: messages.AskFeed, connection: Connection) -> Message:
-        return await self.relaying.answer(connection, message)
+        return await self.feed_relay.answer(connection, message)
 
     @on.register
     async def _(self, message: messages.EndpointReport, connection: Connection) -> Message:
@@ -285,9 +285,9 @@
         An endpoint daemon is cut off from the replicas: pass its report on.
 
         """
-        if not self.following.connected:
+        if not self.feed_client.connected:
             return messages.Done(False)
-        replica = address_of(str(self.following.source))
+        replica = address_of(str(self.feed_client.source))
         try:
             return await self.peers.call(replica, message, REPORT_TIMEOUT_S)
         except PeerError as error:
--- a/packages/millforkd/millforkd/proxy/suspicions.py
+++ b/packages/millforkd/millforkd/proxy/suspicions.py
@@ -10,7 +10,7 @@
 from millfork_core.environment import Environment
 from millfork_core.logs import Part, logger
 from millfork_registry.discovery import address_of
-from millfork_registry.following import Following
+from millfork_registry.feed_client import FeedClient
 from millfork_registry.suspects import Suspects, encode_suspicions
 from millfork_wire.connection import PeerError
 from millfork_wire.messages import Done, SuspicionReport
@@ -31,11 +31,11 @@
     """
 
     def __init__(
-        self, env: Environment, peers: Peers, following: Following, suspects: Suspects
+        self, env: Environment, peers: Peers, feed_client: FeedClient, suspects: Suspects
     ) -> None:
         self.env = env
         self.peers = peers
-        self.following = following
+        self.feed_client = feed_client
         self.suspects = suspects
 
     async def keep(self) -> None:
@@ -51,7 +51,7 @@
 
     async def _tell(self) -> bool:
         told = dict(self.suspects.untold)
-        name = self.following.reports_to
+        name = self.feed_client.reports_to
         if not name:
             return False
         report = SuspicionReport(encode_suspicions(list(told.values())))
--- a/packages/millforkd/millforkd/replica/control.py
+++ b/packages/millforkd/millforkd/replica/control.py
@@ -37,7 +37,7 @@
 from millfork_web.problem import problem
 from millfork_web.server import Exchange
 from millforkd.document import document_in
-from millforkd.replica.mesh import Mesh
+from millforkd.replica.replica_links import ReplicaLinks
 
 # The operator asks another replica after a second.
 PATIENCE_S: Final = 0.9
@@ -63,7 +63,7 @@
         view: View,
         registry: Registry,
         followers: Followers,
-        mesh: Mesh,
+        replica_links: ReplicaLinks,
         proposals: Proposals,
     ) -> None:
         self.env = env
@@ -71,7 +71,7 @@
         self.view = view
         self.registry = registry
         self.followers = followers
-        self.mesh = mesh
+        self.replica_links = replica_links
         self.proposals = proposals
         # The services declared; None: nothing is yet.
         self.services: frozenset[ServiceName] | None = None
@@ -181,7 +181,7 @@
         key = (instance, lease.incarnation, lease.state)
         if key in self.spread:
             return
-        if not await self.mesh.spread(lease):
+        if not await self.replica_links.spread(lease):
             raise Refused(Refusal(Reason.NO_QUORUM, detail='too few replicas know of it'))
         self.spread.add(key)
 
--- a/packages/millforkd/millforkd/replica/daemon.py
+++ b/packages/millforkd/millforkd/replica/daemon.py
@@ -33,8 +33,8 @@
 from millfork_wire.messages import Done, Message, VersionSwitch
 from millforkd.admin import Admin
 from millforkd.replica.control import Control
-from millforkd.replica.mesh import Mesh
 from millforkd.replica.quarantine import QuarantineList
+from millforkd.replica.replica_links import ReplicaLinks
 from millforkd.seeded import peers_for
 from millforkd.versions import Versions
 
@@ -82,7 +82,7 @@
         self.answers = StateAnswers(self.node)
         self.registry = Registry(env, heartbeat_s)
         self.followers = Followers(env, self.replica, self.registry)
-        self.mesh = Mesh(
+        self.replica_links = ReplicaLinks(
             env,
             self.peers,
             self.replica,
@@ -96,7 +96,7 @@
             env,
             self.replica.view,
             settings.promises.version_ms,
-            self.mesh.switch_ends,
+            self.replica_links.version_cutoffs,
             untold_ms=0,
             leads=self._leads,
             arrived=self.replica.arrivals.of,
@@ -118,7 +118,7 @@
             self.replica.view,
             self.registry,
             self.followers,
-            self.mesh,
+            self.replica_links,
             self.proposals,
         )
         self.server = Server(
@@ -163,7 +163,7 @@
         await self.env.keep(self.peers.listen)
         await self.env.keep(self.peers.probe_idle)
         await self.env.keep(self.admin.run)
-        await self.env.keep(self.mesh.keep)
+        await self.env.keep(self.replica_links.keep)
         await self.env.keep(self.followers.wake_on_configuration)
         await self.env.keep(self._learn_versions)
         await self.env.keep(self.quarantine.keep)
@@ -210,7 +210,7 @@
 
     @on.register
     async def _(self, message: messages.FindReplicas, connection: Connection) -> Message:
-        return self.mesh.on_find(message, connection.hello.zone)
+        return self.replica_links.on_find(message, connection.hello.zone)
 
     @on.register
     async def _(self, message: messages.Follow, connection: Connection) -> Message:
@@ -219,7 +219,7 @@
 
     @on.register
     async def _(self, message: messages.Leases, connection: Connection) -> Message:
-        await self.mesh.on_leases(connection.peer, message)
+        await self.replica_links.on_leases(connection.peer, message)
         return Done(True)
 
     @on.register
--- a/packages/millforkd/millforkd/replica/mesh.py
+++ b/packages/millforkd/millforkd/replica/replica_links.py
@@ -19,7 +19,7 @@
 from millfork_registry.registry import Change, Registry
 from millfork_registry.roles import REPLICA_ROLE
 from millfork_registry.suspects import decode_suspicions
-from millfork_registry.switch_ends import SwitchEnds
+from millfork_registry.version_cutoffs import VersionCutoffs
 from millfork_state.replica import Replica
 from millfork_wire.connection import Connection, PeerError
 from millfork_wire.messages import FindReplicas, Follow, Leases, Replicas, VersionSwitch
@@ -62,7 +62,7 @@
             await self.enough.set()
 
 
-class Mesh:
+class ReplicaLinks:
     """
     This replica's ties to the others.
 
@@ -83,7 +83,7 @@
         # The versions named lately, for those who ask: whoever starts, or hears of one
         # late, does not know by itself how long ago that was.
         self.switches = switches
-        self.switch_ends = SwitchEnds()
+        self.version_cutoffs = VersionCutoffs()
         self.peers = peers
         self.replica = replica
         self.registry = registry
@@ -176,7 +176,7 @@
         self.heard[str(address.instance)] = self.env.monotonic()
         self.replica.learn_address(address)
         self.followers.entries_elsewhere[str(address.instance)] = reply.entries
-        self.switch_ends.note(asked_at, reply.switches)
+        self.version_cutoffs.note(asked_at, reply.switches)
         await self._follow(address)
 
     async def _follow(self, address: PeerAddress) -> None:
--- a/packages/millforkd/millforkd/seeded.py
+++ b/packages/millforkd/millforkd/seeded.py
@@ -8,9 +8,9 @@
 
 from millfork_core.environment import Environment
 from millfork_registry.discovery import Discovery
-from millfork_registry.following import Following
+from millfork_registry.feed_client import FeedClient
+from millfork_registry.feed_relay import FeedRelay
 from millfork_registry.registry import Registry
-from millfork_registry.relaying import Relaying
 from millfork_settings.loading import read_secret
 from millfork_settings.seeded import SeededSettings
 from millfork_state.view import View
@@ -60,8 +60,8 @@
     discovery: Discovery
     view: View
     registry: Registry
-    following: Following
-    relaying: Relaying
+    feed_client: FeedClient
+    feed_relay: FeedRelay
     versions: Versions
 
 
@@ -74,16 +74,16 @@
     discovery = Discovery(env, peers, settings.seed_instances)
     view = View()
     registry = Registry(env, settings.promises.heartbeat_ms / 1000)
-    following = Following(env, role, view, registry, peers, discovery)
-    relaying = Relaying(env, following)
+    feed_client = FeedClient(env, role, view, registry, peers, discovery)
+    feed_relay = FeedRelay(env, feed_client)
     versions = Versions(
         env,
         view,
         settings.promises.version_ms,
-        following.switch_ends,
+        feed_client.version_cutoffs,
         untold_ms=UNTOLD_MS,
         leads=never_leads,
-        is_current=lambda: following.connected,
+        is_current=lambda: feed_client.connected,
     )
-    relaying.switches = versions.switches
-    return Feed(peers, discovery, view, registry, following, relaying, versions)
+    feed_relay.switches = versions.switches
+    return Feed(peers, discovery, view, registry, feed_client, feed_relay, versions)
--- a/packages/millforkd/millforkd/switching.py
+++ b/packages/millforkd/millforkd/version_switching.py
@@ -9,4 +9,4 @@
 # the acknowledgement to the entry, a wait in an engine's queue that admission keeps
 # short (0.4 s), and the way, on which a lost packet costs 0.3 s. The last engines
 # begin to change then.
-LAST_SENT_S: Final = 0.9
+LAST_SEND_BEFORE_END_S: Final = 0.9
--- a/packages/millforkd/millforkd/versions.py
+++ b/packages/millforkd/millforkd/versions.py
@@ -11,12 +11,12 @@
 
 from millfork_core.environment import Environment
 from millfork_core.logs import Part, logger
-from millfork_registry.switch_ends import MS_PER_S, SwitchEnds
+from millfork_registry.version_cutoffs import MS_PER_S, VersionCutoffs
 from millfork_state.commands import decode_versioned
 from millfork_state.keys import VERSION_PREFIX
 from millfork_state.view import View
 from millfork_wire.messages import VersionSwitch
-from millforkd.switching import LAST_SENT_S
+from millforkd.version_switching import LAST_SEND_BEFORE_END_S
 
 # A request that has not begun on the old version is taken back this long
 # before it no longer may.
@@ -73,7 +73,7 @@
         env: Environment,
         view: View,
         switch_ms: float,
-        told: SwitchEnds | None = None,
+        told: VersionCutoffs | None = None,
         untold_ms: int = 0,
         leads: Callable[[], bool] = always_leads,
         is_current: Callable[[], bool] = always_current,
@@ -83,7 +83,7 @@
         self.view = view
         self.switch_s = switch_ms / MS_PER_S
         # What others answered.
-        self.told = told if told is not None else SwitchEnds()
+        self.told = told if told is not None else VersionCutoffs()
         self.untold_s = min(untold_ms, switch_ms) / MS_PER_S
         # Whether this process names versions itself, and so knows when that was.
         self.leads = leads
@@ -135,7 +135,7 @@
                 'named' if before is None else 'end corrected',
                 model,
                 version,
-                max(ends - now, 0) - LAST_SENT_S,
+                max(ends - now, 0) - LAST_SEND_BEFORE_END_S,
             )
 
     def _ends(self, model: str) -> dict[int, float]:
@@ -182,7 +182,11 @@
 
         """
         now = self.env.monotonic()
-        due = [version for version, ends in self._ends(model).items() if ends - LAST_SENT_S <= now]
+        due = [
+            version
+            for version, ends in self._ends(model).items()
+            if ends - LAST_SEND_BEFORE_END_S <= now
+        ]
         return max(due, default=0)
 
     def newest(self, model: str) -> int:
--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -135,9 +135,9 @@
     ),
     Mutation(
         'a replica that is cut off does not say that it knows all leases',
-        'tests/test_settled_leases.py::'
+        'tests/test_registry_completeness.py::'
         'test_a_replica_that_is_cut_off_does_not_say_that_it_knows_all_leases',
-        (Edit(D + 'replica/mesh.py', 'if known > len(members) // 2:', 'if True:'),),
+        (Edit(D + 'replica/replica_links.py', 'if known > len(members) // 2:', 'if True:'),),
     ),
     Mutation(
         'a back end that is silent is looked at again',
@@ -303,11 +303,11 @@
     ),
     Mutation(
         'who is cut off hears by way of another follower',
-        'tests/test_relaying.py::'
+        'tests/test_feed_relay.py::'
         'test_who_is_cut_off_hears_configuration_and_load_by_way_of_its_zone',
         (
             Edit(
-                'packages/millfork-registry/millfork_registry/relaying.py',
+                'packages/millfork-registry/millfork_registry/feed_relay.py',
                 'if not self._is_lost():',
                 'if True:',
             ),
@@ -426,11 +426,11 @@
     ),
     Mutation(
         'the end of a version counts from the question',
-        'tests/test_switch_ends.py::'
+        'tests/test_version_cutoffs.py::'
         'test_however_late_an_answer_is_given_or_read_no_end_is_later_than_the_true_one',
         (
             Edit(
-                G + 'switch_ends.py',
+                G + 'version_cutoffs.py',
                 'ends = asked_at + switch.left_ms / MS_PER_S',
                 'ends = asked_at + 0.5 + switch.left_ms / MS_PER_S',
             ),
@@ -438,12 +438,12 @@
     ),
     Mutation(
         'what has ended does not come back',
-        'tests/test_switch_ends.py::test_what_has_ended_does_not_come_back',
-        (Edit(G + 'switch_ends.py', '(known <= asked_at or ends <= known)', 'ends <= known'),),
+        'tests/test_version_cutoffs.py::test_what_has_ended_does_not_come_back',
+        (Edit(G + 'version_cutoffs.py', '(known <= asked_at or ends <= known)', 'ends <= known'),),
     ),
     Mutation(
         'every version told of has its own end',
-        'tests/test_switch_ends.py::test_the_end_of_a_version_that_another_one_followed_is_kept',
+        'tests/test_version_cutoffs.py::test_the_end_of_a_version_that_another_one_followed_is_kept',
         (
             Edit(
                 D + 'versions.py',
@@ -454,7 +454,7 @@
     ),
     Mutation(
         'only who led or was told tells of a version',
-        'tests/test_switch_ends.py::test_only_who_led_or_was_told_tells_of_a_version',
+        'tests/test_version_cutoffs.py::test_only_who_led_or_was_told_tells_of_a_version',
         (
             Edit(
                 D + 'versions.py',
@@ -465,11 +465,11 @@
     ),
     Mutation(
         'who is cut off is told the ends by way of another follower',
-        'tests/test_relaying.py::test_who_is_cut_off_is_told_when_a_version_ends',
+        'tests/test_feed_relay.py::test_who_is_cut_off_is_told_when_a_version_ends',
         (
             Edit(
-                G + 'relaying.py',
-                'await self.following.note_switches(asked_at, reply.switches)',
+                G + 'feed_relay.py',
+                'await self.feed_client.note_switches(asked_at, reply.switches)',
                 'pass',
             ),
         ),
@@ -775,7 +775,7 @@
     ),
     Mutation(
         'time counts while a machine is suspended',
-        'tests/test_suspension.py',
+        'tests/test_machine_suspension.py',
         (
             Edit(
                 'packages/millfork-core/millfork_core/clocks.py',
--- a/tests/test_following.py
+++ b/tests/test_feed_client.py
@@ -9,9 +9,9 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import InstanceId, ZoneId
-from millfork_registry import following as feeds
+from millfork_registry import feed_client as feeds
 from millfork_registry.discovery import Discovery
-from millfork_registry.following import Following
+from millfork_registry.feed_client import FeedClient
 from millfork_registry.registry import Registry
 from millfork_state.view import View
 from millfork_wire.connection import PeerUnreachable
@@ -56,10 +56,10 @@
         self.closed = True
 
 
-def following(replicas):
+def feed_client(replicas):
     env = Environment(InstanceId('10.0.0.9:7'), ZoneId('near'))
     discovery = Discovery(env, replicas, ['10.0.0.1:7', '10.0.0.2:7'])
-    return Following(env, 'entry', View(), Registry(env, 1.0), replicas, discovery)
+    return FeedClient(env, 'entry', View(), Registry(env, 1.0), replicas, discovery)
 
 
 async def watched(made, replicas, condition, bound_s=5.0):
@@ -75,7 +75,7 @@
 def test_a_follower_goes_to_a_replica_of_its_zone_once_there_is_one(monkeypatch):
     monkeypatch.setattr(feeds, 'LOOK_NEARER_S', 0.1)
     replicas = StandInReplicas('10.0.0.1:7')
-    made = following(replicas)
+    made = feed_client(replicas)
 
     async def run():
         await watched(made, replicas, lambda: replicas.followed == ['far'])
@@ -90,7 +90,7 @@
     monkeypatch.setattr(feeds, 'LOOK_NEARER_S', 0.1)
     monkeypatch.setitem(ZONES, '10.0.0.3:7', 'far')
     replicas = StandInReplicas('10.0.0.1:7', '10.0.0.3:7')
-    made = following(replicas)
+    made = feed_client(replicas)
     made.discovery.learn('10.0.0.3:7')
 
     async def run():
@@ -106,7 +106,7 @@
     monkeypatch.setattr(feeds, 'LOOK_NEARER_S', 0.1)
     replicas = StandInReplicas('10.0.0.1:7', '10.0.0.2:7')
     replicas.age_ms = feeds.STALE_MS + 1
-    made = following(replicas)
+    made = feed_client(replicas)
 
     async def run():
         await watched(made, replicas, lambda: replicas.followed == ['far'])
@@ -118,10 +118,10 @@
 
 
 def test_the_number_of_entries_is_told_by_the_replica_that_is_followed():
-    made = following(StandInReplicas())
+    made = feed_client(StandInReplicas())
     made.source = InstanceId('10.0.0.1:7')
     told = Leases(entries=6, most_entries=7)
-    daemon = SimpleNamespace(following=made)
+    daemon = SimpleNamespace(feed_client=made)
 
     async def run():
         # By way of another follower.
--- a/tests/test_suspension.py
+++ b/tests/test_machine_suspension.py
@@ -8,7 +8,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import ClusterId, InstanceId, Revision, ZoneId
-from millfork_registry.switch_ends import SwitchEnds
+from millfork_registry.version_cutoffs import VersionCutoffs
 from millfork_state.view import View
 from millfork_wire.messages import VersionSwitch
 from millforkd.versions import Versions, never_leads
@@ -23,7 +23,7 @@
     env = Environment(InstanceId('a:1'), ZoneId('z1'))
     view = View()
     view.replace(ClusterId('c'), Revision(1), {})
-    told = SwitchEnds()
+    told = VersionCutoffs()
     versions = Versions(env, view, 8000, told, leads=never_leads)
     name(view, versions, 1)
     name(view, versions, 2)
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -33,7 +33,7 @@
     limit_of,
 )
 from millfork_standins.seeded import SeededFleet
-from millforkd.versions import LAST_SENT_S
+from millforkd.versions import LAST_SEND_BEFORE_END_S
 from tests.test_seeded import filled
 from tests.test_servers import ENGINE
 from tests.utils.fleets import wait_until
@@ -144,4 +144,4 @@
     if not found:
         return None
     moment, due_s = found[-1]
-    return datetime.fromisoformat(moment).timestamp() + float(due_s) + LAST_SENT_S
+    return datetime.fromisoformat(moment).timestamp() + float(due_s) + LAST_SEND_BEFORE_END_S
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -19,7 +19,7 @@
     encode_records,
 )
 from millfork_registry.registry import REMEMBERED_S, Change, Registry
-from millfork_registry.table import Table
+from millfork_registry.versioned_table import VersionedTable
 
 HEARTBEAT_S = 1.0
 LEASE_S = 3.5
@@ -196,7 +196,7 @@
 
 @given(st.lists(st.tuples(st.sampled_from('abc'), st.integers(0, 9)), max_size=20))
 def test_a_table_tells_exactly_what_changed_after_a_version(changes):
-    table = Table()
+    table = VersionedTable()
     seen = 0
     copy = {}
     for position, (key, value) in enumerate(changes):
--- a/tests/test_settled_leases.py
+++ b/tests/test_registry_completeness.py
@@ -15,12 +15,12 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import InstanceId, ZoneId
+from millfork_registry.feed_client import FeedClient
 from millfork_registry.followers import Follower, Followers
-from millfork_registry.following import Following
 from millfork_registry.records import Lease, LeaseState
 from millfork_registry.registry import Registry
 from millfork_registry.roles import ENTRY_ROLE
-from millforkd.replica.mesh import SETTLED_HEARTBEATS, Mesh
+from millforkd.replica.replica_links import SETTLED_HEARTBEATS, ReplicaLinks
 from tests.test_servers import Clock
 
 HEARTBEAT_S = 1.2
@@ -44,7 +44,7 @@
         self.registry = Registry(self.env, HEARTBEAT_S)
         self.followers = Followers(self.env, None, self.registry)
         self.replica = SimpleNamespace(members=[(name, 'disk') for name in NAMES])
-        self.mesh = Mesh(
+        self.replica_links = ReplicaLinks(
             self.env, None, self.replica, self.registry, None, self.followers, HEARTBEAT_S
         )
 
@@ -54,16 +54,16 @@
 
         """
         for name in names:
-            self.mesh.followed[InstanceId(name)] = SimpleNamespace(closed=False)
+            self.replica_links.followed[InstanceId(name)] = SimpleNamespace(closed=False)
 
     def pass_time(self, seconds):
         self.clock.now += seconds
-        self.mesh.note_settled()
+        self.replica_links.note_settled()
 
     def left_at(self, entry):
         message = self.followers._leases_for(Follower(None, ENTRY_ROLE))
-        following = Following(self.env, ENTRY_ROLE, None, entry, None, None)
-        curio.run(following._take_leases, InstanceId('a:1'), message)
+        feed_client = FeedClient(self.env, ENTRY_ROLE, None, entry, None, None)
+        curio.run(feed_client._take_leases, InstanceId('a:1'), message)
         return sorted(item.instance for item in entry.leases.values())
 
 
@@ -99,7 +99,7 @@
 
 def test_one_that_it_follows_no_more_does_not_count(restarted):
     restarted.follow('b:1')
-    restarted.mesh.followed[InstanceId('b:1')].closed = True
+    restarted.replica_links.followed[InstanceId('b:1')].closed = True
     restarted.pass_time(LONG_S)
     assert not restarted.registry.settled
 
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -19,7 +19,7 @@
 from millforkd.beside.pieces import PieceStore, WeightsId
 from millforkd.beside.rollout import DRAIN_S, LATE_DRAIN_S, TURNS, Rollout
 from millforkd.beside.target import Target
-from millforkd.switching import LAST_SENT_S
+from millforkd.version_switching import LAST_SEND_BEFORE_END_S
 from tests.test_servers import Clock
 
 LAYERS, PIECES = 4, 8
@@ -249,7 +249,7 @@
         task = await engines.run()
         watching = await curio.spawn(expiry.keep, daemon=True)
         await engines.until(lambda: engines.engine.orders)
-        ends = engines.target.due + LAST_SENT_S
+        ends = engines.target.due + LAST_SEND_BEFORE_END_S
         assert engines.target.due < engines.env.monotonic() < ends
         assert engines.engine.orders == [(2, 0, 1, False, 3)]
         assert engines.engine.laid == [0, 1]
@@ -274,7 +274,7 @@
         task = await engines.run()
         watching = await curio.spawn(expiry.keep, daemon=True)
         await engines.until(lambda: engines.engine.orders)
-        ends = engines.target.due + LAST_SENT_S
+        ends = engines.target.due + LAST_SEND_BEFORE_END_S
         assert engines.target.due < engines.env.monotonic() < ends
         (order,) = engines.engine.orders
         assert order == (1, LAYERS // 2, LAYERS // 2 + 1, False, 3)
@@ -389,7 +389,7 @@
         rollout.report = await engines.engine.report()
         expiry = Expiry(engines.env, engines.engine, rollout.store, rollout)
         held = rollout.store.of(engines.target.weights)
-        clock.now = engines.target.due + LAST_SENT_S - 1.0
+        clock.now = engines.target.due + LAST_SEND_BEFORE_END_S - 1.0
         for count in range(here - 3, here + 1):
             held.pieces = dict.fromkeys(range(count), b'piece')
             expiry._note_arrivals(count)
--- a/tests/test_switch_ends.py
+++ b/tests/test_version_cutoffs.py
@@ -9,7 +9,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import InstanceId, ZoneId
-from millfork_registry.switch_ends import SwitchEnds
+from millfork_registry.version_cutoffs import VersionCutoffs
 from millfork_state.view import View
 from millfork_wire.messages import VersionSwitch
 from millforkd.versions import CUT_S, UNTOLD_MS, Versions, never_leads
@@ -33,7 +33,7 @@
 
 @pytest.fixture
 def told():
-    return SwitchEnds()
+    return VersionCutoffs()
 
 
 def versions(clock, view, told, untold_ms, leads):
@@ -50,7 +50,7 @@
 
 @given(st.lists(st.tuples(st.floats(0, 7), st.floats(0, 3)), min_size=1, max_size=6))
 def test_however_late_an_answer_is_given_or_read_no_end_is_later_than_the_true_one(questions):
-    told = SwitchEnds()
+    told = VersionCutoffs()
     for asked_s, way_s in questions:
         # Of 8 s after the naming, so much is left once the question has arrived.
         left_s = max(SWITCH_S - asked_s - way_s, 0)
--- a/tests/test_version_ends_after_restart.py
+++ b/tests/test_version_ends_after_restart.py
@@ -13,7 +13,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import InstanceId, ZoneId
-from millfork_registry.switch_ends import SwitchEnds
+from millfork_registry.version_cutoffs import VersionCutoffs
 from millfork_standins.seeded import SeededFleet
 from millfork_state.storage import LOG_FILE, RECORD
 from millfork_state.view import View
@@ -93,7 +93,7 @@
     A version is named while a replica is away, and has long ended what came before it when
     that replica and an entry start together. The replica told its state as fresh as soon as it
     heard its leader, before it had what was committed meanwhile, so the entry followed it
-    (`Following replica. age_ms=36`, at revision 1), heard of the version 58 ms later, took it
+    (`FeedClient replica. age_ms=36`, at revision 1), heard of the version 58 ms later, took it
     for one named just then (`Version named. version=2 due_s=1.1`) and could have sent requests
     to the ended one until it was told better 0.2 s later (`Version end corrected. due_s=-0.9`).
     It came in 4 of 15 runs, five at a time beside other work. A replica's age now counts from
@@ -139,7 +139,7 @@
 
 
 def test_a_version_that_ended_stays_ended_when_the_same_replica_restarts():
-    clock, view, told = Clock(), View(), SwitchEnds()
+    clock, view, told = Clock(), View(), VersionCutoffs()
     env = Environment(InstanceId('a:1'), ZoneId('zone'), monotonic=clock)
     entry = Versions(env, view, SWITCH_MS, told, UNTOLD_MS, never_leads)
     named = VersionSwitch('m', 2, SWITCH_MS)
@@ -155,7 +155,7 @@
 def test_replicas_that_asked_each_other_slowly_once_do_not_keep_an_end_too_early():
     clock = Clock()
     views = [View(), View()]
-    told = [SwitchEnds(), SwitchEnds()]
+    told = [VersionCutoffs(), VersionCutoffs()]
     replicas = []
     for number in range(2):
         env = Environment(InstanceId(f'r{number}:1'), ZoneId('zone'), monotonic=clock)
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -18,7 +18,7 @@
 from millforkd.beside.pieces import PieceStore, WeightsId
 from millforkd.beside.target import STUCK_AFTER_S, Targets
 from millforkd.proxy.admission import Admission
-from millforkd.switching import LAST_SENT_S
+from millforkd.version_switching import LAST_SEND_BEFORE_END_S
 from millforkd.versions import Versions
 from tests.test_servers import ENGINE, Clock
 
@@ -54,7 +54,7 @@
 def test_until_a_new_version_is_due_an_older_one_will_do(view, versions, clock):
     name(view, versions, 2)
     assert (versions.least('m'), versions.newest('m')) == (0, 2)
-    clock.now += SWITCH_S - LAST_SENT_S + 0.01
+    clock.now += SWITCH_S - LAST_SEND_BEFORE_END_S + 0.01
     assert versions.least('m') == 2
 
 
@@ -62,7 +62,7 @@
     name(view, versions, 2)
     clock.now += 3
     name(view, versions, 3)
-    clock.now += SWITCH_S - LAST_SENT_S - 2.9
+    clock.now += SWITCH_S - LAST_SEND_BEFORE_END_S - 2.9
     assert versions.least('m') == 2
     clock.now += 3
     assert versions.least('m') == 3
@@ -143,9 +143,9 @@
     clock.now += 2.0
     name(view, versions, 3)
     made.choose(FIGURES)
-    clock.now += SWITCH_S - 2.0 - LAST_SENT_S
+    clock.now += SWITCH_S - 2.0 - LAST_SEND_BEFORE_END_S
     made.choose(FIGURES)
-    clock.now += LAST_SENT_S + 0.4
+    clock.now += LAST_SEND_BEFORE_END_S + 0.4
     for _ in range(8):
         assert made.choose(FIGURES).weights.version == 3
         clock.now += STUCK_AFTER_S / 5
