--- a/packages/millfork-registry/millfork_registry/feed_client.py
+++ b/packages/millfork-registry/millfork_registry/feed_client.py
@@ -140,7 +140,7 @@
         self.asked_at = self.heard_at
         self.age_ms = reply.age_ms
         log.info('Following replica {}. age_ms={}', address.instance, reply.age_ms)
-        await self.registry.suspects.tell_again()
+        await self.registry.suspects.mark_all_unsent()
         return True
 
     async def _ask(self, address: PeerAddress) -> Replicas | None:
@@ -168,7 +168,9 @@
 
         """
         return any(
-            self.version_cutoffs.at(key.removeprefix(VERSION_PREFIX), decode_versioned(value).version)
+            self.version_cutoffs.at(
+                key.removeprefix(VERSION_PREFIX), decode_versioned(value).version
+            )
             is None
             for key, value in self.view.prefixed(VERSION_PREFIX).items()
         )
@@ -299,7 +301,7 @@
             self.registry.take(lease)
         for state in endpoints:
             self.registry.take_endpoint(state)
-        await self.registry.suspects.hear(suspicions)
+        await self.registry.suspects.merge(suspicions)
         if message.full and message.settled:
             self.registry.settled = True
             self.registry.keep_only(
--- a/packages/millfork-registry/millfork_registry/suspects.py
+++ b/packages/millfork-registry/millfork_registry/suspects.py
@@ -18,14 +18,14 @@
 from millfork_registry.versioned_table import VersionedTable
 
 # A job that runs each hour may end one back end with each of its tries.
-REMEMBERED_S: Final = 24 * 3600.0
+SUSPICION_RETENTION_S: Final = 24 * 3600.0
 # A caller that varies its body makes a record with each back end that it ends; 4,096 take
 # 1.5 MB, and are more than 200 engines of 16 requests have under way when all end at once.
-MOST_SUSPECTS: Final = 4096
+MAX_SUSPICIONS: Final = 4096
 # More incarnations under one request change nothing; each takes some 40 bytes.
-MOST_BROKEN: Final = 4
+MAX_BROKEN_INCARNATIONS: Final = 4
 # What may prove to be nothing is kept from others for this long.
-PRIVATE_S: Final = 1.5
+MAX_PRIVATE_S: Final = 1.5
 EPOCH_BYTES: Final = 8
 
 log = logger(Part.REGISTRY)
@@ -65,10 +65,10 @@
     def with_ends(self, ends: int) -> 'Suspicion':
         return Suspicion(self.fingerprint, self.epoch, ends, self.broken)
 
-    def with_broken(self, incarnation: IncarnationKey) -> 'Suspicion':
-        return self.joined(Suspicion(self.fingerprint, self.epoch, 0, (incarnation,)))
+    def with_broken_answer(self, incarnation: IncarnationKey) -> 'Suspicion':
+        return self.merged_with(Suspicion(self.fingerprint, self.epoch, 0, (incarnation,)))
 
-    def without(self, incarnation: IncarnationKey) -> 'Suspicion':
+    def without_broken(self, incarnation: IncarnationKey) -> 'Suspicion':
         """
         After it is known that an incarnation lives on.
 
@@ -76,14 +76,14 @@
         left = tuple(key for key in self.broken if key != incarnation)
         return Suspicion(self.fingerprint, self.epoch + 1, min(self.ends, len(left)), left)
 
-    def joined(self, other: 'Suspicion') -> 'Suspicion':
+    def merged_with(self, other: 'Suspicion') -> 'Suspicion':
         """
         What is known where both are.
 
         """
         if self.epoch != other.epoch:
             return max(self, other, key=lambda item: item.epoch)
-        broken = tuple(sorted({*self.broken, *other.broken})[:MOST_BROKEN])
+        broken = tuple(sorted({*self.broken, *other.broken})[:MAX_BROKEN_INCARNATIONS])
         return Suspicion(self.fingerprint, self.epoch, max(self.ends, other.ends), broken)
 
     def cleared(self) -> 'Suspicion':
@@ -131,24 +131,24 @@
         self.table: VersionedTable[Suspicion] = VersionedTable()
         self.changed_at: dict[Fingerprint, float] = {}
         # What those that this process hears from do not know; set `news` with it.
-        self.untold: dict[Fingerprint, Suspicion] = {}
-        self.news = curio.Event()
+        self.unsent: dict[Fingerprint, Suspicion] = {}
+        self.unsent_event = curio.Event()
         # What this process keeps to itself, as it may prove to be nothing within moments, and
         # since when.
-        self.private: dict[Fingerprint, float] = {}
+        self.private_since: dict[Fingerprint, float] = {}
 
-    def of(self, fingerprint: Fingerprint) -> Suspicion:
+    def get(self, fingerprint: Fingerprint) -> Suspicion:
         return self.table.get(fingerprint) or Suspicion(fingerprint)
 
-    async def note(self, suspicion: Suspicion) -> None:
+    async def record(self, suspicion: Suspicion) -> None:
         """
         Take what this process found out itself, and tell others.
 
         """
-        if self._put(suspicion):
-            await self.tell(suspicion.fingerprint)
+        if self._merge_one(suspicion):
+            await self.mark_unsent(suspicion.fingerprint)
 
-    def note_privately(self, suspicion: Suspicion) -> None:
+    def record_privately(self, suspicion: Suspicion) -> None:
         """
         Take what this process found out itself; others hear of it with what is told next
         of the same request.
@@ -156,26 +156,26 @@
         """
         fingerprint = suspicion.fingerprint
         if self.table.get(fingerprint) is None:
-            self.private[fingerprint] = self.monotonic()
-        self._put(suspicion)
+            self.private_since[fingerprint] = self.monotonic()
+        self._merge_one(suspicion)
 
     async def publish(self, fingerprint: Fingerprint) -> None:
         """
         Tell others what was kept from them.
 
         """
-        if fingerprint in self.private:
-            await self.tell(fingerprint)
+        if fingerprint in self.private_since:
+            await self.mark_unsent(fingerprint)
 
-    async def publish_old(self) -> None:
+    async def publish_overdue(self) -> None:
         """
         Tell others what did not prove to be nothing.
 
         """
-        since = self.monotonic() - PRIVATE_S
-        for fingerprint, kept_since in list(self.private.items()):
+        since = self.monotonic() - MAX_PRIVATE_S
+        for fingerprint, kept_since in list(self.private_since.items()):
             if kept_since < since:
-                await self.tell(fingerprint)
+                await self.mark_unsent(fingerprint)
 
     async def withdraw(self, suspicion: Suspicion) -> None:
         """
@@ -183,36 +183,36 @@
         to hear of it.
 
         """
-        if suspicion.fingerprint in self.private and suspicion.is_clear:
+        if suspicion.fingerprint in self.private_since and suspicion.is_clear:
             self._forget(suspicion.fingerprint)
             return
-        await self.note(suspicion)
+        await self.record(suspicion)
 
-    async def tell(self, fingerprint: Fingerprint) -> None:
+    async def mark_unsent(self, fingerprint: Fingerprint) -> None:
         """
         Tell others what is known of a request.
 
         """
-        self.private.pop(fingerprint, None)
-        self.untold[fingerprint] = self.of(fingerprint)
-        await self.news.set()
+        self.private_since.pop(fingerprint, None)
+        self.unsent[fingerprint] = self.get(fingerprint)
+        await self.unsent_event.set()
 
-    async def hear(self, told: list[Suspicion]) -> list[Fingerprint]:
+    async def merge(self, told: list[Suspicion]) -> list[Fingerprint]:
         """
         Take what another process knows; returns of which requests anything was new.
 
         """
         new = []
         for suspicion in told:
-            if self._put(suspicion):
+            if self._merge_one(suspicion):
                 new.append(suspicion)
-                self.private.pop(suspicion.fingerprint, None)
-            held = self.of(suspicion.fingerprint)
+                self.private_since.pop(suspicion.fingerprint, None)
+            held = self.get(suspicion.fingerprint)
             if held == suspicion:
-                self.untold.pop(suspicion.fingerprint, None)
+                self.unsent.pop(suspicion.fingerprint, None)
                 continue
             # The other may have started anew, and others who hear from it too.
-            await self.tell(suspicion.fingerprint)
+            await self.mark_unsent(suspicion.fingerprint)
         if new:
             log.info(
                 'Heard of suspects. requests={} most_ends={} most_broken={}',
@@ -222,35 +222,35 @@
             )
         return [suspicion.fingerprint for suspicion in new]
 
-    def told(self) -> list[Suspicion]:
+    def published(self) -> list[Suspicion]:
         """
         All that others may hear of.
 
         """
-        return [item for item in self.table.values() if item.fingerprint not in self.private]
+        return [item for item in self.table.values() if item.fingerprint not in self.private_since]
 
-    async def tell_again(self) -> None:
+    async def mark_all_unsent(self) -> None:
         """
         Tell all, as whoever is heard from now on may have started anew.
 
         """
-        for suspicion in self.told():
-            self.untold[suspicion.fingerprint] = suspicion
-        if self.untold:
-            await self.news.set()
-
-    def _put(self, suspicion: Suspicion) -> bool:
-        held = self.of(suspicion.fingerprint)
-        joined = held.joined(suspicion)
+        for suspicion in self.published():
+            self.unsent[suspicion.fingerprint] = suspicion
+        if self.unsent:
+            await self.unsent_event.set()
+
+    def _merge_one(self, suspicion: Suspicion) -> bool:
+        held = self.get(suspicion.fingerprint)
+        joined = held.merged_with(suspicion)
         if joined == held:
             return False
         self.table.put(suspicion.fingerprint, joined)
         self.changed_at[suspicion.fingerprint] = self.monotonic()
-        if len(self.table) > MOST_SUSPECTS:
-            self._forget(self._least_needed())
+        if len(self.table) > MAX_SUSPICIONS:
+            self._forget(self._oldest_dispensable())
         return True
 
-    def _least_needed(self) -> Fingerprint:
+    def _oldest_dispensable(self) -> Fingerprint:
         """
         The oldest record that suspects nothing, or else the oldest one.
 
@@ -260,12 +260,12 @@
                 return suspicion.fingerprint
         return next(iter(self.table.values())).fingerprint
 
-    def forget_old(self) -> None:
+    def forget_expired(self) -> None:
         """
         Drop what has not changed for long.
 
         """
-        since = self.monotonic() - REMEMBERED_S
+        since = self.monotonic() - SUSPICION_RETENTION_S
         for suspicion in list(self.table.values()):
             if self.changed_at[suspicion.fingerprint] > since:
                 # The table is in the order of changes.
@@ -275,5 +275,5 @@
     def _forget(self, fingerprint: Fingerprint) -> None:
         self.table.drop(fingerprint)
         self.changed_at.pop(fingerprint, None)
-        self.untold.pop(fingerprint, None)
-        self.private.pop(fingerprint, None)
+        self.unsent.pop(fingerprint, None)
+        self.private_since.pop(fingerprint, None)
--- a/packages/millforkd/millforkd/entry/crashes.py
+++ b/packages/millforkd/millforkd/entry/crashes.py
@@ -124,7 +124,7 @@
     async def _take(self, outcome: Refusal, before: Suspicion) -> None:
         if outcome.reason is not Reason.BACKEND_FAILED or outcome.verdict is Verdict.NOT_RUN:
             return
-        await self.suspects.note(before.with_end())
+        await self.suspects.record(before.with_end())
         self._log_end(before)
 
     @_take.register
@@ -190,7 +190,7 @@
         log.info(
             'A back end ended under a request. fingerprint={} ends={}',
             before.fingerprint,
-            self.suspects.of(before.fingerprint).ends,
+            self.suspects.get(before.fingerprint).ends,
         )
 
     async def keep_house(self) -> None:
@@ -198,8 +198,8 @@
         Forget what is old, and tell others what did not prove to be nothing.
 
         """
-        self.suspects.forget_old()
-        await self.suspects.publish_old()
+        self.suspects.forget_expired()
+        await self.suspects.publish_overdue()
         since = self.env.monotonic() - PENDING_S
         for request_id, pending in list(self.pending.items()):
             if pending.since < since:
--- a/packages/millforkd/millforkd/entry/spreading.py
+++ b/packages/millforkd/millforkd/entry/spreading.py
@@ -73,10 +73,10 @@
         """
         await self._learn()
         while True:
-            await self.suspects.news.wait()
-            self.suspects.news.clear()
-            told = set(self.suspects.untold)
-            self.suspects.untold.clear()
+            await self.suspects.unsent_event.wait()
+            self.suspects.unsent_event.clear()
+            told = set(self.suspects.unsent)
+            self.suspects.unsent.clear()
             order = [facts.instance for facts in self.roster.all_entries()]
             for name in told_by(order, self.env.instance):
                 self.owed.setdefault(name, set()).update(told)
@@ -100,7 +100,7 @@
 
     async def _tell(self, address: PeerAddress) -> bool:
         told = self.owed.pop(address.instance)
-        body = encode_suspicions([self.suspects.of(fingerprint) for fingerprint in told])
+        body = encode_suspicions([self.suspects.get(fingerprint) for fingerprint in told])
         try:
             reply = await self.peers.call(address, SuspicionReport(body), TELL_TIMEOUT_S)
         except PeerError as error:
@@ -124,8 +124,8 @@
         except msgspec.DecodeError as error:
             log.warning('Suspicions of {} can not be read: {}.', name, error)
             return False
-        for fingerprint in await self.suspects.hear(told):
-            await self.suspects.tell(fingerprint)
+        for fingerprint in await self.suspects.merge(told):
+            await self.suspects.mark_unsent(fingerprint)
         return True
 
     # Learning.
@@ -135,7 +135,7 @@
         Tell all to an entry that starts.
 
         """
-        return SuspicionReport(encode_suspicions(self.suspects.told()))
+        return SuspicionReport(encode_suspicions(self.suspects.published()))
 
     async def _learn(self) -> None:
         while self.roster.version < 0:
--- a/packages/millforkd/millforkd/proxy/daemon.py
+++ b/packages/millforkd/millforkd/proxy/daemon.py
@@ -232,8 +232,8 @@
             await curio.sleep(HOUSEKEEPING_S)
             await self.pools.close_old()
             self.budget.count_entries()
-            self.registry.suspects.forget_old()
-            await self.registry.suspects.publish_old()
+            self.registry.suspects.forget_expired()
+            await self.registry.suspects.publish_overdue()
             self._log_repeats()
 
     def _log_repeats(self) -> None:
@@ -306,7 +306,7 @@
             log.warning('Suspicions of {} can not be read: {}.', connection.peer, error)
             return messages.Done(False)
         for suspicion in told:
-            await self.registry.suspects.note(suspicion)
+            await self.registry.suspects.record(suspicion)
         return messages.Done(True)
 
     @on.register
--- a/packages/millforkd/millforkd/proxy/suspicions.py
+++ b/packages/millforkd/millforkd/proxy/suspicions.py
@@ -44,13 +44,13 @@
 
         """
         while True:
-            await self.suspects.news.wait()
-            self.suspects.news.clear()
-            while self.suspects.untold and not await self._tell():
+            await self.suspects.unsent_event.wait()
+            self.suspects.unsent_event.clear()
+            while self.suspects.unsent and not await self._tell():
                 await curio.sleep(AGAIN_S)
 
     async def _tell(self) -> bool:
-        told = dict(self.suspects.untold)
+        told = dict(self.suspects.unsent)
         name = self.feed_client.reports_to
         if not name:
             return False
@@ -63,6 +63,6 @@
         if not isinstance(reply, Done) or not reply.ok:
             return False
         for fingerprint, suspicion in told.items():
-            if self.suspects.untold.get(fingerprint) == suspicion:
-                del self.suspects.untold[fingerprint]
+            if self.suspects.unsent.get(fingerprint) == suspicion:
+                del self.suspects.unsent[fingerprint]
         return True
--- a/packages/millforkd/millforkd/quarantine.py
+++ b/packages/millforkd/millforkd/quarantine.py
@@ -55,7 +55,7 @@
         What is known of a request at this moment.
 
         """
-        return self.suspects.of(self.fingerprints.of(item))
+        return self.suspects.get(self.fingerprints.of(item))
 
     def bars(self, item: Item) -> Standing | None:
         """
--- a/packages/millforkd/millforkd/replica/daemon.py
+++ b/packages/millforkd/millforkd/replica/daemon.py
@@ -229,7 +229,7 @@
         except msgspec.DecodeError as error:
             log.warning('Suspicions of {} can not be read: {}.', connection.peer, error)
             return Done(False)
-        if await self.registry.suspects.hear(told):
+        if await self.registry.suspects.merge(told):
             await self.followers.wake()
         return Done(True)
 
--- a/packages/millforkd/millforkd/replica/quarantine.py
+++ b/packages/millforkd/millforkd/replica/quarantine.py
@@ -63,7 +63,7 @@
         """
         while True:
             await curio.sleep(LOOK_EVERY_S)
-            self.suspects.forget_old()
+            self.suspects.forget_expired()
             if self.leads():
                 await self.settle()
 
--- a/packages/millforkd/millforkd/replica/replica_links.py
+++ b/packages/millforkd/millforkd/replica/replica_links.py
@@ -242,7 +242,7 @@
         changes += [self.registry.take_endpoint(state) for state in endpoints]
         if message.full and message.settled:
             self.registry.settled = True
-        news = await self.registry.suspects.hear(suspicions)
+        news = await self.registry.suspects.merge(suspicions)
         if news or Change.CHANGED in changes:
             await self.followers.wake()
 
--- a/packages/millforkd/millforkd/suspecting.py
+++ b/packages/millforkd/millforkd/suspecting.py
@@ -33,8 +33,8 @@
         A request broke off at an incarnation of a back end.
 
         """
-        known = self.suspects.of(fingerprint)
-        self.suspects.note_privately(known.with_broken(incarnation))
+        known = self.suspects.get(fingerprint)
+        self.suspects.record_privately(known.with_broken_answer(incarnation))
         if not known.is_clear or self.told_at_once.spend(self.env.monotonic()):
             await self.suspects.publish(fingerprint)
 
@@ -44,18 +44,18 @@
         sent there.
 
         """
-        known = self.suspects.of(before.fingerprint)
+        known = self.suspects.get(before.fingerprint)
         if incarnation in known.broken:
-            await self.suspects.note(known.with_ends(ends_after(before, known, incarnation)))
+            await self.suspects.record(known.with_ends(ends_after(before, known, incarnation)))
             return
         # It was cleared meanwhile.
-        await self.suspects.note(before.with_end())
+        await self.suspects.record(before.with_end())
 
     async def note_no_end(self, fingerprint: Fingerprint, incarnation: IncarnationKey) -> None:
         """
         The incarnation lives on, or nothing is known of it for too long.
 
         """
-        known = self.suspects.of(fingerprint)
+        known = self.suspects.get(fingerprint)
         if incarnation in known.broken:
-            await self.suspects.withdraw(known.without(incarnation))
+            await self.suspects.withdraw(known.without_broken(incarnation))
--- a/tests/test_feed_relay.py
+++ b/tests/test_feed_relay.py
@@ -120,10 +120,10 @@
         cut = followers.feed_relay[CUT].feed_client.registry.suspects
         near = followers.feed_relay[NEAR].feed_client.registry.suspects
         suspicion = Suspicion(Fingerprint('ab'), 0, 2)
-        await near.hear([suspicion])
+        await near.merge([suspicion])
         task = await curio.spawn(followers.feed_relay[CUT].keep, daemon=True)
-        await followers.until(lambda: cut.of(suspicion.fingerprint) == suspicion, (NEAR,))
-        assert not cut.untold
+        await followers.until(lambda: cut.get(suspicion.fingerprint) == suspicion, (NEAR,))
+        assert not cut.unsent
         await task.cancel()
 
     curio.run(run)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -14,8 +14,8 @@
 from millfork_core.environment import Environment
 from millfork_core.ids import ClusterId, Fingerprint, InstanceId, ServiceName, ZoneId
 from millfork_registry.suspects import (
-    MOST_SUSPECTS,
-    REMEMBERED_S,
+    MAX_SUSPICIONS,
+    SUSPICION_RETENTION_S,
     Suspects,
     Suspicion,
     decode_suspicions,
@@ -53,10 +53,10 @@
 def test_ends_at_the_same_moment_count_as_one():
     async def run():
         suspects = Suspects(Clock())
-        before = suspects.of(FINGERPRINT)
+        before = suspects.get(FINGERPRINT)
         for _ in range(5):
-            await suspects.note(before.with_end())
-        assert suspects.of(FINGERPRINT).ends == 1
+            await suspects.record(before.with_end())
+        assert suspects.get(FINGERPRINT).ends == 1
 
     curio.run(run)
 
@@ -64,14 +64,14 @@
 def test_an_answer_that_came_whole_clears_what_was_known_before_it():
     async def run():
         suspects = Suspects(Clock())
-        late = suspects.of(FINGERPRINT)
+        late = suspects.get(FINGERPRINT)
         for _ in range(ENDS):
-            late = suspects.of(FINGERPRINT)
-            await suspects.note(late.with_end())
-        assert is_at_fault(suspects.of(FINGERPRINT))
-        await suspects.note(suspects.of(FINGERPRINT).cleared())
-        assert not await suspects.hear([late.with_end()])
-        assert suspects.of(FINGERPRINT).ends == 0
+            late = suspects.get(FINGERPRINT)
+            await suspects.record(late.with_end())
+        assert is_at_fault(suspects.get(FINGERPRINT))
+        await suspects.record(suspects.get(FINGERPRINT).cleared())
+        assert not await suspects.merge([late.with_end()])
+        assert suspects.get(FINGERPRINT).ends == 0
 
     curio.run(run)
 
@@ -80,13 +80,13 @@
     async def run():
         clock = Clock()
         suspects = Suspects(clock)
-        for number in range(MOST_SUSPECTS + 10):
-            await suspects.note(Suspicion(Fingerprint(f'{number}'), 0, 1))
-        assert len(suspects.table) == len(suspects.changed_at) == MOST_SUSPECTS
-        assert len(suspects.untold) == MOST_SUSPECTS
-        clock.now += REMEMBERED_S
-        await suspects.note(Suspicion(FINGERPRINT, 0, 1))
-        suspects.forget_old()
+        for number in range(MAX_SUSPICIONS + 10):
+            await suspects.record(Suspicion(Fingerprint(f'{number}'), 0, 1))
+        assert len(suspects.table) == len(suspects.changed_at) == MAX_SUSPICIONS
+        assert len(suspects.unsent) == MAX_SUSPICIONS
+        clock.now += SUSPICION_RETENTION_S
+        await suspects.record(Suspicion(FINGERPRINT, 0, 1))
+        suspects.forget_expired()
         assert list(suspects.table.values()) == [Suspicion(FINGERPRINT, 0, 1)]
 
     curio.run(run)
@@ -96,11 +96,11 @@
     async def run():
         suspects = Suspects(Clock())
         suspicion = Suspicion(FINGERPRINT, 0, 2)
-        await suspects.hear([suspicion])
-        assert not suspects.untold
-        await suspects.tell_again()
-        assert suspects.untold == {FINGERPRINT: suspicion}
-        assert suspects.news.is_set()
+        await suspects.merge([suspicion])
+        assert not suspects.unsent
+        await suspects.mark_all_unsent()
+        assert suspects.unsent == {FINGERPRINT: suspicion}
+        assert suspects.unsent_event.is_set()
 
     curio.run(run)
 
@@ -123,21 +123,21 @@
     async def run():
         processes = [Suspects(Clock()) for _ in range(3)]
         for kind, one, other in steps:
-            known = processes[one].of(FINGERPRINT)
+            known = processes[one].get(FINGERPRINT)
             if kind == 'end':
-                await processes[one].note(known.with_end())
+                await processes[one].record(known.with_end())
             elif kind == 'clear':
-                await processes[one].note(known.cleared())
+                await processes[one].record(known.cleared())
             else:
                 body = encode_suspicions(list(processes[one].table.values()))
-                await processes[other].hear(decode_suspicions(body))
-        newest = max((p.of(FINGERPRINT) for p in processes), key=lambda item: item.order)
+                await processes[other].merge(decode_suspicions(body))
+        newest = max((p.get(FINGERPRINT) for p in processes), key=lambda item: item.order)
         for process in processes:
-            await process.hear([newest])
-            assert process.of(FINGERPRINT) == newest
+            await process.merge([newest])
+            assert process.get(FINGERPRINT) == newest
             older = Suspicion(FINGERPRINT, newest.epoch, newest.ends - 1)
-            assert not await process.hear([older])
-            assert newest.order == (0, 0) or process.untold[FINGERPRINT] == newest
+            assert not await process.merge([older])
+            assert newest.order == (0, 0) or process.unsent[FINGERPRINT] == newest
 
     curio.run(run)
 
@@ -164,7 +164,7 @@
         )
 
     async def end(self):
-        await self.suspects.note(self.quarantine.known(self.job).with_end())
+        await self.suspects.record(self.quarantine.known(self.job).with_end())
 
 
 def list_of(entry, clock, leads=lambda: True):
@@ -216,7 +216,7 @@
         listing = list_of(entry, clock)
         for number in range(MOST_HELD + 3):
             clock.now += 0.001
-            await entry.suspects.note(Suspicion(Fingerprint(f'{number}'), 0, ENDS))
+            await entry.suspects.record(Suspicion(Fingerprint(f'{number}'), 0, ENDS))
             await listing.settle()
             entry.suspects.table.drop(f'{number}')
         assert len(entry.view.items) == MOST_HELD
@@ -245,7 +245,7 @@
         ends = Ends(env, suspects)
         server = Server(InstanceId('i-1'), ServiceName('s'), '127.0.0.1', port, ZoneId('z1'), 16)
         await ends.note_broken(server, Suspicion(FINGERPRINT))
-        return suspects.of(FINGERPRINT).ends
+        return suspects.get(FINGERPRINT).ends
 
     return curio.run(run)
 
--- a/tests/test_spreading_suspicions.py
+++ b/tests/test_spreading_suspicions.py
@@ -97,7 +97,7 @@
 
 
 def known(network, ends):
-    return [entry.suspects.of(FINGERPRINT).ends for entry in network.entries.values()] == [
+    return [entry.suspects.get(FINGERPRINT).ends for entry in network.entries.values()] == [
         ends
     ] * len(network.entries)
 
@@ -114,9 +114,9 @@
             await entry.env.spawn(entry.keep)
         network.unreachable = {InstanceId('entry-1'), InstanceId('entry-4')}
         first = network.entries[InstanceId('entry-0')]
-        await first.suspects.note(Suspicion(FINGERPRINT, 0, 1))
+        await first.suspects.record(Suspicion(FINGERPRINT, 0, 1))
         reached = [e for name, e in network.entries.items() if name not in network.unreachable]
-        await until(lambda: all(e.suspects.of(FINGERPRINT).ends == 1 for e in reached))
+        await until(lambda: all(e.suspects.get(FINGERPRINT).ends == 1 for e in reached))
         network.unreachable = set()
         await until(lambda: known(network, 1))
         await until(lambda: not any(entry.telling for entry in network.entries.values()))
@@ -128,8 +128,8 @@
     async def run():
         network = Network(['entry-0', 'entry-1'])
         other = network.entries[InstanceId('entry-1')]
-        await other.suspects.note(Suspicion(FINGERPRINT, 0, 2))
-        other.suspects.note_privately(Suspicion(Fingerprint('cd'), 0, 1))
+        await other.suspects.record(Suspicion(FINGERPRINT, 0, 2))
+        other.suspects.record_privately(Suspicion(Fingerprint('cd'), 0, 1))
         starting = network.add('entry-2')
         assert not starting.learned
         await starting.env.spawn(starting.keep)
--- a/tests/test_suspicions.py
+++ b/tests/test_suspicions.py
@@ -21,8 +21,8 @@
 )
 from millfork_core.windows import Allowance
 from millfork_registry.suspects import (
-    MOST_BROKEN,
-    MOST_SUSPECTS,
+    MAX_BROKEN_INCARNATIONS,
+    MAX_SUSPICIONS,
     Suspects,
     Suspicion,
     decode_suspicions,
@@ -51,7 +51,7 @@
 def suspected(number=ENDS):
     suspicion = Suspicion(FINGERPRINT)
     for index in range(number):
-        suspicion = suspicion.with_broken(IncarnationKey(f'i-{index}/1'))
+        suspicion = suspicion.with_broken_answer(IncarnationKey(f'i-{index}/1'))
     return suspicion
 
 
@@ -60,7 +60,7 @@
         st.sampled_from(['break', 'lives', 'end', 'clear', 'tell']),
         st.integers(0, 2),
         st.integers(0, 2),
-        st.integers(0, MOST_BROKEN + 2),
+        st.integers(0, MAX_BROKEN_INCARNATIONS + 2),
     ),
     max_size=30,
 )
@@ -74,18 +74,18 @@
 
         async def tell(one, other):
             body = encode_suspicions(list(processes[one].table.values()))
-            await processes[other].hear(decode_suspicions(body))
+            await processes[other].merge(decode_suspicions(body))
 
         for kind, one, other, number in steps:
             suspects = processes[one]
-            known = suspects.of(FINGERPRINT)
+            known = suspects.get(FINGERPRINT)
             key = IncarnationKey(f'i-{number}/1')
             if kind == 'break':
-                await suspects.note(known.with_broken(key))
+                await suspects.record(known.with_broken_answer(key))
             elif kind == 'lives' and key in known.broken:
-                await suspects.withdraw(known.without(key))
+                await suspects.withdraw(known.without_broken(key))
             elif kind == 'end':
-                await suspects.note(known.with_end())
+                await suspects.record(known.with_end())
             elif kind == 'clear':
                 await suspects.withdraw(known.cleared())
             elif kind == 'tell':
@@ -93,7 +93,7 @@
         for one in (0, 1, 2, 0, 1, 2):
             for other in range(3):
                 await tell(one, other)
-        assert len({process.of(FINGERPRINT) for process in processes}) == 1
+        assert len({process.get(FINGERPRINT) for process in processes}) == 1
 
     curio.run(run)
 
@@ -101,7 +101,7 @@
 def test_a_request_is_suspected_after_it_broke_off_at_three_back_ends():
     standings = [standing_of(suspected(number)) for number in range(ENDS + 1)]
     assert standings == [Standing.FREE] * ENDS + [Standing.SUSPECTED]
-    again = suspected(1).with_broken(IncarnationKey('i-0/1'))
+    again = suspected(1).with_broken_answer(IncarnationKey('i-0/1'))
     assert again == suspected(1)
 
 
@@ -110,13 +110,13 @@
     assert ends_after(Suspicion(FINGERPRINT), now, IncarnationKey('i-0/1')) == 1
     assert ends_after(suspected(2), now, IncarnationKey('i-2/1')) == ENDS
     assert ends_after(suspected(2), now, IncarnationKey('i-1/1')) == 2
-    lives_on = now.without(IncarnationKey('i-0/1'))
+    lives_on = now.without_broken(IncarnationKey('i-0/1'))
     assert ends_after(suspected(2), lives_on, IncarnationKey('i-2/1')) == 2
     assert ends_after(suspected(0).with_end(), now, IncarnationKey('i-2/1')) == 2
 
 
 def test_one_that_lives_on_is_suspected_no_more():
-    left = suspected().with_end().without(IncarnationKey('i-1/1'))
+    left = suspected().with_end().without_broken(IncarnationKey('i-1/1'))
     assert standing_of(left) is Standing.FREE
     assert (left.epoch, left.ends, left.broken) == (1, 1, ('i-0/1', 'i-2/1'))
 
@@ -124,16 +124,16 @@
 def test_what_nobody_was_told_is_withdrawn_without_a_trace():
     async def run():
         suspects = Suspects(Clock())
-        suspects.note_privately(suspected(1))
-        await suspects.tell_again()
-        assert not suspects.untold
-        await suspects.withdraw(suspected(1).without(IncarnationKey('i-0/1')))
+        suspects.record_privately(suspected(1))
+        await suspects.mark_all_unsent()
+        assert not suspects.unsent
+        await suspects.withdraw(suspected(1).without_broken(IncarnationKey('i-0/1')))
         assert not len(suspects.table)
-        suspects.note_privately(suspected(1))
+        suspects.record_privately(suspected(1))
         await suspects.publish(FINGERPRINT)
-        assert suspects.untold == {FINGERPRINT: suspected(1)}
-        await suspects.withdraw(suspected(1).without(IncarnationKey('i-0/1')))
-        assert suspects.untold[FINGERPRINT] == Suspicion(FINGERPRINT, 1)
+        assert suspects.unsent == {FINGERPRINT: suspected(1)}
+        await suspects.withdraw(suspected(1).without_broken(IncarnationKey('i-0/1')))
+        assert suspects.unsent[FINGERPRINT] == Suspicion(FINGERPRINT, 1)
 
     curio.run(run)
 
@@ -141,10 +141,10 @@
 def test_where_records_are_many_those_that_suspect_nothing_go_first():
     async def run():
         suspects = Suspects(Clock())
-        await suspects.note(suspected())
-        for number in range(MOST_SUSPECTS):
-            await suspects.note(Suspicion(Fingerprint(f'{number}'), 1))
-        assert suspects.of(FINGERPRINT) == suspected()
+        await suspects.record(suspected())
+        for number in range(MAX_SUSPICIONS):
+            await suspects.record(Suspicion(Fingerprint(f'{number}'), 1))
+        assert suspects.get(FINGERPRINT) == suspected()
 
     curio.run(run)
 
@@ -216,7 +216,7 @@
 
     @property
     def known(self):
-        return self.suspects.of(FINGERPRINT)
+        return self.suspects.get(FINGERPRINT)
 
     async def until(self, holds):
         async with curio.timeout_after(5):
