--- a/packages/millfork-registry/millfork_registry/caches.py
+++ b/packages/millfork-registry/millfork_registry/caches.py
@@ -14,23 +14,26 @@
 
 # An entry's link of 20 Mbit/s then feeds the 12 engines of a zone at 3.65 Mbit/s
 # each (grown fleets), with two thirds left for callers.
-NAMED_IN_ZONE: Final = 4
+MAX_ADVERTISED_IN_ZONE: Final = 4
 # Of other zones only those that draw from the origin matter.
-NAMED_ELSEWHERE: Final = 2
+MAX_ADVERTISED_PER_OTHER_ZONE: Final = 2
 
 
-def named(caches: Iterable[CacheAddress], zone: str | None) -> list[CacheAddress]:
+def advertised_caches(caches: Iterable[CacheAddress], zone: str | None) -> list[CacheAddress]:
     """
     The caches that a daemon of a zone is told of, best first in each zone;
     without a zone, as many of each as its own daemons are told of.
 
     """
     found = _best_first_by_zone(caches)
-    most = {name: NAMED_IN_ZONE if zone in (None, name) else NAMED_ELSEWHERE for name in found}
+    most = {
+        name: MAX_ADVERTISED_IN_ZONE if zone in (None, name) else MAX_ADVERTISED_PER_OTHER_ZONE
+        for name in found
+    }
     return [cache for name in sorted(found) for cache in found[name][: most[name]]]
 
 
-def drawers(caches: Iterable[CacheAddress], origin_zone: str) -> list[CacheAddress]:
+def caches_near_origin(caches: Iterable[CacheAddress], origin_zone: str) -> list[CacheAddress]:
     """
     The caches that draw from the origin: those nearest to it, as bytes between
     zones cost; any where it has none in its zone.
@@ -40,7 +43,7 @@
     if not found:
         return []
     zone = origin_zone if origin_zone in found else min(found)
-    return found[zone][:NAMED_ELSEWHERE]
+    return found[zone][:MAX_ADVERTISED_PER_OTHER_ZONE]
 
 
 def _best_first_by_zone(caches: Iterable[CacheAddress]) -> dict[str, list[CacheAddress]]:
--- a/packages/millfork-registry/millfork_registry/discovery.py
+++ b/packages/millfork-registry/millfork_registry/discovery.py
@@ -38,14 +38,14 @@
 
 
 @dataclass(slots=True)
-class Known:
+class KnownReplica:
     """
     A replica's address, when it last answered, and what it said.
 
     """
 
     address: PeerAddress
-    heard_at: float
+    answered_at: float
     answer: Replicas | None = None
 
     @property
@@ -63,19 +63,19 @@
         self.env = env
         self.peers = peers
         self.seeds: list[PeerAddress] = []
-        self.known: dict[InstanceId, Known] = {}
-        self.take_seeds(seeds)
+        self.known: dict[InstanceId, KnownReplica] = {}
+        self.set_seeds(seeds)
 
-    def take_seeds(self, seeds: list[str]) -> None:
+    def set_seeds(self, seeds: list[str]) -> None:
         """
         Take the seeds of the settings, at start or when they change.
 
         """
         self.seeds = [address_of(seed) for seed in seeds if seed != self.env.instance]
         for address in self.seeds:
-            self.learn(address.instance)
+            self.add_replica(address.instance)
 
-    def learn(self, instance: str) -> None:
+    def add_replica(self, instance: str) -> None:
         """
         Take up a replica's id.
 
@@ -87,7 +87,7 @@
         except ValueError as error:
             log.warning('Ignored the id of a replica: {}.', error)
             return
-        self.known[address.instance] = Known(address, self.env.monotonic())
+        self.known[address.instance] = KnownReplica(address, self.env.monotonic())
 
     def addresses(self) -> list[PeerAddress]:
         """
@@ -112,7 +112,7 @@
         known = self.known.get(InstanceId(instance))
         return known.zone if known is not None else ''
 
-    def answering(self, within_s: float) -> list[str]:
+    def answered_within(self, within_s: float) -> list[str]:
         """
         The replicas that answered within the last seconds.
 
@@ -124,7 +124,7 @@
         return {
             instance: known.answer
             for instance, known in self.known.items()
-            if known.answer is not None and now - known.heard_at < within_s
+            if known.answer is not None and now - known.answered_at < within_s
         }
 
     def caches(self) -> list[CacheAddress]:
@@ -133,7 +133,7 @@
 
         """
         answered = [known for known in self.known.values() if known.answer is not None]
-        latest = max(answered, key=lambda known: known.heard_at, default=None)
+        latest = max(answered, key=lambda known: known.answered_at, default=None)
         return latest.answer.caches if latest is not None and latest.answer is not None else []
 
     def caches_elsewhere(self, within_s: float) -> list[CacheAddress]:
@@ -156,18 +156,18 @@
             return None
         if not isinstance(reply, Replicas):
             return None
-        self.learn(str(address.instance))
+        self.add_replica(str(address.instance))
         known = self.known[address.instance]
-        known.heard_at = self.env.monotonic()
+        known.answered_at = self.env.monotonic()
         known.answer = reply
         for instance in reply.known:
-            self.learn(instance)
+            self.add_replica(instance)
         return reply
 
     def _forget_if_old(self, instance: InstanceId) -> None:
         known = self.known.get(instance)
         if known is None or known.address in self.seeds:
             return
-        if self.env.monotonic() - known.heard_at > FORGET_AFTER_S:
+        if self.env.monotonic() - known.answered_at > FORGET_AFTER_S:
             del self.known[instance]
             log.info('Forgot replica {}, which has not answered.', instance)
--- a/packages/millfork-registry/millfork_registry/feed_client.py
+++ b/packages/millfork-registry/millfork_registry/feed_client.py
@@ -298,13 +298,13 @@
             log.warning('Leases from {} can not be read: {}.', peer, error)
             return
         for lease in leases:
-            self.registry.take(lease)
+            self.registry.merge_lease(lease)
         for state in endpoints:
-            self.registry.take_endpoint(state)
+            self.registry.merge_endpoint_state(state)
         await self.registry.suspects.merge(suspicions)
         if message.full and message.settled:
-            self.registry.settled = True
-            self.registry.keep_only(
+            self.registry.is_complete = True
+            self.registry.retain_only(
                 {lease.instance for lease in leases},
                 {state.instance for state in endpoints},
             )
--- a/packages/millfork-registry/millfork_registry/feed_relay.py
+++ b/packages/millfork-registry/millfork_registry/feed_relay.py
@@ -143,9 +143,9 @@
         registry = feed_client.registry
         update = feed_client.view.update_since(question.cluster, question.revision)
         update.age_ms = feed_client.age_ms + int((now - feed_client.heard_at) * 1000)
-        leases = registry.leases.since(question.lease_version)
-        reports = registry.endpoints.since(question.report_version)
-        suspicions = registry.suspects.table.since(question.suspicion_version)
+        leases = registry.leases.changed_since(question.lease_version)
+        reports = registry.endpoints.changed_since(question.report_version)
+        suspicions = registry.suspects.table.changed_since(question.suspicion_version)
         versions = FeedSent(
             True,
             registry.leases.version,
@@ -155,7 +155,7 @@
         )
         feed = Leases(
             not question.lease_version,
-            registry.settled,
+            registry.is_complete,
             feed_client.entries,
             encode_records(leases) if leases else b'',
             encode_records(reports) if reports else b'',
--- a/packages/millfork-registry/millfork_registry/followers.py
+++ b/packages/millfork-registry/millfork_registry/followers.py
@@ -25,8 +25,8 @@
 # of the engines' load as often.
 HEARTBEAT_S: Final = 0.15
 # Changes within this time leave in one message.
-GATHER_S: Final = 0.02
-TOLD_OF_SUSPECTS: Final = (ENTRY_ROLE, REPLICA_ROLE)
+BATCH_DELAY_S: Final = 0.02
+ROLES_SENT_SUSPICIONS: Final = (ENTRY_ROLE, REPLICA_ROLE)
 
 
 log = logger(Part.REGISTRY)
@@ -65,16 +65,16 @@
         self.registry = registry
         self.rows: dict[str, Follower] = {}
         # Entries that follow other replicas, by replica.
-        self.entries_elsewhere: dict[str, int] = {}
+        self.entries_by_other_replica: dict[str, int] = {}
         # Entries that start during a cut hear of those behind it, which share the fixed
         # allowance of repeats with them: they were else divided by one side alone.
         self.most_entries = MostLately(ENTRIES_REMEMBERED_S)
 
     @property
-    def entries_here(self) -> int:
+    def local_entries(self) -> int:
         return sum(1 for follower in self.rows.values() if follower.role == ENTRY_ROLE)
 
-    def caches_here(self) -> list[CacheAddress]:
+    def local_caches(self) -> list[CacheAddress]:
         """
         The followers that keep pieces for the daemons of their zone.
 
@@ -87,7 +87,7 @@
 
     @property
     def entries(self) -> int:
-        return self.entries_here + sum(self.entries_elsewhere.values())
+        return self.local_entries + sum(self.entries_by_other_replica.values())
 
     async def add(self, connection: Connection, message: Follow) -> None:
         """
@@ -136,7 +136,7 @@
                     update.age_ms = self.replica.age_ms()
                     cluster, revision = update.cluster, update.revision
                     await follower.connection.notify(update)
-                await follower.connection.notify(self._leases_for(follower))
+                await follower.connection.notify(self._next_leases_message(follower))
                 await self._pause(follower)
         except PeerLost:
             pass
@@ -149,20 +149,20 @@
         try:
             async with curio.timeout_after(HEARTBEAT_S):
                 await follower.wake.wait()
-            await curio.sleep(GATHER_S)
+            await curio.sleep(BATCH_DELAY_S)
         except curio.TaskTimeout:
             pass
 
-    def _leases_for(self, follower: Follower) -> Leases:
+    def _next_leases_message(self, follower: Follower) -> Leases:
         """
         What the follower lacks. Another replica hears only of what is owned
         here, once it has had everything.
 
         """
         registry = self.registry
-        leases = registry.leases.since(follower.lease_version)
-        endpoints = registry.endpoints.since(follower.endpoint_version)
-        suspicions = registry.suspects.table.since(follower.suspicion_version)
+        leases = registry.leases.changed_since(follower.lease_version)
+        endpoints = registry.endpoints.changed_since(follower.endpoint_version)
+        suspicions = registry.suspects.table.changed_since(follower.suspicion_version)
         full = not follower.sent_full
         if follower.role == REPLICA_ROLE and not full:
             own = str(self.env.instance)
@@ -174,11 +174,11 @@
         follower.sent_full = True
         return Leases(
             full,
-            registry.settled,
+            registry.is_complete,
             self.entries,
             encode_records(leases) if leases else b'',
             encode_records(endpoints) if endpoints else b'',
             self.most_entries.note(self.entries, self.env.monotonic()),
             # An endpoint daemon sends nobody anything, and its link is narrow.
-            encode_suspicions(suspicions if follower.role in TOLD_OF_SUSPECTS else []),
+            encode_suspicions(suspicions if follower.role in ROLES_SENT_SUSPICIONS else []),
         )
--- a/packages/millfork-registry/millfork_registry/records.py
+++ b/packages/millfork-registry/millfork_registry/records.py
@@ -78,7 +78,7 @@
             self.state is LeaseState.EXPIRED,
         )
 
-    def says_more_than(self, older: 'Lease') -> bool:
+    def needs_announcement_after(self, older: 'Lease') -> bool:
         """
         Whether anyone but the owner needs to hear of this record.
 
@@ -162,17 +162,17 @@
     def order(self) -> int:
         return self.sequence
 
-    def says_more_than(self, older: 'EndpointState | None') -> bool:
+    def needs_announcement_after(self, older: 'EndpointState | None') -> bool:
         """
         Whether this should reach others without delay: load may wait, and how far a
         version has come. Told at once, each piece that came made a replica wake all its
         followers, in other regions too, up to 50 times a second while weights change.
 
         """
-        return older is None or self._news != older._news
+        return older is None or self._announced_fields != older._announced_fields
 
     @property
-    def _news(self) -> tuple[object, ...]:
+    def _announced_fields(self) -> tuple[object, ...]:
         held = {(item.model, item.version) for item in self.held}
         return (
             self.reachable,
--- a/packages/millfork-registry/millfork_registry/registry.py
+++ b/packages/millfork-registry/millfork_registry/registry.py
@@ -24,20 +24,20 @@
 MISSED_HEARTBEATS: Final = 3.5
 # A record that ended is remembered this long, so that a late heartbeat of
 # the same life changes nothing.
-REMEMBERED_S: Final = 120.0
+ENDED_RETENTION_S: Final = 120.0
 # A back end without a known start counts as new at a used address by its first heartbeat, or
 # by two of them apart by this share of the usual pause: one that has ended sends no more, and
 # two that were held up come together.
 FIRST_SEQUENCE: Final = 1
-APART_SHARE: Final = 0.5
+MIN_GAP_SHARE: Final = 0.5
 # An endpoint daemon reports at least each second.
 REPORT_LIFETIME_S: Final = 3.5
-ENDED: Final = (LeaseState.GONE, LeaseState.EXPIRED)
+ENDED_STATES: Final = (LeaseState.GONE, LeaseState.EXPIRED)
 
 log = logger(Part.REGISTRY)
 
 
-class Change(Enum):
+class RecordChange(Enum):
     """
     What a record did to the registry.
 
@@ -57,20 +57,20 @@
     def __init__(self, env: Environment, heartbeat_s: float) -> None:
         self.env = env
         self.lease_s = heartbeat_s * MISSED_HEARTBEATS
-        self.apart_s = heartbeat_s * APART_SHARE
+        self.min_gap_s = heartbeat_s * MIN_GAP_SHARE
         self.leases: VersionedTable[Lease] = VersionedTable()
         self.endpoints: VersionedTable[EndpointState] = VersionedTable()
         self.suspects = Suspects(env.monotonic)
-        self.heard: dict[str, float] = {}
-        self.ended: dict[str, float] = {}
+        self.last_heard_at: dict[str, float] = {}
+        self.ended_at_by_instance: dict[str, float] = {}
         # The back end that was last known to live at an address.
-        self.at_address: dict[tuple[str, int], str] = {}
+        self.instance_by_address: dict[tuple[str, int], str] = {}
         # Unknown back ends at the address of a live one: sequence and time of the heartbeat.
-        self.newcomers: dict[str, tuple[int, float]] = {}
+        self.unconfirmed: dict[str, tuple[int, float]] = {}
         # Whether what is not here is known not to exist.
-        self.settled = False
+        self.is_complete = False
 
-    def take_heartbeat(self, lease: Lease) -> Change:
+    def record_heartbeat(self, lease: Lease) -> RecordChange:
         """
         Take a heartbeat that came to this replica.
 
@@ -78,9 +78,9 @@
         the one before it, and a delayed heartbeat of that one does not bring it back.
 
         """
-        other = self._live_neighbour(lease)
+        other = self._live_lease_at_address(lease)
         held = self.leases.get(lease.instance)
-        if other is not None and _was_before(lease, other, held):
+        if other is not None and _is_of_earlier_process(lease, other, held):
             log.info(
                 'Late heartbeat ignored. instance={} incarnation={} sequence={} address={}:{} '
                 'held_by={}',
@@ -91,8 +91,8 @@
                 lease.port,
                 other.instance,
             )
-            return Change.NONE
-        if other is not None and held is None and self._may_have_ended(lease, other):
+            return RecordChange.NONE
+        if other is not None and held is None and self._may_be_delayed(lease, other):
             log.info(
                 'Heartbeat of an unknown back end waits for its next one. instance={} '
                 'sequence={} address={}:{} held_by={}',
@@ -102,13 +102,13 @@
                 lease.port,
                 other.instance,
             )
-            return Change.NONE
+            return RecordChange.NONE
         owner = str(self.env.instance)
-        if other is not None and _replaces(lease, other, held):
-            self.take(msgspec.structs.replace(other, state=LeaseState.EXPIRED, owner=owner))
-        return self.take(msgspec.structs.replace(lease, owner=owner))
+        if other is not None and _is_of_later_process(lease, other, held):
+            self.merge_lease(msgspec.structs.replace(other, state=LeaseState.EXPIRED, owner=owner))
+        return self.merge_lease(msgspec.structs.replace(lease, owner=owner))
 
-    def _may_have_ended(self, lease: Lease, other: Lease) -> bool:
+    def _may_be_delayed(self, lease: Lease, other: Lease) -> bool:
         """
         Whether a heartbeat of an unknown back end may be a late one, of a process that lived
         at its address before the one that is known.
@@ -117,26 +117,26 @@
         if (lease.incarnation and other.incarnation) or lease.sequence <= FIRST_SEQUENCE:
             return False
         now = self.env.monotonic()
-        sequence, at = self.newcomers.setdefault(lease.instance, (lease.sequence, now))
-        if lease.sequence <= sequence or now - at < self.apart_s:
+        sequence, at = self.unconfirmed.setdefault(lease.instance, (lease.sequence, now))
+        if lease.sequence <= sequence or now - at < self.min_gap_s:
             return True
-        del self.newcomers[lease.instance]
+        del self.unconfirmed[lease.instance]
         return False
 
-    def _live_neighbour(self, lease: Lease) -> Lease | None:
+    def _live_lease_at_address(self, lease: Lease) -> Lease | None:
         """
         Another back end whose lease at the same address has not ended.
 
         """
-        instance = self.at_address.get((lease.host, lease.port), lease.instance)
+        instance = self.instance_by_address.get((lease.host, lease.port), lease.instance)
         if instance == lease.instance:
             return None
         other = self.leases.get(instance)
-        if other is None or other.state in ENDED:
+        if other is None or other.state in ENDED_STATES:
             return None
         return other
 
-    def take_goodbye(self, instance: str, incarnation: Incarnation | None = None) -> Change:
+    def record_goodbye(self, instance: str, incarnation: Incarnation | None = None) -> RecordChange:
         """
         Take a back end's word that it leaves; without an incarnation it is of the one
         that is known.
@@ -148,31 +148,35 @@
             # Unknown here, perhaps known elsewhere: the word is kept.
             told = incarnation or UNTOLD_INCARNATION
             gone = Lease(instance, '', '', 0, '', 0, LeaseState.GONE, 0, owner, incarnation=told)
-            return self.take(gone)
+            return self.merge_lease(gone)
         of = held.incarnation if incarnation is None else incarnation
         gone = msgspec.structs.replace(held, state=LeaseState.GONE, owner=owner, incarnation=of)
-        return self.take(gone)
+        return self.merge_lease(gone)
 
-    def take(self, lease: Lease) -> Change:
+    def merge_lease(self, lease: Lease) -> RecordChange:
         """
         Take a record from wherever it comes; only a newer one counts.
 
         """
         held = self.leases.get(lease.instance)
         if held is not None and lease.order <= held.order:
-            return self._tell_again(held) if self._is_wrongly_ended(held, lease) else Change.NONE
-        self.heard[lease.instance] = self.env.monotonic()
-        if held is not None and not lease.says_more_than(held):
-            self.leases.renew(lease.instance, lease)
-            return Change.RENEWED
+            return (
+                self._announce_again(held)
+                if self._is_wrongly_ended(held, lease)
+                else RecordChange.NONE
+            )
+        self.last_heard_at[lease.instance] = self.env.monotonic()
+        if held is not None and not lease.needs_announcement_after(held):
+            self.leases.put_unannounced(lease.instance, lease)
+            return RecordChange.RENEWED
         self.leases.put(lease.instance, lease)
-        if lease.state in ENDED:
-            self.ended[lease.instance] = self.env.monotonic()
+        if lease.state in ENDED_STATES:
+            self.ended_at_by_instance[lease.instance] = self.env.monotonic()
         else:
-            self.ended.pop(lease.instance, None)
+            self.ended_at_by_instance.pop(lease.instance, None)
             if held is not None:
-                self._leave_address(held)
-            self.at_address[lease.host, lease.port] = lease.instance
+                self._release_address(held)
+            self.instance_by_address[lease.host, lease.port] = lease.instance
         if held is None or (held.state, held.incarnation) != (lease.state, lease.incarnation):
             log.info(
                 'Lease {}. instance={} incarnation={} service={} address={}:{} sequence={} '
@@ -186,18 +190,18 @@
                 lease.sequence,
                 lease.owner,
             )
-        return Change.CHANGED
+        return RecordChange.CHANGED
 
     def _is_wrongly_ended(self, held: Lease, told: Lease) -> bool:
         """
         Whether another process takes a lease for run out that is renewed here.
 
         """
-        owned = held.owner == str(self.env.instance) and held.state not in ENDED
+        owned = held.owner == str(self.env.instance) and held.state not in ENDED_STATES
         same = told.incarnation == held.incarnation
         return owned and same and told.state is LeaseState.EXPIRED
 
-    def _tell_again(self, held: Lease) -> Change:
+    def _announce_again(self, held: Lease) -> RecordChange:
         """
         Others know an older sequence only, as renewals are not told: without this word
         they took the back end for gone until its state changed.
@@ -205,30 +209,32 @@
         """
         log.info('Lease told again. instance={} sequence={}', held.instance, held.sequence)
         self.leases.put(held.instance, held)
-        return Change.CHANGED
+        return RecordChange.CHANGED
 
-    def count_anew(self) -> None:
+    def restart_expiry_timers(self) -> None:
         """
         Let no lease run out for silence before now, as this process did not listen.
 
         """
         now = self.env.monotonic()
         for lease in self.leases.values():
-            self.heard[lease.instance] = now
+            self.last_heard_at[lease.instance] = now
 
-    def take_endpoint(self, state: EndpointState) -> Change:
+    def merge_endpoint_state(self, state: EndpointState) -> RecordChange:
         """
         Take an endpoint daemon's state; only a newer one counts.
 
         """
         held = self.endpoints.get(state.instance)
         if held is not None and state.order <= held.order:
-            return Change.NONE
-        self.heard[state.instance] = self.env.monotonic()
+            return RecordChange.NONE
+        self.last_heard_at[state.instance] = self.env.monotonic()
         self.endpoints.put(state.instance, state)
-        return Change.CHANGED if state.says_more_than(held) else Change.RENEWED
+        return (
+            RecordChange.CHANGED if state.needs_announcement_after(held) else RecordChange.RENEWED
+        )
 
-    def keep_only(self, leases: set[str], endpoints: set[str]) -> None:
+    def retain_only(self, leases: set[str], endpoints: set[str]) -> None:
         """
         Drop every record that a settled replica does not know.
 
@@ -236,8 +242,8 @@
         for key in [key for key in self.leases.rows if key not in leases]:
             self._forget_lease(key)
         for key in [key for key in self.endpoints.rows if key not in endpoints]:
-            self.endpoints.drop(key)
-            self.heard.pop(key, None)
+            self.endpoints.remove(key)
+            self.last_heard_at.pop(key, None)
 
     def expire(self, lost_owners: set[str]) -> list[Lease]:
         """
@@ -248,25 +254,25 @@
         now = self.env.monotonic()
         expired = []
         for lease in list(self.leases.values()):
-            if lease.state in ENDED:
+            if lease.state in ENDED_STATES:
                 continue
             mine = lease.owner == str(self.env.instance)
             if not mine and lease.owner not in lost_owners:
                 # The owner watches it; its own silence counts from its loss.
-                self.heard[lease.instance] = now
+                self.last_heard_at[lease.instance] = now
                 continue
-            if now - self.heard.get(lease.instance, now) < self.lease_s:
+            if now - self.last_heard_at.get(lease.instance, now) < self.lease_s:
                 continue
             ended = msgspec.structs.replace(
                 lease, state=LeaseState.EXPIRED, owner=str(self.env.instance)
             )
-            self.take(ended)
+            self.merge_lease(ended)
             expired.append(ended)
-        for key, (_, came_at) in list(self.newcomers.items()):
-            if now - came_at > REMEMBERED_S:
-                del self.newcomers[key]
-        for key, ended_at in list(self.ended.items()):
-            if now - ended_at > REMEMBERED_S:
+        for key, (_, came_at) in list(self.unconfirmed.items()):
+            if now - came_at > ENDED_RETENTION_S:
+                del self.unconfirmed[key]
+        for key, ended_at in list(self.ended_at_by_instance.items()):
+            if now - ended_at > ENDED_RETENTION_S:
                 self._forget_lease(key)
         return expired
 
@@ -277,24 +283,24 @@
         """
         now = self.env.monotonic()
         for state in list(self.endpoints.values()):
-            if now - self.heard.get(state.instance, now) > REPORT_LIFETIME_S:
-                self.endpoints.drop(state.instance)
-                self.heard.pop(state.instance, None)
+            if now - self.last_heard_at.get(state.instance, now) > REPORT_LIFETIME_S:
+                self.endpoints.remove(state.instance)
+                self.last_heard_at.pop(state.instance, None)
 
     def _forget_lease(self, key: str) -> None:
         lease = self.leases.get(key)
         if lease is not None:
-            self._leave_address(lease)
-        self.leases.drop(key)
-        self.heard.pop(key, None)
-        self.ended.pop(key, None)
+            self._release_address(lease)
+        self.leases.remove(key)
+        self.last_heard_at.pop(key, None)
+        self.ended_at_by_instance.pop(key, None)
 
-    def _leave_address(self, lease: Lease) -> None:
-        if self.at_address.get((lease.host, lease.port)) == lease.instance:
-            del self.at_address[lease.host, lease.port]
+    def _release_address(self, lease: Lease) -> None:
+        if self.instance_by_address.get((lease.host, lease.port)) == lease.instance:
+            del self.instance_by_address[lease.host, lease.port]
 
 
-def _was_before(lease: Lease, other: Lease, held: Lease | None) -> bool:
+def _is_of_earlier_process(lease: Lease, other: Lease, held: Lease | None) -> bool:
     """
     Whether a heartbeat is of a process that lived at its address before another one.
 
@@ -306,7 +312,7 @@
     return held.state is LeaseState.EXPIRED
 
 
-def _replaces(lease: Lease, other: Lease, held: Lease | None) -> bool:
+def _is_of_later_process(lease: Lease, other: Lease, held: Lease | None) -> bool:
     """
     Whether a heartbeat tells that the other process at its address has ended.
 
--- a/packages/millfork-registry/millfork_registry/suspects.py
+++ b/packages/millfork-registry/millfork_registry/suspects.py
@@ -273,7 +273,7 @@
             self._forget(suspicion.fingerprint)
 
     def _forget(self, fingerprint: Fingerprint) -> None:
-        self.table.drop(fingerprint)
+        self.table.remove(fingerprint)
         self.changed_at.pop(fingerprint, None)
         self.unsent.pop(fingerprint, None)
         self.private_since.pop(fingerprint, None)
--- a/packages/millfork-registry/millfork_registry/versioned_table.py
+++ b/packages/millfork-registry/millfork_registry/versioned_table.py
@@ -37,14 +37,14 @@
         self.rows[key] = (record, self.version)
         self.rows.move_to_end(key)
 
-    def renew(self, key: str, record: Record) -> None:
+    def put_unannounced(self, key: str, record: Record) -> None:
         """
         Set a record that nobody else needs to hear of.
 
         """
         self.rows[key] = (record, self.rows[key][1])
 
-    def drop(self, key: str) -> None:
+    def remove(self, key: str) -> None:
         """
         Take a record out; a change, though none that others are told of.
 
@@ -56,7 +56,7 @@
         for record, _ in self.rows.values():
             yield record
 
-    def since(self, version: int) -> list[Record]:
+    def changed_since(self, version: int) -> list[Record]:
         """
         The records changed after `version`, oldest change first.
 
--- a/packages/millforkd/millforkd/beside/daemon.py
+++ b/packages/millforkd/millforkd/beside/daemon.py
@@ -134,7 +134,7 @@
         Take changed settings: other seeds.
 
         """
-        self.discovery.take_seeds(settings.seed_instances)
+        self.discovery.set_seeds(settings.seed_instances)
 
     async def drain(self) -> None:
         """
--- a/packages/millforkd/millforkd/proxy/cache.py
+++ b/packages/millforkd/millforkd/proxy/cache.py
@@ -17,7 +17,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.logs import Part, logger
-from millfork_registry.caches import NAMED_ELSEWHERE, drawers
+from millfork_registry.caches import MAX_ADVERTISED_PER_OTHER_ZONE, caches_near_origin
 from millfork_registry.discovery import address_of
 from millfork_wire.connection import PeerError
 from millfork_wire.messages import CacheAddress, Chunk, GetChunk, GetManifest, Manifest
@@ -148,7 +148,9 @@
         while self.drawn and now - self.drawn[0][0] > RATE_OVER_S:
             self.drawn.popleft()
         came = sum(size for _, size in self.drawn)
-        return came >= AT_IT_SHARE * RATE_OVER_S * figures.bytes_per_s / NAMED_ELSEWHERE
+        return (
+            came >= AT_IT_SHARE * RATE_OVER_S * figures.bytes_per_s / MAX_ADVERTISED_PER_OTHER_ZONE
+        )
 
     def _until(self) -> float:
         return self.env.monotonic() + WAIT_S
@@ -261,7 +263,7 @@
 
         """
         answering = [cache for cache in self.caches() if not self.silent.is_silent(cache.instance)]
-        names = [cache.instance for cache in drawers(answering, self._origin_zone())]
+        names = [cache.instance for cache in caches_near_origin(answering, self._origin_zone())]
         return in_turn(names, weights, index)[0] if names else str(self.env.instance)
 
     async def _ask(self, drawer: str, weights: WeightsId, index: int) -> Chunk | Manifest | None:
--- a/packages/millforkd/millforkd/proxy/daemon.py
+++ b/packages/millforkd/millforkd/proxy/daemon.py
@@ -171,7 +171,7 @@
         Take changed settings: other seeds.
 
         """
-        self.discovery.take_seeds(settings.seed_instances)
+        self.discovery.set_seeds(settings.seed_instances)
 
     async def drain(self) -> None:
         """
@@ -210,7 +210,7 @@
                 self.reports_taken = 0
                 for server in self.book.take_leases(self.registry.leases.values()):
                     await self.pools.drop(server)
-            told = self.book.take_reports(self.registry.endpoints.since(self.reports_taken))
+            told = self.book.take_reports(self.registry.endpoints.changed_since(self.reports_taken))
             for server, changes in told:
                 self.forwarding.backpressure.note(server, changes, ToldBy.DAEMON)
             self.reports_taken = self.registry.endpoints.version
--- a/packages/millforkd/millforkd/replica/control.py
+++ b/packages/millforkd/millforkd/replica/control.py
@@ -27,7 +27,7 @@
 from millfork_core.verdicts import Reason, Refusal, Refused
 from millfork_registry.followers import Followers
 from millfork_registry.records import LeaseState
-from millfork_registry.registry import Change, Registry
+from millfork_registry.registry import RecordChange, Registry
 from millfork_routing.documents import problems_of
 from millfork_state.commands import Raise, RaiseResult, decode_versioned
 from millfork_state.keys import DOCUMENT_KEY, version_key
@@ -144,8 +144,8 @@
     async def _(self, call: Heartbeat) -> Response:
         lease = call.lease
         self._check_service(lease.service)
-        change = self.registry.take_heartbeat(lease)
-        if change is Change.CHANGED:
+        change = self.registry.record_heartbeat(lease)
+        if change is RecordChange.CHANGED:
             await self.followers.wake()
         if lease.state is LeaseState.DRAINING:
             await self._spread_last_word(lease.instance)
@@ -155,7 +155,7 @@
     async def _(self, call: Goodbye) -> Response:
         if self._may_be_of_another_incarnation(call):
             raise Refused(Refusal(Reason.NOT_READY, detail='the back end is not known here yet'))
-        if self.registry.take_goodbye(call.instance, call.incarnation) is Change.CHANGED:
+        if self.registry.record_goodbye(call.instance, call.incarnation) is RecordChange.CHANGED:
             await self.followers.wake()
         await self._spread_last_word(call.instance)
         return self.adapter.accepted()
@@ -167,7 +167,7 @@
 
         """
         known = self.registry.leases.get(call.instance) is not None
-        return call.incarnation is None and not known and not self.registry.settled
+        return call.incarnation is None and not known and not self.registry.is_complete
 
     async def _spread_last_word(self, instance: str) -> None:
         """
--- a/packages/millforkd/millforkd/replica/daemon.py
+++ b/packages/millforkd/millforkd/replica/daemon.py
@@ -16,7 +16,7 @@
 from millfork_registry.discovery import Discovery
 from millfork_registry.followers import Followers
 from millfork_registry.records import decode_state
-from millfork_registry.registry import Change, Registry
+from millfork_registry.registry import RecordChange, Registry
 from millfork_registry.suspects import decode_suspicions
 from millfork_settings.seeded import SeededSettings, socket_pair
 from millfork_state.answers import StateAnswers
@@ -176,7 +176,7 @@
         Take changed settings: other seeds.
 
         """
-        self.discovery.take_seeds(settings.seed_instances)
+        self.discovery.set_seeds(settings.seed_instances)
 
     async def drain(self) -> None:
         """
@@ -241,6 +241,6 @@
             log.warning('A report of {} can not be read: {}.', connection.peer, error)
             return Done(False)
         mine = msgspec.structs.replace(state, owner=str(self.env.instance))
-        if self.registry.take_endpoint(mine) is Change.CHANGED:
+        if self.registry.merge_endpoint_state(mine) is RecordChange.CHANGED:
             await self.followers.wake()
         return Done(True)
--- a/packages/millforkd/millforkd/replica/replica_links.py
+++ b/packages/millforkd/millforkd/replica/replica_links.py
@@ -12,11 +12,11 @@
 from millfork_core.environment import Environment
 from millfork_core.ids import InstanceId
 from millfork_core.logs import Part, logger
-from millfork_registry.caches import named
+from millfork_registry.caches import advertised_caches
 from millfork_registry.discovery import Discovery, address_of
 from millfork_registry.followers import Followers
 from millfork_registry.records import Lease, decode_leases, decode_states, encode_records
-from millfork_registry.registry import Change, Registry
+from millfork_registry.registry import RecordChange, Registry
 from millfork_registry.roles import REPLICA_ROLE
 from millfork_registry.suspects import decode_suspicions
 from millfork_registry.version_cutoffs import VersionCutoffs
@@ -110,19 +110,19 @@
                 if address.instance not in self.meeting:
                     self.meeting.add(address.instance)
                     await self.env.spawn(self._meet_once, address)
-            self.note_settled()
+            self.update_completeness()
             self.registry.forget_silent_endpoints()
             if self.registry.expire(self._lost_owners()):
                 await self.followers.wake()
             await curio.sleep(ASK_EVERY_S)
 
-    def note_settled(self) -> None:
+    def update_completeness(self) -> None:
         """
         After some heartbeats a replica knows the leases of all back ends that reach it, and
         by a majority of the replicas those of all others; by itself it does not, in a cut.
 
         """
-        if self.registry.settled:
+        if self.registry.is_complete:
             return
         if self.env.monotonic() - self.started_at <= self.settle_s:
             return
@@ -131,7 +131,7 @@
             instance == self.env.instance or self._follows(instance) for instance in members
         )
         if known > len(members) // 2:
-            self.registry.settled = True
+            self.registry.is_complete = True
 
     def _follows(self, instance: str) -> bool:
         connection = self.followed.get(InstanceId(instance))
@@ -140,7 +140,7 @@
     def _learn_members(self) -> None:
         for instance, _ in self.replica.members:
             if instance != self.env.instance:
-                self.discovery.learn(instance)
+                self.discovery.add_replica(instance)
                 self.replica.learn_address(address_of(instance))
 
     def _note_standstill(self) -> None:
@@ -156,7 +156,7 @@
         log.warning('This process stood still. seconds={:.1f}', stood_s)
         self.started_at = now
         self.heard.clear()
-        self.registry.count_anew()
+        self.registry.restart_expiry_timers()
 
     async def _meet_once(self, address: PeerAddress) -> None:
         try:
@@ -166,16 +166,16 @@
 
     async def _meet(self, address: PeerAddress) -> None:
         question = FindReplicas(
-            str(self.env.instance), self.replica.cluster, self.followers.entries_here
+            str(self.env.instance), self.replica.cluster, self.followers.local_entries
         )
         asked_at = self.env.monotonic()
         reply = await self.discovery.ask(address, question)
         if reply is None:
-            self.followers.entries_elsewhere.pop(str(address.instance), None)
+            self.followers.entries_by_other_replica.pop(str(address.instance), None)
             return
         self.heard[str(address.instance)] = self.env.monotonic()
         self.replica.learn_address(address)
-        self.followers.entries_elsewhere[str(address.instance)] = reply.entries
+        self.followers.entries_by_other_replica[str(address.instance)] = reply.entries
         self.version_cutoffs.note(asked_at, reply.switches)
         await self._follow(address)
 
@@ -203,24 +203,24 @@
         taken up.
 
         """
-        caches = self.followers.caches_here()
+        caches = self.followers.local_caches()
         if message.instance:
-            self.discovery.learn(message.instance)
+            self.discovery.add_replica(message.instance)
             self.replica.learn_address(address_of(message.instance))
             self.heard[message.instance] = self.env.monotonic()
-            self.followers.entries_elsewhere[message.instance] = message.entries
+            self.followers.entries_by_other_replica[message.instance] = message.entries
         else:
             caches += self.discovery.caches_elsewhere(HEARD_WITHIN_S)
         known = {instance for instance, _ in self.replica.members}
-        known.update(self.discovery.answering(NAMED_WITHIN_S))
+        known.update(self.discovery.answered_within(NAMED_WITHIN_S))
         known.add(str(self.env.instance))
         return Replicas(
             self.replica.cluster,
             str(self.replica.leader),
             sorted(known),
             self.replica.age_ms(),
-            self.followers.entries_here,
-            named(caches, None if message.instance else zone),
+            self.followers.local_entries,
+            advertised_caches(caches, None if message.instance else zone),
             str(self.env.zone),
             self.switches(),
         )
@@ -238,12 +238,12 @@
         except msgspec.DecodeError as error:
             log.warning('Leases can not be read: {}.', error)
             return
-        changes = [self.registry.take(lease) for lease in leases]
-        changes += [self.registry.take_endpoint(state) for state in endpoints]
+        changes = [self.registry.merge_lease(lease) for lease in leases]
+        changes += [self.registry.merge_endpoint_state(state) for state in endpoints]
         if message.full and message.settled:
-            self.registry.settled = True
+            self.registry.is_complete = True
         news = await self.registry.suspects.merge(suspicions)
-        if news or Change.CHANGED in changes:
+        if news or RecordChange.CHANGED in changes:
             await self.followers.wake()
 
     async def spread(self, lease: Lease) -> bool:
--- a/packages/millforkd/millforkd/watching.py
+++ b/packages/millforkd/millforkd/watching.py
@@ -17,7 +17,7 @@
 
 # All that breaks off with a back end does so within a few milliseconds; and an address that
 # closes at this moment may reset a connection before it refuses the next.
-GATHER_S: Final = 0.01
+BATCH_DELAY_S: Final = 0.01
 LOOKS: Final = 2
 # Where there is no hurry, looks begin at the pace that follows so many.
 LATER_LOOKS: Final = 4
@@ -156,14 +156,14 @@
         Wait for the next look, longer from one to the next.
 
         """
-        pause_s = min(GATHER_S * 2.0 ** max(self.looks - 1, 0), self.every_s)
+        pause_s = min(BATCH_DELAY_S * 2.0 ** max(self.looks - 1, 0), self.every_s)
         try:
             async with curio.timeout_after(pause_s):
                 await self.hurry.wait()
         except curio.TaskTimeout:
             return
         self.hurry.clear()
-        await curio.sleep(GATHER_S)
+        await curio.sleep(BATCH_DELAY_S)
 
     async def _settle(self, looked_at: float, found: Address) -> None:
         settled: dict[Fate, list[Break[Item]]] = {}
--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -122,7 +122,7 @@
         (
             Edit(
                 'packages/millfork-registry/millfork_registry/registry.py',
-                'if other is not None and held is None and self._may_have_ended(lease, other):',
+                'if other is not None and held is None and self._may_be_delayed(lease, other):',
                 'if False:',
             ),
         ),
@@ -624,7 +624,7 @@
         (
             Edit(
                 G + 'registry.py',
-                '                self._leave_address(held)',
+                '                self._release_address(held)',
                 '                pass',
             ),
         ),
--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -11,7 +11,12 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import InstanceId, ZoneId
-from millfork_registry.caches import NAMED_ELSEWHERE, NAMED_IN_ZONE, drawers, named
+from millfork_registry.caches import (
+    MAX_ADVERTISED_IN_ZONE,
+    MAX_ADVERTISED_PER_OTHER_ZONE,
+    advertised_caches,
+    caches_near_origin,
+)
 from millfork_routing.documents import OriginFigures
 from millfork_wire.connection import PeerTimedOut
 from millfork_wire.messages import CacheAddress, GetChunk, GetManifest
@@ -110,17 +115,20 @@
 
 @given(CACHES, st.sampled_from(['z1', 'z2', 'z3']))
 def test_a_few_caches_of_each_zone_are_named_whoever_is_asked(caches, zone):
-    found = named(caches, zone)
-    assert named([*reversed(caches), *caches[:3]], zone) == found
+    found = advertised_caches(caches, zone)
+    assert advertised_caches([*reversed(caches), *caches[:3]], zone) == found
     for name in ('z1', 'z2', 'z3'):
         of_zone = [cache for cache in caches if cache.zone == name]
-        most = NAMED_IN_ZONE if name == zone else NAMED_ELSEWHERE
+        most = MAX_ADVERTISED_IN_ZONE if name == zone else MAX_ADVERTISED_PER_OTHER_ZONE
         assert sum(cache.zone == name for cache in found) == min(len(of_zone), most)
 
 
 @given(CACHES, st.sampled_from(['z1', 'z2', 'z3', '']))
 def test_all_zones_agree_on_who_draws_from_the_origin(caches, origin_zone):
-    told = [drawers(named(caches, zone), origin_zone) for zone in ('z1', 'z2', 'z3')]
+    told = [
+        caches_near_origin(advertised_caches(caches, zone), origin_zone)
+        for zone in ('z1', 'z2', 'z3')
+    ]
     assert told[0] == told[1] == told[2]
     assert bool(told[0]) == bool(caches)
     if any(cache.zone == origin_zone for cache in caches):
--- a/tests/test_delayed_heartbeats.py
+++ b/tests/test_delayed_heartbeats.py
@@ -15,7 +15,7 @@
 from millfork_core.environment import Environment
 from millfork_core.ids import InstanceId, ZoneId
 from millfork_registry.records import Lease, LeaseState
-from millfork_registry.registry import Change, Registry
+from millfork_registry.registry import RecordChange, Registry
 from tests.test_servers import Clock
 
 HEARTBEAT_S = 1.2
@@ -43,12 +43,12 @@
 
 
 def test_a_late_heartbeat_of_one_that_was_never_known_ends_no_lease(replica, clock):
-    replica.take_heartbeat(lease('i-2', 5))
+    replica.record_heartbeat(lease('i-2', 5))
     clock.now += 0.3
-    assert replica.take_heartbeat(lease('i-1', 31)) is Change.NONE
+    assert replica.record_heartbeat(lease('i-1', 31)) is RecordChange.NONE
     assert usable(replica) == ['i-2']
     clock.now += 0.9
-    assert replica.take_heartbeat(lease('i-2', 6)) is Change.RENEWED
+    assert replica.record_heartbeat(lease('i-2', 6)) is RecordChange.RENEWED
     assert usable(replica) == ['i-2']
 
 
@@ -57,55 +57,55 @@
     A back end that got no answer within a second sends the same heartbeat to another replica.
 
     """
-    replica.take_heartbeat(lease('i-2', 5))
+    replica.record_heartbeat(lease('i-2', 5))
     for _ in range(3):
-        assert replica.take_heartbeat(lease('i-1', 31)) is Change.NONE
+        assert replica.record_heartbeat(lease('i-1', 31)) is RecordChange.NONE
         clock.now += HEARTBEAT_S
-        replica.take_heartbeat(lease('i-2', 6))
+        replica.record_heartbeat(lease('i-2', 6))
     assert usable(replica) == ['i-2']
 
 
 def test_nor_do_two_that_were_held_up_together(replica, clock):
-    replica.take_heartbeat(lease('i-2', 5))
-    replica.take_heartbeat(lease('i-1', 31))
+    replica.record_heartbeat(lease('i-2', 5))
+    replica.record_heartbeat(lease('i-1', 31))
     clock.now += 0.01
-    assert replica.take_heartbeat(lease('i-1', 32)) is Change.NONE
+    assert replica.record_heartbeat(lease('i-1', 32)) is RecordChange.NONE
     assert usable(replica) == ['i-2']
 
 
 def test_nor_one_at_a_replica_that_has_the_lease_from_another(replica, clock):
-    replica.take(lease('i-2', 5, owner='b:1'))
-    assert replica.take_heartbeat(lease('i-1', 31)) is Change.NONE
+    replica.merge_lease(lease('i-2', 5, owner='b:1'))
+    assert replica.record_heartbeat(lease('i-1', 31)) is RecordChange.NONE
     assert usable(replica) == ['i-2']
 
 
 def test_a_new_back_end_whose_first_heartbeats_were_lost_is_taken_by_its_second_here(
     replica, clock
 ):
-    replica.take_heartbeat(lease('i-1', 40))
-    replica.take_heartbeat(lease('i-2', 4))
+    replica.record_heartbeat(lease('i-1', 40))
+    replica.record_heartbeat(lease('i-2', 4))
     clock.now += HEARTBEAT_S
-    assert replica.take_heartbeat(lease('i-2', 5)) is Change.CHANGED
+    assert replica.record_heartbeat(lease('i-2', 5)) is RecordChange.CHANGED
     assert usable(replica) == ['i-2']
 
 
 def test_the_first_heartbeat_of_a_new_back_end_is_taken_at_once(replica):
-    replica.take_heartbeat(lease('i-1', 40))
-    assert replica.take_heartbeat(lease('i-2', 1)) is Change.CHANGED
+    replica.record_heartbeat(lease('i-1', 40))
+    assert replica.record_heartbeat(lease('i-2', 1)) is RecordChange.CHANGED
     assert usable(replica) == ['i-2']
 
 
 def test_where_both_tell_when_they_started_that_decides(replica):
-    replica.take_heartbeat(lease('i-2', 5, incarnation=2000))
-    assert replica.take_heartbeat(lease('i-1', 31, incarnation=1000)) is Change.NONE
-    assert replica.take_heartbeat(lease('i-3', 4, incarnation=3000)) is Change.CHANGED
+    replica.record_heartbeat(lease('i-2', 5, incarnation=2000))
+    assert replica.record_heartbeat(lease('i-1', 31, incarnation=1000)) is RecordChange.NONE
+    assert replica.record_heartbeat(lease('i-3', 4, incarnation=3000)) is RecordChange.CHANGED
     assert usable(replica) == ['i-3']
 
 
 def test_what_waits_for_its_next_heartbeat_is_forgotten(replica, clock):
-    replica.take_heartbeat(lease('i-2', 5))
-    replica.take_heartbeat(lease('i-1', 31))
+    replica.record_heartbeat(lease('i-2', 5))
+    replica.record_heartbeat(lease('i-1', 31))
     clock.now += 200
-    replica.take_heartbeat(lease('i-2', 150))
+    replica.record_heartbeat(lease('i-2', 150))
     replica.expire(set())
-    assert replica.newcomers == {}
+    assert replica.unconfirmed == {}
--- a/tests/test_faults_left_open.py
+++ b/tests/test_faults_left_open.py
@@ -77,9 +77,9 @@
     Where starts of processes are told, the live one's is the later, and decides.
 
     """
-    replica.take_heartbeat(heartbeats.lease('i-2', 5, incarnation=live))
+    replica.record_heartbeat(heartbeats.lease('i-2', 5, incarnation=live))
     clock.now += 0.3
-    replica.take_heartbeat(heartbeats.lease('i-1', 1, incarnation=late))
+    replica.record_heartbeat(heartbeats.lease('i-1', 1, incarnation=late))
     assert heartbeats.usable(replica) == ['i-2']
 
 
--- a/tests/test_feed_client.py
+++ b/tests/test_feed_client.py
@@ -91,7 +91,7 @@
     monkeypatch.setitem(ZONES, '10.0.0.3:7', 'far')
     replicas = StandInReplicas('10.0.0.1:7', '10.0.0.3:7')
     made = feed_client(replicas)
-    made.discovery.learn('10.0.0.3:7')
+    made.discovery.add_replica('10.0.0.3:7')
 
     async def run():
         await watched(made, replicas, lambda: replicas.followed == ['far'])
--- a/tests/test_feed_relay.py
+++ b/tests/test_feed_relay.py
@@ -89,13 +89,13 @@
         cut = followers.feed_relay[CUT].feed_client
         near = followers.feed_relay[NEAR].feed_client
         near.view.change(Revision(2), {'key': Held(b'new', Revision(2))}, [])
-        near.registry.take_endpoint(state(1, 5))
+        near.registry.merge_endpoint_state(state(1, 5))
         task = await curio.spawn(followers.feed_relay[CUT].keep, daemon=True)
         hearing = (NEAR, FAR)
         await followers.until(lambda: running_at(cut) == 5, hearing)
         assert cut.view.items['key'].value == b'new'
         assert cut.reports_to == NEAR
-        near.registry.take_endpoint(state(2, 9))
+        near.registry.merge_endpoint_state(state(2, 9))
         await followers.until(lambda: running_at(cut) == 9, hearing)
         assert set(followers.asked) == {NEAR}
         await task.cancel()
@@ -106,7 +106,7 @@
 def test_one_that_hears_no_replica_itself_is_passed_over(followers):
     async def run():
         cut = followers.feed_relay[CUT].feed_client
-        followers.feed_relay[FAR].feed_client.registry.take_endpoint(state(1, 5))
+        followers.feed_relay[FAR].feed_client.registry.merge_endpoint_state(state(1, 5))
         task = await curio.spawn(followers.feed_relay[CUT].keep, daemon=True)
         await followers.until(lambda: running_at(cut) == 5, (FAR,))
         assert cut.reports_to == FAR
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -27,7 +27,7 @@
     ServedVersion,
     decode_leases,
 )
-from millfork_registry.registry import Change, Registry
+from millfork_registry.registry import RecordChange, Registry
 from millfork_registry.roles import REPLICA_ROLE
 from millfork_scheduling.book import ServerBook
 from millfork_scheduling.placement import Choice, Wanted
@@ -67,45 +67,48 @@
 
 @pytest.mark.parametrize('ended', [LeaseState.READY, LeaseState.DRAINING, LeaseState.GONE])
 def test_a_back_end_that_starts_again_is_usable_at_once(registry, ended):
-    registry.take_heartbeat(lease(FIRST, 50))
+    registry.record_heartbeat(lease(FIRST, 50))
     if ended is LeaseState.GONE:
-        registry.take_goodbye('i-1', FIRST)
+        registry.record_goodbye('i-1', FIRST)
     if ended is LeaseState.DRAINING:
-        registry.take_heartbeat(lease(FIRST, 51, state=ended))
-    assert registry.take_heartbeat(lease(SECOND, 1)) is Change.CHANGED
+        registry.record_heartbeat(lease(FIRST, 51, state=ended))
+    assert registry.record_heartbeat(lease(SECOND, 1)) is RecordChange.CHANGED
     assert state_of(registry) is LeaseState.READY
 
 
 def test_what_comes_late_of_an_earlier_incarnation_changes_nothing(registry):
-    registry.take_heartbeat(lease(SECOND, 1))
+    registry.record_heartbeat(lease(SECOND, 1))
     held = registry.leases.get('i-1')
-    assert registry.take_heartbeat(lease(FIRST, 51)) is Change.NONE
-    assert registry.take(lease(FIRST, 51, state=LeaseState.EXPIRED, owner='b:1')) is Change.NONE
-    assert registry.take_goodbye('i-1', FIRST) is Change.NONE
-    assert registry.take_heartbeat(lease(0, 52)) is Change.NONE
+    assert registry.record_heartbeat(lease(FIRST, 51)) is RecordChange.NONE
+    assert (
+        registry.merge_lease(lease(FIRST, 51, state=LeaseState.EXPIRED, owner='b:1'))
+        is RecordChange.NONE
+    )
+    assert registry.record_goodbye('i-1', FIRST) is RecordChange.NONE
+    assert registry.record_heartbeat(lease(0, 52)) is RecordChange.NONE
     assert registry.leases.get('i-1') == held
 
 
 def test_a_goodbye_that_names_no_incarnation_is_of_the_one_known(registry):
-    registry.take_heartbeat(lease(SECOND, 1))
-    registry.take_goodbye('i-1')
+    registry.record_heartbeat(lease(SECOND, 1))
+    registry.record_goodbye('i-1')
     assert state_of(registry) is LeaseState.GONE
-    assert registry.take_heartbeat(lease(SECOND, 2)) is Change.NONE
+    assert registry.record_heartbeat(lease(SECOND, 2)) is RecordChange.NONE
 
 
 def test_a_later_process_ends_the_one_before_it_at_its_address_though_both_are_known(registry):
-    registry.take_heartbeat(lease(FIRST, 7, 'i-1'))
-    registry.take_heartbeat(lease(FIRST, 9, 'i-2', port=81))
-    registry.take_heartbeat(lease(SECOND, 1, 'i-2', port=80))
+    registry.record_heartbeat(lease(FIRST, 7, 'i-1'))
+    registry.record_heartbeat(lease(FIRST, 9, 'i-2', port=81))
+    registry.record_heartbeat(lease(SECOND, 1, 'i-2', port=80))
     assert state_of(registry, 'i-1') is LeaseState.EXPIRED
-    assert registry.take_heartbeat(lease(FIRST, 8, 'i-1')) is Change.NONE
+    assert registry.record_heartbeat(lease(FIRST, 8, 'i-1')) is RecordChange.NONE
     assert state_of(registry, 'i-2') is LeaseState.READY
 
 
 def test_a_back_end_that_moved_is_not_ended_by_who_takes_its_old_address(registry):
-    registry.take_heartbeat(lease(FIRST, 7, 'i-1', port=80))
-    registry.take_heartbeat(lease(SECOND, 1, 'i-1', port=81))
-    registry.take_heartbeat(lease(SECOND + 1, 1, 'i-2', port=80))
+    registry.record_heartbeat(lease(FIRST, 7, 'i-1', port=80))
+    registry.record_heartbeat(lease(SECOND, 1, 'i-1', port=81))
+    registry.record_heartbeat(lease(SECOND + 1, 1, 'i-2', port=80))
     assert state_of(registry, 'i-1') is LeaseState.READY
     assert state_of(registry, 'i-2') is LeaseState.READY
 
@@ -253,7 +256,7 @@
     def leave(self, instance, place):
         word = self.alive.pop(instance, None)
         if word is not None:
-            self.replicas[place][0].take_goodbye(instance, word.incarnation)
+            self.replicas[place][0].record_goodbye(instance, word.incarnation)
             self.note(word)
 
     @rule(place=PLACES, data=st.data())
@@ -262,7 +265,7 @@
             self.hear(place, data.draw(st.sampled_from(self.said)))
 
     def hear(self, place, word):
-        self.replicas[place][0].take_heartbeat(word)
+        self.replicas[place][0].record_heartbeat(word)
         self.note(word)
 
     def note(self, word):
@@ -282,9 +285,9 @@
                 if source == target or (source, target) in self.cut:
                     continue
                 feed = self.feeds.setdefault((source, target), Follower(None, REPLICA_ROLE))
-                told = followers._leases_for(feed)
+                told = followers._next_leases_message(feed)
                 for record in decode_leases(told.leases):
-                    registry.take(record)
+                    registry.merge_lease(record)
 
     @rule(seconds=st.sampled_from([0.5, LEASE_S + 0.1]))
     def wait(self, seconds):
--- a/tests/test_leases_of_lost_owners.py
+++ b/tests/test_leases_of_lost_owners.py
@@ -10,7 +10,7 @@
 from millfork_core.ids import InstanceId, ZoneId
 from millfork_registry.followers import Follower, Followers
 from millfork_registry.records import Lease, LeaseState, decode_leases
-from millfork_registry.registry import Change, Registry
+from millfork_registry.registry import RecordChange, Registry
 from millfork_registry.roles import REPLICA_ROLE
 from tests.test_servers import Clock
 
@@ -31,20 +31,20 @@
 
     def tell(self, other):
         feed = self.feeds.setdefault(other, Follower(None, REPLICA_ROLE))
-        message = self.followers._leases_for(feed)
+        message = self.followers._next_leases_message(feed)
         for lease in decode_leases(message.leases):
-            other.registry.take(lease)
+            other.registry.merge_lease(lease)
 
 
 def beat(replica, sequence):
     lease = Lease('i-1', 's', '10.0.0.1', 80, 'zone', 1, LeaseState.READY, sequence)
-    return replica.registry.take_heartbeat(lease)
+    return replica.registry.record_heartbeat(lease)
 
 
 def test_a_back_end_that_beats_on_is_usable_at_replicas_that_hear_its_owner():
     clock = Clock()
     owner, third, apart = Told('o:1', clock), Told('y:1', clock), Told('z:1', clock)
-    assert beat(owner, 1) is Change.CHANGED
+    assert beat(owner, 1) is RecordChange.CHANGED
     for replica in (owner, third, apart):
         for other in {owner, third, apart} - {replica}:
             replica.tell(other)
--- a/tests/test_limit_shares.py
+++ b/tests/test_limit_shares.py
@@ -169,6 +169,6 @@
 
 def test_a_limit_that_changes_with_each_report_waits_for_the_next_feed():
     first = report(1, 1, limit=2.0)
-    assert not report(1, 2, limit=2.1).says_more_than(first)
-    assert report(1, 2).says_more_than(first)
-    assert first.says_more_than(report(1, 0))
+    assert not report(1, 2, limit=2.1).needs_announcement_after(first)
+    assert report(1, 2).needs_announcement_after(first)
+    assert first.needs_announcement_after(report(1, 0))
--- a/tests/test_platform_foreign_messages.py
+++ b/tests/test_platform_foreign_messages.py
@@ -206,7 +206,7 @@
         self.clock = Clock()
         self.env = Environment(InstanceId('a:1'), ZoneId('z1'), monotonic=self.clock)
         self.registry = Registry(self.env, HEARTBEAT_S)
-        self.registry.take_heartbeat(lease(FIRST, 5))
+        self.registry.record_heartbeat(lease(FIRST, 5))
         self.woken = 0
         followers = SimpleNamespace(wake=self.wake)
         self.control = Control(
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -189,7 +189,7 @@
         assert entry.quarantine.bars(entry.job)
         await listing.settle()
         # As after a loss of power: suspicions are gone, the state is not.
-        entry.suspects.table.drop(entry.job.fingerprint)
+        entry.suspects.table.remove(entry.job.fingerprint)
         assert entry.quarantine.bars(entry.job)
 
     curio.run(run)
@@ -218,7 +218,7 @@
             clock.now += 0.001
             await entry.suspects.record(Suspicion(Fingerprint(f'{number}'), 0, ENDS))
             await listing.settle()
-            entry.suspects.table.drop(f'{number}')
+            entry.suspects.table.remove(f'{number}')
         assert len(entry.view.items) == MOST_HELD
         clock.now += HELD_MS / 1000 + 1
         await listing.settle()
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -18,7 +18,7 @@
     decode_leases,
     encode_records,
 )
-from millfork_registry.registry import REMEMBERED_S, Change, Registry
+from millfork_registry.registry import ENDED_RETENTION_S, RecordChange, Registry
 from millfork_registry.versioned_table import VersionedTable
 
 HEARTBEAT_S = 1.0
@@ -53,41 +53,41 @@
 
 
 def test_a_late_heartbeat_changes_nothing(registry):
-    registry.take(lease(sequence=5, state=LeaseState.DRAINING))
-    assert registry.take(lease(sequence=4)) is Change.NONE
+    registry.merge_lease(lease(sequence=5, state=LeaseState.DRAINING))
+    assert registry.merge_lease(lease(sequence=4)) is RecordChange.NONE
     assert state_of(registry) is LeaseState.DRAINING
 
 
 def test_a_renewal_is_no_news_for_others(registry):
-    registry.take(lease(sequence=1))
+    registry.merge_lease(lease(sequence=1))
     version = registry.leases.version
-    assert registry.take(lease(sequence=2)) is Change.RENEWED
+    assert registry.merge_lease(lease(sequence=2)) is RecordChange.RENEWED
     assert registry.leases.version == version
 
 
 def test_a_goodbye_is_final(registry):
-    registry.take_heartbeat(lease(sequence=1))
-    registry.take_goodbye('i-1')
-    assert registry.take_heartbeat(lease(sequence=9)) is Change.NONE
+    registry.record_heartbeat(lease(sequence=1))
+    registry.record_goodbye('i-1')
+    assert registry.record_heartbeat(lease(sequence=9)) is RecordChange.NONE
     assert state_of(registry) is LeaseState.GONE
 
 
 def test_a_goodbye_of_an_unknown_back_end_is_kept(registry):
-    registry.take_goodbye('i-1')
-    assert registry.take(lease(sequence=3)) is Change.NONE
+    registry.record_goodbye('i-1')
+    assert registry.merge_lease(lease(sequence=3)) is RecordChange.NONE
 
 
 def test_a_lease_owned_here_runs_out_and_a_heartbeat_renews_it(registry, clock):
-    registry.take_heartbeat(lease(sequence=1))
+    registry.record_heartbeat(lease(sequence=1))
     clock.now += LEASE_S + 0.1
     assert [item.instance for item in registry.expire(set())] == ['i-1']
     assert state_of(registry) is LeaseState.EXPIRED
-    registry.take_heartbeat(lease(sequence=2))
+    registry.record_heartbeat(lease(sequence=2))
     assert state_of(registry) is LeaseState.READY
 
 
 def test_a_lease_owned_elsewhere_runs_out_only_when_its_owner_is_lost(registry, clock):
-    registry.take(lease(owner='b:1'))
+    registry.merge_lease(lease(owner='b:1'))
     clock.now += 60
     assert registry.expire(set()) == []
     clock.now += LEASE_S + 0.1
@@ -95,59 +95,59 @@
 
 
 def test_a_back_end_that_found_another_replica_is_not_given_up(registry, clock):
-    registry.take_heartbeat(lease(sequence=1))
-    registry.take(lease(sequence=2, owner='c:1'))
+    registry.record_heartbeat(lease(sequence=1))
+    registry.merge_lease(lease(sequence=2, owner='c:1'))
     clock.now += LEASE_S + 0.1
     assert registry.expire(set()) == []
 
 
 def test_a_new_back_end_ends_the_lease_of_the_one_before_it_at_its_address(registry):
-    registry.take_heartbeat(lease('i-1', sequence=7))
-    registry.take_heartbeat(lease('i-2', sequence=1))
+    registry.record_heartbeat(lease('i-1', sequence=7))
+    registry.record_heartbeat(lease('i-2', sequence=1))
     assert state_of(registry, 'i-1') is LeaseState.EXPIRED
-    assert registry.take_heartbeat(lease('i-1', sequence=8)) is Change.NONE
+    assert registry.record_heartbeat(lease('i-1', sequence=8)) is RecordChange.NONE
     assert state_of(registry, 'i-1') is LeaseState.EXPIRED
     assert state_of(registry, 'i-2') is LeaseState.READY
 
 
 def test_a_back_end_whose_neighbour_ended_comes_back(registry, clock):
-    registry.take_heartbeat(lease('i-1', sequence=7))
-    registry.take_heartbeat(lease('i-2', sequence=1))
+    registry.record_heartbeat(lease('i-1', sequence=7))
+    registry.record_heartbeat(lease('i-2', sequence=1))
     clock.now += LEASE_S + 0.1
     registry.expire(set())
-    assert registry.take_heartbeat(lease('i-1', sequence=8)) is Change.CHANGED
+    assert registry.record_heartbeat(lease('i-1', sequence=8)) is RecordChange.CHANGED
     assert state_of(registry, 'i-1') is LeaseState.READY
 
 
 def test_back_ends_at_other_addresses_are_left_alone(registry):
-    registry.take_heartbeat(lease('i-1'))
-    registry.take_heartbeat(lease('i-2', port=81))
+    registry.record_heartbeat(lease('i-1'))
+    registry.record_heartbeat(lease('i-2', port=81))
     assert state_of(registry, 'i-1') is LeaseState.READY
 
 
 def test_what_ended_is_forgotten_in_the_end(registry, clock):
-    registry.take_heartbeat(lease())
-    registry.take_goodbye('i-1')
-    clock.now += REMEMBERED_S + 1
+    registry.record_heartbeat(lease())
+    registry.record_goodbye('i-1')
+    clock.now += ENDED_RETENTION_S + 1
     registry.expire(set())
     assert len(registry.leases) == 0
 
 
 def test_a_settled_replica_decides_what_there_is(registry):
-    registry.take(lease('i-1'))
-    registry.take(lease('i-2'))
-    registry.keep_only({'i-2'}, set())
+    registry.merge_lease(lease('i-1'))
+    registry.merge_lease(lease('i-2'))
+    registry.retain_only({'i-2'}, set())
     assert [item.instance for item in registry.leases.values()] == ['i-2']
 
 
 def test_only_load_may_wait_in_an_endpoint_report(registry):
     state = EndpointState('e:1', 'service', 'zone', '10.0.0.1', 80, 1, reachable=True)
-    assert registry.take_endpoint(state) is Change.CHANGED
+    assert registry.merge_endpoint_state(state) is RecordChange.CHANGED
     busier = msgspec.structs.replace(state, sequence=2, running=9)
-    assert registry.take_endpoint(busier) is Change.RENEWED
+    assert registry.merge_endpoint_state(busier) is RecordChange.RENEWED
     changing = msgspec.structs.replace(state, sequence=3, changing_to=2)
-    assert registry.take_endpoint(changing) is Change.CHANGED
-    assert registry.take_endpoint(state) is Change.NONE
+    assert registry.merge_endpoint_state(changing) is RecordChange.CHANGED
+    assert registry.merge_endpoint_state(state) is RecordChange.NONE
 
 
 def test_how_far_a_version_has_come_may_wait_in_an_endpoint_report(registry):
@@ -157,12 +157,12 @@
 
     """
     first = EndpointState('e:1', 'service', 'zone', '10.0.0.1', 80, 1, reachable=True)
-    registry.take_endpoint(first)
+    registry.merge_endpoint_state(first)
     begun = msgspec.structs.replace(first, sequence=2, held=(HeldVersion('m', 2, 0, 3),))
-    assert registry.take_endpoint(begun) is Change.CHANGED
+    assert registry.merge_endpoint_state(begun) is RecordChange.CHANGED
     further = msgspec.structs.replace(first, sequence=3, held=(HeldVersion('m', 2, 0, 9),))
-    assert registry.take_endpoint(further) is Change.RENEWED
-    assert registry.endpoints.since(registry.endpoints.version - 1) == [further]
+    assert registry.merge_endpoint_state(further) is RecordChange.RENEWED
+    assert registry.endpoints.changed_since(registry.endpoints.version - 1) == [further]
 
 
 def test_leases_go_over_the_wire_as_they_are():
@@ -186,7 +186,7 @@
         env = Environment(InstanceId('a:1'), ZoneId('zone'), monotonic=Clock())
         registry = Registry(env, HEARTBEAT_S)
         for item in items:
-            registry.take(item)
+            registry.merge_lease(item)
         return {key: registry.leases.get(key).order for key in registry.leases.rows}
 
     shuffled = list(records)
@@ -202,7 +202,7 @@
     for position, (key, value) in enumerate(changes):
         table.put(key, (key, value))
         if position % 3 == 2:
-            copy.update({item[0]: item for item in table.since(seen)})
+            copy.update({item[0]: item for item in table.changed_since(seen)})
             seen = table.version
-    copy.update({item[0]: item for item in table.since(seen)})
+    copy.update({item[0]: item for item in table.changed_since(seen)})
     assert copy == {item[0]: item for item in table.values()}
--- a/tests/test_registry_completeness.py
+++ b/tests/test_registry_completeness.py
@@ -58,10 +58,10 @@
 
     def pass_time(self, seconds):
         self.clock.now += seconds
-        self.replica_links.note_settled()
+        self.replica_links.update_completeness()
 
     def left_at(self, entry):
-        message = self.followers._leases_for(Follower(None, ENTRY_ROLE))
+        message = self.followers._next_leases_message(Follower(None, ENTRY_ROLE))
         feed_client = FeedClient(self.env, ENTRY_ROLE, None, entry, None, None)
         curio.run(feed_client._take_leases, InstanceId('a:1'), message)
         return sorted(item.instance for item in entry.leases.values())
@@ -75,42 +75,42 @@
 def test_a_replica_that_is_cut_off_does_not_say_that_it_knows_all_leases(restarted):
     entry = Registry(restarted.env, HEARTBEAT_S)
     for instance, owner in (('i-1', 'a:1'), ('i-2', 'b:1'), ('i-3', 'c:1')):
-        entry.take(lease(instance, owner))
-    restarted.registry.take_heartbeat(lease('i-1', 'a:1'))
+        entry.merge_lease(lease(instance, owner))
+    restarted.registry.record_heartbeat(lease('i-1', 'a:1'))
     restarted.pass_time(LONG_S)
-    assert not restarted.registry.settled
+    assert not restarted.registry.is_complete
     assert restarted.left_at(entry) == ['i-1', 'i-2', 'i-3']
 
 
 def test_it_says_so_once_it_follows_a_majority_and_had_the_time(restarted):
     restarted.follow('b:1')
     restarted.pass_time(0.5)
-    assert not restarted.registry.settled
+    assert not restarted.registry.is_complete
     restarted.pass_time(SETTLED_HEARTBEATS * HEARTBEAT_S)
-    assert restarted.registry.settled
+    assert restarted.registry.is_complete
 
 
 def test_it_says_so_after_the_cut(restarted):
     restarted.pass_time(LONG_S)
     restarted.follow('c:1')
     restarted.pass_time(0.5)
-    assert restarted.registry.settled
+    assert restarted.registry.is_complete
 
 
 def test_one_that_it_follows_no_more_does_not_count(restarted):
     restarted.follow('b:1')
     restarted.replica_links.followed[InstanceId('b:1')].closed = True
     restarted.pass_time(LONG_S)
-    assert not restarted.registry.settled
+    assert not restarted.registry.is_complete
 
 
 def test_a_replica_of_one_knows_all_that_there_is(restarted):
     restarted.replica.members = [('a:1', 'disk')]
     restarted.pass_time(LONG_S)
-    assert restarted.registry.settled
+    assert restarted.registry.is_complete
 
 
 def test_a_replica_without_members_knows_of_no_majority(restarted):
     restarted.replica.members = []
     restarted.pass_time(LONG_S)
-    assert not restarted.registry.settled
+    assert not restarted.registry.is_complete
--- a/tests/test_repeat_budget_in_cuts.py
+++ b/tests/test_repeat_budget_in_cuts.py
@@ -70,8 +70,8 @@
     registry = Registry(SimpleNamespace(instance='a', monotonic=clock), 1.0)
     followers = Followers(replica.env, replica, registry)
     follower = Follower(None, ENTRY_ROLE)
-    followers.entries_elsewhere = {'b': ENTRIES}
-    assert followers._leases_for(follower).most_entries == ENTRIES
-    followers.entries_elsewhere = {}
-    told = followers._leases_for(follower)
+    followers.entries_by_other_replica = {'b': ENTRIES}
+    assert followers._next_leases_message(follower).most_entries == ENTRIES
+    followers.entries_by_other_replica = {}
+    told = followers._next_leases_message(follower)
     assert (told.entries, told.most_entries) == (0, ENTRIES)
--- a/tests/test_silent_ends.py
+++ b/tests/test_silent_ends.py
@@ -53,13 +53,13 @@
         await ends.note_broken(server, Suspicion(FINGERPRINT))
         try:
             async with curio.timeout_after(ENOUGH_S):
-                while not suspects.of(FINGERPRINT).ends and len(looks) > 1:
+                while not suspects.get(FINGERPRINT).ends and len(looks) > 1:
                     await curio.sleep(0.001)
         except curio.TaskTimeout:
             pass
         # What is known by now is noted within the next look.
         await curio.sleep(0.05)
-        return suspects.of(FINGERPRINT).ends
+        return suspects.get(FINGERPRINT).ends
 
     return curio.run(run)
 
