--- a/packages/millfork-registry/millfork_registry/feed_client.py
+++ b/packages/millfork-registry/millfork_registry/feed_client.py
@@ -37,11 +37,11 @@
 # Four heartbeats of the feed; a replica that is slower is left.
 SILENT_AFTER_S: Final = 1.0
 FOLLOW_TIMEOUT_S: Final = 0.6
-CHECK_S: Final = 0.25
-RETRY_S: Final = 0.1
-ASK_EVERY_S: Final = 2.0
+SOURCE_CHECK_PERIOD_S: Final = 0.25
+RETRY_PAUSE_S: Final = 0.1
+REPLICA_QUERY_PERIOD_S: Final = 2.0
 # A follower of another zone's replica looks this often for one of its own zone.
-LOOK_NEARER_S: Final = 3.0
+NEARER_CHECK_PERIOD_S: Final = 3.0
 # A replica that heard its leader this long ago may hold old configuration;
 # longer than an election.
 STALE_MS: Final = 1500
@@ -71,17 +71,17 @@
         self.peers = peers
         self.discovery = discovery
         self.source = NO_INSTANCE
-        self.heard_at = 0.0
+        self.source_heard_at = 0.0
         self.age_ms = 0
         # Entries that the replica knows of now, and the most that it knew of lately.
         self.entries = 1
         self.most_entries = 1
         # Whether any replica told of entries yet.
-        self.entries_told = False
+        self.entries_known = False
         # The follower by way of which the feed comes while no replica is heard, and the
         # one that was asked for it last.
         self.relay = ''
-        self.asked_relay = ''
+        self.pending_relay = ''
         # When requests may no longer begin on what came before a version.
         self.version_cutoffs = VersionCutoffs()
         self.asked_at = 0.0
@@ -89,7 +89,7 @@
         self.changed = curio.Event()
 
     @property
-    def reports_to(self) -> str:
+    def report_target(self) -> str:
         """
         Who takes this process's reports: its replica, or who passes them on to one.
 
@@ -102,7 +102,7 @@
         Whether a replica in touch with its leader was heard just now.
 
         """
-        silent_s = self.env.monotonic() - self.heard_at
+        silent_s = self.env.monotonic() - self.source_heard_at
         return bool(self.source) and silent_s < SILENT_AFTER_S and self.age_ms < STALE_MS
 
     async def run(self) -> None:
@@ -112,21 +112,21 @@
         """
         while True:
             for address in self._candidates():
-                if await self._begin(address):
-                    await self._listen(address)
+                if await self._start_following(address):
+                    await self._watch_source(address)
                     # Others may be nearer by what was learned meanwhile.
                     break
-            await curio.sleep(RETRY_S)
+            await curio.sleep(RETRY_PAUSE_S)
 
     def _candidates(self) -> list[PeerAddress]:
         addresses = self.discovery.addresses()
         return sorted(addresses, key=lambda address: address.instance == self.source)
 
-    async def _begin(self, address: PeerAddress) -> bool:
+    async def _start_following(self, address: PeerAddress) -> bool:
         reply = await self._ask(address)
         if reply is None or not reply.cluster:
             return False
-        if reply.age_ms > STALE_MS and await self._fresher_than(address, reply.age_ms):
+        if reply.age_ms > STALE_MS and await self._fresher_replica_exists(address, reply.age_ms):
             return False
         request = Follow(self.role, self.view.cluster, self.view.revision)
         # Set first: the feed may overtake the reply.
@@ -136,8 +136,8 @@
         except PeerError as error:
             log.info('Replica {} can not be followed: {}.', address.instance, error)
             return False
-        self.heard_at = self.env.monotonic()
-        self.asked_at = self.heard_at
+        self.source_heard_at = self.env.monotonic()
+        self.asked_at = self.source_heard_at
         self.age_ms = reply.age_ms
         log.info('Following replica {}. age_ms={}', address.instance, reply.age_ms)
         await self.registry.suspects.mark_all_unsent()
@@ -151,31 +151,31 @@
         asked_at = self.env.monotonic()
         reply = await self.discovery.ask(address, FindReplicas())
         if reply is not None:
-            await self.note_switches(asked_at, reply.switches)
+            await self.record_switches(asked_at, reply.switches)
         return reply
 
-    async def note_switches(self, asked_at: float, switches: list[VersionSwitch]) -> None:
+    async def record_switches(self, asked_at: float, switches: list[VersionSwitch]) -> None:
         """
         Take what an answer to a question of `asked_at` told of versions named lately.
 
         """
-        if self.version_cutoffs.note(asked_at, switches):
+        if self.version_cutoffs.record_answer(asked_at, switches):
             await self.changed.set()
 
-    def _knows_of_untold(self) -> bool:
+    def _lacks_a_cutoff(self) -> bool:
         """
         Whether a version was named of which no answer told yet.
 
         """
         return any(
-            self.version_cutoffs.at(
+            self.version_cutoffs.cutoff_of(
                 key.removeprefix(VERSION_PREFIX), decode_versioned(value).version
             )
             is None
             for key, value in self.view.prefixed(VERSION_PREFIX).items()
         )
 
-    async def _fresher_than(self, address: PeerAddress, age_ms: int) -> bool:
+    async def _fresher_replica_exists(self, address: PeerAddress, age_ms: int) -> bool:
         """
         Whether another replica has heard the leader more lately.
 
@@ -188,34 +188,34 @@
                 return True
         return False
 
-    async def _listen(self, address: PeerAddress) -> None:
+    async def _watch_source(self, address: PeerAddress) -> None:
         """
         Return once the replica is silent, gone, or clearly behind another, or
         one of the own zone answers.
 
         """
-        looked_at = self.env.monotonic()
+        nearer_checked_at = self.env.monotonic()
         while True:
-            await curio.sleep(CHECK_S)
+            await curio.sleep(SOURCE_CHECK_PERIOD_S)
             now = self.env.monotonic()
             connection = self.peers.connections.get(address.instance)
             if connection is None or connection.closed:
                 reason = 'the connection is gone'
                 break
-            if now - self.heard_at > SILENT_AFTER_S:
+            if now - self.source_heard_at > SILENT_AFTER_S:
                 reason = 'silent'
                 await connection.close()
                 break
-            if now - self.asked_at > ASK_EVERY_S or self._knows_of_untold():
+            if now - self.asked_at > REPLICA_QUERY_PERIOD_S or self._lacks_a_cutoff():
                 self.asked_at = now
                 await self._ask(address)
-            if now - looked_at > LOOK_NEARER_S:
-                looked_at = now
-                if await self._has_nearer(address):
+            if now - nearer_checked_at > NEARER_CHECK_PERIOD_S:
+                nearer_checked_at = now
+                if await self._nearer_replica_exists(address):
                     reason = 'one of the own zone answers'
                     await self._stop(connection)
                     break
-            if self.age_ms > STALE_MS and await self._fresher_than(address, self.age_ms):
+            if self.age_ms > STALE_MS and await self._fresher_replica_exists(address, self.age_ms):
                 reason = 'it does not hear the leader'
                 await self._stop(connection)
                 break
@@ -224,12 +224,12 @@
             'Left replica {}: {}. silent_s={:.2f} age_ms={} revision={}',
             address.instance,
             reason,
-            self.env.monotonic() - self.heard_at,
+            self.env.monotonic() - self.source_heard_at,
             self.age_ms,
             self.view.revision,
         )
 
-    async def _has_nearer(self, address: PeerAddress) -> bool:
+    async def _nearer_replica_exists(self, address: PeerAddress) -> bool:
         """
         Whether a replica of the own zone is in touch with its leader, and the
         one followed is of another.
@@ -252,25 +252,25 @@
         except PeerLost:
             pass
 
-    async def take(self, peer: InstanceId, message: Message) -> bool:
+    async def handle_feed_message(self, peer: InstanceId, message: Message) -> bool:
         """
         Take a message of the feed; False if it is none.
 
         """
         if isinstance(message, Update):
-            await self._take_update(peer, message)
+            await self._on_update(peer, message)
             return True
         if isinstance(message, Leases):
-            await self._take_leases(peer, message)
+            await self._on_leases(peer, message)
             return True
         return False
 
-    async def _take_update(self, peer: InstanceId, update: Update) -> None:
+    async def _on_update(self, peer: InstanceId, update: Update) -> None:
         now = self.env.monotonic()
         if peer == self.source:
-            self.heard_at = now
+            self.source_heard_at = now
             self.age_ms = update.age_ms
-        elif peer != self.asked_relay:
+        elif peer != self.pending_relay:
             return
         if not self.view.take(update):
             return
@@ -284,12 +284,12 @@
         await self.view.announce()
         await self.changed.set()
 
-    async def _take_leases(self, peer: InstanceId, message: Leases) -> None:
+    async def _on_leases(self, peer: InstanceId, message: Leases) -> None:
         if peer == self.source:
-            self.heard_at = self.env.monotonic()
+            self.source_heard_at = self.env.monotonic()
             self.entries = max(message.entries, 1)
             self.most_entries = max(message.most_entries, self.entries)
-            self.entries_told = True
+            self.entries_known = True
         try:
             leases = decode_leases(message.leases)
             endpoints = decode_states(message.reports)
--- a/packages/millfork-registry/millfork_registry/feed_relay.py
+++ b/packages/millfork-registry/millfork_registry/feed_relay.py
@@ -23,12 +23,12 @@
 from millfork_wire.messages import AskFeed, FeedSent, Leases, VersionSwitch
 
 # As often as a replica tells its followers.
-ASK_EVERY_S: Final = 0.15
-ASK_TIMEOUT_S: Final = 0.3
+REQUEST_PERIOD_S: Final = 0.15
+REQUEST_TIMEOUT_S: Final = 0.3
 # A feed is taken to be lost after four of its heartbeats.
-LOST_AFTER_S: Final = 0.6
+FEED_LOST_AFTER_S: Final = 0.6
 # Where nobody answered, the next round of asking comes this much later.
-NOBODY_S: Final = 0.5
+NO_RELAY_PAUSE_S: Final = 0.5
 
 log = logger(Part.REGISTRY)
 
@@ -42,43 +42,43 @@
     def __init__(self, env: Environment, feed_client: FeedClient) -> None:
         self.env = env
         self.feed_client = feed_client
-        self.versions = FeedSent()
+        self.received_versions = FeedSent()
         # The versions named lately, as this process knows of them.
         self.switches: Callable[[], list[VersionSwitch]] = list
 
-    async def keep(self) -> None:
+    async def run(self) -> None:
         """
         The task that keeps the feed going while no replica is heard.
 
         """
         while True:
-            await curio.sleep(ASK_EVERY_S)
-            if not self._is_lost():
-                self._leave()
+            await curio.sleep(REQUEST_PERIOD_S)
+            if not self._feed_is_lost():
+                self._leave_relay()
                 continue
-            if not await self._ask_on():
-                await curio.sleep(NOBODY_S)
+            if not await self._request_from_any():
+                await curio.sleep(NO_RELAY_PAUSE_S)
 
-    def _is_lost(self) -> bool:
+    def _feed_is_lost(self) -> bool:
         feed_client = self.feed_client
-        heard_s = self.env.monotonic() - feed_client.heard_at
-        return bool(feed_client.view.cluster) and heard_s > LOST_AFTER_S
+        heard_s = self.env.monotonic() - feed_client.source_heard_at
+        return bool(feed_client.view.cluster) and heard_s > FEED_LOST_AFTER_S
 
-    def _leave(self) -> None:
+    def _leave_relay(self) -> None:
         if not self.feed_client.relay:
             return
         log.info('A replica is heard again; the relay {} is left.', self.feed_client.relay)
         self.feed_client.relay = ''
 
-    async def _ask_on(self) -> bool:
+    async def _request_from_any(self) -> bool:
         """
         Ask the relay, or whoever else answers; False if nobody does.
 
         """
         for name in self._candidates():
             if name != self.feed_client.relay:
-                self.versions = FeedSent()
-            if not await self._ask(name):
+                self.received_versions = FeedSent()
+            if not await self._request_from(name):
                 continue
             if name != self.feed_client.relay:
                 log.notice('The feed comes by way of {}.', name)
@@ -88,9 +88,9 @@
         self.feed_client.relay = ''
         return False
 
-    async def _ask(self, name: str) -> bool:
+    async def _request_from(self, name: str) -> bool:
         view = self.feed_client.view
-        before = self.versions
+        before = self.received_versions
         question = AskFeed(
             view.cluster,
             view.revision,
@@ -99,17 +99,17 @@
             before.suspicion_version,
         )
         # Set first: the feed overtakes the reply.
-        self.feed_client.asked_relay = name
+        self.feed_client.pending_relay = name
         asked_at = self.env.monotonic()
         try:
-            reply = await self.feed_client.peers.call(address_of(name), question, ASK_TIMEOUT_S)
+            reply = await self.feed_client.peers.call(address_of(name), question, REQUEST_TIMEOUT_S)
         except PeerError as error:
             log.debug('No feed by way of {}: {}.', name, error)
             return False
         if not isinstance(reply, FeedSent) or not reply.ok:
             return False
-        self.versions = reply
-        await self.feed_client.note_switches(asked_at, reply.switches)
+        self.received_versions = reply
+        await self.feed_client.record_switches(asked_at, reply.switches)
         return True
 
     def _candidates(self) -> list[str]:
@@ -142,7 +142,7 @@
         now = self.env.monotonic()
         registry = feed_client.registry
         update = feed_client.view.update_since(question.cluster, question.revision)
-        update.age_ms = feed_client.age_ms + int((now - feed_client.heard_at) * 1000)
+        update.age_ms = feed_client.age_ms + int((now - feed_client.source_heard_at) * 1000)
         leases = registry.leases.changed_since(question.lease_version)
         reports = registry.endpoints.changed_since(question.report_version)
         suspicions = registry.suspects.table.changed_since(question.suspicion_version)
--- a/packages/millfork-registry/millfork_registry/registry.py
+++ b/packages/millfork-registry/millfork_registry/registry.py
@@ -146,8 +146,10 @@
         owner = str(self.env.instance)
         if held is None:
             # Unknown here, perhaps known elsewhere: the word is kept.
-            told = incarnation or UNTOLD_INCARNATION
-            gone = Lease(instance, '', '', 0, '', 0, LeaseState.GONE, 0, owner, incarnation=told)
+            reported = incarnation or UNTOLD_INCARNATION
+            gone = Lease(
+                instance, '', '', 0, '', 0, LeaseState.GONE, 0, owner, incarnation=reported
+            )
             return self.merge_lease(gone)
         of = held.incarnation if incarnation is None else incarnation
         gone = msgspec.structs.replace(held, state=LeaseState.GONE, owner=owner, incarnation=of)
@@ -192,14 +194,14 @@
             )
         return RecordChange.CHANGED
 
-    def _is_wrongly_ended(self, held: Lease, told: Lease) -> bool:
+    def _is_wrongly_ended(self, held: Lease, reported: Lease) -> bool:
         """
         Whether another process takes a lease for run out that is renewed here.
 
         """
         owned = held.owner == str(self.env.instance) and held.state not in ENDED_STATES
-        same = told.incarnation == held.incarnation
-        return owned and same and told.state is LeaseState.EXPIRED
+        same = reported.incarnation == held.incarnation
+        return owned and same and reported.state is LeaseState.EXPIRED
 
     def _announce_again(self, held: Lease) -> RecordChange:
         """
--- a/packages/millfork-registry/millfork_registry/suspects.py
+++ b/packages/millfork-registry/millfork_registry/suspects.py
@@ -197,13 +197,13 @@
         self.unsent[fingerprint] = self.get(fingerprint)
         await self.unsent_event.set()
 
-    async def merge(self, told: list[Suspicion]) -> list[Fingerprint]:
+    async def merge(self, suspicions: list[Suspicion]) -> list[Fingerprint]:
         """
         Take what another process knows; returns of which requests anything was new.
 
         """
         new = []
-        for suspicion in told:
+        for suspicion in suspicions:
             if self._merge_one(suspicion):
                 new.append(suspicion)
                 self.private_since.pop(suspicion.fingerprint, None)
--- a/packages/millfork-registry/millfork_registry/version_cutoffs.py
+++ b/packages/millfork-registry/millfork_registry/version_cutoffs.py
@@ -25,37 +25,37 @@
     """
 
     def __init__(self) -> None:
-        self.ends: dict[tuple[str, int], float] = {}
+        self.cutoffs: dict[tuple[str, int], float] = {}
 
-    def note(self, asked_at: float, switches: Iterable[VersionSwitch]) -> bool:
+    def record_answer(self, asked_at: float, switches: Iterable[VersionSwitch]) -> bool:
         """
         Take the answer to a question of `asked_at`; True if it changed an end.
 
         """
-        moved = [self._take(switch, asked_at) for switch in switches]
+        moved = [self._record_switch(switch, asked_at) for switch in switches]
         return any(moved)
 
-    def _take(self, switch: VersionSwitch, asked_at: float) -> bool:
+    def _record_switch(self, switch: VersionSwitch, asked_at: float) -> bool:
         key = (switch.model, switch.version)
-        ends = asked_at + switch.left_ms / MS_PER_S
-        known = self.ends.get(key)
+        cutoff = asked_at + switch.left_ms / MS_PER_S
+        known = self.cutoffs.get(key)
         # Each answer is early by the time that it took, so the latest is the best; but
         # what has ended does not come back by the word of a replica that was away.
-        if known is not None and (known <= asked_at or ends <= known):
+        if known is not None and (known <= asked_at or cutoff <= known):
             return False
-        self.ends[key] = ends
+        self.cutoffs[key] = cutoff
         return True
 
-    def at(self, model: str, version: int) -> float | None:
+    def cutoff_of(self, model: str, version: int) -> float | None:
         """
         When requests may no longer begin on what came before a version, if that was told.
 
         """
-        return self.ends.get((model, version))
+        return self.cutoffs.get((model, version))
 
-    def versions(self, model: str) -> Iterator[int]:
+    def known_versions(self, model: str) -> Iterator[int]:
         """
         The versions of a model that were told of.
 
         """
-        return (version for name, version in self.ends if name == model)
+        return (version for name, version in self.cutoffs if name == model)
--- a/packages/millforkd/millforkd/beside/daemon.py
+++ b/packages/millforkd/millforkd/beside/daemon.py
@@ -124,7 +124,7 @@
         await self.env.keep(self.peers.probe_idle)
         await self.env.keep(self.admin.run)
         await self.env.keep(self.feed_client.run)
-        await self.env.keep(self.feed_relay.keep)
+        await self.env.keep(self.feed_relay.run)
         await self.env.keep(self._keep_reporting)
         await self.env.keep(self.rollout.keep)
         await self.env.keep(self.expiry.keep)
@@ -201,7 +201,7 @@
         Tell the replica that this daemon follows, or whoever passes it on.
 
         """
-        source = self.feed_client.reports_to
+        source = self.feed_client.report_target
         if not source:
             return
         body = msgspec.msgpack.encode(self._state())
@@ -269,7 +269,7 @@
         Answer a peer's message.
 
         """
-        if await self.feed_client.take(connection.peer, message):
+        if await self.feed_client.handle_feed_message(connection.peer, message):
             return None
         reply: Message | None = await self.on(message, connection)
         return reply
--- a/packages/millforkd/millforkd/entry/crashes.py
+++ b/packages/millforkd/millforkd/entry/crashes.py
@@ -98,14 +98,14 @@
         What is known of a call at this moment.
 
         """
-        return self.quarantine.known(call)
+        return self.quarantine.suspicion_of(call)
 
     def bars(self, call: Call) -> Refusal | None:
         """
         A refusal if a call is, or may be, what ends back ends.
 
         """
-        standing = self.quarantine.bars(call)
+        standing = self.quarantine.blocking_standing(call)
         if standing is None:
             return None
         return Refusal(REASONS[standing], detail=DETAILS[standing])
@@ -116,7 +116,7 @@
 
         """
         if outcome is None:
-            await self.quarantine.clear(call)
+            await self.quarantine.clear_suspicion(call)
             return
         await self._take(outcome, before)
 
--- a/packages/millforkd/millforkd/entry/daemon.py
+++ b/packages/millforkd/millforkd/entry/daemon.py
@@ -148,7 +148,7 @@
             await self.env.keep(self.node.run)
             await self.env.keep(self.node.keep_snapshots)
         if self.quarantine is not None:
-            await self.env.keep(self.quarantine.keep)
+            await self.env.keep(self.quarantine.run)
         await self.env.keep(self.spreading.keep)
         await self.env.keep(self._keep_house)
         await self.env.keep(self.book.keep)
--- a/packages/millforkd/millforkd/proxy/daemon.py
+++ b/packages/millforkd/millforkd/proxy/daemon.py
@@ -140,7 +140,7 @@
         take the whole of a limit for its share.
 
         """
-        return self.feed_client.most_entries if self.feed_client.entries_told else UNTOLD_ENTRIES
+        return self.feed_client.most_entries if self.feed_client.entries_known else UNTOLD_ENTRIES
 
     @property
     def in_progress(self) -> int:
@@ -158,7 +158,7 @@
         await self.env.keep(self.peers.probe_idle)
         await self.env.keep(self.admin.run)
         await self.env.keep(self.feed_client.run)
-        await self.env.keep(self.feed_relay.keep)
+        await self.env.keep(self.feed_relay.run)
         await self.env.keep(self._take_changes)
         await self.env.keep(self.suspicions.keep)
         await self.env.keep(self._keep_house)
@@ -265,7 +265,7 @@
         Answer a peer's message.
 
         """
-        if await self.feed_client.take(connection.peer, message):
+        if await self.feed_client.handle_feed_message(connection.peer, message):
             return None
         reply: Message | None = await self.on(message, connection)
         return reply
--- a/packages/millforkd/millforkd/proxy/forwarding.py
+++ b/packages/millforkd/millforkd/proxy/forwarding.py
@@ -184,7 +184,7 @@
             if job.tried and not paid and not self.budget.spend(job.wanted.service):
                 return self._final(job, Reason.RETRY_BUDGET)
             server = choice.server
-            before = self.quarantine.known(job)
+            before = self.quarantine.suspicion_of(job)
             failed = await self._send(job, choice, before)
             if failed is None:
                 return None
@@ -201,7 +201,7 @@
                 failed.detail,
                 (self.env.monotonic() - job.began) * 1000,
                 before.fingerprint,
-                self.quarantine.known(job).ends,
+                self.quarantine.suspicion_of(job).ends,
             )
 
     async def _send(self, job: Job, choice: Choice, before: Suspicion) -> Failed | None:
@@ -261,7 +261,7 @@
         """
         if job.left_s(self.env.monotonic()) < LAST_WORD_S:
             return self._final(job, Reason.TIMED_OUT if job.tried else Reason.EXPIRED)
-        standing = self.quarantine.bars(job)
+        standing = self.quarantine.blocking_standing(job)
         if standing is Standing.AT_FAULT:
             detail = 'back ends end when they run this request'
             return self._final(job, Reason.QUARANTINED, detail)
--- a/packages/millforkd/millforkd/proxy/sending.py
+++ b/packages/millforkd/millforkd/proxy/sending.py
@@ -89,7 +89,7 @@
             job.unanswered = ()
             server.note_service_time(self.env.monotonic() - attempt.began)
             if connection.reusable:
-                await self.quarantine.clear(job)
+                await self.quarantine.clear_suspicion(job)
             return None
         except NotSent as error:
             return Failed(error.reason, error.verdict, error.detail, sent=False)
--- a/packages/millforkd/millforkd/proxy/suspicions.py
+++ b/packages/millforkd/millforkd/proxy/suspicions.py
@@ -51,7 +51,7 @@
 
     async def _tell(self) -> bool:
         told = dict(self.suspects.unsent)
-        name = self.feed_client.reports_to
+        name = self.feed_client.report_target
         if not name:
             return False
         report = SuspicionReport(encode_suspicions(list(told.values())))
--- a/packages/millforkd/millforkd/quarantine.py
+++ b/packages/millforkd/millforkd/quarantine.py
@@ -13,22 +13,22 @@
 from millfork_state.keys import QUARANTINE_PREFIX
 from millfork_state.view import View
 
-Item = TypeVar('Item')
-AnyItem = TypeVar('AnyItem', contravariant=True)
+RequestT = TypeVar('RequestT')
+RequestContraT = TypeVar('RequestContraT', contravariant=True)
 
 log = logger(Part.PROXY)
 
 
-class FingerprintsOf(Protocol[AnyItem]):
+class FingerprintSource(Protocol[RequestContraT]):
     """
     Tells what a request says, whatever carries it here.
 
     """
 
-    def of(self, item: AnyItem, /) -> Fingerprint: ...
+    def of(self, request: RequestContraT, /) -> Fingerprint: ...
 
 
-class Quarantine(Generic[Item]):
+class Quarantine(Generic[RequestT]):
     """
     Goes by suspicions, and by the list in the replicated state, which outlives a loss of
     power of the whole fleet.
@@ -39,7 +39,7 @@
         self,
         suspects: Suspects,
         view: View,
-        fingerprints: FingerprintsOf[Item],
+        fingerprints: FingerprintSource[RequestT],
         trials: Trials | None = None,
     ) -> None:
         self.suspects = suspects
@@ -48,54 +48,54 @@
         self.trials = trials
         self.revision = Revision(-1)
         # By fingerprint: the epoch in which it was put on the list.
-        self.listed: dict[Fingerprint, int] = {}
+        self.listed_epochs: dict[Fingerprint, int] = {}
 
-    def known(self, item: Item) -> Suspicion:
+    def suspicion_of(self, request: RequestT) -> Suspicion:
         """
         What is known of a request at this moment.
 
         """
-        return self.suspects.get(self.fingerprints.of(item))
+        return self.suspects.get(self.fingerprints.of(request))
 
-    def bars(self, item: Item) -> Standing | None:
+    def blocking_standing(self, request: RequestT) -> Standing | None:
         """
         Why a request may not be sent, if so.
 
         """
         self._refresh()
-        if not self.suspects.table and not self.listed:
+        if not self.suspects.table and not self.listed_epochs:
             return None
-        suspicion = self.known(item)
-        listed_epoch = self.listed.get(suspicion.fingerprint)
+        suspicion = self.suspicion_of(request)
+        listed_epoch = self.listed_epochs.get(suspicion.fingerprint)
         if listed_epoch is not None and listed_epoch >= suspicion.epoch:
             return Standing.AT_FAULT
         standing = standing_of(suspicion)
-        if standing is Standing.SUSPECTED and self._may_try(suspicion):
+        if standing is Standing.SUSPECTED and self._may_be_tried(suspicion):
             log.info('Suspected request tried again. fingerprint={}', suspicion.fingerprint)
             return None
         return standing if standing is not Standing.FREE else None
 
-    def _may_try(self, suspicion: Suspicion) -> bool:
+    def _may_be_tried(self, suspicion: Suspicion) -> bool:
         return self.trials is not None and self.trials.begin(suspicion)
 
     def _refresh(self) -> None:
         if self.view.revision == self.revision:
             return
         self.revision = self.view.revision
-        self.listed = {
+        self.listed_epochs = {
             Fingerprint(key.removeprefix(QUARANTINE_PREFIX)): decode_epoch(
                 decode_versioned(value).body
             )
             for key, value in self.view.prefixed(QUARANTINE_PREFIX).items()
         }
 
-    async def clear(self, item: Item) -> None:
+    async def clear_suspicion(self, request: RequestT) -> None:
         """
         An answer came whole: the request does not end what runs it.
 
         """
         if not self.suspects.table:
             return
-        suspicion = self.known(item)
+        suspicion = self.suspicion_of(request)
         if not suspicion.is_clear:
             await self.suspects.withdraw(suspicion.cleared())
--- a/packages/millforkd/millforkd/replica/control.py
+++ b/packages/millforkd/millforkd/replica/control.py
@@ -40,12 +40,12 @@
 from millforkd.replica.replica_links import ReplicaLinks
 
 # The operator asks another replica after a second.
-PATIENCE_S: Final = 0.9
+PROPOSAL_TIMEOUT_S: Final = 0.9
 # Documents are text; this halves the log's bytes for a millisecond.
 COMPRESSION_LEVEL: Final = 1
 # Another writer may call at any rate: a line for each reason at most so often.
-LOG_EVERY_S: Final = 1.0
-MOST_LOGGED_CHARS: Final = 100
+REFUSAL_LOG_PERIOD_S: Final = 1.0
+MAX_LOGGED_CHARS: Final = 100
 
 log = logger(Part.CONTROL)
 
@@ -80,7 +80,7 @@
         self.refused_logged: dict[Reason, float] = {}
         self.refused_unlogged: Counter[Reason] = Counter()
         # Back ends whose last word a majority of the replicas has.
-        self.spread: set[tuple[str, Incarnation, LeaseState]] = set()
+        self.endings_at_majority: set[tuple[str, Incarnation, LeaseState]] = set()
 
     async def answer(self, exchange: Exchange) -> None:
         """
@@ -100,7 +100,7 @@
         self.env.metrics.refused(refusal.reason, 'control')
         self.refused_unlogged[refusal.reason] += 1
         now = self.env.monotonic()
-        if now - self.refused_logged.get(refusal.reason, float('-inf')) >= LOG_EVERY_S:
+        if now - self.refused_logged.get(refusal.reason, float('-inf')) >= REFUSAL_LOG_PERIOD_S:
             log.warning(
                 'Refused a call. reason={} detail={} calls={}',
                 refusal.reason.value,
@@ -137,7 +137,7 @@
             document, self.services_revision = found
             self.services = frozenset(item.name for item in document.services)
         if self.services is not None and service not in self.services:
-            detail = f'service {service[:MOST_LOGGED_CHARS]!r} is not declared'
+            detail = f'service {service[:MAX_LOGGED_CHARS]!r} is not declared'
             raise Refused(Refusal(Reason.INVALID, detail=detail))
 
     @on.register
@@ -148,7 +148,7 @@
         if change is RecordChange.CHANGED:
             await self.followers.wake()
         if lease.state is LeaseState.DRAINING:
-            await self._spread_last_word(lease.instance)
+            await self._send_ending_to_majority(lease.instance)
         return self.adapter.accepted()
 
     @on.register
@@ -157,7 +157,7 @@
             raise Refused(Refusal(Reason.NOT_READY, detail='the back end is not known here yet'))
         if self.registry.record_goodbye(call.instance, call.incarnation) is RecordChange.CHANGED:
             await self.followers.wake()
-        await self._spread_last_word(call.instance)
+        await self._send_ending_to_majority(call.instance)
         return self.adapter.accepted()
 
     def _may_be_of_another_incarnation(self, call: Goodbye) -> bool:
@@ -169,7 +169,7 @@
         known = self.registry.leases.get(call.instance) is not None
         return call.incarnation is None and not known and not self.registry.is_complete
 
-    async def _spread_last_word(self, instance: str) -> None:
+    async def _send_ending_to_majority(self, instance: str) -> None:
         """
         A back end that leaves is told so only once a majority of the
         replicas knows: from then on its callers may count on it.
@@ -179,11 +179,11 @@
         if lease is None or lease.state is LeaseState.READY:
             return
         key = (instance, lease.incarnation, lease.state)
-        if key in self.spread:
+        if key in self.endings_at_majority:
             return
-        if not await self.replica_links.spread(lease):
+        if not await self.replica_links.send_to_majority(lease):
             raise Refused(Refusal(Reason.NO_QUORUM, detail='too few replicas know of it'))
-        self.spread.add(key)
+        self.endings_at_majority.add(key)
 
     @on.register
     async def _(self, call: PutDocument) -> Response:
@@ -219,7 +219,7 @@
 
     @on.register
     async def _(self, call: ReadDocument) -> Response:
-        state = await self.proposals.read_state(PATIENCE_S)
+        state = await self.proposals.read_state(PROPOSAL_TIMEOUT_S)
         item = state.items.get(DOCUMENT_KEY)
         if item is None:
             raise Refused(Refusal(Reason.NOT_READY, detail='no document yet'))
@@ -234,5 +234,5 @@
             if command.version <= version:
                 # What is applied here is committed, and versions never fall.
                 return RaiseResult(False, version)
-        data = await self.proposals.propose(command, PATIENCE_S)
+        data = await self.proposals.propose(command, PROPOSAL_TIMEOUT_S)
         return msgspec.msgpack.decode(data, type=RaiseResult)
--- a/packages/millforkd/millforkd/replica/daemon.py
+++ b/packages/millforkd/millforkd/replica/daemon.py
@@ -43,7 +43,7 @@
 # its silence.
 STOP_PAUSE_S: Final = 0.1
 # Versions are looked for this often, should the word of a change be missed.
-LEARN_AFTER_S: Final = 0.15
+VERSION_CHECK_PERIOD_S: Final = 0.15
 # How long one call to the leader may take.
 LEADER_TIMEOUT_S: Final = 0.8
 
@@ -135,7 +135,7 @@
         self.versions.refresh()
         return self.versions.switches()
 
-    async def _learn_versions(self) -> None:
+    async def _record_new_versions(self) -> None:
         """
         The task that notes when a version was named: its end counts from there.
 
@@ -145,7 +145,7 @@
             mark = view.mark
             if self.replica.cluster:
                 self.versions.refresh()
-            await view.wait_beyond(mark, LEARN_AFTER_S)
+            await view.wait_beyond(mark, VERSION_CHECK_PERIOD_S)
 
     @property
     def in_progress(self) -> int:
@@ -163,10 +163,10 @@
         await self.env.keep(self.peers.listen)
         await self.env.keep(self.peers.probe_idle)
         await self.env.keep(self.admin.run)
-        await self.env.keep(self.replica_links.keep)
+        await self.env.keep(self.replica_links.run)
         await self.env.keep(self.followers.wake_on_configuration)
-        await self.env.keep(self._learn_versions)
-        await self.env.keep(self.quarantine.keep)
+        await self.env.keep(self._record_new_versions)
+        await self.env.keep(self.quarantine.run)
         await self.env.keep(self.node.run)
         await self.env.keep(self.node.keep_snapshots)
         await self.env.keep(self.server.run)
@@ -225,11 +225,11 @@
     @on.register
     async def _(self, message: messages.SuspicionReport, connection: Connection) -> Message:
         try:
-            told = decode_suspicions(message.body)
+            suspicions = decode_suspicions(message.body)
         except msgspec.DecodeError as error:
             log.warning('Suspicions of {} can not be read: {}.', connection.peer, error)
             return Done(False)
-        if await self.registry.suspects.merge(told):
+        if await self.registry.suspects.merge(suspicions):
             await self.followers.wake()
         return Done(True)
 
@@ -240,7 +240,7 @@
         except msgspec.DecodeError as error:
             log.warning('A report of {} can not be read: {}.', connection.peer, error)
             return Done(False)
-        mine = msgspec.structs.replace(state, owner=str(self.env.instance))
-        if self.registry.merge_endpoint_state(mine) is RecordChange.CHANGED:
+        state_owned_here = msgspec.structs.replace(state, owner=str(self.env.instance))
+        if self.registry.merge_endpoint_state(state_owned_here) is RecordChange.CHANGED:
             await self.followers.wake()
         return Done(True)
--- a/packages/millforkd/millforkd/replica/quarantine.py
+++ b/packages/millforkd/millforkd/replica/quarantine.py
@@ -23,12 +23,12 @@
 from millfork_state.proposals import Proposals
 from millfork_state.view import Held, View
 
-LOOK_EVERY_S: Final = 0.25
-PATIENCE_S: Final = 0.9
+RECONCILE_PERIOD_S: Final = 0.25
+PROPOSAL_TIMEOUT_S: Final = 0.9
 # A request is taken off the list after a day, as software is replaced that fails on a request.
-HELD_MS: Final = 24 * 3600 * 1000
+LISTED_MAX_AGE_MS: Final = 24 * 3600 * 1000
 # With a key and a value of some ten bytes each, 0.1 MB of state.
-MOST_HELD: Final = 1000
+MAX_LISTED: Final = 1000
 ID_BITS: Final = 128
 
 log = logger(Part.CONTROL)
@@ -53,21 +53,21 @@
         self.view = view
         self.suspects = suspects
         self.proposals = proposals
-        self.leads = leads
+        self.is_leader = leads
         self.now_ms = now_ms
 
-    async def keep(self) -> None:
+    async def run(self) -> None:
         """
         The task that puts requests on the list and takes them off.
 
         """
         while True:
-            await curio.sleep(LOOK_EVERY_S)
+            await curio.sleep(RECONCILE_PERIOD_S)
             self.suspects.forget_expired()
-            if self.leads():
-                await self.settle()
+            if self.is_leader():
+                await self.reconcile()
 
-    async def settle(self) -> None:
+    async def reconcile(self) -> None:
         """
         Bring the replicated state up to what is known now.
 
@@ -79,7 +79,7 @@
                 continue
             if held is not None and suspicion.epoch > _epoch_of(held):
                 await self._remove(suspicion.fingerprint, 'an answer came whole')
-        await self._forget_old()
+        await self._remove_old()
 
     async def _add(self, suspicion: Suspicion) -> None:
         key = quarantine_key(suspicion.fingerprint)
@@ -97,19 +97,19 @@
         if await self._propose(Apply(command_id, [change])):
             log.notice('Request out of quarantine. fingerprint={} reason={}', fingerprint, reason)
 
-    async def _forget_old(self) -> None:
+    async def _remove_old(self) -> None:
         held = self.view.prefixed(QUARANTINE_PREFIX)
-        given = {key: decode_versioned(value).version for key, value in held.items()}
-        oldest_first = sorted(given, key=lambda key: given[key])
-        over = len(given) - MOST_HELD
+        listed_at_ms = {key: decode_versioned(value).version for key, value in held.items()}
+        oldest_first = sorted(listed_at_ms, key=lambda key: listed_at_ms[key])
+        over = len(listed_at_ms) - MAX_LISTED
         for number, key in enumerate(oldest_first):
-            if number >= over and self.now_ms() - given[key] < HELD_MS:
+            if number >= over and self.now_ms() - listed_at_ms[key] < LISTED_MAX_AGE_MS:
                 return
             await self._remove(Fingerprint(key.removeprefix(QUARANTINE_PREFIX)), 'old')
 
     async def _propose(self, command: AnyCommand) -> bool:
         try:
-            await self.proposals.propose(command, PATIENCE_S)
+            await self.proposals.propose(command, PROPOSAL_TIMEOUT_S)
         except Refused as error:
             log.info('The quarantine list was not changed: {}.', error)
             return False
--- a/packages/millforkd/millforkd/replica/replica_links.py
+++ b/packages/millforkd/millforkd/replica/replica_links.py
@@ -25,41 +25,41 @@
 from millfork_wire.messages import FindReplicas, Follow, Leases, Replicas, VersionSwitch
 from millfork_wire.peers import PeerAddress, Peers
 
-ASK_EVERY_S: Final = 0.5
+ROUND_PERIOD_S: Final = 0.5
 FOLLOW_TIMEOUT_S: Final = 0.6
 # The caller of a back end's last word waits a second for the answer.
-SPREAD_TIMEOUT_S: Final = 0.7
+MAJORITY_TIMEOUT_S: Final = 0.7
 # An owner that was not heard this long no longer watches its leases.
-OWNER_LOST_S: Final = 2.0
+OWNER_LOST_AFTER_S: Final = 2.0
 # A round comes each half second; one that is later by more shows that this process did
 # not run meanwhile.
-STOOD_STILL_S: Final = 1.5
+MAX_ROUND_GAP_S: Final = 1.5
 # Replicas that answered this lately are named to others.
-NAMED_WITHIN_S: Final = 20.0
+ADVERTISE_WITHIN_S: Final = 20.0
 # Replicas ask each other twice a second; what one said is believed this long.
-HEARD_WITHIN_S: Final = 2.0
+CACHES_VALID_S: Final = 2.0
 # Back ends that reach a replica that starts have told it of themselves after this many
 # heartbeats at most.
-SETTLED_HEARTBEATS: Final = 2.5
+COMPLETE_AFTER_HEARTBEATS: Final = 2.5
 
 log = logger(Part.REGISTRY)
 
 
-class _Count:
+class _MajorityCount:
     """
     Answers counted towards a majority.
 
     """
 
-    def __init__(self, wanted: int) -> None:
-        self.wanted = wanted
-        self.got = 0
-        self.enough = curio.Event()
+    def __init__(self, needed: int) -> None:
+        self.needed = needed
+        self.received = 0
+        self.reached = curio.Event()
 
     async def add(self) -> None:
-        self.got += 1
-        if self.got >= self.wanted:
-            await self.enough.set()
+        self.received += 1
+        if self.received >= self.needed:
+            await self.reached.set()
 
 
 class ReplicaLinks:
@@ -89,32 +89,32 @@
         self.registry = registry
         self.discovery = discovery
         self.followers = followers
-        self.settle_s = heartbeat_s * SETTLED_HEARTBEATS
+        self.complete_after_s = heartbeat_s * COMPLETE_AFTER_HEARTBEATS
         self.started_at = env.monotonic()
         self.followed: dict[InstanceId, Connection] = {}
-        self.heard: dict[str, float] = {}
+        self.last_heard_at: dict[str, float] = {}
         # Those that are being asked: one that is frozen takes 2 s to fail, and the others
         # are not to wait for it.
-        self.meeting: set[InstanceId] = set()
-        self.round_at = env.monotonic()
+        self.contacting: set[InstanceId] = set()
+        self.last_round_at = env.monotonic()
 
-    async def keep(self) -> None:
+    async def run(self) -> None:
         """
         The task that keeps up with the other replicas.
 
         """
         while True:
-            self._learn_members()
-            self._note_standstill()
+            self._add_members()
+            self._check_for_pause()
             for address in self.discovery.addresses():
-                if address.instance not in self.meeting:
-                    self.meeting.add(address.instance)
-                    await self.env.spawn(self._meet_once, address)
+                if address.instance not in self.contacting:
+                    self.contacting.add(address.instance)
+                    await self.env.spawn(self._contact_once, address)
             self.update_completeness()
             self.registry.forget_silent_endpoints()
             if self.registry.expire(self._lost_owners()):
                 await self.followers.wake()
-            await curio.sleep(ASK_EVERY_S)
+            await curio.sleep(ROUND_PERIOD_S)
 
     def update_completeness(self) -> None:
         """
@@ -124,7 +124,7 @@
         """
         if self.registry.is_complete:
             return
-        if self.env.monotonic() - self.started_at <= self.settle_s:
+        if self.env.monotonic() - self.started_at <= self.complete_after_s:
             return
         members = [instance for instance, _ in self.replica.members]
         known = sum(
@@ -137,34 +137,34 @@
         connection = self.followed.get(InstanceId(instance))
         return connection is not None and not connection.closed
 
-    def _learn_members(self) -> None:
+    def _add_members(self) -> None:
         for instance, _ in self.replica.members:
             if instance != self.env.instance:
                 self.discovery.add_replica(instance)
                 self.replica.learn_address(address_of(instance))
 
-    def _note_standstill(self) -> None:
+    def _check_for_pause(self) -> None:
         """
         A process that stood still heard nobody, which says nothing of the others.
 
         """
         now = self.env.monotonic()
-        stood_s = now - self.round_at
-        self.round_at = now
-        if stood_s < STOOD_STILL_S:
+        paused_s = now - self.last_round_at
+        self.last_round_at = now
+        if paused_s < MAX_ROUND_GAP_S:
             return
-        log.warning('This process stood still. seconds={:.1f}', stood_s)
+        log.warning('This process stood still. seconds={:.1f}', paused_s)
         self.started_at = now
-        self.heard.clear()
+        self.last_heard_at.clear()
         self.registry.restart_expiry_timers()
 
-    async def _meet_once(self, address: PeerAddress) -> None:
+    async def _contact_once(self, address: PeerAddress) -> None:
         try:
-            await self._meet(address)
+            await self._contact(address)
         finally:
-            self.meeting.discard(address.instance)
+            self.contacting.discard(address.instance)
 
-    async def _meet(self, address: PeerAddress) -> None:
+    async def _contact(self, address: PeerAddress) -> None:
         question = FindReplicas(
             str(self.env.instance), self.replica.cluster, self.followers.local_entries
         )
@@ -173,10 +173,10 @@
         if reply is None:
             self.followers.entries_by_other_replica.pop(str(address.instance), None)
             return
-        self.heard[str(address.instance)] = self.env.monotonic()
+        self.last_heard_at[str(address.instance)] = self.env.monotonic()
         self.replica.learn_address(address)
         self.followers.entries_by_other_replica[str(address.instance)] = reply.entries
-        self.version_cutoffs.note(asked_at, reply.switches)
+        self.version_cutoffs.record_answer(asked_at, reply.switches)
         await self._follow(address)
 
     async def _follow(self, address: PeerAddress) -> None:
@@ -194,7 +194,9 @@
         now = self.env.monotonic()
         owners = {lease.owner for lease in self.registry.leases.values()}
         return {
-            owner for owner in owners if now - self.heard.get(owner, self.started_at) > OWNER_LOST_S
+            owner
+            for owner in owners
+            if now - self.last_heard_at.get(owner, self.started_at) > OWNER_LOST_AFTER_S
         }
 
     def on_find(self, message: FindReplicas, zone: str) -> Replicas:
@@ -207,12 +209,12 @@
         if message.instance:
             self.discovery.add_replica(message.instance)
             self.replica.learn_address(address_of(message.instance))
-            self.heard[message.instance] = self.env.monotonic()
+            self.last_heard_at[message.instance] = self.env.monotonic()
             self.followers.entries_by_other_replica[message.instance] = message.entries
         else:
-            caches += self.discovery.caches_elsewhere(HEARD_WITHIN_S)
+            caches += self.discovery.caches_elsewhere(CACHES_VALID_S)
         known = {instance for instance, _ in self.replica.members}
-        known.update(self.discovery.answered_within(NAMED_WITHIN_S))
+        known.update(self.discovery.answered_within(ADVERTISE_WITHIN_S))
         known.add(str(self.env.instance))
         return Replicas(
             self.replica.cluster,
@@ -230,7 +232,7 @@
         Take what another replica knows, and pass it on to followers.
 
         """
-        self.heard[str(peer)] = self.env.monotonic()
+        self.last_heard_at[str(peer)] = self.env.monotonic()
         try:
             leases = decode_leases(message.leases)
             endpoints = decode_states(message.reports)
@@ -242,11 +244,11 @@
         changes += [self.registry.merge_endpoint_state(state) for state in endpoints]
         if message.full and message.settled:
             self.registry.is_complete = True
-        news = await self.registry.suspects.merge(suspicions)
-        if news or RecordChange.CHANGED in changes:
+        news_on_suspicions = await self.registry.suspects.merge(suspicions)
+        if news_on_suspicions or RecordChange.CHANGED in changes:
             await self.followers.wake()
 
-    async def spread(self, lease: Lease) -> bool:
+    async def send_to_majority(self, lease: Lease) -> bool:
         """
         Bring one lease to the other replicas at once; True when a majority,
         this one included, has it.
@@ -254,27 +256,29 @@
         """
         members = {instance for instance, _ in self.replica.members}
         others = [a for a in self.replica.others if a.instance in members]
-        count = _Count(len(members) // 2 + 1)
+        count = _MajorityCount(len(members) // 2 + 1)
         await count.add()
         message = Leases(leases=encode_records([lease]))
         for address in others:
-            await self.env.spawn(self._tell, address, message, count)
+            await self.env.spawn(self._send_lease, address, message, count)
         try:
-            async with curio.timeout_after(SPREAD_TIMEOUT_S):
-                await count.enough.wait()
+            async with curio.timeout_after(MAJORITY_TIMEOUT_S):
+                await count.reached.wait()
         except curio.TaskTimeout:
             log.warning(
                 'Lease not spread. instance={} told={} wanted={}',
                 lease.instance,
-                count.got,
-                count.wanted,
+                count.received,
+                count.needed,
             )
             return False
         return True
 
-    async def _tell(self, address: PeerAddress, message: Leases, count: _Count) -> None:
+    async def _send_lease(
+        self, address: PeerAddress, message: Leases, count: _MajorityCount
+    ) -> None:
         try:
-            await self.peers.call(address, message, SPREAD_TIMEOUT_S)
+            await self.peers.call(address, message, MAJORITY_TIMEOUT_S)
         except PeerError as error:
             log.info('Replica {} did not take a lease: {}.', address.instance, error)
             return
--- a/packages/millforkd/millforkd/versions.py
+++ b/packages/millforkd/millforkd/versions.py
@@ -147,11 +147,11 @@
         learned = self.learned.get(model, {})
         return {
             version: self._end(model, version, learned.get(version, float('-inf')))
-            for version in sorted({*learned, *self.told.versions(model)})
+            for version in sorted({*learned, *self.told.known_versions(model)})
         }
 
     def _end(self, model: str, version: int, learned_at: float) -> float:
-        told = self.told.at(model, version)
+        told = self.told.cutoff_of(model, version)
         if self.leads():
             own = learned_at + self.switch_s
             return own if told is None else max(told, own)
@@ -169,7 +169,7 @@
         for model in self.learned:
             newest = self.newest(model)
             for version, ends in self._ends(model).items():
-                if not self.leads() and self.told.at(model, version) is None:
+                if not self.leads() and self.told.cutoff_of(model, version) is None:
                     continue
                 if ends <= now and version != newest:
                     continue
--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -308,7 +308,7 @@
         (
             Edit(
                 'packages/millfork-registry/millfork_registry/feed_relay.py',
-                'if not self._is_lost():',
+                'if not self._feed_is_lost():',
                 'if True:',
             ),
         ),
@@ -431,15 +431,21 @@
         (
             Edit(
                 G + 'version_cutoffs.py',
-                'ends = asked_at + switch.left_ms / MS_PER_S',
-                'ends = asked_at + 0.5 + switch.left_ms / MS_PER_S',
+                'cutoff = asked_at + switch.left_ms / MS_PER_S',
+                'cutoff = asked_at + 0.5 + switch.left_ms / MS_PER_S',
             ),
         ),
     ),
     Mutation(
         'what has ended does not come back',
         'tests/test_version_cutoffs.py::test_what_has_ended_does_not_come_back',
-        (Edit(G + 'version_cutoffs.py', '(known <= asked_at or ends <= known)', 'ends <= known'),),
+        (
+            Edit(
+                G + 'version_cutoffs.py',
+                '(known <= asked_at or cutoff <= known)',
+                'cutoff <= known',
+            ),
+        ),
     ),
     Mutation(
         'every version told of has its own end',
@@ -447,7 +453,7 @@
         (
             Edit(
                 D + 'versions.py',
-                'sorted({*learned, *self.told.versions(model)})',
+                'sorted({*learned, *self.told.known_versions(model)})',
                 'sorted(learned)',
             ),
         ),
@@ -458,7 +464,7 @@
         (
             Edit(
                 D + 'versions.py',
-                'if not self.leads() and self.told.at(model, version) is None:',
+                'if not self.leads() and self.told.cutoff_of(model, version) is None:',
                 'if False:',
             ),
         ),
@@ -469,7 +475,7 @@
         (
             Edit(
                 G + 'feed_relay.py',
-                'await self.feed_client.note_switches(asked_at, reply.switches)',
+                'await self.feed_client.record_switches(asked_at, reply.switches)',
                 'pass',
             ),
         ),
@@ -765,7 +771,7 @@
     Mutation(
         'a request in quarantine is written down',
         'tests/test_crashing_requests.py::test_the_quarantine_outlives_all_processes_at_once',
-        (Edit(D + 'replica/quarantine.py', 'if self.leads():', 'if False:'),),
+        (Edit(D + 'replica/quarantine.py', 'if self.is_leader():', 'if False:'),),
     ),
     Mutation(
         'a stripe of which nothing comes gets another root',
--- a/tests/test_feed_client.py
+++ b/tests/test_feed_client.py
@@ -67,13 +67,13 @@
     async with curio.timeout_after(bound_s):
         while not condition():
             # Its feed goes on.
-            made.heard_at = made.env.monotonic()
+            made.source_heard_at = made.env.monotonic()
             await curio.sleep(0.01)
     await task.cancel()
 
 
 def test_a_follower_goes_to_a_replica_of_its_zone_once_there_is_one(monkeypatch):
-    monkeypatch.setattr(feeds, 'LOOK_NEARER_S', 0.1)
+    monkeypatch.setattr(feeds, 'NEARER_CHECK_PERIOD_S', 0.1)
     replicas = StandInReplicas('10.0.0.1:7')
     made = feed_client(replicas)
 
@@ -87,7 +87,7 @@
 
 
 def test_it_goes_to_the_one_of_its_zone_at_once(monkeypatch):
-    monkeypatch.setattr(feeds, 'LOOK_NEARER_S', 0.1)
+    monkeypatch.setattr(feeds, 'NEARER_CHECK_PERIOD_S', 0.1)
     monkeypatch.setitem(ZONES, '10.0.0.3:7', 'far')
     replicas = StandInReplicas('10.0.0.1:7', '10.0.0.3:7')
     made = feed_client(replicas)
@@ -103,7 +103,7 @@
 
 
 def test_it_does_not_go_to_one_that_does_not_hear_the_leader(monkeypatch):
-    monkeypatch.setattr(feeds, 'LOOK_NEARER_S', 0.1)
+    monkeypatch.setattr(feeds, 'NEARER_CHECK_PERIOD_S', 0.1)
     replicas = StandInReplicas('10.0.0.1:7', '10.0.0.2:7')
     replicas.age_ms = feeds.STALE_MS + 1
     made = feed_client(replicas)
@@ -125,9 +125,9 @@
 
     async def run():
         # By way of another follower.
-        await made.take(InstanceId('10.0.0.8:7'), told)
+        await made.handle_feed_message(InstanceId('10.0.0.8:7'), told)
         assert ProxyDaemon.most_entries(daemon) == UNTOLD_ENTRIES
-        await made.take(made.source, told)
+        await made.handle_feed_message(made.source, told)
         assert ProxyDaemon.most_entries(daemon) == 7
 
     curio.run(run)
--- a/tests/test_feed_relay.py
+++ b/tests/test_feed_relay.py
@@ -53,7 +53,7 @@
         taker = self.feed_relay[asker].feed_client
 
         async def notify(event):
-            assert await taker.take(InstanceId(name), event)
+            assert await taker.handle_feed_message(InstanceId(name), event)
 
         return await self.feed_relay[name].answer(SimpleNamespace(notify=notify), message)
 
@@ -61,7 +61,7 @@
         for name in names:
             feed_client = self.feed_relay[name].feed_client
             feed_client.source = InstanceId('10.9.0.1:7')
-            feed_client.heard_at = feed_client.env.monotonic()
+            feed_client.source_heard_at = feed_client.env.monotonic()
 
     async def until(self, condition, hearing, bound_s=5.0):
         async with curio.timeout_after(bound_s):
@@ -90,11 +90,11 @@
         near = followers.feed_relay[NEAR].feed_client
         near.view.change(Revision(2), {'key': Held(b'new', Revision(2))}, [])
         near.registry.merge_endpoint_state(state(1, 5))
-        task = await curio.spawn(followers.feed_relay[CUT].keep, daemon=True)
+        task = await curio.spawn(followers.feed_relay[CUT].run, daemon=True)
         hearing = (NEAR, FAR)
         await followers.until(lambda: running_at(cut) == 5, hearing)
         assert cut.view.items['key'].value == b'new'
-        assert cut.reports_to == NEAR
+        assert cut.report_target == NEAR
         near.registry.merge_endpoint_state(state(2, 9))
         await followers.until(lambda: running_at(cut) == 9, hearing)
         assert set(followers.asked) == {NEAR}
@@ -107,9 +107,9 @@
     async def run():
         cut = followers.feed_relay[CUT].feed_client
         followers.feed_relay[FAR].feed_client.registry.merge_endpoint_state(state(1, 5))
-        task = await curio.spawn(followers.feed_relay[CUT].keep, daemon=True)
+        task = await curio.spawn(followers.feed_relay[CUT].run, daemon=True)
         await followers.until(lambda: running_at(cut) == 5, (FAR,))
-        assert cut.reports_to == FAR
+        assert cut.report_target == FAR
         await task.cancel()
 
     curio.run(run)
@@ -121,7 +121,7 @@
         near = followers.feed_relay[NEAR].feed_client.registry.suspects
         suspicion = Suspicion(Fingerprint('ab'), 0, 2)
         await near.merge([suspicion])
-        task = await curio.spawn(followers.feed_relay[CUT].keep, daemon=True)
+        task = await curio.spawn(followers.feed_relay[CUT].run, daemon=True)
         await followers.until(lambda: cut.get(suspicion.fingerprint) == suspicion, (NEAR,))
         assert not cut.unsent
         await task.cancel()
@@ -132,10 +132,10 @@
 def test_the_relay_is_left_once_a_replica_is_heard_again(followers):
     async def run():
         cut = followers.feed_relay[CUT].feed_client
-        task = await curio.spawn(followers.feed_relay[CUT].keep, daemon=True)
+        task = await curio.spawn(followers.feed_relay[CUT].run, daemon=True)
         await followers.until(lambda: cut.relay == NEAR, (NEAR,))
         await followers.until(lambda: not cut.relay, (NEAR, CUT))
-        assert cut.reports_to == '10.9.0.1:7'
+        assert cut.report_target == '10.9.0.1:7'
         await task.cancel()
 
     curio.run(run)
@@ -147,7 +147,7 @@
         other = followers.feed_relay[NEAR].feed_client
         other.view.change(Revision(2), {'key': Held(b'new', Revision(2))}, [])
         update = other.view.update_since('c', 1)
-        assert await cut.take(InstanceId(NEAR), update)
+        assert await cut.handle_feed_message(InstanceId(NEAR), update)
         assert cut.view.items['key'].value == b'old'
 
     curio.run(run)
@@ -158,9 +158,11 @@
         cut = followers.feed_relay[CUT].feed_client
         followers.feed_relay[NEAR].switches = lambda: [VersionSwitch('m', 2, 3000)]
         began = cut.env.monotonic()
-        task = await curio.spawn(followers.feed_relay[CUT].keep, daemon=True)
-        await followers.until(lambda: cut.version_cutoffs.at('m', 2) is not None, (NEAR, FAR))
-        assert began + 3.0 <= cut.version_cutoffs.at('m', 2) <= cut.env.monotonic() + 3.0
+        task = await curio.spawn(followers.feed_relay[CUT].run, daemon=True)
+        await followers.until(
+            lambda: cut.version_cutoffs.cutoff_of('m', 2) is not None, (NEAR, FAR)
+        )
+        assert began + 3.0 <= cut.version_cutoffs.cutoff_of('m', 2) <= cut.env.monotonic() + 3.0
         await task.cancel()
 
     curio.run(run)
--- a/tests/test_machine_suspension.py
+++ b/tests/test_machine_suspension.py
@@ -27,7 +27,7 @@
     versions = Versions(env, view, 8000, told, leads=never_leads)
     name(view, versions, 1)
     name(view, versions, 2)
-    told.note(env.monotonic(), [VersionSwitch('m', 2, int(SLEPT_S * 1000) - 1000)])
+    told.record_answer(env.monotonic(), [VersionSwitch('m', 2, int(SLEPT_S * 1000) - 1000)])
     assert versions.least('m') < 2
     now[time.CLOCK_BOOTTIME] += SLEPT_S
     assert versions.least('m') == 2
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -29,7 +29,7 @@
 from millforkd.proxy.ends import Ends
 from millforkd.proxy.fingerprints import Fingerprints
 from millforkd.quarantine import Quarantine
-from millforkd.replica.quarantine import HELD_MS, MOST_HELD, QuarantineList
+from millforkd.replica.quarantine import LISTED_MAX_AGE_MS, MAX_LISTED, QuarantineList
 from tests.test_servers import Clock
 
 FINGERPRINT = Fingerprint('ab')
@@ -164,7 +164,7 @@
         )
 
     async def end(self):
-        await self.suspects.record(self.quarantine.known(self.job).with_end())
+        await self.suspects.record(self.quarantine.suspicion_of(self.job).with_end())
 
 
 def list_of(entry, clock, leads=lambda: True):
@@ -184,13 +184,13 @@
         entry = Entry()
         listing = list_of(entry, Clock())
         for _ in range(ENDS):
-            assert not entry.quarantine.bars(entry.job)
+            assert not entry.quarantine.blocking_standing(entry.job)
             await entry.end()
-        assert entry.quarantine.bars(entry.job)
-        await listing.settle()
+        assert entry.quarantine.blocking_standing(entry.job)
+        await listing.reconcile()
         # As after a loss of power: suspicions are gone, the state is not.
         entry.suspects.table.remove(entry.job.fingerprint)
-        assert entry.quarantine.bars(entry.job)
+        assert entry.quarantine.blocking_standing(entry.job)
 
     curio.run(run)
 
@@ -201,10 +201,10 @@
         listing = list_of(entry, Clock())
         for _ in range(ENDS):
             await entry.end()
-        await listing.settle()
-        await entry.quarantine.clear(entry.job)
-        assert not entry.quarantine.bars(entry.job)
-        await listing.settle()
+        await listing.reconcile()
+        await entry.quarantine.clear_suspicion(entry.job)
+        assert not entry.quarantine.blocking_standing(entry.job)
+        await listing.reconcile()
         assert entry.view.items == {}
 
     curio.run(run)
@@ -214,14 +214,14 @@
     async def run():
         entry, clock = Entry(), Clock()
         listing = list_of(entry, clock)
-        for number in range(MOST_HELD + 3):
+        for number in range(MAX_LISTED + 3):
             clock.now += 0.001
             await entry.suspects.record(Suspicion(Fingerprint(f'{number}'), 0, ENDS))
-            await listing.settle()
+            await listing.reconcile()
             entry.suspects.table.remove(f'{number}')
-        assert len(entry.view.items) == MOST_HELD
-        clock.now += HELD_MS / 1000 + 1
-        await listing.settle()
+        assert len(entry.view.items) == MAX_LISTED
+        clock.now += LISTED_MAX_AGE_MS / 1000 + 1
+        await listing.reconcile()
         assert entry.view.items == {}
 
     curio.run(run)
--- a/tests/test_registry_completeness.py
+++ b/tests/test_registry_completeness.py
@@ -20,12 +20,12 @@
 from millfork_registry.records import Lease, LeaseState
 from millfork_registry.registry import Registry
 from millfork_registry.roles import ENTRY_ROLE
-from millforkd.replica.replica_links import SETTLED_HEARTBEATS, ReplicaLinks
+from millforkd.replica.replica_links import COMPLETE_AFTER_HEARTBEATS, ReplicaLinks
 from tests.test_servers import Clock
 
 HEARTBEAT_S = 1.2
 NAMES = ['a:1', 'b:1', 'c:1']
-LONG_S = 10 * SETTLED_HEARTBEATS * HEARTBEAT_S
+LONG_S = 10 * COMPLETE_AFTER_HEARTBEATS * HEARTBEAT_S
 
 
 def lease(instance, owner):
@@ -63,7 +63,7 @@
     def left_at(self, entry):
         message = self.followers._next_leases_message(Follower(None, ENTRY_ROLE))
         feed_client = FeedClient(self.env, ENTRY_ROLE, None, entry, None, None)
-        curio.run(feed_client._take_leases, InstanceId('a:1'), message)
+        curio.run(feed_client._on_leases, InstanceId('a:1'), message)
         return sorted(item.instance for item in entry.leases.values())
 
 
@@ -86,7 +86,7 @@
     restarted.follow('b:1')
     restarted.pass_time(0.5)
     assert not restarted.registry.is_complete
-    restarted.pass_time(SETTLED_HEARTBEATS * HEARTBEAT_S)
+    restarted.pass_time(COMPLETE_AFTER_HEARTBEATS * HEARTBEAT_S)
     assert restarted.registry.is_complete
 
 
--- a/tests/test_version_cutoffs.py
+++ b/tests/test_version_cutoffs.py
@@ -54,29 +54,29 @@
     for asked_s, way_s in questions:
         # Of 8 s after the naming, so much is left once the question has arrived.
         left_s = max(SWITCH_S - asked_s - way_s, 0)
-        told.note(100 + asked_s, left(left_s))
-    assert told.at('m', 2) <= 100 + SWITCH_S
+        told.record_answer(100 + asked_s, left(left_s))
+    assert told.cutoff_of('m', 2) <= 100 + SWITCH_S
 
 
 def test_a_faster_answer_tells_the_end_better_and_a_slow_one_moves_nothing(told):
-    assert told.note(100.0, left(6.0))
-    assert told.note(102.0, left(5.5))
-    assert told.at('m', 2) == pytest.approx(107.5)
-    assert not told.note(103.0, left(3.0))
-    assert told.at('m', 2) == pytest.approx(107.5)
+    assert told.record_answer(100.0, left(6.0))
+    assert told.record_answer(102.0, left(5.5))
+    assert told.cutoff_of('m', 2) == pytest.approx(107.5)
+    assert not told.record_answer(103.0, left(3.0))
+    assert told.cutoff_of('m', 2) == pytest.approx(107.5)
 
 
 def test_what_has_ended_does_not_come_back(told):
-    told.note(100.0, left(0.0))
-    assert not told.note(101.0, left(8.0))
-    assert told.at('m', 2) == pytest.approx(100.0)
+    told.record_answer(100.0, left(0.0))
+    assert not told.record_answer(101.0, left(8.0))
+    assert told.cutoff_of('m', 2) == pytest.approx(100.0)
 
 
 def test_until_an_answer_comes_an_older_version_will_do_for_a_while(view, told, clock, follower):
     name(view, follower, 2)
     learned_at = clock.now
     assert follower.ends_at('m', 1) == pytest.approx(learned_at + UNTOLD_MS / 1000 - CUT_S)
-    told.note(clock.now, left(SWITCH_S - 0.5))
+    told.record_answer(clock.now, left(SWITCH_S - 0.5))
     assert follower.ends_at('m', 1) == pytest.approx(learned_at + SWITCH_S - 0.5 - CUT_S)
 
 
@@ -85,13 +85,13 @@
     follower = Versions(env, view, SWITCH_MS, told, UNTOLD_MS, never_leads)
     name(view, follower, 2)
     assert follower.least('m') == 2
-    told.note(clock.now, left(3.0))
+    told.record_answer(clock.now, left(3.0))
     assert follower.least('m') == 0
     assert follower.ends_at('m', 1) == pytest.approx(clock.now + 3.0 - CUT_S)
 
 
 def test_the_end_of_a_version_that_another_one_followed_is_kept(view, told, clock, follower):
-    told.note(clock.now, left(2.0, version=2) + left(5.0, version=3))
+    told.record_answer(clock.now, left(2.0, version=2) + left(5.0, version=3))
     name(view, follower, 3)
     assert follower.ends_at('m', 1) == pytest.approx(clock.now + 2.0 - CUT_S)
     assert follower.ends_at('m', 2) == pytest.approx(clock.now + 5.0 - CUT_S)
@@ -103,7 +103,7 @@
     name(view, replica, 2)
     assert replica.switches() == []
     assert replica.least('m') == 2
-    told.note(clock.now, left(3.0))
+    told.record_answer(clock.now, left(3.0))
     assert [item.left_ms for item in replica.switches()] == [3000]
 
 
--- a/tests/test_version_ends_after_restart.py
+++ b/tests/test_version_ends_after_restart.py
@@ -143,12 +143,12 @@
     env = Environment(InstanceId('a:1'), ZoneId('zone'), monotonic=clock)
     entry = Versions(env, view, SWITCH_MS, told, UNTOLD_MS, never_leads)
     named = VersionSwitch('m', 2, SWITCH_MS)
-    told.note(clock.now, [named])
+    told.record_answer(clock.now, [named])
     name(view, entry, 2)
     clock.now += SWITCH_S + 60
     assert entry.least('m') == 2
     # The replica was killed, and takes the version for one that was named just now.
-    told.note(clock.now, [named])
+    told.record_answer(clock.now, [named])
     assert entry.least('m') == 2
 
 
@@ -169,7 +169,7 @@
     def ask(asker, answerer, took_s):
         asked_at = clock.now
         clock.now += took_s
-        told[asker].note(asked_at, replicas[answerer].switches())
+        told[asker].record_answer(asked_at, replicas[answerer].switches())
 
     # One question was on its way for half a second; all others are answered at once.
     ask(0, 1, 0.5)
