--- a/packages/millfork-registry/millfork_registry/registry.py
+++ b/packages/millfork-registry/millfork_registry/registry.py
@@ -1,10 +1,11 @@
 """
-Who serves: soft state, kept in memory by every replica and follower.
+The leases of back ends and the states of endpoint daemons: soft state, kept in
+memory by every replica and follower.
 
-A lease belongs to the replica that took its last heartbeat. Only changes are
-told to others, so a fleet at rest costs nothing between replicas. The owner
-sees a lease run out; should the owner be lost, each replica lets its leases
-run out by itself, unless the back end has found another owner.
+A lease is owned by the replica that received its last heartbeat. Only changes
+are sent to others, so an idle fleet causes no traffic between replicas. The
+owner expires a lease. If the owner is lost, each replica expires the owner's
+leases by itself, unless the back end has found another owner.
 
 """
 
@@ -20,17 +21,17 @@
 from millfork_registry.suspects import Suspects
 from millfork_registry.versioned_table import VersionedTable
 
-# A lease runs out after this many heartbeats that did not come.
+# A lease expires after this many heartbeat periods without a heartbeat.
 MISSED_HEARTBEATS: Final = 3.5
-# A record that ended is remembered this long, so that a late heartbeat of
-# the same life changes nothing.
+# An ended record is kept this long, so that a delayed heartbeat of the same
+# incarnation changes nothing.
 ENDED_RETENTION_S: Final = 120.0
-# A back end without a known start counts as new at a used address by its first heartbeat, or
-# by two of them apart by this share of the usual pause: one that has ended sends no more, and
-# two that were held up come together.
+# An unknown back end that doesn't report its start, at the address of a live one, is accepted by
+# its first heartbeat, or by two heartbeats at least this share of the heartbeat period apart: a
+# process that has ended sends no second one, and two delayed heartbeats arrive together.
 FIRST_SEQUENCE: Final = 1
 MIN_GAP_SHARE: Final = 0.5
-# An endpoint daemon reports at least each second.
+# An endpoint daemon reports at least once a second.
 REPORT_LIFETIME_S: Final = 3.5
 ENDED_STATES: Final = (LeaseState.GONE, LeaseState.EXPIRED)
 
@@ -39,7 +40,7 @@
 
 class RecordChange(Enum):
     """
-    What a record did to the registry.
+    The effect of a record on the registry; only `CHANGED` must reach others without delay.
 
     """
 
@@ -50,7 +51,7 @@
 
 class Registry:
     """
-    The leases and the endpoints' states, as this process knows them.
+    The leases, endpoint states and suspicions known to this process.
 
     """
 
@@ -63,19 +64,19 @@
         self.suspects = Suspects(env.monotonic)
         self.last_heard_at: dict[str, float] = {}
         self.ended_at_by_instance: dict[str, float] = {}
-        # The back end that was last known to live at an address.
+        # The back end that was last known to run at an address.
         self.instance_by_address: dict[tuple[str, int], str] = {}
-        # Unknown back ends at the address of a live one: sequence and time of the heartbeat.
+        # Unknown back ends at the address of a live one: the first heartbeat's sequence and time.
         self.unconfirmed: dict[str, tuple[int, float]] = {}
-        # Whether what is not here is known not to exist.
+        # Whether a back end without a record here is known not to exist.
         self.is_complete = False
 
     def record_heartbeat(self, lease: Lease) -> RecordChange:
         """
-        Take a heartbeat that came to this replica.
+        Process a heartbeat that a back end sent to this replica.
 
-        One process lives at an address at a time: a new back end ends the lease of
-        the one before it, and a delayed heartbeat of that one does not bring it back.
+        Only one process runs at an address at a time: a new back end ends its predecessor's
+        lease, and a delayed heartbeat of the predecessor doesn't restore that lease.
 
         """
         other = self._live_lease_at_address(lease)
@@ -94,7 +95,7 @@
             return RecordChange.NONE
         if other is not None and held is None and self._may_be_delayed(lease, other):
             log.info(
-                'Heartbeat of an unknown back end waits for its next one. instance={} '
+                'Heartbeat of an unknown back end not accepted before its next. instance={} '
                 'sequence={} address={}:{} held_by={}',
                 lease.instance,
                 lease.sequence,
@@ -110,8 +111,8 @@
 
     def _may_be_delayed(self, lease: Lease, other: Lease) -> bool:
         """
-        Whether a heartbeat of an unknown back end may be a late one, of a process that lived
-        at its address before the one that is known.
+        Whether a heartbeat of an unknown back end may be a delayed one, from a process that ran
+        at the address before the known back end.
 
         """
         if (lease.incarnation and other.incarnation) or lease.sequence <= FIRST_SEQUENCE:
@@ -125,7 +126,7 @@
 
     def _live_lease_at_address(self, lease: Lease) -> Lease | None:
         """
-        Another back end whose lease at the same address has not ended.
+        Return the live lease of another back end at the same address.
 
         """
         instance = self.instance_by_address.get((lease.host, lease.port), lease.instance)
@@ -138,26 +139,25 @@
 
     def record_goodbye(self, instance: str, incarnation: Incarnation | None = None) -> RecordChange:
         """
-        Take a back end's word that it leaves; without an incarnation it is of the one
-        that is known.
+        Record that a back end leaves; without an incarnation, the known one is meant.
 
         """
         held = self.leases.get(instance)
         owner = str(self.env.instance)
         if held is None:
-            # Unknown here, perhaps known elsewhere: the word is kept.
-            reported = incarnation or UNTOLD_INCARNATION
-            gone = Lease(
-                instance, '', '', 0, '', 0, LeaseState.GONE, 0, owner, incarnation=reported
-            )
+            # Other replicas may know the back end, so the goodbye is recorded all the same.
+            leaving = incarnation or UNTOLD_INCARNATION
+            gone = Lease(instance, '', '', 0, '', 0, LeaseState.GONE, 0, owner, incarnation=leaving)
             return self.merge_lease(gone)
-        of = held.incarnation if incarnation is None else incarnation
-        gone = msgspec.structs.replace(held, state=LeaseState.GONE, owner=owner, incarnation=of)
+        leaving = held.incarnation if incarnation is None else incarnation
+        gone = msgspec.structs.replace(
+            held, state=LeaseState.GONE, owner=owner, incarnation=leaving
+        )
         return self.merge_lease(gone)
 
     def merge_lease(self, lease: Lease) -> RecordChange:
         """
-        Take a record from wherever it comes; only a newer one counts.
+        Store a record from any source if it is newer than the held one.
 
         """
         held = self.leases.get(lease.instance)
@@ -196,7 +196,7 @@
 
     def _is_wrongly_ended(self, held: Lease, reported: Lease) -> bool:
         """
-        Whether another process takes a lease for run out that is renewed here.
+        Whether another process expired a lease that this process owns and still renews.
 
         """
         owned = held.owner == str(self.env.instance) and held.state not in ENDED_STATES
@@ -205,17 +205,17 @@
 
     def _announce_again(self, held: Lease) -> RecordChange:
         """
-        Others know an older sequence only, as renewals are not told: without this word
-        they took the back end for gone until its state changed.
+        Send a held lease to others once more. Renewals are not sent, so others know only an
+        older sequence and would treat the back end as gone until its state changes.
 
         """
-        log.info('Lease told again. instance={} sequence={}', held.instance, held.sequence)
+        log.info('Lease announced again. instance={} sequence={}', held.instance, held.sequence)
         self.leases.put(held.instance, held)
         return RecordChange.CHANGED
 
     def restart_expiry_timers(self) -> None:
         """
-        Let no lease run out for silence before now, as this process did not listen.
+        Count silence from now on only, because this process did not run until now.
 
         """
         now = self.env.monotonic()
@@ -224,7 +224,7 @@
 
     def merge_endpoint_state(self, state: EndpointState) -> RecordChange:
         """
-        Take an endpoint daemon's state; only a newer one counts.
+        Store an endpoint daemon's state if it is newer than the held one.
 
         """
         held = self.endpoints.get(state.instance)
@@ -238,7 +238,7 @@
 
     def retain_only(self, leases: set[str], endpoints: set[str]) -> None:
         """
-        Drop every record that a settled replica does not know.
+        Drop every record that a replica with complete records doesn't have.
 
         """
         for key in [key for key in self.leases.rows if key not in leases]:
@@ -249,8 +249,8 @@
 
     def expire(self, lost_owners: set[str]) -> list[Lease]:
         """
-        Let leases run out whose heartbeats stopped: those owned here, and
-        those whose owner is lost. Returns the ones that ran out.
+        Expire leases without recent heartbeats, both those owned here and
+        those of lost owners; returns the expired ones.
 
         """
         now = self.env.monotonic()
@@ -260,7 +260,7 @@
                 continue
             mine = lease.owner == str(self.env.instance)
             if not mine and lease.owner not in lost_owners:
-                # The owner watches it; its own silence counts from its loss.
+                # The owner expires it; silence counts here from the owner's loss.
                 self.last_heard_at[lease.instance] = now
                 continue
             if now - self.last_heard_at.get(lease.instance, now) < self.lease_s:
@@ -280,7 +280,7 @@
 
     def forget_silent_endpoints(self) -> None:
         """
-        Drop the states of endpoint daemons that no longer report.
+        Drop the states of endpoint daemons that stopped reporting.
 
         """
         now = self.env.monotonic()
@@ -304,7 +304,7 @@
 
 def _is_of_earlier_process(lease: Lease, other: Lease, held: Lease | None) -> bool:
     """
-    Whether a heartbeat is of a process that lived at its address before another one.
+    Whether a heartbeat's process ran at the address before that of the `other` lease.
 
     """
     if lease.incarnation and other.incarnation:
@@ -316,7 +316,7 @@
 
 def _is_of_later_process(lease: Lease, other: Lease, held: Lease | None) -> bool:
     """
-    Whether a heartbeat tells that the other process at its address has ended.
+    Whether a heartbeat shows that the process of the `other` lease at its address has ended.
 
     """
     if lease.incarnation and other.incarnation:
--- a/packages/millfork-registry/millfork_registry/suspects.py
+++ b/packages/millfork-registry/millfork_registry/suspects.py
@@ -1,9 +1,10 @@
 """
-Requests under which back ends ended, as all entries and replicas know them.
+Suspicions: counts of back ends that ended while they ran a request, shared by all entries
+and replicas.
 
-The count is of what a request says, so it outlives the tries and the entries that made
-them. What two processes know is joined: of two epochs the later one, within an epoch what
-either knows, in whatever order and however often it comes.
+A suspicion belongs to the fingerprint of a request's content, so it outlives the attempts
+and the entries that made them. Two processes merge what they know: the later epoch wins,
+and within an epoch both records are combined. The order and number of merges don't matter.
 
 """
 
@@ -17,14 +18,14 @@
 from millfork_core.logs import Part, logger
 from millfork_registry.versioned_table import VersionedTable
 
-# A job that runs each hour may end one back end with each of its tries.
+# An hourly job may end one back end with each of its attempts, so records must outlive an hour.
 SUSPICION_RETENTION_S: Final = 24 * 3600.0
-# A caller that varies its body makes a record with each back end that it ends; 4,096 take
-# 1.5 MB, and are more than 200 engines of 16 requests have under way when all end at once.
+# A caller that varies its body creates one record for each back end that it ends. 4,096 records
+# take 1.5 MB; 200 engines with 16 requests each have fewer in progress if all end at once.
 MAX_SUSPICIONS: Final = 4096
-# More incarnations under one request change nothing; each takes some 40 bytes.
+# More incarnations for one request would not change any decision; each takes about 40 bytes.
 MAX_BROKEN_INCARNATIONS: Final = 4
-# What may prove to be nothing is kept from others for this long.
+# A private suspicion that is not withdrawn within this time is sent to other processes.
 MAX_PRIVATE_S: Final = 1.5
 EPOCH_BYTES: Final = 8
 
@@ -33,16 +34,15 @@
 
 class Suspicion(msgspec.Struct, frozen=True, array_like=True):
     """
-    How many back ends ended one after another under a request. An answer that came whole
-    clears it: the next `epoch` begins with none.
+    How many back ends ended one after another while they ran a request. A complete answer
+    clears the suspicion: the next `epoch` starts with zero ends.
 
-    Ends count by sequence, not by number: a try adds one to what was known when it was
-    sent. Back ends that end at the same moment with the same request on each, as in a
-    loss of power, count as one.
+    An attempt sets `ends` to one more than the count known when the attempt was sent. Back
+    ends that run the same request and end at the same moment, as in a loss of power,
+    therefore count as one.
 
-    `broken` are the incarnations under which an answer to it broke off and that are not
-    known to live on: of those it is not yet known, or known, that they ended. Once one lives
-    on, the next epoch begins without it.
+    `broken` holds the incarnations that broke off an answer to the request and either ended
+    or may have ended. Once one of them is known to live on, the next epoch starts without it.
 
     """
 
@@ -70,7 +70,7 @@
 
     def without_broken(self, incarnation: IncarnationKey) -> 'Suspicion':
         """
-        After it is known that an incarnation lives on.
+        Return the next epoch's suspicion, once an incarnation is known to live on.
 
         """
         left = tuple(key for key in self.broken if key != incarnation)
@@ -78,7 +78,7 @@
 
     def merged_with(self, other: 'Suspicion') -> 'Suspicion':
         """
-        What is known where both are.
+        Return the suspicion that results from combining this one with another process's.
 
         """
         if self.epoch != other.epoch:
@@ -99,9 +99,9 @@
 
 def decode_suspicions(data: bytes) -> list[Suspicion]:
     """
-    The suspicions in `data`; none in an empty text.
+    Decode suspicions; empty data is an empty list.
 
-    :raises msgspec.DecodeError: if there are none to be had.
+    :raises msgspec.DecodeError: if the data is malformed.
 
     """
     return _SUSPICIONS.decode(data) if data else []
@@ -109,8 +109,8 @@
 
 def encode_epoch(epoch: int) -> bytes:
     """
-    The epoch in which a request was put on the quarantine list, as the replicated state
-    holds it.
+    Encode, for the replicated state, the epoch in which a request was put on the quarantine
+    list.
 
     """
     return epoch.to_bytes(EPOCH_BYTES, 'big')
@@ -122,7 +122,7 @@
 
 class Suspects:
     """
-    The suspicions that one process knows.
+    The suspicions known to one process, and which of them it still has to send to others.
 
     """
 
@@ -130,11 +130,12 @@
         self.monotonic = monotonic
         self.table: VersionedTable[Suspicion] = VersionedTable()
         self.changed_at: dict[Fingerprint, float] = {}
-        # What those that this process hears from do not know; set `news` with it.
+        # Suspicions that the process at the other end of the feed may lack. Whoever adds one
+        # sets `unsent_event`.
         self.unsent: dict[Fingerprint, Suspicion] = {}
         self.unsent_event = curio.Event()
-        # What this process keeps to itself, as it may prove to be nothing within moments, and
-        # since when.
+        # When each suspicion became known that is not yet sent to others, because it may be
+        # withdrawn within moments.
         self.private_since: dict[Fingerprint, float] = {}
 
     def get(self, fingerprint: Fingerprint) -> Suspicion:
@@ -142,7 +143,7 @@
 
     async def record(self, suspicion: Suspicion) -> None:
         """
-        Take what this process found out itself, and tell others.
+        Record a suspicion that this process found, and schedule it for sending.
 
         """
         if self._merge_one(suspicion):
@@ -150,8 +151,8 @@
 
     def record_privately(self, suspicion: Suspicion) -> None:
         """
-        Take what this process found out itself; others hear of it with what is told next
-        of the same request.
+        Record a suspicion that this process found. It is sent only with the next change of the
+        same request's suspicion.
 
         """
         fingerprint = suspicion.fingerprint
@@ -161,7 +162,7 @@
 
     async def publish(self, fingerprint: Fingerprint) -> None:
         """
-        Tell others what was kept from them.
+        Schedule a private suspicion for sending.
 
         """
         if fingerprint in self.private_since:
@@ -169,7 +170,7 @@
 
     async def publish_overdue(self) -> None:
         """
-        Tell others what did not prove to be nothing.
+        Schedule the private suspicions for sending that were not withdrawn in time.
 
         """
         since = self.monotonic() - MAX_PRIVATE_S
@@ -179,8 +180,8 @@
 
     async def withdraw(self, suspicion: Suspicion) -> None:
         """
-        Take that a request is not, or less, suspected. Where nobody was told, nobody needs
-        to hear of it.
+        Record that a request is less suspected, or not at all. A private suspicion that is
+        cleared is dropped without sending.
 
         """
         if suspicion.fingerprint in self.private_since and suspicion.is_clear:
@@ -190,7 +191,7 @@
 
     async def mark_unsent(self, fingerprint: Fingerprint) -> None:
         """
-        Tell others what is known of a request.
+        Schedule the suspicion of a request for sending.
 
         """
         self.private_since.pop(fingerprint, None)
@@ -199,7 +200,7 @@
 
     async def merge(self, suspicions: list[Suspicion]) -> list[Fingerprint]:
         """
-        Take what another process knows; returns of which requests anything was new.
+        Merge another process's suspicions; returns the fingerprints whose record changed.
 
         """
         new = []
@@ -211,11 +212,12 @@
             if held == suspicion:
                 self.unsent.pop(suspicion.fingerprint, None)
                 continue
-            # The other may have started anew, and others who hear from it too.
+            # The other process lacks part of the record: it, and those that learn from it, may
+            # have restarted.
             await self.mark_unsent(suspicion.fingerprint)
         if new:
             log.info(
-                'Heard of suspects. requests={} most_ends={} most_broken={}',
+                'Suspicions received. requests={} most_ends={} most_broken={}',
                 len(new),
                 max(suspicion.ends for suspicion in new),
                 max(len(suspicion.broken) for suspicion in new),
@@ -224,14 +226,15 @@
 
     def published(self) -> list[Suspicion]:
         """
-        All that others may hear of.
+        Return all suspicions that are not private.
 
         """
         return [item for item in self.table.values() if item.fingerprint not in self.private_since]
 
     async def mark_all_unsent(self) -> None:
         """
-        Tell all, as whoever is heard from now on may have started anew.
+        Schedule all suspicions that are not private for sending, because the replica that this
+        process now follows may have restarted.
 
         """
         for suspicion in self.published():
@@ -241,10 +244,10 @@
 
     def _merge_one(self, suspicion: Suspicion) -> bool:
         held = self.get(suspicion.fingerprint)
-        joined = held.merged_with(suspicion)
-        if joined == held:
+        merged = held.merged_with(suspicion)
+        if merged == held:
             return False
-        self.table.put(suspicion.fingerprint, joined)
+        self.table.put(suspicion.fingerprint, merged)
         self.changed_at[suspicion.fingerprint] = self.monotonic()
         if len(self.table) > MAX_SUSPICIONS:
             self._forget(self._oldest_dispensable())
@@ -252,7 +255,7 @@
 
     def _oldest_dispensable(self) -> Fingerprint:
         """
-        The oldest record that suspects nothing, or else the oldest one.
+        Return the least recently changed record that is clear, or else of all records.
 
         """
         for suspicion in self.table.values():
@@ -262,13 +265,13 @@
 
     def forget_expired(self) -> None:
         """
-        Drop what has not changed for long.
+        Drop records that have not changed for `SUSPICION_RETENTION_S`.
 
         """
         since = self.monotonic() - SUSPICION_RETENTION_S
         for suspicion in list(self.table.values()):
             if self.changed_at[suspicion.fingerprint] > since:
-                # The table is in the order of changes.
+                # The table is ordered by last change, so all that follow are newer.
                 return
             self._forget(suspicion.fingerprint)
 
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -141,5 +141,5 @@
     Whether the entry that started anew has heard of what the other one knows.
 
     """
-    heard = re.findall(r'Heard of suspects.* most_ends=(\d+)', fleet.log(fleet.entry_hosts[1]))
+    heard = re.findall(r'Suspicions received.* most_ends=(\d+)', fleet.log(fleet.entry_hosts[1]))
     return str(known) in heard
