--- a/packages/millfork-registry/millfork_registry/__init__.py
+++ b/packages/millfork-registry/millfork_registry/__init__.py
@@ -1,4 +1,4 @@
 """
-Leases of back ends, reports of endpoints, and how every daemon learns them.
+Leases of back ends, reports of endpoint daemons, and their distribution to all daemons.
 
 """
--- a/packages/millfork-registry/millfork_registry/caches.py
+++ b/packages/millfork-registry/millfork_registry/caches.py
@@ -1,8 +1,8 @@
 """
-Which entries keep pieces of weights for the endpoint daemons.
+Choice of the entries that cache chunks of weights for the endpoint daemons.
 
-Every entry could; a few of each zone are named to the others, the same ones by
-every replica that knows the same entries.
+Every entry can be a cache. Replicas advertise a few of each zone, and replicas
+that know the same entries advertise the same ones.
 
 """
 
@@ -12,17 +12,17 @@
 from millfork_core.ranks import rank
 from millfork_wire.messages import CacheAddress
 
-# An entry's link of 20 Mbit/s then feeds the 12 engines of a zone at 3.65 Mbit/s
-# each (grown fleets), with two thirds left for callers.
+# Four entries' links of 20 Mbit/s each then serve the 12 engines of a zone of a grown fleet at
+# 3.65 Mbit/s each, and leave two thirds of each link for callers.
 MAX_ADVERTISED_IN_ZONE: Final = 4
-# Of other zones only those that draw from the origin matter.
+# Of other zones, only the caches that download from the origin matter.
 MAX_ADVERTISED_PER_OTHER_ZONE: Final = 2
 
 
 def advertised_caches(caches: Iterable[CacheAddress], zone: str | None) -> list[CacheAddress]:
     """
-    The caches that a daemon of a zone is told of, best first in each zone;
-    without a zone, as many of each as its own daemons are told of.
+    Return the caches to advertise to a daemon of `zone`, in order of rank within
+    each zone. Without a zone, every zone gets the limit of a daemon's own zone.
 
     """
     found = _best_first_by_zone(caches)
@@ -35,8 +35,8 @@
 
 def caches_near_origin(caches: Iterable[CacheAddress], origin_zone: str) -> list[CacheAddress]:
     """
-    The caches that draw from the origin: those nearest to it, as bytes between
-    zones cost; any where it has none in its zone.
+    Return the caches that download from the origin: those of its zone, because
+    traffic between zones costs money, or those of another zone if it has none.
 
     """
     found = _best_first_by_zone(caches)
--- a/packages/millfork-registry/millfork_registry/discovery.py
+++ b/packages/millfork-registry/millfork_registry/discovery.py
@@ -1,7 +1,7 @@
 """
-Finding the replicas with no list of them: from seeds, and from one another.
+Discovery of the replicas without a configured list: from seeds, and from each other.
 
-A seed may be wrong, late or gone. Whoever answers names the others it knows.
+A seed may be wrong, slow or gone. Each replica that answers lists the others it knows.
 
 """
 
@@ -17,8 +17,8 @@
 from millfork_wire.peers import PeerAddress, Peers
 
 ASK_TIMEOUT_S: Final = 0.6
-# A replica that answered nobody for this long is asked no more, unless it is
-# a seed: it may have been replaced.
+# A replica that didn't answer this process for this long is forgotten, as it may have
+# been replaced. Seeds are never forgotten.
 FORGET_AFTER_S: Final = 30.0
 
 log = logger(Part.REGISTRY)
@@ -26,21 +26,23 @@
 
 def address_of(instance: str) -> PeerAddress:
     """
-    The address in an instance's id, which is `HOST:PORT` of its wire port.
+    Parse the address in an instance's id, which is `HOST:PORT` of its wire port.
 
-    :raises ValueError: if the id is none of that form.
+    :raises ValueError: if the id has another form.
 
     """
     host, _, port = instance.rpartition(':')
     if not host:
-        raise ValueError(f'{instance!r} is not HOST:PORT')
+        raise ValueError(f'instance id {instance!r} is not of the form HOST:PORT')
     return PeerAddress(InstanceId(instance), host, int(port))
 
 
 @dataclass(slots=True)
 class KnownReplica:
     """
-    A replica's address, when it last answered, and what it said.
+    A replica's address, the time of its last answer, and that answer.
+
+    Until the first answer, `answered_at` is the time when the replica became known.
 
     """
 
@@ -55,7 +57,7 @@
 
 class Discovery:
     """
-    The replicas known to this process.
+    The replicas known to this process, and their latest answers.
 
     """
 
@@ -68,7 +70,7 @@
 
     def set_seeds(self, seeds: list[str]) -> None:
         """
-        Take the seeds of the settings, at start or when they change.
+        Replace the seeds, at start or when the settings change.
 
         """
         self.seeds = [address_of(seed) for seed in seeds if seed != self.env.instance]
@@ -77,7 +79,7 @@
 
     def add_replica(self, instance: str) -> None:
         """
-        Take up a replica's id.
+        Add a replica by its id; an id without an address is logged and ignored.
 
         """
         if instance == self.env.instance or InstanceId(instance) in self.known:
@@ -91,9 +93,9 @@
 
     def addresses(self) -> list[PeerAddress]:
         """
-        Replicas in the order in which this process prefers them: those known
-        to be of its zone, as bytes between zones cost, then by an order of its
-        own, which spreads the processes.
+        Return the replicas in this process's order of preference: first those known to be in
+        its zone, because traffic between zones costs money. Within each group, the order
+        differs from process to process, which distributes the load.
 
         """
         own = str(self.env.instance)
@@ -106,7 +108,7 @@
 
     def zone_of(self, instance: str) -> str:
         """
-        The zone of a replica; empty if it has not said so.
+        Return the zone of a replica; empty until the replica has answered.
 
         """
         known = self.known.get(InstanceId(instance))
@@ -114,7 +116,7 @@
 
     def answered_within(self, within_s: float) -> list[str]:
         """
-        The replicas that answered within the last seconds.
+        Return the ids of the replicas that answered within the last `within_s` seconds.
 
         """
         return [str(instance) for instance in self._answers(within_s)]
@@ -129,7 +131,7 @@
 
     def caches(self) -> list[CacheAddress]:
         """
-        The instances that keep pieces of weights, by the latest answer.
+        Return the caches of weights listed in the latest answer of any replica.
 
         """
         answered = [known for known in self.known.values() if known.answer is not None]
@@ -138,14 +140,14 @@
 
     def caches_elsewhere(self, within_s: float) -> list[CacheAddress]:
         """
-        The caches that follow the replicas which answered within the last seconds.
+        Return the caches listed by the replicas that answered within the last `within_s` seconds.
 
         """
         return [cache for answer in self._answers(within_s).values() for cache in answer.caches]
 
     async def ask(self, address: PeerAddress, question: FindReplicas) -> Replicas | None:
         """
-        Ask one replica whom it knows; None if it does not answer.
+        Ask a replica for the replicas it knows, and record the answer; None without an answer.
 
         """
         try:
@@ -170,4 +172,4 @@
             return
         if self.env.monotonic() - known.answered_at > FORGET_AFTER_S:
             del self.known[instance]
-            log.info('Forgot replica {}, which has not answered.', instance)
+            log.info('Removed replica {}, which no longer answers.', instance)
--- a/packages/millfork-registry/millfork_registry/records.py
+++ b/packages/millfork-registry/millfork_registry/records.py
@@ -1,5 +1,5 @@
 """
-What the registry holds: one lease for each back end, one report for each
+Records of the registry: one lease for each back end, one state for each
 endpoint daemon.
 
 """
@@ -13,22 +13,22 @@
 
 class LeaseState(Enum):
     """
-    What a back end may be used for.
+    The states of a back end's lease. Only a ready back end gets new requests.
 
     """
 
     READY = 'ready'
     DRAINING = 'draining'
-    # Its heartbeats stopped; a later one renews the lease.
+    # The heartbeats stopped; a later heartbeat renews the lease.
     EXPIRED = 'expired'
-    # It said that it leaves; only another incarnation of its id comes back.
+    # The back end announced that it leaves; only another incarnation of its id can return.
     GONE = 'gone'
 
 
 class ServedVersion(msgspec.Struct, frozen=True, array_like=True):
     """
-    Weights that a back end can serve: the model's layers from `first` to
-    before `end`, or the model whole if `end` is None.
+    Weights that a back end can serve: the model's layers from `first` up to,
+    but excluding, `end`, or the whole model if `end` is None.
 
     """
 
@@ -39,7 +39,7 @@
 
     def is_whole(self, layers: int) -> bool:
         """
-        Whether it is all of a model's layers.
+        Whether these are all layers of a model that has `layers` layers.
 
         """
         return self.end is None or (self.first == 0 and self.end >= layers)
@@ -47,8 +47,8 @@
 
 class Lease(msgspec.Struct, frozen=True, array_like=True):
     """
-    One incarnation of a back end. `sequence` rises with each of its heartbeats and
-    begins anew with the next incarnation; `owner` is the replica that took the last one.
+    One incarnation of a back end. `sequence` increases with each heartbeat and restarts
+    with the next incarnation; `owner` is the replica that received the last heartbeat.
 
     """
 
@@ -67,8 +67,8 @@
     @property
     def order(self) -> tuple[Incarnation, bool, int, bool]:
         """
-        What makes one record of a back end newer than another: first the incarnation,
-        as sequences of two can't be compared.
+        Sort key: the newer of two records of a back end has the greater key. The incarnation
+        is first, because sequences of different incarnations can't be compared.
 
         """
         return (
@@ -80,7 +80,7 @@
 
     def needs_announcement_after(self, older: 'Lease') -> bool:
         """
-        Whether anyone but the owner needs to hear of this record.
+        Whether this record must be sent to others, given that they have `older`.
 
         """
         return (
@@ -106,8 +106,8 @@
 
 class HeldVersion(msgspec.Struct, frozen=True, array_like=True):
     """
-    Weights that an endpoint daemon can pass on: the pieces from `first` to
-    before `end`, or all of them if `end` is None.
+    Weights that an endpoint daemon can send to others: the chunks from `first` up
+    to, but excluding, `end`, or all chunks if `end` is None.
 
     """
 
@@ -118,7 +118,7 @@
 
     def has(self, index: int) -> bool:
         """
-        Whether one piece is among them.
+        Whether the chunk with this index is included.
 
         """
         return self.first <= index and (self.end is None or index < self.end)
@@ -126,9 +126,10 @@
 
 class EndpointState(msgspec.Struct, frozen=True, array_like=True):
     """
-    What an endpoint daemon says of itself and of the engine beside it.
+    The state that an endpoint daemon reports of itself and of the engine beside it.
 
-    `sequence` is its monotonic clock in ms; tokens are the engine's memory.
+    `sequence` is the daemon's monotonic clock in ms; `tokens_used` and `tokens_total`
+    describe the engine's memory.
 
     """
 
@@ -147,15 +148,15 @@
     pace: float = 1.0
     served: tuple[ServedVersion, ...] = ()
     held: tuple[HeldVersion, ...] = ()
-    # The version it is changing to at this moment, 0 if none.
+    # The version that the engine is changing to at this moment, 0 if none.
     changing_to: int = 0
-    # What it brings to its engine first of a version that is on its way.
+    # The part of a version in transfer that the daemon brings to its engine first.
     goal: ServedVersion | None = None
-    # Of the engine.
+    # The engine's incarnation.
     incarnation: Incarnation = UNTOLD_INCARNATION
-    # Requests a second that the engine takes from all entries together, if it names a limit.
+    # Requests per second that the engine accepts from all entries together, if it has a limit.
     limit_per_s: float | None = None
-    # Whether the engine says that it leaves.
+    # Whether the engine announced that it leaves.
     leaving: bool = False
 
     @property
@@ -164,9 +165,9 @@
 
     def needs_announcement_after(self, older: 'EndpointState | None') -> bool:
         """
-        Whether this should reach others without delay: load may wait, and how far a
-        version has come. Told at once, each piece that came made a replica wake all its
-        followers, in other regions too, up to 50 times a second while weights change.
+        Whether this state must reach others without delay. Changes of the load and of the
+        progress of a transfer may wait: sent without delay, each received chunk made a
+        replica send to all its followers, also in other regions, up to 50 times a second.
 
         """
         return older is None or self._announced_fields != older._announced_fields
@@ -180,7 +181,8 @@
             held,
             self.changing_to,
             self.goal,
-            # A limit that changes with each answer would wake all followers each time.
+            # The limit's value is left out: it can change with each answer, and each change
+            # would be sent to all followers.
             self.limit_per_s is not None,
             self.leaving,
         )
@@ -196,9 +198,9 @@
 
 def decode_leases(data: bytes) -> list[Lease]:
     """
-    The leases in `data`; none in an empty text.
+    Decode leases; empty data is an empty list.
 
-    :raises msgspec.DecodeError: if there are none to be had.
+    :raises msgspec.DecodeError: if the data is malformed.
 
     """
     return _LEASES.decode(data) if data else []
@@ -206,9 +208,9 @@
 
 def decode_states(data: bytes) -> list[EndpointState]:
     """
-    The endpoints' states in `data`; none in an empty text.
+    Decode states of endpoint daemons; empty data is an empty list.
 
-    :raises msgspec.DecodeError: if there are none to be had.
+    :raises msgspec.DecodeError: if the data is malformed.
 
     """
     return _STATES.decode(data) if data else []
@@ -216,9 +218,9 @@
 
 def decode_state(data: bytes) -> EndpointState:
     """
-    One endpoint's state.
+    Decode the state of one endpoint daemon.
 
-    :raises msgspec.DecodeError: if there is none.
+    :raises msgspec.DecodeError: if the data is malformed.
 
     """
     return msgspec.msgpack.decode(data, type=EndpointState)
--- a/packages/millfork-registry/millfork_registry/roles.py
+++ b/packages/millfork-registry/millfork_registry/roles.py
@@ -1,5 +1,5 @@
 """
-The roles of followers, as the feed's messages name them.
+The values of a follower's role in messages of the feed.
 
 """
 
--- a/packages/millfork-registry/millfork_registry/version_cutoffs.py
+++ b/packages/millfork-registry/millfork_registry/version_cutoffs.py
@@ -1,12 +1,11 @@
 """
-When requests may no longer begin on what came before a version, as it was told.
+Cutoffs of model versions: the times from which no request may begin on an older version.
 
-The leader of the replicas knows when a version was named; the other replicas ask it, and
-followers ask their replica. An answer can't have been given before its question was asked,
-so the time that is left, as an answer tells it, is counted from when the question was asked:
-a process that stood still, or reads behind a slow link, takes the end for earlier at most.
-Counted from when a message was read, an end was late by as long as the reader had stood
-still (3.4 s in a process that was stopped for 3.4 s).
+The leader of the replicas knows when a version was named. The other replicas ask the
+leader, and followers ask their replica. An answer is given after its question was asked,
+so its remaining time is counted from the time of the question: a process that was paused
+or reads from a slow link can only compute too early a cutoff. Counted from the reading of
+the answer, a cutoff was late by the reader's pause (3.4 s for a process stopped for 3.4 s).
 
 """
 
@@ -20,7 +19,7 @@
 
 class VersionCutoffs:
     """
-    The ends by model and version, in monotonic seconds.
+    The cutoffs by model and version, in monotonic seconds.
 
     """
 
@@ -29,18 +28,19 @@
 
     def record_answer(self, asked_at: float, switches: Iterable[VersionSwitch]) -> bool:
         """
-        Take the answer to a question of `asked_at`; True if it changed an end.
+        Record an answer to a question asked at `asked_at`; True if it changed a cutoff.
 
         """
-        moved = [self._record_switch(switch, asked_at) for switch in switches]
-        return any(moved)
+        changes = [self._record_switch(switch, asked_at) for switch in switches]
+        return any(changes)
 
     def _record_switch(self, switch: VersionSwitch, asked_at: float) -> bool:
         key = (switch.model, switch.version)
         cutoff = asked_at + switch.left_ms / MS_PER_S
         known = self.cutoffs.get(key)
-        # Each answer is early by the time that it took, so the latest is the best; but
-        # what has ended does not come back by the word of a replica that was away.
+        # Each answer's cutoff is early by the time that the answer took, so the latest is
+        # the most accurate. A cutoff that has passed stays, because a replica that was away
+        # may report a later one.
         if known is not None and (known <= asked_at or cutoff <= known):
             return False
         self.cutoffs[key] = cutoff
@@ -48,14 +48,14 @@
 
     def cutoff_of(self, model: str, version: int) -> float | None:
         """
-        When requests may no longer begin on what came before a version, if that was told.
+        Return when requests may no longer begin on versions before this one, if known.
 
         """
         return self.cutoffs.get((model, version))
 
     def known_versions(self, model: str) -> Iterator[int]:
         """
-        The versions of a model that were told of.
+        Return the versions of a model with a known cutoff.
 
         """
         return (version for name, version in self.cutoffs if name == model)
--- a/packages/millfork-registry/millfork_registry/versioned_table.py
+++ b/packages/millfork-registry/millfork_registry/versioned_table.py
@@ -1,5 +1,5 @@
 """
-Records by key, each with the number of the change that set it.
+A table of records by key, each with the table version of its last change.
 
 """
 
@@ -12,8 +12,8 @@
 
 class VersionedTable(Generic[Record]):
     """
-    Records in the order of their last change, so that what came after a
-    change is found without a look at the rest.
+    Records ordered by their last change, so that finding the records changed
+    since a version reads only those.
 
     """
 
@@ -30,7 +30,7 @@
 
     def put(self, key: str, record: Record) -> None:
         """
-        Set a record; this is a change.
+        Set a record as a new change, which `changed_since` reports.
 
         """
         self.version += 1
@@ -39,14 +39,14 @@
 
     def put_unannounced(self, key: str, record: Record) -> None:
         """
-        Set a record that nobody else needs to hear of.
+        Replace a record without counting a change, so others aren't sent it.
 
         """
         self.rows[key] = (record, self.rows[key][1])
 
     def remove(self, key: str) -> None:
         """
-        Take a record out; a change, though none that others are told of.
+        Remove a record. This increases the version, but `changed_since` doesn't report it.
 
         """
         if self.rows.pop(key, None) is not None:
@@ -58,7 +58,7 @@
 
     def changed_since(self, version: int) -> list[Record]:
         """
-        The records changed after `version`, oldest change first.
+        Return the records changed after `version`, oldest change first.
 
         """
         found = []
