--- a/packages/millfork-registry/millfork_registry/feed_client.py
+++ b/packages/millfork-registry/millfork_registry/feed_client.py
@@ -1,8 +1,8 @@
 """
-A follower's side of the feed: which replica it listens to, and what it hears.
+A follower's side of the feed: choice of the replica to follow, and its messages.
 
-A follower keeps what it has heard until it hears better: with no replica in
-reach it goes on with the last configuration and the last leases.
+With no replica in reach, a follower keeps using the last configuration and the
+last leases that it received.
 
 """
 
@@ -34,16 +34,16 @@
 )
 from millfork_wire.peers import PeerAddress, Peers
 
-# Four heartbeats of the feed; a replica that is slower is left.
+# More than six heartbeats of the feed; the follower leaves a replica that is silent for longer.
 SILENT_AFTER_S: Final = 1.0
 FOLLOW_TIMEOUT_S: Final = 0.6
 SOURCE_CHECK_PERIOD_S: Final = 0.25
 RETRY_PAUSE_S: Final = 0.1
 REPLICA_QUERY_PERIOD_S: Final = 2.0
-# A follower of another zone's replica looks this often for one of its own zone.
+# A follower of a replica in another zone checks this often for a replica in its own zone.
 NEARER_CHECK_PERIOD_S: Final = 3.0
-# A replica that heard its leader this long ago may hold old configuration;
-# longer than an election.
+# A replica without contact to its leader for this long may hold old configuration.
+# Elections are shorter.
 STALE_MS: Final = 1500
 
 log = logger(Part.REGISTRY)
@@ -51,7 +51,7 @@
 
 class FeedClient:
     """
-    The one replica that this process listens to.
+    Follows one replica at a time, and applies the messages of its feed.
 
     """
 
@@ -73,16 +73,15 @@
         self.source = NO_INSTANCE
         self.source_heard_at = 0.0
         self.age_ms = 0
-        # Entries that the replica knows of now, and the most that it knew of lately.
+        # Number of entries that the replica knows now, and the greatest recent number.
         self.entries = 1
         self.most_entries = 1
-        # Whether any replica told of entries yet.
+        # Whether any replica has reported the number of entries.
         self.entries_known = False
-        # The follower by way of which the feed comes while no replica is heard, and the
-        # one that was asked for it last.
+        # The follower that relays the feed while no replica is in reach, and the follower
+        # that was last asked to do so.
         self.relay = ''
         self.pending_relay = ''
-        # When requests may no longer begin on what came before a version.
         self.version_cutoffs = VersionCutoffs()
         self.asked_at = 0.0
         # Set whenever leases or configuration changed.
@@ -91,7 +90,8 @@
     @property
     def report_target(self) -> str:
         """
-        Who takes this process's reports: its replica, or who passes them on to one.
+        The process that receives this process's reports: the replica that it follows, or a
+        relay that passes them on.
 
         """
         return self.relay or str(self.source)
@@ -99,7 +99,7 @@
     @property
     def connected(self) -> bool:
         """
-        Whether a replica in touch with its leader was heard just now.
+        Whether the followed replica sent a message recently and is in contact with its leader.
 
         """
         silent_s = self.env.monotonic() - self.source_heard_at
@@ -107,14 +107,14 @@
 
     async def run(self) -> None:
         """
-        The task that keeps a replica to listen to.
+        Task that follows a replica, and another one once that is lost.
 
         """
         while True:
             for address in self._candidates():
                 if await self._start_following(address):
                     await self._watch_source(address)
-                    # Others may be nearer by what was learned meanwhile.
+                    # Start over: a nearer replica may have become known meanwhile.
                     break
             await curio.sleep(RETRY_PAUSE_S)
 
@@ -129,12 +129,12 @@
         if reply.age_ms > STALE_MS and await self._fresher_replica_exists(address, reply.age_ms):
             return False
         request = Follow(self.role, self.view.cluster, self.view.revision)
-        # Set first: the feed may overtake the reply.
+        # Set before the call, because messages of the feed may arrive before the reply.
         self.source = address.instance
         try:
             await self.peers.call(address, request, FOLLOW_TIMEOUT_S)
         except PeerError as error:
-            log.info('Replica {} can not be followed: {}.', address.instance, error)
+            log.info('Cannot follow replica {}: {}.', address.instance, error)
             return False
         self.source_heard_at = self.env.monotonic()
         self.asked_at = self.source_heard_at
@@ -145,7 +145,8 @@
 
     async def _ask(self, address: PeerAddress) -> Replicas | None:
         """
-        Ask a replica whom it knows, and what it knows of versions named lately.
+        Ask a replica for the replicas it knows and for recently named versions; None without
+        an answer.
 
         """
         asked_at = self.env.monotonic()
@@ -156,7 +157,7 @@
 
     async def record_switches(self, asked_at: float, switches: list[VersionSwitch]) -> None:
         """
-        Take what an answer to a question of `asked_at` told of versions named lately.
+        Record the recently named versions in an answer to a question asked at `asked_at`.
 
         """
         if self.version_cutoffs.record_answer(asked_at, switches):
@@ -164,7 +165,7 @@
 
     def _lacks_a_cutoff(self) -> bool:
         """
-        Whether a version was named of which no answer told yet.
+        Whether the configuration names a version whose cutoff no answer has reported yet.
 
         """
         return any(
@@ -177,7 +178,7 @@
 
     async def _fresher_replica_exists(self, address: PeerAddress, age_ms: int) -> bool:
         """
-        Whether another replica has heard the leader more lately.
+        Whether another replica has had more recent contact with the leader.
 
         """
         for other in self.discovery.addresses():
@@ -190,8 +191,8 @@
 
     async def _watch_source(self, address: PeerAddress) -> None:
         """
-        Return once the replica is silent, gone, or clearly behind another, or
-        one of the own zone answers.
+        Return once the followed replica is silent, disconnected or stale, or a replica of
+        this process's zone answers.
 
         """
         nearer_checked_at = self.env.monotonic()
@@ -200,7 +201,7 @@
             now = self.env.monotonic()
             connection = self.peers.connections.get(address.instance)
             if connection is None or connection.closed:
-                reason = 'the connection is gone'
+                reason = 'the connection is closed'
                 break
             if now - self.source_heard_at > SILENT_AFTER_S:
                 reason = 'silent'
@@ -212,11 +213,11 @@
             if now - nearer_checked_at > NEARER_CHECK_PERIOD_S:
                 nearer_checked_at = now
                 if await self._nearer_replica_exists(address):
-                    reason = 'one of the own zone answers'
+                    reason = 'a replica in the same zone answers'
                     await self._stop(connection)
                     break
             if self.age_ms > STALE_MS and await self._fresher_replica_exists(address, self.age_ms):
-                reason = 'it does not hear the leader'
+                reason = 'the replica has no contact with its leader'
                 await self._stop(connection)
                 break
         self.env.metrics.count(self.env.metrics.wire, event='replica_left')
@@ -231,8 +232,8 @@
 
     async def _nearer_replica_exists(self, address: PeerAddress) -> bool:
         """
-        Whether a replica of the own zone is in touch with its leader, and the
-        one followed is of another.
+        Whether the followed replica is in another zone while a replica in this process's
+        zone is in contact with its leader.
 
         """
         own = str(self.env.zone)
@@ -254,7 +255,7 @@
 
     async def handle_feed_message(self, peer: InstanceId, message: Message) -> bool:
         """
-        Take a message of the feed; False if it is none.
+        Apply a message of the feed; False if the message belongs to something else.
 
         """
         if isinstance(message, Update):
@@ -276,7 +277,7 @@
             return
         self.env.metrics.revision.set({}, self.view.revision)
         log.info(
-            'Configuration in force. revision={} source={} age_ms={}',
+            'Configuration applied. revision={} source={} age_ms={}',
             self.view.revision,
             peer,
             update.age_ms,
@@ -295,7 +296,7 @@
             endpoints = decode_states(message.reports)
             suspicions = decode_suspicions(message.suspicions)
         except msgspec.DecodeError as error:
-            log.warning('Leases from {} can not be read: {}.', peer, error)
+            log.warning('Cannot decode leases from {}: {}.', peer, error)
             return
         for lease in leases:
             self.registry.merge_lease(lease)
--- a/packages/millfork-registry/millfork_registry/feed_relay.py
+++ b/packages/millfork-registry/millfork_registry/feed_relay.py
@@ -1,10 +1,10 @@
 """
-The feed by way of another follower, for a process that is cut off from all replicas.
+Relaying of the feed by another follower, to a process that is cut off from all replicas.
 
-Without it an entry that is cut off goes on sending by loads that are seconds old: four of
-nine entries in that state made half of all first tokens late, with capacity to spare.
+Without a relay, an entry that is cut off balances by loads that are seconds old: four of
+nine entries in that state made half of all first tokens late, with spare capacity.
 Followers of the same zone are asked first, entries before endpoint daemons, whose links
-are narrow. Only one that hears a replica itself answers, so nothing goes in circles.
+have little bandwidth. Only a follower connected to a replica relays, so no cycles arise.
 
 """
 
@@ -22,12 +22,12 @@
 from millfork_wire.connection import Connection, PeerError, PeerLost
 from millfork_wire.messages import AskFeed, FeedSent, Leases, VersionSwitch
 
-# As often as a replica tells its followers.
+# The heartbeat period of a replica's feed.
 REQUEST_PERIOD_S: Final = 0.15
 REQUEST_TIMEOUT_S: Final = 0.3
-# A feed is taken to be lost after four of its heartbeats.
+# A feed counts as lost after four of its heartbeat periods.
 FEED_LOST_AFTER_S: Final = 0.6
-# Where nobody answered, the next round of asking comes this much later.
+# Additional pause before the next round of requests if no follower answered.
 NO_RELAY_PAUSE_S: Final = 0.5
 
 log = logger(Part.REGISTRY)
@@ -35,7 +35,7 @@
 
 class FeedRelay:
     """
-    Asks for the feed where it is lost, and passes it on to those who ask.
+    Requests the feed from other followers while it is lost, and answers such requests.
 
     """
 
@@ -43,12 +43,12 @@
         self.env = env
         self.feed_client = feed_client
         self.received_versions = FeedSent()
-        # The versions named lately, as this process knows of them.
+        # Returns the recently named versions known to this process.
         self.switches: Callable[[], list[VersionSwitch]] = list
 
     async def run(self) -> None:
         """
-        The task that keeps the feed going while no replica is heard.
+        Task that gets the feed from a relay while no replica sends it.
 
         """
         while True:
@@ -67,12 +67,13 @@
     def _leave_relay(self) -> None:
         if not self.feed_client.relay:
             return
-        log.info('A replica is heard again; the relay {} is left.', self.feed_client.relay)
+        log.info('A replica sends the feed again; left the relay {}.', self.feed_client.relay)
         self.feed_client.relay = ''
 
     async def _request_from_any(self) -> bool:
         """
-        Ask the relay, or whoever else answers; False if nobody does.
+        Request the feed from the present relay, or else from other followers; False if none
+        answers.
 
         """
         for name in self._candidates():
@@ -81,7 +82,7 @@
             if not await self._request_from(name):
                 continue
             if name != self.feed_client.relay:
-                log.notice('The feed comes by way of {}.', name)
+                log.notice('Follower {} relays the feed.', name)
                 self.env.metrics.count(self.env.metrics.wire, event='relay_taken')
             self.feed_client.relay = name
             return True
@@ -98,13 +99,13 @@
             before.report_version,
             before.suspicion_version,
         )
-        # Set first: the feed overtakes the reply.
+        # Set before the call, because messages of the feed arrive before the reply.
         self.feed_client.pending_relay = name
         asked_at = self.env.monotonic()
         try:
             reply = await self.feed_client.peers.call(address_of(name), question, REQUEST_TIMEOUT_S)
         except PeerError as error:
-            log.debug('No feed by way of {}: {}.', name, error)
+            log.debug('Follower {} does not relay the feed: {}.', name, error)
             return False
         if not isinstance(reply, FeedSent) or not reply.ok:
             return False
@@ -114,7 +115,8 @@
 
     def _candidates(self) -> list[str]:
         """
-        Whom to ask: the present relay, then those of the own zone, entries first.
+        Return the followers to ask: the present relay, then followers of this process's zone,
+        then the others; entries come before endpoint daemons.
 
         """
         own = str(self.env.instance)
@@ -133,7 +135,7 @@
 
     async def answer(self, connection: Connection, question: AskFeed) -> FeedSent:
         """
-        Pass on what this process heard, to a follower that is cut off.
+        Send a follower that is cut off what this process has received since the last request.
 
         """
         feed_client = self.feed_client
@@ -166,5 +168,5 @@
             await connection.notify(update)
             await connection.notify(feed)
         except PeerLost as error:
-            log.info('A follower that asked for the feed is gone: {}.', error)
+            log.info('A follower that requested the feed is gone: {}.', error)
         return versions
--- a/packages/millfork-registry/millfork_registry/followers.py
+++ b/packages/millfork-registry/millfork_registry/followers.py
@@ -1,8 +1,8 @@
 """
-A replica's side of the feed: configuration and leases to whoever follows it.
+A replica's side of the feed, which sends configuration and leases to its followers.
 
-One task for each follower. Changes that come together leave together; a
-follower that has nothing to hear gets a heartbeat with the configuration's age.
+One task serves each follower. Changes that occur together are sent together. Without
+changes, a follower gets a heartbeat with the configuration's age.
 
 """
 
@@ -21,10 +21,10 @@
 from millfork_wire.connection import Connection, PeerLost
 from millfork_wire.messages import CacheAddress, Follow, Leases
 
-# A follower goes elsewhere after several of these without a word. Entries hear
-# of the engines' load as often.
+# A follower without messages for several of these periods changes to another replica.
+# Entries also receive the engines' load this often.
 HEARTBEAT_S: Final = 0.15
-# Changes within this time leave in one message.
+# Changes within this time are sent in one message.
 BATCH_DELAY_S: Final = 0.02
 ROLES_SENT_SUSPICIONS: Final = (ENTRY_ROLE, REPLICA_ROLE)
 
@@ -34,7 +34,7 @@
 
 class Follower:
     """
-    One process that follows this replica.
+    One process that follows this replica, and how much it has been sent.
 
     """
 
@@ -55,7 +55,7 @@
 
 class Followers:
     """
-    Everyone who follows this replica.
+    All processes that follow this replica.
 
     """
 
@@ -64,10 +64,11 @@
         self.replica = replica
         self.registry = registry
         self.rows: dict[str, Follower] = {}
-        # Entries that follow other replicas, by replica.
+        # Numbers of entries that follow other replicas, by replica.
         self.entries_by_other_replica: dict[str, int] = {}
-        # Entries that start during a cut hear of those behind it, which share the fixed
-        # allowance of repeats with them: they were else divided by one side alone.
+        # The entries divide a fixed allowance of retries. Entries that start during a network
+        # partition must count those on the other side too, or else each side would use the
+        # whole allowance.
         self.most_entries = MostLately(ENTRIES_REMEMBERED_S)
 
     @property
@@ -76,7 +77,7 @@
 
     def local_caches(self) -> list[CacheAddress]:
         """
-        The followers that keep pieces for the daemons of their zone.
+        Return the entries that follow this replica; they can cache chunks for endpoint daemons.
 
         """
         return [
@@ -91,7 +92,8 @@
 
     async def add(self, connection: Connection, message: Follow) -> None:
         """
-        Take a follower, in place of its earlier self if there is one.
+        Add a follower; it replaces an earlier feed to the same process. A message without a
+        role only ends that feed.
 
         """
         before = self.rows.get(connection.peer)
@@ -107,7 +109,7 @@
 
     async def wake(self) -> None:
         """
-        Send what changed to everyone, now.
+        Send changes to all followers without waiting for the next heartbeat.
 
         """
         for follower in list(self.rows.values()):
@@ -115,7 +117,7 @@
 
     async def wake_on_configuration(self) -> None:
         """
-        The task that passes each change of configuration on at once.
+        Task that sends each change of the configuration to the followers without delay.
 
         """
         view = self.replica.view
@@ -155,8 +157,8 @@
 
     def _next_leases_message(self, follower: Follower) -> Leases:
         """
-        What the follower lacks. Another replica hears only of what is owned
-        here, once it has had everything.
+        Return the records that the follower lacks. After the first message, which holds all
+        records, another replica is sent only the records owned here.
 
         """
         registry = self.registry
@@ -179,6 +181,6 @@
             encode_records(leases) if leases else b'',
             encode_records(endpoints) if endpoints else b'',
             self.most_entries.note(self.entries, self.env.monotonic()),
-            # An endpoint daemon sends nobody anything, and its link is narrow.
+            # An endpoint daemon doesn't route requests, and its link has little bandwidth.
             encode_suspicions(suspicions if follower.role in ROLES_SENT_SUSPICIONS else []),
         )
