--- a/packages/millforkd/millforkd/quarantine.py
+++ b/packages/millforkd/millforkd/quarantine.py
@@ -1,5 +1,5 @@
 """
-What one entry knows of requests that ended back ends: what may not be sent, and what is cleared.
+An entry's quarantine: blocks requests that ended back ends, until an answer clears them.
 
 """
 
@@ -21,7 +21,7 @@
 
 class FingerprintSource(Protocol[RequestContraT]):
     """
-    Tells what a request says, whatever carries it here.
+    Computes the fingerprint of a request's content; the type of the request is the caller's.
 
     """
 
@@ -30,8 +30,8 @@
 
 class Quarantine(Generic[RequestT]):
     """
-    Goes by suspicions, and by the list in the replicated state, which outlives a loss of
-    power of the whole fleet.
+    Decides by the suspicions in memory and by the quarantine list in the replicated state,
+    which survives a loss of power of the whole fleet.
 
     """
 
@@ -47,19 +47,19 @@
         self.fingerprints = fingerprints
         self.trials = trials
         self.revision = Revision(-1)
-        # By fingerprint: the epoch in which it was put on the list.
+        # The epochs in which requests were put on the list, by fingerprint.
         self.listed_epochs: dict[Fingerprint, int] = {}
 
     def suspicion_of(self, request: RequestT) -> Suspicion:
         """
-        What is known of a request at this moment.
+        Return the present suspicion of a request.
 
         """
         return self.suspects.get(self.fingerprints.of(request))
 
     def blocking_standing(self, request: RequestT) -> Standing | None:
         """
-        Why a request may not be sent, if so.
+        Return the standing for which a request may not be sent, or None if it may be sent.
 
         """
         self._refresh()
@@ -71,7 +71,7 @@
             return Standing.AT_FAULT
         standing = standing_of(suspicion)
         if standing is Standing.SUSPECTED and self._may_be_tried(suspicion):
-            log.info('Suspected request tried again. fingerprint={}', suspicion.fingerprint)
+            log.info('Suspected request sent on trial. fingerprint={}', suspicion.fingerprint)
             return None
         return standing if standing is not Standing.FREE else None
 
@@ -91,7 +91,8 @@
 
     async def clear_suspicion(self, request: RequestT) -> None:
         """
-        An answer came whole: the request does not end what runs it.
+        Clear a request's suspicion after a complete answer, which shows that the request
+        doesn't end back ends.
 
         """
         if not self.suspects.table:
--- a/packages/millforkd/millforkd/replica/__init__.py
+++ b/packages/millforkd/millforkd/replica/__init__.py
@@ -1,4 +1,4 @@
 """
-The replica role: the state's log, leases, back ends' and operators' calls.
+The replica role: replicated state, leases, and the calls of back ends and operators.
 
 """
--- a/packages/millforkd/millforkd/replica/control.py
+++ b/packages/millforkd/millforkd/replica/control.py
@@ -1,5 +1,5 @@
 """
-Calls of back ends and operators, one at a time, written straight down.
+Handlers for the calls of back ends and operators to a replica.
 
 """
 
@@ -39,11 +39,11 @@
 from millforkd.document import document_in
 from millforkd.replica.replica_links import ReplicaLinks
 
-# The operator asks another replica after a second.
+# An operator's client changes to another replica after one second.
 PROPOSAL_TIMEOUT_S: Final = 0.9
-# Documents are text; this halves the log's bytes for a millisecond.
+# Documents are text; at this level, compression takes 1 ms and halves their size in the log.
 COMPRESSION_LEVEL: Final = 1
-# Another writer may call at any rate: a line for each reason at most so often.
+# A foreign client may call at any rate, so refusals are logged at most this often per reason.
 REFUSAL_LOG_PERIOD_S: Final = 1.0
 MAX_LOGGED_CHARS: Final = 100
 
@@ -52,7 +52,7 @@
 
 class Control:
     """
-    The replica's side of the calls.
+    Answers the calls that back ends and operators send to this replica.
 
     """
 
@@ -73,13 +73,13 @@
         self.followers = followers
         self.replica_links = replica_links
         self.proposals = proposals
-        # The services declared; None: nothing is yet.
+        # The declared services; None as long as there is no document.
         self.services: frozenset[ServiceName] | None = None
         self.services_revision = 0
-        # By reason: when a refusal was last logged, and how many there were since.
+        # By reason: the time of the last logged refusal, and the number of refusals since.
         self.refused_logged: dict[Reason, float] = {}
         self.refused_unlogged: Counter[Reason] = Counter()
-        # Back ends whose last word a majority of the replicas has.
+        # Drains and goodbyes of back ends that a majority of the replicas has.
         self.endings_at_majority: set[tuple[str, Incarnation, LeaseState]] = set()
 
     async def answer(self, exchange: Exchange) -> None:
@@ -126,10 +126,10 @@
 
     def _check_service(self, service: str) -> None:
         """
-        A heartbeat of a service that isn't declared is of another system: taken, it would
-        end the lease of a back end whose id or address it names.
+        Refuse a heartbeat of an undeclared service, as it comes from another system. If
+        accepted, it would end the lease of a back end with the same id or address.
 
-        :raises Refused: if the service is in no document.
+        :raises Refused: if the document doesn't declare the service.
 
         """
         found = document_in(self.view, self.adapter, self.services_revision)
@@ -162,8 +162,9 @@
 
     def _may_be_of_another_incarnation(self, call: Goodbye) -> bool:
         """
-        Whether others may know an incarnation that this word, taken here as of none,
-        would not end: callers would be sent to it after its acknowledgement.
+        Whether other replicas may know an incarnation that this goodbye doesn't end, as it
+        names none and none is known here. Requests would reach that incarnation after the
+        goodbye is acknowledged.
 
         """
         known = self.registry.leases.get(call.instance) is not None
@@ -171,8 +172,10 @@
 
     async def _send_ending_to_majority(self, instance: str) -> None:
         """
-        A back end that leaves is told so only once a majority of the
-        replicas knows: from then on its callers may count on it.
+        Send a back end's drain or goodbye to a majority of the replicas before it
+        is acknowledged, as the back end relies on the acknowledgement.
+
+        :raises Refused: if too few replicas confirmed it in time.
 
         """
         lease = self.registry.leases.get(instance)
@@ -182,7 +185,7 @@
         if key in self.endings_at_majority:
             return
         if not await self.replica_links.send_to_majority(lease):
-            raise Refused(Refusal(Reason.NO_QUORUM, detail='too few replicas know of it'))
+            raise Refused(Refusal(Reason.NO_QUORUM, detail='too few replicas acknowledged it'))
         self.endings_at_majority.add(key)
 
     @on.register
@@ -232,7 +235,7 @@
         if held is not None:
             version = decode_versioned(held.value).version
             if command.version <= version:
-                # What is applied here is committed, and versions never fall.
+                # The state applied here is committed, and versions never decrease.
                 return RaiseResult(False, version)
         data = await self.proposals.propose(command, PROPOSAL_TIMEOUT_S)
         return msgspec.msgpack.decode(data, type=RaiseResult)
--- a/packages/millforkd/millforkd/replica/daemon.py
+++ b/packages/millforkd/millforkd/replica/daemon.py
@@ -1,5 +1,5 @@
 """
-A replica that serves no callers: it keeps the state and the leases.
+The daemon of a replica, which keeps the replicated state and the leases, and serves no callers.
 
 """
 
@@ -39,12 +39,11 @@
 from millforkd.versions import Versions
 
 STATE_FOLDER: Final = 'state'
-# A leader gives way before it stops, so that the others need not wait for
-# its silence.
+# Interval of checks for calls in progress during a stop.
 STOP_PAUSE_S: Final = 0.1
-# Versions are looked for this often, should the word of a change be missed.
+# New versions are checked for at least this often, in case a change notification is missed.
 VERSION_CHECK_PERIOD_S: Final = 0.15
-# How long one call to the leader may take.
+# Timeout of one call to the leader.
 LEADER_TIMEOUT_S: Final = 0.8
 
 log = logger(Part.STATE)
@@ -52,7 +51,7 @@
 
 class ReplicaDaemon:
     """
-    One replica.
+    Builds the parts of one replica, starts their tasks and answers peers' messages.
 
     """
 
@@ -137,7 +136,7 @@
 
     async def _record_new_versions(self) -> None:
         """
-        The task that notes when a version was named: its end counts from there.
+        Task that records when a version is named, as its cutoff counts from that time.
 
         """
         view = self.replica.view
@@ -156,7 +155,7 @@
 
     async def start(self) -> None:
         """
-        Start all tasks of the replica.
+        Recover the replica's state and start all its tasks.
 
         """
         await self.replica.recover()
@@ -173,14 +172,15 @@
 
     async def reload(self, settings: SeededSettings) -> None:
         """
-        Take changed settings: other seeds.
+        Apply changed settings; only the seeds can change.
 
         """
         self.discovery.set_seeds(settings.seed_instances)
 
     async def drain(self) -> None:
         """
-        A planned stop: give up leading, end the calls in progress.
+        Prepare a planned stop: a leader steps down, so that the others needn't wait for its
+        silence, and calls in progress end.
 
         """
         self.server.closing = True
@@ -227,7 +227,7 @@
         try:
             suspicions = decode_suspicions(message.body)
         except msgspec.DecodeError as error:
-            log.warning('Suspicions of {} can not be read: {}.', connection.peer, error)
+            log.warning('Cannot decode suspicions from {}: {}.', connection.peer, error)
             return Done(False)
         if await self.registry.suspects.merge(suspicions):
             await self.followers.wake()
@@ -238,7 +238,7 @@
         try:
             state = decode_state(message.body)
         except msgspec.DecodeError as error:
-            log.warning('A report of {} can not be read: {}.', connection.peer, error)
+            log.warning('Cannot decode a report from {}: {}.', connection.peer, error)
             return Done(False)
         state_owned_here = msgspec.structs.replace(state, owner=str(self.env.instance))
         if self.registry.merge_endpoint_state(state_owned_here) is RecordChange.CHANGED:
--- a/packages/millforkd/millforkd/replica/quarantine.py
+++ b/packages/millforkd/millforkd/replica/quarantine.py
@@ -1,9 +1,9 @@
 """
-The replicas' side of the quarantine: a list that outlasts every process.
+The replicas' side of the quarantine: a list in the replicated state.
 
-Suspicions are kept in memory. A loss of power of the whole fleet would forget them, and a
-request that had ended three back ends would end three more; so the leader writes down
-which requests are at fault, and takes that back when an answer has cleared one.
+Suspicions are kept in memory, so a loss of power of the whole fleet would lose them, and a
+request that had ended three back ends would end three more. The leader therefore lists
+the requests at fault in the replicated state, and removes those that an answer clears.
 
 """
 
@@ -25,9 +25,9 @@
 
 RECONCILE_PERIOD_S: Final = 0.25
 PROPOSAL_TIMEOUT_S: Final = 0.9
-# A request is taken off the list after a day, as software is replaced that fails on a request.
+# A request leaves the list after a day, as software that fails on a request gets replaced.
 LISTED_MAX_AGE_MS: Final = 24 * 3600 * 1000
-# With a key and a value of some ten bytes each, 0.1 MB of state.
+# At this size the list takes 0.1 MB of state, with keys and values of about ten bytes each.
 MAX_LISTED: Final = 1000
 ID_BITS: Final = 128
 
@@ -36,7 +36,7 @@
 
 class QuarantineList:
     """
-    Keeps the list in the replicated state; only the leader acts.
+    Maintains the quarantine list in the replicated state; only the leader changes it.
 
     """
 
@@ -58,7 +58,7 @@
 
     async def run(self) -> None:
         """
-        The task that puts requests on the list and takes them off.
+        Task that adds requests to the list and removes them.
 
         """
         while True:
@@ -69,7 +69,7 @@
 
     async def reconcile(self) -> None:
         """
-        Bring the replicated state up to what is known now.
+        Update the list in the replicated state from the present suspicions.
 
         """
         for suspicion in list(self.suspects.table.values()):
@@ -78,7 +78,7 @@
                 await self._add(suspicion)
                 continue
             if held is not None and suspicion.epoch > _epoch_of(held):
-                await self._remove(suspicion.fingerprint, 'an answer came whole')
+                await self._remove(suspicion.fingerprint, 'complete answer')
         await self._remove_old()
 
     async def _add(self, suspicion: Suspicion) -> None:
@@ -111,7 +111,7 @@
         try:
             await self.proposals.propose(command, PROPOSAL_TIMEOUT_S)
         except Refused as error:
-            log.info('The quarantine list was not changed: {}.', error)
+            log.info('Cannot change the quarantine list: {}.', error)
             return False
         return True
 
--- a/packages/millforkd/millforkd/replica/replica_links.py
+++ b/packages/millforkd/millforkd/replica/replica_links.py
@@ -1,5 +1,5 @@
 """
-Replicas among themselves: finding one another, telling leases.
+Links between replicas: discovery, exchange of leases, and detection of lost replicas.
 
 """
 
@@ -27,19 +27,18 @@
 
 ROUND_PERIOD_S: Final = 0.5
 FOLLOW_TIMEOUT_S: Final = 0.6
-# The caller of a back end's last word waits a second for the answer.
+# A back end that reports its drain or goodbye waits one second for the answer.
 MAJORITY_TIMEOUT_S: Final = 0.7
-# An owner that was not heard this long no longer watches its leases.
+# An owner that was silent for this long no longer expires its leases.
 OWNER_LOST_AFTER_S: Final = 2.0
-# A round comes each half second; one that is later by more shows that this process did
-# not run meanwhile.
+# Rounds start every half second; a gap of this length shows that this process was paused.
 MAX_ROUND_GAP_S: Final = 1.5
-# Replicas that answered this lately are named to others.
+# Replicas that answered within this time are listed in answers to others.
 ADVERTISE_WITHIN_S: Final = 20.0
-# Replicas ask each other twice a second; what one said is believed this long.
+# Replicas ask each other twice a second; the caches in an answer are valid for this long.
 CACHES_VALID_S: Final = 2.0
-# Back ends that reach a replica that starts have told it of themselves after this many
-# heartbeats at most.
+# Within this many heartbeat periods, a starting replica has received a heartbeat of each back
+# end that reaches it.
 COMPLETE_AFTER_HEARTBEATS: Final = 2.5
 
 log = logger(Part.REGISTRY)
@@ -47,7 +46,7 @@
 
 class _MajorityCount:
     """
-    Answers counted towards a majority.
+    Counts acknowledgements, and sets an event once there are enough.
 
     """
 
@@ -64,7 +63,7 @@
 
 class ReplicaLinks:
     """
-    This replica's ties to the others.
+    This replica's connections to the other replicas.
 
     """
 
@@ -80,8 +79,8 @@
         switches: Callable[[], list[VersionSwitch]] = list,
     ) -> None:
         self.env = env
-        # The versions named lately, for those who ask: whoever starts, or hears of one
-        # late, does not know by itself how long ago that was.
+        # Returns the recently named versions with their remaining times. A process that starts,
+        # or learns of a version late, doesn't know by itself when the version was named.
         self.switches = switches
         self.version_cutoffs = VersionCutoffs()
         self.peers = peers
@@ -93,14 +92,14 @@
         self.started_at = env.monotonic()
         self.followed: dict[InstanceId, Connection] = {}
         self.last_heard_at: dict[str, float] = {}
-        # Those that are being asked: one that is frozen takes 2 s to fail, and the others
-        # are not to wait for it.
+        # Replicas that are being asked, each in its own task: asking a frozen replica takes 2 s
+        # to fail, and must not delay the others.
         self.contacting: set[InstanceId] = set()
         self.last_round_at = env.monotonic()
 
     async def run(self) -> None:
         """
-        The task that keeps up with the other replicas.
+        Task that contacts the other replicas in rounds, and expires leases.
 
         """
         while True:
@@ -118,8 +117,9 @@
 
     def update_completeness(self) -> None:
         """
-        After some heartbeats a replica knows the leases of all back ends that reach it, and
-        by a majority of the replicas those of all others; by itself it does not, in a cut.
+        Mark the registry as complete once it must hold all leases: some heartbeat periods
+        have brought those of the back ends that reach this replica, and a majority of the
+        replicas those of all others. A replica that is cut off has no majority.
 
         """
         if self.registry.is_complete:
@@ -145,7 +145,8 @@
 
     def _check_for_pause(self) -> None:
         """
-        A process that stood still heard nobody, which says nothing of the others.
+        Restart all timers after a pause of this process, because silence during the pause
+        doesn't show that others are lost.
 
         """
         now = self.env.monotonic()
@@ -153,7 +154,7 @@
         self.last_round_at = now
         if paused_s < MAX_ROUND_GAP_S:
             return
-        log.warning('This process stood still. seconds={:.1f}', paused_s)
+        log.warning('This process was paused. seconds={:.1f}', paused_s)
         self.started_at = now
         self.last_heard_at.clear()
         self.registry.restart_expiry_timers()
@@ -186,7 +187,7 @@
         try:
             await connection.call(Follow(REPLICA_ROLE), FOLLOW_TIMEOUT_S)
         except PeerError as error:
-            log.info('No leases from replica {}: {}.', address.instance, error)
+            log.info('Cannot get leases from replica {}: {}.', address.instance, error)
             return
         self.followed[address.instance] = connection
 
@@ -201,8 +202,8 @@
 
     def on_find(self, message: FindReplicas, zone: str) -> Replicas:
         """
-        Answer whoever looks for replicas, from a zone; another replica is
-        taken up.
+        Answer a process of `zone` that looks for replicas; a replica that asks is
+        added to the known ones.
 
         """
         caches = self.followers.local_caches()
@@ -229,7 +230,7 @@
 
     async def on_leases(self, peer: InstanceId, message: Leases) -> None:
         """
-        Take what another replica knows, and pass it on to followers.
+        Merge another replica's records, and send changes on to followers.
 
         """
         self.last_heard_at[str(peer)] = self.env.monotonic()
@@ -238,7 +239,7 @@
             endpoints = decode_states(message.reports)
             suspicions = decode_suspicions(message.suspicions)
         except msgspec.DecodeError as error:
-            log.warning('Leases can not be read: {}.', error)
+            log.warning('Cannot decode leases: {}.', error)
             return
         changes = [self.registry.merge_lease(lease) for lease in leases]
         changes += [self.registry.merge_endpoint_state(state) for state in endpoints]
@@ -250,8 +251,8 @@
 
     async def send_to_majority(self, lease: Lease) -> bool:
         """
-        Bring one lease to the other replicas at once; True when a majority,
-        this one included, has it.
+        Send a lease to the other replicas without delay; True once a majority,
+        including this replica, has it.
 
         """
         members = {instance for instance, _ in self.replica.members}
@@ -266,7 +267,7 @@
                 await count.reached.wait()
         except curio.TaskTimeout:
             log.warning(
-                'Lease not spread. instance={} told={} wanted={}',
+                'Lease did not reach a majority. instance={} told={} wanted={}',
                 lease.instance,
                 count.received,
                 count.needed,
@@ -280,6 +281,6 @@
         try:
             await self.peers.call(address, message, MAJORITY_TIMEOUT_S)
         except PeerError as error:
-            log.info('Replica {} did not take a lease: {}.', address.instance, error)
+            log.info('Replica {} did not acknowledge a lease: {}.', address.instance, error)
             return
         await count.add()
--- a/packages/millforkd/millforkd/version_switching.py
+++ b/packages/millforkd/millforkd/version_switching.py
@@ -1,12 +1,12 @@
 """
-The end of an old version, as entries and endpoint daemons must agree on it.
+The timing at the end of an old version that entries and endpoint daemons must share.
 
 """
 
 from typing import Final
 
-# Entries send nothing to a version in this last part of its time: for the time from
-# the acknowledgement to the entry, a wait in an engine's queue that admission keeps
-# short (0.4 s), and the way, on which a lost packet costs 0.3 s. The last engines
-# begin to change then.
+# Entries send nothing to a version this close to its end. The time covers the delay from the
+# acknowledgement to the entry, the wait in an engine's queue, which admission keeps short
+# (0.4 s), and the network, where a lost packet costs 0.3 s. The last engines start to change
+# at the beginning of this time.
 LAST_SEND_BEFORE_END_S: Final = 0.9
