--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -118,7 +118,7 @@
     Mutation(
         'a late heartbeat of an unknown back end ends no lease',
         'tests/test_delayed_heartbeats.py::'
-        'test_a_late_heartbeat_of_one_that_was_never_known_ends_no_lease',
+        'test_a_delayed_heartbeat_of_an_unknown_back_end_ends_no_lease',
         (
             Edit(
                 'packages/millfork-registry/millfork_registry/registry.py',
@@ -136,7 +136,7 @@
     Mutation(
         'a replica that is cut off does not say that it knows all leases',
         'tests/test_registry_completeness.py::'
-        'test_a_replica_that_is_cut_off_does_not_say_that_it_knows_all_leases',
+        'test_a_replica_that_is_cut_off_does_not_claim_completeness',
         (Edit(D + 'replica/replica_links.py', 'if known > len(members) // 2:', 'if True:'),),
     ),
     Mutation(
@@ -270,7 +270,7 @@
     Mutation(
         'a late heartbeat does not bring back a back end that was replaced',
         'tests/test_registry.py::'
-        'test_a_new_back_end_ends_the_lease_of_the_one_before_it_at_its_address',
+        'test_a_new_back_end_ends_the_lease_of_its_predecessor_at_the_address',
         (
             Edit(
                 'packages/millfork-registry/millfork_registry/registry.py',
@@ -304,7 +304,7 @@
     Mutation(
         'who is cut off hears by way of another follower',
         'tests/test_feed_relay.py::'
-        'test_who_is_cut_off_hears_configuration_and_load_by_way_of_its_zone',
+        'test_a_follower_that_is_cut_off_gets_configuration_and_load_from_its_zone',
         (
             Edit(
                 'packages/millfork-registry/millfork_registry/feed_relay.py',
@@ -426,8 +426,7 @@
     ),
     Mutation(
         'the end of a version counts from the question',
-        'tests/test_version_cutoffs.py::'
-        'test_however_late_an_answer_is_given_or_read_no_end_is_later_than_the_true_one',
+        'tests/test_version_cutoffs.py::test_a_late_answer_never_gives_too_late_a_cutoff',
         (
             Edit(
                 G + 'version_cutoffs.py',
@@ -438,7 +437,7 @@
     ),
     Mutation(
         'what has ended does not come back',
-        'tests/test_version_cutoffs.py::test_what_has_ended_does_not_come_back',
+        'tests/test_version_cutoffs.py::test_a_passed_cutoff_is_not_moved',
         (
             Edit(
                 G + 'version_cutoffs.py',
@@ -449,7 +448,7 @@
     ),
     Mutation(
         'every version told of has its own end',
-        'tests/test_version_cutoffs.py::test_the_end_of_a_version_that_another_one_followed_is_kept',
+        'tests/test_version_cutoffs.py::test_the_cutoff_of_a_superseded_version_is_kept',
         (
             Edit(
                 D + 'versions.py',
@@ -460,7 +459,7 @@
     ),
     Mutation(
         'only who led or was told tells of a version',
-        'tests/test_version_cutoffs.py::test_only_who_led_or_was_told_tells_of_a_version',
+        'tests/test_version_cutoffs.py::test_only_a_leader_or_a_process_with_an_answer_reports_a_switch',
         (
             Edit(
                 D + 'versions.py',
@@ -471,7 +470,7 @@
     ),
     Mutation(
         'who is cut off is told the ends by way of another follower',
-        'tests/test_feed_relay.py::test_who_is_cut_off_is_told_when_a_version_ends',
+        'tests/test_feed_relay.py::test_a_follower_that_is_cut_off_gets_version_cutoffs',
         (
             Edit(
                 G + 'feed_relay.py',
@@ -715,7 +714,7 @@
     Mutation(
         'a request that ends back ends is sent no more',
         'tests/test_quarantine.py::'
-        'test_a_request_is_barred_after_its_third_end_and_by_the_list_alone',
+        'test_a_request_is_blocked_after_its_third_end_and_by_the_list_alone',
         (
             Edit(
                 'packages/millfork-scheduling/millfork_scheduling/quarantine.py',
@@ -726,8 +725,7 @@
     ),
     Mutation(
         'an end counts only where the address takes no connections',
-        'tests/test_quarantine.py::'
-        'test_an_answer_that_broke_off_counts_only_where_the_back_end_has_ended',
+        'tests/test_quarantine.py::test_a_broken_off_answer_counts_only_if_the_back_end_has_ended',
         (Edit(D + 'watching.py', 'return Address.ANSWERS\n', 'return Address.REFUSES\n'),),
     ),
     Mutation(
@@ -765,7 +763,7 @@
     ),
     Mutation(
         'an answer that came whole clears a request',
-        'tests/test_quarantine.py::test_a_request_is_taken_off_the_list_once_an_answer_came_whole',
+        'tests/test_quarantine.py::test_a_complete_answer_removes_a_request_from_the_list',
         (Edit(D + 'quarantine.py', 'if not suspicion.is_clear:', 'if False:'),),
     ),
     Mutation(
--- a/tests/test_delayed_heartbeats.py
+++ b/tests/test_delayed_heartbeats.py
@@ -42,7 +42,7 @@
     return [item.instance for item in replica.leases.values() if item.usable]
 
 
-def test_a_late_heartbeat_of_one_that_was_never_known_ends_no_lease(replica, clock):
+def test_a_delayed_heartbeat_of_an_unknown_back_end_ends_no_lease(replica, clock):
     replica.record_heartbeat(lease('i-2', 5))
     clock.now += 0.3
     assert replica.record_heartbeat(lease('i-1', 31)) is RecordChange.NONE
@@ -52,7 +52,7 @@
     assert usable(replica) == ['i-2']
 
 
-def test_nor_does_the_same_one_again(replica, clock):
+def test_a_repeated_delayed_heartbeat_ends_no_lease(replica, clock):
     """
     A back end that got no answer within a second sends the same heartbeat to another replica.
 
@@ -65,7 +65,7 @@
     assert usable(replica) == ['i-2']
 
 
-def test_nor_do_two_that_were_held_up_together(replica, clock):
+def test_two_heartbeats_delayed_together_end_no_lease(replica, clock):
     replica.record_heartbeat(lease('i-2', 5))
     replica.record_heartbeat(lease('i-1', 31))
     clock.now += 0.01
@@ -73,15 +73,13 @@
     assert usable(replica) == ['i-2']
 
 
-def test_nor_one_at_a_replica_that_has_the_lease_from_another(replica, clock):
+def test_a_delayed_heartbeat_ends_no_lease_received_from_another_replica(replica, clock):
     replica.merge_lease(lease('i-2', 5, owner='b:1'))
     assert replica.record_heartbeat(lease('i-1', 31)) is RecordChange.NONE
     assert usable(replica) == ['i-2']
 
 
-def test_a_new_back_end_whose_first_heartbeats_were_lost_is_taken_by_its_second_here(
-    replica, clock
-):
+def test_a_new_back_end_without_its_first_heartbeats_is_accepted_by_a_second_one(replica, clock):
     replica.record_heartbeat(lease('i-1', 40))
     replica.record_heartbeat(lease('i-2', 4))
     clock.now += HEARTBEAT_S
@@ -89,20 +87,20 @@
     assert usable(replica) == ['i-2']
 
 
-def test_the_first_heartbeat_of_a_new_back_end_is_taken_at_once(replica):
+def test_the_first_heartbeat_of_a_new_back_end_is_accepted_immediately(replica):
     replica.record_heartbeat(lease('i-1', 40))
     assert replica.record_heartbeat(lease('i-2', 1)) is RecordChange.CHANGED
     assert usable(replica) == ['i-2']
 
 
-def test_where_both_tell_when_they_started_that_decides(replica):
+def test_the_later_incarnation_wins_if_both_back_ends_report_one(replica):
     replica.record_heartbeat(lease('i-2', 5, incarnation=2000))
     assert replica.record_heartbeat(lease('i-1', 31, incarnation=1000)) is RecordChange.NONE
     assert replica.record_heartbeat(lease('i-3', 4, incarnation=3000)) is RecordChange.CHANGED
     assert usable(replica) == ['i-3']
 
 
-def test_what_waits_for_its_next_heartbeat_is_forgotten(replica, clock):
+def test_unconfirmed_heartbeats_are_forgotten(replica, clock):
     replica.record_heartbeat(lease('i-2', 5))
     replica.record_heartbeat(lease('i-1', 31))
     clock.now += 200
--- a/tests/test_feed_client.py
+++ b/tests/test_feed_client.py
@@ -72,7 +72,7 @@
     await task.cancel()
 
 
-def test_a_follower_goes_to_a_replica_of_its_zone_once_there_is_one(monkeypatch):
+def test_a_follower_changes_to_a_replica_in_its_zone_once_one_answers(monkeypatch):
     monkeypatch.setattr(feeds, 'NEARER_CHECK_PERIOD_S', 0.1)
     replicas = StandInReplicas('10.0.0.1:7')
     made = feed_client(replicas)
@@ -86,7 +86,7 @@
     curio.run(run)
 
 
-def test_it_goes_to_the_one_of_its_zone_at_once(monkeypatch):
+def test_a_follower_changes_directly_to_the_replica_in_its_zone(monkeypatch):
     monkeypatch.setattr(feeds, 'NEARER_CHECK_PERIOD_S', 0.1)
     monkeypatch.setitem(ZONES, '10.0.0.3:7', 'far')
     replicas = StandInReplicas('10.0.0.1:7', '10.0.0.3:7')
@@ -102,7 +102,7 @@
     curio.run(run)
 
 
-def test_it_does_not_go_to_one_that_does_not_hear_the_leader(monkeypatch):
+def test_a_follower_does_not_change_to_a_replica_without_contact_to_the_leader(monkeypatch):
     monkeypatch.setattr(feeds, 'NEARER_CHECK_PERIOD_S', 0.1)
     replicas = StandInReplicas('10.0.0.1:7', '10.0.0.2:7')
     replicas.age_ms = feeds.STALE_MS + 1
@@ -117,7 +117,7 @@
     curio.run(run)
 
 
-def test_the_number_of_entries_is_told_by_the_replica_that_is_followed():
+def test_only_the_followed_replica_sets_the_number_of_entries():
     made = feed_client(StandInReplicas())
     made.source = InstanceId('10.0.0.1:7')
     told = Leases(entries=6, most_entries=7)
--- a/tests/test_feed_relay.py
+++ b/tests/test_feed_relay.py
@@ -84,7 +84,7 @@
     return found.running if found is not None else None
 
 
-def test_who_is_cut_off_hears_configuration_and_load_by_way_of_its_zone(followers):
+def test_a_follower_that_is_cut_off_gets_configuration_and_load_from_its_zone(followers):
     async def run():
         cut = followers.feed_relay[CUT].feed_client
         near = followers.feed_relay[NEAR].feed_client
@@ -103,7 +103,7 @@
     curio.run(run)
 
 
-def test_one_that_hears_no_replica_itself_is_passed_over(followers):
+def test_a_follower_without_a_replica_does_not_relay(followers):
     async def run():
         cut = followers.feed_relay[CUT].feed_client
         followers.feed_relay[FAR].feed_client.registry.merge_endpoint_state(state(1, 5))
@@ -115,7 +115,7 @@
     curio.run(run)
 
 
-def test_who_is_cut_off_hears_of_suspects_by_way_of_its_zone(followers):
+def test_a_follower_that_is_cut_off_gets_suspicions_from_its_zone(followers):
     async def run():
         cut = followers.feed_relay[CUT].feed_client.registry.suspects
         near = followers.feed_relay[NEAR].feed_client.registry.suspects
@@ -129,7 +129,7 @@
     curio.run(run)
 
 
-def test_the_relay_is_left_once_a_replica_is_heard_again(followers):
+def test_the_relay_is_left_once_a_replica_answers_again(followers):
     async def run():
         cut = followers.feed_relay[CUT].feed_client
         task = await curio.spawn(followers.feed_relay[CUT].run, daemon=True)
@@ -141,7 +141,7 @@
     curio.run(run)
 
 
-def test_an_update_of_one_that_was_not_asked_changes_nothing(followers):
+def test_an_unrequested_update_of_another_follower_changes_nothing(followers):
     async def run():
         cut = followers.feed_relay[CUT].feed_client
         other = followers.feed_relay[NEAR].feed_client
@@ -153,7 +153,7 @@
     curio.run(run)
 
 
-def test_who_is_cut_off_is_told_when_a_version_ends(followers):
+def test_a_follower_that_is_cut_off_gets_version_cutoffs(followers):
     async def run():
         cut = followers.feed_relay[CUT].feed_client
         followers.feed_relay[NEAR].switches = lambda: [VersionSwitch('m', 2, 3000)]
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize('ended', [LeaseState.READY, LeaseState.DRAINING, LeaseState.GONE])
-def test_a_back_end_that_starts_again_is_usable_at_once(registry, ended):
+def test_a_restarted_back_end_is_usable_immediately(registry, ended):
     registry.record_heartbeat(lease(FIRST, 50))
     if ended is LeaseState.GONE:
         registry.record_goodbye('i-1', FIRST)
@@ -76,7 +76,7 @@
     assert state_of(registry) is LeaseState.READY
 
 
-def test_what_comes_late_of_an_earlier_incarnation_changes_nothing(registry):
+def test_delayed_messages_of_an_earlier_incarnation_change_nothing(registry):
     registry.record_heartbeat(lease(SECOND, 1))
     held = registry.leases.get('i-1')
     assert registry.record_heartbeat(lease(FIRST, 51)) is RecordChange.NONE
@@ -89,14 +89,14 @@
     assert registry.leases.get('i-1') == held
 
 
-def test_a_goodbye_that_names_no_incarnation_is_of_the_one_known(registry):
+def test_a_goodbye_without_incarnation_ends_the_known_one(registry):
     registry.record_heartbeat(lease(SECOND, 1))
     registry.record_goodbye('i-1')
     assert state_of(registry) is LeaseState.GONE
     assert registry.record_heartbeat(lease(SECOND, 2)) is RecordChange.NONE
 
 
-def test_a_later_process_ends_the_one_before_it_at_its_address_though_both_are_known(registry):
+def test_a_later_process_ends_the_known_one_at_its_address(registry):
     registry.record_heartbeat(lease(FIRST, 7, 'i-1'))
     registry.record_heartbeat(lease(FIRST, 9, 'i-2', port=81))
     registry.record_heartbeat(lease(SECOND, 1, 'i-2', port=80))
@@ -105,7 +105,7 @@
     assert state_of(registry, 'i-2') is LeaseState.READY
 
 
-def test_a_back_end_that_moved_is_not_ended_by_who_takes_its_old_address(registry):
+def test_a_back_end_that_moved_is_not_ended_by_another_at_its_old_address(registry):
     registry.record_heartbeat(lease(FIRST, 7, 'i-1', port=80))
     registry.record_heartbeat(lease(SECOND, 1, 'i-1', port=81))
     registry.record_heartbeat(lease(SECOND + 1, 1, 'i-2', port=80))
@@ -123,7 +123,7 @@
     )  # fmt: skip
 
 
-def test_an_entry_carries_nothing_over_to_the_next_incarnation(clock):
+def test_an_entry_resets_all_state_for_the_next_incarnation(clock):
     book = ServerBook(ZoneId('z1'), Random(1), clock)
     book.take_leases([lease(FIRST, 9)])
     book.take_reports([report(FIRST, 500, running=16)])
@@ -140,7 +140,7 @@
     assert (after.failures, after.refused, after.lateness.mean_ms) == (0, {}, 0.0)
 
 
-def test_a_late_report_of_the_earlier_incarnation_says_nothing_of_the_next(clock):
+def test_a_delayed_report_of_the_earlier_incarnation_is_not_applied_to_the_next(clock):
     book = ServerBook(ZoneId('z1'), Random(1), clock)
     book.take_leases([lease(SECOND, 1, served=())])
     book.take_reports([report(FIRST, 500)])
@@ -149,14 +149,14 @@
     assert book.choose(Wanted(ServiceName('s'), ENGINE), set()) is not None
 
 
-def test_an_engine_whose_next_incarnation_reports_already_is_chosen_no_more(clock):
+def test_an_engine_whose_next_incarnation_already_reports_is_not_chosen(clock):
     book = ServerBook(ZoneId('z1'), Random(1), clock)
     book.take_leases([lease(FIRST, 9)])
     book.take_reports([report(SECOND, 501, served=())])
     assert book.choose(Wanted(ServiceName('s'), ENGINE), set()) is None
 
 
-def test_a_request_that_waits_at_an_earlier_incarnation_is_taken_back(clock):
+def test_a_request_that_waits_at_an_earlier_incarnation_is_withdrawn(clock):
     book = ServerBook(ZoneId('z1'), Random(1), clock)
     book.take_leases([lease(FIRST, 9)])
     attempt = Attempt(Choice(book.servers['i-1']), clock.now)
@@ -175,7 +175,7 @@
     return EngineReport(0, 0, 0, 1, 1.0, False, (('m', 1, 0, 16),), born)
 
 
-def test_a_daemon_forgets_what_it_did_to_the_engine_before_this_one():
+def test_a_daemon_resets_its_state_for_a_restarted_engine():
     async def run():
         rollout = Engines(turn=0).rollout
         rollout.take_report(engine_report(FIRST))
--- a/tests/test_leases_of_lost_owners.py
+++ b/tests/test_leases_of_lost_owners.py
@@ -41,7 +41,7 @@
     return replica.registry.record_heartbeat(lease)
 
 
-def test_a_back_end_that_beats_on_is_usable_at_replicas_that_hear_its_owner():
+def test_a_back_end_with_heartbeats_is_usable_at_replicas_that_reach_its_owner():
     clock = Clock()
     owner, third, apart = Told('o:1', clock), Told('y:1', clock), Told('z:1', clock)
     assert beat(owner, 1) is RecordChange.CHANGED
--- a/tests/test_machine_suspension.py
+++ b/tests/test_machine_suspension.py
@@ -17,7 +17,7 @@
 SLEPT_S = 5.0
 
 
-def test_weights_that_ended_while_the_machine_slept_are_sent_to_no_more(monkeypatch):
+def test_weights_that_ended_during_suspension_get_no_requests(monkeypatch):
     now = {time.CLOCK_MONOTONIC: 100.0, time.CLOCK_BOOTTIME: 100.0}
     monkeypatch.setattr(time, 'clock_gettime', now.__getitem__)
     env = Environment(InstanceId('a:1'), ZoneId('z1'))
--- a/tests/test_platform_foreign_messages.py
+++ b/tests/test_platform_foreign_messages.py
@@ -107,7 +107,7 @@
 
 @settings(max_examples=300, deadline=None)
 @given(mutated({**BEAT, 'born': FIRST}))
-def test_a_heartbeat_is_taken_whole_or_refused(body):
+def test_a_heartbeat_is_fully_valid_or_refused(body):
     try:
         call = post('/v1/Instances.Heartbeat/i-1', body)
     except BadCall:
@@ -121,7 +121,7 @@
 
 @settings(max_examples=300, deadline=None)
 @given(mutated(DOCUMENT))
-def test_a_document_is_taken_whole_or_refused(body):
+def test_a_document_is_fully_valid_or_refused(body):
     try:
         call = post('/v1/Config.Put', body)
     except BadCall:
@@ -134,7 +134,7 @@
 
 @settings(max_examples=200, deadline=None)
 @given(mutated(REPORT))
-def test_an_engine_report_is_taken_whole_or_refused(body):
+def test_an_engine_report_is_fully_valid_or_refused(body):
     try:
         report = ADAPTER.read_report(body)
     except BadCall:
@@ -143,7 +143,7 @@
 
 
 @given(mutated(LIST))
-def test_a_list_of_pieces_is_taken_whole_or_refused(body):
+def test_a_list_of_pieces_is_fully_valid_or_refused(body):
     try:
         pieces = ADAPTER.read_piece_list(body)
     except BadCall:
@@ -152,7 +152,7 @@
 
 
 @given(mutated({'model': 'm', 'version': 2}), mutated({'born': FIRST}))
-def test_other_calls_are_taken_or_refused(version, goodbye):
+def test_other_calls_are_accepted_or_refused(version, goodbye):
     for path, body in (('/v1/version-put', version), ('/v1/Instances.Leave/i-1', goodbye)):
         try:
             post(path, body)
@@ -161,7 +161,7 @@
 
 
 @given(st.dictionaries(st.sampled_from(HEADERS), st.text()))
-def test_any_headers_are_read_or_refused(headers):
+def test_any_headers_are_parsed_or_refused(headers):
     pairs = list(headers.items())
     ADAPTER.read_answer(200, pairs)
     try:
@@ -171,18 +171,18 @@
     assert caller.deadline_ms is None or caller.deadline_ms >= 0
 
 
-def test_a_keep_alive_that_is_no_number_is_passed_over():
+def test_a_keep_alive_that_is_not_a_number_is_ignored():
     assert ADAPTER.read_answer(200, [('keep-alive', 'timeout=\xb2')]).keep_s is None
 
 
-def test_a_goodbye_names_its_incarnation_where_it_says_anything():
+def test_a_goodbye_with_a_body_names_its_incarnation():
     path = '/v1/Instances.Leave/i-1'
     assert post(path, b'') == Goodbye('i-1', None)
     assert post(path, {'born': FIRST}) == Goodbye('i-1', FIRST)
     assert post(path, {}) == Goodbye('i-1', 0)
 
 
-def test_counts_of_a_deployment_played_at_a_share_are_rounded():
+def test_fractional_counts_in_a_document_are_rounded():
     body = copy.deepcopy(DOCUMENT)
     body['services'][0]['max_conns'] = 66.6
     body['services'][0]['engine']['slots'] = 0.4
@@ -238,7 +238,7 @@
         {'slots': -1},
     ],
 )
-def test_a_foreign_heartbeat_is_refused_and_what_is_held_stays(change):
+def test_a_foreign_heartbeat_is_refused_and_changes_no_lease(change):
     calls = Calls()
     held = calls.registry.leases.get('i-1')
     body = {**BEAT, 'address': '10.0.0.1:80', 'born': FIRST + 1, **change}
@@ -249,7 +249,7 @@
     assert calls.woken == 0
 
 
-def test_refused_calls_are_all_counted_and_logged_once_in_a_while(monkeypatch):
+def test_all_refused_calls_are_counted_and_some_are_logged(monkeypatch):
     lines = []
     monkeypatch.setattr(
         'millforkd.replica.control.log',
@@ -268,7 +268,7 @@
     assert counted == 51
 
 
-def test_a_service_that_no_document_names_is_refused_once_there_is_one():
+def test_an_undeclared_service_is_refused_once_there_is_a_document():
     calls = Calls()
     calls.control.services = None
     beat = standins.heartbeat(lease(FIRST, 6))
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -35,7 +35,7 @@
 FINGERPRINT = Fingerprint('ab')
 
 
-def test_a_fingerprint_is_of_path_caller_and_body_alone():
+def test_a_fingerprint_depends_only_on_path_caller_body_key_and_cluster():
     made = Fingerprints(b'key', lambda: 'cluster')
     first = made.of_request(Request('POST', '/a', [('x-request-id', '1')], b'text'), 'org')
     assert made.of_request(Request('POST', '/a', [('x-request-id', '2')], b'text'), 'org') == first
@@ -61,7 +61,7 @@
     curio.run(run)
 
 
-def test_an_answer_that_came_whole_clears_what_was_known_before_it():
+def test_a_complete_answer_clears_earlier_suspicions():
     async def run():
         suspects = Suspects(Clock())
         late = suspects.get(FINGERPRINT)
@@ -76,7 +76,7 @@
     curio.run(run)
 
 
-def test_old_suspicions_are_forgotten_and_their_number_is_bounded():
+def test_suspicions_are_bounded_in_age_and_number():
     async def run():
         clock = Clock()
         suspects = Suspects(clock)
@@ -92,7 +92,7 @@
     curio.run(run)
 
 
-def test_a_replica_that_started_anew_is_told_all_by_its_followers():
+def test_followers_send_all_suspicions_to_a_restarted_replica():
     async def run():
         suspects = Suspects(Clock())
         suspicion = Suspicion(FINGERPRINT, 0, 2)
@@ -113,7 +113,7 @@
 
 @settings(deadline=None)
 @given(STEPS)
-def test_all_agree_once_they_heard_all(steps):
+def test_processes_agree_once_they_have_exchanged_all_suspicions(steps):
     """
     Three processes note ends and whole answers, and tell each other in any order, also the
     same again; who knows less is told by whoever hears that.
@@ -179,7 +179,7 @@
     return QuarantineList(env, entry.view, entry.suspects, proposals, leads, now_ms)
 
 
-def test_a_request_is_barred_after_its_third_end_and_by_the_list_alone():
+def test_a_request_is_blocked_after_its_third_end_and_by_the_list_alone():
     async def run():
         entry = Entry()
         listing = list_of(entry, Clock())
@@ -195,7 +195,7 @@
     curio.run(run)
 
 
-def test_a_request_is_taken_off_the_list_once_an_answer_came_whole():
+def test_a_complete_answer_removes_a_request_from_the_list():
     async def run():
         entry = Entry()
         listing = list_of(entry, Clock())
@@ -210,7 +210,7 @@
     curio.run(run)
 
 
-def test_the_list_is_bounded_in_time_and_number():
+def test_the_list_is_bounded_in_age_and_number():
     async def run():
         entry, clock = Entry(), Clock()
         listing = list_of(entry, clock)
@@ -250,7 +250,7 @@
     return curio.run(run)
 
 
-def test_an_answer_that_broke_off_counts_only_where_the_back_end_has_ended(listening):
+def test_a_broken_off_answer_counts_only_if_the_back_end_has_ended(listening):
     port = listening.getsockname()[1]
     assert broke_off(port) == 0
     listening.close()
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -52,13 +52,13 @@
     return registry.leases.get(instance).state
 
 
-def test_a_late_heartbeat_changes_nothing(registry):
+def test_an_older_heartbeat_changes_nothing(registry):
     registry.merge_lease(lease(sequence=5, state=LeaseState.DRAINING))
     assert registry.merge_lease(lease(sequence=4)) is RecordChange.NONE
     assert state_of(registry) is LeaseState.DRAINING
 
 
-def test_a_renewal_is_no_news_for_others(registry):
+def test_a_renewal_is_not_announced(registry):
     registry.merge_lease(lease(sequence=1))
     version = registry.leases.version
     assert registry.merge_lease(lease(sequence=2)) is RecordChange.RENEWED
@@ -72,12 +72,12 @@
     assert state_of(registry) is LeaseState.GONE
 
 
-def test_a_goodbye_of_an_unknown_back_end_is_kept(registry):
+def test_a_goodbye_of_an_unknown_back_end_is_recorded(registry):
     registry.record_goodbye('i-1')
     assert registry.merge_lease(lease(sequence=3)) is RecordChange.NONE
 
 
-def test_a_lease_owned_here_runs_out_and_a_heartbeat_renews_it(registry, clock):
+def test_a_lease_owned_here_expires_and_a_heartbeat_renews_it(registry, clock):
     registry.record_heartbeat(lease(sequence=1))
     clock.now += LEASE_S + 0.1
     assert [item.instance for item in registry.expire(set())] == ['i-1']
@@ -86,7 +86,7 @@
     assert state_of(registry) is LeaseState.READY
 
 
-def test_a_lease_owned_elsewhere_runs_out_only_when_its_owner_is_lost(registry, clock):
+def test_a_lease_owned_elsewhere_expires_only_when_its_owner_is_lost(registry, clock):
     registry.merge_lease(lease(owner='b:1'))
     clock.now += 60
     assert registry.expire(set()) == []
@@ -94,14 +94,14 @@
     assert [item.instance for item in registry.expire({'b:1'})] == ['i-1']
 
 
-def test_a_back_end_that_found_another_replica_is_not_given_up(registry, clock):
+def test_a_lease_with_a_new_owner_does_not_expire_here(registry, clock):
     registry.record_heartbeat(lease(sequence=1))
     registry.merge_lease(lease(sequence=2, owner='c:1'))
     clock.now += LEASE_S + 0.1
     assert registry.expire(set()) == []
 
 
-def test_a_new_back_end_ends_the_lease_of_the_one_before_it_at_its_address(registry):
+def test_a_new_back_end_ends_the_lease_of_its_predecessor_at_the_address(registry):
     registry.record_heartbeat(lease('i-1', sequence=7))
     registry.record_heartbeat(lease('i-2', sequence=1))
     assert state_of(registry, 'i-1') is LeaseState.EXPIRED
@@ -110,7 +110,7 @@
     assert state_of(registry, 'i-2') is LeaseState.READY
 
 
-def test_a_back_end_whose_neighbour_ended_comes_back(registry, clock):
+def test_a_back_end_returns_once_the_other_at_its_address_has_ended(registry, clock):
     registry.record_heartbeat(lease('i-1', sequence=7))
     registry.record_heartbeat(lease('i-2', sequence=1))
     clock.now += LEASE_S + 0.1
@@ -119,13 +119,13 @@
     assert state_of(registry, 'i-1') is LeaseState.READY
 
 
-def test_back_ends_at_other_addresses_are_left_alone(registry):
+def test_a_new_back_end_ends_no_lease_at_another_address(registry):
     registry.record_heartbeat(lease('i-1'))
     registry.record_heartbeat(lease('i-2', port=81))
     assert state_of(registry, 'i-1') is LeaseState.READY
 
 
-def test_what_ended_is_forgotten_in_the_end(registry, clock):
+def test_ended_leases_are_forgotten(registry, clock):
     registry.record_heartbeat(lease())
     registry.record_goodbye('i-1')
     clock.now += ENDED_RETENTION_S + 1
@@ -133,14 +133,14 @@
     assert len(registry.leases) == 0
 
 
-def test_a_settled_replica_decides_what_there_is(registry):
+def test_records_unknown_to_a_complete_replica_are_dropped(registry):
     registry.merge_lease(lease('i-1'))
     registry.merge_lease(lease('i-2'))
     registry.retain_only({'i-2'}, set())
     assert [item.instance for item in registry.leases.values()] == ['i-2']
 
 
-def test_only_load_may_wait_in_an_endpoint_report(registry):
+def test_only_changes_of_load_are_not_announced_without_delay(registry):
     state = EndpointState('e:1', 'service', 'zone', '10.0.0.1', 80, 1, reachable=True)
     assert registry.merge_endpoint_state(state) is RecordChange.CHANGED
     busier = msgspec.structs.replace(state, sequence=2, running=9)
@@ -150,7 +150,7 @@
     assert registry.merge_endpoint_state(state) is RecordChange.NONE
 
 
-def test_how_far_a_version_has_come_may_wait_in_an_endpoint_report(registry):
+def test_transfer_progress_is_not_announced_without_delay(registry):
     """
     While weights change each daemon holds another piece every 0.05 s: told at once, a
     replica sends to each of its followers as often as it can.
@@ -165,7 +165,7 @@
     assert registry.endpoints.changed_since(registry.endpoints.version - 1) == [further]
 
 
-def test_leases_go_over_the_wire_as_they_are():
+def test_leases_are_unchanged_by_encoding():
     records = [lease('i-1'), lease('i-2', state=LeaseState.GONE)]
     assert decode_leases(encode_records(records)) == records
     assert decode_leases(b'') == []
@@ -181,7 +181,7 @@
 
 
 @given(st.lists(RECORDS, max_size=12), st.randoms())
-def test_the_order_in_which_records_come_does_not_matter(records, random):
+def test_the_order_of_records_does_not_matter(records, random):
     def outcome(items):
         env = Environment(InstanceId('a:1'), ZoneId('zone'), monotonic=Clock())
         registry = Registry(env, HEARTBEAT_S)
@@ -195,7 +195,7 @@
 
 
 @given(st.lists(st.tuples(st.sampled_from('abc'), st.integers(0, 9)), max_size=20))
-def test_a_table_tells_exactly_what_changed_after_a_version(changes):
+def test_a_table_returns_exactly_the_records_changed_since_a_version(changes):
     table = VersionedTable()
     seen = 0
     copy = {}
--- a/tests/test_registry_completeness.py
+++ b/tests/test_registry_completeness.py
@@ -72,7 +72,7 @@
     return Restarted()
 
 
-def test_a_replica_that_is_cut_off_does_not_say_that_it_knows_all_leases(restarted):
+def test_a_replica_that_is_cut_off_does_not_claim_completeness(restarted):
     entry = Registry(restarted.env, HEARTBEAT_S)
     for instance, owner in (('i-1', 'a:1'), ('i-2', 'b:1'), ('i-3', 'c:1')):
         entry.merge_lease(lease(instance, owner))
@@ -82,7 +82,7 @@
     assert restarted.left_at(entry) == ['i-1', 'i-2', 'i-3']
 
 
-def test_it_says_so_once_it_follows_a_majority_and_had_the_time(restarted):
+def test_a_replica_is_complete_after_some_time_with_a_majority(restarted):
     restarted.follow('b:1')
     restarted.pass_time(0.5)
     assert not restarted.registry.is_complete
@@ -90,27 +90,27 @@
     assert restarted.registry.is_complete
 
 
-def test_it_says_so_after_the_cut(restarted):
+def test_a_replica_is_complete_after_the_partition(restarted):
     restarted.pass_time(LONG_S)
     restarted.follow('c:1')
     restarted.pass_time(0.5)
     assert restarted.registry.is_complete
 
 
-def test_one_that_it_follows_no_more_does_not_count(restarted):
+def test_a_replica_with_a_closed_connection_does_not_count(restarted):
     restarted.follow('b:1')
     restarted.replica_links.followed[InstanceId('b:1')].closed = True
     restarted.pass_time(LONG_S)
     assert not restarted.registry.is_complete
 
 
-def test_a_replica_of_one_knows_all_that_there_is(restarted):
+def test_a_single_replica_is_complete(restarted):
     restarted.replica.members = [('a:1', 'disk')]
     restarted.pass_time(LONG_S)
     assert restarted.registry.is_complete
 
 
-def test_a_replica_without_members_knows_of_no_majority(restarted):
+def test_a_replica_without_members_is_not_complete(restarted):
     restarted.replica.members = []
     restarted.pass_time(LONG_S)
     assert not restarted.registry.is_complete
--- a/tests/test_repeat_budget_in_cuts.py
+++ b/tests/test_repeat_budget_in_cuts.py
@@ -17,7 +17,7 @@
 EACH_TICKS = 4
 
 
-def test_entries_that_began_during_a_cut_stay_within_the_budget():
+def test_entries_started_during_a_partition_stay_within_the_budget():
     fleet = Fleet()
     # Both halves of the entries follow replicas that see their own half only.
     fleet.told = ENTRIES // 2
@@ -48,14 +48,14 @@
     return sum(budget.part(SERVICE).allowed for budget in fleet.budgets)
 
 
-def test_the_side_of_a_cut_with_a_majority_has_its_part_of_the_allowance():
+def test_the_majority_side_of_a_partition_keeps_its_share_of_the_allowance():
     fleet = Fleet()
     fleet.told = ENTRIES // 2
     fleet.budgets = [fleet.started(position) for position in range(ENTRIES)]
     assert SLACK / 2 < allowances(fleet) <= SLACK
 
 
-def test_entries_behind_a_cut_keep_their_part_for_as_long_as_it_lasts():
+def test_entries_on_the_other_side_keep_their_share_during_a_partition():
     fleet = Fleet()
     assert SLACK / 2 < allowances(fleet) <= SLACK
     before = fleet.budgets[1].part(SERVICE).allowed
@@ -64,7 +64,7 @@
     assert fleet.budgets[1].part(SERVICE).allowed == before
 
 
-def test_a_replica_tells_of_the_most_entries_that_it_knew_of_lately():
+def test_a_replica_reports_the_greatest_recent_number_of_entries():
     clock = Clock()
     replica = SimpleNamespace(env=SimpleNamespace(instance='a', monotonic=clock))
     registry = Registry(SimpleNamespace(instance='a', monotonic=clock), 1.0)
--- a/tests/test_version_cutoffs.py
+++ b/tests/test_version_cutoffs.py
@@ -49,7 +49,7 @@
 
 
 @given(st.lists(st.tuples(st.floats(0, 7), st.floats(0, 3)), min_size=1, max_size=6))
-def test_however_late_an_answer_is_given_or_read_no_end_is_later_than_the_true_one(questions):
+def test_a_late_answer_never_gives_too_late_a_cutoff(questions):
     told = VersionCutoffs()
     for asked_s, way_s in questions:
         # Of 8 s after the naming, so much is left once the question has arrived.
@@ -58,7 +58,7 @@
     assert told.cutoff_of('m', 2) <= 100 + SWITCH_S
 
 
-def test_a_faster_answer_tells_the_end_better_and_a_slow_one_moves_nothing(told):
+def test_a_faster_answer_corrects_the_cutoff_and_a_slower_one_does_not(told):
     assert told.record_answer(100.0, left(6.0))
     assert told.record_answer(102.0, left(5.5))
     assert told.cutoff_of('m', 2) == pytest.approx(107.5)
@@ -66,13 +66,15 @@
     assert told.cutoff_of('m', 2) == pytest.approx(107.5)
 
 
-def test_what_has_ended_does_not_come_back(told):
+def test_a_passed_cutoff_is_not_moved(told):
     told.record_answer(100.0, left(0.0))
     assert not told.record_answer(101.0, left(8.0))
     assert told.cutoff_of('m', 2) == pytest.approx(100.0)
 
 
-def test_until_an_answer_comes_an_older_version_will_do_for_a_while(view, told, clock, follower):
+def test_an_older_version_stays_usable_for_a_while_until_an_answer_arrives(
+    view, told, clock, follower
+):
     name(view, follower, 2)
     learned_at = clock.now
     assert follower.ends_at('m', 1) == pytest.approx(learned_at + UNTOLD_MS / 1000 - CUT_S)
@@ -80,7 +82,7 @@
     assert follower.ends_at('m', 1) == pytest.approx(learned_at + SWITCH_S - 0.5 - CUT_S)
 
 
-def test_what_stood_when_a_follower_began_is_due_unless_it_is_told_otherwise(view, told, clock):
+def test_a_version_named_before_the_follower_started_is_due_without_an_answer(view, told, clock):
     env = Environment(InstanceId('a:1'), ZoneId('zone'), monotonic=clock)
     follower = Versions(env, view, SWITCH_MS, told, UNTOLD_MS, never_leads)
     name(view, follower, 2)
@@ -90,7 +92,7 @@
     assert follower.ends_at('m', 1) == pytest.approx(clock.now + 3.0 - CUT_S)
 
 
-def test_the_end_of_a_version_that_another_one_followed_is_kept(view, told, clock, follower):
+def test_the_cutoff_of_a_superseded_version_is_kept(view, told, clock, follower):
     told.record_answer(clock.now, left(2.0, version=2) + left(5.0, version=3))
     name(view, follower, 3)
     assert follower.ends_at('m', 1) == pytest.approx(clock.now + 2.0 - CUT_S)
@@ -98,7 +100,7 @@
     assert [item.version for item in follower.switches()] == [2, 3]
 
 
-def test_only_who_led_or_was_told_tells_of_a_version(view, told, clock):
+def test_only_a_leader_or_a_process_with_an_answer_reports_a_switch(view, told, clock):
     replica = versions(clock, view, told, 0, never_leads)
     name(view, replica, 2)
     assert replica.switches() == []
@@ -107,7 +109,7 @@
     assert [item.left_ms for item in replica.switches()] == [3000]
 
 
-def test_a_leader_goes_by_when_it_learned_of_a_version_also_if_it_led_later(view, told, clock):
+def test_a_leader_counts_from_when_it_learned_of_a_version_even_before_it_led(view, told, clock):
     leading = []
     replica = versions(clock, view, told, 0, lambda: bool(leading))
     name(view, replica, 2)
@@ -116,7 +118,7 @@
     assert [item.left_ms for item in replica.switches()] == [6500]
 
 
-def test_the_newest_version_is_told_of_also_once_all_before_it_has_ended(view, told, clock):
+def test_the_newest_version_is_reported_even_after_its_cutoff(view, told, clock):
     replica = versions(clock, view, told, 0, lambda: True)
     name(view, replica, 2)
     name(view, replica, 3)
--- a/tests/test_version_ends_after_restart.py
+++ b/tests/test_version_ends_after_restart.py
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize('disk', ['kept', 'lost'])
-def test_a_replica_that_was_away_beyond_an_end_tells_of_no_later_one(fleet, disk):
+def test_a_replica_that_was_away_past_a_cutoff_reports_no_later_one(fleet, disk):
     entry = fleet.entry_hosts[0]
     away = fleet.replica_hosts[2]
     fleet.kill(away)
@@ -88,7 +88,7 @@
     log.write_bytes(data[: at - 1 - RECORD.size])
 
 
-def test_an_entry_that_starts_is_told_no_later_end_by_a_replica_that_was_away(fleet):
+def test_a_starting_entry_gets_no_later_cutoff_from_a_replica_that_was_away(fleet):
     """
     A version is named while a replica is away, and has long ended what came before it when
     that replica and an entry start together. The replica told its state as fresh as soon as it
@@ -115,7 +115,7 @@
     assert max(due_s(fleet, entry)) <= 0
 
 
-def test_no_ended_version_comes_back_when_a_replica_lost_power(fleet):
+def test_a_replica_that_lost_power_brings_back_no_ended_version(fleet):
     entry = fleet.entry_hosts[0]
     first = followed(fleet)
     name_version(fleet, 2, entry)
@@ -138,7 +138,7 @@
     assert due_s(fleet, entry)[told:] == []
 
 
-def test_a_version_that_ended_stays_ended_when_the_same_replica_restarts():
+def test_a_version_stays_ended_when_the_same_replica_restarts():
     clock, view, told = Clock(), View(), VersionCutoffs()
     env = Environment(InstanceId('a:1'), ZoneId('zone'), monotonic=clock)
     entry = Versions(env, view, SWITCH_MS, told, UNTOLD_MS, never_leads)
@@ -152,7 +152,7 @@
     assert entry.least('m') == 2
 
 
-def test_replicas_that_asked_each_other_slowly_once_do_not_keep_an_end_too_early():
+def test_one_slow_answer_does_not_leave_too_early_a_cutoff():
     clock = Clock()
     views = [View(), View()]
     told = [VersionCutoffs(), VersionCutoffs()]
