--- a/tests/test_feed_client.py
+++ b/tests/test_feed_client.py
@@ -9,7 +9,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import InstanceId, ZoneId
-from millfork_registry import feed_client as feeds
+from millfork_registry import feed_client as feed_client_module
 from millfork_registry.discovery import Discovery
 from millfork_registry.feed_client import FeedClient
 from millfork_registry.registry import Registry
@@ -27,15 +27,15 @@
 
     """
 
-    def __init__(self, *up):
-        self.up = set(up)
+    def __init__(self, *reachable):
+        self.reachable = set(reachable)
         self.age_ms = 0
         self.followed = []
         self.connections = {}
 
     async def call(self, address, message, timeout):
         name = str(address.instance)
-        if name not in self.up:
+        if name not in self.reachable:
             raise PeerUnreachable(name)
         if isinstance(message, FindReplicas):
             age_ms = self.age_ms if ZONES[name] == 'near' else 0
@@ -56,78 +56,78 @@
         self.closed = True
 
 
-def feed_client(replicas):
+def client_following(replicas):
     env = Environment(InstanceId('10.0.0.9:7'), ZoneId('near'))
     discovery = Discovery(env, replicas, ['10.0.0.1:7', '10.0.0.2:7'])
     return FeedClient(env, 'entry', View(), Registry(env, 1.0), replicas, discovery)
 
 
-async def watched(made, replicas, condition, bound_s=5.0):
-    task = await curio.spawn(made.run, daemon=True)
+async def run_until(client, replicas, condition, bound_s=5.0):
+    task = await curio.spawn(client.run, daemon=True)
     async with curio.timeout_after(bound_s):
         while not condition():
             # Its feed goes on.
-            made.source_heard_at = made.env.monotonic()
+            client.source_heard_at = client.env.monotonic()
             await curio.sleep(0.01)
     await task.cancel()
 
 
 def test_a_follower_changes_to_a_replica_in_its_zone_once_one_answers(monkeypatch):
-    monkeypatch.setattr(feeds, 'NEARER_CHECK_PERIOD_S', 0.1)
+    monkeypatch.setattr(feed_client_module, 'NEARER_CHECK_PERIOD_S', 0.1)
     replicas = StandInReplicas('10.0.0.1:7')
-    made = feed_client(replicas)
+    client = client_following(replicas)
 
     async def run():
-        await watched(made, replicas, lambda: replicas.followed == ['far'])
-        replicas.up.add('10.0.0.2:7')
-        await watched(made, replicas, lambda: replicas.followed[-1] == 'near')
-        assert made.source == '10.0.0.2:7'
+        await run_until(client, replicas, lambda: replicas.followed == ['far'])
+        replicas.reachable.add('10.0.0.2:7')
+        await run_until(client, replicas, lambda: replicas.followed[-1] == 'near')
+        assert client.source == '10.0.0.2:7'
 
     curio.run(run)
 
 
 def test_a_follower_changes_directly_to_the_replica_in_its_zone(monkeypatch):
-    monkeypatch.setattr(feeds, 'NEARER_CHECK_PERIOD_S', 0.1)
+    monkeypatch.setattr(feed_client_module, 'NEARER_CHECK_PERIOD_S', 0.1)
     monkeypatch.setitem(ZONES, '10.0.0.3:7', 'far')
     replicas = StandInReplicas('10.0.0.1:7', '10.0.0.3:7')
-    made = feed_client(replicas)
-    made.discovery.add_replica('10.0.0.3:7')
+    client = client_following(replicas)
+    client.discovery.add_replica('10.0.0.3:7')
 
     async def run():
-        await watched(made, replicas, lambda: replicas.followed == ['far'])
-        replicas.up.add('10.0.0.2:7')
-        await watched(made, replicas, lambda: replicas.followed[-1] == 'near')
+        await run_until(client, replicas, lambda: replicas.followed == ['far'])
+        replicas.reachable.add('10.0.0.2:7')
+        await run_until(client, replicas, lambda: replicas.followed[-1] == 'near')
         assert replicas.followed == ['far', 'near']
 
     curio.run(run)
 
 
 def test_a_follower_does_not_change_to_a_replica_without_contact_to_the_leader(monkeypatch):
-    monkeypatch.setattr(feeds, 'NEARER_CHECK_PERIOD_S', 0.1)
+    monkeypatch.setattr(feed_client_module, 'NEARER_CHECK_PERIOD_S', 0.1)
     replicas = StandInReplicas('10.0.0.1:7', '10.0.0.2:7')
-    replicas.age_ms = feeds.STALE_MS + 1
-    made = feed_client(replicas)
+    replicas.age_ms = feed_client_module.STALE_MS + 1
+    client = client_following(replicas)
 
     async def run():
-        await watched(made, replicas, lambda: replicas.followed == ['far'])
-        began = made.env.monotonic()
-        await watched(made, replicas, lambda: made.env.monotonic() > began + 0.5)
+        await run_until(client, replicas, lambda: replicas.followed == ['far'])
+        began = client.env.monotonic()
+        await run_until(client, replicas, lambda: client.env.monotonic() > began + 0.5)
         assert 'near' not in replicas.followed
 
     curio.run(run)
 
 
 def test_only_the_followed_replica_sets_the_number_of_entries():
-    made = feed_client(StandInReplicas())
-    made.source = InstanceId('10.0.0.1:7')
-    told = Leases(entries=6, most_entries=7)
-    daemon = SimpleNamespace(feed_client=made)
+    client = client_following(StandInReplicas())
+    client.source = InstanceId('10.0.0.1:7')
+    leases = Leases(entries=6, most_entries=7)
+    daemon = SimpleNamespace(feed_client=client)
 
     async def run():
         # By way of another follower.
-        await made.handle_feed_message(InstanceId('10.0.0.8:7'), told)
+        await client.handle_feed_message(InstanceId('10.0.0.8:7'), leases)
         assert ProxyDaemon.most_entries(daemon) == UNTOLD_ENTRIES
-        await made.handle_feed_message(made.source, told)
+        await client.handle_feed_message(client.source, leases)
         assert ProxyDaemon.most_entries(daemon) == 7
 
     curio.run(run)
--- a/tests/test_feed_relay.py
+++ b/tests/test_feed_relay.py
@@ -33,7 +33,7 @@
 
     def __init__(self):
         self.asked = []
-        self.feed_relay = {name: self.follower(name) for name in ZONES}
+        self.relays = {name: self.follower(name) for name in ZONES}
 
     def follower(self, name):
         env = Environment(InstanceId(name), ZoneId(ZONES[name]))
@@ -48,25 +48,25 @@
         assert isinstance(message, AskFeed)
         name = str(address.instance)
         self.asked.append(name)
-        if name not in self.feed_relay:
+        if name not in self.relays:
             raise PeerTimedOut(name)
-        taker = self.feed_relay[asker].feed_client
+        receiver = self.relays[asker].feed_client
 
         async def notify(event):
-            assert await taker.handle_feed_message(InstanceId(name), event)
+            assert await receiver.handle_feed_message(InstanceId(name), event)
 
-        return await self.feed_relay[name].answer(SimpleNamespace(notify=notify), message)
+        return await self.relays[name].answer(SimpleNamespace(notify=notify), message)
 
-    def hears_replica(self, *names):
+    def connect_to_replica(self, *names):
         for name in names:
-            feed_client = self.feed_relay[name].feed_client
+            feed_client = self.relays[name].feed_client
             feed_client.source = InstanceId('10.9.0.1:7')
             feed_client.source_heard_at = feed_client.env.monotonic()
 
-    async def until(self, condition, hearing, bound_s=5.0):
+    async def wait_until(self, condition, connected, bound_s=5.0):
         async with curio.timeout_after(bound_s):
             while not condition():
-                self.hears_replica(*hearing)
+                self.connect_to_replica(*connected)
                 await curio.sleep(0.01)
 
 
@@ -86,17 +86,17 @@
 
 def test_a_follower_that_is_cut_off_gets_configuration_and_load_from_its_zone(followers):
     async def run():
-        cut = followers.feed_relay[CUT].feed_client
-        near = followers.feed_relay[NEAR].feed_client
-        near.view.change(Revision(2), {'key': Held(b'new', Revision(2))}, [])
-        near.registry.merge_endpoint_state(state(1, 5))
-        task = await curio.spawn(followers.feed_relay[CUT].run, daemon=True)
-        hearing = (NEAR, FAR)
-        await followers.until(lambda: running_at(cut) == 5, hearing)
-        assert cut.view.items['key'].value == b'new'
-        assert cut.report_target == NEAR
-        near.registry.merge_endpoint_state(state(2, 9))
-        await followers.until(lambda: running_at(cut) == 9, hearing)
+        cut_off = followers.relays[CUT].feed_client
+        neighbour = followers.relays[NEAR].feed_client
+        neighbour.view.change(Revision(2), {'key': Held(b'new', Revision(2))}, [])
+        neighbour.registry.merge_endpoint_state(state(1, 5))
+        task = await curio.spawn(followers.relays[CUT].run, daemon=True)
+        connected = (NEAR, FAR)
+        await followers.wait_until(lambda: running_at(cut_off) == 5, connected)
+        assert cut_off.view.items['key'].value == b'new'
+        assert cut_off.report_target == NEAR
+        neighbour.registry.merge_endpoint_state(state(2, 9))
+        await followers.wait_until(lambda: running_at(cut_off) == 9, connected)
         assert set(followers.asked) == {NEAR}
         await task.cancel()
 
@@ -105,11 +105,11 @@
 
 def test_a_follower_without_a_replica_does_not_relay(followers):
     async def run():
-        cut = followers.feed_relay[CUT].feed_client
-        followers.feed_relay[FAR].feed_client.registry.merge_endpoint_state(state(1, 5))
-        task = await curio.spawn(followers.feed_relay[CUT].run, daemon=True)
-        await followers.until(lambda: running_at(cut) == 5, (FAR,))
-        assert cut.report_target == FAR
+        cut_off = followers.relays[CUT].feed_client
+        followers.relays[FAR].feed_client.registry.merge_endpoint_state(state(1, 5))
+        task = await curio.spawn(followers.relays[CUT].run, daemon=True)
+        await followers.wait_until(lambda: running_at(cut_off) == 5, (FAR,))
+        assert cut_off.report_target == FAR
         await task.cancel()
 
     curio.run(run)
@@ -117,13 +117,13 @@
 
 def test_a_follower_that_is_cut_off_gets_suspicions_from_its_zone(followers):
     async def run():
-        cut = followers.feed_relay[CUT].feed_client.registry.suspects
-        near = followers.feed_relay[NEAR].feed_client.registry.suspects
+        cut_off = followers.relays[CUT].feed_client.registry.suspects
+        neighbour = followers.relays[NEAR].feed_client.registry.suspects
         suspicion = Suspicion(Fingerprint('ab'), 0, 2)
-        await near.merge([suspicion])
-        task = await curio.spawn(followers.feed_relay[CUT].run, daemon=True)
-        await followers.until(lambda: cut.get(suspicion.fingerprint) == suspicion, (NEAR,))
-        assert not cut.unsent
+        await neighbour.merge([suspicion])
+        task = await curio.spawn(followers.relays[CUT].run, daemon=True)
+        await followers.wait_until(lambda: cut_off.get(suspicion.fingerprint) == suspicion, (NEAR,))
+        assert not cut_off.unsent
         await task.cancel()
 
     curio.run(run)
@@ -131,11 +131,11 @@
 
 def test_the_relay_is_left_once_a_replica_answers_again(followers):
     async def run():
-        cut = followers.feed_relay[CUT].feed_client
-        task = await curio.spawn(followers.feed_relay[CUT].run, daemon=True)
-        await followers.until(lambda: cut.relay == NEAR, (NEAR,))
-        await followers.until(lambda: not cut.relay, (NEAR, CUT))
-        assert cut.report_target == '10.9.0.1:7'
+        cut_off = followers.relays[CUT].feed_client
+        task = await curio.spawn(followers.relays[CUT].run, daemon=True)
+        await followers.wait_until(lambda: cut_off.relay == NEAR, (NEAR,))
+        await followers.wait_until(lambda: not cut_off.relay, (NEAR, CUT))
+        assert cut_off.report_target == '10.9.0.1:7'
         await task.cancel()
 
     curio.run(run)
@@ -143,26 +143,30 @@
 
 def test_an_unrequested_update_of_another_follower_changes_nothing(followers):
     async def run():
-        cut = followers.feed_relay[CUT].feed_client
-        other = followers.feed_relay[NEAR].feed_client
+        cut_off = followers.relays[CUT].feed_client
+        other = followers.relays[NEAR].feed_client
         other.view.change(Revision(2), {'key': Held(b'new', Revision(2))}, [])
         update = other.view.update_since('c', 1)
-        assert await cut.handle_feed_message(InstanceId(NEAR), update)
-        assert cut.view.items['key'].value == b'old'
+        assert await cut_off.handle_feed_message(InstanceId(NEAR), update)
+        assert cut_off.view.items['key'].value == b'old'
 
     curio.run(run)
 
 
 def test_a_follower_that_is_cut_off_gets_version_cutoffs(followers):
     async def run():
-        cut = followers.feed_relay[CUT].feed_client
-        followers.feed_relay[NEAR].switches = lambda: [VersionSwitch('m', 2, 3000)]
-        began = cut.env.monotonic()
-        task = await curio.spawn(followers.feed_relay[CUT].run, daemon=True)
-        await followers.until(
-            lambda: cut.version_cutoffs.cutoff_of('m', 2) is not None, (NEAR, FAR)
+        cut_off = followers.relays[CUT].feed_client
+        followers.relays[NEAR].switches = lambda: [VersionSwitch('m', 2, 3000)]
+        began = cut_off.env.monotonic()
+        task = await curio.spawn(followers.relays[CUT].run, daemon=True)
+        await followers.wait_until(
+            lambda: cut_off.version_cutoffs.cutoff_of('m', 2) is not None, (NEAR, FAR)
+        )
+        assert (
+            began + 3.0
+            <= cut_off.version_cutoffs.cutoff_of('m', 2)
+            <= cut_off.env.monotonic() + 3.0
         )
-        assert began + 3.0 <= cut.version_cutoffs.cutoff_of('m', 2) <= cut.env.monotonic() + 3.0
         await task.cancel()
 
     curio.run(run)
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -40,7 +40,7 @@
 from tests.test_rollouts import Engines
 from tests.test_servers import ENGINE
 
-FIRST, SECOND = 1_000_000, 2_000_000
+FIRST_INCARNATION, SECOND_INCARNATION = 1_000_000, 2_000_000
 WHOLE = (ServedVersion('m', 1, 0, 16),)
 
 
@@ -55,10 +55,10 @@
 
 
 def lease(
-    born, sequence=1, instance='i-1', port=80, state=LeaseState.READY, served=WHOLE, owner=''
+    incarnation, sequence=1, instance='i-1', port=80, state=LeaseState.READY, served=WHOLE, owner=''
 ):
     return Lease(
-        instance, 's', '10.0.0.1', port, 'z1', 16, state, sequence, owner, served, born
+        instance, 's', '10.0.0.1', port, 'z1', 16, state, sequence, owner, served, incarnation
     )  # fmt: skip
 
 
@@ -67,48 +67,48 @@
 
 @pytest.mark.parametrize('ended', [LeaseState.READY, LeaseState.DRAINING, LeaseState.GONE])
 def test_a_restarted_back_end_is_usable_immediately(registry, ended):
-    registry.record_heartbeat(lease(FIRST, 50))
+    registry.record_heartbeat(lease(FIRST_INCARNATION, 50))
     if ended is LeaseState.GONE:
-        registry.record_goodbye('i-1', FIRST)
+        registry.record_goodbye('i-1', FIRST_INCARNATION)
     if ended is LeaseState.DRAINING:
-        registry.record_heartbeat(lease(FIRST, 51, state=ended))
-    assert registry.record_heartbeat(lease(SECOND, 1)) is RecordChange.CHANGED
+        registry.record_heartbeat(lease(FIRST_INCARNATION, 51, state=ended))
+    assert registry.record_heartbeat(lease(SECOND_INCARNATION, 1)) is RecordChange.CHANGED
     assert state_of(registry) is LeaseState.READY
 
 
 def test_delayed_messages_of_an_earlier_incarnation_change_nothing(registry):
-    registry.record_heartbeat(lease(SECOND, 1))
+    registry.record_heartbeat(lease(SECOND_INCARNATION, 1))
     held = registry.leases.get('i-1')
-    assert registry.record_heartbeat(lease(FIRST, 51)) is RecordChange.NONE
+    assert registry.record_heartbeat(lease(FIRST_INCARNATION, 51)) is RecordChange.NONE
     assert (
-        registry.merge_lease(lease(FIRST, 51, state=LeaseState.EXPIRED, owner='b:1'))
+        registry.merge_lease(lease(FIRST_INCARNATION, 51, state=LeaseState.EXPIRED, owner='b:1'))
         is RecordChange.NONE
     )
-    assert registry.record_goodbye('i-1', FIRST) is RecordChange.NONE
+    assert registry.record_goodbye('i-1', FIRST_INCARNATION) is RecordChange.NONE
     assert registry.record_heartbeat(lease(0, 52)) is RecordChange.NONE
     assert registry.leases.get('i-1') == held
 
 
 def test_a_goodbye_without_incarnation_ends_the_known_one(registry):
-    registry.record_heartbeat(lease(SECOND, 1))
+    registry.record_heartbeat(lease(SECOND_INCARNATION, 1))
     registry.record_goodbye('i-1')
     assert state_of(registry) is LeaseState.GONE
-    assert registry.record_heartbeat(lease(SECOND, 2)) is RecordChange.NONE
+    assert registry.record_heartbeat(lease(SECOND_INCARNATION, 2)) is RecordChange.NONE
 
 
 def test_a_later_process_ends_the_known_one_at_its_address(registry):
-    registry.record_heartbeat(lease(FIRST, 7, 'i-1'))
-    registry.record_heartbeat(lease(FIRST, 9, 'i-2', port=81))
-    registry.record_heartbeat(lease(SECOND, 1, 'i-2', port=80))
+    registry.record_heartbeat(lease(FIRST_INCARNATION, 7, 'i-1'))
+    registry.record_heartbeat(lease(FIRST_INCARNATION, 9, 'i-2', port=81))
+    registry.record_heartbeat(lease(SECOND_INCARNATION, 1, 'i-2', port=80))
     assert state_of(registry, 'i-1') is LeaseState.EXPIRED
-    assert registry.record_heartbeat(lease(FIRST, 8, 'i-1')) is RecordChange.NONE
+    assert registry.record_heartbeat(lease(FIRST_INCARNATION, 8, 'i-1')) is RecordChange.NONE
     assert state_of(registry, 'i-2') is LeaseState.READY
 
 
 def test_a_back_end_that_moved_is_not_ended_by_another_at_its_old_address(registry):
-    registry.record_heartbeat(lease(FIRST, 7, 'i-1', port=80))
-    registry.record_heartbeat(lease(SECOND, 1, 'i-1', port=81))
-    registry.record_heartbeat(lease(SECOND + 1, 1, 'i-2', port=80))
+    registry.record_heartbeat(lease(FIRST_INCARNATION, 7, 'i-1', port=80))
+    registry.record_heartbeat(lease(SECOND_INCARNATION, 1, 'i-1', port=81))
+    registry.record_heartbeat(lease(SECOND_INCARNATION + 1, 1, 'i-2', port=80))
     assert state_of(registry, 'i-1') is LeaseState.READY
     assert state_of(registry, 'i-2') is LeaseState.READY
 
@@ -116,23 +116,23 @@
 # Entries.
 
 
-def report(born, sequence, running=0, served=WHOLE):
+def report(incarnation, sequence, running=0, served=WHOLE):
     return EndpointState(
         'e-1', 's', 'z1', '10.0.0.1', 80, sequence, reachable=True, running=running,
-        served=served, incarnation=born,
+        served=served, incarnation=incarnation,
     )  # fmt: skip
 
 
 def test_an_entry_resets_all_state_for_the_next_incarnation(clock):
     book = ServerBook(ZoneId('z1'), Random(1), clock)
-    book.take_leases([lease(FIRST, 9)])
-    book.take_reports([report(FIRST, 500, running=16)])
+    book.take_leases([lease(FIRST_INCARNATION, 9)])
+    book.take_reports([report(FIRST_INCARNATION, 500, running=16)])
     before = book.servers['i-1']
     before.mine = 3
     before.refused[1] = clock.now + 60
     before.note_failure(clock.now)
     before.lateness.note(500.0, clock.now)
-    assert book.take_leases([lease(SECOND, 1, served=())]) == [before]
+    assert book.take_leases([lease(SECOND_INCARNATION, 1, served=())]) == [before]
     assert before.replaced
     after = book.servers['i-1']
     assert after is not before
@@ -142,28 +142,28 @@
 
 def test_a_delayed_report_of_the_earlier_incarnation_is_not_applied_to_the_next(clock):
     book = ServerBook(ZoneId('z1'), Random(1), clock)
-    book.take_leases([lease(SECOND, 1, served=())])
-    book.take_reports([report(FIRST, 500)])
+    book.take_leases([lease(SECOND_INCARNATION, 1, served=())])
+    book.take_reports([report(FIRST_INCARNATION, 500)])
     assert book.choose(Wanted(ServiceName('s'), ENGINE), set()) is None
-    book.take_reports([report(SECOND, 501)])
+    book.take_reports([report(SECOND_INCARNATION, 501)])
     assert book.choose(Wanted(ServiceName('s'), ENGINE), set()) is not None
 
 
 def test_an_engine_whose_next_incarnation_already_reports_is_not_chosen(clock):
     book = ServerBook(ZoneId('z1'), Random(1), clock)
-    book.take_leases([lease(FIRST, 9)])
-    book.take_reports([report(SECOND, 501, served=())])
+    book.take_leases([lease(FIRST_INCARNATION, 9)])
+    book.take_reports([report(SECOND_INCARNATION, 501, served=())])
     assert book.choose(Wanted(ServiceName('s'), ENGINE), set()) is None
 
 
 def test_a_request_that_waits_at_an_earlier_incarnation_is_withdrawn(clock):
     book = ServerBook(ZoneId('z1'), Random(1), clock)
-    book.take_leases([lease(FIRST, 9)])
+    book.take_leases([lease(FIRST_INCARNATION, 9)])
     attempt = Attempt(Choice(book.servers['i-1']), clock.now)
     job = SimpleNamespace(wanted=Wanted(ServiceName('s')))
     waiting = Waiting(Environment(InstanceId('a:1'), ZoneId('z1'), monotonic=clock), None)
     waiting.check_engine(job, attempt, None)
-    book.take_leases([lease(SECOND, 1)])
+    book.take_leases([lease(SECOND_INCARNATION, 1)])
     with pytest.raises(SendFailed):
         waiting.check_engine(job, attempt, None)
 
@@ -171,14 +171,14 @@
 # The daemon beside an engine.
 
 
-def engine_report(born):
-    return EngineReport(0, 0, 0, 1, 1.0, False, (('m', 1, 0, 16),), born)
+def engine_report(incarnation):
+    return EngineReport(0, 0, 0, 1, 1.0, False, (('m', 1, 0, 16),), incarnation)
 
 
 def test_a_daemon_resets_its_state_for_a_restarted_engine():
     async def run():
         rollout = Engines(turn=0).rollout
-        rollout.take_report(engine_report(FIRST))
+        rollout.take_report(engine_report(FIRST_INCARNATION))
         rollout.has_looked = True
         rollout.lying = WeightsId('m', 2)
         expiry = Expiry(rollout.env, rollout.engine, rollout.store, rollout)
@@ -186,7 +186,7 @@
         target = ended_target(rollout)
         assert not expiry._has_ended(target)
         rollout.take_report(None)
-        rollout.take_report(engine_report(SECOND))
+        rollout.take_report(engine_report(SECOND_INCARNATION))
         assert (rollout.has_looked, rollout.lying, rollout.place) == (False, None, None)
         assert expiry._has_ended(target)
 
@@ -207,10 +207,10 @@
 REPLICAS = ('a:1', 'b:1', 'c:1')
 BACK_ENDS = st.sampled_from(['i-1', 'i-2'])
 PORTS = st.sampled_from([80, 81])
-PLACES = st.integers(0, len(REPLICAS) - 1)
+REPLICA_INDEXES = st.integers(0, len(REPLICAS) - 1)
 
 
-class Lives(RuleBasedStateMachine):
+class RestartingBackEnds(RuleBasedStateMachine):
     """
     Two back ends at two addresses that end and start again, while what they say is
     delayed, doubled and kept from some replicas.
@@ -226,67 +226,67 @@
             registry = Registry(env, HEARTBEAT_S)
             self.replicas.append((registry, Followers(env, None, registry)))
         self.feeds = {}
-        self.cut = set()
+        self.partitioned = set()
         # The last word of each back end, and all that was ever said.
-        self.alive = {}
-        self.said = []
+        self.last_sent = {}
+        self.sent = []
         # The newest incarnation of each that any replica took.
         self.newest = {}
 
     @rule(instance=BACK_ENDS, port=PORTS)
-    def begin(self, instance, port):
+    def start_back_end(self, instance, port):
         self.clock.now += 0.1
-        taken = {word.port for name, word in self.alive.items() if name != instance}
+        taken = {heartbeat.port for name, heartbeat in self.last_sent.items() if name != instance}
         if port in taken:
             return
-        self.alive[instance] = lease(int(self.clock.now * 1000), 0, instance, port)
+        self.last_sent[instance] = lease(int(self.clock.now * 1000), 0, instance, port)
 
-    @rule(instance=BACK_ENDS, place=PLACES, lost=st.booleans())
-    def beat(self, instance, place, lost):
-        if instance not in self.alive:
+    @rule(instance=BACK_ENDS, replica_index=REPLICA_INDEXES, lost=st.booleans())
+    def send_heartbeat(self, instance, replica_index, lost):
+        if instance not in self.last_sent:
             return
-        before = self.alive[instance]
-        word = msgspec.structs.replace(before, sequence=before.sequence + 1)
-        self.alive[instance] = word
-        self.said.append(word)
+        before = self.last_sent[instance]
+        heartbeat = msgspec.structs.replace(before, sequence=before.sequence + 1)
+        self.last_sent[instance] = heartbeat
+        self.sent.append(heartbeat)
         if not lost:
-            self.hear(place, word)
-
-    @rule(instance=BACK_ENDS, place=PLACES)
-    def leave(self, instance, place):
-        word = self.alive.pop(instance, None)
-        if word is not None:
-            self.replicas[place][0].record_goodbye(instance, word.incarnation)
-            self.note(word)
-
-    @rule(place=PLACES, data=st.data())
-    def hear_late(self, place, data):
-        if self.said:
-            self.hear(place, data.draw(st.sampled_from(self.said)))
-
-    def hear(self, place, word):
-        self.replicas[place][0].record_heartbeat(word)
-        self.note(word)
-
-    def note(self, word):
-        newest = self.newest.get(word.instance, 0)
-        self.newest[word.instance] = max(newest, word.incarnation)
-
-    @rule(first=PLACES, second=PLACES, whole=st.booleans())
-    def cut_or_join(self, first, second, whole):
-        self.cut.clear()
-        if not whole and first != second:
-            self.cut = {(first, second), (second, first)}
+            self.deliver(replica_index, heartbeat)
+
+    @rule(instance=BACK_ENDS, replica_index=REPLICA_INDEXES)
+    def send_goodbye(self, instance, replica_index):
+        heartbeat = self.last_sent.pop(instance, None)
+        if heartbeat is not None:
+            self.replicas[replica_index][0].record_goodbye(instance, heartbeat.incarnation)
+            self.note_incarnation(heartbeat)
+
+    @rule(replica_index=REPLICA_INDEXES, data=st.data())
+    def deliver_late(self, replica_index, data):
+        if self.sent:
+            self.deliver(replica_index, data.draw(st.sampled_from(self.sent)))
+
+    def deliver(self, replica_index, heartbeat):
+        self.replicas[replica_index][0].record_heartbeat(heartbeat)
+        self.note_incarnation(heartbeat)
+
+    def note_incarnation(self, heartbeat):
+        newest = self.newest.get(heartbeat.instance, 0)
+        self.newest[heartbeat.instance] = max(newest, heartbeat.incarnation)
+
+    @rule(first=REPLICA_INDEXES, second=REPLICA_INDEXES, healed=st.booleans())
+    def partition_or_heal(self, first, second, healed):
+        self.partitioned.clear()
+        if not healed and first != second:
+            self.partitioned = {(first, second), (second, first)}
 
     @rule()
     def exchange(self):
         for source, (_, followers) in enumerate(self.replicas):
             for target, (registry, _) in enumerate(self.replicas):
-                if source == target or (source, target) in self.cut:
+                if source == target or (source, target) in self.partitioned:
                     continue
                 feed = self.feeds.setdefault((source, target), Follower(None, REPLICA_ROLE))
-                told = followers._next_leases_message(feed)
-                for record in decode_leases(told.leases):
+                received = followers._next_leases_message(feed)
+                for record in decode_leases(received.leases):
                     registry.merge_lease(record)
 
     @rule(seconds=st.sampled_from([0.5, LEASE_S + 0.1]))
@@ -296,7 +296,7 @@
             registry.expire(set())
 
     @invariant()
-    def no_earlier_incarnation_comes_back(self):
+    def no_earlier_incarnation_returns(self):
         if not hasattr(self, 'replicas'):
             return
         for registry, _ in self.replicas:
@@ -306,16 +306,16 @@
     def teardown(self):
         if not hasattr(self, 'replicas'):
             return
-        self.cut.clear()
+        self.partitioned.clear()
         for _ in range(4):
             self.exchange()
         for name, newest in self.newest.items():
             held = [registry.leases.get(name) for registry, _ in self.replicas]
-            told = {record.incarnation for record in held if record is not None}
-            assert told <= {newest}, (name, newest, held)
+            received = {record.incarnation for record in held if record is not None}
+            assert received <= {newest}, (name, newest, held)
             states = {record.state for record in held if record is not None}
             assert len(states) <= 1, (name, held)
 
 
-TestLives = Lives.TestCase
-TestLives.settings = settings(deadline=None, max_examples=100, stateful_step_count=30)
+TestRestartingBackEnds = RestartingBackEnds.TestCase
+TestRestartingBackEnds.settings = settings(deadline=None, max_examples=100, stateful_step_count=30)
--- a/tests/test_leases_of_lost_owners.py
+++ b/tests/test_leases_of_lost_owners.py
@@ -17,7 +17,7 @@
 HEARTBEAT_S = 1.2
 
 
-class Told:
+class ReplicaWithFeeds:
     """
     One replica, and what it has told each other one.
 
@@ -29,43 +29,47 @@
         self.followers = Followers(self.env, None, self.registry)
         self.feeds = {}
 
-    def tell(self, other):
+    def send_feed(self, other):
         feed = self.feeds.setdefault(other, Follower(None, REPLICA_ROLE))
         message = self.followers._next_leases_message(feed)
         for lease in decode_leases(message.leases):
             other.registry.merge_lease(lease)
 
 
-def beat(replica, sequence):
+def send_heartbeat(replica, sequence):
     lease = Lease('i-1', 's', '10.0.0.1', 80, 'zone', 1, LeaseState.READY, sequence)
     return replica.registry.record_heartbeat(lease)
 
 
 def test_a_back_end_with_heartbeats_is_usable_at_replicas_that_reach_its_owner():
     clock = Clock()
-    owner, third, apart = Told('o:1', clock), Told('y:1', clock), Told('z:1', clock)
-    assert beat(owner, 1) is RecordChange.CHANGED
-    for replica in (owner, third, apart):
-        for other in {owner, third, apart} - {replica}:
-            replica.tell(other)
+    owner, other_replica, cut_off = (
+        ReplicaWithFeeds('o:1', clock),
+        ReplicaWithFeeds('y:1', clock),
+        ReplicaWithFeeds('z:1', clock),
+    )
+    assert send_heartbeat(owner, 1) is RecordChange.CHANGED
+    for replica in (owner, other_replica, cut_off):
+        for other in {owner, other_replica, cut_off} - {replica}:
+            replica.send_feed(other)
     # Only the link between the owner and one replica is cut, or that one is frozen.
     for sequence in range(2, 8):
         clock.now += HEARTBEAT_S
-        beat(owner, sequence)
-        owner.tell(third)
-        apart.registry.expire({'o:1'})
-        apart.tell(third)
-        third.tell(apart)
-        third.tell(owner)
-        third.registry.expire(set())
+        send_heartbeat(owner, sequence)
+        owner.send_feed(other_replica)
+        cut_off.registry.expire({'o:1'})
+        cut_off.send_feed(other_replica)
+        other_replica.send_feed(cut_off)
+        other_replica.send_feed(owner)
+        other_replica.registry.expire(set())
         owner.registry.expire(set())
     # The link is back; the owner goes on getting heartbeats for a minute.
     for sequence in range(8, 60):
         clock.now += HEARTBEAT_S
-        beat(owner, sequence)
-        for replica in (owner, third, apart):
-            for other in {owner, third, apart} - {replica}:
-                replica.tell(other)
+        send_heartbeat(owner, sequence)
+        for replica in (owner, other_replica, cut_off):
+            for other in {owner, other_replica, cut_off} - {replica}:
+                replica.send_feed(other)
             replica.registry.expire(set())
     assert owner.registry.leases.get('i-1').state is LeaseState.READY
-    assert third.registry.leases.get('i-1').state is LeaseState.READY
+    assert other_replica.registry.leases.get('i-1').state is LeaseState.READY
--- a/tests/test_machine_suspension.py
+++ b/tests/test_machine_suspension.py
@@ -23,11 +23,11 @@
     env = Environment(InstanceId('a:1'), ZoneId('z1'))
     view = View()
     view.replace(ClusterId('c'), Revision(1), {})
-    told = VersionCutoffs()
-    versions = Versions(env, view, 8000, told, leads=never_leads)
+    cutoffs = VersionCutoffs()
+    versions = Versions(env, view, 8000, cutoffs, leads=never_leads)
     name(view, versions, 1)
     name(view, versions, 2)
-    told.record_answer(env.monotonic(), [VersionSwitch('m', 2, int(SLEPT_S * 1000) - 1000)])
+    cutoffs.record_answer(env.monotonic(), [VersionSwitch('m', 2, int(SLEPT_S * 1000) - 1000)])
     assert versions.least('m') < 2
     now[time.CLOCK_BOOTTIME] += SLEPT_S
     assert versions.least('m') == 2
--- a/tests/test_platform_foreign_messages.py
+++ b/tests/test_platform_foreign_messages.py
@@ -28,7 +28,7 @@
 from millfork_state.view import View
 from millfork_web.models import Request
 from millforkd.replica.control import Control
-from tests.test_incarnations import FIRST, lease
+from tests.test_incarnations import FIRST_INCARNATION, lease
 from tests.test_platform import BEAT, DOCUMENT, post
 from tests.test_registry import HEARTBEAT_S, Clock
 from tests.test_seeded_fleet import document
@@ -45,13 +45,13 @@
     'kv_used': 41000,
     'kv_total': 90000,
     'pace': 1.0,
-    'born': FIRST,
+    'born': FIRST_INCARNATION,
 }
 HEADERS = sorted(
     {value for value in vars(names).values() if isinstance(value, str) and '/' not in value}
 )
-LIST = {'model': 'm', 'version': 2, 'digests': ['a' * 64]}
-ODD = st.one_of(
+CHUNK_LIST = {'model': 'm', 'version': 2, 'digests': ['a' * 64]}
+FOREIGN_VALUES = st.one_of(
     st.none(),
     st.booleans(),
     st.integers(-(10**400), 10**400),
@@ -64,7 +64,7 @@
 )
 
 
-def places_in(value, path=()):
+def paths_in(value, path=()):
     """
     The path of every value in a message.
 
@@ -74,7 +74,7 @@
     if isinstance(value, dict | list):
         for key, item in items:
             found += (
-                places_in(item, (*path, key)) if isinstance(item, dict | list) else [(*path, key)]
+                paths_in(item, (*path, key)) if isinstance(item, dict | list) else [(*path, key)]
             )
     return found
 
@@ -86,13 +86,13 @@
 
     """
     changed = copy.deepcopy(message)
-    for path in draw(st.lists(st.sampled_from(places_in(message)), max_size=3, unique=True)):
+    for path in draw(st.lists(st.sampled_from(paths_in(message)), max_size=3, unique=True)):
         try:
             holder = changed
             for key in path[:-1]:
                 holder = holder[key]
             if draw(st.booleans()):
-                holder[path[-1]] = draw(ODD)
+                holder[path[-1]] = draw(FOREIGN_VALUES)
             else:
                 del holder[path[-1]]
         except (KeyError, IndexError, TypeError):
@@ -106,7 +106,7 @@
 
 
 @settings(max_examples=300, deadline=None)
-@given(mutated({**BEAT, 'born': FIRST}))
+@given(mutated({**BEAT, 'born': FIRST_INCARNATION}))
 def test_a_heartbeat_is_fully_valid_or_refused(body):
     try:
         call = post('/v1/Instances.Heartbeat/i-1', body)
@@ -142,7 +142,7 @@
     assert msgspec.msgpack.encode([report.running, report.queued, report.incarnation])
 
 
-@given(mutated(LIST))
+@given(mutated(CHUNK_LIST))
 def test_a_list_of_pieces_is_fully_valid_or_refused(body):
     try:
         pieces = ADAPTER.read_piece_list(body)
@@ -151,7 +151,7 @@
     assert all(len(bytes.fromhex(digest)) == 32 for digest in pieces.digests)
 
 
-@given(mutated({'model': 'm', 'version': 2}), mutated({'born': FIRST}))
+@given(mutated({'model': 'm', 'version': 2}), mutated({'born': FIRST_INCARNATION}))
 def test_other_calls_are_accepted_or_refused(version, goodbye):
     for path, body in (('/v1/version-put', version), ('/v1/Instances.Leave/i-1', goodbye)):
         try:
@@ -178,7 +178,7 @@
 def test_a_goodbye_with_a_body_names_its_incarnation():
     path = '/v1/Instances.Leave/i-1'
     assert post(path, b'') == Goodbye('i-1', None)
-    assert post(path, {'born': FIRST}) == Goodbye('i-1', FIRST)
+    assert post(path, {'born': FIRST_INCARNATION}) == Goodbye('i-1', FIRST_INCARNATION)
     assert post(path, {}) == Goodbye('i-1', 0)
 
 
@@ -196,7 +196,7 @@
 # At a replica.
 
 
-class Calls:
+class ReplicaCalls:
     """
     The calls of one replica, which knows one document and one back end.
 
@@ -206,7 +206,7 @@
         self.clock = Clock()
         self.env = Environment(InstanceId('a:1'), ZoneId('z1'), monotonic=self.clock)
         self.registry = Registry(self.env, HEARTBEAT_S)
-        self.registry.record_heartbeat(lease(FIRST, 5))
+        self.registry.record_heartbeat(lease(FIRST_INCARNATION, 5))
         self.woken = 0
         followers = SimpleNamespace(wake=self.wake)
         self.control = Control(
@@ -239,9 +239,9 @@
     ],
 )
 def test_a_foreign_heartbeat_is_refused_and_changes_no_lease(change):
-    calls = Calls()
+    calls = ReplicaCalls()
     held = calls.registry.leases.get('i-1')
-    body = {**BEAT, 'address': '10.0.0.1:80', 'born': FIRST + 1, **change}
+    body = {**BEAT, 'address': '10.0.0.1:80', 'born': FIRST_INCARNATION + 1, **change}
     for name in ('i-1', 'i-2'):
         request = Request('POST', f'{names.HEARTBEAT_PATH}{name}', [], json.dumps(body).encode())
         assert 400 <= calls.send(request) < 500
@@ -255,7 +255,7 @@
         'millforkd.replica.control.log',
         SimpleNamespace(warning=lambda text, *args: lines.append(args)),
     )
-    calls = Calls()
+    calls = ReplicaCalls()
     request = Request('POST', names.PUT_DOCUMENT_PATH, [], b'\xff')
     for _ in range(50):
         calls.send(request)
@@ -269,9 +269,9 @@
 
 
 def test_an_undeclared_service_is_refused_once_there_is_a_document():
-    calls = Calls()
+    calls = ReplicaCalls()
     calls.control.services = None
-    beat = standins.heartbeat(lease(FIRST, 6))
+    beat = standins.heartbeat(lease(FIRST_INCARNATION, 6))
     assert calls.send(beat) == 200
     calls.control.services = frozenset(item.name for item in document(1).services)
-    assert calls.send(standins.heartbeat(lease(FIRST, 7))) == 422
+    assert calls.send(standins.heartbeat(lease(FIRST_INCARNATION, 7))) == 422
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -122,15 +122,15 @@
 
     async def run():
         processes = [Suspects(Clock()) for _ in range(3)]
-        for kind, one, other in steps:
-            known = processes[one].get(FINGERPRINT)
+        for kind, sender, receiver in steps:
+            known = processes[sender].get(FINGERPRINT)
             if kind == 'end':
-                await processes[one].record(known.with_end())
+                await processes[sender].record(known.with_end())
             elif kind == 'clear':
-                await processes[one].record(known.cleared())
+                await processes[sender].record(known.cleared())
             else:
-                body = encode_suspicions(list(processes[one].table.values()))
-                await processes[other].merge(decode_suspicions(body))
+                body = encode_suspicions(list(processes[sender].table.values()))
+                await processes[receiver].merge(decode_suspicions(body))
         newest = max((p.get(FINGERPRINT) for p in processes), key=lambda item: item.order)
         for process in processes:
             await process.merge([newest])
@@ -233,7 +233,7 @@
         yield sock
 
 
-def broke_off(port):
+def ends_after_broken_answer(port):
     """
     What is known of a request whose answer broke off at a back end with this port.
 
@@ -252,6 +252,6 @@
 
 def test_a_broken_off_answer_counts_only_if_the_back_end_has_ended(listening):
     port = listening.getsockname()[1]
-    assert broke_off(port) == 0
+    assert ends_after_broken_answer(port) == 0
     listening.close()
-    assert broke_off(port) == 1
+    assert ends_after_broken_answer(port) == 1
--- a/tests/test_registry_completeness.py
+++ b/tests/test_registry_completeness.py
@@ -32,7 +32,7 @@
     return Lease(instance, 's', '10.0.0.1', int(instance[2:]), 'z', 4, LeaseState.READY, 1, owner)
 
 
-class Restarted:
+class RestartedReplica:
     """
     A replica of three that has just started, and what it tells an entry that follows it.
 
@@ -60,7 +60,7 @@
         self.clock.now += seconds
         self.replica_links.update_completeness()
 
-    def left_at(self, entry):
+    def instances_after_feed_to(self, entry):
         message = self.followers._next_leases_message(Follower(None, ENTRY_ROLE))
         feed_client = FeedClient(self.env, ENTRY_ROLE, None, entry, None, None)
         curio.run(feed_client._on_leases, InstanceId('a:1'), message)
@@ -69,7 +69,7 @@
 
 @pytest.fixture
 def restarted():
-    return Restarted()
+    return RestartedReplica()
 
 
 def test_a_replica_that_is_cut_off_does_not_claim_completeness(restarted):
@@ -79,7 +79,7 @@
     restarted.registry.record_heartbeat(lease('i-1', 'a:1'))
     restarted.pass_time(LONG_S)
     assert not restarted.registry.is_complete
-    assert restarted.left_at(entry) == ['i-1', 'i-2', 'i-3']
+    assert restarted.instances_after_feed_to(entry) == ['i-1', 'i-2', 'i-3']
 
 
 def test_a_replica_is_complete_after_some_time_with_a_majority(restarted):
--- a/tests/test_version_cutoffs.py
+++ b/tests/test_version_cutoffs.py
@@ -17,7 +17,7 @@
 from tests.test_versions import SWITCH_MS, SWITCH_S, name
 
 
-def left(left_s, version=2):
+def switches_with(left_s, version=2):
     return [VersionSwitch('m', version, int(left_s * 1000))]
 
 
@@ -32,94 +32,94 @@
 
 
 @pytest.fixture
-def told():
+def cutoffs():
     return VersionCutoffs()
 
 
-def versions(clock, view, told, untold_ms, leads):
+def versions(clock, view, cutoffs, untold_ms, leads):
     env = Environment(InstanceId('a:1'), ZoneId('zone'), monotonic=clock)
-    made = Versions(env, view, SWITCH_MS, told, untold_ms, leads)
-    made.refresh()
-    return made
+    versions_tracker = Versions(env, view, SWITCH_MS, cutoffs, untold_ms, leads)
+    versions_tracker.refresh()
+    return versions_tracker
 
 
 @pytest.fixture
-def follower(clock, view, told):
-    return versions(clock, view, told, UNTOLD_MS, never_leads)
+def follower(clock, view, cutoffs):
+    return versions(clock, view, cutoffs, UNTOLD_MS, never_leads)
 
 
 @given(st.lists(st.tuples(st.floats(0, 7), st.floats(0, 3)), min_size=1, max_size=6))
 def test_a_late_answer_never_gives_too_late_a_cutoff(questions):
-    told = VersionCutoffs()
+    cutoffs = VersionCutoffs()
     for asked_s, way_s in questions:
         # Of 8 s after the naming, so much is left once the question has arrived.
         left_s = max(SWITCH_S - asked_s - way_s, 0)
-        told.record_answer(100 + asked_s, left(left_s))
-    assert told.cutoff_of('m', 2) <= 100 + SWITCH_S
+        cutoffs.record_answer(100 + asked_s, switches_with(left_s))
+    assert cutoffs.cutoff_of('m', 2) <= 100 + SWITCH_S
 
 
-def test_a_faster_answer_corrects_the_cutoff_and_a_slower_one_does_not(told):
-    assert told.record_answer(100.0, left(6.0))
-    assert told.record_answer(102.0, left(5.5))
-    assert told.cutoff_of('m', 2) == pytest.approx(107.5)
-    assert not told.record_answer(103.0, left(3.0))
-    assert told.cutoff_of('m', 2) == pytest.approx(107.5)
+def test_a_faster_answer_corrects_the_cutoff_and_a_slower_one_does_not(cutoffs):
+    assert cutoffs.record_answer(100.0, switches_with(6.0))
+    assert cutoffs.record_answer(102.0, switches_with(5.5))
+    assert cutoffs.cutoff_of('m', 2) == pytest.approx(107.5)
+    assert not cutoffs.record_answer(103.0, switches_with(3.0))
+    assert cutoffs.cutoff_of('m', 2) == pytest.approx(107.5)
 
 
-def test_a_passed_cutoff_is_not_moved(told):
-    told.record_answer(100.0, left(0.0))
-    assert not told.record_answer(101.0, left(8.0))
-    assert told.cutoff_of('m', 2) == pytest.approx(100.0)
+def test_a_passed_cutoff_is_not_moved(cutoffs):
+    cutoffs.record_answer(100.0, switches_with(0.0))
+    assert not cutoffs.record_answer(101.0, switches_with(8.0))
+    assert cutoffs.cutoff_of('m', 2) == pytest.approx(100.0)
 
 
 def test_an_older_version_stays_usable_for_a_while_until_an_answer_arrives(
-    view, told, clock, follower
+    view, cutoffs, clock, follower
 ):
     name(view, follower, 2)
     learned_at = clock.now
     assert follower.ends_at('m', 1) == pytest.approx(learned_at + UNTOLD_MS / 1000 - CUT_S)
-    told.record_answer(clock.now, left(SWITCH_S - 0.5))
+    cutoffs.record_answer(clock.now, switches_with(SWITCH_S - 0.5))
     assert follower.ends_at('m', 1) == pytest.approx(learned_at + SWITCH_S - 0.5 - CUT_S)
 
 
-def test_a_version_named_before_the_follower_started_is_due_without_an_answer(view, told, clock):
+def test_a_version_named_before_the_follower_started_is_due_without_an_answer(view, cutoffs, clock):
     env = Environment(InstanceId('a:1'), ZoneId('zone'), monotonic=clock)
-    follower = Versions(env, view, SWITCH_MS, told, UNTOLD_MS, never_leads)
+    follower = Versions(env, view, SWITCH_MS, cutoffs, UNTOLD_MS, never_leads)
     name(view, follower, 2)
     assert follower.least('m') == 2
-    told.record_answer(clock.now, left(3.0))
+    cutoffs.record_answer(clock.now, switches_with(3.0))
     assert follower.least('m') == 0
     assert follower.ends_at('m', 1) == pytest.approx(clock.now + 3.0 - CUT_S)
 
 
-def test_the_cutoff_of_a_superseded_version_is_kept(view, told, clock, follower):
-    told.record_answer(clock.now, left(2.0, version=2) + left(5.0, version=3))
+def test_the_cutoff_of_a_superseded_version_is_kept(view, cutoffs, clock, follower):
+    cutoffs.record_answer(clock.now, switches_with(2.0, version=2) + switches_with(5.0, version=3))
     name(view, follower, 3)
     assert follower.ends_at('m', 1) == pytest.approx(clock.now + 2.0 - CUT_S)
     assert follower.ends_at('m', 2) == pytest.approx(clock.now + 5.0 - CUT_S)
     assert [item.version for item in follower.switches()] == [2, 3]
 
 
-def test_only_a_leader_or_a_process_with_an_answer_reports_a_switch(view, told, clock):
-    replica = versions(clock, view, told, 0, never_leads)
+def test_only_a_leader_or_a_process_with_an_answer_reports_a_switch(view, cutoffs, clock):
+    replica = versions(clock, view, cutoffs, 0, never_leads)
     name(view, replica, 2)
     assert replica.switches() == []
     assert replica.least('m') == 2
-    told.record_answer(clock.now, left(3.0))
+    cutoffs.record_answer(clock.now, switches_with(3.0))
     assert [item.left_ms for item in replica.switches()] == [3000]
 
 
-def test_a_leader_counts_from_when_it_learned_of_a_version_even_before_it_led(view, told, clock):
+def test_a_leader_counts_from_when_it_learned_of_a_version_even_before_it_led(view, cutoffs, clock):
     leading = []
-    replica = versions(clock, view, told, 0, lambda: bool(leading))
+    replica = versions(clock, view, cutoffs, 0, lambda: bool(leading))
     name(view, replica, 2)
     clock.now += 1.5
     leading.append(True)
     assert [item.left_ms for item in replica.switches()] == [6500]
 
 
-def test_the_newest_version_is_reported_even_after_its_cutoff(view, told, clock):
-    replica = versions(clock, view, told, 0, lambda: True)
+def test_the_newest_version_is_reported_even_after_its_cutoff(view, cutoffs, clock):
+    replica = versions(clock, view, cutoffs, 0, lambda: True)
     name(view, replica, 2)
     name(view, replica, 3)
     clock.now += SWITCH_S + 60
--- a/tests/test_version_ends_after_restart.py
+++ b/tests/test_version_ends_after_restart.py
@@ -120,7 +120,7 @@
     first = followed(fleet)
     name_version(fleet, 2, entry)
     pass_time(VERSION_MS / 1000 + 1)
-    told = len(due_s(fleet, entry))
+    lines_before = len(due_s(fleet, entry))
     fleet.kill(first)
     lose_commit_mark(fleet.folder / first)
     wait_until(lambda: followed(fleet) != first)
@@ -135,31 +135,31 @@
         pass_time(1.0)
     finally:
         fleet.signal(other, signal.SIGCONT)
-    assert due_s(fleet, entry)[told:] == []
+    assert due_s(fleet, entry)[lines_before:] == []
 
 
 def test_a_version_stays_ended_when_the_same_replica_restarts():
-    clock, view, told = Clock(), View(), VersionCutoffs()
+    clock, view, cutoffs = Clock(), View(), VersionCutoffs()
     env = Environment(InstanceId('a:1'), ZoneId('zone'), monotonic=clock)
-    entry = Versions(env, view, SWITCH_MS, told, UNTOLD_MS, never_leads)
+    entry = Versions(env, view, SWITCH_MS, cutoffs, UNTOLD_MS, never_leads)
     named = VersionSwitch('m', 2, SWITCH_MS)
-    told.record_answer(clock.now, [named])
+    cutoffs.record_answer(clock.now, [named])
     name(view, entry, 2)
     clock.now += SWITCH_S + 60
     assert entry.least('m') == 2
     # The replica was killed, and takes the version for one that was named just now.
-    told.record_answer(clock.now, [named])
+    cutoffs.record_answer(clock.now, [named])
     assert entry.least('m') == 2
 
 
 def test_one_slow_answer_does_not_leave_too_early_a_cutoff():
     clock = Clock()
     views = [View(), View()]
-    told = [VersionCutoffs(), VersionCutoffs()]
+    cutoffs = [VersionCutoffs(), VersionCutoffs()]
     replicas = []
     for number in range(2):
         env = Environment(InstanceId(f'r{number}:1'), ZoneId('zone'), monotonic=clock)
-        made = Versions(env, views[number], SWITCH_MS, told[number])
+        made = Versions(env, views[number], SWITCH_MS, cutoffs[number])
         made.refresh()
         replicas.append(made)
     for number in range(2):
@@ -169,7 +169,7 @@
     def ask(asker, answerer, took_s):
         asked_at = clock.now
         clock.now += took_s
-        told[asker].record_answer(asked_at, replicas[answerer].switches())
+        cutoffs[asker].record_answer(asked_at, replicas[answerer].switches())
 
     # One question was on its way for half a second; all others are answered at once.
     ask(0, 1, 0.5)
