--- a/tests/test_delayed_heartbeats.py
+++ b/tests/test_delayed_heartbeats.py
@@ -1,12 +1,10 @@
 """
-A heartbeat that comes after its back end has ended and another one lives at the address.
+A heartbeat that arrives after its back end has ended and another one runs at the address.
 
-A back end's heartbeat may come seconds late, at any replica. At one that never knew its sender
-(it had started since, or forgotten the record) a late heartbeat looked like the first of a new
-back end, and ended the lease of the live one at the address: `Lease expired. instance=i-2
-sequence=5`, then four times `Late heartbeat ignored. instance=i-2 held_by=i-1` of the live
-one's own, until `Lease ready. instance=i-2` 6.0 s later. Callers lost a back end for as long.
-Where back ends tell when their process started, that decides; this is about those that don't.
+A heartbeat may arrive seconds late, at any replica. A replica without a record of its sender
+took it for the first heartbeat of a new back end, and ended the lease of the live back end at
+the address. It then ignored the live one's heartbeats, and callers lost that back end for
+6.0 s. This concerns back ends that don't report when their process started.
 
 """
 
@@ -54,7 +52,7 @@
 
 def test_a_repeated_delayed_heartbeat_ends_no_lease(replica, clock):
     """
-    A back end that got no answer within a second sends the same heartbeat to another replica.
+    A back end without an answer within a second sends the same heartbeat to another replica.
 
     """
     replica.record_heartbeat(lease('i-2', 5))
--- a/tests/test_feed_client.py
+++ b/tests/test_feed_client.py
@@ -1,5 +1,5 @@
 """
-Which replica a process listens to: one of its own zone where it can.
+Choice of the replica that a process follows: one in its own zone if possible.
 
 """
 
@@ -23,7 +23,8 @@
 
 class StandInReplicas:
     """
-    The replicas of two zones; each is up or not, and hears its leader or not.
+    Replicas in two zones. Tests set which ones are reachable, and the age of the near one's
+    last contact with the leader.
 
     """
 
@@ -66,7 +67,7 @@
     task = await curio.spawn(client.run, daemon=True)
     async with curio.timeout_after(bound_s):
         while not condition():
-            # Its feed goes on.
+            # Simulates messages of the feed.
             client.source_heard_at = client.env.monotonic()
             await curio.sleep(0.01)
     await task.cancel()
@@ -124,7 +125,7 @@
     daemon = SimpleNamespace(feed_client=client)
 
     async def run():
-        # By way of another follower.
+        # From another follower, which relays the feed.
         await client.handle_feed_message(InstanceId('10.0.0.8:7'), leases)
         assert ProxyDaemon.most_entries(daemon) == UNTOLD_ENTRIES
         await client.handle_feed_message(client.source, leases)
--- a/tests/test_feed_relay.py
+++ b/tests/test_feed_relay.py
@@ -1,5 +1,5 @@
 """
-The feed by way of another follower, where no replica can be reached.
+Relaying of the feed by another follower, while no replica can be reached.
 
 """
 
@@ -27,7 +27,7 @@
 
 class Followers:
     """
-    Three followers that reach each other; the test says who hears a replica.
+    Three followers that reach each other; tests set which of them are connected to a replica.
 
     """
 
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -1,8 +1,8 @@
 """
-A back end that started again under the id that it had was not used: its heartbeats count
-from 1 again and were older than what replicas held, so they were ignored for as long as its
-first life had lasted, and after a goodbye for two minutes. Where they were taken, entries
-went on by the weights, load and failures of the process that had ended.
+Back ends that restart under the same id. Their sequence numbers start from 1 again, so
+replicas ignored their heartbeats for as long as the first process had lived, or for two
+minutes after a goodbye. Where the heartbeats were accepted, entries kept using the weights,
+load and failures of the process that had ended.
 
 """
 
@@ -195,7 +195,7 @@
 
 def ended_target(rollout):
     """
-    The rollout's target, whose version before it has ended.
+    The rollout's target with a predecessor whose time has ended.
 
     """
     target = rollout.target()
@@ -212,8 +212,8 @@
 
 class RestartingBackEnds(RuleBasedStateMachine):
     """
-    Two back ends at two addresses that end and start again, while what they say is
-    delayed, doubled and kept from some replicas.
+    Two back ends at two addresses that end and restart, while their messages are
+    delayed, duplicated, or lost to some replicas.
 
     """
 
@@ -227,10 +227,10 @@
             self.replicas.append((registry, Followers(env, None, registry)))
         self.feeds = {}
         self.partitioned = set()
-        # The last word of each back end, and all that was ever said.
+        # The last heartbeat of each live back end, and all heartbeats ever sent.
         self.last_sent = {}
         self.sent = []
-        # The newest incarnation of each that any replica took.
+        # The newest incarnation of each back end that any replica received.
         self.newest = {}
 
     @rule(instance=BACK_ENDS, port=PORTS)
--- a/tests/test_leases_of_lost_owners.py
+++ b/tests/test_leases_of_lost_owners.py
@@ -1,8 +1,8 @@
 """
-A replica that wrongly takes another one for lost (it was frozen, or only the link between
-the two was cut) lets the other's leases run out. A third replica, which hears both, takes
-that word, as its own copy has the same sequence: renewals are told to nobody. The owner,
-whose sequence is higher, notes nothing, so nothing ever corrects the third.
+A replica that wrongly considers another one lost (it was frozen, or only the link between
+the two was cut) expires the other's leases. A third replica, connected to both, accepted the
+expiry, because renewals aren't sent and its copy had the same sequence. The owner, which has
+a higher sequence, ignored the expiry, so nothing ever corrected the third replica.
 
 """
 
@@ -19,7 +19,7 @@
 
 class ReplicaWithFeeds:
     """
-    One replica, and what it has told each other one.
+    One replica, and the state of its feed to each other replica.
 
     """
 
@@ -52,7 +52,7 @@
     for replica in (owner, other_replica, cut_off):
         for other in {owner, other_replica, cut_off} - {replica}:
             replica.send_feed(other)
-    # Only the link between the owner and one replica is cut, or that one is frozen.
+    # Only the link between the owner and the `cut_off` replica is cut, or that replica is frozen.
     for sequence in range(2, 8):
         clock.now += HEARTBEAT_S
         send_heartbeat(owner, sequence)
@@ -63,7 +63,7 @@
         other_replica.send_feed(owner)
         other_replica.registry.expire(set())
         owner.registry.expire(set())
-    # The link is back; the owner goes on getting heartbeats for a minute.
+    # The link works again; the owner keeps receiving heartbeats for a minute.
     for sequence in range(8, 60):
         clock.now += HEARTBEAT_S
         send_heartbeat(owner, sequence)
--- a/tests/test_machine_suspension.py
+++ b/tests/test_machine_suspension.py
@@ -1,6 +1,6 @@
 """
-A machine that is suspended for seconds: the steady clock stands still meanwhile, while
-weights end, leases run out and callers leave.
+A machine that is suspended for seconds. CLOCK_MONOTONIC stops during the suspension, while
+versions pass their cutoffs, leases expire and callers leave.
 
 """
 
--- a/tests/test_platform_foreign_messages.py
+++ b/tests/test_platform_foreign_messages.py
@@ -1,9 +1,9 @@
 """
-Heartbeats, reports and documents that another writer sent: fields missing or of another
-type, numbers beyond all bounds, bytes that can't be read. A sequence over 64 bits was taken
-for a heartbeat, and the feed that was to tell others of it ended with `OverflowError: can't
-serialize ints < -2**63 or > 2**64 - 1`. An answer with `keep-alive: timeout=\xb2` ended its
-request with `ValueError: could not convert string to float`.
+Malformed heartbeats, reports and documents of foreign clients: missing fields, wrong types,
+numbers out of bounds, undecodable bytes. A sequence of more than 64 bits was accepted, and the
+feed that sent it on ended with `OverflowError: can't serialize ints < -2**63 or > 2**64 - 1`.
+An answer with `keep-alive: timeout=\xb2` ended its request with `ValueError: could not convert
+string to float`.
 
 """
 
@@ -66,7 +66,7 @@
 
 def paths_in(value, path=()):
     """
-    The path of every value in a message.
+    Return the path of every value in a message.
 
     """
     found = [path] if path else []
@@ -82,7 +82,8 @@
 @st.composite
 def mutated(draw, message):
     """
-    A message with some of its values replaced or left out, as bytes, at times cut short.
+    Draw a message as bytes, with some values replaced or removed, sometimes truncated or with
+    bytes appended.
 
     """
     changed = copy.deepcopy(message)
@@ -198,7 +199,7 @@
 
 class ReplicaCalls:
     """
-    The calls of one replica, which knows one document and one back end.
+    Sends calls to one replica, which has one declared service and one back end.
 
     """
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,5 +1,5 @@
 """
-What is known of requests under which back ends ended, and who acts on it.
+Suspicions of requests that ended back ends, the entries' quarantine, and its replicated list.
 
 """
 
@@ -115,8 +115,8 @@
 @given(STEPS)
 def test_processes_agree_once_they_have_exchanged_all_suspicions(steps):
     """
-    Three processes note ends and whole answers, and tell each other in any order, also the
-    same again; who knows less is told by whoever hears that.
+    Three processes record ends and complete answers, and send each other their suspicions in
+    any order and repeatedly. A process that receives older knowledge sends back its own.
 
     """
 
@@ -144,7 +144,7 @@
 
 class Entry:
     """
-    An entry's quarantine, and a job of it.
+    An entry's quarantine, and one job of the entry.
 
     """
 
@@ -188,7 +188,7 @@
             await entry.end()
         assert entry.quarantine.blocking_standing(entry.job)
         await listing.reconcile()
-        # As after a loss of power: suspicions are gone, the state is not.
+        # As after a loss of power: suspicions are lost, the replicated state is not.
         entry.suspects.table.remove(entry.job.fingerprint)
         assert entry.quarantine.blocking_standing(entry.job)
 
@@ -235,7 +235,7 @@
 
 def ends_after_broken_answer(port):
     """
-    What is known of a request whose answer broke off at a back end with this port.
+    The ends counted for a request whose answer broke off at a back end with this port.
 
     """
 
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -1,5 +1,5 @@
 """
-Leases of back ends: which record counts, who lets them run out.
+Leases of back ends: which of two records is newer, and which replica expires a lease.
 
 """
 
@@ -152,8 +152,8 @@
 
 def test_transfer_progress_is_not_announced_without_delay(registry):
     """
-    While weights change each daemon holds another piece every 0.05 s: told at once, a
-    replica sends to each of its followers as often as it can.
+    While weights change, each daemon receives a chunk every 0.05 s. Announced without delay,
+    each chunk would make a replica send to all its followers.
 
     """
     first = EndpointState('e:1', 'service', 'zone', '10.0.0.1', 80, 1, reachable=True)
--- a/tests/test_registry_completeness.py
+++ b/tests/test_registry_completeness.py
@@ -1,10 +1,10 @@
 """
-When a replica that starts may say that it knows all leases.
+When a starting replica may claim to know all leases.
 
-Who follows a replica that says so drops every lease that is not among its own. A replica that
-started again while it was cut off from the others said so after 2.5 heartbeats, whatever it
-had heard: an entry that then followed it had `i-1` of three back ends left, the one whose
-heartbeats came to that replica, though it reached all three.
+Followers of a replica with that claim drop every lease that it doesn't have. A replica that
+restarted while it was cut off from the others claimed completeness after 2.5 heartbeat
+periods. An entry that then followed it kept only one of three back ends, though it reached
+all three.
 
 """
 
@@ -34,7 +34,7 @@
 
 class RestartedReplica:
     """
-    A replica of three that has just started, and what it tells an entry that follows it.
+    One of three replicas, which has just started, and its feed to an entry.
 
     """
 
@@ -50,7 +50,7 @@
 
     def follow(self, *names):
         """
-        Follow other replicas; they answer.
+        Connect this replica to other replicas.
 
         """
         for name in names:
--- a/tests/test_repeat_budget_in_cuts.py
+++ b/tests/test_repeat_budget_in_cuts.py
@@ -1,6 +1,6 @@
 """
-Entries that begin while regions are cut from each other have never known of the others:
-each half divides the whole fixed allowance by itself alone.
+Entries that start during a network partition don't know the entries on the other side, so
+each side used the whole fixed allowance of retries.
 
 """
 
@@ -13,20 +13,20 @@
 from tests.test_repeat_budget import ENTRIES, RATIO, SERVICE, SLACK, TICK_S, WINDOW_S, Fleet
 from tests.test_servers import Clock
 
-# One request of each entry in so many ticks; all but a few are turned away.
-EACH_TICKS = 4
+# Each entry gets one request in this many ticks; nearly all requests are turned away.
+TICKS_PER_REQUEST = 4
 
 
 def test_entries_started_during_a_partition_stay_within_the_budget():
     fleet = Fleet()
-    # Both halves of the entries follow replicas that see their own half only.
+    # Each half of the entries follows replicas that know only this half.
     fleet.told = ENTRIES // 2
     fleet.budgets = [fleet.started() for _ in range(ENTRIES)]
     requests, repeats = [], []
     for tick in range(int(3 * WINDOW_S / TICK_S)):
         fleet.clock.now += TICK_S
         for budget in fleet.budgets:
-            if tick % EACH_TICKS == 0:
+            if tick % TICKS_PER_REQUEST == 0:
                 budget.note_request(SERVICE)
                 requests.append(fleet.clock.now)
             while budget.spend(SERVICE):
@@ -38,7 +38,7 @@
 
 def allowances(fleet):
     """
-    What all have of the fixed allowance, after windows without a request.
+    The entries' total share of the fixed allowance, after windows without a request.
 
     """
     for _ in range(int(3 * WINDOW_S / TICK_S)):
--- a/tests/test_version_cutoffs.py
+++ b/tests/test_version_cutoffs.py
@@ -1,5 +1,5 @@
 """
-From when on nothing may begin on a version, as a follower learns it from answers.
+The times from which no request may start on a version, as a follower learns them from answers.
 
 """
 
@@ -52,7 +52,7 @@
 def test_a_late_answer_never_gives_too_late_a_cutoff(questions):
     cutoffs = VersionCutoffs()
     for asked_s, way_s in questions:
-        # Of 8 s after the naming, so much is left once the question has arrived.
+        # The rest of the 8 s after the naming, when the question arrives.
         left_s = max(SWITCH_S - asked_s - way_s, 0)
         cutoffs.record_answer(100 + asked_s, switches_with(left_s))
     assert cutoffs.cutoff_of('m', 2) <= 100 + SWITCH_S
--- a/tests/test_version_ends_after_restart.py
+++ b/tests/test_version_ends_after_restart.py
@@ -1,7 +1,7 @@
 """
-Ends of versions that a replica tells after it was away for longer than an older version
-may be begun on: the others count the version among those named lately no more, so nothing
-lowers what the replica that comes back takes for the end.
+Cutoffs of versions that a replica reports after it was away for longer than requests may
+start on an older version. The other replicas no longer list the version as recently named,
+so nothing corrects too late a cutoff at the replica that returns.
 
 """
 
@@ -27,7 +27,7 @@
 from tests.utils.fleets import wait_until
 
 VERSION_MS = 3000
-# Answers tell whole ms, and take some.
+# Answers contain whole ms, and take a few ms themselves.
 AGREE_S = 0.1
 
 
@@ -46,7 +46,7 @@
 
 def due_s(fleet, host):
     """
-    The `due_s` of each line in a process's log that tells of version 2.
+    The `due_s` of each line about version 2 in a process's log.
 
     """
     return [float(found[3]) for found in LEARNED.finditer(fleet.log(host)) if found[2] == '2']
@@ -64,13 +64,13 @@
         shutil.rmtree(fleet.folder / away)
     fleet.start_one(away)
     wait_until(lambda: due_s(fleet, away))
-    # It ended before this process began.
+    # The cutoff passed before the replica's present process started.
     assert max(due_s(fleet, away)) <= 0
 
 
 def followed(fleet):
     """
-    The replica that the entry follows.
+    The replica that the entry follows at present.
 
     """
     return re.findall(r'Following replica ([\d.]+)', fleet.log(fleet.entry_hosts[0]))[-1]
@@ -78,26 +78,24 @@
 
 def lose_commit_mark(folder):
     """
-    Drop the last commit mark from a replica's log, as a loss of power does: it is not synced.
+    Drop the last commit mark from a replica's log, as a loss of power does: marks aren't synced.
 
     """
     log = folder / STATE_FOLDER / LOG_FILE
     data = log.read_bytes()
     at = data.rindex(b'\xa4type\xa1c')
-    # Its record: a head of fixed size, then a map of two.
+    # The mark's record is a header of fixed size and a map with two items.
     log.write_bytes(data[: at - 1 - RECORD.size])
 
 
 def test_a_starting_entry_gets_no_later_cutoff_from_a_replica_that_was_away(fleet):
     """
-    A version is named while a replica is away, and has long ended what came before it when
-    that replica and an entry start together. The replica told its state as fresh as soon as it
-    heard its leader, before it had what was committed meanwhile, so the entry followed it
-    (`FeedClient replica. age_ms=36`, at revision 1), heard of the version 58 ms later, took it
-    for one named just then (`Version named. version=2 due_s=1.1`) and could have sent requests
-    to the ended one until it was told better 0.2 s later (`Version end corrected. due_s=-0.9`).
-    It came in 4 of 15 runs, five at a time beside other work. A replica's age now counts from
-    when it holds all that was committed.
+    A version is named while a replica is away. After its cutoff, that replica and an entry
+    start together. The replica reported its state as fresh once it had contact with the leader,
+    before it had the entries committed meanwhile. The entry followed it, got the version 58 ms
+    later as newly named, and could have sent requests to the ended version until the cutoff was
+    corrected 0.2 s later. It happened in 4 of 15 runs, five at a time beside other load. A
+    replica's age now counts from when it holds all committed entries.
 
     """
     entry = fleet.entry_hosts[0]
@@ -128,7 +126,7 @@
     (fleet.folder / f'{first}.log').unlink()
     fleet.start_one(first)
     wait_until(lambda: due_s(fleet, first))
-    # The entry goes back to the one that it prefers.
+    # The entry returns to the replica that it prefers.
     fleet.signal(other, signal.SIGSTOP)
     try:
         wait_until(lambda: followed(fleet) == first)
@@ -147,7 +145,7 @@
     name(view, entry, 2)
     clock.now += SWITCH_S + 60
     assert entry.least('m') == 2
-    # The replica was killed, and takes the version for one that was named just now.
+    # The restarted replica reports the version as newly named.
     cutoffs.record_answer(clock.now, [named])
     assert entry.least('m') == 2
 
@@ -171,7 +169,7 @@
         clock.now += took_s
         cutoffs[asker].record_answer(asked_at, replicas[answerer].switches())
 
-    # One question was on its way for half a second; all others are answered at once.
+    # One question takes half a second; all others are answered immediately.
     ask(0, 1, 0.5)
     for _ in range(4):
         ask(1, 0, 0.002)
