--- a/packages/millfork-registry/millfork_registry/feed_relay.py
+++ b/packages/millfork-registry/millfork_registry/feed_relay.py
@@ -18,7 +18,7 @@
 from millfork_registry.discovery import address_of
 from millfork_registry.feed_client import FeedClient
 from millfork_registry.records import encode_records
-from millfork_registry.suspects import encode_suspicions
+from millfork_registry.suspicion_store import encode_suspicions
 from millfork_wire.connection import Connection, PeerError, PeerLost
 from millfork_wire.messages import AskFeed, FeedSent, Leases, VersionSwitch
 
@@ -61,8 +61,8 @@
 
     def _feed_is_lost(self) -> bool:
         feed_client = self.feed_client
-        heard_s = self.env.monotonic() - feed_client.source_heard_at
-        return bool(feed_client.view.cluster) and heard_s > FEED_LOST_AFTER_S
+        silent_s = self.env.monotonic() - feed_client.source_heard_at
+        return bool(feed_client.view.cluster) and silent_s > FEED_LOST_AFTER_S
 
     def _leave_relay(self) -> None:
         if not self.feed_client.relay:
--- a/packages/millfork-registry/millfork_registry/registry.py
+++ b/packages/millfork-registry/millfork_registry/registry.py
@@ -18,7 +18,7 @@
 from millfork_core.ids import UNTOLD_INCARNATION, Incarnation
 from millfork_core.logs import Part, logger
 from millfork_registry.records import EndpointState, Lease, LeaseState
-from millfork_registry.suspects import Suspects
+from millfork_registry.suspicion_store import SuspicionStore
 from millfork_registry.versioned_table import VersionedTable
 
 # A lease expires after this many heartbeat periods without a heartbeat.
@@ -61,7 +61,7 @@
         self.min_gap_s = heartbeat_s * MIN_GAP_SHARE
         self.leases: VersionedTable[Lease] = VersionedTable()
         self.endpoints: VersionedTable[EndpointState] = VersionedTable()
-        self.suspects = Suspects(env.monotonic)
+        self.suspects = SuspicionStore(env.monotonic)
         self.last_heard_at: dict[str, float] = {}
         self.ended_at_by_instance: dict[str, float] = {}
         # The back end that was last known to run at an address.
@@ -258,8 +258,8 @@
         for lease in list(self.leases.values()):
             if lease.state in ENDED_STATES:
                 continue
-            mine = lease.owner == str(self.env.instance)
-            if not mine and lease.owner not in lost_owners:
+            owned_here = lease.owner == str(self.env.instance)
+            if not owned_here and lease.owner not in lost_owners:
                 # The owner expires it; silence counts here from the owner's loss.
                 self.last_heard_at[lease.instance] = now
                 continue
--- a/packages/millfork-registry/millfork_registry/suspects.py
+++ b/packages/millfork-registry/millfork_registry/suspicion_store.py
@@ -120,7 +120,7 @@
     return int.from_bytes(data, 'big')
 
 
-class Suspects:
+class SuspicionStore:
     """
     The suspicions known to one process, and which of them it still has to send to others.
 
--- a/packages/millfork-scheduling/millfork_scheduling/quarantine.py
+++ b/packages/millfork-scheduling/millfork_scheduling/quarantine.py
@@ -16,7 +16,7 @@
 from typing import Final
 
 from millfork_core.ids import Fingerprint, IncarnationKey
-from millfork_registry.suspects import Suspicion
+from millfork_registry.suspicion_store import Suspicion
 
 # One end tells nothing, as all that ran there is under suspicion.
 ENDS: Final = 3
--- a/packages/millforkd/millforkd/entry/crashes.py
+++ b/packages/millforkd/millforkd/entry/crashes.py
@@ -15,7 +15,7 @@
 from millfork_core.ids import NO_INSTANCE, Fingerprint, IncarnationKey, InstanceId, RequestId
 from millfork_core.logs import Part, logger
 from millfork_core.verdicts import Reason, Refusal, Verdict
-from millfork_registry.suspects import Suspects, Suspicion
+from millfork_registry.suspicion_store import Suspicion, SuspicionStore
 from millfork_scheduling.quarantine import Standing, Trials
 from millfork_state.view import View
 from millfork_wire.messages import BackEndFate
@@ -82,7 +82,7 @@
         self, env: Environment, key: bytes, view: View, entries: Callable[[], int]
     ) -> None:
         self.env = env
-        self.suspects = Suspects(env.monotonic)
+        self.suspects = SuspicionStore(env.monotonic)
         self.suspecting = Suspecting(env, self.suspects)
         self.pending: dict[RequestId, Pending] = {}
         self.early_fates: dict[RequestId, bool] = {}
--- a/packages/millforkd/millforkd/entry/daemon.py
+++ b/packages/millforkd/millforkd/entry/daemon.py
@@ -12,7 +12,7 @@
 from millfork_core.environment import Environment
 from millfork_core.logs import Part, logger
 from millfork_core.verdicts import Reason, Refusal
-from millfork_registry.suspects import Suspects
+from millfork_registry.suspicion_store import SuspicionStore
 from millfork_settings.loading import read_secret
 from millfork_settings.models import Settings
 from millfork_state.answers import StateAnswers
@@ -118,7 +118,7 @@
         )
         return StateNode(replica, self.member.reports)
 
-    def _build_quarantine(self, suspects: Suspects) -> QuarantineList | None:
+    def _build_quarantine(self, suspects: SuspicionStore) -> QuarantineList | None:
         node = self.node
         if node is None:
             return None
--- a/packages/millforkd/millforkd/entry/spreading.py
+++ b/packages/millforkd/millforkd/entry/spreading.py
@@ -14,7 +14,7 @@
 from millfork_core.environment import Environment
 from millfork_core.ids import Fingerprint, InstanceId
 from millfork_core.logs import Part, logger
-from millfork_registry.suspects import Suspects, decode_suspicions, encode_suspicions
+from millfork_registry.suspicion_store import SuspicionStore, decode_suspicions, encode_suspicions
 from millfork_state.roster import Roster
 from millfork_wire.connection import Connection, PeerError
 from millfork_wire.messages import AskSuspicions, Done, SuspicionReport
@@ -55,7 +55,9 @@
 
     """
 
-    def __init__(self, env: Environment, peers: Peers, roster: Roster, suspects: Suspects) -> None:
+    def __init__(
+        self, env: Environment, peers: Peers, roster: Roster, suspects: SuspicionStore
+    ) -> None:
         self.env = env
         self.peers = peers
         self.roster = roster
--- a/packages/millforkd/millforkd/proxy/daemon.py
+++ b/packages/millforkd/millforkd/proxy/daemon.py
@@ -16,7 +16,7 @@
 from millfork_core.verdicts import Reason, Refusal
 from millfork_registry.discovery import address_of
 from millfork_registry.roles import ENTRY_ROLE
-from millfork_registry.suspects import decode_suspicions
+from millfork_registry.suspicion_store import decode_suspicions
 from millfork_routing.budget import SharedBudget
 from millfork_routing.documents import Document
 from millfork_routing.routes import RouteTable
--- a/packages/millforkd/millforkd/proxy/ends.py
+++ b/packages/millforkd/millforkd/proxy/ends.py
@@ -16,7 +16,7 @@
 from millfork_core.environment import Environment
 from millfork_core.ids import Fingerprint, IncarnationKey
 from millfork_core.logs import Part, logger
-from millfork_registry.suspects import Suspects, Suspicion
+from millfork_registry.suspicion_store import Suspicion, SuspicionStore
 from millfork_scheduling.fates import Fate, fate_of
 from millfork_scheduling.server import Server
 from millforkd.suspecting import Suspecting
@@ -76,7 +76,7 @@
     def __init__(
         self,
         env: Environment,
-        suspects: Suspects,
+        suspects: SuspicionStore,
         fate: Callable[[Server, float], Fate] = fate_of,
     ) -> None:
         self.env = env
--- a/packages/millforkd/millforkd/proxy/forwarding.py
+++ b/packages/millforkd/millforkd/proxy/forwarding.py
@@ -12,7 +12,7 @@
 from millfork_core.environment import Environment
 from millfork_core.logs import Part, logger
 from millfork_core.verdicts import Reason, Refusal, Refused, Verdict
-from millfork_registry.suspects import Suspicion
+from millfork_registry.suspicion_store import Suspicion
 from millfork_routing.budget import SharedBudget
 from millfork_scheduling.book import ServerBook
 from millfork_scheduling.placement import Choice
--- a/packages/millforkd/millforkd/proxy/suspicions.py
+++ b/packages/millforkd/millforkd/proxy/suspicions.py
@@ -11,7 +11,7 @@
 from millfork_core.logs import Part, logger
 from millfork_registry.discovery import address_of
 from millfork_registry.feed_client import FeedClient
-from millfork_registry.suspects import Suspects, encode_suspicions
+from millfork_registry.suspicion_store import SuspicionStore, encode_suspicions
 from millfork_wire.connection import PeerError
 from millfork_wire.messages import Done, SuspicionReport
 from millfork_wire.peers import Peers
@@ -31,7 +31,7 @@
     """
 
     def __init__(
-        self, env: Environment, peers: Peers, feed_client: FeedClient, suspects: Suspects
+        self, env: Environment, peers: Peers, feed_client: FeedClient, suspects: SuspicionStore
     ) -> None:
         self.env = env
         self.peers = peers
--- a/packages/millforkd/millforkd/quarantine.py
+++ b/packages/millforkd/millforkd/quarantine.py
@@ -7,7 +7,7 @@
 
 from millfork_core.ids import Fingerprint, Revision
 from millfork_core.logs import Part, logger
-from millfork_registry.suspects import Suspects, Suspicion, decode_epoch
+from millfork_registry.suspicion_store import Suspicion, SuspicionStore, decode_epoch
 from millfork_scheduling.quarantine import Standing, Trials, standing_of
 from millfork_state.commands import decode_versioned
 from millfork_state.keys import QUARANTINE_PREFIX
@@ -37,7 +37,7 @@
 
     def __init__(
         self,
-        suspects: Suspects,
+        suspects: SuspicionStore,
         view: View,
         fingerprints: FingerprintSource[RequestT],
         trials: Trials | None = None,
--- a/packages/millforkd/millforkd/replica/daemon.py
+++ b/packages/millforkd/millforkd/replica/daemon.py
@@ -17,7 +17,7 @@
 from millfork_registry.followers import Followers
 from millfork_registry.records import decode_state
 from millfork_registry.registry import RecordChange, Registry
-from millfork_registry.suspects import decode_suspicions
+from millfork_registry.suspicion_store import decode_suspicions
 from millfork_settings.seeded import SeededSettings, socket_pair
 from millfork_state.answers import StateAnswers
 from millfork_state.formation import Seeds
--- a/packages/millforkd/millforkd/replica/quarantine.py
+++ b/packages/millforkd/millforkd/replica/quarantine.py
@@ -16,7 +16,7 @@
 from millfork_core.ids import Fingerprint
 from millfork_core.logs import Part, logger
 from millfork_core.verdicts import Refused
-from millfork_registry.suspects import Suspects, Suspicion, decode_epoch, encode_epoch
+from millfork_registry.suspicion_store import Suspicion, SuspicionStore, decode_epoch, encode_epoch
 from millfork_scheduling.quarantine import is_at_fault
 from millfork_state.commands import AnyCommand, Apply, Change, Raise, decode_versioned
 from millfork_state.keys import QUARANTINE_PREFIX, quarantine_key
@@ -44,7 +44,7 @@
         self,
         env: Environment,
         view: View,
-        suspects: Suspects,
+        suspects: SuspicionStore,
         proposals: Proposals,
         leads: Callable[[], bool],
         now_ms: Callable[[], int],
--- a/packages/millforkd/millforkd/suspecting.py
+++ b/packages/millforkd/millforkd/suspecting.py
@@ -8,7 +8,7 @@
 from millfork_core.environment import Environment
 from millfork_core.ids import Fingerprint, IncarnationKey
 from millfork_core.windows import Allowance
-from millfork_registry.suspects import Suspects, Suspicion
+from millfork_registry.suspicion_store import Suspicion, SuspicionStore
 from millfork_scheduling.quarantine import ends_after
 
 # So many first breaks of requests are told to others at once, and within which time. Where
@@ -23,7 +23,7 @@
 
     """
 
-    def __init__(self, env: Environment, suspects: Suspects) -> None:
+    def __init__(self, env: Environment, suspects: SuspicionStore) -> None:
         self.env = env
         self.suspects = suspects
         self.told_at_once = Allowance(TOLD_AT_ONCE, TOLD_WITHIN_S)
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -14,7 +14,7 @@
 from millfork_core.ids import InstanceId, ServiceName, ZoneId
 from millfork_core.verdicts import Reason, Verdict
 from millfork_registry.records import ServedVersion
-from millfork_registry.suspects import Suspects
+from millfork_registry.suspicion_store import SuspicionStore
 from millfork_routing.budget import SharedBudget
 from millfork_scheduling.book import ServerBook
 from millfork_scheduling.placement import Choice, Wanted
@@ -133,7 +133,7 @@
         loads = SimpleNamespace(refresh=self.refresh)
         pools = SimpleNamespace(of=self.pool_of)
         fingerprints = Fingerprints(b'key', lambda: 'cluster')
-        quarantine = Quarantine(Suspects(self.clock), View(), fingerprints)
+        quarantine = Quarantine(SuspicionStore(self.clock), View(), fingerprints)
         self.forwarding = Forwarding(
             env, adapter, admission, book, pools, self.budget, quarantine, None, loads
         )
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -13,11 +13,11 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import ClusterId, Fingerprint, InstanceId, ServiceName, ZoneId
-from millfork_registry.suspects import (
+from millfork_registry.suspicion_store import (
     MAX_SUSPICIONS,
     SUSPICION_RETENTION_S,
-    Suspects,
     Suspicion,
+    SuspicionStore,
     decode_suspicions,
     encode_suspicions,
 )
@@ -52,7 +52,7 @@
 
 def test_ends_at_the_same_moment_count_as_one():
     async def run():
-        suspects = Suspects(Clock())
+        suspects = SuspicionStore(Clock())
         before = suspects.get(FINGERPRINT)
         for _ in range(5):
             await suspects.record(before.with_end())
@@ -63,7 +63,7 @@
 
 def test_a_complete_answer_clears_earlier_suspicions():
     async def run():
-        suspects = Suspects(Clock())
+        suspects = SuspicionStore(Clock())
         late = suspects.get(FINGERPRINT)
         for _ in range(ENDS):
             late = suspects.get(FINGERPRINT)
@@ -79,7 +79,7 @@
 def test_suspicions_are_bounded_in_age_and_number():
     async def run():
         clock = Clock()
-        suspects = Suspects(clock)
+        suspects = SuspicionStore(clock)
         for number in range(MAX_SUSPICIONS + 10):
             await suspects.record(Suspicion(Fingerprint(f'{number}'), 0, 1))
         assert len(suspects.table) == len(suspects.changed_at) == MAX_SUSPICIONS
@@ -94,7 +94,7 @@
 
 def test_followers_send_all_suspicions_to_a_restarted_replica():
     async def run():
-        suspects = Suspects(Clock())
+        suspects = SuspicionStore(Clock())
         suspicion = Suspicion(FINGERPRINT, 0, 2)
         await suspects.merge([suspicion])
         assert not suspects.unsent
@@ -121,7 +121,7 @@
     """
 
     async def run():
-        processes = [Suspects(Clock()) for _ in range(3)]
+        processes = [SuspicionStore(Clock()) for _ in range(3)]
         for kind, sender, receiver in steps:
             known = processes[sender].get(FINGERPRINT)
             if kind == 'end':
@@ -149,7 +149,7 @@
     """
 
     def __init__(self):
-        self.suspects = Suspects(Clock())
+        self.suspects = SuspicionStore(Clock())
         self.view = View()
         self.view.cluster = ClusterId('c')
         self.quarantine = Quarantine(
@@ -241,7 +241,7 @@
 
     async def run():
         env = Environment(InstanceId('a:1'), ZoneId('z1'))
-        suspects = Suspects(env.monotonic)
+        suspects = SuspicionStore(env.monotonic)
         ends = Ends(env, suspects)
         server = Server(InstanceId('i-1'), ServiceName('s'), '127.0.0.1', port, ZoneId('z1'), 16)
         await ends.note_broken(server, Suspicion(FINGERPRINT))
--- a/tests/test_repeat_budget_in_cuts.py
+++ b/tests/test_repeat_budget_in_cuts.py
@@ -73,5 +73,5 @@
     followers.entries_by_other_replica = {'b': ENTRIES}
     assert followers._next_leases_message(follower).most_entries == ENTRIES
     followers.entries_by_other_replica = {}
-    told = followers._next_leases_message(follower)
-    assert (told.entries, told.most_entries) == (0, ENTRIES)
+    message = followers._next_leases_message(follower)
+    assert (message.entries, message.most_entries) == (0, ENTRIES)
--- a/tests/test_silent_ends.py
+++ b/tests/test_silent_ends.py
@@ -15,7 +15,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import Fingerprint, InstanceId, ServiceName, ZoneId
-from millfork_registry.suspects import Suspects, Suspicion
+from millfork_registry.suspicion_store import Suspicion, SuspicionStore
 from millfork_scheduling.server import Server
 from millforkd.proxy import ends as ends_module
 from millforkd.proxy.ends import Address, Ends
@@ -39,7 +39,7 @@
 
     async def run():
         env = Environment(InstanceId('a:1'), ZoneId('z1'))
-        suspects = Suspects(env.monotonic)
+        suspects = SuspicionStore(env.monotonic)
         ends = Ends(env, suspects)
         server = Server(InstanceId('i-1'), ServiceName('s'), '127.0.0.1', 1, ZoneId('z1'), 16)
         looks = list(found)
--- a/tests/test_spreading_suspicions.py
+++ b/tests/test_spreading_suspicions.py
@@ -10,7 +10,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import Fingerprint, InstanceId, ZoneId
-from millfork_registry.suspects import Suspects, Suspicion, decode_suspicions
+from millfork_registry.suspicion_store import Suspicion, SuspicionStore, decode_suspicions
 from millfork_state.config import InstanceFacts
 from millfork_wire.connection import PeerUnreachable
 from millfork_wire.messages import AskSuspicions, SuspicionReport
@@ -51,7 +51,7 @@
     def add(self, name):
         env = Environment(InstanceId(name), ZoneId('z'))
         roster = FakeRoster(self.entries)
-        made = SuspicionSpreading(env, FakePeers(self), roster, Suspects(env.monotonic))
+        made = SuspicionSpreading(env, FakePeers(self), roster, SuspicionStore(env.monotonic))
         self.entries[InstanceId(name)] = made
         return made
 
--- a/tests/test_suspicions.py
+++ b/tests/test_suspicions.py
@@ -20,11 +20,11 @@
     ZoneId,
 )
 from millfork_core.windows import Allowance
-from millfork_registry.suspects import (
+from millfork_registry.suspicion_store import (
     MAX_BROKEN_INCARNATIONS,
     MAX_SUSPICIONS,
-    Suspects,
     Suspicion,
+    SuspicionStore,
     decode_suspicions,
     encode_suspicions,
 )
@@ -70,7 +70,7 @@
 @given(STEPS)
 def test_all_agree_once_each_has_told_what_it_knows(steps):
     async def run():
-        processes = [Suspects(Clock()) for _ in range(3)]
+        processes = [SuspicionStore(Clock()) for _ in range(3)]
 
         async def tell(one, other):
             body = encode_suspicions(list(processes[one].table.values()))
@@ -123,7 +123,7 @@
 
 def test_what_nobody_was_told_is_withdrawn_without_a_trace():
     async def run():
-        suspects = Suspects(Clock())
+        suspects = SuspicionStore(Clock())
         suspects.record_privately(suspected(1))
         await suspects.mark_all_unsent()
         assert not suspects.unsent
@@ -140,7 +140,7 @@
 
 def test_where_records_are_many_those_that_suspect_nothing_go_first():
     async def run():
-        suspects = Suspects(Clock())
+        suspects = SuspicionStore(Clock())
         await suspects.record(suspected())
         for number in range(MAX_SUSPICIONS):
             await suspects.record(Suspicion(Fingerprint(f'{number}'), 1))
@@ -195,7 +195,7 @@
 
     def __init__(self):
         self.env = Environment(InstanceId('a:1'), ZoneId('z1'))
-        self.suspects = Suspects(self.env.monotonic)
+        self.suspects = SuspicionStore(self.env.monotonic)
         self.fates = {}
         self.ends = Ends(self.env, self.suspects, self.fate)
         self.found = Address.ANSWERS
