--- a/packages/millforkd/millforkd/quarantine.py
+++ b/packages/millforkd/millforkd/quarantine.py
@@ -70,12 +70,12 @@
         if listed_epoch is not None and listed_epoch >= suspicion.epoch:
             return Standing.AT_FAULT
         standing = standing_of(suspicion)
-        if standing is Standing.SUSPECTED and self._may_be_tried(suspicion):
+        if standing is Standing.SUSPECTED and self._begin_trial(suspicion):
             log.info('Suspected request sent on trial. fingerprint={}', suspicion.fingerprint)
             return None
         return standing if standing is not Standing.FREE else None
 
-    def _may_be_tried(self, suspicion: Suspicion) -> bool:
+    def _begin_trial(self, suspicion: Suspicion) -> bool:
         return self.trials is not None and self.trials.begin(suspicion)
 
     def _refresh(self) -> None:
