--- a/packages/millfork-registry/millfork_registry/following.py
+++ b/packages/millfork-registry/millfork_registry/feed_client.py
@@ -1,8 +1,8 @@
 """
-A follower's side of the feed: which replica it listens to, and what it hears.
+A follower's side of the feed: choice of the replica to follow, and its messages.
 
-A follower keeps what it has heard until it hears better: with no replica in
-reach it goes on with the last configuration and the last leases.
+With no replica in reach, a follower keeps using the last configuration and the
+last leases that it received.
 
 """
 
@@ -17,8 +17,8 @@
 from millfork_registry.discovery import Discovery
 from millfork_registry.records import decode_leases, decode_states
 from millfork_registry.registry import Registry
-from millfork_registry.suspects import decode_suspicions
-from millfork_registry.switch_ends import SwitchEnds
+from millfork_registry.suspicion_store import decode_suspicions
+from millfork_registry.version_cutoffs import VersionCutoffs
 from millfork_state.commands import decode_versioned
 from millfork_state.keys import VERSION_PREFIX
 from millfork_state.view import View
@@ -34,24 +34,24 @@
 )
 from millfork_wire.peers import PeerAddress, Peers
 
-# Four heartbeats of the feed; a replica that is slower is left.
+# More than six heartbeats of the feed; the follower leaves a replica that is silent for longer.
 SILENT_AFTER_S: Final = 1.0
 FOLLOW_TIMEOUT_S: Final = 0.6
-CHECK_S: Final = 0.25
-RETRY_S: Final = 0.1
-ASK_EVERY_S: Final = 2.0
-# A follower of another zone's replica looks this often for one of its own zone.
-LOOK_NEARER_S: Final = 3.0
-# A replica that heard its leader this long ago may hold old configuration;
-# longer than an election.
+SOURCE_CHECK_PERIOD_S: Final = 0.25
+RETRY_PAUSE_S: Final = 0.1
+REPLICA_QUERY_PERIOD_S: Final = 2.0
+# A follower of a replica in another zone checks this often for a replica in its own zone.
+NEARER_CHECK_PERIOD_S: Final = 3.0
+# A replica without contact to its leader for this long may hold old configuration.
+# Elections are shorter.
 STALE_MS: Final = 1500
 
 log = logger(Part.REGISTRY)
 
 
-class Following:
+class FeedClient:
     """
-    The one replica that this process listens to.
+    Follows one replica at a time, and applies the messages of its feed.
 
     """
 
@@ -71,27 +71,27 @@
         self.peers = peers
         self.discovery = discovery
         self.source = NO_INSTANCE
-        self.heard_at = 0.0
+        self.source_heard_at = 0.0
         self.age_ms = 0
-        # Entries that the replica knows of now, and the most that it knew of lately.
+        # Number of entries that the replica knows now, and the greatest recent number.
         self.entries = 1
         self.most_entries = 1
-        # Whether any replica told of entries yet.
-        self.entries_told = False
-        # The follower by way of which the feed comes while no replica is heard, and the
-        # one that was asked for it last.
+        # Whether any replica has reported the number of entries.
+        self.entries_known = False
+        # The follower that relays the feed while no replica is in reach, and the follower
+        # that was last asked to do so.
         self.relay = ''
-        self.asked_relay = ''
-        # When requests may no longer begin on what came before a version.
-        self.switch_ends = SwitchEnds()
+        self.pending_relay = ''
+        self.version_cutoffs = VersionCutoffs()
         self.asked_at = 0.0
         # Set whenever leases or configuration changed.
         self.changed = curio.Event()
 
     @property
-    def reports_to(self) -> str:
+    def report_target(self) -> str:
         """
-        Who takes this process's reports: its replica, or who passes them on to one.
+        The process that receives this process's reports: the replica that it follows, or a
+        relay that passes them on.
 
         """
         return self.relay or str(self.source)
@@ -99,83 +99,86 @@
     @property
     def connected(self) -> bool:
         """
-        Whether a replica in touch with its leader was heard just now.
+        Whether the followed replica sent a message recently and is in contact with its leader.
 
         """
-        silent_s = self.env.monotonic() - self.heard_at
+        silent_s = self.env.monotonic() - self.source_heard_at
         return bool(self.source) and silent_s < SILENT_AFTER_S and self.age_ms < STALE_MS
 
     async def run(self) -> None:
         """
-        The task that keeps a replica to listen to.
+        Task that follows a replica, and another one once that is lost.
 
         """
         while True:
             for address in self._candidates():
-                if await self._begin(address):
-                    await self._listen(address)
-                    # Others may be nearer by what was learned meanwhile.
+                if await self._start_following(address):
+                    await self._watch_source(address)
+                    # Start over: a nearer replica may have become known meanwhile.
                     break
-            await curio.sleep(RETRY_S)
+            await curio.sleep(RETRY_PAUSE_S)
 
     def _candidates(self) -> list[PeerAddress]:
         addresses = self.discovery.addresses()
         return sorted(addresses, key=lambda address: address.instance == self.source)
 
-    async def _begin(self, address: PeerAddress) -> bool:
+    async def _start_following(self, address: PeerAddress) -> bool:
         reply = await self._ask(address)
         if reply is None or not reply.cluster:
             return False
-        if reply.age_ms > STALE_MS and await self._fresher_than(address, reply.age_ms):
+        if reply.age_ms > STALE_MS and await self._fresher_replica_exists(address, reply.age_ms):
             return False
         request = Follow(self.role, self.view.cluster, self.view.revision)
-        # Set first: the feed may overtake the reply.
+        # Set before the call, because messages of the feed may arrive before the reply.
         self.source = address.instance
         try:
             await self.peers.call(address, request, FOLLOW_TIMEOUT_S)
         except PeerError as error:
-            log.info('Replica {} can not be followed: {}.', address.instance, error)
+            log.info('Cannot follow replica {}: {}.', address.instance, error)
             return False
-        self.heard_at = self.env.monotonic()
-        self.asked_at = self.heard_at
+        self.source_heard_at = self.env.monotonic()
+        self.asked_at = self.source_heard_at
         self.age_ms = reply.age_ms
         log.info('Following replica {}. age_ms={}', address.instance, reply.age_ms)
-        await self.registry.suspects.tell_again()
+        await self.registry.suspects.mark_all_unsent()
         return True
 
     async def _ask(self, address: PeerAddress) -> Replicas | None:
         """
-        Ask a replica whom it knows, and what it knows of versions named lately.
+        Ask a replica for the replicas it knows and for recently named versions; None without
+        an answer.
 
         """
         asked_at = self.env.monotonic()
         reply = await self.discovery.ask(address, FindReplicas())
         if reply is not None:
-            await self.note_switches(asked_at, reply.switches)
+            await self.record_switches(asked_at, reply.switches)
         return reply
 
-    async def note_switches(self, asked_at: float, switches: list[VersionSwitch]) -> None:
+    async def record_switches(self, asked_at: float, switches: list[VersionSwitch]) -> None:
         """
-        Take what an answer to a question of `asked_at` told of versions named lately.
+        Record the recently named versions in an answer to a question asked at `asked_at`.
 
         """
-        if self.switch_ends.note(asked_at, switches):
+        if self.version_cutoffs.record_answer(asked_at, switches):
             await self.changed.set()
 
-    def _knows_of_untold(self) -> bool:
+    def _lacks_a_cutoff(self) -> bool:
         """
-        Whether a version was named of which no answer told yet.
+        Whether the configuration names a version whose cutoff no answer has reported yet.
 
         """
         return any(
-            self.switch_ends.at(key.removeprefix(VERSION_PREFIX), decode_versioned(value).version)
+            self.version_cutoffs.cutoff_of(
+                key.removeprefix(VERSION_PREFIX), decode_versioned(value).version
+            )
             is None
             for key, value in self.view.prefixed(VERSION_PREFIX).items()
         )
 
-    async def _fresher_than(self, address: PeerAddress, age_ms: int) -> bool:
+    async def _fresher_replica_exists(self, address: PeerAddress, age_ms: int) -> bool:
         """
-        Whether another replica has heard the leader more lately.
+        Whether another replica has had more recent contact with the leader.
 
         """
         for other in self.discovery.addresses():
@@ -186,35 +189,35 @@
                 return True
         return False
 
-    async def _listen(self, address: PeerAddress) -> None:
+    async def _watch_source(self, address: PeerAddress) -> None:
         """
-        Return once the replica is silent, gone, or clearly behind another, or
-        one of the own zone answers.
+        Return once the followed replica is silent, disconnected or stale, or a replica of
+        this process's zone answers.
 
         """
-        looked_at = self.env.monotonic()
+        nearer_checked_at = self.env.monotonic()
         while True:
-            await curio.sleep(CHECK_S)
+            await curio.sleep(SOURCE_CHECK_PERIOD_S)
             now = self.env.monotonic()
             connection = self.peers.connections.get(address.instance)
             if connection is None or connection.closed:
-                reason = 'the connection is gone'
+                reason = 'the connection is closed'
                 break
-            if now - self.heard_at > SILENT_AFTER_S:
+            if now - self.source_heard_at > SILENT_AFTER_S:
                 reason = 'silent'
                 await connection.close()
                 break
-            if now - self.asked_at > ASK_EVERY_S or self._knows_of_untold():
+            if now - self.asked_at > REPLICA_QUERY_PERIOD_S or self._lacks_a_cutoff():
                 self.asked_at = now
                 await self._ask(address)
-            if now - looked_at > LOOK_NEARER_S:
-                looked_at = now
-                if await self._has_nearer(address):
-                    reason = 'one of the own zone answers'
+            if now - nearer_checked_at > NEARER_CHECK_PERIOD_S:
+                nearer_checked_at = now
+                if await self._nearer_replica_exists(address):
+                    reason = 'a replica in the same zone answers'
                     await self._stop(connection)
                     break
-            if self.age_ms > STALE_MS and await self._fresher_than(address, self.age_ms):
-                reason = 'it does not hear the leader'
+            if self.age_ms > STALE_MS and await self._fresher_replica_exists(address, self.age_ms):
+                reason = 'the replica has no contact with its leader'
                 await self._stop(connection)
                 break
         self.env.metrics.count(self.env.metrics.wire, event='replica_left')
@@ -222,15 +225,15 @@
             'Left replica {}: {}. silent_s={:.2f} age_ms={} revision={}',
             address.instance,
             reason,
-            self.env.monotonic() - self.heard_at,
+            self.env.monotonic() - self.source_heard_at,
             self.age_ms,
             self.view.revision,
         )
 
-    async def _has_nearer(self, address: PeerAddress) -> bool:
+    async def _nearer_replica_exists(self, address: PeerAddress) -> bool:
         """
-        Whether a replica of the own zone is in touch with its leader, and the
-        one followed is of another.
+        Whether the followed replica is in another zone while a replica in this process's
+        zone is in contact with its leader.
 
         """
         own = str(self.env.zone)
@@ -250,31 +253,31 @@
         except PeerLost:
             pass
 
-    async def take(self, peer: InstanceId, message: Message) -> bool:
+    async def handle_feed_message(self, peer: InstanceId, message: Message) -> bool:
         """
-        Take a message of the feed; False if it is none.
+        Apply a message of the feed; False if the message belongs to something else.
 
         """
         if isinstance(message, Update):
-            await self._take_update(peer, message)
+            await self._on_update(peer, message)
             return True
         if isinstance(message, Leases):
-            await self._take_leases(peer, message)
+            await self._on_leases(peer, message)
             return True
         return False
 
-    async def _take_update(self, peer: InstanceId, update: Update) -> None:
+    async def _on_update(self, peer: InstanceId, update: Update) -> None:
         now = self.env.monotonic()
         if peer == self.source:
-            self.heard_at = now
+            self.source_heard_at = now
             self.age_ms = update.age_ms
-        elif peer != self.asked_relay:
+        elif peer != self.pending_relay:
             return
         if not self.view.take(update):
             return
         self.env.metrics.revision.set({}, self.view.revision)
         log.info(
-            'Configuration in force. revision={} source={} age_ms={}',
+            'Configuration applied. revision={} source={} age_ms={}',
             self.view.revision,
             peer,
             update.age_ms,
@@ -282,27 +285,27 @@
         await self.view.announce()
         await self.changed.set()
 
-    async def _take_leases(self, peer: InstanceId, message: Leases) -> None:
+    async def _on_leases(self, peer: InstanceId, message: Leases) -> None:
         if peer == self.source:
-            self.heard_at = self.env.monotonic()
+            self.source_heard_at = self.env.monotonic()
             self.entries = max(message.entries, 1)
             self.most_entries = max(message.most_entries, self.entries)
-            self.entries_told = True
+            self.entries_known = True
         try:
             leases = decode_leases(message.leases)
             endpoints = decode_states(message.reports)
             suspicions = decode_suspicions(message.suspicions)
         except msgspec.DecodeError as error:
-            log.warning('Leases from {} can not be read: {}.', peer, error)
+            log.warning('Cannot decode leases from {}: {}.', peer, error)
             return
         for lease in leases:
-            self.registry.take(lease)
+            self.registry.merge_lease(lease)
         for state in endpoints:
-            self.registry.take_endpoint(state)
-        await self.registry.suspects.hear(suspicions)
+            self.registry.merge_endpoint_state(state)
+        await self.registry.suspects.merge(suspicions)
         if message.full and message.settled:
-            self.registry.settled = True
-            self.registry.keep_only(
+            self.registry.is_complete = True
+            self.registry.retain_only(
                 {lease.instance for lease in leases},
                 {state.instance for state in endpoints},
             )
--- /dev/null
+++ b/packages/millfork-registry/millfork_registry/feed_relay.py
@@ -0,0 +1,172 @@
+"""
+Relaying of the feed by another follower, to a process that is cut off from all replicas.
+
+Without a relay, an entry that is cut off balances by loads that are seconds old: four of
+nine entries in that state made half of all first tokens late, with spare capacity.
+Followers of the same zone are asked first, entries before endpoint daemons, whose links
+have little bandwidth. Only a follower connected to a replica relays, so no cycles arise.
+
+"""
+
+from collections.abc import Callable
+from typing import Final
+
+import curio
+
+from millfork_core.environment import Environment
+from millfork_core.logs import Part, logger
+from millfork_registry.discovery import address_of
+from millfork_registry.feed_client import FeedClient
+from millfork_registry.records import encode_records
+from millfork_registry.suspicion_store import encode_suspicions
+from millfork_wire.connection import Connection, PeerError, PeerLost
+from millfork_wire.messages import AskFeed, FeedSent, Leases, VersionSwitch
+
+# The heartbeat period of a replica's feed.
+REQUEST_PERIOD_S: Final = 0.15
+REQUEST_TIMEOUT_S: Final = 0.3
+# A feed counts as lost after four of its heartbeat periods.
+FEED_LOST_AFTER_S: Final = 0.6
+# Additional pause before the next round of requests if no follower answered.
+NO_RELAY_PAUSE_S: Final = 0.5
+
+log = logger(Part.REGISTRY)
+
+
+class FeedRelay:
+    """
+    Requests the feed from other followers while it is lost, and answers such requests.
+
+    """
+
+    def __init__(self, env: Environment, feed_client: FeedClient) -> None:
+        self.env = env
+        self.feed_client = feed_client
+        self.received_versions = FeedSent()
+        # Returns the recently named versions known to this process.
+        self.switches: Callable[[], list[VersionSwitch]] = list
+
+    async def run(self) -> None:
+        """
+        Task that gets the feed from a relay while no replica sends it.
+
+        """
+        while True:
+            await curio.sleep(REQUEST_PERIOD_S)
+            if not self._feed_is_lost():
+                self._leave_relay()
+                continue
+            if not await self._request_from_any():
+                await curio.sleep(NO_RELAY_PAUSE_S)
+
+    def _feed_is_lost(self) -> bool:
+        feed_client = self.feed_client
+        silent_s = self.env.monotonic() - feed_client.source_heard_at
+        return bool(feed_client.view.cluster) and silent_s > FEED_LOST_AFTER_S
+
+    def _leave_relay(self) -> None:
+        if not self.feed_client.relay:
+            return
+        log.info('A replica sends the feed again; left the relay {}.', self.feed_client.relay)
+        self.feed_client.relay = ''
+
+    async def _request_from_any(self) -> bool:
+        """
+        Request the feed from the present relay, or else from other followers; False if none
+        answers.
+
+        """
+        for name in self._candidates():
+            if name != self.feed_client.relay:
+                self.received_versions = FeedSent()
+            if not await self._request_from(name):
+                continue
+            if name != self.feed_client.relay:
+                log.notice('Follower {} relays the feed.', name)
+                self.env.metrics.count(self.env.metrics.wire, event='relay_taken')
+            self.feed_client.relay = name
+            return True
+        self.feed_client.relay = ''
+        return False
+
+    async def _request_from(self, name: str) -> bool:
+        view = self.feed_client.view
+        before = self.received_versions
+        question = AskFeed(
+            view.cluster,
+            view.revision,
+            before.lease_version,
+            before.report_version,
+            before.suspicion_version,
+        )
+        # Set before the call, because messages of the feed arrive before the reply.
+        self.feed_client.pending_relay = name
+        asked_at = self.env.monotonic()
+        try:
+            reply = await self.feed_client.peers.call(address_of(name), question, REQUEST_TIMEOUT_S)
+        except PeerError as error:
+            log.debug('Follower {} does not relay the feed: {}.', name, error)
+            return False
+        if not isinstance(reply, FeedSent) or not reply.ok:
+            return False
+        self.received_versions = reply
+        await self.feed_client.record_switches(asked_at, reply.switches)
+        return True
+
+    def _candidates(self) -> list[str]:
+        """
+        Return the followers to ask: the present relay, then followers of this process's zone,
+        then the others; entries come before endpoint daemons.
+
+        """
+        own = str(self.env.instance)
+        zone = str(self.env.zone)
+        caches = self.feed_client.discovery.caches()
+        found = [(cache.zone != zone, 0, cache.instance) for cache in caches]
+        found += [
+            (state.zone != zone, 1, state.instance)
+            for state in self.feed_client.registry.endpoints.values()
+        ]
+        self.env.random.shuffle(found)
+        ordered = [name for _, _, name in sorted(found, key=lambda item: item[:2])]
+        present = [self.feed_client.relay] if self.feed_client.relay else []
+        others = [name for name in ordered if name not in (own, self.feed_client.relay)]
+        return present + others
+
+    async def answer(self, connection: Connection, question: AskFeed) -> FeedSent:
+        """
+        Send a follower that is cut off what this process has received since the last request.
+
+        """
+        feed_client = self.feed_client
+        if not feed_client.connected:
+            return FeedSent()
+        now = self.env.monotonic()
+        registry = feed_client.registry
+        update = feed_client.view.update_since(question.cluster, question.revision)
+        update.age_ms = feed_client.age_ms + int((now - feed_client.source_heard_at) * 1000)
+        leases = registry.leases.changed_since(question.lease_version)
+        reports = registry.endpoints.changed_since(question.report_version)
+        suspicions = registry.suspects.table.changed_since(question.suspicion_version)
+        versions = FeedSent(
+            True,
+            registry.leases.version,
+            registry.endpoints.version,
+            self.switches(),
+            registry.suspects.table.version,
+        )
+        feed = Leases(
+            not question.lease_version,
+            registry.is_complete,
+            feed_client.entries,
+            encode_records(leases) if leases else b'',
+            encode_records(reports) if reports else b'',
+            feed_client.most_entries,
+            encode_suspicions(suspicions),
+        )
+        try:
+            await connection.notify(update)
+            await connection.notify(feed)
+        except PeerLost as error:
+            log.info('A follower that requested the feed is gone: {}.', error)
+        return versions
--- a/packages/millfork-registry/millfork_registry/registry.py
+++ b/packages/millfork-registry/millfork_registry/registry.py
@@ -1,10 +1,11 @@
 """
-Who serves: soft state, kept in memory by every replica and follower.
+The leases of back ends and the states of endpoint daemons: soft state, kept in
+memory by every replica and follower.
 
-A lease belongs to the replica that took its last heartbeat. Only changes are
-told to others, so a fleet at rest costs nothing between replicas. The owner
-sees a lease run out; should the owner be lost, each replica lets its leases
-run out by itself, unless the back end has found another owner.
+A lease is owned by the replica that received its last heartbeat. Only changes
+are sent to others, so an idle fleet causes no traffic between replicas. The
+owner expires a lease. If the owner is lost, each replica expires the owner's
+leases by itself, unless the back end has found another owner.
 
 """
 
@@ -17,29 +18,29 @@
 from millfork_core.ids import UNTOLD_INCARNATION, Incarnation
 from millfork_core.logs import Part, logger
 from millfork_registry.records import EndpointState, Lease, LeaseState
-from millfork_registry.suspects import Suspects
-from millfork_registry.table import Table
+from millfork_registry.suspicion_store import SuspicionStore
+from millfork_registry.versioned_table import VersionedTable
 
-# A lease runs out after this many heartbeats that did not come.
+# A lease expires after this many heartbeat periods without a heartbeat.
 MISSED_HEARTBEATS: Final = 3.5
-# A record that ended is remembered this long, so that a late heartbeat of
-# the same life changes nothing.
-REMEMBERED_S: Final = 120.0
-# A back end without a known start counts as new at a used address by its first heartbeat, or
-# by two of them apart by this share of the usual pause: one that has ended sends no more, and
-# two that were held up come together.
+# An ended record is kept this long, so that a delayed heartbeat of the same
+# incarnation changes nothing.
+ENDED_RETENTION_S: Final = 120.0
+# An unknown back end that doesn't report its start, at the address of a live one, is accepted by
+# its first heartbeat, or by two heartbeats at least this share of the heartbeat period apart: a
+# process that has ended sends no second one, and two delayed heartbeats arrive together.
 FIRST_SEQUENCE: Final = 1
-APART_SHARE: Final = 0.5
-# An endpoint daemon reports at least each second.
+MIN_GAP_SHARE: Final = 0.5
+# An endpoint daemon reports at least once a second.
 REPORT_LIFETIME_S: Final = 3.5
-ENDED: Final = (LeaseState.GONE, LeaseState.EXPIRED)
+ENDED_STATES: Final = (LeaseState.GONE, LeaseState.EXPIRED)
 
 log = logger(Part.REGISTRY)
 
 
-class Change(Enum):
+class RecordChange(Enum):
     """
-    What a record did to the registry.
+    The effect of a record on the registry; only `CHANGED` must reach others without delay.
 
     """
 
@@ -50,37 +51,37 @@
 
 class Registry:
     """
-    The leases and the endpoints' states, as this process knows them.
+    The leases, endpoint states and suspicions known to this process.
 
     """
 
     def __init__(self, env: Environment, heartbeat_s: float) -> None:
         self.env = env
         self.lease_s = heartbeat_s * MISSED_HEARTBEATS
-        self.apart_s = heartbeat_s * APART_SHARE
-        self.leases: Table[Lease] = Table()
-        self.endpoints: Table[EndpointState] = Table()
-        self.suspects = Suspects(env.monotonic)
-        self.heard: dict[str, float] = {}
-        self.ended: dict[str, float] = {}
-        # The back end that was last known to live at an address.
-        self.at_address: dict[tuple[str, int], str] = {}
-        # Unknown back ends at the address of a live one: sequence and time of the heartbeat.
-        self.newcomers: dict[str, tuple[int, float]] = {}
-        # Whether what is not here is known not to exist.
-        self.settled = False
-
-    def take_heartbeat(self, lease: Lease) -> Change:
+        self.min_gap_s = heartbeat_s * MIN_GAP_SHARE
+        self.leases: VersionedTable[Lease] = VersionedTable()
+        self.endpoints: VersionedTable[EndpointState] = VersionedTable()
+        self.suspects = SuspicionStore(env.monotonic)
+        self.last_heard_at: dict[str, float] = {}
+        self.ended_at_by_instance: dict[str, float] = {}
+        # The back end that was last known to run at an address.
+        self.instance_by_address: dict[tuple[str, int], str] = {}
+        # Unknown back ends at the address of a live one: the first heartbeat's sequence and time.
+        self.unconfirmed: dict[str, tuple[int, float]] = {}
+        # Whether a back end without a record here is known not to exist.
+        self.is_complete = False
+
+    def record_heartbeat(self, lease: Lease) -> RecordChange:
         """
-        Take a heartbeat that came to this replica.
+        Process a heartbeat that a back end sent to this replica.
 
-        One process lives at an address at a time: a new back end ends the lease of
-        the one before it, and a delayed heartbeat of that one does not bring it back.
+        Only one process runs at an address at a time: a new back end ends its predecessor's
+        lease, and a delayed heartbeat of the predecessor doesn't restore that lease.
 
         """
-        other = self._live_neighbour(lease)
+        other = self._live_lease_at_address(lease)
         held = self.leases.get(lease.instance)
-        if other is not None and _was_before(lease, other, held):
+        if other is not None and _is_of_earlier_process(lease, other, held):
             log.info(
                 'Late heartbeat ignored. instance={} incarnation={} sequence={} address={}:{} '
                 'held_by={}',
@@ -91,10 +92,10 @@
                 lease.port,
                 other.instance,
             )
-            return Change.NONE
-        if other is not None and held is None and self._may_have_ended(lease, other):
+            return RecordChange.NONE
+        if other is not None and held is None and self._may_be_delayed(lease, other):
             log.info(
-                'Heartbeat of an unknown back end waits for its next one. instance={} '
+                'Heartbeat of an unknown back end not accepted before its next. instance={} '
                 'sequence={} address={}:{} held_by={}',
                 lease.instance,
                 lease.sequence,
@@ -102,77 +103,82 @@
                 lease.port,
                 other.instance,
             )
-            return Change.NONE
+            return RecordChange.NONE
         owner = str(self.env.instance)
-        if other is not None and _replaces(lease, other, held):
-            self.take(msgspec.structs.replace(other, state=LeaseState.EXPIRED, owner=owner))
-        return self.take(msgspec.structs.replace(lease, owner=owner))
+        if other is not None and _is_of_later_process(lease, other, held):
+            self.merge_lease(msgspec.structs.replace(other, state=LeaseState.EXPIRED, owner=owner))
+        return self.merge_lease(msgspec.structs.replace(lease, owner=owner))
 
-    def _may_have_ended(self, lease: Lease, other: Lease) -> bool:
+    def _may_be_delayed(self, lease: Lease, other: Lease) -> bool:
         """
-        Whether a heartbeat of an unknown back end may be a late one, of a process that lived
-        at its address before the one that is known.
+        Whether a heartbeat of an unknown back end may be a delayed one, from a process that ran
+        at the address before the known back end.
 
         """
         if (lease.incarnation and other.incarnation) or lease.sequence <= FIRST_SEQUENCE:
             return False
         now = self.env.monotonic()
-        sequence, at = self.newcomers.setdefault(lease.instance, (lease.sequence, now))
-        if lease.sequence <= sequence or now - at < self.apart_s:
+        sequence, at = self.unconfirmed.setdefault(lease.instance, (lease.sequence, now))
+        if lease.sequence <= sequence or now - at < self.min_gap_s:
             return True
-        del self.newcomers[lease.instance]
+        del self.unconfirmed[lease.instance]
         return False
 
-    def _live_neighbour(self, lease: Lease) -> Lease | None:
+    def _live_lease_at_address(self, lease: Lease) -> Lease | None:
         """
-        Another back end whose lease at the same address has not ended.
+        Return the live lease of another back end at the same address.
 
         """
-        instance = self.at_address.get((lease.host, lease.port), lease.instance)
+        instance = self.instance_by_address.get((lease.host, lease.port), lease.instance)
         if instance == lease.instance:
             return None
         other = self.leases.get(instance)
-        if other is None or other.state in ENDED:
+        if other is None or other.state in ENDED_STATES:
             return None
         return other
 
-    def take_goodbye(self, instance: str, incarnation: Incarnation | None = None) -> Change:
+    def record_goodbye(self, instance: str, incarnation: Incarnation | None = None) -> RecordChange:
         """
-        Take a back end's word that it leaves; without an incarnation it is of the one
-        that is known.
+        Record that a back end leaves; without an incarnation, the known one is meant.
 
         """
         held = self.leases.get(instance)
         owner = str(self.env.instance)
         if held is None:
-            # Unknown here, perhaps known elsewhere: the word is kept.
-            told = incarnation or UNTOLD_INCARNATION
-            gone = Lease(instance, '', '', 0, '', 0, LeaseState.GONE, 0, owner, incarnation=told)
-            return self.take(gone)
-        of = held.incarnation if incarnation is None else incarnation
-        gone = msgspec.structs.replace(held, state=LeaseState.GONE, owner=owner, incarnation=of)
-        return self.take(gone)
-
-    def take(self, lease: Lease) -> Change:
+            # Other replicas may know the back end, so the goodbye is recorded all the same.
+            leaving = incarnation or UNTOLD_INCARNATION
+            gone = Lease(instance, '', '', 0, '', 0, LeaseState.GONE, 0, owner, incarnation=leaving)
+            return self.merge_lease(gone)
+        leaving = held.incarnation if incarnation is None else incarnation
+        gone = msgspec.structs.replace(
+            held, state=LeaseState.GONE, owner=owner, incarnation=leaving
+        )
+        return self.merge_lease(gone)
+
+    def merge_lease(self, lease: Lease) -> RecordChange:
         """
-        Take a record from wherever it comes; only a newer one counts.
+        Store a record from any source if it is newer than the held one.
 
         """
         held = self.leases.get(lease.instance)
         if held is not None and lease.order <= held.order:
-            return self._tell_again(held) if self._is_wrongly_ended(held, lease) else Change.NONE
-        self.heard[lease.instance] = self.env.monotonic()
-        if held is not None and not lease.says_more_than(held):
-            self.leases.renew(lease.instance, lease)
-            return Change.RENEWED
+            return (
+                self._announce_again(held)
+                if self._is_wrongly_ended(held, lease)
+                else RecordChange.NONE
+            )
+        self.last_heard_at[lease.instance] = self.env.monotonic()
+        if held is not None and not lease.needs_announcement_after(held):
+            self.leases.put_unannounced(lease.instance, lease)
+            return RecordChange.RENEWED
         self.leases.put(lease.instance, lease)
-        if lease.state in ENDED:
-            self.ended[lease.instance] = self.env.monotonic()
+        if lease.state in ENDED_STATES:
+            self.ended_at_by_instance[lease.instance] = self.env.monotonic()
         else:
-            self.ended.pop(lease.instance, None)
+            self.ended_at_by_instance.pop(lease.instance, None)
             if held is not None:
-                self._leave_address(held)
-            self.at_address[lease.host, lease.port] = lease.instance
+                self._release_address(held)
+            self.instance_by_address[lease.host, lease.port] = lease.instance
         if held is None or (held.state, held.incarnation) != (lease.state, lease.incarnation):
             log.info(
                 'Lease {}. instance={} incarnation={} service={} address={}:{} sequence={} '
@@ -186,117 +192,119 @@
                 lease.sequence,
                 lease.owner,
             )
-        return Change.CHANGED
+        return RecordChange.CHANGED
 
-    def _is_wrongly_ended(self, held: Lease, told: Lease) -> bool:
+    def _is_wrongly_ended(self, held: Lease, reported: Lease) -> bool:
         """
-        Whether another process takes a lease for run out that is renewed here.
+        Whether another process expired a lease that this process owns and still renews.
 
         """
-        owned = held.owner == str(self.env.instance) and held.state not in ENDED
-        same = told.incarnation == held.incarnation
-        return owned and same and told.state is LeaseState.EXPIRED
+        owned = held.owner == str(self.env.instance) and held.state not in ENDED_STATES
+        same = reported.incarnation == held.incarnation
+        return owned and same and reported.state is LeaseState.EXPIRED
 
-    def _tell_again(self, held: Lease) -> Change:
+    def _announce_again(self, held: Lease) -> RecordChange:
         """
-        Others know an older sequence only, as renewals are not told: without this word
-        they took the back end for gone until its state changed.
+        Send a held lease to others once more. Renewals are not sent, so others know only an
+        older sequence and would treat the back end as gone until its state changes.
 
         """
-        log.info('Lease told again. instance={} sequence={}', held.instance, held.sequence)
+        log.info('Lease announced again. instance={} sequence={}', held.instance, held.sequence)
         self.leases.put(held.instance, held)
-        return Change.CHANGED
+        return RecordChange.CHANGED
 
-    def count_anew(self) -> None:
+    def restart_expiry_timers(self) -> None:
         """
-        Let no lease run out for silence before now, as this process did not listen.
+        Count silence from now on only, because this process did not run until now.
 
         """
         now = self.env.monotonic()
         for lease in self.leases.values():
-            self.heard[lease.instance] = now
+            self.last_heard_at[lease.instance] = now
 
-    def take_endpoint(self, state: EndpointState) -> Change:
+    def merge_endpoint_state(self, state: EndpointState) -> RecordChange:
         """
-        Take an endpoint daemon's state; only a newer one counts.
+        Store an endpoint daemon's state if it is newer than the held one.
 
         """
         held = self.endpoints.get(state.instance)
         if held is not None and state.order <= held.order:
-            return Change.NONE
-        self.heard[state.instance] = self.env.monotonic()
+            return RecordChange.NONE
+        self.last_heard_at[state.instance] = self.env.monotonic()
         self.endpoints.put(state.instance, state)
-        return Change.CHANGED if state.says_more_than(held) else Change.RENEWED
+        return (
+            RecordChange.CHANGED if state.needs_announcement_after(held) else RecordChange.RENEWED
+        )
 
-    def keep_only(self, leases: set[str], endpoints: set[str]) -> None:
+    def retain_only(self, leases: set[str], endpoints: set[str]) -> None:
         """
-        Drop every record that a settled replica does not know.
+        Drop every record that a replica with complete records doesn't have.
 
         """
         for key in [key for key in self.leases.rows if key not in leases]:
             self._forget_lease(key)
         for key in [key for key in self.endpoints.rows if key not in endpoints]:
-            self.endpoints.drop(key)
-            self.heard.pop(key, None)
+            self.endpoints.remove(key)
+            self.last_heard_at.pop(key, None)
 
     def expire(self, lost_owners: set[str]) -> list[Lease]:
         """
-        Let leases run out whose heartbeats stopped: those owned here, and
-        those whose owner is lost. Returns the ones that ran out.
+        Expire leases without recent heartbeats, both those owned here and
+        those of lost owners; returns the expired ones.
 
         """
         now = self.env.monotonic()
         expired = []
         for lease in list(self.leases.values()):
-            if lease.state in ENDED:
+            if lease.state in ENDED_STATES:
                 continue
-            mine = lease.owner == str(self.env.instance)
-            if not mine and lease.owner not in lost_owners:
-                # The owner watches it; its own silence counts from its loss.
-                self.heard[lease.instance] = now
+            owned_here = lease.owner == str(self.env.instance)
+            if not owned_here and lease.owner not in lost_owners:
+                # The owner expires it; silence counts here from the owner's loss.
+                self.last_heard_at[lease.instance] = now
                 continue
-            if now - self.heard.get(lease.instance, now) < self.lease_s:
+            if now - self.last_heard_at.get(lease.instance, now) < self.lease_s:
                 continue
             ended = msgspec.structs.replace(
                 lease, state=LeaseState.EXPIRED, owner=str(self.env.instance)
             )
-            self.take(ended)
+            self.merge_lease(ended)
             expired.append(ended)
-        for key, (_, came_at) in list(self.newcomers.items()):
-            if now - came_at > REMEMBERED_S:
-                del self.newcomers[key]
-        for key, ended_at in list(self.ended.items()):
-            if now - ended_at > REMEMBERED_S:
+        for key, (_, came_at) in list(self.unconfirmed.items()):
+            if now - came_at > ENDED_RETENTION_S:
+                del self.unconfirmed[key]
+        for key, ended_at in list(self.ended_at_by_instance.items()):
+            if now - ended_at > ENDED_RETENTION_S:
                 self._forget_lease(key)
         return expired
 
     def forget_silent_endpoints(self) -> None:
         """
-        Drop the states of endpoint daemons that no longer report.
+        Drop the states of endpoint daemons that stopped reporting.
 
         """
         now = self.env.monotonic()
         for state in list(self.endpoints.values()):
-            if now - self.heard.get(state.instance, now) > REPORT_LIFETIME_S:
-                self.endpoints.drop(state.instance)
-                self.heard.pop(state.instance, None)
+            if now - self.last_heard_at.get(state.instance, now) > REPORT_LIFETIME_S:
+                self.endpoints.remove(state.instance)
+                self.last_heard_at.pop(state.instance, None)
 
     def _forget_lease(self, key: str) -> None:
         lease = self.leases.get(key)
         if lease is not None:
-            self._leave_address(lease)
-        self.leases.drop(key)
-        self.heard.pop(key, None)
-        self.ended.pop(key, None)
+            self._release_address(lease)
+        self.leases.remove(key)
+        self.last_heard_at.pop(key, None)
+        self.ended_at_by_instance.pop(key, None)
 
-    def _leave_address(self, lease: Lease) -> None:
-        if self.at_address.get((lease.host, lease.port)) == lease.instance:
-            del self.at_address[lease.host, lease.port]
+    def _release_address(self, lease: Lease) -> None:
+        if self.instance_by_address.get((lease.host, lease.port)) == lease.instance:
+            del self.instance_by_address[lease.host, lease.port]
 
 
-def _was_before(lease: Lease, other: Lease, held: Lease | None) -> bool:
+def _is_of_earlier_process(lease: Lease, other: Lease, held: Lease | None) -> bool:
     """
-    Whether a heartbeat is of a process that lived at its address before another one.
+    Whether a heartbeat's process ran at the address before that of the `other` lease.
 
     """
     if lease.incarnation and other.incarnation:
@@ -306,9 +314,9 @@
     return held.state is LeaseState.EXPIRED
 
 
-def _replaces(lease: Lease, other: Lease, held: Lease | None) -> bool:
+def _is_of_later_process(lease: Lease, other: Lease, held: Lease | None) -> bool:
     """
-    Whether a heartbeat tells that the other process at its address has ended.
+    Whether a heartbeat shows that the process of the `other` lease at its address has ended.
 
     """
     if lease.incarnation and other.incarnation:
--- /dev/null
+++ b/packages/millfork-registry/millfork_registry/version_cutoffs.py
@@ -0,0 +1,61 @@
+"""
+Cutoffs of model versions: the times from which no request may begin on an older version.
+
+The leader of the replicas knows when a version was named. The other replicas ask the
+leader, and followers ask their replica. An answer is given after its question was asked,
+so its remaining time is counted from the time of the question: a process that was paused
+or reads from a slow link can only compute too early a cutoff. Counted from the reading of
+the answer, a cutoff was late by the reader's pause (3.4 s for a process stopped for 3.4 s).
+
+"""
+
+from collections.abc import Iterable, Iterator
+from typing import Final
+
+from millfork_wire.messages import VersionSwitch
+
+MS_PER_S: Final = 1000
+
+
+class VersionCutoffs:
+    """
+    The cutoffs by model and version, in monotonic seconds.
+
+    """
+
+    def __init__(self) -> None:
+        self.cutoffs: dict[tuple[str, int], float] = {}
+
+    def record_answer(self, asked_at: float, switches: Iterable[VersionSwitch]) -> bool:
+        """
+        Record an answer to a question asked at `asked_at`; True if it changed a cutoff.
+
+        """
+        changes = [self._record_switch(switch, asked_at) for switch in switches]
+        return any(changes)
+
+    def _record_switch(self, switch: VersionSwitch, asked_at: float) -> bool:
+        key = (switch.model, switch.version)
+        cutoff = asked_at + switch.left_ms / MS_PER_S
+        known = self.cutoffs.get(key)
+        # Each answer's cutoff is early by the time that the answer took, so the latest is
+        # the most accurate. A cutoff that has passed stays, because a replica that was away
+        # may report a later one.
+        if known is not None and (known <= asked_at or cutoff <= known):
+            return False
+        self.cutoffs[key] = cutoff
+        return True
+
+    def cutoff_of(self, model: str, version: int) -> float | None:
+        """
+        Return when requests may no longer begin on versions before this one, if known.
+
+        """
+        return self.cutoffs.get((model, version))
+
+    def known_versions(self, model: str) -> Iterator[int]:
+        """
+        Return the versions of a model with a known cutoff.
+
+        """
+        return (version for name, version in self.cutoffs if name == model)
--- a/packages/millfork-scheduling/millfork_scheduling/quarantine.py
+++ b/packages/millfork-scheduling/millfork_scheduling/quarantine.py
@@ -16,7 +16,7 @@
 from typing import Final
 
 from millfork_core.ids import Fingerprint, IncarnationKey
-from millfork_registry.suspects import Suspicion
+from millfork_registry.suspicion_store import Suspicion
 
 # After this many ends of back ends a request is at fault. A single end proves nothing, as every
 # request that ran on the back end is suspected.
--- a/packages/millforkd/millforkd/entry/crashes.py
+++ b/packages/millforkd/millforkd/entry/crashes.py
@@ -15,7 +15,7 @@
 from millfork_core.ids import NO_INSTANCE, Fingerprint, IncarnationKey, InstanceId, RequestId
 from millfork_core.logs import Part, logger
 from millfork_core.verdicts import Reason, Refusal, Verdict
-from millfork_registry.suspects import Suspects, Suspicion
+from millfork_registry.suspicion_store import SuspicionStore, Suspicion
 from millfork_scheduling.quarantine import SuspicionLevel, TrialSchedule
 from millfork_state.view import View
 from millfork_wire.messages import BackEndFate
@@ -82,7 +82,7 @@
         self, env: Environment, key: bytes, view: View, entries: Callable[[], int]
     ) -> None:
         self.env = env
-        self.suspects = Suspects(env.monotonic)
+        self.suspects = SuspicionStore(env.monotonic)
         self.suspecting = SuspicionUpdater(env, self.suspects)
         self.pending: dict[RequestId, Pending] = {}
         self.early_fates: dict[RequestId, bool] = {}
@@ -98,14 +98,14 @@
         What is known of a call at this moment.
 
         """
-        return self.quarantine.known(call)
+        return self.quarantine.suspicion_of(call)
 
     def bars(self, call: Call) -> Refusal | None:
         """
         A refusal if a call is, or may be, what ends back ends.
 
         """
-        standing = self.quarantine.bars(call)
+        standing = self.quarantine.blocking_standing(call)
         if standing is None:
             return None
         return Refusal(REASONS[standing], detail=DETAILS[standing])
@@ -116,7 +116,7 @@
 
         """
         if outcome is None:
-            await self.quarantine.clear(call)
+            await self.quarantine.clear_suspicion(call)
             return
         await self._take(outcome, before)
 
@@ -124,7 +124,7 @@
     async def _take(self, outcome: Refusal, before: Suspicion) -> None:
         if outcome.reason is not Reason.BACKEND_FAILED or outcome.verdict is Verdict.NOT_RUN:
             return
-        await self.suspects.note(before.with_end())
+        await self.suspects.record(before.with_end())
         self._log_end(before)
 
     @_take.register
@@ -190,7 +190,7 @@
         log.info(
             'A back end ended under a request. fingerprint={} ends={}',
             before.fingerprint,
-            self.suspects.of(before.fingerprint).ends,
+            self.suspects.get(before.fingerprint).ends,
         )
 
     async def keep_house(self) -> None:
@@ -198,8 +198,8 @@
         Forget what is old, and tell others what did not prove to be nothing.
 
         """
-        self.suspects.forget_old()
-        await self.suspects.publish_old()
+        self.suspects.forget_expired()
+        await self.suspects.publish_overdue()
         since = self.env.monotonic() - PENDING_S
         for request_id, pending in list(self.pending.items()):
             if pending.since < since:
--- a/packages/millforkd/millforkd/proxy/daemon.py
+++ b/packages/millforkd/millforkd/proxy/daemon.py
@@ -16,7 +16,7 @@
 from millfork_core.verdicts import Reason, Refusal
 from millfork_registry.discovery import address_of
 from millfork_registry.roles import ENTRY_ROLE
-from millfork_registry.suspects import decode_suspicions
+from millfork_registry.suspicion_store import decode_suspicions
 from millfork_routing.shared_budget import SharedBudget
 from millfork_routing.documents import Document
 from millfork_routing.routes import RouteTable
@@ -75,15 +75,15 @@
         self.discovery = feed.discovery
         self.view = feed.view
         self.registry = feed.registry
-        self.following = feed.following
-        self.relaying = feed.relaying
+        self.feed_client = feed.feed_client
+        self.feed_relay = feed.feed_relay
         self.versions = feed.versions
-        self.admission = Admission(env, self.versions, lambda: self.following.entries)
+        self.admission = Admission(env, self.versions, lambda: self.feed_client.entries)
         self.book = ServerTable(
             env.zone,
             env.random,
             env.monotonic,
-            lambda: self.following.entries,
+            lambda: self.feed_client.entries,
             self.most_entries,
         )
         self.pools = Pools(env)
@@ -91,9 +91,9 @@
             promises.retry_ratio,
             promises.retry_slack,
             promises.retry_window_s,
-            lambda: self.following.most_entries,
+            lambda: self.feed_client.most_entries,
             env.monotonic,
-            lambda: self.following.connected,
+            lambda: self.feed_client.connected,
         )
         fingerprints = Fingerprints(fleet_key(settings), lambda: self.view.cluster)
         self.turned_away = TurnedAwayDirectory(env, self.peers, self.discovery.caches, fingerprints)
@@ -110,7 +110,7 @@
             LoadQueries(env, self.peers, self.book),
         )
         self.suspicion_reporter = SuspicionReporter(
-            env, self.peers, self.following, self.registry.suspects
+            env, self.peers, self.feed_client, self.registry.suspects
         )
         self.document: Document | None = None
         origin = Origin(env, adapter, str(settings.address), lambda: origin_in(self.document))
@@ -142,7 +142,7 @@
         number is assumed: otherwise this entry would use the whole of a shared limit.
 
         """
-        return self.following.most_entries if self.following.entries_told else DEFAULT_ENTRY_COUNT
+        return self.feed_client.most_entries if self.feed_client.entries_known else DEFAULT_ENTRY_COUNT
 
     @property
     def in_progress(self) -> int:
@@ -159,8 +159,8 @@
         await self.env.keep(self.peers.listen)
         await self.env.keep(self.peers.probe_idle)
         await self.env.keep(self.admin.run)
-        await self.env.keep(self.following.run)
-        await self.env.keep(self.relaying.keep)
+        await self.env.keep(self.feed_client.run)
+        await self.env.keep(self.feed_relay.run)
         await self.env.keep(self._apply_changes)
         await self.env.keep(self.suspicion_reporter.run)
         await self.env.keep(self._run_housekeeping)
@@ -173,7 +173,7 @@
         Apply changed settings: the list of seeds.
 
         """
-        self.discovery.take_seeds(settings.seed_instances)
+        self.discovery.set_seeds(settings.seed_instances)
 
     async def drain(self) -> None:
         """
@@ -200,8 +200,8 @@
 
         """
         while True:
-            await self.following.changed.wait()
-            self.following.changed.clear()
+            await self.feed_client.changed.wait()
+            self.feed_client.changed.clear()
             self._apply_document()
             if self.view.cluster:
                 self.versions.refresh()
@@ -213,7 +213,7 @@
                 for server in self.book.apply_leases(self.registry.leases.values()):
                     await self.pools.remove(server)
             signals = self.book.apply_reports(
-                self.registry.endpoints.since(self.applied_reports_version)
+                self.registry.endpoints.changed_since(self.applied_reports_version)
             )
             for server, changes in signals:
                 self.forwarding.backpressure.note(server, changes, SignalSource.DAEMON)
@@ -236,8 +236,8 @@
             await curio.sleep(HOUSEKEEPING_INTERVAL_S)
             await self.pools.close_old()
             self.budget.count_entries()
-            self.registry.suspects.forget_old()
-            await self.registry.suspects.publish_old()
+            self.registry.suspects.forget_expired()
+            await self.registry.suspects.publish_overdue()
             self._log_repeats()
 
     def _log_repeats(self) -> None:
@@ -269,7 +269,7 @@
         Answer a peer's message.
 
         """
-        if await self.following.take(connection.peer, message):
+        if await self.feed_client.handle_feed_message(connection.peer, message):
             return None
         reply: Message | None = await self.on(message, connection)
         return reply
@@ -281,7 +281,7 @@
 
     @on.register
     async def _(self, message: messages.AskFeed, connection: Connection) -> Message:
-        return await self.relaying.answer(connection, message)
+        return await self.feed_relay.answer(connection, message)
 
     @on.register
     async def _(self, message: messages.EndpointReport, connection: Connection) -> Message:
@@ -289,9 +289,9 @@
         Pass on a report of an endpoint daemon that can't reach the replicas.
 
         """
-        if not self.following.connected:
+        if not self.feed_client.connected:
             return messages.Done(False)
-        replica = address_of(str(self.following.source))
+        replica = address_of(str(self.feed_client.source))
         try:
             return await self.peers.call(replica, message, REPORT_TIMEOUT_S)
         except PeerError as error:
@@ -310,7 +310,7 @@
             log.warning('Suspicions of {} can not be decoded: {}.', connection.peer, error)
             return messages.Done(False)
         for suspicion in suspicions:
-            await self.registry.suspects.note(suspicion)
+            await self.registry.suspects.record(suspicion)
         return messages.Done(True)
 
     @on.register
--- a/packages/millforkd/millforkd/proxy/forwarding.py
+++ b/packages/millforkd/millforkd/proxy/forwarding.py
@@ -12,7 +12,7 @@
 from millfork_core.environment import Environment
 from millfork_core.logs import Part, logger
 from millfork_core.verdicts import Reason, Refusal, Refused, Verdict
-from millfork_registry.suspects import Suspicion
+from millfork_registry.suspicion_store import Suspicion
 from millfork_routing.shared_budget import SharedBudget
 from millfork_scheduling.server_table import ServerTable
 from millfork_scheduling.placement import Choice
@@ -184,7 +184,7 @@
             if job.tried and not budget_spent and not self.budget.spend(job.requirements.service):
                 return self._final_refusal(job, Reason.RETRY_BUDGET)
             server = choice.server
-            before = self.quarantine.known(job)
+            before = self.quarantine.suspicion_of(job)
             failed = await self._send(job, choice, before)
             if failed is None:
                 return None
@@ -201,7 +201,7 @@
                 failed.detail,
                 (self.env.monotonic() - job.received_at) * 1000,
                 before.fingerprint,
-                self.quarantine.known(job).ends,
+                self.quarantine.suspicion_of(job).ends,
             )
 
     async def _send(self, job: Job, choice: Choice, before: Suspicion) -> FailedAttempt | None:
@@ -261,7 +261,7 @@
         """
         if job.remaining_s(self.env.monotonic()) < REFUSAL_MARGIN_S:
             return self._final_refusal(job, Reason.TIMED_OUT if job.tried else Reason.EXPIRED)
-        standing = self.quarantine.bars(job)
+        standing = self.quarantine.blocking_standing(job)
         if standing is SuspicionLevel.AT_FAULT:
             detail = 'back ends ended while running this request'
             return self._final_refusal(job, Reason.QUARANTINED, detail)
--- a/packages/millforkd/millforkd/proxy/request_sender.py
+++ b/packages/millforkd/millforkd/proxy/request_sender.py
@@ -91,7 +91,7 @@
             job.pending_servers = ()
             server.note_service_time(self.env.monotonic() - attempt.started_at)
             if connection.reusable:
-                await self.quarantine.clear(job)
+                await self.quarantine.clear_suspicion(job)
             return None
         except NotSent as error:
             return FailedAttempt(error.reason, error.verdict, error.detail, sent=False)
--- a/packages/millforkd/millforkd/proxy/suspicion_reporter.py
+++ b/packages/millforkd/millforkd/proxy/suspicion_reporter.py
@@ -10,8 +10,8 @@
 from millfork_core.environment import Environment
 from millfork_core.logs import Part, logger
 from millfork_registry.discovery import address_of
-from millfork_registry.following import Following
-from millfork_registry.suspects import Suspects, encode_suspicions
+from millfork_registry.feed_client import FeedClient
+from millfork_registry.suspicion_store import SuspicionStore, encode_suspicions
 from millfork_wire.connection import PeerError
 from millfork_wire.messages import Done, SuspicionReport
 from millfork_wire.peers import Peers
@@ -31,11 +31,11 @@
     """
 
     def __init__(
-        self, env: Environment, peers: Peers, following: Following, suspects: Suspects
+        self, env: Environment, peers: Peers, feed_client: FeedClient, suspects: SuspicionStore
     ) -> None:
         self.env = env
         self.peers = peers
-        self.following = following
+        self.feed_client = feed_client
         self.suspects = suspects
 
     async def run(self) -> None:
@@ -44,14 +44,14 @@
 
         """
         while True:
-            await self.suspects.news.wait()
-            self.suspects.news.clear()
-            while self.suspects.untold and not await self._report():
+            await self.suspects.unsent_event.wait()
+            self.suspects.unsent_event.clear()
+            while self.suspects.unsent and not await self._report():
                 await curio.sleep(RETRY_S)
 
     async def _report(self) -> bool:
-        reported = dict(self.suspects.untold)
-        name = self.following.reports_to
+        reported = dict(self.suspects.unsent)
+        name = self.feed_client.report_target
         if not name:
             return False
         report = SuspicionReport(encode_suspicions(list(reported.values())))
@@ -63,6 +63,6 @@
         if not isinstance(reply, Done) or not reply.ok:
             return False
         for fingerprint, suspicion in reported.items():
-            if self.suspects.untold.get(fingerprint) == suspicion:
-                del self.suspects.untold[fingerprint]
+            if self.suspects.unsent.get(fingerprint) == suspicion:
+                del self.suspects.unsent[fingerprint]
         return True
--- a/packages/millforkd/millforkd/quarantine.py
+++ b/packages/millforkd/millforkd/quarantine.py
@@ -1,5 +1,5 @@
 """
-What one entry knows of requests that ended back ends: what may not be sent, and what is cleared.
+An entry's quarantine: blocks requests that ended back ends, until an answer clears them.
 
 """
 
@@ -7,39 +7,39 @@
 
 from millfork_core.ids import Fingerprint, Revision
 from millfork_core.logs import Part, logger
-from millfork_registry.suspects import Suspects, Suspicion, decode_epoch
+from millfork_registry.suspicion_store import Suspicion, SuspicionStore, decode_epoch
 from millfork_scheduling.quarantine import SuspicionLevel, TrialSchedule, suspicion_level_of
 from millfork_state.commands import decode_versioned
 from millfork_state.keys import QUARANTINE_PREFIX
 from millfork_state.view import View
 
-Item = TypeVar('Item')
-AnyItem = TypeVar('AnyItem', contravariant=True)
+RequestT = TypeVar('RequestT')
+RequestContraT = TypeVar('RequestContraT', contravariant=True)
 
 log = logger(Part.PROXY)
 
 
-class FingerprintsOf(Protocol[AnyItem]):
+class FingerprintSource(Protocol[RequestContraT]):
     """
-    Tells what a request says, whatever carries it here.
+    Computes the fingerprint of a request's content; the type of the request is the caller's.
 
     """
 
-    def of(self, item: AnyItem, /) -> Fingerprint: ...
+    def of(self, request: RequestContraT, /) -> Fingerprint: ...
 
 
-class Quarantine(Generic[Item]):
+class Quarantine(Generic[RequestT]):
     """
-    Goes by suspicions, and by the list in the replicated state, which outlives a loss of
-    power of the whole fleet.
+    Decides by the suspicions in memory and by the quarantine list in the replicated state,
+    which survives a loss of power of the whole fleet.
 
     """
 
     def __init__(
         self,
-        suspects: Suspects,
+        suspects: SuspicionStore,
         view: View,
-        fingerprints: FingerprintsOf[Item],
+        fingerprints: FingerprintSource[RequestT],
         trials: TrialSchedule | None = None,
     ) -> None:
         self.suspects = suspects
@@ -47,55 +47,56 @@
         self.fingerprints = fingerprints
         self.trials = trials
         self.revision = Revision(-1)
-        # By fingerprint: the epoch in which it was put on the list.
-        self.listed: dict[Fingerprint, int] = {}
+        # The epochs in which requests were put on the list, by fingerprint.
+        self.listed_epochs: dict[Fingerprint, int] = {}
 
-    def known(self, item: Item) -> Suspicion:
+    def suspicion_of(self, request: RequestT) -> Suspicion:
         """
-        What is known of a request at this moment.
+        Return the present suspicion of a request.
 
         """
-        return self.suspects.of(self.fingerprints.of(item))
+        return self.suspects.get(self.fingerprints.of(request))
 
-    def bars(self, item: Item) -> SuspicionLevel | None:
+    def blocking_standing(self, request: RequestT) -> SuspicionLevel | None:
         """
-        Why a request may not be sent, if so.
+        Return the standing for which a request may not be sent, or None if it may be sent.
 
         """
         self._refresh()
-        if not self.suspects.table and not self.listed:
+        if not self.suspects.table and not self.listed_epochs:
             return None
-        suspicion = self.known(item)
-        listed_epoch = self.listed.get(suspicion.fingerprint)
+        suspicion = self.suspicion_of(request)
+        listed_epoch = self.listed_epochs.get(suspicion.fingerprint)
         if listed_epoch is not None and listed_epoch >= suspicion.epoch:
             return SuspicionLevel.AT_FAULT
         standing = suspicion_level_of(suspicion)
-        if standing is SuspicionLevel.SUSPECTED and self._may_try(suspicion):
-            log.info('Suspected request tried again. fingerprint={}', suspicion.fingerprint)
+        if standing is SuspicionLevel.SUSPECTED and self._begin_trial(suspicion):
+            log.info('Suspected request sent on trial. fingerprint={}', suspicion.fingerprint)
             return None
         return standing if standing is not SuspicionLevel.FREE else None
 
-    def _may_try(self, suspicion: Suspicion) -> bool:
+    def _begin_trial(self, suspicion: Suspicion) -> bool:
         return self.trials is not None and self.trials.begin(suspicion)
 
     def _refresh(self) -> None:
         if self.view.revision == self.revision:
             return
         self.revision = self.view.revision
-        self.listed = {
+        self.listed_epochs = {
             Fingerprint(key.removeprefix(QUARANTINE_PREFIX)): decode_epoch(
                 decode_versioned(value).body
             )
             for key, value in self.view.prefixed(QUARANTINE_PREFIX).items()
         }
 
-    async def clear(self, item: Item) -> None:
+    async def clear_suspicion(self, request: RequestT) -> None:
         """
-        An answer came whole: the request does not end what runs it.
+        Clear a request's suspicion after a complete answer, which shows that the request
+        doesn't end back ends.
 
         """
         if not self.suspects.table:
             return
-        suspicion = self.known(item)
+        suspicion = self.suspicion_of(request)
         if not suspicion.is_clear:
             await self.suspects.withdraw(suspicion.cleared())
--- a/packages/millforkd/millforkd/replica/control.py
+++ b/packages/millforkd/millforkd/replica/control.py
@@ -1,5 +1,5 @@
 """
-Calls of back ends and operators, one at a time, written straight down.
+Handlers for the calls of back ends and operators to a replica.
 
 """
 
@@ -27,7 +27,7 @@
 from millfork_core.verdicts import Reason, Refusal, Refused
 from millfork_registry.followers import Followers
 from millfork_registry.records import LeaseState
-from millfork_registry.registry import Change, Registry
+from millfork_registry.registry import RecordChange, Registry
 from millfork_routing.documents import find_problems
 from millfork_state.commands import Raise, RaiseResult, decode_versioned
 from millfork_state.keys import DOCUMENT_KEY, version_key
@@ -37,22 +37,22 @@
 from millfork_web.problem import problem
 from millfork_web.server import Exchange
 from millforkd.document import document_in
-from millforkd.replica.mesh import Mesh
+from millforkd.replica.replica_links import ReplicaLinks
 
-# The operator asks another replica after a second.
-PATIENCE_S: Final = 0.9
-# Documents are text; this halves the log's bytes for a millisecond.
+# An operator's client changes to another replica after one second.
+PROPOSAL_TIMEOUT_S: Final = 0.9
+# Documents are text; at this level, compression takes 1 ms and halves their size in the log.
 COMPRESSION_LEVEL: Final = 1
-# Another writer may call at any rate: a line for each reason at most so often.
-LOG_EVERY_S: Final = 1.0
-MOST_LOGGED_CHARS: Final = 100
+# A foreign client may call at any rate, so refusals are logged at most this often per reason.
+REFUSAL_LOG_PERIOD_S: Final = 1.0
+MAX_LOGGED_CHARS: Final = 100
 
 log = logger(Part.CONTROL)
 
 
 class Control:
     """
-    The replica's side of the calls.
+    Answers the calls that back ends and operators send to this replica.
 
     """
 
@@ -63,7 +63,7 @@
         view: View,
         registry: Registry,
         followers: Followers,
-        mesh: Mesh,
+        replica_links: ReplicaLinks,
         proposals: Proposals,
     ) -> None:
         self.env = env
@@ -71,16 +71,16 @@
         self.view = view
         self.registry = registry
         self.followers = followers
-        self.mesh = mesh
+        self.replica_links = replica_links
         self.proposals = proposals
-        # The services declared; None: nothing is yet.
+        # The declared services; None as long as there is no document.
         self.services: frozenset[ServiceName] | None = None
         self.services_revision = 0
-        # By reason: when a refusal was last logged, and how many there were since.
+        # By reason: the time of the last logged refusal, and the number of refusals since.
         self.refused_logged: dict[Reason, float] = {}
         self.refused_unlogged: Counter[Reason] = Counter()
-        # Back ends whose last word a majority of the replicas has.
-        self.spread: set[tuple[str, Incarnation, LeaseState]] = set()
+        # Drains and goodbyes of back ends that a majority of the replicas has.
+        self.endings_at_majority: set[tuple[str, Incarnation, LeaseState]] = set()
 
     async def answer(self, exchange: Exchange) -> None:
         """
@@ -100,7 +100,7 @@
         self.env.metrics.refused(refusal.reason, 'control')
         self.refused_unlogged[refusal.reason] += 1
         now = self.env.monotonic()
-        if now - self.refused_logged.get(refusal.reason, float('-inf')) >= LOG_EVERY_S:
+        if now - self.refused_logged.get(refusal.reason, float('-inf')) >= REFUSAL_LOG_PERIOD_S:
             log.warning(
                 'Refused a call. reason={} detail={} calls={}',
                 refusal.reason.value,
@@ -126,10 +126,10 @@
 
     def _check_service(self, service: str) -> None:
         """
-        A heartbeat of a service that isn't declared is of another system: taken, it would
-        end the lease of a back end whose id or address it names.
+        Refuse a heartbeat of an undeclared service, as it comes from another system. If
+        accepted, it would end the lease of a back end with the same id or address.
 
-        :raises Refused: if the service is in no document.
+        :raises Refused: if the document doesn't declare the service.
 
         """
         found = document_in(self.view, self.adapter, self.services_revision)
@@ -137,53 +137,56 @@
             document, self.services_revision = found
             self.services = frozenset(item.name for item in document.services)
         if self.services is not None and service not in self.services:
-            detail = f'service {service[:MOST_LOGGED_CHARS]!r} is not declared'
+            detail = f'service {service[:MAX_LOGGED_CHARS]!r} is not declared'
             raise Refused(Refusal(Reason.INVALID, detail=detail))
 
     @on.register
     async def _(self, call: Heartbeat) -> Response:
         lease = call.lease
         self._check_service(lease.service)
-        change = self.registry.take_heartbeat(lease)
-        if change is Change.CHANGED:
+        change = self.registry.record_heartbeat(lease)
+        if change is RecordChange.CHANGED:
             await self.followers.wake()
         if lease.state is LeaseState.DRAINING:
-            await self._spread_last_word(lease.instance)
+            await self._send_ending_to_majority(lease.instance)
         return self.adapter.accepted()
 
     @on.register
     async def _(self, call: Goodbye) -> Response:
         if self._may_be_of_another_incarnation(call):
             raise Refused(Refusal(Reason.NOT_READY, detail='the back end is not known here yet'))
-        if self.registry.take_goodbye(call.instance, call.incarnation) is Change.CHANGED:
+        if self.registry.record_goodbye(call.instance, call.incarnation) is RecordChange.CHANGED:
             await self.followers.wake()
-        await self._spread_last_word(call.instance)
+        await self._send_ending_to_majority(call.instance)
         return self.adapter.accepted()
 
     def _may_be_of_another_incarnation(self, call: Goodbye) -> bool:
         """
-        Whether others may know an incarnation that this word, taken here as of none,
-        would not end: callers would be sent to it after its acknowledgement.
+        Whether other replicas may know an incarnation that this goodbye doesn't end, as it
+        names none and none is known here. Requests would reach that incarnation after the
+        goodbye is acknowledged.
 
         """
         known = self.registry.leases.get(call.instance) is not None
-        return call.incarnation is None and not known and not self.registry.settled
+        return call.incarnation is None and not known and not self.registry.is_complete
 
-    async def _spread_last_word(self, instance: str) -> None:
+    async def _send_ending_to_majority(self, instance: str) -> None:
         """
-        A back end that leaves is told so only once a majority of the
-        replicas knows: from then on its callers may count on it.
+        Send a back end's drain or goodbye to a majority of the replicas before it
+        is acknowledged, as the back end relies on the acknowledgement.
+
+        :raises Refused: if too few replicas confirmed it in time.
 
         """
         lease = self.registry.leases.get(instance)
         if lease is None or lease.state is LeaseState.READY:
             return
         key = (instance, lease.incarnation, lease.state)
-        if key in self.spread:
+        if key in self.endings_at_majority:
             return
-        if not await self.mesh.spread(lease):
-            raise Refused(Refusal(Reason.NO_QUORUM, detail='too few replicas know of it'))
-        self.spread.add(key)
+        if not await self.replica_links.send_to_majority(lease):
+            raise Refused(Refusal(Reason.NO_QUORUM, detail='too few replicas acknowledged it'))
+        self.endings_at_majority.add(key)
 
     @on.register
     async def _(self, call: PutDocument) -> Response:
@@ -219,7 +222,7 @@
 
     @on.register
     async def _(self, call: ReadDocument) -> Response:
-        state = await self.proposals.read_state(PATIENCE_S)
+        state = await self.proposals.read_state(PROPOSAL_TIMEOUT_S)
         item = state.items.get(DOCUMENT_KEY)
         if item is None:
             raise Refused(Refusal(Reason.NOT_READY, detail='no document yet'))
@@ -232,7 +235,7 @@
         if held is not None:
             version = decode_versioned(held.value).version
             if command.version <= version:
-                # What is applied here is committed, and versions never fall.
+                # The state applied here is committed, and versions never decrease.
                 return RaiseResult(False, version)
-        data = await self.proposals.propose(command, PATIENCE_S)
+        data = await self.proposals.propose(command, PROPOSAL_TIMEOUT_S)
         return msgspec.msgpack.decode(data, type=RaiseResult)
--- a/packages/millforkd/millforkd/replica/daemon.py
+++ b/packages/millforkd/millforkd/replica/daemon.py
@@ -1,5 +1,5 @@
 """
-A replica that serves no callers: it keeps the state and the leases.
+The daemon of a replica, which keeps the replicated state and the leases, and serves no callers.
 
 """
 
@@ -16,8 +16,8 @@
 from millfork_registry.discovery import Discovery
 from millfork_registry.followers import Followers
 from millfork_registry.records import decode_state
-from millfork_registry.registry import Change, Registry
-from millfork_registry.suspects import decode_suspicions
+from millfork_registry.registry import RecordChange, Registry
+from millfork_registry.suspicion_store import decode_suspicions
 from millfork_settings.seeded import SeededSettings, socket_pair
 from millfork_state.answers import StateAnswers
 from millfork_state.formation import Seeds
@@ -33,18 +33,17 @@
 from millfork_wire.messages import Done, Message, VersionSwitch
 from millforkd.admin import Admin
 from millforkd.replica.control import Control
-from millforkd.replica.mesh import Mesh
 from millforkd.replica.quarantine import QuarantineList
+from millforkd.replica.replica_links import ReplicaLinks
 from millforkd.seeded import peers_for
 from millforkd.versions import Versions
 
 STATE_FOLDER: Final = 'state'
-# A leader gives way before it stops, so that the others need not wait for
-# its silence.
+# Interval of checks for calls in progress during a stop.
 STOP_PAUSE_S: Final = 0.1
-# Versions are looked for this often, should the word of a change be missed.
-LEARN_AFTER_S: Final = 0.15
-# How long one call to the leader may take.
+# New versions are checked for at least this often, in case a change notification is missed.
+VERSION_CHECK_PERIOD_S: Final = 0.15
+# Timeout of one call to the leader.
 LEADER_TIMEOUT_S: Final = 0.8
 
 log = logger(Part.STATE)
@@ -52,7 +51,7 @@
 
 class ReplicaDaemon:
     """
-    One replica.
+    Builds the parts of one replica, starts their tasks and answers peers' messages.
 
     """
 
@@ -82,7 +81,7 @@
         self.answers = StateAnswers(self.node)
         self.registry = Registry(env, heartbeat_s)
         self.followers = Followers(env, self.replica, self.registry)
-        self.mesh = Mesh(
+        self.replica_links = ReplicaLinks(
             env,
             self.peers,
             self.replica,
@@ -96,7 +95,7 @@
             env,
             self.replica.view,
             settings.promises.version_ms,
-            self.mesh.switch_ends,
+            self.replica_links.version_cutoffs,
             untold_ms=0,
             leads=self._leads,
             arrived=self.replica.arrivals.of,
@@ -118,7 +117,7 @@
             self.replica.view,
             self.registry,
             self.followers,
-            self.mesh,
+            self.replica_links,
             self.proposals,
         )
         self.server = Server(
@@ -135,9 +134,9 @@
         self.versions.refresh()
         return self.versions.switches()
 
-    async def _learn_versions(self) -> None:
+    async def _record_new_versions(self) -> None:
         """
-        The task that notes when a version was named: its end counts from there.
+        Task that records when a version is named, as its cutoff counts from that time.
 
         """
         view = self.replica.view
@@ -145,7 +144,7 @@
             mark = view.mark
             if self.replica.cluster:
                 self.versions.refresh()
-            await view.wait_beyond(mark, LEARN_AFTER_S)
+            await view.wait_beyond(mark, VERSION_CHECK_PERIOD_S)
 
     @property
     def in_progress(self) -> int:
@@ -156,31 +155,32 @@
 
     async def start(self) -> None:
         """
-        Start all tasks of the replica.
+        Recover the replica's state and start all its tasks.
 
         """
         await self.replica.recover()
         await self.env.keep(self.peers.listen)
         await self.env.keep(self.peers.probe_idle)
         await self.env.keep(self.admin.run)
-        await self.env.keep(self.mesh.keep)
+        await self.env.keep(self.replica_links.run)
         await self.env.keep(self.followers.wake_on_configuration)
-        await self.env.keep(self._learn_versions)
-        await self.env.keep(self.quarantine.keep)
+        await self.env.keep(self._record_new_versions)
+        await self.env.keep(self.quarantine.run)
         await self.env.keep(self.node.run)
         await self.env.keep(self.node.keep_snapshots)
         await self.env.keep(self.server.run)
 
     async def reload(self, settings: SeededSettings) -> None:
         """
-        Take changed settings: other seeds.
+        Apply changed settings; only the seeds can change.
 
         """
-        self.discovery.take_seeds(settings.seed_instances)
+        self.discovery.set_seeds(settings.seed_instances)
 
     async def drain(self) -> None:
         """
-        A planned stop: give up leading, end the calls in progress.
+        Prepare a planned stop: a leader steps down, so that the others needn't wait for its
+        silence, and calls in progress end.
 
         """
         self.server.closing = True
@@ -210,7 +210,7 @@
 
     @on.register
     async def _(self, message: messages.FindReplicas, connection: Connection) -> Message:
-        return self.mesh.on_find(message, connection.hello.zone)
+        return self.replica_links.on_find(message, connection.hello.zone)
 
     @on.register
     async def _(self, message: messages.Follow, connection: Connection) -> Message:
@@ -219,17 +219,17 @@
 
     @on.register
     async def _(self, message: messages.Leases, connection: Connection) -> Message:
-        await self.mesh.on_leases(connection.peer, message)
+        await self.replica_links.on_leases(connection.peer, message)
         return Done(True)
 
     @on.register
     async def _(self, message: messages.SuspicionReport, connection: Connection) -> Message:
         try:
-            told = decode_suspicions(message.body)
+            suspicions = decode_suspicions(message.body)
         except msgspec.DecodeError as error:
-            log.warning('Suspicions of {} can not be read: {}.', connection.peer, error)
+            log.warning('Cannot decode suspicions from {}: {}.', connection.peer, error)
             return Done(False)
-        if await self.registry.suspects.hear(told):
+        if await self.registry.suspects.merge(suspicions):
             await self.followers.wake()
         return Done(True)
 
@@ -238,9 +238,9 @@
         try:
             state = decode_state(message.body)
         except msgspec.DecodeError as error:
-            log.warning('A report of {} can not be read: {}.', connection.peer, error)
+            log.warning('Cannot decode a report from {}: {}.', connection.peer, error)
             return Done(False)
-        mine = msgspec.structs.replace(state, owner=str(self.env.instance))
-        if self.registry.take_endpoint(mine) is Change.CHANGED:
+        state_owned_here = msgspec.structs.replace(state, owner=str(self.env.instance))
+        if self.registry.merge_endpoint_state(state_owned_here) is RecordChange.CHANGED:
             await self.followers.wake()
         return Done(True)
--- a/packages/millforkd/millforkd/replica/quarantine.py
+++ b/packages/millforkd/millforkd/replica/quarantine.py
@@ -1,9 +1,9 @@
 """
-The replicas' side of the quarantine: a list that outlasts every process.
+The replicas' side of the quarantine: a list in the replicated state.
 
-Suspicions are kept in memory. A loss of power of the whole fleet would forget them, and a
-request that had ended three back ends would end three more; so the leader writes down
-which requests are at fault, and takes that back when an answer has cleared one.
+Suspicions are kept in memory, so a loss of power of the whole fleet would lose them, and a
+request that had ended three back ends would end three more. The leader therefore lists
+the requests at fault in the replicated state, and removes those that an answer clears.
 
 """
 
@@ -16,19 +16,19 @@
 from millfork_core.ids import Fingerprint
 from millfork_core.logs import Part, logger
 from millfork_core.verdicts import Refused
-from millfork_registry.suspects import Suspects, Suspicion, decode_epoch, encode_epoch
+from millfork_registry.suspicion_store import Suspicion, SuspicionStore, decode_epoch, encode_epoch
 from millfork_scheduling.quarantine import is_at_fault
 from millfork_state.commands import AnyCommand, Apply, Change, Raise, decode_versioned
 from millfork_state.keys import QUARANTINE_PREFIX, quarantine_key
 from millfork_state.proposals import Proposals
 from millfork_state.view import Held, View
 
-LOOK_EVERY_S: Final = 0.25
-PATIENCE_S: Final = 0.9
-# A request is taken off the list after a day, as software is replaced that fails on a request.
-HELD_MS: Final = 24 * 3600 * 1000
-# With a key and a value of some ten bytes each, 0.1 MB of state.
-MOST_HELD: Final = 1000
+RECONCILE_PERIOD_S: Final = 0.25
+PROPOSAL_TIMEOUT_S: Final = 0.9
+# A request leaves the list after a day, as software that fails on a request gets replaced.
+LISTED_MAX_AGE_MS: Final = 24 * 3600 * 1000
+# At this size the list takes 0.1 MB of state, with keys and values of about ten bytes each.
+MAX_LISTED: Final = 1000
 ID_BITS: Final = 128
 
 log = logger(Part.CONTROL)
@@ -36,7 +36,7 @@
 
 class QuarantineList:
     """
-    Keeps the list in the replicated state; only the leader acts.
+    Maintains the quarantine list in the replicated state; only the leader changes it.
 
     """
 
@@ -44,7 +44,7 @@
         self,
         env: Environment,
         view: View,
-        suspects: Suspects,
+        suspects: SuspicionStore,
         proposals: Proposals,
         leads: Callable[[], bool],
         now_ms: Callable[[], int],
@@ -53,23 +53,23 @@
         self.view = view
         self.suspects = suspects
         self.proposals = proposals
-        self.leads = leads
+        self.is_leader = leads
         self.now_ms = now_ms
 
-    async def keep(self) -> None:
+    async def run(self) -> None:
         """
-        The task that puts requests on the list and takes them off.
+        Task that adds requests to the list and removes them.
 
         """
         while True:
-            await curio.sleep(LOOK_EVERY_S)
-            self.suspects.forget_old()
-            if self.leads():
-                await self.settle()
+            await curio.sleep(RECONCILE_PERIOD_S)
+            self.suspects.forget_expired()
+            if self.is_leader():
+                await self.reconcile()
 
-    async def settle(self) -> None:
+    async def reconcile(self) -> None:
         """
-        Bring the replicated state up to what is known now.
+        Update the list in the replicated state from the present suspicions.
 
         """
         for suspicion in list(self.suspects.table.values()):
@@ -78,8 +78,8 @@
                 await self._add(suspicion)
                 continue
             if held is not None and suspicion.epoch > _epoch_of(held):
-                await self._remove(suspicion.fingerprint, 'an answer came whole')
-        await self._forget_old()
+                await self._remove(suspicion.fingerprint, 'complete answer')
+        await self._remove_old()
 
     async def _add(self, suspicion: Suspicion) -> None:
         key = quarantine_key(suspicion.fingerprint)
@@ -97,21 +97,21 @@
         if await self._propose(Apply(command_id, [change])):
             log.notice('Request out of quarantine. fingerprint={} reason={}', fingerprint, reason)
 
-    async def _forget_old(self) -> None:
+    async def _remove_old(self) -> None:
         held = self.view.prefixed(QUARANTINE_PREFIX)
-        given = {key: decode_versioned(value).version for key, value in held.items()}
-        oldest_first = sorted(given, key=lambda key: given[key])
-        over = len(given) - MOST_HELD
+        listed_at_ms = {key: decode_versioned(value).version for key, value in held.items()}
+        oldest_first = sorted(listed_at_ms, key=lambda key: listed_at_ms[key])
+        over = len(listed_at_ms) - MAX_LISTED
         for number, key in enumerate(oldest_first):
-            if number >= over and self.now_ms() - given[key] < HELD_MS:
+            if number >= over and self.now_ms() - listed_at_ms[key] < LISTED_MAX_AGE_MS:
                 return
             await self._remove(Fingerprint(key.removeprefix(QUARANTINE_PREFIX)), 'old')
 
     async def _propose(self, command: AnyCommand) -> bool:
         try:
-            await self.proposals.propose(command, PATIENCE_S)
+            await self.proposals.propose(command, PROPOSAL_TIMEOUT_S)
         except Refused as error:
-            log.info('The quarantine list was not changed: {}.', error)
+            log.info('Cannot change the quarantine list: {}.', error)
             return False
         return True
 
--- a/packages/millforkd/millforkd/suspicion_updates.py
+++ b/packages/millforkd/millforkd/suspicion_updates.py
@@ -8,7 +8,7 @@
 from millfork_core.environment import Environment
 from millfork_core.ids import Fingerprint, IncarnationKey
 from millfork_core.windows import Allowance
-from millfork_registry.suspects import Suspects, Suspicion
+from millfork_registry.suspicion_store import SuspicionStore, Suspicion
 from millfork_scheduling.quarantine import count_ends
 
 # The number of newly suspected requests that are published immediately, per window. Where many
@@ -24,7 +24,7 @@
 
     """
 
-    def __init__(self, env: Environment, suspects: Suspects) -> None:
+    def __init__(self, env: Environment, suspects: SuspicionStore) -> None:
         self.env = env
         self.suspects = suspects
         self.immediate_reports = Allowance(IMMEDIATE_REPORTS, IMMEDIATE_REPORTS_WINDOW_S)
@@ -34,8 +34,8 @@
         Note that a request broke off at an incarnation of a back end.
 
         """
-        known = self.suspects.of(fingerprint)
-        self.suspects.note_privately(known.with_broken(incarnation))
+        known = self.suspects.get(fingerprint)
+        self.suspects.record_privately(known.with_broken_answer(incarnation))
         if not known.is_clear or self.immediate_reports.spend(self.env.monotonic()):
             await self.suspects.publish(fingerprint)
 
@@ -45,18 +45,18 @@
         time when it was sent there.
 
         """
-        known = self.suspects.of(before.fingerprint)
+        known = self.suspects.get(before.fingerprint)
         if incarnation in known.broken:
-            await self.suspects.note(known.with_ends(count_ends(before, known, incarnation)))
+            await self.suspects.record(known.with_ends(count_ends(before, known, incarnation)))
             return
         # The suspicion was cleared after the request broke off.
-        await self.suspects.note(before.with_end())
+        await self.suspects.record(before.with_end())
 
     async def note_no_end(self, fingerprint: Fingerprint, incarnation: IncarnationKey) -> None:
         """
         Note that the incarnation is alive, or that its state stayed unknown for too long.
 
         """
-        known = self.suspects.of(fingerprint)
+        known = self.suspects.get(fingerprint)
         if incarnation in known.broken:
-            await self.suspects.withdraw(known.without(incarnation))
+            await self.suspects.withdraw(known.without_broken(incarnation))
--- a/tests/test_ends_of_silent_back_ends.py
+++ b/tests/test_ends_of_silent_back_ends.py
@@ -14,7 +14,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import Fingerprint, InstanceId, ServiceName, ZoneId
-from millfork_registry.suspects import Suspects, Suspicion
+from millfork_registry.suspicion_store import SuspicionStore, Suspicion
 from millfork_scheduling.server import Server
 from millforkd.proxy import end_detection
 from millforkd.proxy.end_detection import EndDetector, ProbeResult
@@ -38,7 +38,7 @@
 
     async def run():
         env = Environment(InstanceId('a:1'), ZoneId('z1'))
-        suspects = Suspects(env.monotonic)
+        suspects = SuspicionStore(env.monotonic)
         end_detector = EndDetector(env, suspects)
         server = Server(InstanceId('i-1'), ServiceName('s'), '127.0.0.1', 1, ZoneId('z1'), 16)
         remaining_results = list(probe_results)
@@ -52,13 +52,13 @@
         await end_detector.note_broken(server, Suspicion(FINGERPRINT))
         try:
             async with curio.timeout_after(TIMEOUT_S):
-                while not suspects.of(FINGERPRINT).ends and len(remaining_results) > 1:
+                while not suspects.get(FINGERPRINT).ends and len(remaining_results) > 1:
                     await curio.sleep(0.001)
         except curio.TaskTimeout:
             pass
         # The next probe notes what is known by now.
         await curio.sleep(0.05)
-        return suspects.of(FINGERPRINT).ends
+        return suspects.get(FINGERPRINT).ends
 
     return curio.run(run)
 
--- /dev/null
+++ b/tests/test_feed_client.py
@@ -0,0 +1,134 @@
+"""
+Choice of the replica that a process follows: one in its own zone if possible.
+
+"""
+
+from types import SimpleNamespace
+
+import curio
+
+from millfork_core.environment import Environment
+from millfork_core.ids import InstanceId, ZoneId
+from millfork_registry import feed_client as feed_client_module
+from millfork_registry.discovery import Discovery
+from millfork_registry.feed_client import FeedClient
+from millfork_registry.registry import Registry
+from millfork_state.view import View
+from millfork_wire.connection import PeerUnreachable
+from millfork_wire.messages import Done, FindReplicas, Follow, Leases, Replicas
+from millforkd.proxy.daemon import DEFAULT_ENTRY_COUNT, ProxyDaemon
+
+ZONES = {'10.0.0.1:7': 'far', '10.0.0.2:7': 'near'}
+
+
+class StandInReplicas:
+    """
+    Replicas in two zones. Tests set which ones are reachable, and the age of the near one's
+    last contact with the leader.
+
+    """
+
+    def __init__(self, *reachable):
+        self.reachable = set(reachable)
+        self.age_ms = 0
+        self.followed = []
+        self.connections = {}
+
+    async def call(self, address, message, timeout):
+        name = str(address.instance)
+        if name not in self.reachable:
+            raise PeerUnreachable(name)
+        if isinstance(message, FindReplicas):
+            age_ms = self.age_ms if ZONES[name] == 'near' else 0
+            return Replicas('c', '', sorted(ZONES), age_ms, 1, [], ZONES[name])
+        assert isinstance(message, Follow)
+        self.followed.append(ZONES[name])
+        self.connections[name] = StandInConnection()
+        return Done(True)
+
+
+class StandInConnection:
+    closed = False
+
+    async def notify(self, message):
+        pass
+
+    async def close(self):
+        self.closed = True
+
+
+def client_following(replicas):
+    env = Environment(InstanceId('10.0.0.9:7'), ZoneId('near'))
+    discovery = Discovery(env, replicas, ['10.0.0.1:7', '10.0.0.2:7'])
+    return FeedClient(env, 'entry', View(), Registry(env, 1.0), replicas, discovery)
+
+
+async def run_until(client, replicas, condition, bound_s=5.0):
+    task = await curio.spawn(client.run, daemon=True)
+    async with curio.timeout_after(bound_s):
+        while not condition():
+            # Simulates messages of the feed.
+            client.source_heard_at = client.env.monotonic()
+            await curio.sleep(0.01)
+    await task.cancel()
+
+
+def test_a_follower_changes_to_a_replica_in_its_zone_once_one_answers(monkeypatch):
+    monkeypatch.setattr(feed_client_module, 'NEARER_CHECK_PERIOD_S', 0.1)
+    replicas = StandInReplicas('10.0.0.1:7')
+    client = client_following(replicas)
+
+    async def run():
+        await run_until(client, replicas, lambda: replicas.followed == ['far'])
+        replicas.reachable.add('10.0.0.2:7')
+        await run_until(client, replicas, lambda: replicas.followed[-1] == 'near')
+        assert client.source == '10.0.0.2:7'
+
+    curio.run(run)
+
+
+def test_a_follower_changes_directly_to_the_replica_in_its_zone(monkeypatch):
+    monkeypatch.setattr(feed_client_module, 'NEARER_CHECK_PERIOD_S', 0.1)
+    monkeypatch.setitem(ZONES, '10.0.0.3:7', 'far')
+    replicas = StandInReplicas('10.0.0.1:7', '10.0.0.3:7')
+    client = client_following(replicas)
+    client.discovery.add_replica('10.0.0.3:7')
+
+    async def run():
+        await run_until(client, replicas, lambda: replicas.followed == ['far'])
+        replicas.reachable.add('10.0.0.2:7')
+        await run_until(client, replicas, lambda: replicas.followed[-1] == 'near')
+        assert replicas.followed == ['far', 'near']
+
+    curio.run(run)
+
+
+def test_a_follower_does_not_change_to_a_replica_without_contact_to_the_leader(monkeypatch):
+    monkeypatch.setattr(feed_client_module, 'NEARER_CHECK_PERIOD_S', 0.1)
+    replicas = StandInReplicas('10.0.0.1:7', '10.0.0.2:7')
+    replicas.age_ms = feed_client_module.STALE_MS + 1
+    client = client_following(replicas)
+
+    async def run():
+        await run_until(client, replicas, lambda: replicas.followed == ['far'])
+        began = client.env.monotonic()
+        await run_until(client, replicas, lambda: client.env.monotonic() > began + 0.5)
+        assert 'near' not in replicas.followed
+
+    curio.run(run)
+
+
+def test_only_the_followed_replica_sets_the_number_of_entries():
+    client = client_following(StandInReplicas())
+    client.source = InstanceId('10.0.0.1:7')
+    leases = Leases(entries=6, most_entries=7)
+    daemon = SimpleNamespace(feed_client=client)
+
+    async def run():
+        # From another follower, which relays the feed.
+        await client.handle_feed_message(InstanceId('10.0.0.8:7'), leases)
+        assert ProxyDaemon.most_entries(daemon) == DEFAULT_ENTRY_COUNT
+        await client.handle_feed_message(client.source, leases)
+        assert ProxyDaemon.most_entries(daemon) == 7
+
+    curio.run(run)
--- a/tests/test_leases_of_lost_owners.py
+++ b/tests/test_leases_of_lost_owners.py
@@ -1,8 +1,8 @@
 """
-A replica that wrongly takes another one for lost (it was frozen, or only the link between
-the two was cut) lets the other's leases run out. A third replica, which hears both, takes
-that word, as its own copy has the same sequence: renewals are told to nobody. The owner,
-whose sequence is higher, notes nothing, so nothing ever corrects the third.
+A replica that wrongly considers another one lost (it was frozen, or only the link between
+the two was cut) expires the other's leases. A third replica, connected to both, accepted the
+expiry, because renewals aren't sent and its copy had the same sequence. The owner, which has
+a higher sequence, ignored the expiry, so nothing ever corrected the third replica.
 
 """
 
@@ -10,16 +10,16 @@
 from millfork_core.ids import InstanceId, ZoneId
 from millfork_registry.followers import Follower, Followers
 from millfork_registry.records import Lease, LeaseState, decode_leases
-from millfork_registry.registry import Change, Registry
+from millfork_registry.registry import RecordChange, Registry
 from millfork_registry.roles import REPLICA_ROLE
 from tests.test_servers import Clock
 
 HEARTBEAT_S = 1.2
 
 
-class Told:
+class ReplicaWithFeeds:
     """
-    One replica, and what it has told each other one.
+    One replica, and the state of its feed to each other replica.
 
     """
 
@@ -29,43 +29,47 @@
         self.followers = Followers(self.env, None, self.registry)
         self.feeds = {}
 
-    def tell(self, other):
+    def send_feed(self, other):
         feed = self.feeds.setdefault(other, Follower(None, REPLICA_ROLE))
-        message = self.followers._leases_for(feed)
+        message = self.followers._next_leases_message(feed)
         for lease in decode_leases(message.leases):
-            other.registry.take(lease)
+            other.registry.merge_lease(lease)
 
 
-def beat(replica, sequence):
+def send_heartbeat(replica, sequence):
     lease = Lease('i-1', 's', '10.0.0.1', 80, 'zone', 1, LeaseState.READY, sequence)
-    return replica.registry.take_heartbeat(lease)
+    return replica.registry.record_heartbeat(lease)
 
 
-def test_a_back_end_that_beats_on_is_usable_at_replicas_that_hear_its_owner():
+def test_a_back_end_with_heartbeats_is_usable_at_replicas_that_reach_its_owner():
     clock = Clock()
-    owner, third, apart = Told('o:1', clock), Told('y:1', clock), Told('z:1', clock)
-    assert beat(owner, 1) is Change.CHANGED
-    for replica in (owner, third, apart):
-        for other in {owner, third, apart} - {replica}:
-            replica.tell(other)
-    # Only the link between the owner and one replica is cut, or that one is frozen.
+    owner, other_replica, cut_off = (
+        ReplicaWithFeeds('o:1', clock),
+        ReplicaWithFeeds('y:1', clock),
+        ReplicaWithFeeds('z:1', clock),
+    )
+    assert send_heartbeat(owner, 1) is RecordChange.CHANGED
+    for replica in (owner, other_replica, cut_off):
+        for other in {owner, other_replica, cut_off} - {replica}:
+            replica.send_feed(other)
+    # Only the link between the owner and the `cut_off` replica is cut, or that replica is frozen.
     for sequence in range(2, 8):
         clock.now += HEARTBEAT_S
-        beat(owner, sequence)
-        owner.tell(third)
-        apart.registry.expire({'o:1'})
-        apart.tell(third)
-        third.tell(apart)
-        third.tell(owner)
-        third.registry.expire(set())
+        send_heartbeat(owner, sequence)
+        owner.send_feed(other_replica)
+        cut_off.registry.expire({'o:1'})
+        cut_off.send_feed(other_replica)
+        other_replica.send_feed(cut_off)
+        other_replica.send_feed(owner)
+        other_replica.registry.expire(set())
         owner.registry.expire(set())
-    # The link is back; the owner goes on getting heartbeats for a minute.
+    # The link works again; the owner keeps receiving heartbeats for a minute.
     for sequence in range(8, 60):
         clock.now += HEARTBEAT_S
-        beat(owner, sequence)
-        for replica in (owner, third, apart):
-            for other in {owner, third, apart} - {replica}:
-                replica.tell(other)
+        send_heartbeat(owner, sequence)
+        for replica in (owner, other_replica, cut_off):
+            for other in {owner, other_replica, cut_off} - {replica}:
+                replica.send_feed(other)
             replica.registry.expire(set())
     assert owner.registry.leases.get('i-1').state is LeaseState.READY
-    assert third.registry.leases.get('i-1').state is LeaseState.READY
+    assert other_replica.registry.leases.get('i-1').state is LeaseState.READY
--- a/tests/test_platform_foreign_messages.py
+++ b/tests/test_platform_foreign_messages.py
@@ -1,9 +1,9 @@
 """
-Heartbeats, reports and documents that another writer sent: fields missing or of another
-type, numbers beyond all bounds, bytes that can't be read. A sequence over 64 bits was taken
-for a heartbeat, and the feed that was to tell others of it ended with `OverflowError: can't
-serialize ints < -2**63 or > 2**64 - 1`. An answer with `keep-alive: timeout=\xb2` ended its
-request with `ValueError: could not convert string to float`.
+Malformed heartbeats, reports and documents of foreign clients: missing fields, wrong types,
+numbers out of bounds, undecodable bytes. A sequence of more than 64 bits was accepted, and the
+feed that sent it on ended with `OverflowError: can't serialize ints < -2**63 or > 2**64 - 1`.
+An answer with `keep-alive: timeout=\xb2` ended its request with `ValueError: could not convert
+string to float`.
 
 """
 
@@ -28,7 +28,7 @@
 from millfork_state.view import View
 from millfork_web.models import Request
 from millforkd.replica.control import Control
-from tests.test_incarnations import FIRST, lease
+from tests.test_incarnations import FIRST_INCARNATION, lease
 from tests.test_platform import BEAT, DOCUMENT, post
 from tests.test_registry import HEARTBEAT_S, Clock
 from tests.test_seeded_fleet import document
@@ -45,13 +45,13 @@
     'kv_used': 41000,
     'kv_total': 90000,
     'pace': 1.0,
-    'born': FIRST,
+    'born': FIRST_INCARNATION,
 }
 HEADERS = sorted(
     {value for value in vars(names).values() if isinstance(value, str) and '/' not in value}
 )
-LIST = {'model': 'm', 'version': 2, 'digests': ['a' * 64]}
-ODD = st.one_of(
+CHUNK_LIST = {'model': 'm', 'version': 2, 'digests': ['a' * 64]}
+FOREIGN_VALUES = st.one_of(
     st.none(),
     st.booleans(),
     st.integers(-(10**400), 10**400),
@@ -64,9 +64,9 @@
 )
 
 
-def places_in(value, path=()):
+def paths_in(value, path=()):
     """
-    The path of every value in a message.
+    Return the path of every value in a message.
 
     """
     found = [path] if path else []
@@ -74,7 +74,7 @@
     if isinstance(value, dict | list):
         for key, item in items:
             found += (
-                places_in(item, (*path, key)) if isinstance(item, dict | list) else [(*path, key)]
+                paths_in(item, (*path, key)) if isinstance(item, dict | list) else [(*path, key)]
             )
     return found
 
@@ -82,17 +82,18 @@
 @st.composite
 def mutated(draw, message):
     """
-    A message with some of its values replaced or left out, as bytes, at times cut short.
+    Draw a message as bytes, with some values replaced or removed, sometimes truncated or with
+    bytes appended.
 
     """
     changed = copy.deepcopy(message)
-    for path in draw(st.lists(st.sampled_from(places_in(message)), max_size=3, unique=True)):
+    for path in draw(st.lists(st.sampled_from(paths_in(message)), max_size=3, unique=True)):
         try:
             holder = changed
             for key in path[:-1]:
                 holder = holder[key]
             if draw(st.booleans()):
-                holder[path[-1]] = draw(ODD)
+                holder[path[-1]] = draw(FOREIGN_VALUES)
             else:
                 del holder[path[-1]]
         except (KeyError, IndexError, TypeError):
@@ -106,8 +107,8 @@
 
 
 @settings(max_examples=300, deadline=None)
-@given(mutated({**BEAT, 'born': FIRST}))
-def test_a_heartbeat_is_taken_whole_or_refused(body):
+@given(mutated({**BEAT, 'born': FIRST_INCARNATION}))
+def test_a_heartbeat_is_fully_valid_or_refused(body):
     try:
         call = post('/v1/Instances.Heartbeat/i-1', body)
     except BadCall:
@@ -121,7 +122,7 @@
 
 @settings(max_examples=300, deadline=None)
 @given(mutated(DOCUMENT))
-def test_a_document_is_taken_whole_or_refused(body):
+def test_a_document_is_fully_valid_or_refused(body):
     try:
         call = post('/v1/Config.Put', body)
     except BadCall:
@@ -134,7 +135,7 @@
 
 @settings(max_examples=200, deadline=None)
 @given(mutated(REPORT))
-def test_an_engine_report_is_taken_whole_or_refused(body):
+def test_an_engine_report_is_fully_valid_or_refused(body):
     try:
         report = ADAPTER.read_report(body)
     except BadCall:
@@ -142,8 +143,8 @@
     assert msgspec.msgpack.encode([report.running, report.queued, report.incarnation])
 
 
-@given(mutated(LIST))
-def test_a_list_of_pieces_is_taken_whole_or_refused(body):
+@given(mutated(CHUNK_LIST))
+def test_a_list_of_pieces_is_fully_valid_or_refused(body):
     try:
         pieces = ADAPTER.read_piece_list(body)
     except BadCall:
@@ -151,8 +152,8 @@
     assert all(len(bytes.fromhex(digest)) == 32 for digest in pieces.digests)
 
 
-@given(mutated({'model': 'm', 'version': 2}), mutated({'born': FIRST}))
-def test_other_calls_are_taken_or_refused(version, goodbye):
+@given(mutated({'model': 'm', 'version': 2}), mutated({'born': FIRST_INCARNATION}))
+def test_other_calls_are_accepted_or_refused(version, goodbye):
     for path, body in (('/v1/version-put', version), ('/v1/Instances.Leave/i-1', goodbye)):
         try:
             post(path, body)
@@ -161,7 +162,7 @@
 
 
 @given(st.dictionaries(st.sampled_from(HEADERS), st.text()))
-def test_any_headers_are_read_or_refused(headers):
+def test_any_headers_are_parsed_or_refused(headers):
     pairs = list(headers.items())
     ADAPTER.read_answer(200, pairs)
     try:
@@ -171,18 +172,18 @@
     assert caller.deadline_ms is None or caller.deadline_ms >= 0
 
 
-def test_a_keep_alive_that_is_no_number_is_passed_over():
+def test_a_keep_alive_that_is_not_a_number_is_ignored():
     assert ADAPTER.read_answer(200, [('keep-alive', 'timeout=\xb2')]).keep_s is None
 
 
-def test_a_goodbye_names_its_incarnation_where_it_says_anything():
+def test_a_goodbye_with_a_body_names_its_incarnation():
     path = '/v1/Instances.Leave/i-1'
     assert post(path, b'') == Goodbye('i-1', None)
-    assert post(path, {'born': FIRST}) == Goodbye('i-1', FIRST)
+    assert post(path, {'born': FIRST_INCARNATION}) == Goodbye('i-1', FIRST_INCARNATION)
     assert post(path, {}) == Goodbye('i-1', 0)
 
 
-def test_counts_of_a_deployment_played_at_a_share_are_rounded():
+def test_fractional_counts_in_a_document_are_rounded():
     body = copy.deepcopy(DOCUMENT)
     body['services'][0]['max_conns'] = 66.6
     body['services'][0]['engine']['slots'] = 0.4
@@ -196,9 +197,9 @@
 # At a replica.
 
 
-class Calls:
+class ReplicaCalls:
     """
-    The calls of one replica, which knows one document and one back end.
+    Sends calls to one replica, which has one declared service and one back end.
 
     """
 
@@ -206,7 +207,7 @@
         self.clock = Clock()
         self.env = Environment(InstanceId('a:1'), ZoneId('z1'), monotonic=self.clock)
         self.registry = Registry(self.env, HEARTBEAT_S)
-        self.registry.take_heartbeat(lease(FIRST, 5))
+        self.registry.record_heartbeat(lease(FIRST_INCARNATION, 5))
         self.woken = 0
         followers = SimpleNamespace(wake=self.wake)
         self.control = Control(
@@ -238,10 +239,10 @@
         {'slots': -1},
     ],
 )
-def test_a_foreign_heartbeat_is_refused_and_what_is_held_stays(change):
-    calls = Calls()
+def test_a_foreign_heartbeat_is_refused_and_changes_no_lease(change):
+    calls = ReplicaCalls()
     held = calls.registry.leases.get('i-1')
-    body = {**BEAT, 'address': '10.0.0.1:80', 'born': FIRST + 1, **change}
+    body = {**BEAT, 'address': '10.0.0.1:80', 'born': FIRST_INCARNATION + 1, **change}
     for name in ('i-1', 'i-2'):
         request = Request('POST', f'{names.HEARTBEAT_PATH}{name}', [], json.dumps(body).encode())
         assert 400 <= calls.send(request) < 500
@@ -249,13 +250,13 @@
     assert calls.woken == 0
 
 
-def test_refused_calls_are_all_counted_and_logged_once_in_a_while(monkeypatch):
+def test_all_refused_calls_are_counted_and_some_are_logged(monkeypatch):
     lines = []
     monkeypatch.setattr(
         'millforkd.replica.control.log',
         SimpleNamespace(warning=lambda text, *args: lines.append(args)),
     )
-    calls = Calls()
+    calls = ReplicaCalls()
     request = Request('POST', names.PUT_DOCUMENT_PATH, [], b'\xff')
     for _ in range(50):
         calls.send(request)
@@ -268,10 +269,10 @@
     assert counted == 51
 
 
-def test_a_service_that_no_document_names_is_refused_once_there_is_one():
-    calls = Calls()
+def test_an_undeclared_service_is_refused_once_there_is_a_document():
+    calls = ReplicaCalls()
     calls.control.services = None
-    beat = standins.heartbeat(lease(FIRST, 6))
+    beat = standins.heartbeat(lease(FIRST_INCARNATION, 6))
     assert calls.send(beat) == 200
     calls.control.services = frozenset(item.name for item in document(1).services)
-    assert calls.send(standins.heartbeat(lease(FIRST, 7))) == 422
+    assert calls.send(standins.heartbeat(lease(FIRST_INCARNATION, 7))) == 422
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,5 +1,5 @@
 """
-What is known of requests under which back ends ended, and who acts on it.
+Suspicions of requests that ended back ends, the entries' quarantine, and its replicated list.
 
 """
 
@@ -13,11 +13,11 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import ClusterId, Fingerprint, InstanceId, ServiceName, ZoneId
-from millfork_registry.suspects import (
-    MOST_SUSPECTS,
-    REMEMBERED_S,
-    Suspects,
+from millfork_registry.suspicion_store import (
+    MAX_SUSPICIONS,
+    SUSPICION_RETENTION_S,
     Suspicion,
+    SuspicionStore,
     decode_suspicions,
     encode_suspicions,
 )
@@ -29,13 +29,13 @@
 from millforkd.proxy.end_detection import EndDetector
 from millforkd.proxy.fingerprints import Fingerprints
 from millforkd.quarantine import Quarantine
-from millforkd.replica.quarantine import HELD_MS, MOST_HELD, QuarantineList
+from millforkd.replica.quarantine import LISTED_MAX_AGE_MS, MAX_LISTED, QuarantineList
 from tests.test_servers import Clock
 
 FINGERPRINT = Fingerprint('ab')
 
 
-def test_a_fingerprint_is_of_path_caller_and_body_alone():
+def test_a_fingerprint_depends_only_on_path_caller_body_key_and_cluster():
     made = Fingerprints(b'key', lambda: 'cluster')
     first = made.of_request(Request('POST', '/a', [('x-request-id', '1')], b'text'), 'org')
     assert made.of_request(Request('POST', '/a', [('x-request-id', '2')], b'text'), 'org') == first
@@ -52,55 +52,55 @@
 
 def test_ends_at_the_same_moment_count_as_one():
     async def run():
-        suspects = Suspects(Clock())
-        before = suspects.of(FINGERPRINT)
+        suspects = SuspicionStore(Clock())
+        before = suspects.get(FINGERPRINT)
         for _ in range(5):
-            await suspects.note(before.with_end())
-        assert suspects.of(FINGERPRINT).ends == 1
+            await suspects.record(before.with_end())
+        assert suspects.get(FINGERPRINT).ends == 1
 
     curio.run(run)
 
 
-def test_an_answer_that_came_whole_clears_what_was_known_before_it():
+def test_a_complete_answer_clears_earlier_suspicions():
     async def run():
-        suspects = Suspects(Clock())
-        late = suspects.of(FINGERPRINT)
+        suspects = SuspicionStore(Clock())
+        late = suspects.get(FINGERPRINT)
         for _ in range(MIN_ENDS_AT_FAULT):
-            late = suspects.of(FINGERPRINT)
-            await suspects.note(late.with_end())
-        assert is_at_fault(suspects.of(FINGERPRINT))
-        await suspects.note(suspects.of(FINGERPRINT).cleared())
-        assert not await suspects.hear([late.with_end()])
-        assert suspects.of(FINGERPRINT).ends == 0
+            late = suspects.get(FINGERPRINT)
+            await suspects.record(late.with_end())
+        assert is_at_fault(suspects.get(FINGERPRINT))
+        await suspects.record(suspects.get(FINGERPRINT).cleared())
+        assert not await suspects.merge([late.with_end()])
+        assert suspects.get(FINGERPRINT).ends == 0
 
     curio.run(run)
 
 
-def test_old_suspicions_are_forgotten_and_their_number_is_bounded():
+def test_suspicions_are_bounded_in_age_and_number():
     async def run():
         clock = Clock()
-        suspects = Suspects(clock)
-        for number in range(MOST_SUSPECTS + 10):
-            await suspects.note(Suspicion(Fingerprint(f'{number}'), 0, 1))
-        assert len(suspects.table) == len(suspects.changed_at) == MOST_SUSPECTS
-        assert len(suspects.untold) == MOST_SUSPECTS
-        clock.now += REMEMBERED_S
-        await suspects.note(Suspicion(FINGERPRINT, 0, 1))
-        suspects.forget_old()
+        suspects = SuspicionStore(clock)
+        for number in range(MAX_SUSPICIONS + 10):
+            await suspects.record(Suspicion(Fingerprint(f'{number}'), 0, 1))
+        assert len(suspects.table) == len(suspects.changed_at) == MAX_SUSPICIONS
+        assert len(suspects.unsent) == MAX_SUSPICIONS
+        clock.now += SUSPICION_RETENTION_S
+        await suspects.record(Suspicion(FINGERPRINT, 0, 1))
+        suspects.forget_expired()
         assert list(suspects.table.values()) == [Suspicion(FINGERPRINT, 0, 1)]
 
     curio.run(run)
 
 
-def test_a_replica_that_started_anew_is_told_all_by_its_followers():
+def test_followers_send_all_suspicions_to_a_restarted_replica():
     async def run():
-        suspects = Suspects(Clock())
+        suspects = SuspicionStore(Clock())
         suspicion = Suspicion(FINGERPRINT, 0, 2)
-        await suspects.hear([suspicion])
-        assert not suspects.untold
-        await suspects.tell_again()
-        assert suspects.untold == {FINGERPRINT: suspicion}
-        assert suspects.news.is_set()
+        await suspects.merge([suspicion])
+        assert not suspects.unsent
+        await suspects.mark_all_unsent()
+        assert suspects.unsent == {FINGERPRINT: suspicion}
+        assert suspects.unsent_event.is_set()
 
     curio.run(run)
 
@@ -113,43 +113,43 @@
 
 @settings(deadline=None)
 @given(STEPS)
-def test_all_agree_once_they_heard_all(steps):
+def test_processes_agree_once_they_have_exchanged_all_suspicions(steps):
     """
-    Three processes note ends and whole answers, and tell each other in any order, also the
-    same again; who knows less is told by whoever hears that.
+    Three processes record ends and complete answers, and send each other their suspicions in
+    any order and repeatedly. A process that receives older knowledge sends back its own.
 
     """
 
     async def run():
-        processes = [Suspects(Clock()) for _ in range(3)]
-        for kind, one, other in steps:
-            known = processes[one].of(FINGERPRINT)
+        processes = [SuspicionStore(Clock()) for _ in range(3)]
+        for kind, sender, receiver in steps:
+            known = processes[sender].get(FINGERPRINT)
             if kind == 'end':
-                await processes[one].note(known.with_end())
+                await processes[sender].record(known.with_end())
             elif kind == 'clear':
-                await processes[one].note(known.cleared())
+                await processes[sender].record(known.cleared())
             else:
-                body = encode_suspicions(list(processes[one].table.values()))
-                await processes[other].hear(decode_suspicions(body))
-        newest = max((p.of(FINGERPRINT) for p in processes), key=lambda item: item.order)
+                body = encode_suspicions(list(processes[sender].table.values()))
+                await processes[receiver].merge(decode_suspicions(body))
+        newest = max((p.get(FINGERPRINT) for p in processes), key=lambda item: item.order)
         for process in processes:
-            await process.hear([newest])
-            assert process.of(FINGERPRINT) == newest
+            await process.merge([newest])
+            assert process.get(FINGERPRINT) == newest
             older = Suspicion(FINGERPRINT, newest.epoch, newest.ends - 1)
-            assert not await process.hear([older])
-            assert newest.order == (0, 0) or process.untold[FINGERPRINT] == newest
+            assert not await process.merge([older])
+            assert newest.order == (0, 0) or process.unsent[FINGERPRINT] == newest
 
     curio.run(run)
 
 
 class Entry:
     """
-    An entry's quarantine, and a job of it.
+    An entry's quarantine, and one job of the entry.
 
     """
 
     def __init__(self):
-        self.suspects = Suspects(Clock())
+        self.suspects = SuspicionStore(Clock())
         self.view = View()
         self.view.cluster = ClusterId('c')
         self.quarantine = Quarantine(
@@ -164,7 +164,7 @@
         )
 
     async def end(self):
-        await self.suspects.note(self.quarantine.known(self.job).with_end())
+        await self.suspects.record(self.quarantine.suspicion_of(self.job).with_end())
 
 
 def list_of(entry, clock, leads=lambda: True):
@@ -179,49 +179,49 @@
     return QuarantineList(env, entry.view, entry.suspects, proposals, leads, now_ms)
 
 
-def test_a_request_is_barred_after_its_third_end_and_by_the_list_alone():
+def test_a_request_is_blocked_after_its_third_end_and_by_the_list_alone():
     async def run():
         entry = Entry()
         listing = list_of(entry, Clock())
         for _ in range(MIN_ENDS_AT_FAULT):
-            assert not entry.quarantine.bars(entry.job)
+            assert not entry.quarantine.blocking_standing(entry.job)
             await entry.end()
-        assert entry.quarantine.bars(entry.job)
-        await listing.settle()
-        # As after a loss of power: suspicions are gone, the state is not.
-        entry.suspects.table.drop(entry.job.fingerprint)
-        assert entry.quarantine.bars(entry.job)
+        assert entry.quarantine.blocking_standing(entry.job)
+        await listing.reconcile()
+        # As after a loss of power: suspicions are lost, the replicated state is not.
+        entry.suspects.table.remove(entry.job.fingerprint)
+        assert entry.quarantine.blocking_standing(entry.job)
 
     curio.run(run)
 
 
-def test_a_request_is_taken_off_the_list_once_an_answer_came_whole():
+def test_a_complete_answer_removes_a_request_from_the_list():
     async def run():
         entry = Entry()
         listing = list_of(entry, Clock())
         for _ in range(MIN_ENDS_AT_FAULT):
             await entry.end()
-        await listing.settle()
-        await entry.quarantine.clear(entry.job)
-        assert not entry.quarantine.bars(entry.job)
-        await listing.settle()
+        await listing.reconcile()
+        await entry.quarantine.clear_suspicion(entry.job)
+        assert not entry.quarantine.blocking_standing(entry.job)
+        await listing.reconcile()
         assert entry.view.items == {}
 
     curio.run(run)
 
 
-def test_the_list_is_bounded_in_time_and_number():
+def test_the_list_is_bounded_in_age_and_number():
     async def run():
         entry, clock = Entry(), Clock()
         listing = list_of(entry, clock)
-        for number in range(MOST_HELD + 3):
+        for number in range(MAX_LISTED + 3):
             clock.now += 0.001
-            await entry.suspects.note(Suspicion(Fingerprint(f'{number}'), 0, MIN_ENDS_AT_FAULT))
-            await listing.settle()
-            entry.suspects.table.drop(f'{number}')
-        assert len(entry.view.items) == MOST_HELD
-        clock.now += HELD_MS / 1000 + 1
-        await listing.settle()
+            await entry.suspects.record(Suspicion(Fingerprint(f'{number}'), 0, MIN_ENDS_AT_FAULT))
+            await listing.reconcile()
+            entry.suspects.table.remove(f'{number}')
+        assert len(entry.view.items) == MAX_LISTED
+        clock.now += LISTED_MAX_AGE_MS / 1000 + 1
+        await listing.reconcile()
         assert entry.view.items == {}
 
     curio.run(run)
@@ -233,25 +233,25 @@
         yield sock
 
 
-def broke_off(port):
+def ends_after_broken_answer(port):
     """
-    What is known of a request whose answer broke off at a back end with this port.
+    The ends counted for a request whose answer broke off at a back end with this port.
 
     """
 
     async def run():
         env = Environment(InstanceId('a:1'), ZoneId('z1'))
-        suspects = Suspects(env.monotonic)
+        suspects = SuspicionStore(env.monotonic)
         ends = EndDetector(env, suspects)
         server = Server(InstanceId('i-1'), ServiceName('s'), '127.0.0.1', port, ZoneId('z1'), 16)
         await ends.note_broken(server, Suspicion(FINGERPRINT))
-        return suspects.of(FINGERPRINT).ends
+        return suspects.get(FINGERPRINT).ends
 
     return curio.run(run)
 
 
-def test_an_answer_that_broke_off_counts_only_where_the_back_end_has_ended(listening):
+def test_a_broken_off_answer_counts_only_if_the_back_end_has_ended(listening):
     port = listening.getsockname()[1]
-    assert broke_off(port) == 0
+    assert ends_after_broken_answer(port) == 0
     listening.close()
-    assert broke_off(port) == 1
+    assert ends_after_broken_answer(port) == 1
--- a/tests/test_repeat_budget_in_cuts.py
+++ b/tests/test_repeat_budget_in_cuts.py
@@ -1,6 +1,6 @@
 """
-Entries that begin while regions are cut from each other have never known of the others:
-each half divides the whole fixed allowance by itself alone.
+Entries that start during a network partition don't know the entries on the other side, so
+each side used the whole fixed allowance of retries.
 
 """
 
@@ -10,23 +10,23 @@
 from millfork_registry.followers import Follower, Followers
 from millfork_registry.registry import Registry
 from millfork_registry.roles import ENTRY_ROLE
-from tests.test_servers import Clock
 from tests.test_shared_budget import ENTRIES, RATIO, SERVICE, SLACK, TICK_S, WINDOW_S, Fleet
+from tests.test_servers import Clock
 
-# One request of each entry in so many ticks; all but a few are turned away.
-EACH_TICKS = 4
+# Each entry gets one request in this many ticks; nearly all requests are turned away.
+TICKS_PER_REQUEST = 4
 
 
-def test_entries_that_began_during_a_cut_stay_within_the_budget():
+def test_entries_started_during_a_partition_stay_within_the_budget():
     fleet = Fleet()
-    # Both halves of the entries follow replicas that see their own half only.
+    # Each half of the entries follows replicas that know only this half.
     fleet.known_entries = ENTRIES // 2
     fleet.budgets = [fleet.new_budget() for _ in range(ENTRIES)]
     requests, repeats = [], []
     for tick in range(int(3 * WINDOW_S / TICK_S)):
         fleet.clock.now += TICK_S
         for budget in fleet.budgets:
-            if tick % EACH_TICKS == 0:
+            if tick % TICKS_PER_REQUEST == 0:
                 budget.note_request(SERVICE)
                 requests.append(fleet.clock.now)
             while budget.spend(SERVICE):
@@ -38,7 +38,7 @@
 
 def allowances(fleet):
     """
-    What all have of the fixed allowance, after windows without a request.
+    The entries' total share of the fixed allowance, after windows without a request.
 
     """
     for _ in range(int(3 * WINDOW_S / TICK_S)):
@@ -48,14 +48,14 @@
     return sum(budget.current_share(SERVICE).allowed for budget in fleet.budgets)
 
 
-def test_the_side_of_a_cut_with_a_majority_has_its_part_of_the_allowance():
+def test_the_majority_side_of_a_partition_keeps_its_share_of_the_allowance():
     fleet = Fleet()
     fleet.known_entries = ENTRIES // 2
     fleet.budgets = [fleet.new_budget(position) for position in range(ENTRIES)]
     assert SLACK / 2 < allowances(fleet) <= SLACK
 
 
-def test_entries_behind_a_cut_keep_their_part_for_as_long_as_it_lasts():
+def test_entries_on_the_other_side_keep_their_share_during_a_partition():
     fleet = Fleet()
     assert SLACK / 2 < allowances(fleet) <= SLACK
     before = fleet.budgets[1].current_share(SERVICE).allowed
@@ -64,14 +64,14 @@
     assert fleet.budgets[1].current_share(SERVICE).allowed == before
 
 
-def test_a_replica_tells_of_the_most_entries_that_it_knew_of_lately():
+def test_a_replica_reports_the_greatest_recent_number_of_entries():
     clock = Clock()
     replica = SimpleNamespace(env=SimpleNamespace(instance='a', monotonic=clock))
     registry = Registry(SimpleNamespace(instance='a', monotonic=clock), 1.0)
     followers = Followers(replica.env, replica, registry)
     follower = Follower(None, ENTRY_ROLE)
-    followers.entries_elsewhere = {'b': ENTRIES}
-    assert followers._leases_for(follower).most_entries == ENTRIES
-    followers.entries_elsewhere = {}
-    told = followers._leases_for(follower)
-    assert (told.entries, told.most_entries) == (0, ENTRIES)
+    followers.entries_by_other_replica = {'b': ENTRIES}
+    assert followers._next_leases_message(follower).most_entries == ENTRIES
+    followers.entries_by_other_replica = {}
+    message = followers._next_leases_message(follower)
+    assert (message.entries, message.most_entries) == (0, ENTRIES)
--- a/tests/test_spreading_suspicions.py
+++ b/tests/test_spreading_suspicions.py
@@ -10,7 +10,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import Fingerprint, InstanceId, ZoneId
-from millfork_registry.suspects import Suspects, Suspicion, decode_suspicions
+from millfork_registry.suspicion_store import Suspicion, SuspicionStore, decode_suspicions
 from millfork_state.config import InstanceFacts
 from millfork_wire.connection import PeerUnreachable
 from millfork_wire.messages import AskSuspicions, SuspicionReport
@@ -51,7 +51,7 @@
     def add(self, name):
         env = Environment(InstanceId(name), ZoneId('z'))
         roster = FakeRoster(self.entries)
-        made = SuspicionSpreading(env, FakePeers(self), roster, Suspects(env.monotonic))
+        made = SuspicionSpreading(env, FakePeers(self), roster, SuspicionStore(env.monotonic))
         self.entries[InstanceId(name)] = made
         return made
 
@@ -97,7 +97,7 @@
 
 
 def known(network, ends):
-    return [entry.suspects.of(FINGERPRINT).ends for entry in network.entries.values()] == [
+    return [entry.suspects.get(FINGERPRINT).ends for entry in network.entries.values()] == [
         ends
     ] * len(network.entries)
 
@@ -114,9 +114,9 @@
             await entry.env.spawn(entry.keep)
         network.unreachable = {InstanceId('entry-1'), InstanceId('entry-4')}
         first = network.entries[InstanceId('entry-0')]
-        await first.suspects.note(Suspicion(FINGERPRINT, 0, 1))
+        await first.suspects.record(Suspicion(FINGERPRINT, 0, 1))
         reached = [e for name, e in network.entries.items() if name not in network.unreachable]
-        await until(lambda: all(e.suspects.of(FINGERPRINT).ends == 1 for e in reached))
+        await until(lambda: all(e.suspects.get(FINGERPRINT).ends == 1 for e in reached))
         network.unreachable = set()
         await until(lambda: known(network, 1))
         await until(lambda: not any(entry.telling for entry in network.entries.values()))
@@ -128,8 +128,8 @@
     async def run():
         network = Network(['entry-0', 'entry-1'])
         other = network.entries[InstanceId('entry-1')]
-        await other.suspects.note(Suspicion(FINGERPRINT, 0, 2))
-        other.suspects.note_privately(Suspicion(Fingerprint('cd'), 0, 1))
+        await other.suspects.record(Suspicion(FINGERPRINT, 0, 2))
+        other.suspects.record_privately(Suspicion(Fingerprint('cd'), 0, 1))
         starting = network.add('entry-2')
         assert not starting.learned
         await starting.env.spawn(starting.keep)
--- a/tests/test_suspicions.py
+++ b/tests/test_suspicions.py
@@ -21,10 +21,10 @@
     ZoneId,
 )
 from millfork_core.windows import Allowance
-from millfork_registry.suspects import (
-    MOST_BROKEN,
-    MOST_SUSPECTS,
-    Suspects,
+from millfork_registry.suspicion_store import (
+    MAX_BROKEN_INCARNATIONS,
+    MAX_SUSPICIONS,
+    SuspicionStore,
     Suspicion,
     decode_suspicions,
     encode_suspicions,
@@ -52,7 +52,7 @@
 def suspected(number=MIN_ENDS_AT_FAULT):
     suspicion = Suspicion(FINGERPRINT)
     for index in range(number):
-        suspicion = suspicion.with_broken(IncarnationKey(f'i-{index}/1'))
+        suspicion = suspicion.with_broken_answer(IncarnationKey(f'i-{index}/1'))
     return suspicion
 
 
@@ -61,7 +61,7 @@
         st.sampled_from(['break', 'lives', 'end', 'clear', 'tell']),
         st.integers(0, 2),
         st.integers(0, 2),
-        st.integers(0, MOST_BROKEN + 2),
+        st.integers(0, MAX_BROKEN_INCARNATIONS + 2),
     ),
     max_size=30,
 )
@@ -71,22 +71,22 @@
 @given(STEPS)
 def test_all_processes_agree_after_exchanging_suspicions(steps):
     async def run():
-        processes = [Suspects(Clock()) for _ in range(3)]
+        processes = [SuspicionStore(Clock()) for _ in range(3)]
 
         async def tell(one, other):
             body = encode_suspicions(list(processes[one].table.values()))
-            await processes[other].hear(decode_suspicions(body))
+            await processes[other].merge(decode_suspicions(body))
 
         for kind, one, other, number in steps:
             suspects = processes[one]
-            known = suspects.of(FINGERPRINT)
+            known = suspects.get(FINGERPRINT)
             key = IncarnationKey(f'i-{number}/1')
             if kind == 'break':
-                await suspects.note(known.with_broken(key))
+                await suspects.record(known.with_broken_answer(key))
             elif kind == 'lives' and key in known.broken:
-                await suspects.withdraw(known.without(key))
+                await suspects.withdraw(known.without_broken(key))
             elif kind == 'end':
-                await suspects.note(known.with_end())
+                await suspects.record(known.with_end())
             elif kind == 'clear':
                 await suspects.withdraw(known.cleared())
             elif kind == 'tell':
@@ -94,7 +94,7 @@
         for one in (0, 1, 2, 0, 1, 2):
             for other in range(3):
                 await tell(one, other)
-        assert len({process.of(FINGERPRINT) for process in processes}) == 1
+        assert len({process.get(FINGERPRINT) for process in processes}) == 1
 
     curio.run(run)
 
@@ -102,7 +102,7 @@
 def test_a_request_is_suspected_after_it_broke_off_at_three_back_ends():
     levels = [suspicion_level_of(suspected(number)) for number in range(MIN_ENDS_AT_FAULT + 1)]
     assert levels == [SuspicionLevel.FREE] * MIN_ENDS_AT_FAULT + [SuspicionLevel.SUSPECTED]
-    again = suspected(1).with_broken(IncarnationKey('i-0/1'))
+    again = suspected(1).with_broken_answer(IncarnationKey('i-0/1'))
     assert again == suspected(1)
 
 
@@ -111,41 +111,41 @@
     assert count_ends(Suspicion(FINGERPRINT), now, IncarnationKey('i-0/1')) == 1
     assert count_ends(suspected(2), now, IncarnationKey('i-2/1')) == MIN_ENDS_AT_FAULT
     assert count_ends(suspected(2), now, IncarnationKey('i-1/1')) == 2
-    lives_on = now.without(IncarnationKey('i-0/1'))
+    lives_on = now.without_broken(IncarnationKey('i-0/1'))
     assert count_ends(suspected(2), lives_on, IncarnationKey('i-2/1')) == 2
     assert count_ends(suspected(0).with_end(), now, IncarnationKey('i-2/1')) == 2
 
 
 def test_a_request_is_cleared_by_a_back_end_that_lives_on():
-    left = suspected().with_end().without(IncarnationKey('i-1/1'))
+    left = suspected().with_end().without_broken(IncarnationKey('i-1/1'))
     assert suspicion_level_of(left) is SuspicionLevel.FREE
     assert (left.epoch, left.ends, left.broken) == (1, 1, ('i-0/1', 'i-2/1'))
 
 
 def test_an_unpublished_suspicion_is_withdrawn_without_a_trace():
     async def run():
-        suspects = Suspects(Clock())
-        suspects.note_privately(suspected(1))
-        await suspects.tell_again()
-        assert not suspects.untold
-        await suspects.withdraw(suspected(1).without(IncarnationKey('i-0/1')))
+        suspects = SuspicionStore(Clock())
+        suspects.record_privately(suspected(1))
+        await suspects.mark_all_unsent()
+        assert not suspects.unsent
+        await suspects.withdraw(suspected(1).without_broken(IncarnationKey('i-0/1')))
         assert not len(suspects.table)
-        suspects.note_privately(suspected(1))
+        suspects.record_privately(suspected(1))
         await suspects.publish(FINGERPRINT)
-        assert suspects.untold == {FINGERPRINT: suspected(1)}
-        await suspects.withdraw(suspected(1).without(IncarnationKey('i-0/1')))
-        assert suspects.untold[FINGERPRINT] == Suspicion(FINGERPRINT, 1)
+        assert suspects.unsent == {FINGERPRINT: suspected(1)}
+        await suspects.withdraw(suspected(1).without_broken(IncarnationKey('i-0/1')))
+        assert suspects.unsent[FINGERPRINT] == Suspicion(FINGERPRINT, 1)
 
     curio.run(run)
 
 
 def test_records_without_suspicion_are_dropped_first():
     async def run():
-        suspects = Suspects(Clock())
-        await suspects.note(suspected())
-        for number in range(MOST_SUSPECTS):
-            await suspects.note(Suspicion(Fingerprint(f'{number}'), 1))
-        assert suspects.of(FINGERPRINT) == suspected()
+        suspects = SuspicionStore(Clock())
+        await suspects.record(suspected())
+        for number in range(MAX_SUSPICIONS):
+            await suspects.record(Suspicion(Fingerprint(f'{number}'), 1))
+        assert suspects.get(FINGERPRINT) == suspected()
 
     curio.run(run)
 
@@ -198,7 +198,7 @@
 
     def __init__(self):
         self.env = Environment(InstanceId('a:1'), ZoneId('z1'))
-        self.suspects = Suspects(self.env.monotonic)
+        self.suspects = SuspicionStore(self.env.monotonic)
         self.statuses = {}
         self.ends = EndDetector(self.env, self.suspects, self.status)
         self.found = ProbeResult.ANSWERS
@@ -219,7 +219,7 @@
 
     @property
     def known(self):
-        return self.suspects.of(FINGERPRINT)
+        return self.suspects.get(FINGERPRINT)
 
     async def until(self, holds):
         async with curio.timeout_after(5):
