--- a/packages/millfork-registry/millfork_registry/followers.py
+++ b/packages/millfork-registry/millfork_registry/followers.py
@@ -119,11 +119,11 @@
 
         """
         view = self.replica.view
-        mark = view.mark
+        mark = view.position
         while True:
-            await view.wait_beyond(mark, HEARTBEAT_S)
-            if view.mark != mark:
-                mark = view.mark
+            await view.wait_for_change(mark, HEARTBEAT_S)
+            if view.position != mark:
+                mark = view.position
                 await self.wake()
 
     async def _feed(self, follower: Follower, message: Follow) -> None:
--- a/packages/millfork-registry/millfork_registry/following.py
+++ b/packages/millfork-registry/millfork_registry/following.py
@@ -41,7 +41,7 @@
 RETRY_S: Final = 0.1
 ASK_EVERY_S: Final = 2.0
 # A follower of another zone's replica looks this often for one of its own zone.
-LOOK_NEARER_S: Final = 3.0
+NEARER_CHECK_INTERVAL_S: Final = 3.0
 # A replica that heard its leader this long ago may hold old configuration;
 # longer than an election.
 STALE_MS: Final = 1500
@@ -170,7 +170,7 @@
         return any(
             self.switch_ends.at(key.removeprefix(VERSION_PREFIX), decode_versioned(value).version)
             is None
-            for key, value in self.view.prefixed(VERSION_PREFIX).items()
+            for key, value in self.view.values_with_prefix(VERSION_PREFIX).items()
         )
 
     async def _fresher_than(self, address: PeerAddress, age_ms: int) -> bool:
@@ -207,9 +207,9 @@
             if now - self.asked_at > ASK_EVERY_S or self._knows_of_untold():
                 self.asked_at = now
                 await self._ask(address)
-            if now - looked_at > LOOK_NEARER_S:
+            if now - looked_at > NEARER_CHECK_INTERVAL_S:
                 looked_at = now
-                if await self._has_nearer(address):
+                if await self._finds_nearer(address):
                     reason = 'one of the own zone answers'
                     await self._stop(connection)
                     break
@@ -227,7 +227,7 @@
             self.view.revision,
         )
 
-    async def _has_nearer(self, address: PeerAddress) -> bool:
+    async def _finds_nearer(self, address: PeerAddress) -> bool:
         """
         Whether a replica of the own zone is in touch with its leader, and the
         one followed is of another.
@@ -270,7 +270,7 @@
             self.age_ms = update.age_ms
         elif peer != self.asked_relay:
             return
-        if not self.view.take(update):
+        if not self.view.apply_update(update):
             return
         self.env.metrics.revision.set({}, self.view.revision)
         log.info(
@@ -279,7 +279,7 @@
             peer,
             update.age_ms,
         )
-        await self.view.announce()
+        await self.view.notify_waiters()
         await self.changed.set()
 
     async def _take_leases(self, peer: InstanceId, message: Leases) -> None:
--- a/packages/millfork-standins/millfork_standins/bench/cost.py
+++ b/packages/millfork-standins/millfork_standins/bench/cost.py
@@ -26,8 +26,8 @@
 from millfork_standins.requests import fetch
 from millfork_state.commands import ClaimKey, SettleKey
 from millfork_state.config import InstanceFacts
-from millfork_state.machine import Machine
-from millfork_state.view import Held, View
+from millfork_state.state_machine import StateMachine
+from millfork_state.view import StoredValue, View
 
 IDLE_S: Final = 10.0
 CHANGES: Final = 60
@@ -180,11 +180,13 @@
         view = View()
         for number in range(SAMPLE):
             key = f'labels/organisation-{number % 300}/instance-{number}'
-            view.change(Revision(number + 1), {key: Held(b'{"tier":"gold"}', Revision(1))}, [])
+            view.apply_change(
+                Revision(number + 1), {key: StoredValue(b'{"tier":"gold"}', Revision(1))}, []
+            )
         return view
 
     def grow_claims() -> Any:
-        machine = Machine(View())
+        machine = StateMachine(View())
         for number in range(SAMPLE):
             key = f'organisation/service/{number:032x}'
             machine.apply(ClaimKey(key, f'{number:032x}', 'f' * 64, number))
--- a/packages/millfork-state/millfork_state/arrivals.py
+++ b/packages/millfork-state/millfork_state/arrival_times.py
@@ -14,10 +14,10 @@
 
 # Versions and documents change some ten thousand times a day; an entry is committed, or
 # replaced, within seconds.
-MOST_KEPT: Final = 256
+MAX_ARRIVAL_TIMES: Final = 256
 
 
-class Arrivals:
+class ArrivalTimes:
     """
     The log index and the time (monotonic seconds) of each, by key and version.
 
@@ -25,30 +25,30 @@
 
     def __init__(self, monotonic: Callable[[], float]) -> None:
         self.monotonic = monotonic
-        self.came: dict[tuple[str, int], tuple[int, float]] = {}
+        self.received: dict[tuple[str, int], tuple[int, float]] = {}
 
-    def note(self, index: int, command: AnyCommand) -> None:
+    def record(self, index: int, command: AnyCommand) -> None:
         """
         An entry came into the log; the first of a key's version counts.
 
         """
         if not isinstance(command, Raise):
             return
-        if len(self.came) >= MOST_KEPT:
-            del self.came[next(iter(self.came))]
-        self.came.setdefault((command.key, command.version), (index, self.monotonic()))
+        if len(self.received) >= MAX_ARRIVAL_TIMES:
+            del self.received[next(iter(self.received))]
+        self.received.setdefault((command.key, command.version), (index, self.monotonic()))
 
-    def drop_from(self, index: int) -> None:
+    def discard_from(self, index: int) -> None:
         """
         The entries from an index on were replaced.
 
         """
-        self.came = {key: came for key, came in self.came.items() if came[0] < index}
+        self.received = {key: came for key, came in self.received.items() if came[0] < index}
 
-    def of(self, key: str, version: int) -> float | None:
+    def find(self, key: str, version: int) -> float | None:
         """
         When the entry came that raised a key to a version, if it is remembered.
 
         """
-        came = self.came.get((key, version))
+        came = self.received.get((key, version))
         return came[1] if came is not None else None
--- a/packages/millfork-state/millfork_state/upstream.py
+++ b/packages/millfork-state/millfork_state/distribution_tree.py
@@ -25,12 +25,12 @@
 
     """
 
-    def place(facts: InstanceFacts) -> tuple[bool, bool, int]:
+    def sort_key(facts: InstanceFacts) -> tuple[bool, bool, int]:
         is_replica = facts.instance in replicas
         return not is_replica, facts.role != ENTRY_ROLE, rank(zone, facts.instance)
 
     in_zone = [facts for facts in roster.instances.values() if facts.zone == zone]
-    return [facts.instance for facts in sorted(in_zone, key=place)]
+    return [facts.instance for facts in sorted(in_zone, key=sort_key)]
 
 
 def ancestors(order: list[InstanceId], instance: InstanceId) -> list[InstanceId]:
--- a/packages/millfork-state/millfork_state/election.py
+++ b/packages/millfork-state/millfork_state/election.py
@@ -9,26 +9,28 @@
 import curio
 
 from millfork_core.logs import Part, logger
-from millfork_state.replica import ELECTION_SPREAD, Replica, ReplicaState
+from millfork_state.replica import ELECTION_SPREAD_FRACTION, Replica, ReplicaState
 from millfork_wire.codec import PreVote
 from millfork_wire.connection import PeerError
 from millfork_wire.messages import VoteReply, VoteRequest
 from millfork_wire.peers import PeerAddress
 
-VOTE_TIMEOUT_SHARE: Final = 0.5
+VOTE_TIMEOUT_FRACTION: Final = 0.5
 
 log = logger(Part.STATE)
 
 
-async def wait_for_silence(replica: Replica) -> None:
+async def wait_for_election_timeout(replica: Replica) -> None:
     """
     Return when no leader was heard for a randomised election timeout.
 
     """
-    spread = 1 + replica.env.random.random() * ELECTION_SPREAD
+    spread = 1 + replica.env.random.random() * ELECTION_SPREAD_FRACTION
     limit = replica.election_s * spread
     while True:
-        silent = replica.env.monotonic() - max(replica.leader_heard, replica.campaigned)
+        silent = replica.env.monotonic() - max(
+            replica.leader_contact_at, replica.campaign_delay_from
+        )
         if silent >= limit and replica.is_voter and replica.disk_works:
             return
         await curio.sleep(max(limit - silent, replica.heartbeat_s / 4))
@@ -39,19 +41,19 @@
     Ask for pre-votes, then for votes; True if this replica now leads.
 
     """
-    if not await _gather(replica, _pre_vote(replica)):
-        replica.campaigned = replica.env.monotonic() - replica.election_s / 2
+    if not await _gather_votes(replica, _pre_vote_request(replica)):
+        replica.campaign_delay_from = replica.env.monotonic() - replica.election_s / 2
         return False
     async with replica.lock:
-        if replica.env.monotonic() - replica.leader_heard < replica.election_s:
+        if replica.env.monotonic() - replica.leader_contact_at < replica.election_s:
             return False
         term = replica.term + 1
         await replica.enter_term(term, voted_for=replica.env.instance)
         replica.state = ReplicaState.CANDIDATE
-        replica.leader_heard = replica.env.monotonic()
+        replica.leader_contact_at = replica.env.monotonic()
     log.info('Seeking election for term {}.', term)
     replica.env.metrics.count(replica.env.metrics.state, event='election')
-    won = await _gather(replica, _vote(replica, term))
+    won = await _gather_votes(replica, _vote_request(replica, term))
     async with replica.lock:
         if not won or replica.term != term or replica.state is not ReplicaState.CANDIDATE:
             return False
@@ -63,14 +65,14 @@
     return True
 
 
-def _vote(replica: Replica, term: int) -> VoteRequest:
+def _vote_request(replica: Replica, term: int) -> VoteRequest:
     storage = replica.storage
     return VoteRequest(
         replica.cluster, term, replica.env.instance, storage.last_index, storage.last_term
     )
 
 
-def _pre_vote(replica: Replica) -> PreVote:
+def _pre_vote_request(replica: Replica) -> PreVote:
     storage = replica.storage
     return PreVote(
         replica.cluster,
@@ -81,17 +83,17 @@
     )
 
 
-async def _gather(replica: Replica, request: VoteRequest) -> bool:
+async def _gather_votes(replica: Replica, request: VoteRequest) -> bool:
     """
     Whether a majority of voters, each on its known disk, says yes.
 
     """
     granted = {(replica.env.instance, replica.storage.disk)} & set(replica.members)
-    timeout = replica.election_s * VOTE_TIMEOUT_SHARE
-    enough: Callable[[], bool] = lambda: len(granted) >= replica.majority  # noqa: E731
+    timeout = replica.election_s * VOTE_TIMEOUT_FRACTION
+    has_majority: Callable[[], bool] = lambda: len(granted) >= replica.majority  # noqa: E731
     async with curio.TaskGroup() as group:
         for address in replica.others:
-            await group.spawn(_ask, replica, address, request, timeout)
+            await group.spawn(_request_vote, replica, address, request, timeout)
         async for task in group:
             if task.exception:
                 continue
@@ -99,21 +101,21 @@
             if reply is None:
                 continue
             if reply.term > replica.term:
-                await _learn_term(replica, reply.term)
+                await _adopt_term(replica, reply.term)
             if reply.granted and (voter, reply.disk) in replica.members:
                 granted.add((voter, reply.disk))
-            if enough():
+            if has_majority():
                 await group.cancel_remaining()
-    return enough()
+    return has_majority()
 
 
-async def _learn_term(replica: Replica, term: int) -> None:
+async def _adopt_term(replica: Replica, term: int) -> None:
     async with replica.lock:
         if term > replica.term:
             await replica.enter_term(term)
 
 
-async def _ask(
+async def _request_vote(
     replica: Replica,
     address: PeerAddress,
     request: VoteRequest,
--- a/packages/millfork-state/millfork_state/formation.py
+++ b/packages/millfork-state/millfork_state/formation.py
@@ -22,7 +22,7 @@
 from millfork_wire.messages import Genesis, Identify, Identity, Member
 from millfork_wire.peers import PeerAddress
 
-FORM_PAUSE_S: Final = 0.2
+FORMATION_RETRY_S: Final = 0.2
 IDENTIFY_TIMEOUT_S: Final = 1.0
 FIRST_TERM: Final = 1
 
@@ -45,7 +45,7 @@
     others: list[PeerAddress]
     may_form: bool
 
-    def forms_here(self, instance: InstanceId) -> bool:
+    def is_former(self, instance: InstanceId) -> bool:
         """
         Whether the replica on `instance` is the one that begins the state.
 
@@ -59,14 +59,14 @@
 
     """
     while not replica.cluster:
-        if seeds.forms_here(replica.env.instance):
-            members = await _all_empty(replica, seeds.others)
-            if members is not None and await _form(replica, members):
+        if seeds.is_former(replica.env.instance):
+            members = await _find_empty_members(replica, seeds.others)
+            if members is not None and await _form_cluster(replica, members):
                 return
-        await curio.sleep(FORM_PAUSE_S)
+        await curio.sleep(FORMATION_RETRY_S)
 
 
-async def _all_empty(
+async def _find_empty_members(
     replica: Replica,
     others: list[PeerAddress],
 ) -> list[tuple[str, str]] | None:
@@ -82,19 +82,19 @@
     return members
 
 
-async def _form(replica: Replica, members: list[tuple[str, str]]) -> bool:
+async def _form_cluster(replica: Replica, members: list[tuple[str, str]]) -> bool:
     cluster = ClusterId(uuid.uuid4().hex)
     try:
-        formed = await take_genesis(replica, cluster, members)
+        formed = await accept_genesis(replica, cluster, members)
     except OSError as error:
-        replica.note_disk_failure(error)
+        replica.record_disk_failure(error)
         return False
     if formed:
         log.notice('Formed the state with {} replicas.', len(members))
     return formed
 
 
-async def take_genesis(
+async def accept_genesis(
     replica: Replica,
     cluster: str,
     members: list[tuple[str, str]],
@@ -115,7 +115,7 @@
     return True
 
 
-async def spread_genesis(replica: Replica) -> None:
+async def distribute_genesis(replica: Replica) -> None:
     """
     Bring the first entry to every other replica that is still empty; the
     task ends when each has it, or has the state from its leader.
@@ -136,4 +136,4 @@
             except PeerError:
                 continue
             waiting.remove(address)
-        await curio.sleep(FORM_PAUSE_S)
+        await curio.sleep(FORMATION_RETRY_S)
--- a/packages/millfork-state/millfork_state/proposals.py
+++ b/packages/millfork-state/millfork_state/leader_client.py
@@ -12,17 +12,17 @@
 from millfork_core.ids import NO_INSTANCE, InstanceId
 from millfork_core.verdicts import Reason, Refusal, Refused, Verdict
 from millfork_state.commands import AnyCommand, encode_command
-from millfork_state.node import ReportRow, StateBody, StateNode, What
+from millfork_state.node import ReadTarget, ReportRow, StateBody, StateNode
 from millfork_wire.connection import PeerError, PeerUnreachable
 from millfork_wire.messages import Propose, Proposed, ReadState, Report, StateView
 from millfork_wire.peers import PeerAddress, Peers
 
 CALL_TIMEOUT_S: Final = 3.0
-PAUSE_S: Final = 0.1
-DEFAULT_PATIENCE_S: Final = 6.0
+RETRY_DELAY_S: Final = 0.1
+DEFAULT_TIMEOUT_S: Final = 6.0
 
 
-class Proposals:
+class LeaderClient:
     """
     Finds the leader and asks it.
 
@@ -39,29 +39,29 @@
         self.env = env
         self.peers = peers
         # The caller's own list, which may grow.
-        self.known = replicas
+        self.addresses = replicas
         self.node = node
         self.call_timeout_s = call_timeout_s
         self.leader: InstanceId = NO_INSTANCE
 
     @property
     def replicas(self) -> dict[InstanceId, PeerAddress]:
-        return {address.instance: address for address in self.known}
+        return {address.instance: address for address in self.addresses}
 
     async def propose(
         self,
         command: AnyCommand,
-        patience_s: float = DEFAULT_PATIENCE_S,
+        timeout_s: float = DEFAULT_TIMEOUT_S,
     ) -> bytes:
         """
         The encoded result of a command. Sending one again is harmless, as
-        commands carry ids, so this insists for `patience_s` seconds.
+        commands carry ids, so this insists for `timeout_s` seconds.
 
         :raises Refused: NO_QUORUM, with the verdict on the command.
 
         """
         data = encode_command(command)
-        deadline = self.env.monotonic() + patience_s
+        deadline = self.env.monotonic() + timeout_s
         verdict = Verdict.NOT_RUN
         while self.env.monotonic() < deadline:
             reply = await self._ask(Propose(data))
@@ -75,7 +75,7 @@
             if reply.result == Verdict.MAY_HAVE_RUN.value.encode():
                 verdict = Verdict.MAY_HAVE_RUN
             self.leader = InstanceId(reply.leader)
-            await curio.sleep(PAUSE_S)
+            await curio.sleep(RETRY_DELAY_S)
         raise Refused(Refusal(Reason.NO_QUORUM, verdict, 'no quorum of the state is reachable'))
 
     async def _ask(self, message: Propose) -> Proposed | None:
@@ -105,14 +105,14 @@
             raise Refused(Refusal(Reason.NO_QUORUM, detail='no other replica is known'))
         return self.env.random.choice(others)
 
-    async def read_state(self, patience_s: float = DEFAULT_PATIENCE_S) -> StateBody:
+    async def read_state(self, timeout_s: float = DEFAULT_TIMEOUT_S) -> StateBody:
         """
         The configuration, linearizable: as the leader has it.
 
         :raises Refused: NO_QUORUM if no leader confirms it.
 
         """
-        return msgspec.json.decode(await self._read(What.STATE, patience_s), type=StateBody)
+        return msgspec.json.decode(await self._read(ReadTarget.STATE, timeout_s), type=StateBody)
 
     async def read_reports(self) -> list[Report]:
         """
@@ -122,20 +122,20 @@
 
         """
         rows = msgspec.json.decode(
-            await self._read(What.REPORTS, DEFAULT_PATIENCE_S), type=list[ReportRow]
+            await self._read(ReadTarget.REPORTS, DEFAULT_TIMEOUT_S), type=list[ReportRow]
         )
         return [Report(*row) for row in rows]
 
-    async def _read(self, what: What, patience_s: float) -> bytes:
-        deadline = self.env.monotonic() + patience_s
+    async def _read(self, what: ReadTarget, timeout_s: float) -> bytes:
+        deadline = self.env.monotonic() + timeout_s
         while self.env.monotonic() < deadline:
             body = await self._read_once(what)
             if body is not None:
                 return body
-            await curio.sleep(PAUSE_S)
+            await curio.sleep(RETRY_DELAY_S)
         raise Refused(Refusal(Reason.NO_QUORUM, detail='no leader confirms its state'))
 
-    async def _read_once(self, what: What) -> bytes | None:
+    async def _read_once(self, what: ReadTarget) -> bytes | None:
         if self.node is not None and self.node.leads:
             return await self.node.read(what, self.call_timeout_s)
         try:
--- a/packages/millfork-state/millfork_state/leadership.py
+++ b/packages/millfork-state/millfork_state/leadership.py
@@ -10,7 +10,7 @@
 
 from millfork_core.logs import Part, logger
 from millfork_state.commands import SetMembers, encode_command
-from millfork_state.pending import Pending, noop_entry
+from millfork_state.pending import PendingProposal, noop_entry
 from millfork_state.replica import Replica, ReplicaState
 from millfork_state.storage import LogEntry
 from millfork_wire.connection import PeerError
@@ -22,7 +22,7 @@
 # Of the log's quorum; more replicas would only slow each commit.
 MAX_VOTERS: Final = 9
 # Longer than two elections, so that a restart is no reason to leave.
-SILENT_VOTER_S: Final = 4.0
+SILENT_VOTER_TIMEOUT_S: Final = 4.0
 
 log = logger(Part.STATE)
 
@@ -74,19 +74,19 @@
             await group.spawn(self.replica.stepped_down.wait)
             await group.spawn(self._write_log)
             await group.spawn(self._watch_quorum)
-            await group.spawn(self._repair_members)
-            await group.spawn(self._follow_addresses)
+            await group.spawn(self._maintain_members)
+            await group.spawn(self._replicate_to_new_addresses)
             for progress in self.progress:
                 await group.spawn(self._replicate, progress)
         async with self.replica.lock:
             if self.replica.term == self.term:
                 await self.replica.step_down()
-        await self._drop_proposals()
+        await self._reject_proposals()
         # A group raises nothing by itself.
         if group.completed.exception is not None:
             raise group.completed.exception
 
-    async def _follow_addresses(self) -> None:
+    async def _replicate_to_new_addresses(self) -> None:
         """
         Replicate to replicas whose addresses become known later, too.
 
@@ -103,7 +103,7 @@
                 self.progress.append(progress)
                 await replica.env.spawn(self._replicate, progress)
 
-    async def _drop_proposals(self) -> None:
+    async def _reject_proposals(self) -> None:
         queue = self.replica.proposals
         while not queue.empty():
             pending = await queue.get()
@@ -120,7 +120,7 @@
                 batch.append(await self.replica.proposals.get())
             await self._append(batch, [])
 
-    async def _append(self, batch: list[Pending], entries: list[LogEntry]) -> None:
+    async def _append(self, batch: list[PendingProposal], entries: list[LogEntry]) -> None:
         """
         Write proposals as one group: one sync for all, while the others
         receive them.
@@ -153,18 +153,18 @@
 
         """
         replica = self.replica
-        held = []
+        match_indexes = []
         for instance, disk in replica.members:
-            held.append(self._match(instance, disk))
-        held.sort(reverse=True)
-        index = held[replica.majority - 1]
+            match_indexes.append(self._match_index(instance, disk))
+        match_indexes.sort(reverse=True)
+        index = match_indexes[replica.majority - 1]
         if index > replica.commit and replica.storage.term_at(index) == self.term:
             await replica.advance_commit(index)
             await self._wake_all()
 
-    def _match(self, instance: str, disk: str) -> int:
+    def _match_index(self, instance: str, disk: str) -> int:
         if instance == self.replica.env.instance:
-            return self.replica.storage.durable if disk == self.replica.storage.disk else 0
+            return self.replica.storage.durable_index if disk == self.replica.storage.disk else 0
         for progress in self.progress:
             if progress.address.instance == instance and progress.disk == disk:
                 return progress.match
@@ -182,11 +182,13 @@
             except PeerError:
                 await curio.sleep(self.replica.heartbeat_s)
                 continue
-            if isinstance(reply, AppendReply) and await self._learn(progress, reply, sent_at):
+            if isinstance(reply, AppendReply) and await self._handle_reply(
+                progress, reply, sent_at
+            ):
                 continue
-            await self._pause(progress)
+            await self._wait_for_work(progress)
 
-    async def _pause(self, progress: Progress) -> None:
+    async def _wait_for_work(self, progress: Progress) -> None:
         try:
             async with curio.timeout_after(self.replica.heartbeat_s):
                 await progress.wake.wait()
@@ -199,7 +201,7 @@
         prev_index = progress.next_index - 1
         prev_term = storage.term_at(prev_index)
         instance = replica.env.instance
-        if prev_term is None or progress.next_index <= storage.first_index:
+        if prev_term is None or progress.next_index <= storage.snapshot_index:
             snapshot = storage.snapshot
             assert snapshot is not None
             return InstallRequest(
@@ -213,7 +215,7 @@
             replica.cluster, self.term, instance, prev_index, prev_term, entries, replica.commit
         )
 
-    async def _learn(self, progress: Progress, reply: AppendReply, sent_at: float) -> bool:
+    async def _handle_reply(self, progress: Progress, reply: AppendReply, sent_at: float) -> bool:
         """
         Take a reply into account; True if there is more to send at once.
 
@@ -270,31 +272,31 @@
                 replica.env.metrics.count(replica.env.metrics.state, event='quorum_lost')
                 return
 
-    async def confirm(self, timeout: float) -> bool:
+    async def confirm_leadership(self, timeout: float) -> bool:
         """
         Whether a majority still follows, asked after this call began, and
         everything committed before it is applied.
 
         """
         replica = self.replica
-        began = replica.env.monotonic()
+        started_at = replica.env.monotonic()
         await self._wake_all()
         try:
             async with curio.timeout_after(timeout), self.acked:
-                while self.active and not self._confirmed(began):
+                while self.active and not self._confirmed(started_at):
                     await self.acked.wait()
         except curio.TaskTimeout:
             return False
         return self.active
 
-    def _confirmed(self, began: float) -> bool:
+    def _confirmed(self, started_at: float) -> bool:
         replica = self.replica
-        enough = self._acked_since(began) >= replica.majority
-        return enough and replica.applied >= self.noop_index
+        has_majority = self._acked_since(started_at) >= replica.majority
+        return has_majority and replica.applied >= self.noop_index
 
     # Membership.
 
-    async def _repair_members(self) -> None:
+    async def _maintain_members(self) -> None:
         """
         Replace a voter whose instance came back with another disk: first
         the old disk leaves, then the new one joins, each by its own entry.
@@ -305,7 +307,7 @@
             await curio.sleep(replica.heartbeat_s)
             if replica.applied < self.noop_index:
                 continue
-            change = self._due_change()
+            change = self._next_members()
             if change is None:
                 continue
             pending = await replica.propose(SetMembers(replica.cluster, change))
@@ -315,7 +317,7 @@
             replica.env.metrics.count(replica.env.metrics.state, event='members_changed')
             log.notice('Voters are now {}.', ', '.join(instance for instance, _ in change))
 
-    def _due_change(self) -> list[tuple[str, str]] | None:
+    def _next_members(self) -> list[tuple[str, str]] | None:
         members = self.replica.members
         for progress in self.progress:
             instance = progress.address.instance
@@ -342,7 +344,7 @@
         now = replica.env.monotonic()
         for progress in self.progress:
             voter = (str(progress.address.instance), progress.disk)
-            if now - progress.acked_at < SILENT_VOTER_S:
+            if now - progress.acked_at < SILENT_VOTER_TIMEOUT_S:
                 continue
             rest = [member for member in replica.members if member[0] != voter[0]]
             if len(rest) < len(replica.members):
--- a/packages/millfork-state/millfork_state/answers.py
+++ b/packages/millfork-state/millfork_state/message_handler.py
@@ -5,14 +5,14 @@
 
 from functools import singledispatchmethod
 
-from millfork_state.formation import identity_of, take_genesis
+from millfork_state.formation import accept_genesis, identity_of
 from millfork_state.node import StateNode
 from millfork_wire import messages
 from millfork_wire.codec import PreVote
 from millfork_wire.messages import Done, Message
 
 
-class StateAnswers:
+class StateMessageHandler:
     """
     The answers of one replica.
 
@@ -21,7 +21,7 @@
     def __init__(self, node: StateNode) -> None:
         self.node = node
 
-    async def to(self, message: Message) -> Message | None:
+    async def handle(self, message: Message) -> Message | None:
         """
         The answer to a message; None if it does not concern the state.
 
@@ -56,7 +56,7 @@
     @_to.register
     async def _(self, message: messages.Genesis) -> Message:
         members = [(member.instance, member.disk) for member in message.members]
-        return Done(await take_genesis(self.node.replica, message.cluster, members))
+        return Done(await accept_genesis(self.node.replica, message.cluster, members))
 
     @_to.register
     async def _(self, message: messages.Propose) -> Message:
--- a/packages/millfork-state/millfork_state/node.py
+++ b/packages/millfork-state/millfork_state/node.py
@@ -18,7 +18,7 @@
     Result,
     decode_command,
 )
-from millfork_state.election import campaign, wait_for_silence
+from millfork_state.election import campaign, wait_for_election_timeout
 from millfork_state.leadership import Leadership
 from millfork_state.replica import Replica, ReplicaState
 from millfork_state.reports import Reports
@@ -30,7 +30,7 @@
 ReportRow = tuple[str, int, int, bytes]
 
 
-class What(Enum):
+class ReadTarget(Enum):
     """
     What can be read of the leader.
 
@@ -75,23 +75,23 @@
         """
         replica = self.replica
         await formation.form_or_join(replica, self.seeds)
-        await replica.env.spawn(formation.spread_genesis, replica)
+        await replica.env.spawn(formation.distribute_genesis, replica)
         while True:
-            await wait_for_silence(replica)
+            await wait_for_election_timeout(replica)
             try:
                 if not await campaign(replica):
                     continue
             except OSError as error:
-                replica.note_disk_failure(error)
+                replica.record_disk_failure(error)
                 continue
             self.leadership = Leadership(replica)
             try:
                 await self.leadership.run()
             except OSError as error:
-                replica.note_disk_failure(error)
+                replica.record_disk_failure(error)
             self.leadership = None
 
-    async def keep_snapshots(self) -> None:
+    async def take_snapshots(self) -> None:
         """
         The task that shortens a follower's log.
 
@@ -101,7 +101,7 @@
             try:
                 await self.replica.snapshot_if_due()
             except OSError as error:
-                self.replica.note_disk_failure(error)
+                self.replica.record_disk_failure(error)
 
     @property
     def leads(self) -> bool:
@@ -144,17 +144,17 @@
             )
         return Proposed(True, msgspec.msgpack.encode(result))
 
-    async def read(self, what: What, timeout: float) -> bytes | None:
+    async def read(self, what: ReadTarget, timeout: float) -> bytes | None:
         """
         The state or the reports, if this replica leads and a majority
         confirms that its view is the newest there is.
 
         """
         leadership = self.leadership
-        if leadership is None or not await leadership.confirm(timeout):
+        if leadership is None or not await leadership.confirm_leadership(timeout):
             return None
-        if what is What.REPORTS:
-            return msgspec.json.encode([known.row for known in self.reports.known.values()])
+        if what is ReadTarget.REPORTS:
+            return msgspec.json.encode([known.row for known in self.reports.by_instance.values()])
         view = self.replica.view
         items = {key: (held.value, int(held.revision)) for key, held in view.items.items()}
         return msgspec.json.encode(StateBody(view.cluster, view.revision, items))
@@ -164,7 +164,7 @@
         Answer a read that came over the wire, or say who leads.
 
         """
-        body = await self.read(What(message.what), PROPOSE_TIMEOUT_S)
+        body = await self.read(ReadTarget(message.what), PROPOSE_TIMEOUT_S)
         return StateView(body is not None, body or b'', self.replica.leader)
 
 
--- a/packages/millfork-state/millfork_state/pending.py
+++ b/packages/millfork-state/millfork_state/pending.py
@@ -20,7 +20,7 @@
 from millfork_state.storage import LogEntry
 
 
-class Pending:
+class PendingProposal:
     """
     A proposal on its way through the log.
 
@@ -38,7 +38,7 @@
         await self.settled.set()
 
 
-def stamped(command: AnyCommand) -> AnyCommand:
+def with_timestamp(command: AnyCommand) -> AnyCommand:
     """
     The command with the leader's time, where it carries one.
 
--- a/packages/millfork-state/millfork_state/replica.py
+++ b/packages/millfork-state/millfork_state/replica.py
@@ -16,14 +16,14 @@
 from millfork_core.ids import NO_INSTANCE, ClusterId, InstanceId
 from millfork_core.logs import Part, logger
 from millfork_settings.common import StateSettings
-from millfork_state.arrivals import Arrivals
+from millfork_state.arrival_times import ArrivalTimes
 from millfork_state.commands import (
     AnyCommand,
     SetMembers,
     decode_command,
 )
-from millfork_state.machine import Machine
-from millfork_state.pending import Pending, stamped
+from millfork_state.pending import PendingProposal, with_timestamp
+from millfork_state.state_machine import StateMachine
 from millfork_state.storage import LogEntry, Snapshot, Storage
 from millfork_state.view import View
 from millfork_wire.codec import PreVote
@@ -37,10 +37,10 @@
 )
 from millfork_wire.peers import PeerAddress, Peers
 
-ELECTION_SPREAD: Final = 0.5
-KEPT_ENTRIES: Final = 200
+ELECTION_SPREAD_FRACTION: Final = 0.5
+SNAPSHOT_SLACK_ENTRIES: Final = 200
 # The age of a state that was never up to date; the largest that a message carries.
-NEVER_MS: Final = 2**32 - 1
+MAX_AGE_MS: Final = 2**32 - 1
 
 log = logger(Part.STATE)
 
@@ -77,15 +77,15 @@
         self.view = view
         self.peers = peers
         self.others = [address for address in addresses if address.instance != env.instance]
-        self.machine = Machine(view)
-        self.arrivals = Arrivals(env.monotonic)
+        self.machine = StateMachine(view)
+        self.arrival_times = ArrivalTimes(env.monotonic)
         self.state = ReplicaState.FOLLOWER
         self.leader: InstanceId = NO_INSTANCE
-        self.leader_heard = env.monotonic()
+        self.leader_contact_at = env.monotonic()
         # When the next campaign may begin at the earliest, counted like the
         # leader's silence; apart from it, as a candidate that failed still
         # votes for others.
-        self.campaigned = self.leader_heard
+        self.campaign_delay_from = self.leader_contact_at
         # When this replica last had applied all that its leader had committed.
         self.caught_up_at = float('-inf')
         self.commit = 0
@@ -93,14 +93,14 @@
         self.members: list[tuple[str, str]] = []
         self.lock = curio.Lock()
         self.stepped_down = curio.Event()
-        self.pending: dict[int, Pending] = {}
+        self.pending: dict[int, PendingProposal] = {}
         self.proposals: curio.Queue = curio.Queue()
         # When a write last failed; such a replica does not seek to lead.
         self.disk_failed_at = -settings.election_ms / 1000
         self.heartbeat_s = settings.heartbeat_ms / 1000
         self.election_s = settings.election_ms / 1000
 
-    def learn_address(self, address: PeerAddress) -> bool:
+    def add_address(self, address: PeerAddress) -> bool:
         """
         Take up the address of another replica; False if it is known.
 
@@ -140,17 +140,17 @@
         if self.storage.torn_bytes:
             log.warning('Dropped a torn write of {} bytes.', self.storage.torn_bytes)
             self.env.metrics.count(self.env.metrics.state, event='torn_tail')
-        self._find_members()
+        self._update_members()
         known_committed = max(self.commit, self.storage.commit_hint)
         for entry in self.storage.entries:
             if entry.index > known_committed:
-                self.arrivals.note(entry.index, decode_command(entry.payload))
+                self.arrival_times.record(entry.index, decode_command(entry.payload))
         await self.advance_commit(known_committed)
         log.info(
             'Recovered revision {} at log index {}.', self.view.revision, self.storage.last_index
         )
 
-    def _find_members(self) -> None:
+    def _update_members(self) -> None:
         """
         The newest membership in the log counts from when it is written.
 
@@ -166,14 +166,14 @@
         replaced = bool(entries) and entries[0].index <= self.storage.last_index
         self.storage.write_entries(entries)
         if replaced:
-            self.arrivals.drop_from(entries[0].index)
+            self.arrival_times.discard_from(entries[0].index)
         membership = False
         for entry in entries:
             command = decode_command(entry.payload)
-            self.arrivals.note(entry.index, command)
+            self.arrival_times.record(entry.index, command)
             membership = membership or isinstance(command, SetMembers)
         if replaced or membership:
-            self._find_members()
+            self._update_members()
 
     # Commit and apply.
 
@@ -188,13 +188,13 @@
         if index > self.commit:
             self.commit = index
             self.storage.write_commit(index)
-        before = self.view.mark
+        before = self.view.position
         while self.applied < self.commit:
             self.applied += 1
             await self._apply(self.storage.entry_at(self.applied))
-        if self.view.mark != before:
+        if self.view.position != before:
             self.env.metrics.revision.set({}, self.view.revision)
-            await self.view.announce()
+            await self.view.notify_waiters()
 
     async def _apply(self, entry: LogEntry) -> None:
         command = decode_command(entry.payload)
@@ -205,7 +205,7 @@
         if pending is not None:
             await pending.settle(True, result)
 
-    def note_disk_failure(self, error: OSError) -> None:
+    def record_disk_failure(self, error: OSError) -> None:
         """
         Remember that the disk refused a write.
 
@@ -227,7 +227,10 @@
         Replace a long log by a snapshot and its tail.
 
         """
-        if self.applied - self.storage.first_index < self.settings.snapshot_entries + KEPT_ENTRIES:
+        if (
+            self.applied - self.storage.snapshot_index
+            < self.settings.snapshot_entries + SNAPSHOT_SLACK_ENTRIES
+        ):
             return
         async with self.lock:
             index = self.applied
@@ -279,7 +282,7 @@
         Would this replica vote? Nothing changes by asking.
 
         """
-        silent = self.env.monotonic() - self.leader_heard > self.election_s
+        silent = self.env.monotonic() - self.leader_contact_at > self.election_s
         granted = (
             silent
             and self.state is not ReplicaState.LEADER
@@ -303,7 +306,7 @@
             granted = free and self._is_up_to_date(request)
             if granted:
                 await self.storage.save_vote(self.term, request.candidate)
-                self.leader_heard = self.env.monotonic()
+                self.leader_contact_at = self.env.monotonic()
             return VoteReply(self.term, granted, self.storage.disk)
 
     def _is_up_to_date(self, request: VoteRequest) -> bool:
@@ -322,7 +325,7 @@
         elif self.state is ReplicaState.CANDIDATE:
             await self.step_down()
         self.leader = InstanceId(leader)
-        self.leader_heard = self.env.monotonic()
+        self.leader_contact_at = self.env.monotonic()
         return True
 
     async def on_append(self, request: AppendRequest) -> AppendReply:
@@ -334,28 +337,28 @@
             if not await self._accept_leader(request.cluster, request.term, request.leader):
                 return AppendReply(self.term, False, 0, self.storage.disk)
             known = self.storage.term_at(request.prev_index)
-            if known is None and request.prev_index < self.storage.first_index:
+            if known is None and request.prev_index < self.storage.snapshot_index:
                 # What a snapshot covers is committed, so the leader has it too.
-                return AppendReply(self.term, True, self.storage.first_index, self.storage.disk)
+                return AppendReply(self.term, True, self.storage.snapshot_index, self.storage.disk)
             if known != request.prev_term:
                 back = min(request.prev_index - 1, self.storage.last_index)
                 return AppendReply(self.term, False, max(back, self.commit), self.storage.disk)
-            await self._take_entries(request.entries)
+            await self._store_entries(request.entries)
             match = request.prev_index + len(request.entries)
             await self.advance_commit(min(request.commit, match))
             if self.applied >= request.commit:
                 self.caught_up_at = self.env.monotonic()
             return AppendReply(self.term, True, match, self.storage.disk)
 
-    async def _take_entries(self, entries: list[Entry]) -> None:
+    async def _store_entries(self, entries: list[Entry]) -> None:
         new = [item for item in entries if self.storage.term_at(item.index) != item.term]
-        new = [item for item in new if item.index > self.storage.first_index]
+        new = [item for item in new if item.index > self.storage.snapshot_index]
         if new:
             first = new[0].index
             rest = [item for item in entries if item.index >= first]
             await self.write([LogEntry(item.term, item.index, item.payload) for item in rest])
         # Entries may be here without being durable: a sync was cut short.
-        if entries and self.storage.durable < entries[-1].index:
+        if entries and self.storage.durable_index < entries[-1].index:
             await self.storage.sync()
 
     async def on_install(self, request: InstallRequest) -> AppendReply:
@@ -368,27 +371,27 @@
                 return AppendReply(self.term, False, 0, self.storage.disk)
             if request.last_index <= self.commit:
                 return AppendReply(self.term, True, self.commit, self.storage.disk)
-            before = self.view.mark
+            before = self.view.position
             members = self.machine.restore(request.snapshot)
             snapshot = Snapshot(request.last_index, request.last_term, members, request.snapshot)
             await self.storage.save_snapshot(snapshot)
             self.commit = max(self.commit, request.last_index)
             self.applied = request.last_index
-            self._find_members()
-            if self.view.mark != before:
+            self._update_members()
+            if self.view.position != before:
                 self.env.metrics.revision.set({}, self.view.revision)
-                await self.view.announce()
+                await self.view.notify_waiters()
             self.env.metrics.count(self.env.metrics.state, event='snapshot_installed')
             return AppendReply(self.term, True, request.last_index, self.storage.disk)
 
     # Proposals.
 
-    async def propose(self, command: AnyCommand) -> Pending:
+    async def propose(self, command: AnyCommand) -> PendingProposal:
         """
         Put a command into the log here; only a leader may.
 
         """
-        pending = Pending(stamped(command))
+        pending = PendingProposal(with_timestamp(command))
         await self.proposals.put(pending)
         return pending
 
@@ -406,4 +409,4 @@
         if leads and self.storage.term_at(self.applied) == self.term:
             return 0
         age_s = self.env.monotonic() - self.caught_up_at
-        return int(min(age_s * 1000, NEVER_MS))
+        return int(min(age_s * 1000, MAX_AGE_MS))
--- a/packages/millfork-state/millfork_state/reports.py
+++ b/packages/millfork-state/millfork_state/reports.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(slots=True)
-class Known:
+class ReceivedReport:
     """
     A report and the order in which it came here.
 
@@ -34,28 +34,30 @@
     """
 
     def __init__(self) -> None:
-        self.known: dict[InstanceId, Known] = {}
-        self.arrivals = 0
+        self.by_instance: dict[InstanceId, ReceivedReport] = {}
+        self.last_arrival = 0
         self.changed = curio.Event()
 
-    async def take(self, reports: list[Report]) -> None:
+    async def merge(self, reports: list[Report]) -> None:
         """
         Keep what is newer than what is known.
 
         """
         news = False
         for report in reports:
-            held = self.known.get(InstanceId(report.instance))
+            held = self.by_instance.get(InstanceId(report.instance))
             if held is not None and not _is_newer(report, held.report):
                 continue
-            self.arrivals += 1
-            self.known[InstanceId(report.instance)] = Known(report, self.arrivals)
+            self.last_arrival += 1
+            self.by_instance[InstanceId(report.instance)] = ReceivedReport(
+                report, self.last_arrival
+            )
             news = True
         if news:
             await self.changed.set()
 
-    def since(self, arrival: int) -> list[Report]:
-        return [known.report for known in self.known.values() if known.arrival > arrival]
+    def received_after(self, arrival: int) -> list[Report]:
+        return [known.report for known in self.by_instance.values() if known.arrival > arrival]
 
 
 def _is_newer(report: Report, held: Report) -> bool:
--- a/packages/millfork-state/millfork_state/roster.py
+++ b/packages/millfork-state/millfork_state/roster.py
@@ -47,7 +47,7 @@
         self.instances: dict[InstanceId, InstanceFacts] = {}
         self.changed = curio.Event()
 
-    async def keep(self, interval_s: float) -> None:
+    async def poll_periodically(self, interval_s: float) -> None:
         """
         The task that polls the platform.
 
@@ -73,12 +73,12 @@
         moved = self.client.bytes_moved - before
         self.env.metrics.count(self.env.metrics.wire_bytes, moved, way='platform')
         known = self.version
-        self.take(delta)
+        self.apply_delta(delta)
         if self.version != known:
             await self.changed.set()
         return True
 
-    def take(self, delta: PlatformDelta) -> None:
+    def apply_delta(self, delta: PlatformDelta) -> None:
         """
         Take a delta of the list.
 
--- a/packages/millfork-state/millfork_state/selection.py
+++ b/packages/millfork-state/millfork_state/selection.py
@@ -15,11 +15,11 @@
     """
     return {
         key.removeprefix(DEPLOYMENTS): decode(value, Deployment)
-        for key, value in view.prefixed(DEPLOYMENTS).items()
+        for key, value in view.values_with_prefix(DEPLOYMENTS).items()
     }
 
 
-def selects(view: View, name: str, deployment: Deployment, facts: InstanceFacts) -> bool:
+def is_selected(view: View, name: str, deployment: Deployment, facts: InstanceFacts) -> bool:
     """
     Whether the deployment selects an instance, by the platform's facts and
     the labels that the deployment's own organisation attached.
@@ -31,10 +31,12 @@
     return matches(deployment.selector, {**attached, **facts.facts()})
 
 
-def selected(view: View, roster: Roster, name: str, deployment: Deployment) -> list[InstanceFacts]:
+def select_endpoints(
+    view: View, roster: Roster, name: str, deployment: Deployment
+) -> list[InstanceFacts]:
     """
     The endpoints that a deployment selects, by id.
 
     """
-    found = [facts for facts in roster.endpoints() if selects(view, name, deployment, facts)]
+    found = [facts for facts in roster.endpoints() if is_selected(view, name, deployment, facts)]
     return sorted(found, key=lambda facts: facts.instance)
--- a/packages/millfork-state/millfork_state/machine.py
+++ b/packages/millfork-state/millfork_state/state_machine.py
@@ -25,13 +25,13 @@
     decode_versioned,
     encode_versioned,
 )
-from millfork_state.view import Held, View
+from millfork_state.view import StoredValue, View
 
-REMEMBERED_COMMANDS: Final = 20_000
-REMEMBERED_REMOVALS: Final = 20_000
+MAX_REMEMBERED_COMMANDS: Final = 20_000
+MAX_REMEMBERED_REMOVALS: Final = 20_000
 CLAIM_LIFETIME_MS: Final = 24 * 3600 * 1000
 # An attempt still open after this long lost the entry that made it.
-CLAIM_OPEN_MS: Final = 120_000
+CLAIM_OPEN_TIMEOUT_MS: Final = 120_000
 
 
 class Claim(msgspec.Struct):
@@ -64,7 +64,7 @@
     removed: list[tuple[str, int]] = []
 
 
-class Machine:
+class StateMachine:
     """
     Applies commands in log order; equal logs give equal machines.
 
@@ -98,7 +98,7 @@
             return RaiseResult(False, held_version)
         revision = Revision(self.view.revision + 1)
         value = encode_versioned(Versioned(command.version, command.value))
-        self.view.change(revision, {command.key: Held(value, revision)}, [])
+        self.view.apply_change(revision, {command.key: StoredValue(value, revision)}, [])
         return RaiseResult(True, command.version)
 
     def _apply_changes(self, command: Apply) -> ApplyResult:
@@ -107,7 +107,7 @@
             return first
         result = self._change_all(command.changes)
         self.results[command.command_id] = result
-        if len(self.results) > REMEMBERED_COMMANDS:
+        if len(self.results) > MAX_REMEMBERED_COMMANDS:
             self.results.popitem(last=False)
         return result
 
@@ -125,9 +125,9 @@
         if not effective:
             return ApplyResult(True, view.revision)
         revision = Revision(view.revision + 1)
-        items = {c.key: Held(c.value, revision) for c in effective if c.value is not None}
+        items = {c.key: StoredValue(c.value, revision) for c in effective if c.value is not None}
         removed = [c.key for c in effective if c.value is None]
-        view.change(revision, items, removed)
+        view.apply_change(revision, items, removed)
         self._remember_removed(revision, removed)
         return ApplyResult(True, revision)
 
@@ -139,7 +139,7 @@
         for key in keys:
             self.removed[key] = revision
             self.removed.move_to_end(key)
-        while len(self.removed) > REMEMBERED_REMOVALS:
+        while len(self.removed) > MAX_REMEMBERED_REMOVALS:
             self.removed.popitem(last=False)
 
     def _differs(self, key: str, value: bytes | None) -> bool:
@@ -158,7 +158,7 @@
             return ClaimResult(ClaimState.REUSED)
         if claim.done:
             return ClaimResult(ClaimState.DONE, claim.status, claim.headers, claim.body)
-        if command.at_ms - claim.at_ms > CLAIM_OPEN_MS:
+        if command.at_ms - claim.at_ms > CLAIM_OPEN_TIMEOUT_MS:
             return ClaimResult(ClaimState.MAY_HAVE_RUN)
         return ClaimResult(ClaimState.IN_PROGRESS)
 
@@ -205,7 +205,9 @@
 
         """
         dump = msgspec.msgpack.decode(data, type=Dump)
-        items = {key: Held(value, Revision(made)) for key, (value, made) in dump.items.items()}
+        items = {
+            key: StoredValue(value, Revision(made)) for key, (value, made) in dump.items.items()
+        }
         self.view.replace(dump.cluster, Revision(dump.revision), items)  # type: ignore[arg-type]
         self.results = OrderedDict(dump.results)
         self.claims = OrderedDict(dump.claims)
--- a/packages/millfork-state/millfork_state/storage.py
+++ b/packages/millfork-state/millfork_state/storage.py
@@ -22,16 +22,16 @@
 from millfork_core.ids import ClusterId, DiskId, LogIndex, Term
 from millfork_core.logs import Part, logger
 
-RECORD: Final = struct.Struct('>II')
+RECORD_HEADER: Final = struct.Struct('>II')
 MAX_RECORD_BYTES: Final = 64 * 1024 * 1024
 VOTE_FILE: Final = 'vote'
 SNAPSHOT_FILE: Final = 'snapshot'
 LOG_FILE: Final = 'log'
 # A disk that is full or failing when a replica starts may be well again within
 # seconds; who waits longer should be looked at by a person.
-DISK_REFUSES: Final = frozenset({errno.ENOSPC, errno.EDQUOT, errno.EFBIG, errno.EIO})
-OPEN_RETRY_S: Final = 0.5
-OPEN_PATIENCE_S: Final = 60.0
+RETRIED_DISK_ERRORS: Final = frozenset({errno.ENOSPC, errno.EDQUOT, errno.EFBIG, errno.EIO})
+OPEN_RETRY_DELAY_S: Final = 0.5
+OPEN_TIMEOUT_S: Final = 60.0
 
 log = logger(Part.STATE)
 
@@ -90,7 +90,7 @@
 
 
 def frame_record(body: bytes) -> bytes:
-    return RECORD.pack(len(body), zlib.crc32(body)) + body
+    return RECORD_HEADER.pack(len(body), zlib.crc32(body)) + body
 
 
 def _sync_folder(folder: Path) -> None:
@@ -126,39 +126,39 @@
         data = path.read_bytes()
     except FileNotFoundError:
         return None
-    if len(data) < RECORD.size:
+    if len(data) < RECORD_HEADER.size:
         raise CorruptStorage(f'{path} is cut short')
-    length, checksum = RECORD.unpack_from(data)
-    body = data[RECORD.size :]
+    length, checksum = RECORD_HEADER.unpack_from(data)
+    body = data[RECORD_HEADER.size :]
     if len(body) != length or zlib.crc32(body) != checksum:
         raise CorruptStorage(f'{path} fails its checksum')
     return body
 
 
 @dataclass(slots=True)
-class _Scan:
+class _LogContents:
     entries: list[LogEntry]
     commit: int
     good_bytes: int
 
 
-def _scan(data: bytes, path: Path) -> _Scan:
-    scan = _Scan([], 0, 0)
+def _parse_log(data: bytes, path: Path) -> _LogContents:
+    scan = _LogContents([], 0, 0)
     while scan.good_bytes < len(data):
         body = _record_at(data, scan.good_bytes)
         if body is None:
-            _check_torn(data, scan.good_bytes, path)
+            _check_torn_write(data, scan.good_bytes, path)
             return scan
         record = _RECORDS.decode(body)
-        scan.good_bytes += RECORD.size + len(body)
+        scan.good_bytes += RECORD_HEADER.size + len(body)
         if isinstance(record, _CommitMark):
             scan.commit = max(scan.commit, record.index)
             continue
-        _put(scan.entries, record.entry)
+        _append_entry(scan.entries, record.entry)
     return scan
 
 
-def _put(entries: list[LogEntry], entry: LogEntry) -> None:
+def _append_entry(entries: list[LogEntry], entry: LogEntry) -> None:
     """
     A later record of an index replaces that index and all after it.
 
@@ -169,25 +169,25 @@
 
 
 def _record_at(data: bytes, offset: int) -> bytes | None:
-    if len(data) - offset < RECORD.size:
+    if len(data) - offset < RECORD_HEADER.size:
         return None
-    length, checksum = RECORD.unpack_from(data, offset)
-    body = data[offset + RECORD.size : offset + RECORD.size + length]
+    length, checksum = RECORD_HEADER.unpack_from(data, offset)
+    body = data[offset + RECORD_HEADER.size : offset + RECORD_HEADER.size + length]
     if not length or len(body) != length or zlib.crc32(body) != checksum:
         return None
     return body
 
 
-def _check_torn(data: bytes, offset: int, path: Path) -> None:
+def _check_torn_write(data: bytes, offset: int, path: Path) -> None:
     """
     A torn write is the file's end; whole records behind it mean damage.
 
     """
-    if len(data) - offset < RECORD.size:
+    if len(data) - offset < RECORD_HEADER.size:
         return
-    length, _ = RECORD.unpack_from(data, offset)
-    behind = offset + RECORD.size + length
-    if length <= MAX_RECORD_BYTES and _record_at(data, behind) is not None:
+    length, _ = RECORD_HEADER.unpack_from(data, offset)
+    next_offset = offset + RECORD_HEADER.size + length
+    if length <= MAX_RECORD_BYTES and _record_at(data, next_offset) is not None:
         raise CorruptStorage(f'{path} is damaged at byte {offset}')
 
 
@@ -207,7 +207,7 @@
         self.torn_bytes = 0
         self.commit_hint = self._load_log()
         # The last index known durable; what is in memory may be ahead of it.
-        self.durable = int(self.last_index)
+        self.durable_index = int(self.last_index)
         self.file = self.log_path.open('ab', buffering=0)
         self.size = self.log_path.stat().st_size
 
@@ -233,7 +233,7 @@
 
     def _load_log(self) -> int:
         data = self.log_path.read_bytes() if self.log_path.exists() else b''
-        scan = _scan(data, self.log_path)
+        scan = _parse_log(data, self.log_path)
         self.torn_bytes = len(data) - scan.good_bytes
         if self.torn_bytes:
             os.truncate(self.log_path, scan.good_bytes)
@@ -244,7 +244,7 @@
         return min(scan.commit, self.last_index)
 
     @property
-    def first_index(self) -> LogIndex:
+    def snapshot_index(self) -> LogIndex:
         """
         The index before the first entry kept.
 
@@ -253,7 +253,7 @@
 
     @property
     def last_index(self) -> LogIndex:
-        return LogIndex(self.entries[-1].index) if self.entries else self.first_index
+        return LogIndex(self.entries[-1].index) if self.entries else self.snapshot_index
 
     @property
     def last_term(self) -> Term:
@@ -266,18 +266,18 @@
         The term of the entry at `index`, or None if it is not kept.
 
         """
-        if index == self.first_index:
+        if index == self.snapshot_index:
             return self.snapshot.term if self.snapshot else 0
-        if index < self.first_index or index > self.last_index:
+        if index < self.snapshot_index or index > self.last_index:
             return None
-        return self.entries[index - self.first_index - 1].term
+        return self.entries[index - self.snapshot_index - 1].term
 
     def entry_at(self, index: int) -> LogEntry:
-        return self.entries[index - self.first_index - 1]
+        return self.entries[index - self.snapshot_index - 1]
 
-    def entries_from(self, index: int, most: int) -> list[LogEntry]:
-        start = index - self.first_index - 1
-        return self.entries[start : start + most]
+    def entries_from(self, index: int, max_entries: int) -> list[LogEntry]:
+        start = index - self.snapshot_index - 1
+        return self.entries[start : start + max_entries]
 
     async def save_vote(self, term: int, voted_for: str, cluster: str = '') -> None:
         """
@@ -298,9 +298,9 @@
         records = [frame_record(msgspec.msgpack.encode(_EntryRecord(entry))) for entry in entries]
         self._append_bytes(b''.join(records))
         for entry in entries:
-            _put(self.entries, entry)
+            _append_entry(self.entries, entry)
         if entries:
-            self.durable = min(self.durable, entries[0].index - 1)
+            self.durable_index = min(self.durable_index, entries[0].index - 1)
 
     def write_commit(self, index: int) -> None:
         """
@@ -332,7 +332,7 @@
         """
         written = int(self.last_index)
         await curio.run_in_thread(os.fdatasync, self.file.fileno())
-        self.durable = written
+        self.durable_index = written
 
     async def save_snapshot(self, snapshot: Snapshot) -> None:
         """
@@ -346,7 +346,7 @@
         self.snapshot = snapshot
         self.entries = kept
         await self._rewrite_log(kept, snapshot.index)
-        self.durable = int(self.last_index)
+        self.durable_index = int(self.last_index)
 
     async def _rewrite_log(self, entries: list[LogEntry], commit: int) -> None:
         records = [frame_record(msgspec.msgpack.encode(_EntryRecord(entry))) for entry in entries]
@@ -375,12 +375,12 @@
     :raises OSError: if the disk refuses for too long, or for another reason.
 
     """
-    until = time.monotonic() + OPEN_PATIENCE_S
+    until = time.monotonic() + OPEN_TIMEOUT_S
     while True:
         try:
             return Storage(folder)
         except OSError as error:
-            if error.errno not in DISK_REFUSES or time.monotonic() > until:
+            if error.errno not in RETRIED_DISK_ERRORS or time.monotonic() > until:
                 raise
             log.error('The disk refuses writes: {}. Waiting to start.', error)
-            time.sleep(OPEN_RETRY_S)
+            time.sleep(OPEN_RETRY_DELAY_S)
--- a/packages/millfork-state/millfork_state/subscription.py
+++ b/packages/millfork-state/millfork_state/subscription.py
@@ -11,10 +11,10 @@
 from millfork_core.environment import Environment
 from millfork_core.ids import NO_INSTANCE, ClusterId, InstanceId, Revision
 from millfork_core.logs import Part, logger
-from millfork_state.replica import NEVER_MS, Replica
+from millfork_state.distribution_tree import candidates
+from millfork_state.replica import MAX_AGE_MS, Replica
 from millfork_state.reports import Reports
 from millfork_state.roster import Roster
-from millfork_state.upstream import candidates
 from millfork_state.view import View
 from millfork_wire.connection import Connection, PeerError, PeerLost
 from millfork_wire.messages import AskRevision, RevisionIs, Subscribe, Update
@@ -25,27 +25,27 @@
 # One heartbeat and a second for its way: with five seconds, looked for every two, a
 # change was in force 6.5 s after it was accepted where an upstream's link stood still
 # (tests/test_upstreams.py).
-SILENT_AFTER_S: Final = 3.0
+SILENCE_TIMEOUT_S: Final = 3.0
 # Silence and age are looked for this often; it adds to the time above.
-CHECK_S: Final = 0.5
+CHECK_INTERVAL_S: Final = 0.5
 SUBSCRIBE_TIMEOUT_S: Final = 2.0
-RETRY_S: Final = 0.3
-ASK_TIMEOUT_S: Final = 1.0
+RETRY_DELAY_S: Final = 0.3
+QUERY_TIMEOUT_S: Final = 1.0
 # Four levels of a tree add a heartbeat each to the age of the leader's word.
-STALE_MS: Final = 10_000
+STALE_AGE_MS: Final = 10_000
 # A replica hears its leader every 0.5 s, and another one after an election of 2.3 s at
 # most by the settings' defaults. Those who follow it look elsewhere well before the
 # rest of their tree counts as stale, so that the tree stays whole below them.
-REPLICA_STALE_MS: Final = 3_000
+REPLICA_STALE_AGE_MS: Final = 3_000
 # A process that started before its zone's entries did follows another zone's
 # replica. It looks this often whether a better place in the tree is to be had: a
 # far replica may be cut off from the leader where the own zone is not.
-LOOK_NEARER_S: Final = 10.0
+NEARER_CHECK_INTERVAL_S: Final = 10.0
 
 log = logger(Part.SUBSCRIPTION)
 
 
-class Leaving(Enum):
+class LeaveReason(Enum):
     """
     Why an upstream is left; the value is the event that is counted.
 
@@ -81,17 +81,17 @@
         self.replicas = replicas
         self.reports = reports
         self.upstream: InstanceId | None = None
-        self.heard_at = 0.0
-        self.heard_age_ms = 0
-        self.floor = 0
-        self.gap = False
+        self.last_update_at = 0.0
+        self.upstream_age_ms = 0
+        self.min_revision = 0
+        self.has_gap = False
         # Found in touch with the leader when the last upstream was left for it.
-        self.chosen = NO_INSTANCE
+        self.preferred_upstream = NO_INSTANCE
         # The last upstream, if it was silent or stale: asked last, as its connection
         # may stand open without an answer.
-        self.avoided = NO_INSTANCE
-        self.look_nearer_at = 0.0
-        self.look_fresher_at = 0.0
+        self.unresponsive_upstream = NO_INSTANCE
+        self.next_nearer_check_at = 0.0
+        self.next_fresher_check_at = 0.0
         # Set on a replica: it learns configuration from its log alone, and
         # follows the leader only to report.
         self.replica: Replica | None = None
@@ -105,15 +105,15 @@
         """
         update = self.view.update_since(request.cluster, request.revision)
         update.age_ms = self.age_ms()
-        await self.env.spawn(self._feed, connection, self.view.mark)
+        await self.env.spawn(self._feed, connection, self.view.position)
         return update
 
     async def _feed(self, connection: Connection, mark: tuple[ClusterId, Revision]) -> None:
         try:
             while not connection.closed:
-                await self.view.wait_beyond(mark, HEARTBEAT_S)
+                await self.view.wait_for_change(mark, HEARTBEAT_S)
                 update = self.view.update_since(*mark)
-                mark = self.view.mark
+                mark = self.view.position
                 update.age_ms = self.age_ms()
                 await connection.notify(update)
         except PeerLost:
@@ -126,8 +126,8 @@
         """
         if self.replica is not None:
             return self.replica.age_ms()
-        age_ms = self.heard_age_ms + int((self.env.monotonic() - self.heard_at) * 1000)
-        return min(age_ms, NEVER_MS)
+        age_ms = self.upstream_age_ms + int((self.env.monotonic() - self.last_update_at) * 1000)
+        return min(age_ms, MAX_AGE_MS)
 
     def on_ask_revision(self) -> RevisionIs:
         """
@@ -144,28 +144,28 @@
 
         """
         while True:
-            for address in self._candidates():
-                if await self._follow_one(address):
+            for address in self._candidates_to_try():
+                if await self._follow_upstream(address):
                     break
-            await curio.sleep(RETRY_S)
+            await curio.sleep(RETRY_DELAY_S)
 
-    def _in_order(self) -> list[PeerAddress]:
+    def _ordered_candidates(self) -> list[PeerAddress]:
         if self.replica is not None:
             return [a for a in self.replica.others if a.instance == self.replica.leader]
         return candidates(self.roster, self.replicas, self.env.instance, self.env.zone)
 
-    def _candidates(self) -> list[PeerAddress]:
-        found = self._in_order()
-        if self.replica is None and self.heard_at and self.age_ms() > STALE_MS:
+    def _candidates_to_try(self) -> list[PeerAddress]:
+        found = self._ordered_candidates()
+        if self.replica is None and self.last_update_at and self.age_ms() > STALE_AGE_MS:
             # A stale tree, perhaps a loop of old lists: ask the replicas first.
             found.sort(key=lambda address: address not in self.replicas)
-        found.sort(key=lambda address: address.instance == self.avoided)
-        return sorted(found, key=lambda address: address.instance != self.chosen)
+        found.sort(key=lambda address: address.instance == self.unresponsive_upstream)
+        return sorted(found, key=lambda address: address.instance != self.preferred_upstream)
 
-    async def _follow_one(self, address: PeerAddress) -> bool:
+    async def _follow_upstream(self, address: PeerAddress) -> bool:
         # Set first: updates may overtake the reply.
         self.upstream = address.instance
-        self.gap = False
+        self.has_gap = False
         try:
             connection = await self.peers.connect(address)
             request = Subscribe(self.view.cluster, self.view.revision)
@@ -178,64 +178,64 @@
             return False
         await self.on_update(connection, reply)
         log.info('Following {} at revision {}.', address.instance, self.view.revision)
-        reason = await self._stay(connection)
+        reason = await self._report_until_leaving(connection)
         self._leave(address, reason)
         return True
 
-    def _leave(self, address: PeerAddress, reason: Leaving) -> None:
+    def _leave(self, address: PeerAddress, reason: LeaveReason) -> None:
         self.env.metrics.count(self.env.metrics.state, event=reason.value)
         log.info(
             'Left {}: {}. silent_s={:.2f} heard_age_ms={} revision={} next={}',
             address.instance,
             reason.value,
-            self.env.monotonic() - self.heard_at,
-            self.heard_age_ms,
+            self.env.monotonic() - self.last_update_at,
+            self.upstream_age_ms,
             self.view.revision,
-            self.chosen,
+            self.preferred_upstream,
         )
-        is_avoided = reason in (Leaving.SILENT, Leaving.STALE)
-        self.avoided = address.instance if is_avoided else NO_INSTANCE
+        is_avoided = reason in (LeaveReason.SILENT, LeaveReason.STALE)
+        self.unresponsive_upstream = address.instance if is_avoided else NO_INSTANCE
         self.upstream = None
 
-    async def _stay(self, connection: Connection) -> Leaving:
+    async def _report_until_leaving(self, connection: Connection) -> LeaveReason:
         """
         Report upwards until there is a reason to leave the upstream.
 
         """
         sent = -1
-        self.chosen = NO_INSTANCE
-        self.look_nearer_at = self.env.monotonic() + LOOK_NEARER_S
-        self.look_fresher_at = 0.0
+        self.preferred_upstream = NO_INSTANCE
+        self.next_nearer_check_at = self.env.monotonic() + NEARER_CHECK_INTERVAL_S
+        self.next_fresher_check_at = 0.0
         while not connection.closed:
-            if self.reports.arrivals != sent:
-                news = self.reports.since(sent)
-                sent = self.reports.arrivals
+            if self.reports.last_arrival != sent:
+                news = self.reports.received_after(sent)
+                sent = self.reports.last_arrival
                 try:
                     await connection.notify(ReportsMessage(news, self.view.revision))
                 except PeerLost:
-                    return Leaving.GONE
+                    return LeaveReason.GONE
             self.reports.changed.clear()
             try:
-                async with curio.timeout_after(CHECK_S):
+                async with curio.timeout_after(CHECK_INTERVAL_S):
                     await self.reports.changed.wait()
             except curio.TaskTimeout:
                 pass
             reason = await self._reason_to_leave()
             if reason is not None:
                 return reason
-        return Leaving.GONE
+        return LeaveReason.GONE
 
-    async def _reason_to_leave(self) -> Leaving | None:
+    async def _reason_to_leave(self) -> LeaveReason | None:
         if self.replica is not None and self.replica.leader != self.upstream:
-            return Leaving.LEADS_NO_LONGER
-        if self.gap:
-            return Leaving.GAP
-        if self.env.monotonic() - self.heard_at > SILENT_AFTER_S:
-            return Leaving.SILENT
+            return LeaveReason.LEADS_NO_LONGER
+        if self.has_gap:
+            return LeaveReason.GAP
+        if self.env.monotonic() - self.last_update_at > SILENCE_TIMEOUT_S:
+            return LeaveReason.SILENT
         if await self._is_stale():
-            return Leaving.STALE
-        if await self._has_nearer():
-            return Leaving.NEARER
+            return LeaveReason.STALE
+        if await self._finds_nearer():
+            return LeaveReason.NEARER
         return None
 
     async def _is_stale(self) -> bool:
@@ -247,55 +247,55 @@
 
         """
         if not self._upstream_is_replica():
-            return self.age_ms() > STALE_MS
+            return self.age_ms() > STALE_AGE_MS
         now = self.env.monotonic()
-        if self.replica is not None or self.heard_age_ms < REPLICA_STALE_MS:
+        if self.replica is not None or self.upstream_age_ms < REPLICA_STALE_AGE_MS:
             return False
-        if now < self.look_fresher_at:
+        if now < self.next_fresher_check_at:
             return False
-        others = [a for a in self._in_order() if self._is_replica(a.instance)]
+        others = [a for a in self._ordered_candidates() if self._is_replica(a.instance)]
         others = [a for a in others if a.instance != self.upstream]
-        found = await self._first_in_touch(others)
-        self.look_fresher_at = self.env.monotonic() + HEARTBEAT_S
-        if self.heard_age_ms < REPLICA_STALE_MS:
+        found = await self._first_current(others)
+        self.next_fresher_check_at = self.env.monotonic() + HEARTBEAT_S
+        if self.upstream_age_ms < REPLICA_STALE_AGE_MS:
             # Its link healed while the others were asked.
             return False
-        self.chosen = found
+        self.preferred_upstream = found
         return found != NO_INSTANCE
 
-    async def _has_nearer(self) -> bool:
+    async def _finds_nearer(self) -> bool:
         """
         Whether a candidate before the present upstream is in touch with the leader.
 
         """
-        if self.env.monotonic() < self.look_nearer_at:
+        if self.env.monotonic() < self.next_nearer_check_at:
             return False
         nearer = []
-        for address in self._in_order():
+        for address in self._ordered_candidates():
             if address.instance == self.upstream:
                 break
             nearer.append(address)
-        self.chosen = await self._first_in_touch(nearer)
-        self.look_nearer_at = self.env.monotonic() + LOOK_NEARER_S
-        return self.chosen != NO_INSTANCE
+        self.preferred_upstream = await self._first_current(nearer)
+        self.next_nearer_check_at = self.env.monotonic() + NEARER_CHECK_INTERVAL_S
+        return self.preferred_upstream != NO_INSTANCE
 
-    async def _first_in_touch(self, addresses: list[PeerAddress]) -> InstanceId:
+    async def _first_current(self, addresses: list[PeerAddress]) -> InstanceId:
         """
         Ask all at once, as each that is silent costs its time-outs.
 
         """
         async with curio.TaskGroup() as group:
-            tasks = [await group.spawn(self._is_in_touch, address) for address in addresses]
+            tasks = [await group.spawn(self._is_current, address) for address in addresses]
         for address, task in zip(addresses, tasks, strict=True):
             if task.result:
                 return address.instance
         return NO_INSTANCE
 
-    async def _is_in_touch(self, address: PeerAddress) -> bool:
-        reply = await self._ask(address)
+    async def _is_current(self, address: PeerAddress) -> bool:
+        reply = await self._query_revision(address)
         if reply is None or reply.cluster != self.view.cluster:
             return False
-        limit_ms = REPLICA_STALE_MS if self._is_replica(address.instance) else STALE_MS
+        limit_ms = REPLICA_STALE_AGE_MS if self._is_replica(address.instance) else STALE_AGE_MS
         return reply.age_ms < limit_ms
 
     def _is_replica(self, instance: InstanceId | None) -> bool:
@@ -311,25 +311,25 @@
         """
         if connection.peer != self.upstream:
             return
-        self.heard_at = self.env.monotonic()
-        self.heard_age_ms = update.age_ms
+        self.last_update_at = self.env.monotonic()
+        self.upstream_age_ms = update.age_ms
         if self.replica is not None:
             return
         if update.revision == self.view.revision and update.cluster == self.view.cluster:
             return
-        if not self.view.take(update):
+        if not self.view.apply_update(update):
             self.env.metrics.count(self.env.metrics.state, event='update_not_newer')
             # One that starts beyond this view: some were lost on the way.
-            self.gap = not self.view.cluster or update.from_revision > self.view.revision
-            if self.gap:
+            self.has_gap = not self.view.cluster or update.from_revision > self.view.revision
+            if self.has_gap:
                 await self.reports.changed.set()
             return
         self.env.metrics.revision.set({}, self.view.revision)
-        await self.view.announce()
+        await self.view.notify_waiters()
 
     # Before serving.
 
-    async def learn_floor(self) -> None:
+    async def query_min_revision(self) -> None:
         """
         Ask the zone's entries which revision they have seen, so that this
         process does not serve from an older one.
@@ -339,26 +339,26 @@
         async with curio.TaskGroup() as group:
             for facts in asked:
                 address = PeerAddress(facts.instance, facts.host, facts.port)
-                await group.spawn(self._ask_revision, address)
+                await group.spawn(self._revision_or_zero, address)
         answers = [task.result for task in group.tasks if not task.exception]
-        self.floor = max([0, *answers])
-        log.info('The zone has seen revision {}.', self.floor)
+        self.min_revision = max([0, *answers])
+        log.info('The zone has seen revision {}.', self.min_revision)
 
-    async def _ask_revision(self, address: PeerAddress) -> int:
-        reply = await self._ask(address)
+    async def _revision_or_zero(self, address: PeerAddress) -> int:
+        reply = await self._query_revision(address)
         if reply is None:
             self.env.metrics.count(self.env.metrics.state, event='floor_unanswered')
             return 0
         return reply.revision
 
-    async def _ask(self, address: PeerAddress) -> RevisionIs | None:
+    async def _query_revision(self, address: PeerAddress) -> RevisionIs | None:
         try:
-            reply = await self.peers.call(address, AskRevision(), ASK_TIMEOUT_S)
+            reply = await self.peers.call(address, AskRevision(), QUERY_TIMEOUT_S)
         except PeerError as error:
             log.debug('{} does not tell its revision: {}.', address.instance, error)
             return None
         return reply if isinstance(reply, RevisionIs) else None
 
     @property
-    def at_floor(self) -> bool:
-        return self.view.revision >= self.floor
+    def has_min_revision(self) -> bool:
+        return self.view.revision >= self.min_revision
--- a/packages/millfork-state/millfork_state/view.py
+++ b/packages/millfork-state/millfork_state/view.py
@@ -1,5 +1,5 @@
 """
-The configuration as one process has it in force.
+The configuration that is in force in one process.
 
 """
 
@@ -12,11 +12,11 @@
 from millfork_core.ids import ClusterId, Revision
 from millfork_wire.messages import Item, Update
 
-HISTORY: Final = 1024
+MAX_HISTORY_REVISIONS: Final = 1024
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class StoredValue:
     """
     A value and the revision that set it.
 
@@ -28,20 +28,22 @@
 
 class View:
     """
-    Items by key at one revision, which only grows.
+    Values by key at one revision. The revision never decreases.
 
     """
 
     def __init__(self) -> None:
         self.cluster = ClusterId('')
         self.revision = Revision(0)
-        self.items: dict[str, Held] = {}
-        self.history: deque[tuple[int, tuple[str, ...]]] = deque(maxlen=HISTORY)
+        self.items: dict[str, StoredValue] = {}
+        self.history: deque[tuple[int, tuple[str, ...]]] = deque(maxlen=MAX_HISTORY_REVISIONS)
         self.changed = curio.Condition()
 
-    def change(self, revision: Revision, items: dict[str, Held], removed: list[str]) -> None:
+    def apply_change(
+        self, revision: Revision, items: dict[str, StoredValue], removed: list[str]
+    ) -> None:
         """
-        Take the change that made `revision`.
+        Apply the change that created `revision`, and record its keys in the history.
 
         """
         self.items.update(items)
@@ -50,9 +52,11 @@
         self.revision = revision
         self.history.append((revision, (*items, *removed)))
 
-    def replace(self, cluster: ClusterId, revision: Revision, items: dict[str, Held]) -> None:
+    def replace(
+        self, cluster: ClusterId, revision: Revision, items: dict[str, StoredValue]
+    ) -> None:
         """
-        Take a whole configuration.
+        Replace the whole configuration and clear the history.
 
         """
         self.cluster = cluster
@@ -60,51 +64,51 @@
         self.revision = revision
         self.history.clear()
 
-    async def announce(self) -> None:
+    async def notify_waiters(self) -> None:
         """
-        Wake everyone who waits for a change.
+        Wake all tasks that wait for a change.
 
         """
         async with self.changed:
             await self.changed.notify_all()
 
     @property
-    def mark(self) -> tuple[ClusterId, Revision]:
+    def position(self) -> tuple[ClusterId, Revision]:
         """
-        What is in force: the cluster and its revision.
+        The cluster and its revision that are in force.
 
         """
         return self.cluster, self.revision
 
-    async def wait_beyond(self, mark: tuple[ClusterId, Revision], timeout: float) -> bool:
+    async def wait_for_change(self, position: tuple[ClusterId, Revision], timeout: float) -> bool:
         """
-        Wait until something newer is in force, `timeout` seconds at most.
+        Wait until the view has left `position`. False after `timeout` seconds.
 
         """
         try:
             async with curio.timeout_after(timeout), self.changed:
-                while self.mark == mark:
+                while self.position == position:
                     await self.changed.wait()
         except curio.TaskTimeout:
             return False
         return True
 
-    def prefixed(self, prefix: str) -> dict[str, bytes]:
-        return {key: held.value for key, held in self.items.items() if key.startswith(prefix)}
+    def values_with_prefix(self, prefix: str) -> dict[str, bytes]:
+        return {key: stored.value for key, stored in self.items.items() if key.startswith(prefix)}
 
     def update_since(self, cluster: str, revision: int) -> Update:
         """
-        What a subscriber at `revision` lacks: a delta where the history
-        reaches back that far, else everything.
+        The update for a subscriber at `revision`: a delta if the history
+        reaches back that far, else the whole configuration.
 
         """
         full = cluster != self.cluster or revision > self.revision
         if not full and revision < self.revision:
             full = not self.history or self.history[0][0] > revision + 1
         if full:
-            items = [Item(key, held.value, held.revision) for key, held in self.items.items()]
+            items = [Item(key, stored.value, stored.revision) for key, stored in self.items.items()]
             return Update(self.cluster, 0, self.revision, True, items)
-        keys = {key for made, changed in self.history if made > revision for key in changed}
+        keys = {key for set_by, changed in self.history if set_by > revision for key in changed}
         items = [
             Item(key, self.items[key].value, self.items[key].revision)
             for key in keys
@@ -113,20 +117,25 @@
         removed = [key for key in keys if key not in self.items]
         return Update(self.cluster, Revision(revision), self.revision, False, items, removed)
 
-    def take(self, update: Update) -> bool:
+    def apply_update(self, update: Update) -> bool:
         """
-        Take an update from upstream; False if it is not a step forward.
+        Apply an update from the upstream.
+
+        Returns False, without any change, if the update is of another cluster, not newer than
+        the view, or a delta that starts after the view's revision.
 
         """
         if self.cluster and update.cluster != self.cluster:
             return False
         if self.cluster and update.revision <= self.revision:
             return False
-        items = {item.key: Held(item.value, Revision(item.revision)) for item in update.items}
+        items = {
+            item.key: StoredValue(item.value, Revision(item.revision)) for item in update.items
+        }
         if update.full:
             self.replace(ClusterId(update.cluster), Revision(update.revision), items)
             return True
         if not self.cluster or update.from_revision > self.revision:
             return False
-        self.change(Revision(update.revision), items, update.removed)
+        self.apply_change(Revision(update.revision), items, update.removed)
         return True
--- a/packages/millforkd/millforkd/endpoint/daemon.py
+++ b/packages/millforkd/millforkd/endpoint/daemon.py
@@ -15,7 +15,7 @@
 from millfork_core.logs import Part, logger
 from millfork_settings.models import BackendKind, Settings
 from millfork_state.config import DRAINS, ORGANISATIONS, Organisation, decode
-from millfork_state.proposals import Proposals
+from millfork_state.leader_client import LeaderClient
 from millfork_weights.links import Link
 from millfork_weights.sharing import Sharing
 from millfork_weights.store import WeightStore
@@ -48,7 +48,7 @@
         self.settings = settings
         self.member = Member(env, settings, self.handle, POLL_INTERVAL_S)
         host = str(settings.address)
-        proposals = Proposals(env, self.member.peers, self.member.replicas, None)
+        proposals = LeaderClient(env, self.member.peers, self.member.replicas, None)
         self.door = Door(env, settings.backend, host, proposals)
         self.store: WeightStore | None = None
         self.sharing: Sharing | None = None
@@ -138,11 +138,11 @@
         return self.stopping or self.told_leaving or listed or drained
 
     def _learn_shares(self) -> None:
-        if self.shares_from == self.member.view.mark:
+        if self.shares_from == self.member.view.position:
             return
-        self.shares_from = self.member.view.mark
+        self.shares_from = self.member.view.position
         shares = {}
-        for key, value in self.member.view.prefixed(ORGANISATIONS).items():
+        for key, value in self.member.view.values_with_prefix(ORGANISATIONS).items():
             name = OrganisationId(key.removeprefix(ORGANISATIONS))
             shares[name] = decode(value, Organisation).share
         self.door.shares = shares
@@ -154,7 +154,7 @@
         self.reported = report
         self.sequence += 1
         body = msgspec.json.encode(report)
-        await self.member.reports.take(
+        await self.member.reports.merge(
             [Report(self.env.instance, self.incarnation, self.sequence, body)]
         )
 
--- a/packages/millforkd/millforkd/endpoint/door.py
+++ b/packages/millforkd/millforkd/endpoint/door.py
@@ -15,7 +15,7 @@
 from millfork_routing.limits import FairQueue
 from millfork_scheduling.fates import Fate
 from millfork_settings.models import BackendKind, BackendSettings
-from millfork_state.proposals import Proposals
+from millfork_state.leader_client import LeaderClient
 from millfork_web.client import Client, ExchangeFailed, Reply
 from millfork_web.models import Response
 from millfork_wire.connection import Connection, PeerLost
@@ -62,7 +62,7 @@
         env: Environment,
         settings: BackendSettings,
         source: str,
-        proposals: Proposals,
+        proposals: LeaderClient,
     ) -> None:
         self.env = env
         self.proposals = proposals
--- a/packages/millforkd/millforkd/endpoint/rollout.py
+++ b/packages/millforkd/millforkd/endpoint/rollout.py
@@ -13,7 +13,7 @@
 from millfork_settings.models import Settings
 from millfork_state.config import Deployment, WeightPart
 from millfork_state.roster import Roster
-from millfork_state.selection import deployments, selected, selects
+from millfork_state.selection import deployments, is_selected, select_endpoints
 from millfork_state.view import View
 from millfork_weights.links import Link
 from millfork_weights.origin import Origin
@@ -90,7 +90,7 @@
 
     async def _wake_on_change(self) -> None:
         while True:
-            if await self.view.wait_beyond(self.view.mark, RECONCILE_S):
+            if await self.view.wait_for_change(self.view.position, RECONCILE_S):
                 await self.wake.set()
 
     async def _reconcile(self) -> None:
@@ -112,7 +112,7 @@
         The deployments that select this instance, by `ORG/NAME`.
 
         """
-        basis = (self.view.mark, self.roster.version)
+        basis = (self.view.position, self.roster.version)
         facts = self.roster.instances.get(self.env.instance)
         if facts is None or basis == self.basis:
             return self.wanted
@@ -120,7 +120,7 @@
         return {
             name: deployment
             for name, deployment in deployments(self.view).items()
-            if selects(self.view, name, deployment, facts)
+            if is_selected(self.view, name, deployment, facts)
         }
 
     def _holders(self, part: WeightPart) -> list[Holder]:
@@ -132,7 +132,7 @@
         for name, deployment in deployments(self.view).items():
             if part.manifest not in {other.manifest for other in deployment.parts}:
                 continue
-            for facts in selected(self.view, self.roster, name, deployment):
+            for facts in select_endpoints(self.view, self.roster, name, deployment):
                 found[facts.instance] = Holder(facts.instance, facts.zone)
         return list(found.values())
 
--- a/packages/millforkd/millforkd/entry/access.py
+++ b/packages/millforkd/millforkd/entry/access.py
@@ -55,7 +55,7 @@
         self.callers = {}
         self.operators = {}
         self.organisations = {}
-        for key, value in self.view.prefixed(ORGANISATIONS).items():
+        for key, value in self.view.values_with_prefix(ORGANISATIONS).items():
             name = OrganisationId(key.removeprefix(ORGANISATIONS))
             organisation = decode(value, Organisation)
             self.organisations[name] = organisation
--- a/packages/millforkd/millforkd/entry/book.py
+++ b/packages/millforkd/millforkd/entry/book.py
@@ -15,7 +15,7 @@
 from millfork_routing.balance import Backend
 from millfork_state.config import InstanceFacts
 from millfork_state.roster import Roster
-from millfork_state.selection import deployments, selected
+from millfork_state.selection import deployments, select_endpoints
 from millfork_state.view import View
 from millfork_wire.connection import Connection, PeerError, PeerLost
 from millfork_wire.messages import Leaving, Load
@@ -90,7 +90,7 @@
         configuration or the list has changed.
 
         """
-        basis = (self.view.mark, self.roster.version)
+        basis = (self.view.position, self.roster.version)
         if basis != self.basis:
             self.basis = basis
             self.wanted = self._choose_wanted()
@@ -99,7 +99,7 @@
     def _choose_wanted(self) -> list[InstanceFacts]:
         groups: list[list[InstanceFacts]] = []
         for name, deployment in deployments(self.view).items():
-            groups.append(selected(self.view, self.roster, name, deployment))
+            groups.append(select_endpoints(self.view, self.roster, name, deployment))
         services: dict[str, list[InstanceFacts]] = {}
         for facts in self.roster.endpoints():
             services.setdefault(facts.service, []).append(facts)
--- a/packages/millforkd/millforkd/entry/claims.py
+++ b/packages/millforkd/millforkd/entry/claims.py
@@ -9,8 +9,8 @@
 from millfork_core.environment import Environment
 from millfork_core.verdicts import Reason, Refusal, Refused, Verdict
 from millfork_state.commands import ClaimKey, ClaimResult, ClaimState
+from millfork_state.leader_client import LeaderClient
 from millfork_state.node import decode_claim_result
-from millfork_state.proposals import Proposals
 from millfork_web.models import Response
 from millforkd.entry.attempts import Call, state_key
 from millforkd.settling import settle_claim
@@ -24,7 +24,7 @@
 
     """
 
-    def __init__(self, env: Environment, proposals: Proposals) -> None:
+    def __init__(self, env: Environment, proposals: LeaderClient) -> None:
         self.env = env
         self.proposals = proposals
 
--- a/packages/millforkd/millforkd/entry/daemon.py
+++ b/packages/millforkd/millforkd/entry/daemon.py
@@ -15,9 +15,9 @@
 from millfork_registry.suspects import Suspects
 from millfork_settings.loading import read_secret
 from millfork_settings.models import Settings
-from millfork_state.answers import StateAnswers
+from millfork_state.leader_client import LeaderClient
+from millfork_state.message_handler import StateMessageHandler
 from millfork_state.node import StateNode
-from millfork_state.proposals import Proposals
 from millfork_state.replica import Replica
 from millfork_state.storage import Storage
 from millfork_web.problem import problem
@@ -58,12 +58,12 @@
         self.settings = settings
         self.member = Member(env, settings, self.handle, POLL_INTERVAL_S)
         self.node = self._build_node() if settings.is_replica else None
-        self.answers = StateAnswers(self.node) if self.node is not None else None
+        self.answers = StateMessageHandler(self.node) if self.node is not None else None
         view = self.member.view
         token_file = settings.admin_token_file
         self.access = Access(view, read_secret(token_file) if token_file else None)
         origin = settings.weights.origin
-        self.proposals = Proposals(env, self.member.peers, self.member.replicas, self.node)
+        self.proposals = LeaderClient(env, self.member.peers, self.member.replicas, self.node)
         self.book = EndpointBook(
             env, view, self.member.roster, self.member.peers, settings.routing.subset
         )
@@ -146,7 +146,7 @@
         await self.member.start()
         if self.node is not None:
             await self.env.keep(self.node.run)
-            await self.env.keep(self.node.keep_snapshots)
+            await self.env.keep(self.node.take_snapshots)
         if self.quarantine is not None:
             await self.env.keep(self.quarantine.keep)
         await self.env.keep(self.spreading.keep)
@@ -208,7 +208,7 @@
 
     @singledispatchmethod
     async def on(self, message: Message, connection: Connection) -> Message | None:
-        reply = await self.answers.to(message) if self.answers is not None else None
+        reply = await self.answers.handle(message) if self.answers is not None else None
         if reply is not None:
             return reply
         self.env.metrics.count(self.env.metrics.wire, event='unexpected')
--- a/packages/millforkd/millforkd/entry/operators.py
+++ b/packages/millforkd/millforkd/entry/operators.py
@@ -25,11 +25,11 @@
     WeightPart,
     encode,
 )
+from millfork_state.leader_client import LeaderClient
 from millfork_state.node import decode_apply_result
-from millfork_state.proposals import Proposals
 from millfork_state.reports import Reports
 from millfork_state.roster import Roster
-from millfork_state.selection import deployments, selected
+from millfork_state.selection import deployments, select_endpoints
 from millfork_state.view import View
 from millfork_web.models import Response, json_response
 from millfork_web.problem import problem
@@ -70,7 +70,7 @@
         roster: Roster,
         reports: Reports,
         access: Access,
-        proposals: Proposals,
+        proposals: LeaderClient,
         origin: Origin | None,
     ) -> None:
         self.env = env
@@ -198,7 +198,7 @@
             reports = {r.instance: r for r in await self.proposals.read_reports()}
             partial = False
         except Refused:
-            reports = {str(name): known.report for name, known in self.reports.known.items()}
+            reports = {str(name): known.report for name, known in self.reports.by_instance.items()}
             partial = True
         rows = []
         for name, deployment in deployments(self.view).items():
@@ -215,7 +215,9 @@
         One deployment's rollout, as far as reports tell.
 
         """
-        chosen = [f for f in selected(self.view, self.roster, name, deployment) if not f.leaving]
+        chosen = [
+            f for f in select_endpoints(self.view, self.roster, name, deployment) if not f.leaving
+        ]
         instances = []
         for facts in chosen:
             report = EndpointReport.of(reports.get(facts.instance))
--- a/packages/millforkd/millforkd/member.py
+++ b/packages/millforkd/millforkd/member.py
@@ -86,9 +86,9 @@
             if await self.roster.poll():
                 break
             await curio.sleep(FIRST_POLL_PAUSE_S)
-        await self.subscription.learn_floor()
+        await self.subscription.query_min_revision()
         self.floor_known = True
-        await self.env.keep(self.roster.keep, self.poll_interval_s)
+        await self.env.keep(self.roster.poll_periodically, self.poll_interval_s)
         await self.subscription.follow()
 
     async def handle(self, connection: Connection, message: Message) -> Message | None:
@@ -102,14 +102,14 @@
         if isinstance(message, Subscribe):
             return await self.subscription.on_subscribe(connection, message)
         if isinstance(message, ReportsMessage):
-            await self.reports.take(message.reports)
+            await self.reports.merge(message.reports)
             return None
         if isinstance(message, AskRevision):
             return self.subscription.on_ask_revision()
         return await self.role_handler(connection, message)
 
     def is_ready(self) -> bool:
-        return bool(self.view.cluster) and self.floor_known and self.subscription.at_floor
+        return bool(self.view.cluster) and self.floor_known and self.subscription.has_min_revision
 
     async def _answer_admin(self, exchange: Exchange) -> None:
         details = {'revision': self.view.revision, 'cluster': self.view.cluster}
--- a/packages/millforkd/millforkd/quarantine.py
+++ b/packages/millforkd/millforkd/quarantine.py
@@ -86,7 +86,7 @@
             Fingerprint(key.removeprefix(QUARANTINE_PREFIX)): decode_epoch(
                 decode_versioned(value).body
             )
-            for key, value in self.view.prefixed(QUARANTINE_PREFIX).items()
+            for key, value in self.view.values_with_prefix(QUARANTINE_PREFIX).items()
         }
 
     async def clear(self, item: Item) -> None:
--- a/packages/millforkd/millforkd/replica/control.py
+++ b/packages/millforkd/millforkd/replica/control.py
@@ -31,7 +31,7 @@
 from millfork_routing.documents import problems_of
 from millfork_state.commands import Raise, RaiseResult, decode_versioned
 from millfork_state.keys import DOCUMENT_KEY, version_key
-from millfork_state.proposals import Proposals
+from millfork_state.leader_client import LeaderClient
 from millfork_state.view import View
 from millfork_web.models import Response
 from millfork_web.problem import problem
@@ -64,7 +64,7 @@
         registry: Registry,
         followers: Followers,
         mesh: Mesh,
-        proposals: Proposals,
+        proposals: LeaderClient,
     ) -> None:
         self.env = env
         self.adapter = adapter
--- a/packages/millforkd/millforkd/replica/daemon.py
+++ b/packages/millforkd/millforkd/replica/daemon.py
@@ -19,10 +19,10 @@
 from millfork_registry.registry import Change, Registry
 from millfork_registry.suspects import decode_suspicions
 from millfork_settings.seeded import SeededSettings, socket_pair
-from millfork_state.answers import StateAnswers
 from millfork_state.formation import Seeds
+from millfork_state.leader_client import LeaderClient
+from millfork_state.message_handler import StateMessageHandler
 from millfork_state.node import StateNode
-from millfork_state.proposals import Proposals
 from millfork_state.replica import Replica, ReplicaState
 from millfork_state.reports import Reports
 from millfork_state.storage import open_storage
@@ -78,8 +78,8 @@
             self.replica, Reports(), Seeds(seeds, settings.first_start and is_seed)
         )
         for address in seeds:
-            self.replica.learn_address(address)
-        self.answers = StateAnswers(self.node)
+            self.replica.add_address(address)
+        self.answers = StateMessageHandler(self.node)
         self.registry = Registry(env, heartbeat_s)
         self.followers = Followers(env, self.replica, self.registry)
         self.mesh = Mesh(
@@ -99,9 +99,9 @@
             self.mesh.switch_ends,
             untold_ms=0,
             leads=self._leads,
-            arrived=self.replica.arrivals.of,
+            arrived=self.replica.arrival_times.find,
         )
-        self.proposals = Proposals(
+        self.proposals = LeaderClient(
             env, self.peers, self.replica.others, self.node, LEADER_TIMEOUT_S
         )
         self.quarantine = QuarantineList(
@@ -142,10 +142,10 @@
         """
         view = self.replica.view
         while True:
-            mark = view.mark
+            mark = view.position
             if self.replica.cluster:
                 self.versions.refresh()
-            await view.wait_beyond(mark, LEARN_AFTER_S)
+            await view.wait_for_change(mark, LEARN_AFTER_S)
 
     @property
     def in_progress(self) -> int:
@@ -168,7 +168,7 @@
         await self.env.keep(self._learn_versions)
         await self.env.keep(self.quarantine.keep)
         await self.env.keep(self.node.run)
-        await self.env.keep(self.node.keep_snapshots)
+        await self.env.keep(self.node.take_snapshots)
         await self.env.keep(self.server.run)
 
     async def reload(self, settings: SeededSettings) -> None:
@@ -202,7 +202,7 @@
 
     @singledispatchmethod
     async def on(self, message: Message, connection: Connection) -> Message | None:
-        reply = await self.answers.to(message)
+        reply = await self.answers.handle(message)
         if reply is not None:
             return reply
         self.env.metrics.count(self.env.metrics.wire, event='unexpected')
--- a/packages/millforkd/millforkd/replica/mesh.py
+++ b/packages/millforkd/millforkd/replica/mesh.py
@@ -141,7 +141,7 @@
         for instance, _ in self.replica.members:
             if instance != self.env.instance:
                 self.discovery.learn(instance)
-                self.replica.learn_address(address_of(instance))
+                self.replica.add_address(address_of(instance))
 
     def _note_standstill(self) -> None:
         """
@@ -174,7 +174,7 @@
             self.followers.entries_elsewhere.pop(str(address.instance), None)
             return
         self.heard[str(address.instance)] = self.env.monotonic()
-        self.replica.learn_address(address)
+        self.replica.add_address(address)
         self.followers.entries_elsewhere[str(address.instance)] = reply.entries
         self.switch_ends.note(asked_at, reply.switches)
         await self._follow(address)
@@ -206,7 +206,7 @@
         caches = self.followers.caches_here()
         if message.instance:
             self.discovery.learn(message.instance)
-            self.replica.learn_address(address_of(message.instance))
+            self.replica.add_address(address_of(message.instance))
             self.heard[message.instance] = self.env.monotonic()
             self.followers.entries_elsewhere[message.instance] = message.entries
         else:
--- a/packages/millforkd/millforkd/replica/quarantine.py
+++ b/packages/millforkd/millforkd/replica/quarantine.py
@@ -20,8 +20,8 @@
 from millfork_scheduling.quarantine import is_at_fault
 from millfork_state.commands import AnyCommand, Apply, Change, Raise, decode_versioned
 from millfork_state.keys import QUARANTINE_PREFIX, quarantine_key
-from millfork_state.proposals import Proposals
-from millfork_state.view import Held, View
+from millfork_state.leader_client import LeaderClient
+from millfork_state.view import StoredValue, View
 
 LOOK_EVERY_S: Final = 0.25
 PATIENCE_S: Final = 0.9
@@ -45,7 +45,7 @@
         env: Environment,
         view: View,
         suspects: Suspects,
-        proposals: Proposals,
+        proposals: LeaderClient,
         leads: Callable[[], bool],
         now_ms: Callable[[], int],
     ) -> None:
@@ -98,7 +98,7 @@
             log.notice('Request out of quarantine. fingerprint={} reason={}', fingerprint, reason)
 
     async def _forget_old(self) -> None:
-        held = self.view.prefixed(QUARANTINE_PREFIX)
+        held = self.view.values_with_prefix(QUARANTINE_PREFIX)
         given = {key: decode_versioned(value).version for key, value in held.items()}
         oldest_first = sorted(given, key=lambda key: given[key])
         over = len(given) - MOST_HELD
@@ -116,5 +116,5 @@
         return True
 
 
-def _epoch_of(held: Held) -> int:
+def _epoch_of(held: StoredValue) -> int:
     return decode_epoch(decode_versioned(held.value).body)
--- a/packages/millforkd/millforkd/settling.py
+++ b/packages/millforkd/millforkd/settling.py
@@ -11,7 +11,7 @@
 from millfork_core.environment import Environment
 from millfork_core.verdicts import Refused
 from millfork_state.commands import SettleKey
-from millfork_state.proposals import Proposals
+from millfork_state.leader_client import LeaderClient
 from millfork_web.models import Response
 
 SETTLE_PATIENCE_S: Final = 30.0
@@ -21,7 +21,7 @@
 
 async def settle_claim(
     env: Environment,
-    proposals: Proposals,
+    proposals: LeaderClient,
     key: str,
     claim: str,
     response: Response | None,
--- a/packages/millforkd/millforkd/versions.py
+++ b/packages/millforkd/millforkd/versions.py
@@ -103,7 +103,7 @@
 
         """
         now = self.env.monotonic()
-        for key, value in self.view.prefixed(VERSION_PREFIX).items():
+        for key, value in self.view.values_with_prefix(VERSION_PREFIX).items():
             model = key.removeprefix(VERSION_PREFIX)
             version = decode_versioned(value).version
             learned = self.learned.setdefault(model, {})
--- a/tests/mutations_listed.py
+++ b/tests/mutations_listed.py
@@ -181,8 +181,8 @@
         (
             Edit(
                 S + 'leadership.py',
-                'index = held[replica.majority - 1]',
-                'index = held[0]',
+                'index = match_indexes[replica.majority - 1]',
+                'index = match_indexes[0]',
             ),
             Edit(
                 S + 'leadership.py',
@@ -191,8 +191,8 @@
             ),
             Edit(
                 S + 'leadership.py',
-                'enough = self._acked_since(began) >= replica.majority',
-                'enough = True',
+                'has_majority = self._acked_since(started_at) >= replica.majority',
+                'has_majority = True',
             ),
         ),
     ),
@@ -201,7 +201,7 @@
         'tests/test_history_runs.py',
         (
             Edit(
-                S + 'machine.py',
+                S + 'state_machine.py',
                 'if first is not None:\n            return first',
                 'if False:\n            return first',
             ),
@@ -212,7 +212,7 @@
         'tests/test_history_runs.py',
         (
             Edit(
-                S + 'machine.py',
+                S + 'state_machine.py',
                 'if self._last_change(change.key) > change.expect:',
                 'if False:',
             ),
@@ -270,7 +270,13 @@
     Mutation(
         'nothing is served from before what the zone has seen',
         'tests/test_subscription.py',
-        (Edit(S + 'subscription.py', 'self.floor = max([0, *answers])', 'self.floor = 0'),),
+        (
+            Edit(
+                S + 'subscription.py',
+                'self.min_revision = max([0, *answers])',
+                'self.min_revision = 0',
+            ),
+        ),
     ),
     Mutation(
         'an append is acknowledged once it is durable',
@@ -278,7 +284,7 @@
         (
             Edit(
                 S + 'replica.py',
-                'if entries and self.storage.durable < entries[-1].index:',
+                'if entries and self.storage.durable_index < entries[-1].index:',
                 'if False:',
             ),
         ),
@@ -309,7 +315,7 @@
     Mutation(
         'who started first comes back to its own zone',
         'tests/test_subscription.py::test_who_started_first_comes_back_to_its_own_zone',
-        (Edit(S + 'subscription.py', 'if await self._has_nearer():', 'if False:'),),
+        (Edit(S + 'subscription.py', 'if await self._finds_nearer():', 'if False:'),),
     ),
     Mutation(
         'a replica cut off from the leader is left for one that hears it',
@@ -323,7 +329,7 @@
         (
             Edit(
                 S + 'subscription.py',
-                'found.sort(key=lambda address: address.instance == self.avoided)',
+                'found.sort(key=lambda address: address.instance == self.unresponsive_upstream)',
                 'pass',
             ),
         ),
--- a/tests/test_ends_after_an_election.py
+++ b/tests/test_ends_after_an_election.py
@@ -14,7 +14,7 @@
 from millfork_core.environment import Environment
 from millfork_core.ids import InstanceId, ZoneId
 from millfork_settings.common import StateSettings
-from millfork_state.arrivals import MOST_KEPT, Arrivals
+from millfork_state.arrival_times import MAX_ARRIVAL_TIMES, ArrivalTimes
 from millfork_state.commands import Raise, Versioned, encode_versioned
 from millfork_state.keys import version_key
 from millfork_state.replica import Replica, ReplicaState
@@ -42,7 +42,7 @@
 
 def versions_of(replica):
     made = Versions(
-        replica.env, replica.view, SWITCH_MS, leads=lambda: True, arrived=replica.arrivals.of
+        replica.env, replica.view, SWITCH_MS, leads=lambda: True, arrived=replica.arrival_times.find
     )
     made.refresh()
     return made
@@ -102,7 +102,7 @@
 
 
 def test_what_is_kept_of_arrivals_is_bounded(clock):
-    arrivals = Arrivals(clock)
-    for index in range(2 * MOST_KEPT):
-        arrivals.note(index, Raise('key', index, b''))
-    assert len(arrivals.came) == MOST_KEPT
+    arrivals = ArrivalTimes(clock)
+    for index in range(2 * MAX_ARRIVAL_TIMES):
+        arrivals.record(index, Raise('key', index, b''))
+    assert len(arrivals.received) == MAX_ARRIVAL_TIMES
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -73,7 +73,7 @@
 
 
 def test_a_follower_goes_to_a_replica_of_its_zone_once_there_is_one(monkeypatch):
-    monkeypatch.setattr(feeds, 'LOOK_NEARER_S', 0.1)
+    monkeypatch.setattr(feeds, 'NEARER_CHECK_INTERVAL_S', 0.1)
     replicas = StandInReplicas('10.0.0.1:7')
     made = following(replicas)
 
@@ -87,7 +87,7 @@
 
 
 def test_it_goes_to_the_one_of_its_zone_at_once(monkeypatch):
-    monkeypatch.setattr(feeds, 'LOOK_NEARER_S', 0.1)
+    monkeypatch.setattr(feeds, 'NEARER_CHECK_INTERVAL_S', 0.1)
     monkeypatch.setitem(ZONES, '10.0.0.3:7', 'far')
     replicas = StandInReplicas('10.0.0.1:7', '10.0.0.3:7')
     made = following(replicas)
@@ -103,7 +103,7 @@
 
 
 def test_it_does_not_go_to_one_that_does_not_hear_the_leader(monkeypatch):
-    monkeypatch.setattr(feeds, 'LOOK_NEARER_S', 0.1)
+    monkeypatch.setattr(feeds, 'NEARER_CHECK_INTERVAL_S', 0.1)
     replicas = StandInReplicas('10.0.0.1:7', '10.0.0.2:7')
     replicas.age_ms = feeds.STALE_MS + 1
     made = following(replicas)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -23,7 +23,7 @@
 )
 from millfork_scheduling.quarantine import ENDS, is_at_fault
 from millfork_scheduling.server import Server
-from millfork_state.machine import Machine
+from millfork_state.state_machine import StateMachine
 from millfork_state.view import View
 from millfork_web.models import Request
 from millforkd.proxy.ends import Ends
@@ -168,7 +168,7 @@
 
 
 def list_of(entry, clock, leads=lambda: True):
-    machine = Machine(entry.view)
+    machine = StateMachine(entry.view)
 
     async def propose(command, patience_s):
         machine.apply(command)
--- a/tests/test_relaying.py
+++ b/tests/test_relaying.py
@@ -16,7 +16,7 @@
 from millfork_registry.registry import Registry
 from millfork_registry.relaying import Relaying
 from millfork_registry.suspects import Suspicion
-from millfork_state.view import Held, View
+from millfork_state.view import StoredValue, View
 from millfork_wire.connection import PeerTimedOut
 from millfork_wire.messages import AskFeed, CacheAddress, VersionSwitch
 
@@ -39,7 +39,7 @@
         env = Environment(InstanceId(name), ZoneId(ZONES[name]))
         peers = SimpleNamespace(call=lambda *args: self.call(name, *args), connections={})
         view = View()
-        view.replace(ClusterId('c'), Revision(1), {'key': Held(b'old', Revision(1))})
+        view.replace(ClusterId('c'), Revision(1), {'key': StoredValue(b'old', Revision(1))})
         discovery = Discovery(env, peers, [])
         discovery.caches = lambda: CACHES
         return Relaying(env, Following(env, 'entry', view, Registry(env, 1.0), peers, discovery))
@@ -88,7 +88,7 @@
     async def run():
         cut = followers.relaying[CUT].following
         near = followers.relaying[NEAR].following
-        near.view.change(Revision(2), {'key': Held(b'new', Revision(2))}, [])
+        near.view.apply_change(Revision(2), {'key': StoredValue(b'new', Revision(2))}, [])
         near.registry.take_endpoint(state(1, 5))
         task = await curio.spawn(followers.relaying[CUT].keep, daemon=True)
         hearing = (NEAR, FAR)
@@ -145,7 +145,7 @@
     async def run():
         cut = followers.relaying[CUT].following
         other = followers.relaying[NEAR].following
-        other.view.change(Revision(2), {'key': Held(b'new', Revision(2))}, [])
+        other.view.apply_change(Revision(2), {'key': StoredValue(b'new', Revision(2))}, [])
         update = other.view.update_since('c', 1)
         assert await cut.take(InstanceId(NEAR), update)
         assert cut.view.items['key'].value == b'old'
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -72,7 +72,7 @@
 def test_an_append_is_answered_only_once_it_is_durable(replica):
     assert append(replica, [genesis(replica), entry(2)]).match == 2
     assert replica.storage.syncs == 1
-    assert replica.storage.durable == 2
+    assert replica.storage.durable_index == 2
 
 
 def test_entries_whose_sync_was_cut_short_are_synced_before_they_are_acknowledged(replica):
@@ -134,7 +134,7 @@
     append(replica, [genesis(replica)])
     request = PreVote(CLUSTER, 9, 'c', 5, 1)
     assert not curio.run(replica.on_pre_vote, request).granted
-    replica.leader_heard -= 10
+    replica.leader_contact_at -= 10
     assert curio.run(replica.on_pre_vote, request).granted
     assert replica.term == 1
 
@@ -176,6 +176,6 @@
 
 def test_a_candidate_that_failed_still_votes_for_others(replica):
     append(replica, [genesis(replica)])
-    replica.leader_heard -= 10
+    replica.leader_contact_at -= 10
     assert not curio.run(campaign, replica)
     assert curio.run(replica.on_pre_vote, PreVote(CLUSTER, 9, 'c', 5, 1)).granted
--- a/tests/test_replica_age.py
+++ b/tests/test_replica_age.py
@@ -14,7 +14,7 @@
 from millfork_core.environment import Environment
 from millfork_core.ids import InstanceId, ZoneId
 from millfork_settings.common import StateSettings
-from millfork_state.replica import NEVER_MS, Replica, ReplicaState
+from millfork_state.replica import MAX_AGE_MS, Replica, ReplicaState
 from millfork_state.storage import LogEntry, Storage
 from millfork_state.view import View
 from millforkd.versions import Versions, never_leads
@@ -37,17 +37,17 @@
 
 
 def test_a_replica_that_starts_has_never_been_up_to_date(replica):
-    assert replica.age_ms() == NEVER_MS
+    assert replica.age_ms() == MAX_AGE_MS
 
 
 def test_a_replica_that_lacks_what_was_committed_is_not_up_to_date(replica):
     append(replica, [genesis(replica), entry(2)], commit=5)
-    assert replica.age_ms() == NEVER_MS
+    assert replica.age_ms() == MAX_AGE_MS
 
 
 def test_a_replica_that_the_leader_can_not_place_is_not_up_to_date(replica):
     assert not append(replica, [], prev=(7, 1), commit=7).ok
-    assert replica.age_ms() == NEVER_MS
+    assert replica.age_ms() == MAX_AGE_MS
 
 
 def test_the_age_counts_from_when_all_that_was_committed_was_applied(replica, clock):
--- a/tests/test_seeded.py
+++ b/tests/test_seeded.py
@@ -21,9 +21,9 @@
 from millfork_settings.seeded import SeededRole, SeededSettings
 from millfork_state.commands import Raise, SetMembers, decode_versioned, encode_command
 from millfork_state.formation import Seeds
-from millfork_state.leadership import SILENT_VOTER_S, Leadership
-from millfork_state.machine import Machine
+from millfork_state.leadership import SILENT_VOTER_TIMEOUT_S, Leadership
 from millfork_state.replica import Replica
+from millfork_state.state_machine import StateMachine
 from millfork_state.storage import LogEntry, Storage
 from millfork_state.view import View
 
@@ -67,9 +67,9 @@
 
 def test_one_seed_alone_begins_the_state_and_only_at_the_first_start():
     others = [address_of('10.0.0.2:1'), address_of('10.0.0.3:1')]
-    assert Seeds(others, may_form=True).forms_here(InstanceId('10.0.0.1:1'))
-    assert not Seeds(others, may_form=True).forms_here(InstanceId('10.0.0.9:1'))
-    assert not Seeds(others, may_form=False).forms_here(InstanceId('10.0.0.1:1'))
+    assert Seeds(others, may_form=True).is_former(InstanceId('10.0.0.1:1'))
+    assert not Seeds(others, may_form=True).is_former(InstanceId('10.0.0.9:1'))
+    assert not Seeds(others, may_form=False).is_former(InstanceId('10.0.0.1:1'))
 
 
 def replica_at(folder, instance='a:1', losses=1):
@@ -93,7 +93,7 @@
 
     curio.run(write)
     for name in others:
-        replica.learn_address(address_of(name))
+        replica.add_address(address_of(name))
     leadership = Leadership(replica)
     for progress in leadership.progress:
         progress.disk = f'disk-{progress.address.instance}'
@@ -108,11 +108,11 @@
 def silence(leadership, name):
     for progress in leadership.progress:
         if progress.address.instance == name:
-            progress.acked_at -= SILENT_VOTER_S + 1
+            progress.acked_at -= SILENT_VOTER_TIMEOUT_S + 1
 
 
 def newcomer(leadership, name, match=1):
-    leadership.replica.learn_address(address_of(name))
+    leadership.replica.add_address(address_of(name))
     fresh = Leadership(leadership.replica).progress[-1]
     fresh.disk, fresh.match = f'disk-{name}', match
     leadership.progress.append(fresh)
@@ -121,25 +121,25 @@
 def test_a_replica_at_a_new_address_joins_once_it_has_caught_up(tmp_path):
     leadership = leading(tmp_path, ['b:1', 'c:1'])
     newcomer(leadership, 'd:1', match=0)
-    assert leadership._due_change() is None
+    assert leadership._next_members() is None
     leadership.progress[-1].match = 1
-    assert names(leadership._due_change()) == ['a:1', 'b:1', 'c:1', 'd:1']
+    assert names(leadership._next_members()) == ['a:1', 'b:1', 'c:1', 'd:1']
 
 
 def test_a_silent_voter_leaves_only_while_enough_are_left(tmp_path):
     three = leading(tmp_path / 'three', ['b:1', 'c:1'])
     silence(three, 'b:1')
-    assert three._due_change() is None
+    assert three._next_members() is None
     four = leading(tmp_path / 'four', ['b:1', 'c:1', 'd:1'])
     silence(four, 'b:1')
-    assert names(four._due_change()) == ['a:1', 'c:1', 'd:1']
+    assert names(four._next_members()) == ['a:1', 'c:1', 'd:1']
     six = leading(tmp_path / 'six', ['b:1', 'c:1', 'd:1', 'e:1'], losses=2)
     silence(six, 'b:1')
-    assert six._due_change() is None
+    assert six._next_members() is None
 
 
 def test_the_higher_version_prevails_and_what_is_held_is_never_replaced():
-    machine = Machine(View())
+    machine = StateMachine(View())
     assert machine.apply(Raise('document', 2, b'two')).raised
     again = machine.apply(Raise('document', 2, b'other'))
     assert (again.raised, again.version) == (False, 2)
@@ -157,12 +157,12 @@
 
 @given(RAISES, st.integers(0, 30))
 def test_in_any_order_the_first_of_the_highest_version_stands(raises, restored_at):
-    machine = Machine(View())
+    machine = StateMachine(View())
     expected: dict[str, tuple[int, bytes]] = {}
     for step, (key, version, body) in enumerate(raises):
         if step == restored_at:
             dump = machine.dump([])
-            machine = Machine(View())
+            machine = StateMachine(View())
             machine.restore(dump)
         before = machine.view.revision
         result = machine.apply(Raise(key, version, body))
--- a/tests/test_machine.py
+++ b/tests/test_state_machine.py
@@ -1,10 +1,10 @@
 from millfork_state.commands import Apply, Change, ClaimKey, ClaimState, SettleKey
-from millfork_state.machine import CLAIM_LIFETIME_MS, CLAIM_OPEN_MS, Machine
+from millfork_state.state_machine import CLAIM_LIFETIME_MS, CLAIM_OPEN_TIMEOUT_MS, StateMachine
 from millfork_state.view import View
 
 
-def machine() -> Machine:
-    return Machine(View())
+def machine() -> StateMachine:
+    return StateMachine(View())
 
 
 def put(key: str, value: bytes | None, expect: int | None = None) -> Change:
@@ -84,7 +84,7 @@
 def test_a_key_whose_entry_is_lost_stays_taken():
     state = machine()
     state.apply(ClaimKey('k', 'first', 'print', 1))
-    late = 2 + CLAIM_OPEN_MS
+    late = 2 + CLAIM_OPEN_TIMEOUT_MS
     assert state.apply(ClaimKey('k', 'second', 'print', late)).state is ClaimState.MAY_HAVE_RUN
 
 
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -3,7 +3,7 @@
 import curio
 import pytest
 
-from millfork_state import storage as storages
+from millfork_state import storage as storage_module
 from millfork_state.storage import CorruptStorage, LogEntry, Snapshot, Storage
 
 
@@ -76,7 +76,7 @@
     storage.close()
     again = Storage(tmp_path)
     assert [entry.index for entry in again.entries] == [4, 5, 6]
-    assert (again.first_index, again.last_index, again.term_at(3)) == (3, 6, 1)
+    assert (again.snapshot_index, again.last_index, again.term_at(3)) == (3, 6, 1)
     assert again.commit_hint == 3
 
 
@@ -97,7 +97,7 @@
     def __init__(self, number, times):
         self.number = number
         self.times = times
-        self.write = storages.write_file
+        self.write = storage_module.write_file
 
     def __call__(self, path, body):
         if self.times:
@@ -107,18 +107,18 @@
 
 
 def test_a_replica_waits_for_a_disk_that_is_full_when_it_starts(tmp_path, monkeypatch):
-    monkeypatch.setattr(storages, 'OPEN_RETRY_S', 0.01)
+    monkeypatch.setattr(storage_module, 'OPEN_RETRY_DELAY_S', 0.01)
     disk = RefusingDisk(errno.ENOSPC, 3)
-    monkeypatch.setattr(storages, 'write_file', disk)
-    opened = storages.open_storage(tmp_path / 'state')
+    monkeypatch.setattr(storage_module, 'write_file', disk)
+    opened = storage_module.open_storage(tmp_path / 'state')
     assert disk.times == 0
-    assert storages.open_storage(tmp_path / 'state').disk == opened.disk
+    assert storage_module.open_storage(tmp_path / 'state').disk == opened.disk
 
 
 @pytest.mark.parametrize(('number', 'patience_s'), [(errno.EACCES, 60.0), (errno.ENOSPC, 0.0)])
 def test_it_does_not_wait_for_what_will_not_mend(tmp_path, monkeypatch, number, patience_s):
-    monkeypatch.setattr(storages, 'OPEN_RETRY_S', 0.01)
-    monkeypatch.setattr(storages, 'OPEN_PATIENCE_S', patience_s)
-    monkeypatch.setattr(storages, 'write_file', RefusingDisk(number, 99))
+    monkeypatch.setattr(storage_module, 'OPEN_RETRY_DELAY_S', 0.01)
+    monkeypatch.setattr(storage_module, 'OPEN_TIMEOUT_S', patience_s)
+    monkeypatch.setattr(storage_module, 'write_file', RefusingDisk(number, 99))
     with pytest.raises(OSError, match='refused'):
-        storages.open_storage(tmp_path / 'state')
+        storage_module.open_storage(tmp_path / 'state')
--- a/tests/test_subscription.py
+++ b/tests/test_subscription.py
@@ -14,13 +14,13 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import ClusterId, InstanceId, Revision, ZoneId
-from millfork_state import subscription as upstreams
+from millfork_state import subscription as subscription_module
 from millfork_state.config import InstanceFacts
+from millfork_state.distribution_tree import FANOUT, ancestors, candidates, zone_order
 from millfork_state.reports import Reports
 from millfork_state.roster import PlatformDelta, Roster
 from millfork_state.subscription import Subscription
-from millfork_state.upstream import FANOUT, ancestors, candidates, zone_order
-from millfork_state.view import Held, View
+from millfork_state.view import StoredValue, View
 from millfork_wire.connection import PeerTimedOut, PeerUnreachable
 from millfork_wire.messages import AskRevision, Item, Report, RevisionIs, Subscribe, Update
 from millfork_wire.peers import PeerAddress
@@ -91,8 +91,8 @@
 def test_an_update_that_overtakes_the_first_reply_is_taken():
     connection = Upstream([Update('', 0, 0, True)], early=[full(3, a=b'1')])
     made = subscription(connection)
-    curio.run(made._follow_one, REPLICA)
-    assert made.view.mark == (CLUSTER, 3)
+    curio.run(made._follow_upstream, REPLICA)
+    assert made.view.position == (CLUSTER, 3)
 
 
 def test_an_update_with_a_gap_makes_it_subscribe_again():
@@ -100,13 +100,13 @@
     made = subscription(connection)
 
     async def run():
-        task = await curio.spawn(made._follow_one, REPLICA)
+        task = await curio.spawn(made._follow_upstream, REPLICA)
         while made.view.revision != 2:
             await curio.sleep(0)
         await made.on_update(connection, delta(7, 9, a=b'9'))
         async with curio.timeout_after(5):
             await task.join()
-        return await made._follow_one(REPLICA)
+        return await made._follow_upstream(REPLICA)
 
     curio.run(run)
     assert connection.asked == [Subscribe('', 0), Subscribe(CLUSTER, 2)]
@@ -137,8 +137,8 @@
 
 
 def test_who_started_first_comes_back_to_its_own_zone(monkeypatch):
-    monkeypatch.setattr(upstreams, 'HEARTBEAT_S', 0.01)
-    monkeypatch.setattr(upstreams, 'LOOK_NEARER_S', 0.05)
+    monkeypatch.setattr(subscription_module, 'HEARTBEAT_S', 0.01)
+    monkeypatch.setattr(subscription_module, 'NEARER_CHECK_INTERVAL_S', 0.05)
 
     async def run():
         far, near = Upstream([full(2, a=b'1')] * 9), Upstream([full(2, a=b'1')] * 9)
@@ -241,7 +241,7 @@
         await curio.spawn(made.follow, daemon=True)
         await turn_to(made, 'r1', 1)
         first.is_silent = True
-        await turn_to(made, 'r2', 2 * upstreams.HEARTBEAT_S)
+        await turn_to(made, 'r2', 2 * subscription_module.HEARTBEAT_S)
 
     curio.run(run)
 
@@ -269,7 +269,7 @@
         await curio.spawn(made.peers.beat, made, daemon=True)
         await curio.spawn(made.follow, daemon=True)
         await turn_to(made, 'r1', 1)
-        first.age_ms = second.age_ms = upstreams.STALE_MS + 1
+        first.age_ms = second.age_ms = subscription_module.STALE_AGE_MS + 1
         await turn_to(made, 'r3', 5)
 
     curio.run(run)
@@ -277,7 +277,7 @@
 
 
 def test_where_no_replica_hears_a_leader_the_upstream_is_kept(monkeypatch):
-    monkeypatch.setattr(upstreams, 'HEARTBEAT_S', 0.05)
+    monkeypatch.setattr(subscription_module, 'HEARTBEAT_S', 0.05)
     first, second = FakeReplica('r1'), FakeReplica('r2')
     made = following(first, second)
 
@@ -285,7 +285,7 @@
         await curio.spawn(made.peers.beat, made, daemon=True)
         await curio.spawn(made.follow, daemon=True)
         await turn_to(made, 'r1', 1)
-        first.age_ms = second.age_ms = upstreams.STALE_MS + 1
+        first.age_ms = second.age_ms = subscription_module.STALE_AGE_MS + 1
         with pytest.raises(curio.TaskTimeout):
             await turn_to(made, 'r2', 2)
 
@@ -295,7 +295,7 @@
 
 @pytest.mark.parametrize('trouble', ['silent', 'cut off from the leader'])
 def test_upstream_that_is_nearer_is_taken_again_once_it_is_in_touch(monkeypatch, trouble):
-    monkeypatch.setattr(upstreams, 'LOOK_NEARER_S', 0.05)
+    monkeypatch.setattr(subscription_module, 'NEARER_CHECK_INTERVAL_S', 0.05)
     first, second = FakeReplica('r1'), FakeReplica('r2')
     made = following(first, second)
 
@@ -304,7 +304,7 @@
         await curio.spawn(made.follow, daemon=True)
         await turn_to(made, 'r1', 1)
         first.is_silent = trouble == 'silent'
-        first.age_ms = upstreams.STALE_MS + 1
+        first.age_ms = subscription_module.STALE_AGE_MS + 1
         await turn_to(made, 'r2', 10)
         with pytest.raises(curio.TaskTimeout):
             await turn_to(made, 'r1', 2)
@@ -321,30 +321,30 @@
 )
 def test_it_never_goes_back_nor_to_another_state(update):
     view = View()
-    assert view.take(full(2, a=b'1'))
-    assert not view.take(update)
+    assert view.apply_update(full(2, a=b'1'))
+    assert not view.apply_update(update)
     assert view.items['a'].value == b'1'
 
 
 def test_a_delta_brings_what_changed_and_what_was_removed():
     upstream, view = View(), View()
-    upstream.replace(CLUSTER, Revision(1), {'a': Held(b'1', Revision(1))})
-    view.take(upstream.update_since('', 0))
-    upstream.change(Revision(2), {'b': Held(b'2', Revision(2))}, ['a'])
+    upstream.replace(CLUSTER, Revision(1), {'a': StoredValue(b'1', Revision(1))})
+    view.apply_update(upstream.update_since('', 0))
+    upstream.apply_change(Revision(2), {'b': StoredValue(b'2', Revision(2))}, ['a'])
     update = upstream.update_since(CLUSTER, 1)
     assert (update.full, [item.key for item in update.items], update.removed) == (
         False,
         ['b'],
         ['a'],
     )
-    assert view.take(update)
+    assert view.apply_update(update)
     assert view.items == upstream.items
 
 
 def test_a_subscriber_from_before_the_history_gets_everything():
     upstream = View()
-    upstream.replace(CLUSTER, Revision(5), {'a': Held(b'1', Revision(1))})
-    upstream.change(Revision(6), {'a': Held(b'2', Revision(6))}, [])
+    upstream.replace(CLUSTER, Revision(5), {'a': StoredValue(b'1', Revision(1))})
+    upstream.apply_change(Revision(6), {'a': StoredValue(b'2', Revision(6))}, [])
     assert not upstream.update_since(CLUSTER, 5).full
     assert upstream.update_since(CLUSTER, 4).full
 
@@ -363,7 +363,7 @@
         )
         for n in range(count)
     ]
-    roster.take(PlatformDelta(1, True, instances, []))
+    roster.apply_delta(PlatformDelta(1, True, instances, []))
     return roster
 
 
@@ -387,12 +387,12 @@
 def test_reports_go_up_once_and_the_newest_stands():
     async def run():
         reports = Reports()
-        await reports.take([Report('e', 1, 1, b'a'), Report('e', 1, 3, b'c')])
-        await reports.take([Report('e', 1, 2, b'b')])
-        seen = reports.arrivals
-        await reports.take([Report('f', 1, 1, b'x')])
-        await reports.take([Report('e', 2, 1, b'again')])
-        return [report.body for report in reports.since(seen)]
+        await reports.merge([Report('e', 1, 1, b'a'), Report('e', 1, 3, b'c')])
+        await reports.merge([Report('e', 1, 2, b'b')])
+        seen = reports.last_arrival
+        await reports.merge([Report('f', 1, 1, b'x')])
+        await reports.merge([Report('e', 2, 1, b'again')])
+        return [report.body for report in reports.received_after(seen)]
 
     assert sorted(curio.run(run)) == [b'again', b'x']
 
@@ -422,11 +422,11 @@
     made.roster = roster_of(4)
     made.env.instance = InstanceId('i0')
     made.peers = ZonePeers({f'i{n + 1}': revision for n, revision in enumerate(revisions)})
-    curio.run(made.learn_floor)
-    assert made.floor == floor
-    assert made.at_floor is (floor == 0)
+    curio.run(made.query_min_revision)
+    assert made.min_revision == floor
+    assert made.has_min_revision is (floor == 0)
     for revision in range(1, floor):
-        made.view.take(full(revision, a=b'1'))
-        assert not made.at_floor
-    made.view.take(full(floor, a=b'1'))
-    assert made.at_floor
+        made.view.apply_update(full(revision, a=b'1'))
+        assert not made.has_min_revision
+    made.view.apply_update(full(floor, a=b'1'))
+    assert made.has_min_revision
--- a/tests/test_version_ends_after_restart.py
+++ b/tests/test_version_ends_after_restart.py
@@ -15,7 +15,7 @@
 from millfork_core.ids import InstanceId, ZoneId
 from millfork_registry.switch_ends import SwitchEnds
 from millfork_standins.seeded import SeededFleet
-from millfork_state.storage import LOG_FILE, RECORD
+from millfork_state.storage import LOG_FILE, RECORD_HEADER
 from millfork_state.view import View
 from millfork_wire.messages import VersionSwitch
 from millforkd.replica.daemon import STATE_FOLDER
@@ -85,7 +85,7 @@
     data = log.read_bytes()
     at = data.rindex(b'\xa4type\xa1c')
     # Its record: a head of fixed size, then a map of two.
-    log.write_bytes(data[: at - 1 - RECORD.size])
+    log.write_bytes(data[: at - 1 - RECORD_HEADER.size])
 
 
 def test_an_entry_that_starts_is_told_no_later_end_by_a_replica_that_was_away(fleet):
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -14,7 +14,7 @@
 from millfork_scheduling.placement import Wanted
 from millfork_state.commands import Versioned, encode_versioned
 from millfork_state.keys import version_key
-from millfork_state.view import Held, View
+from millfork_state.view import StoredValue, View
 from millforkd.beside.pieces import PieceStore, WeightsId
 from millforkd.beside.target import STUCK_AFTER_S, Targets
 from millforkd.proxy.admission import Admission
@@ -47,7 +47,7 @@
 def name(view, versions, version):
     revision = Revision(view.revision + 1)
     value = encode_versioned(Versioned(version, b''))
-    view.change(revision, {version_key('m'): Held(value, revision)}, [])
+    view.apply_change(revision, {version_key('m'): StoredValue(value, revision)}, [])
     versions.refresh()
 
 
