--- a/packages/millfork-state/millfork_state/leadership.py
+++ b/packages/millfork-state/millfork_state/leadership.py
@@ -1,5 +1,5 @@
 """
-The leader's side: one task for each other replica, one for its own log.
+The leader's side of the log: one task for each other replica, one for its own log.
 
 """
 
@@ -19,9 +19,9 @@
 
 MAX_BATCH_ENTRIES: Final = 256
 CALL_TIMEOUT_S: Final = 2.0
-# Of the log's quorum; more replicas would only slow each commit.
+# More voters would only slow each commit.
 MAX_VOTERS: Final = 9
-# Longer than two elections, so that a restart is no reason to leave.
+# Longer than two elections, so that a restarting voter is not removed.
 SILENT_VOTER_TIMEOUT_S: Final = 4.0
 
 log = logger(Part.STATE)
@@ -30,7 +30,8 @@
 @dataclass(slots=True)
 class Progress:
     """
-    What the leader knows of one other replica.
+    The leader's record of one other replica: its disk id, the next index to send, the highest
+    index known durable there, and when the last answered request was sent (monotonic seconds).
 
     """
 
@@ -44,7 +45,7 @@
 
 class Leadership:
     """
-    One replica's time as leader of one term.
+    The tasks of one replica while it leads one term.
 
     """
 
@@ -65,7 +66,7 @@
 
     async def run(self) -> None:
         """
-        Lead until another term begins or the quorum is out of reach.
+        Lead until another term begins or a majority no longer answers.
 
         :raises OSError: if the disk fails.
 
@@ -82,21 +83,21 @@
             if self.replica.term == self.term:
                 await self.replica.step_down()
         await self._reject_proposals()
-        # A group raises nothing by itself.
+        # A curio TaskGroup doesn't raise its tasks' exceptions by itself.
         if group.completed.exception is not None:
             raise group.completed.exception
 
     async def _replicate_to_new_addresses(self) -> None:
         """
-        Replicate to replicas whose addresses become known later, too.
+        Start replicating to replicas whose addresses become known during the term.
 
         """
         replica = self.replica
         while True:
             await curio.sleep(replica.heartbeat_s)
-            known = {progress.address for progress in self.progress}
+            followed = {progress.address for progress in self.progress}
             for address in replica.others:
-                if address in known:
+                if address in followed:
                     continue
                 next_index = replica.storage.last_index + 1
                 progress = Progress(address, next_index, acked_at=replica.env.monotonic())
@@ -122,8 +123,8 @@
 
     async def _append(self, batch: list[PendingProposal], entries: list[LogEntry]) -> None:
         """
-        Write proposals as one group: one sync for all, while the others
-        receive them.
+        Append proposals in one batch with one disk sync, which runs while
+        the other replicas receive the entries.
 
         """
         replica = self.replica
@@ -149,7 +150,8 @@
 
     async def _advance(self) -> None:
         """
-        Commit what a majority of voters holds durably, in this term.
+        Commit the highest index that a majority of voters holds durably, if
+        its entry is of this term.
 
         """
         replica = self.replica
@@ -217,7 +219,7 @@
 
     async def _handle_reply(self, progress: Progress, reply: AppendReply, sent_at: float) -> bool:
         """
-        Take a reply into account; True if there is more to send at once.
+        Update the progress from a reply; True if another request is due at once.
 
         """
         replica = self.replica
@@ -246,7 +248,8 @@
 
     def _acked_since(self, moment: float) -> int:
         """
-        The voters, this one included, that answered a request sent since.
+        The number of voters, including this replica, that answered a request
+        sent at `moment` or later.
 
         """
         replica = self.replica
@@ -259,8 +262,8 @@
 
     async def _watch_quorum(self) -> None:
         """
-        A leader that a majority does not answer gives way, so that callers
-        hear 'no quorum' in place of waiting.
+        Return when a majority has not answered for two election timeouts. The leader then
+        steps down, so that callers get 'no quorum' at once instead of a timeout.
 
         """
         replica = self.replica
@@ -268,14 +271,14 @@
             await curio.sleep(replica.election_s / 2)
             since = replica.env.monotonic() - 2 * replica.election_s
             if self._acked_since(since) < replica.majority:
-                log.warning('Giving up term {}: no quorum.', self.term)
+                log.warning('Stepping down as leader of term {}: no quorum.', self.term)
                 replica.env.metrics.count(replica.env.metrics.state, event='quorum_lost')
                 return
 
     async def confirm_leadership(self, timeout: float) -> bool:
         """
-        Whether a majority still follows, asked after this call began, and
-        everything committed before it is applied.
+        Whether a majority answered a request sent after this call started, and
+        all entries committed in earlier terms are applied here.
 
         """
         replica = self.replica
@@ -298,8 +301,9 @@
 
     async def _maintain_members(self) -> None:
         """
-        Replace a voter whose instance came back with another disk: first
-        the old disk leaves, then the new one joins, each by its own entry.
+        Add replicas that have caught up and remove silent voters. A voter whose instance
+        returned with another disk is replaced by two entries: the first removes the old disk,
+        the second adds the new one.
 
         """
         replica = self.replica
@@ -307,15 +311,15 @@
             await curio.sleep(replica.heartbeat_s)
             if replica.applied < self.noop_index:
                 continue
-            change = self._next_members()
-            if change is None:
+            members = self._next_members()
+            if members is None:
                 continue
-            pending = await replica.propose(SetMembers(replica.cluster, change))
+            pending = await replica.propose(SetMembers(replica.cluster, members))
             await pending.settled.wait()
             if not pending.applied:
                 continue
             replica.env.metrics.count(replica.env.metrics.state, event='members_changed')
-            log.notice('Voters are now {}.', ', '.join(instance for instance, _ in change))
+            log.notice('Voters are now {}.', ', '.join(instance for instance, _ in members))
 
     def _next_members(self) -> list[tuple[str, str]] | None:
         members = self.replica.members
@@ -333,20 +337,21 @@
 
     def _without_silent_voter(self) -> list[tuple[str, str]] | None:
         """
-        The voters without one that has long been silent, if enough are left
-        to bear the losses that the settings name.
+        The voters without one that has been silent for `SILENT_VOTER_TIMEOUT_S`, or None.
+
+        None, too, if the remaining voters could not tolerate the losses that the settings require.
 
         """
         replica = self.replica
-        losses = replica.settings.losses
-        if losses is None or len(replica.members) - 1 < 2 * losses + 1:
+        tolerated_losses = replica.settings.losses
+        if tolerated_losses is None or len(replica.members) - 1 < 2 * tolerated_losses + 1:
             return None
         now = replica.env.monotonic()
         for progress in self.progress:
             voter = (str(progress.address.instance), progress.disk)
             if now - progress.acked_at < SILENT_VOTER_TIMEOUT_S:
                 continue
-            rest = [member for member in replica.members if member[0] != voter[0]]
-            if len(rest) < len(replica.members):
-                return rest
+            remaining = [member for member in replica.members if member[0] != voter[0]]
+            if len(remaining) < len(replica.members):
+                return remaining
         return None
--- a/packages/millfork-state/millfork_state/replica.py
+++ b/packages/millfork-state/millfork_state/replica.py
@@ -3,7 +3,7 @@
 
 The algorithm is Raft with pre-votes and single-step membership changes. A
 voter is a pair of instance and disk id, so a replica that lost its disk can't
-vote as its old self.
+vote in place of the earlier voter on its instance.
 
 """
 
@@ -39,7 +39,7 @@
 
 ELECTION_SPREAD_FRACTION: Final = 0.5
 SNAPSHOT_SLACK_ENTRIES: Final = 200
-# The age of a state that was never up to date; the largest that a message carries.
+# The age of a state that was never up to date: the largest that a message can carry.
 MAX_AGE_MS: Final = 2**32 - 1
 
 log = logger(Part.STATE)
@@ -47,7 +47,7 @@
 
 class ReplicaState(Enum):
     """
-    What a replica is at the moment.
+    A replica's role in the present term.
 
     """
 
@@ -58,7 +58,7 @@
 
 class Replica:
     """
-    The state that leader and follower share, and the follower's answers.
+    The state of one replica in any role, and its answers to leaders and candidates.
 
     """
 
@@ -82,11 +82,11 @@
         self.state = ReplicaState.FOLLOWER
         self.leader: InstanceId = NO_INSTANCE
         self.leader_contact_at = env.monotonic()
-        # When the next campaign may begin at the earliest, counted like the
-        # leader's silence; apart from it, as a candidate that failed still
+        # The election timeout counts from this time or from the leader's last contact, whichever
+        # is later. It is kept apart from the latter, as a candidate that failed still
         # votes for others.
         self.campaign_delay_from = self.leader_contact_at
-        # When this replica last had applied all that its leader had committed.
+        # When this replica last had applied all entries that its leader had committed.
         self.caught_up_at = float('-inf')
         self.commit = 0
         self.applied = 0
@@ -95,20 +95,20 @@
         self.stepped_down = curio.Event()
         self.pending: dict[int, PendingProposal] = {}
         self.proposals: curio.Queue = curio.Queue()
-        # When a write last failed; such a replica does not seek to lead.
+        # When a write last failed. A replica doesn't campaign within an election timeout of it.
         self.disk_failed_at = -settings.election_ms / 1000
         self.heartbeat_s = settings.heartbeat_ms / 1000
         self.election_s = settings.election_ms / 1000
 
     def add_address(self, address: PeerAddress) -> bool:
         """
-        Take up the address of another replica; False if it is known.
+        Add the address of another replica. False if it is known or this replica's own.
 
         """
         if address.instance == self.env.instance or address in self.others:
             return False
         self.others.append(address)
-        log.info('Learned of replica {}.', address.instance)
+        log.info('Added the address of replica {}.', address.instance)
         return True
 
     @property
@@ -129,7 +129,7 @@
 
     async def recover(self) -> None:
         """
-        Take up what the files hold, up to the last entry known committed.
+        Restore the state from the files, up to the last entry known to be committed.
 
         """
         snapshot = self.storage.snapshot
@@ -138,7 +138,7 @@
             self.applied = snapshot.index
             self.commit = snapshot.index
         if self.storage.torn_bytes:
-            log.warning('Dropped a torn write of {} bytes.', self.storage.torn_bytes)
+            log.warning('Truncated a torn write of {} bytes.', self.storage.torn_bytes)
             self.env.metrics.count(self.env.metrics.state, event='torn_tail')
         self._update_members()
         known_committed = max(self.commit, self.storage.commit_hint)
@@ -152,7 +152,7 @@
 
     def _update_members(self) -> None:
         """
-        The newest membership in the log counts from when it is written.
+        Use the newest membership in the log, which is valid before it is committed.
 
         """
         self.members = self._members_at(self.storage.last_index)
@@ -160,7 +160,7 @@
 
     async def write(self, entries: list[LogEntry]) -> None:
         """
-        Write entries to the log and learn membership from them.
+        Write entries to the log, record their arrival and update the membership.
 
         """
         replaced = bool(entries) and entries[0].index <= self.storage.last_index
@@ -179,7 +179,7 @@
 
     async def advance_commit(self, index: int) -> None:
         """
-        Take entries up to `index` as committed and apply them.
+        Mark entries up to `index` as committed and apply them.
 
         """
         index = min(index, self.storage.last_index)
@@ -207,12 +207,12 @@
 
     def record_disk_failure(self, error: OSError) -> None:
         """
-        Remember that the disk refused a write.
+        Record that a write failed just now.
 
         """
         self.disk_failed_at = self.env.monotonic()
         self.env.metrics.count(self.env.metrics.state, event='disk_failed')
-        log.error('The disk refused a write: {}. term={}', error, self.term)
+        log.error('A write to disk failed: {}. term={}', error, self.term)
 
     @property
     def disk_works(self) -> bool:
@@ -224,7 +224,7 @@
 
     async def snapshot_if_due(self) -> None:
         """
-        Replace a long log by a snapshot and its tail.
+        Replace the applied entries by a snapshot if the log is long enough.
 
         """
         if (
@@ -254,7 +254,7 @@
 
     async def enter_term(self, term: int, voted_for: str = '', cluster: str = '') -> None:
         """
-        Move to a later term; a leader of an older one steps down.
+        Store a later term, and step down as leader of the earlier one.
 
         """
         await self.storage.save_vote(term, voted_for, cluster)
@@ -262,11 +262,11 @@
 
     async def step_down(self) -> None:
         """
-        Be a follower; what was proposed here has an unknown outcome.
+        Become a follower. The outcome of proposals in the log here becomes unknown.
 
         """
         if self.state is ReplicaState.LEADER:
-            log.notice('No longer leader of term {}.', self.term)
+            log.notice('Stepped down as leader. term={}', self.term)
         self.state = ReplicaState.FOLLOWER
         self.env.metrics.leader.set({}, 0)
         await self.stepped_down.set()
@@ -279,12 +279,12 @@
 
     async def on_pre_vote(self, request: PreVote) -> VoteReply:
         """
-        Would this replica vote? Nothing changes by asking.
+        Answer whether this replica would vote for the candidate, without any change of state.
 
         """
-        silent = self.env.monotonic() - self.leader_contact_at > self.election_s
+        leader_is_silent = self.env.monotonic() - self.leader_contact_at > self.election_s
         granted = (
-            silent
+            leader_is_silent
             and self.state is not ReplicaState.LEADER
             and request.cluster == self.cluster
             and request.term > self.term
@@ -294,7 +294,7 @@
 
     async def on_vote(self, request: VoteRequest) -> VoteReply:
         """
-        Vote once a term, for a candidate whose log is not behind.
+        Vote for at most one candidate a term, and only if its log is up to date.
 
         """
         async with self.lock:
@@ -302,16 +302,16 @@
                 return VoteReply(self.term, False, self.storage.disk)
             if request.term > self.term:
                 await self.enter_term(request.term)
-            free = self.storage.vote.voted_for in ('', request.candidate)
-            granted = free and self._is_up_to_date(request)
+            may_vote = self.storage.vote.voted_for in ('', request.candidate)
+            granted = may_vote and self._is_up_to_date(request)
             if granted:
                 await self.storage.save_vote(self.term, request.candidate)
                 self.leader_contact_at = self.env.monotonic()
             return VoteReply(self.term, granted, self.storage.disk)
 
     def _is_up_to_date(self, request: VoteRequest) -> bool:
-        mine = (self.storage.last_term, self.storage.last_index)
-        return (request.last_term, request.last_index) >= mine
+        own_last = (self.storage.last_term, self.storage.last_index)
+        return (request.last_term, request.last_index) >= own_last
 
     async def _accept_leader(self, cluster: str, term: int, leader: str) -> bool:
         if self.cluster and cluster != self.cluster:
@@ -330,19 +330,19 @@
 
     async def on_append(self, request: AppendRequest) -> AppendReply:
         """
-        Take entries from the leader; answered once they are durable.
+        Store entries from the leader. Answers only once they are durable.
 
         """
         async with self.lock:
             if not await self._accept_leader(request.cluster, request.term, request.leader):
                 return AppendReply(self.term, False, 0, self.storage.disk)
-            known = self.storage.term_at(request.prev_index)
-            if known is None and request.prev_index < self.storage.snapshot_index:
-                # What a snapshot covers is committed, so the leader has it too.
+            prev_term = self.storage.term_at(request.prev_index)
+            if prev_term is None and request.prev_index < self.storage.snapshot_index:
+                # Entries that a snapshot covers are committed, so the leader has them too.
                 return AppendReply(self.term, True, self.storage.snapshot_index, self.storage.disk)
-            if known != request.prev_term:
-                back = min(request.prev_index - 1, self.storage.last_index)
-                return AppendReply(self.term, False, max(back, self.commit), self.storage.disk)
+            if prev_term != request.prev_term:
+                index = min(request.prev_index - 1, self.storage.last_index)
+                return AppendReply(self.term, False, max(index, self.commit), self.storage.disk)
             await self._store_entries(request.entries)
             match = request.prev_index + len(request.entries)
             await self.advance_commit(min(request.commit, match))
@@ -355,15 +355,15 @@
         new = [item for item in new if item.index > self.storage.snapshot_index]
         if new:
             first = new[0].index
-            rest = [item for item in entries if item.index >= first]
-            await self.write([LogEntry(item.term, item.index, item.payload) for item in rest])
-        # Entries may be here without being durable: a sync was cut short.
+            tail = [item for item in entries if item.index >= first]
+            await self.write([LogEntry(item.term, item.index, item.payload) for item in tail])
+        # Entries may be in the log without being durable, if an earlier sync was cancelled.
         if entries and self.storage.durable_index < entries[-1].index:
             await self.storage.sync()
 
     async def on_install(self, request: InstallRequest) -> AppendReply:
         """
-        Take a whole snapshot from the leader.
+        Replace this replica's state by a snapshot from the leader.
 
         """
         async with self.lock:
@@ -388,7 +388,7 @@
 
     async def propose(self, command: AnyCommand) -> PendingProposal:
         """
-        Put a command into the log here; only a leader may.
+        Queue a command for the log. Only a leader processes the queue.
 
         """
         pending = PendingProposal(with_timestamp(command))
@@ -397,16 +397,16 @@
 
     def age_ms(self) -> int:
         """
-        Milliseconds since this replica was known to hold all that was committed.
+        Milliseconds since this replica was known to have applied all committed entries.
 
-        To hear a leader is not enough: a replica that was away hears it at once, and told
-        entries that started beside it of versions named long ago as if they were new, for
-        0.2 s. Nor is to lead, before an entry of the own term is applied: what came before
-        it may be committed unknown to this replica.
+        Contact with the leader isn't enough: a replica that had been away was in contact at once,
+        and for 0.2 s it passed versions named long ago to newly started entries as if they were
+        new. A leader counts as current only once an entry of its own term is applied, as earlier
+        entries may be committed without its knowledge.
 
         """
-        leads = self.state is ReplicaState.LEADER
-        if leads and self.storage.term_at(self.applied) == self.term:
+        is_leader = self.state is ReplicaState.LEADER
+        if is_leader and self.storage.term_at(self.applied) == self.term:
             return 0
         age_s = self.env.monotonic() - self.caught_up_at
         return int(min(age_s * 1000, MAX_AGE_MS))
--- a/packages/millfork-state/millfork_state/storage.py
+++ b/packages/millfork-state/millfork_state/storage.py
@@ -1,8 +1,8 @@
 """
 A replica's files: the log, the vote and the snapshot.
 
-All under one folder. A record or file counts only once it is synced, but
-for commit marks: losing one costs nothing that was promised.
+All files are in one folder. A record or file counts as written only once it is
+synced. Commit marks are not synced, as losing one loses no acknowledged entry.
 
 """
 
@@ -27,8 +27,8 @@
 VOTE_FILE: Final = 'vote'
 SNAPSHOT_FILE: Final = 'snapshot'
 LOG_FILE: Final = 'log'
-# A disk that is full or failing when a replica starts may be well again within
-# seconds; who waits longer should be looked at by a person.
+# A disk that is full or failing when a replica starts may recover within seconds.
+# A replica that can't start for longer than OPEN_TIMEOUT_S needs an operator.
 RETRIED_DISK_ERRORS: Final = frozenset({errno.ENOSPC, errno.EDQUOT, errno.EFBIG, errno.EIO})
 OPEN_RETRY_DELAY_S: Final = 0.5
 OPEN_TIMEOUT_S: Final = 60.0
@@ -38,14 +38,14 @@
 
 class CorruptStorage(Exception):
     """
-    A file is damaged in a way that no torn write explains.
+    A file is damaged in a way that a torn write can't cause.
 
     """
 
 
 class LogEntry(msgspec.Struct, frozen=True):
     """
-    One entry of the log; the payload is an encoded command.
+    One entry of the log. The payload is an encoded command.
 
     """
 
@@ -64,7 +64,7 @@
 
 class Vote(msgspec.Struct):
     """
-    What must survive a restart: whose disk this is, the term, the vote.
+    The disk's id, the cluster, the current term and the vote in it, kept over restarts.
 
     """
 
@@ -76,7 +76,7 @@
 
 class Snapshot(msgspec.Struct, frozen=True):
     """
-    The machine's dump after the entry at `index`.
+    The dump of the state machine after it applied the entry at `index`.
 
     """
 
@@ -103,7 +103,7 @@
 
 def write_file(path: Path, body: bytes) -> None:
     """
-    Replace a file as a whole, durably.
+    Replace a file atomically and durably.
 
     """
     temporary = path.with_suffix('.tmp')
@@ -117,9 +117,9 @@
 
 def read_file(path: Path) -> bytes | None:
     """
-    A file written by `write_file`, or None if there is none.
+    The body of a file written by `write_file`, or None if the file doesn't exist.
 
-    :raises CorruptStorage: if its checksum does not hold.
+    :raises CorruptStorage: if the file is too short or its checksum doesn't match.
 
     """
     try:
@@ -127,7 +127,7 @@
     except FileNotFoundError:
         return None
     if len(data) < RECORD_HEADER.size:
-        raise CorruptStorage(f'{path} is cut short')
+        raise CorruptStorage(f'{path} is shorter than its header')
     length, checksum = RECORD_HEADER.unpack_from(data)
     body = data[RECORD_HEADER.size :]
     if len(body) != length or zlib.crc32(body) != checksum:
@@ -160,7 +160,7 @@
 
 def _append_entry(entries: list[LogEntry], entry: LogEntry) -> None:
     """
-    A later record of an index replaces that index and all after it.
+    Append an entry. It replaces the entry at its index and all later ones.
 
     """
     while entries and entries[-1].index >= entry.index:
@@ -180,7 +180,8 @@
 
 def _check_torn_write(data: bytes, offset: int, path: Path) -> None:
     """
-    A torn write is the file's end; whole records behind it mean damage.
+    Raise CorruptStorage if a complete record follows the bad one at `offset`: a torn write
+    can only be at the end of the file.
 
     """
     if len(data) - offset < RECORD_HEADER.size:
@@ -193,7 +194,7 @@
 
 class Storage:
     """
-    The files of one replica, and the log's entries in memory.
+    The files of one replica, and in memory the log entries after the snapshot.
 
     """
 
@@ -206,7 +207,7 @@
         self.entries: list[LogEntry] = []
         self.torn_bytes = 0
         self.commit_hint = self._load_log()
-        # The last index known durable; what is in memory may be ahead of it.
+        # The last index known durable. Entries in memory may be ahead of it.
         self.durable_index = int(self.last_index)
         self.file = self.log_path.open('ab', buffering=0)
         self.size = self.log_path.stat().st_size
@@ -237,16 +238,16 @@
         self.torn_bytes = len(data) - scan.good_bytes
         if self.torn_bytes:
             os.truncate(self.log_path, scan.good_bytes)
-        start = self.snapshot.index if self.snapshot else 0
-        self.entries = [entry for entry in scan.entries if entry.index > start]
-        if self.entries and self.entries[0].index != start + 1:
-            raise CorruptStorage(f'{self.log_path} does not follow its snapshot')
+        covered = self.snapshot.index if self.snapshot else 0
+        self.entries = [entry for entry in scan.entries if entry.index > covered]
+        if self.entries and self.entries[0].index != covered + 1:
+            raise CorruptStorage(f'{self.log_path} lacks entries after its snapshot')
         return min(scan.commit, self.last_index)
 
     @property
     def snapshot_index(self) -> LogIndex:
         """
-        The index before the first entry kept.
+        The last index that the snapshot covers, 0 without a snapshot.
 
         """
         return LogIndex(self.snapshot.index if self.snapshot else 0)
@@ -263,7 +264,7 @@
 
     def term_at(self, index: int) -> int | None:
         """
-        The term of the entry at `index`, or None if it is not kept.
+        The term of the entry at `index`, or None if the log doesn't hold it.
 
         """
         if index == self.snapshot_index:
@@ -281,7 +282,7 @@
 
     async def save_vote(self, term: int, voted_for: str, cluster: str = '') -> None:
         """
-        Make term and vote durable.
+        Store term and vote durably. An empty `cluster` keeps the stored one.
 
         """
         vote = Vote(self.vote.disk, cluster or self.vote.cluster, term, voted_for)
@@ -290,9 +291,10 @@
 
     def write_entries(self, entries: list[LogEntry]) -> None:
         """
-        Write entries, which replace any at their indexes. Not yet durable.
+        Write entries, which replace the log from the first one's index on. They are durable
+        only after `sync`.
 
-        :raises OSError: if the disk takes no bytes; the log is unchanged.
+        :raises OSError: if the disk refuses the write; the log is then unchanged.
 
         """
         records = [frame_record(msgspec.msgpack.encode(_EntryRecord(entry))) for entry in entries]
@@ -304,30 +306,30 @@
 
     def write_commit(self, index: int) -> None:
         """
-        Note that `index` is committed; not synced, as losing it is harmless.
+        Record that `index` is committed. The record is not synced, as losing it is harmless.
 
         """
         try:
             self._append_bytes(frame_record(msgspec.msgpack.encode(_CommitMark(index))))
         except OSError as error:
-            log.warning('No commit mark written at index {}: {}.', index, error)
+            log.warning('Could not write the commit mark of index {}: {}.', index, error)
 
     def _append_bytes(self, data: bytes) -> None:
         """
-        Write at the end of the log; on a failure nothing of it stays, as
-        records behind a torn one would look like damage.
+        Write at the end of the log. Bytes of an earlier write that failed are truncated first,
+        as records after a torn one would look like damage.
 
         """
         if self.log_path.stat().st_size != self.size:
             os.ftruncate(self.file.fileno(), self.size)
-        rest = memoryview(data)
-        while rest:
-            rest = rest[self.file.write(rest) :]
+        remaining = memoryview(data)
+        while remaining:
+            remaining = remaining[self.file.write(remaining) :]
         self.size += len(data)
 
     async def sync(self) -> None:
         """
-        Make all written entries durable.
+        Make all entries written before this call durable.
 
         """
         written = int(self.last_index)
@@ -336,13 +338,14 @@
 
     async def save_snapshot(self, snapshot: Snapshot) -> None:
         """
-        Make a snapshot durable, then drop the entries it covers.
+        Store a snapshot durably, then remove the entries that it covers from the log. If the
+        log disagrees with the snapshot, all its entries are removed.
 
         """
         body = msgspec.msgpack.encode(snapshot)
         await curio.run_in_thread(write_file, self.folder / SNAPSHOT_FILE, body)
-        follows = self.term_at(snapshot.index) == snapshot.term
-        kept = [entry for entry in self.entries if follows and entry.index > snapshot.index]
+        is_consistent = self.term_at(snapshot.index) == snapshot.term
+        kept = [entry for entry in self.entries if is_consistent and entry.index > snapshot.index]
         self.snapshot = snapshot
         self.entries = kept
         await self._rewrite_log(kept, snapshot.index)
@@ -353,8 +356,8 @@
         records.append(frame_record(msgspec.msgpack.encode(_CommitMark(commit))))
         temporary = self.log_path.with_suffix('.tmp')
         body = b''.join(records)
-        with temporary.open('wb') as whole:
-            whole.write(body)
+        with temporary.open('wb') as new_log:
+            new_log.write(body)
         file = temporary.open('ab', buffering=0)
         await curio.run_in_thread(os.fdatasync, file.fileno())
         temporary.replace(self.log_path)
@@ -369,18 +372,19 @@
 
 def open_storage(folder: Path) -> Storage:
     """
-    The files in a folder, once its disk takes writes. Blocks, as a replica
-    can't do anything before.
+    Open the files in a folder, and retry while its disk refuses writes. Blocks the
+    process, as a replica can't do anything without its files.
 
-    :raises OSError: if the disk refuses for too long, or for another reason.
+    :raises OSError: if the disk refuses writes for longer than `OPEN_TIMEOUT_S`, or if the
+        error is none of `RETRIED_DISK_ERRORS`.
 
     """
-    until = time.monotonic() + OPEN_TIMEOUT_S
+    deadline = time.monotonic() + OPEN_TIMEOUT_S
     while True:
         try:
             return Storage(folder)
         except OSError as error:
-            if error.errno not in RETRIED_DISK_ERRORS or time.monotonic() > until:
+            if error.errno not in RETRIED_DISK_ERRORS or time.monotonic() > deadline:
                 raise
-            log.error('The disk refuses writes: {}. Waiting to start.', error)
+            log.error('The disk refuses writes: {}. The start is retried.', error)
             time.sleep(OPEN_RETRY_DELAY_S)
--- a/packages/millfork-state/millfork_state/subscription.py
+++ b/packages/millfork-state/millfork_state/subscription.py
@@ -1,5 +1,6 @@
 """
-How accepted configuration reaches every process: up and down the tree.
+How accepted configuration goes down the distribution tree to every process, and how reports
+go up.
 
 """
 
@@ -22,24 +23,24 @@
 from millfork_wire.peers import PeerAddress, Peers
 
 HEARTBEAT_S: Final = 2.0
-# One heartbeat and a second for its way: with five seconds, looked for every two, a
-# change was in force 6.5 s after it was accepted where an upstream's link stood still
+# One heartbeat interval and a second of delay. With 5 s, checked every 2 s, a process whose
+# upstream's link stalled applied a change 6.5 s after it was accepted
 # (tests/test_upstreams.py).
 SILENCE_TIMEOUT_S: Final = 3.0
-# Silence and age are looked for this often; it adds to the time above.
+# The interval of the checks for silence and age. It adds to the time above.
 CHECK_INTERVAL_S: Final = 0.5
 SUBSCRIBE_TIMEOUT_S: Final = 2.0
 RETRY_DELAY_S: Final = 0.3
 QUERY_TIMEOUT_S: Final = 1.0
-# Four levels of a tree add a heartbeat each to the age of the leader's word.
+# Each of the tree's four levels adds up to one heartbeat to the configuration's age.
 STALE_AGE_MS: Final = 10_000
-# A replica hears its leader every 0.5 s, and another one after an election of 2.3 s at
-# most by the settings' defaults. Those who follow it look elsewhere well before the
-# rest of their tree counts as stale, so that the tree stays whole below them.
+# A replica gets a message from its leader every 0.5 s, and from a new leader after an
+# election of at most 2.3 s with the default settings. Processes that follow a replica leave
+# it well before the processes below them count as stale, so that those keep their upstreams.
 REPLICA_STALE_AGE_MS: Final = 3_000
-# A process that started before its zone's entries did follows another zone's
-# replica. It looks this often whether a better place in the tree is to be had: a
-# far replica may be cut off from the leader where the own zone is not.
+# A process that started before its zone's entries follows another zone's replica. At this
+# interval it checks for an upstream that precedes the present one: a replica in another zone
+# may be cut off from the leader while the own zone is not.
 NEARER_CHECK_INTERVAL_S: Final = 10.0
 
 log = logger(Part.SUBSCRIPTION)
@@ -47,7 +48,7 @@
 
 class LeaveReason(Enum):
     """
-    Why an upstream is left; the value is the event that is counted.
+    Why the process leaves its upstream. The value is the label of the counted event.
 
     """
 
@@ -61,7 +62,7 @@
 
 class Subscription:
     """
-    This process's place in the tree: one upstream, some subscribers.
+    This process's connections in the distribution tree: one upstream, and its subscribers.
 
     """
 
@@ -85,14 +86,14 @@
         self.upstream_age_ms = 0
         self.min_revision = 0
         self.has_gap = False
-        # Found in touch with the leader when the last upstream was left for it.
+        # The upstream to try first: found current when the last upstream was left for it.
         self.preferred_upstream = NO_INSTANCE
-        # The last upstream, if it was silent or stale: asked last, as its connection
-        # may stand open without an answer.
+        # The last upstream, if it was silent or stale. It is tried last, as its connection
+        # may be open without an answer.
         self.unresponsive_upstream = NO_INSTANCE
         self.next_nearer_check_at = 0.0
         self.next_fresher_check_at = 0.0
-        # Set on a replica: it learns configuration from its log alone, and
+        # Set on a replica, which takes configuration only from its log and
         # follows the leader only to report.
         self.replica: Replica | None = None
 
@@ -100,7 +101,7 @@
 
     async def on_subscribe(self, connection: Connection, request: Subscribe) -> Update:
         """
-        Answer a new subscriber and feed it for as long as it is connected.
+        Answer a new subscriber and send it updates while it is connected.
 
         """
         update = self.view.update_since(request.cluster, request.revision)
@@ -108,12 +109,12 @@
         await self.env.spawn(self._feed, connection, self.view.position)
         return update
 
-    async def _feed(self, connection: Connection, mark: tuple[ClusterId, Revision]) -> None:
+    async def _feed(self, connection: Connection, position: tuple[ClusterId, Revision]) -> None:
         try:
             while not connection.closed:
-                await self.view.wait_for_change(mark, HEARTBEAT_S)
-                update = self.view.update_since(*mark)
-                mark = self.view.position
+                await self.view.wait_for_change(position, HEARTBEAT_S)
+                update = self.view.update_since(*position)
+                position = self.view.position
                 update.age_ms = self.age_ms()
                 await connection.notify(update)
         except PeerLost:
@@ -121,7 +122,7 @@
 
     def age_ms(self) -> int:
         """
-        How long ago the leader's word was this configuration, in ms.
+        The milliseconds since this process's configuration was known to be the leader's newest.
 
         """
         if self.replica is not None:
@@ -131,7 +132,7 @@
 
     def on_ask_revision(self) -> RevisionIs:
         """
-        Tell what is in force here, and how old the leader's word is.
+        The cluster and revision in force here, and the configuration's age.
 
         """
         return RevisionIs(self.view.cluster, self.view.revision, self.age_ms())
@@ -140,7 +141,7 @@
 
     async def follow(self) -> None:
         """
-        The task that keeps an upstream.
+        The task that keeps this process subscribed to an upstream.
 
         """
         while True:
@@ -157,13 +158,14 @@
     def _candidates_to_try(self) -> list[PeerAddress]:
         found = self._ordered_candidates()
         if self.replica is None and self.last_update_at and self.age_ms() > STALE_AGE_MS:
-            # A stale tree, perhaps a loop of old lists: ask the replicas first.
+            # The tree is stale, perhaps because old instance lists form a loop: try the
+            # replicas first.
             found.sort(key=lambda address: address not in self.replicas)
         found.sort(key=lambda address: address.instance == self.unresponsive_upstream)
         return sorted(found, key=lambda address: address.instance != self.preferred_upstream)
 
     async def _follow_upstream(self, address: PeerAddress) -> bool:
-        # Set first: updates may overtake the reply.
+        # Set before the call, as updates may arrive before the reply.
         self.upstream = address.instance
         self.has_gap = False
         try:
@@ -199,7 +201,7 @@
 
     async def _report_until_leaving(self, connection: Connection) -> LeaveReason:
         """
-        Report upwards until there is a reason to leave the upstream.
+        Send reports to the upstream until there is a reason to leave it.
 
         """
         sent = -1
@@ -208,10 +210,10 @@
         self.next_fresher_check_at = 0.0
         while not connection.closed:
             if self.reports.last_arrival != sent:
-                news = self.reports.received_after(sent)
+                new_reports = self.reports.received_after(sent)
                 sent = self.reports.last_arrival
                 try:
-                    await connection.notify(ReportsMessage(news, self.view.revision))
+                    await connection.notify(ReportsMessage(new_reports, self.view.revision))
                 except PeerLost:
                     return LeaveReason.GONE
             self.reports.changed.clear()
@@ -240,10 +242,10 @@
 
     async def _is_stale(self) -> bool:
         """
-        Whether the leader's word comes late, and may come earlier elsewhere.
+        Whether the configuration's age exceeds its limit and another upstream may be fresher.
 
-        A replica is left only for another one that hears the leader: where none does,
-        as in a zone that is cut off, its tree stays as it is.
+        A replica is left only for another one that is current. If no replica is, as in a zone
+        that is cut off, the process keeps its upstream.
 
         """
         if not self._upstream_is_replica():
@@ -258,14 +260,14 @@
         found = await self._first_current(others)
         self.next_fresher_check_at = self.env.monotonic() + HEARTBEAT_S
         if self.upstream_age_ms < REPLICA_STALE_AGE_MS:
-            # Its link healed while the others were asked.
+            # The upstream became current again while the others were queried.
             return False
         self.preferred_upstream = found
         return found != NO_INSTANCE
 
     async def _finds_nearer(self) -> bool:
         """
-        Whether a candidate before the present upstream is in touch with the leader.
+        Whether a candidate that precedes the present upstream is current.
 
         """
         if self.env.monotonic() < self.next_nearer_check_at:
@@ -281,7 +283,8 @@
 
     async def _first_current(self, addresses: list[PeerAddress]) -> InstanceId:
         """
-        Ask all at once, as each that is silent costs its time-outs.
+        The first of `addresses` that is current, or NO_INSTANCE. All are queried concurrently, as
+        each silent one takes its full timeout.
 
         """
         async with curio.TaskGroup() as group:
@@ -306,7 +309,7 @@
 
     async def on_update(self, connection: Connection, update: Update) -> None:
         """
-        Take what the upstream sent, if it is a step forward.
+        Apply an update from the upstream if it is newer than the view.
 
         """
         if connection.peer != self.upstream:
@@ -319,7 +322,7 @@
             return
         if not self.view.apply_update(update):
             self.env.metrics.count(self.env.metrics.state, event='update_not_newer')
-            # One that starts beyond this view: some were lost on the way.
+            # A delta that starts after the view's revision: updates before it were lost.
             self.has_gap = not self.view.cluster or update.from_revision > self.view.revision
             if self.has_gap:
                 await self.reports.changed.set()
@@ -327,22 +330,22 @@
         self.env.metrics.revision.set({}, self.view.revision)
         await self.view.notify_waiters()
 
-    # Before serving.
+    # The revision needed before this process serves.
 
     async def query_min_revision(self) -> None:
         """
-        Ask the zone's entries which revision they have seen, so that this
-        process does not serve from an older one.
+        Query the revisions of the zone's entries, so that this process doesn't serve from an
+        older one. Entries that don't answer are ignored.
 
         """
-        asked = [f for f in self.roster.entries(self.env.zone) if f.instance != self.env.instance]
+        others = [f for f in self.roster.entries(self.env.zone) if f.instance != self.env.instance]
         async with curio.TaskGroup() as group:
-            for facts in asked:
+            for facts in others:
                 address = PeerAddress(facts.instance, facts.host, facts.port)
                 await group.spawn(self._revision_or_zero, address)
         answers = [task.result for task in group.tasks if not task.exception]
         self.min_revision = max([0, *answers])
-        log.info('The zone has seen revision {}.', self.min_revision)
+        log.info('The newest revision in this zone is {}.', self.min_revision)
 
     async def _revision_or_zero(self, address: PeerAddress) -> int:
         reply = await self._query_revision(address)
@@ -355,7 +358,7 @@
         try:
             reply = await self.peers.call(address, AskRevision(), QUERY_TIMEOUT_S)
         except PeerError as error:
-            log.debug('{} does not tell its revision: {}.', address.instance, error)
+            log.debug('{} did not answer with its revision: {}.', address.instance, error)
             return None
         return reply if isinstance(reply, RevisionIs) else None
 
