--- a/packages/millfork-state/millfork_state/arrival_times.py
+++ b/packages/millfork-state/millfork_state/arrival_times.py
@@ -1,9 +1,9 @@
 """
-When entries that raise a key to a version came into a replica's log.
+When the entries that raise a key to a version arrived in a replica's log.
 
-What follows from a version counts from when it was acknowledged. A leader that was elected
-since learns of it as it commits the entry, up to an election later; the entry itself came
-before the acknowledgement, or as soon after it as messages take.
+The time limits of a version count from when it was acknowledged. A leader elected after that
+applies the entry only as it commits it, up to an election later. The entry itself arrived
+before the acknowledgement, or later only by the time that messages take.
 
 """
 
@@ -12,14 +12,14 @@
 
 from millfork_state.commands import AnyCommand, Raise
 
-# Versions and documents change some ten thousand times a day; an entry is committed, or
+# Versions and documents change some ten thousand times a day. An entry is committed, or
 # replaced, within seconds.
 MAX_ARRIVAL_TIMES: Final = 256
 
 
 class ArrivalTimes:
     """
-    The log index and the time (monotonic seconds) of each, by key and version.
+    The log index and arrival time (monotonic seconds) of entries, by key and version.
 
     """
 
@@ -29,7 +29,7 @@
 
     def record(self, index: int, command: AnyCommand) -> None:
         """
-        An entry came into the log; the first of a key's version counts.
+        Record the arrival of an entry. Only the first for a key and version counts.
 
         """
         if not isinstance(command, Raise):
@@ -40,15 +40,17 @@
 
     def discard_from(self, index: int) -> None:
         """
-        The entries from an index on were replaced.
+        Discard the entries from an index on, which another leader replaced.
 
         """
-        self.received = {key: came for key, came in self.received.items() if came[0] < index}
+        self.received = {
+            key: arrival for key, arrival in self.received.items() if arrival[0] < index
+        }
 
     def find(self, key: str, version: int) -> float | None:
         """
-        When the entry came that raised a key to a version, if it is remembered.
+        The arrival time of the entry that raised a key to a version, or None if unknown.
 
         """
-        came = self.received.get((key, version))
-        return came[1] if came is not None else None
+        arrival = self.received.get((key, version))
+        return arrival[1] if arrival is not None else None
--- a/packages/millfork-state/millfork_state/commands.py
+++ b/packages/millfork-state/millfork_state/commands.py
@@ -1,8 +1,8 @@
 """
 Commands to the replicated state, and their results.
 
-Every command carries an id, so that one sent again gets its first result.
-Times are milliseconds since the epoch, stamped by the leader.
+A command that is sent again has the same effect as once: `Apply` carries an id, a claim
+its attempt, and a raise its version. Times are milliseconds since the epoch, set by the leader.
 
 """
 
@@ -20,8 +20,8 @@
 
 class Change(msgspec.Struct, frozen=True):
     """
-    Set or remove one key. With `expect`, the change holds only if nobody set
-    or removed the key after that revision.
+    Set one key, or remove it if `value` is None. With `expect`, the change conflicts if the key
+    was set or removed after that revision.
 
     """
 
@@ -32,14 +32,14 @@
 
 class Noop(Command, frozen=True):
     """
-    A new leader's first entry.
+    The first entry of a new leader's term. It changes nothing.
 
     """
 
 
 class SetMembers(Command, frozen=True):
     """
-    The voters from here on: pairs of instance and disk id.
+    Replace the voters, which are pairs of instance and disk id.
 
     """
 
@@ -49,7 +49,7 @@
 
 class Apply(Command, frozen=True):
     """
-    Change configuration: all changes or none.
+    Change the configuration atomically: all changes or none.
 
     """
 
@@ -72,7 +72,7 @@
 
 class SettleKey(Command, frozen=True):
     """
-    Say how a claimed attempt ended. With `released` it did not run.
+    Record how a claimed attempt ended. If `released`, it did not run and the key is free again.
 
     """
 
@@ -87,8 +87,8 @@
 
 class Raise(Command, frozen=True):
     """
-    Set one key to a value of a higher version; a version that is not above
-    the one held changes nothing.
+    Set one key to a value of a higher version. A version not above the stored
+    one changes nothing.
 
     """
 
@@ -102,7 +102,7 @@
 
 class ApplyResult(msgspec.Struct, frozen=True):
     """
-    The outcome of `Apply`: the revision it made, or the keys in conflict.
+    The outcome of `Apply`: the revision after it, or the keys in conflict.
 
     """
 
@@ -113,7 +113,7 @@
 
 class ClaimState(Enum):
     """
-    What is known of a claimed key.
+    The state of an idempotency key, as a claim of it finds it.
 
     """
 
@@ -126,7 +126,7 @@
 
 class ClaimResult(msgspec.Struct, frozen=True):
     """
-    The outcome of `ClaimKey`; a DONE key brings its first answer.
+    The outcome of `ClaimKey`. A DONE key carries the answer of its first attempt.
 
     """
 
@@ -138,7 +138,7 @@
 
 class RaiseResult(msgspec.Struct, frozen=True):
     """
-    The outcome of `Raise`: whether it changed the key, and the version held.
+    The outcome of `Raise`: whether it changed the key, and the version stored afterwards.
 
     """
 
@@ -162,9 +162,9 @@
 
 def decode_versioned(data: bytes) -> Versioned:
     """
-    The versioned value in `data`.
+    Decode a versioned value.
 
-    :raises msgspec.ValidationError: if there is none.
+    :raises msgspec.ValidationError: if `data` isn't one.
 
     """
     return msgspec.msgpack.decode(data, type=Versioned)
@@ -179,9 +179,9 @@
 
 def decode_command(data: bytes) -> AnyCommand:
     """
-    The command in `data`.
+    Decode a command.
 
-    :raises msgspec.ValidationError: if there is none.
+    :raises msgspec.ValidationError: if `data` isn't one.
 
     """
     return msgspec.msgpack.decode(data, type=AnyCommand)
--- a/packages/millfork-state/millfork_state/config.py
+++ b/packages/millfork-state/millfork_state/config.py
@@ -1,5 +1,5 @@
 """
-The accepted configuration, typed: what the keys of the state hold.
+Types of the values that the keys of the accepted configuration hold.
 
 Keys are paths: `organisations/ORG`, `labels/ORG/INSTANCE`,
 `deployments/ORG/NAME`, `drains/INSTANCE`.
@@ -37,7 +37,7 @@
 @dataclass(frozen=True, slots=True)
 class WeightPart:
     """
-    A base model or adapter at a version, pinned by its manifest's digest.
+    A base model or adapter at a version, identified by its manifest's digest.
 
     """
 
@@ -49,7 +49,7 @@
 @dataclass(frozen=True, slots=True)
 class Deployment:
     """
-    Weights (base first, then adapters) and the instances to serve them.
+    Weights (base first, then adapters) and the selector of the instances that serve them.
 
     """
 
@@ -59,7 +59,7 @@
     @property
     def version(self) -> str:
         """
-        The id of exactly these weights, as engines and answers name it.
+        The id of exactly these weights, which engines and answers carry.
 
         """
         return '+'.join(part.manifest[:16] for part in self.parts)
@@ -68,7 +68,7 @@
 @dataclass(frozen=True, slots=True)
 class InstanceFacts:
     """
-    What the platform says of an instance.
+    An instance as the platform's list describes it.
 
     """
 
@@ -81,7 +81,7 @@
     service: ServiceName
     leaving: bool = False
 
-    def facts(self) -> dict[str, str]:
+    def to_labels(self) -> dict[str, str]:
         return {
             'instance': self.instance,
             'zone': self.zone,
@@ -96,9 +96,9 @@
 
 def decode(value: bytes, kind: type[Value]) -> Value:
     """
-    A value of the state as its type.
+    Decode a value of the configuration.
 
-    :raises msgspec.ValidationError: if it is none.
+    :raises msgspec.ValidationError: if the value isn't of type `kind`.
 
     """
     return msgspec.json.decode(value, type=kind)
@@ -106,11 +106,11 @@
 
 def matches(selector: dict[str, str | list[str]], labels: dict[str, str]) -> bool:
     """
-    Whether labels meet every term; a list is a choice of values.
+    Whether the labels meet every term of the selector. A list allows any of its values.
 
     """
-    for key, wanted in selector.items():
-        choices = [wanted] if isinstance(wanted, str) else wanted
-        if labels.get(key) not in choices:
+    for key, required in selector.items():
+        allowed = [required] if isinstance(required, str) else required
+        if labels.get(key) not in allowed:
             return False
     return True
--- a/packages/millfork-state/millfork_state/distribution_tree.py
+++ b/packages/millfork-state/millfork_state/distribution_tree.py
@@ -1,10 +1,10 @@
 """
-Which peer a process takes the configuration from.
+The peers that a process may take the configuration from.
 
 Every availability zone is one tree: replicas first, then the other entries,
-then the endpoints, in an order that all compute alike. The parent of position
-p is (p - 1) // FANOUT, so a parent always stands earlier and no load grows
-with the fleet: each process feeds at most FANOUT others.
+then the endpoints, in an order that every process computes alike. The parent of
+position p is (p - 1) // FANOUT, so a parent always precedes its children. The load
+doesn't grow with the fleet, as each process has at most FANOUT children.
 
 """
 
@@ -21,7 +21,7 @@
 
 def zone_order(roster: Roster, zone: ZoneId, replicas: set[InstanceId]) -> list[InstanceId]:
     """
-    The zone's instances in the order of its tree.
+    The zone's instances in tree order.
 
     """
 
@@ -35,7 +35,8 @@
 
 def ancestors(order: list[InstanceId], instance: InstanceId) -> list[InstanceId]:
     """
-    The instances from the parent up to the root of the zone's tree.
+    The instances from the parent up to the root of the zone's tree. For an instance that
+    isn't in `order`, the root alone.
 
     """
     if instance not in order:
@@ -55,10 +56,9 @@
     zone: ZoneId,
 ) -> list[PeerAddress]:
     """
-    Peers to subscribe to, best first: ancestors in the zone, other entries
-    of the zone that stand earlier, then every replica, nearest zone first.
-    Last come the zone's later entries: in a zone that is cut off they may be
-    all there is.
+    Peers to subscribe to, best first: ancestors in the zone, up to FANOUT other entries
+    that precede the instance in it, then every replica, those of the own zone first. Last come
+    the zone's other entries, which may be the only reachable peers in a zone that is cut off.
 
     """
     replica_ids = {address.instance for address in replicas}
--- a/packages/millfork-state/millfork_state/election.py
+++ b/packages/millfork-state/millfork_state/election.py
@@ -1,5 +1,5 @@
 """
-Elections: a replica that hears no leader asks for votes.
+Elections: a replica without contact to a leader requests votes.
 
 """
 
@@ -22,23 +22,26 @@
 
 async def wait_for_election_timeout(replica: Replica) -> None:
     """
-    Return when no leader was heard for a randomised election timeout.
+    Return once no leader has been in contact for a randomised election timeout. Replicas that
+    aren't voters, or whose disk failed recently, keep waiting.
 
     """
-    spread = 1 + replica.env.random.random() * ELECTION_SPREAD_FRACTION
-    limit = replica.election_s * spread
+    spread_factor = 1 + replica.env.random.random() * ELECTION_SPREAD_FRACTION
+    timeout = replica.election_s * spread_factor
     while True:
-        silent = replica.env.monotonic() - max(
+        silent_s = replica.env.monotonic() - max(
             replica.leader_contact_at, replica.campaign_delay_from
         )
-        if silent >= limit and replica.is_voter and replica.disk_works:
+        if silent_s >= timeout and replica.is_voter and replica.disk_works:
             return
-        await curio.sleep(max(limit - silent, replica.heartbeat_s / 4))
+        await curio.sleep(max(timeout - silent_s, replica.heartbeat_s / 4))
 
 
 async def campaign(replica: Replica) -> bool:
     """
-    Ask for pre-votes, then for votes; True if this replica now leads.
+    Request pre-votes, then votes. True if this replica is now the leader.
+
+    :raises OSError: if the disk fails.
 
     """
     if not await _gather_votes(replica, _pre_vote_request(replica)):
@@ -51,7 +54,7 @@
         await replica.enter_term(term, voted_for=replica.env.instance)
         replica.state = ReplicaState.CANDIDATE
         replica.leader_contact_at = replica.env.monotonic()
-    log.info('Seeking election for term {}.', term)
+    log.info('Requesting votes for term {}.', term)
     replica.env.metrics.count(replica.env.metrics.state, event='election')
     won = await _gather_votes(replica, _vote_request(replica, term))
     async with replica.lock:
@@ -85,7 +88,7 @@
 
 async def _gather_votes(replica: Replica, request: VoteRequest) -> bool:
     """
-    Whether a majority of voters, each on its known disk, says yes.
+    Whether a majority of voters, each with the disk id of its membership, grants the request.
 
     """
     granted = {(replica.env.instance, replica.storage.disk)} & set(replica.members)
--- a/packages/millfork-state/millfork_state/formation.py
+++ b/packages/millfork-state/millfork_state/formation.py
@@ -1,9 +1,9 @@
 """
 The first start of the replicated state.
 
-The replica with the lowest id waits until every replica answers with an empty
-disk and then writes the first entry. A replica that lost its disk meets others
-that are not empty, so it can never form a second state beside the first.
+The replica with the lowest id waits until every replica answers that its disk is
+empty, and then writes the first entry. A replica that lost its disk finds others
+that are not empty, so it can never form a second state.
 
 """
 
@@ -30,6 +30,10 @@
 
 
 def identity_of(replica: Replica) -> Identity:
+    """
+    The replica's disk id and cluster. It is empty if it has neither a cluster nor log entries.
+
+    """
     empty = not replica.cluster and replica.storage.last_index == 0
     return Identity(replica.storage.disk, replica.cluster, empty)
 
@@ -37,8 +41,8 @@
 @dataclass(frozen=True, slots=True)
 class Seeds:
     """
-    The replicas that begin a state together (the others join it later), and
-    whether this start may be the one at which they do.
+    The other replicas that form the state together with this one (further replicas join it
+    later), and whether this process may form it at this start.
 
     """
 
@@ -47,7 +51,7 @@
 
     def is_former(self, instance: InstanceId) -> bool:
         """
-        Whether the replica on `instance` is the one that begins the state.
+        Whether the replica on `instance` is the one that writes the first entry.
 
         """
         return self.may_form and all(instance < other.instance for other in self.others)
@@ -55,7 +59,7 @@
 
 async def form_or_join(replica: Replica, seeds: Seeds) -> None:
     """
-    Return once this replica belongs to a state, formed here or elsewhere.
+    Return once this replica belongs to a cluster, formed here or joined.
 
     """
     while not replica.cluster:
@@ -100,7 +104,8 @@
     members: list[tuple[str, str]],
 ) -> bool:
     """
-    Write the first entry, if this disk is empty and one of the members.
+    Write the first entry, if this disk is empty and one of the members. True if this
+    replica belongs to the cluster afterwards.
 
     """
     async with replica.lock:
@@ -117,8 +122,8 @@
 
 async def distribute_genesis(replica: Replica) -> None:
     """
-    Bring the first entry to every other replica that is still empty; the
-    task ends when each has it, or has the state from its leader.
+    Send the first entry to every other replica, and retry until each has answered. Replicas
+    that aren't empty ignore it.
 
     """
     if replica.storage.snapshot is not None or not replica.storage.entries:
@@ -128,12 +133,12 @@
         return
     members = [Member(instance, disk) for instance, disk in first.members]
     genesis = Genesis(first.cluster, members)
-    waiting = list(replica.others)
-    while waiting:
-        for address in list(waiting):
+    unanswered = list(replica.others)
+    while unanswered:
+        for address in list(unanswered):
             try:
                 await replica.peers.call(address, genesis, IDENTIFY_TIMEOUT_S)
             except PeerError:
                 continue
-            waiting.remove(address)
+            unanswered.remove(address)
         await curio.sleep(FORMATION_RETRY_S)
--- a/packages/millfork-state/millfork_state/keys.py
+++ b/packages/millfork-state/millfork_state/keys.py
@@ -1,5 +1,5 @@
 """
-Keys of the replicated state that seeded fleets use.
+Keys of the replicated state in seeded fleets.
 
 """
 
@@ -7,16 +7,16 @@
 
 from millfork_core.ids import Fingerprint
 
-# The operator's document, compressed; its version is the document's.
+# The operator's document, compressed, at the document's own version.
 DOCUMENT_KEY: Final = 'document'
 VERSION_PREFIX: Final = 'weights/'
-# Requests that are sent no more, by fingerprint.
+# Requests that are no longer sent to back ends, by fingerprint.
 QUARANTINE_PREFIX: Final = 'quarantine/'
 
 
 def version_key(model: str) -> str:
     """
-    The key of the version of a model's weights that is to be served.
+    The key of the weights version that engines are to serve for a model.
 
     """
     return f'{VERSION_PREFIX}{model}'
--- a/packages/millfork-state/millfork_state/leader_client.py
+++ b/packages/millfork-state/millfork_state/leader_client.py
@@ -1,5 +1,5 @@
 """
-Commands to the replicated state from any entry, replica or not.
+Commands and reads sent to the leader of the replicated state from any process.
 
 """
 
@@ -24,7 +24,7 @@
 
 class LeaderClient:
     """
-    Finds the leader and asks it.
+    Finds the leader and sends it commands and reads, or handles them itself if it leads.
 
     """
 
@@ -38,7 +38,7 @@
     ) -> None:
         self.env = env
         self.peers = peers
-        # The caller's own list, which may grow.
+        # The list is the caller's own and may grow.
         self.addresses = replicas
         self.node = node
         self.call_timeout_s = call_timeout_s
@@ -54,17 +54,18 @@
         timeout_s: float = DEFAULT_TIMEOUT_S,
     ) -> bytes:
         """
-        The encoded result of a command. Sending one again is harmless, as
-        commands carry ids, so this insists for `timeout_s` seconds.
+        Return the encoded result of a command. The command is sent again for up to `timeout_s`
+        seconds, which is harmless, as commands are idempotent.
 
-        :raises Refused: NO_QUORUM, with the verdict on the command.
+        :raises Refused: NO_QUORUM, with the verdict on the command, or the leader's other
+            reason for refusing it.
 
         """
         data = encode_command(command)
         deadline = self.env.monotonic() + timeout_s
         verdict = Verdict.NOT_RUN
         while self.env.monotonic() < deadline:
-            reply = await self._ask(Propose(data))
+            reply = await self._propose_once(Propose(data))
             if reply is None:
                 verdict = Verdict.MAY_HAVE_RUN
                 continue
@@ -78,9 +79,9 @@
             await curio.sleep(RETRY_DELAY_S)
         raise Refused(Refusal(Reason.NO_QUORUM, verdict, 'no quorum of the state is reachable'))
 
-    async def _ask(self, message: Propose) -> Proposed | None:
+    async def _propose_once(self, message: Propose) -> Proposed | None:
         """
-        One try; None if the outcome is unknown.
+        Send a command once. None if its outcome is unknown.
 
         """
         if self.node is not None and (self.node.leads or self.leader == self.env.instance):
@@ -96,10 +97,10 @@
         return reply if isinstance(reply, Proposed) else None
 
     def _next_address(self) -> PeerAddress:
-        known = self.node.replica.leader if self.node is not None else self.leader
+        leader = self.node.replica.leader if self.node is not None else self.leader
         replicas = self.replicas
-        if known in replicas and known != self.env.instance:
-            return replicas[known]
+        if leader in replicas and leader != self.env.instance:
+            return replicas[leader]
         others = [a for a in replicas.values() if a.instance != self.env.instance]
         if not others:
             raise Refused(Refusal(Reason.NO_QUORUM, detail='no other replica is known'))
@@ -107,18 +108,18 @@
 
     async def read_state(self, timeout_s: float = DEFAULT_TIMEOUT_S) -> StateBody:
         """
-        The configuration, linearizable: as the leader has it.
+        The leader's configuration. The read is linearizable.
 
-        :raises Refused: NO_QUORUM if no leader confirms it.
+        :raises Refused: NO_QUORUM if no leader with a majority answers.
 
         """
         return msgspec.json.decode(await self._read(ReadTarget.STATE, timeout_s), type=StateBody)
 
     async def read_reports(self) -> list[Report]:
         """
-        The instances' reports, as they have come up to the leader.
+        The instances' newest reports that have reached the leader.
 
-        :raises Refused: NO_QUORUM if there is no leader.
+        :raises Refused: NO_QUORUM if no leader with a majority answers.
 
         """
         rows = msgspec.json.decode(
@@ -126,21 +127,21 @@
         )
         return [Report(*row) for row in rows]
 
-    async def _read(self, what: ReadTarget, timeout_s: float) -> bytes:
+    async def _read(self, target: ReadTarget, timeout_s: float) -> bytes:
         deadline = self.env.monotonic() + timeout_s
         while self.env.monotonic() < deadline:
-            body = await self._read_once(what)
+            body = await self._read_once(target)
             if body is not None:
                 return body
             await curio.sleep(RETRY_DELAY_S)
         raise Refused(Refusal(Reason.NO_QUORUM, detail='no leader confirms its state'))
 
-    async def _read_once(self, what: ReadTarget) -> bytes | None:
+    async def _read_once(self, target: ReadTarget) -> bytes | None:
         if self.node is not None and self.node.leads:
-            return await self.node.read(what, self.call_timeout_s)
+            return await self.node.read(target, self.call_timeout_s)
         try:
             reply = await self.peers.call(
-                self._next_address(), ReadState(what.value), self.call_timeout_s
+                self._next_address(), ReadState(target.value), self.call_timeout_s
             )
         except PeerError:
             return None
--- a/packages/millfork-state/millfork_state/message_handler.py
+++ b/packages/millfork-state/millfork_state/message_handler.py
@@ -1,5 +1,5 @@
 """
-What a replica of the state answers other processes.
+How a replica of the state answers messages of other processes.
 
 """
 
@@ -14,7 +14,7 @@
 
 class StateMessageHandler:
     """
-    The answers of one replica.
+    Passes messages to one replica and returns its answers.
 
     """
 
@@ -23,45 +23,45 @@
 
     async def handle(self, message: Message) -> Message | None:
         """
-        The answer to a message; None if it does not concern the state.
+        The answer to a message, or None if the message isn't for a replica.
 
         """
-        reply: Message | None = await self._to(message)
+        reply: Message | None = await self._dispatch(message)
         return reply
 
     @singledispatchmethod
-    async def _to(self, message: Message) -> Message | None:
+    async def _dispatch(self, message: Message) -> Message | None:
         return None
 
-    @_to.register
+    @_dispatch.register
     async def _(self, message: PreVote) -> Message:
         return await self.node.replica.on_pre_vote(message)
 
-    @_to.register
+    @_dispatch.register
     async def _(self, message: messages.VoteRequest) -> Message:
         return await self.node.replica.on_vote(message)
 
-    @_to.register
+    @_dispatch.register
     async def _(self, message: messages.AppendRequest) -> Message:
         return await self.node.replica.on_append(message)
 
-    @_to.register
+    @_dispatch.register
     async def _(self, message: messages.InstallRequest) -> Message:
         return await self.node.replica.on_install(message)
 
-    @_to.register
+    @_dispatch.register
     async def _(self, message: messages.Identify) -> Message:
         return identity_of(self.node.replica)
 
-    @_to.register
+    @_dispatch.register
     async def _(self, message: messages.Genesis) -> Message:
         members = [(member.instance, member.disk) for member in message.members]
         return Done(await accept_genesis(self.node.replica, message.cluster, members))
 
-    @_to.register
+    @_dispatch.register
     async def _(self, message: messages.Propose) -> Message:
         return await self.node.answer_propose(message.command)
 
-    @_to.register
+    @_dispatch.register
     async def _(self, message: messages.ReadState) -> Message:
         return await self.node.answer_read(message)
--- a/packages/millfork-state/millfork_state/node.py
+++ b/packages/millfork-state/millfork_state/node.py
@@ -1,5 +1,5 @@
 """
-The replica as the daemon runs it: elections, leading, proposals, reads.
+The tasks of a replica in a daemon: elections, leadership, proposals and reads.
 
 """
 
@@ -32,7 +32,7 @@
 
 class ReadTarget(Enum):
     """
-    What can be read of the leader.
+    The data that can be read from the leader.
 
     """
 
@@ -53,7 +53,7 @@
 
 class StateNode:
     """
-    Runs one replica.
+    Runs one replica, and proposes and reads through it.
 
     """
 
@@ -70,7 +70,7 @@
 
     async def run(self) -> None:
         """
-        The replica's main task.
+        The replica's main task: forms or joins the state, then campaigns and leads.
 
         """
         replica = self.replica
@@ -93,7 +93,7 @@
 
     async def take_snapshots(self) -> None:
         """
-        The task that shortens a follower's log.
+        The task that replaces a long log by a snapshot, also on a follower.
 
         """
         while True:
@@ -109,10 +109,10 @@
 
     async def propose(self, command: AnyCommand) -> Result:
         """
-        Commit a command here, as leader, and return its result.
+        Commit a command as leader and return its result.
 
-        :raises Refused: NOT_RUN where this replica does not lead, else
-            MAY_HAVE_RUN: the command may yet be committed.
+        :raises Refused: NOT_RUN if this replica isn't the leader, else
+            MAY_HAVE_RUN, as the command may still be committed.
 
         """
         if not self.leads:
@@ -130,7 +130,7 @@
 
     async def answer_propose(self, data: bytes) -> Proposed:
         """
-        Answer a proposal that came over the wire.
+        Answer a proposal of another process, given the encoded command.
 
         """
         try:
@@ -144,24 +144,24 @@
             )
         return Proposed(True, msgspec.msgpack.encode(result))
 
-    async def read(self, what: ReadTarget, timeout: float) -> bytes | None:
+    async def read(self, target: ReadTarget, timeout: float) -> bytes | None:
         """
-        The state or the reports, if this replica leads and a majority
-        confirms that its view is the newest there is.
+        The state or the reports as JSON, or None unless this replica leads and a majority
+        confirms that its view is the newest.
 
         """
         leadership = self.leadership
         if leadership is None or not await leadership.confirm_leadership(timeout):
             return None
-        if what is ReadTarget.REPORTS:
+        if target is ReadTarget.REPORTS:
             return msgspec.json.encode([known.row for known in self.reports.by_instance.values()])
         view = self.replica.view
-        items = {key: (held.value, int(held.revision)) for key, held in view.items.items()}
+        items = {key: (stored.value, int(stored.revision)) for key, stored in view.items.items()}
         return msgspec.json.encode(StateBody(view.cluster, view.revision, items))
 
     async def answer_read(self, message: ReadState) -> StateView:
         """
-        Answer a read that came over the wire, or say who leads.
+        Answer a read of another process. The answer names the leader known here.
 
         """
         body = await self.read(ReadTarget(message.what), PROPOSE_TIMEOUT_S)
--- a/packages/millfork-state/millfork_state/pending.py
+++ b/packages/millfork-state/millfork_state/pending.py
@@ -1,5 +1,5 @@
 """
-Proposals on their way through the log.
+Proposed commands that are not yet applied.
 
 """
 
@@ -22,7 +22,8 @@
 
 class PendingProposal:
     """
-    A proposal on its way through the log.
+    A proposed command. `settled` is set once it is applied with a result, or its outcome
+    is unknown to this replica.
 
     """
 
@@ -40,7 +41,7 @@
 
 def with_timestamp(command: AnyCommand) -> AnyCommand:
     """
-    The command with the leader's time, where it carries one.
+    A copy of the command with the current time, if its type has a time.
 
     """
     at_ms = int(time.time() * 1000)
--- a/packages/millfork-state/millfork_state/reports.py
+++ b/packages/millfork-state/millfork_state/reports.py
@@ -1,5 +1,5 @@
 """
-What the instances report of themselves, passed up the tree.
+The instances' reports of themselves, which are passed up the distribution tree.
 
 """
 
@@ -14,7 +14,7 @@
 @dataclass(slots=True)
 class ReceivedReport:
     """
-    A report and the order in which it came here.
+    A report and its position in the order of arrival at this process.
 
     """
 
@@ -29,7 +29,7 @@
 
 class Reports:
     """
-    The newest report of each instance heard of here.
+    The newest report of each instance that has reached this process.
 
     """
 
@@ -40,25 +40,25 @@
 
     async def merge(self, reports: list[Report]) -> None:
         """
-        Keep what is newer than what is known.
+        Keep the reports that are newer than the known ones of their instances.
 
         """
-        news = False
+        has_changed = False
         for report in reports:
-            held = self.by_instance.get(InstanceId(report.instance))
-            if held is not None and not _is_newer(report, held.report):
+            known = self.by_instance.get(InstanceId(report.instance))
+            if known is not None and not _is_newer(report, known.report):
                 continue
             self.last_arrival += 1
             self.by_instance[InstanceId(report.instance)] = ReceivedReport(
                 report, self.last_arrival
             )
-            news = True
-        if news:
+            has_changed = True
+        if has_changed:
             await self.changed.set()
 
     def received_after(self, arrival: int) -> list[Report]:
         return [known.report for known in self.by_instance.values() if known.arrival > arrival]
 
 
-def _is_newer(report: Report, held: Report) -> bool:
-    return (report.incarnation, report.sequence) > (held.incarnation, held.sequence)
+def _is_newer(report: Report, known: Report) -> bool:
+    return (report.incarnation, report.sequence) > (known.incarnation, known.sequence)
--- a/packages/millfork-state/millfork_state/roster.py
+++ b/packages/millfork-state/millfork_state/roster.py
@@ -1,5 +1,5 @@
 """
-The platform's list of instances, as one process last heard it.
+The platform's list of instances, as one process last received it.
 
 """
 
@@ -24,7 +24,7 @@
 
 class PlatformDelta(msgspec.Struct):
     """
-    What changed in the platform's list since a version.
+    The changes to the platform's list since a version, or the `full` list.
 
     """
 
@@ -36,7 +36,7 @@
 
 class Roster:
     """
-    Instances by id. The list lags, so it is evidence and not the truth.
+    Instances by id. The list lags behind the real state of the instances.
 
     """
 
@@ -58,29 +58,29 @@
 
     async def poll(self) -> bool:
         """
-        Ask the platform for changes; False if it gave no answer.
+        Fetch the changes from the platform. False if it gave no valid answer.
 
         """
-        before = self.client.bytes_moved
+        bytes_before = self.client.bytes_moved
         try:
             path = f'/instances?since={self.version}'
             response = await self.client.fetch('GET', path, [], timeout=POLL_TIMEOUT_S)
             delta = msgspec.json.decode(response.body, type=PlatformDelta)
         except (ExchangeFailed, msgspec.DecodeError) as error:
-            log.debug('No instance list: {}.', error)
+            log.debug('Could not fetch the instance list: {}.', error)
             self.env.metrics.count(self.env.metrics.state, event='platform_silent')
             return False
-        moved = self.client.bytes_moved - before
+        moved = self.client.bytes_moved - bytes_before
         self.env.metrics.count(self.env.metrics.wire_bytes, moved, way='platform')
-        known = self.version
+        version_before = self.version
         self.apply_delta(delta)
-        if self.version != known:
+        if self.version != version_before:
             await self.changed.set()
         return True
 
     def apply_delta(self, delta: PlatformDelta) -> None:
         """
-        Take a delta of the list.
+        Apply a delta to the list. One of the present version changes nothing.
 
         """
         if delta.version == self.version:
--- a/packages/millfork-state/millfork_state/selection.py
+++ b/packages/millfork-state/millfork_state/selection.py
@@ -1,5 +1,5 @@
 """
-Which instances a deployment selects.
+The instances that a deployment selects.
 
 """
 
@@ -22,13 +22,13 @@
 def is_selected(view: View, name: str, deployment: Deployment, facts: InstanceFacts) -> bool:
     """
     Whether the deployment selects an instance, by the platform's facts and
-    the labels that the deployment's own organisation attached.
+    the labels that the deployment's own organisation attached to it.
 
     """
     organisation = name.split('/', 1)[0]
-    held = view.items.get(f'{LABELS}{organisation}/{facts.instance}')
-    attached = decode(held.value, dict[str, str]) if held else {}
-    return matches(deployment.selector, {**attached, **facts.facts()})
+    stored = view.items.get(f'{LABELS}{organisation}/{facts.instance}')
+    attached = decode(stored.value, dict[str, str]) if stored else {}
+    return matches(deployment.selector, {**attached, **facts.to_labels()})
 
 
 def select_endpoints(
--- a/packages/millfork-state/millfork_state/state_machine.py
+++ b/packages/millfork-state/millfork_state/state_machine.py
@@ -1,5 +1,5 @@
 """
-The state machine that every replica runs over the log.
+The state machine that every replica runs over its log.
 
 """
 
@@ -30,13 +30,14 @@
 MAX_REMEMBERED_COMMANDS: Final = 20_000
 MAX_REMEMBERED_REMOVALS: Final = 20_000
 CLAIM_LIFETIME_MS: Final = 24 * 3600 * 1000
-# An attempt still open after this long lost the entry that made it.
+# The entry that claimed the key for an attempt counts as lost if the attempt is still open
+# after this time.
 CLAIM_OPEN_TIMEOUT_MS: Final = 120_000
 
 
 class Claim(msgspec.Struct):
     """
-    One claimed idempotency key.
+    The attempt that holds an idempotency key, and its answer once it is done.
 
     """
 
@@ -51,7 +52,7 @@
 
 class Dump(msgspec.Struct):
     """
-    The machine's whole state, as a snapshot holds it.
+    The whole state of the state machine, as a snapshot contains it.
 
     """
 
@@ -66,7 +67,7 @@
 
 class StateMachine:
     """
-    Applies commands in log order; equal logs give equal machines.
+    Applies commands in log order. It is deterministic: equal logs give equal states.
 
     """
 
@@ -92,10 +93,10 @@
         return None
 
     def _raise(self, command: Raise) -> RaiseResult:
-        held = self.view.items.get(command.key)
-        held_version = decode_versioned(held.value).version if held is not None else None
-        if held_version is not None and command.version <= held_version:
-            return RaiseResult(False, held_version)
+        stored = self.view.items.get(command.key)
+        stored_version = decode_versioned(stored.value).version if stored is not None else None
+        if stored_version is not None and command.version <= stored_version:
+            return RaiseResult(False, stored_version)
         revision = Revision(self.view.revision + 1)
         value = encode_versioned(Versioned(command.version, command.value))
         self.view.apply_change(revision, {command.key: StoredValue(value, revision)}, [])
@@ -132,8 +133,8 @@
         return ApplyResult(True, revision)
 
     def _last_change(self, key: str) -> int:
-        held = self.view.items.get(key)
-        return held.revision if held else self.removed.get(key, 0)
+        stored = self.view.items.get(key)
+        return stored.revision if stored else self.removed.get(key, 0)
 
     def _remember_removed(self, revision: int, keys: list[str]) -> None:
         for key in keys:
@@ -143,8 +144,8 @@
             self.removed.popitem(last=False)
 
     def _differs(self, key: str, value: bytes | None) -> bool:
-        held = self.view.items.get(key)
-        return (held.value if held else None) != value
+        stored = self.view.items.get(key)
+        return (stored.value if stored else None) != value
 
     def _claim(self, command: ClaimKey) -> ClaimResult:
         self._forget_old_claims(command.at_ms)
@@ -183,11 +184,11 @@
 
     def dump(self, members: list[tuple[str, str]]) -> bytes:
         """
-        The whole state as bytes.
+        Encode the whole state, together with the voters.
 
         """
         view = self.view
-        items = {key: (held.value, int(held.revision)) for key, held in view.items.items()}
+        items = {key: (stored.value, int(stored.revision)) for key, stored in view.items.items()}
         dump = Dump(
             view.cluster,
             view.revision,
@@ -201,7 +202,7 @@
 
     def restore(self, data: bytes) -> list[tuple[str, str]]:
         """
-        Take the state of a dump; return its members.
+        Replace the state by that of a dump, and return the dump's voters.
 
         """
         dump = msgspec.msgpack.decode(data, type=Dump)
