--- a/packages/millfork-state/millfork_state/formation.py
+++ b/packages/millfork-state/millfork_state/formation.py
@@ -49,7 +49,7 @@
     others: list[PeerAddress]
     may_form: bool
 
-    def is_former(self, instance: InstanceId) -> bool:
+    def writes_first_entry(self, instance: InstanceId) -> bool:
         """
         Whether the replica on `instance` is the one that writes the first entry.
 
@@ -63,7 +63,7 @@
 
     """
     while not replica.cluster:
-        if seeds.is_former(replica.env.instance):
+        if seeds.writes_first_entry(replica.env.instance):
             members = await _find_empty_members(replica, seeds.others)
             if members is not None and await _form_cluster(replica, members):
                 return
--- a/packages/millfork-state/millfork_state/leadership.py
+++ b/packages/millfork-state/millfork_state/leadership.py
@@ -141,14 +141,14 @@
             await replica.write(entries)
             await self._wake_all()
             await replica.storage.sync()
-            await self._advance()
+            await self._advance_commit()
         await replica.snapshot_if_due()
 
     async def _wake_all(self) -> None:
         for progress in self.progress:
             await progress.wake.set()
 
-    async def _advance(self) -> None:
+    async def _advance_commit(self) -> None:
         """
         Commit the highest index that a majority of voters holds durably, if
         its entry is of this term.
@@ -241,7 +241,7 @@
         progress.next_index = progress.match + 1
         async with replica.lock:
             if self.active:
-                await self._advance()
+                await self._advance_commit()
         return progress.next_index <= replica.storage.last_index
 
     # Quorum.
--- a/packages/millfork-state/millfork_state/state_machine.py
+++ b/packages/millfork-state/millfork_state/state_machine.py
@@ -207,7 +207,8 @@
         """
         dump = msgspec.msgpack.decode(data, type=Dump)
         items = {
-            key: StoredValue(value, Revision(made)) for key, (value, made) in dump.items.items()
+            key: StoredValue(value, Revision(revision))
+            for key, (value, revision) in dump.items.items()
         }
         self.view.replace(dump.cluster, Revision(dump.revision), items)  # type: ignore[arg-type]
         self.results = OrderedDict(dump.results)
--- a/packages/millfork-state/millfork_state/storage.py
+++ b/packages/millfork-state/millfork_state/storage.py
@@ -139,23 +139,23 @@
 class _LogContents:
     entries: list[LogEntry]
     commit: int
-    good_bytes: int
+    valid_bytes: int
 
 
 def _parse_log(data: bytes, path: Path) -> _LogContents:
-    scan = _LogContents([], 0, 0)
-    while scan.good_bytes < len(data):
-        body = _record_at(data, scan.good_bytes)
+    contents = _LogContents([], 0, 0)
+    while contents.valid_bytes < len(data):
+        body = _record_at(data, contents.valid_bytes)
         if body is None:
-            _check_torn_write(data, scan.good_bytes, path)
-            return scan
+            _check_torn_write(data, contents.valid_bytes, path)
+            return contents
         record = _RECORDS.decode(body)
-        scan.good_bytes += RECORD_HEADER.size + len(body)
+        contents.valid_bytes += RECORD_HEADER.size + len(body)
         if isinstance(record, _CommitMark):
-            scan.commit = max(scan.commit, record.index)
+            contents.commit = max(contents.commit, record.index)
             continue
-        _append_entry(scan.entries, record.entry)
-    return scan
+        _append_entry(contents.entries, record.entry)
+    return contents
 
 
 def _append_entry(entries: list[LogEntry], entry: LogEntry) -> None:
@@ -234,15 +234,15 @@
 
     def _load_log(self) -> int:
         data = self.log_path.read_bytes() if self.log_path.exists() else b''
-        scan = _parse_log(data, self.log_path)
-        self.torn_bytes = len(data) - scan.good_bytes
+        contents = _parse_log(data, self.log_path)
+        self.torn_bytes = len(data) - contents.valid_bytes
         if self.torn_bytes:
-            os.truncate(self.log_path, scan.good_bytes)
+            os.truncate(self.log_path, contents.valid_bytes)
         covered = self.snapshot.index if self.snapshot else 0
-        self.entries = [entry for entry in scan.entries if entry.index > covered]
+        self.entries = [entry for entry in contents.entries if entry.index > covered]
         if self.entries and self.entries[0].index != covered + 1:
             raise CorruptStorage(f'{self.log_path} lacks entries after its snapshot')
-        return min(scan.commit, self.last_index)
+        return min(contents.commit, self.last_index)
 
     @property
     def snapshot_index(self) -> LogIndex:
--- a/packages/millfork-state/millfork_state/subscription.py
+++ b/packages/millfork-state/millfork_state/subscription.py
@@ -53,7 +53,7 @@
     """
 
     GONE = 'upstream_gone'
-    LEADS_NO_LONGER = 'upstream_leads_no_longer'
+    NO_LONGER_LEADER = 'upstream_leads_no_longer'
     GAP = 'update_gap'
     SILENT = 'upstream_silent'
     STALE = 'upstream_stale'
@@ -204,14 +204,14 @@
         Send reports to the upstream until there is a reason to leave it.
 
         """
-        sent = -1
+        last_sent = -1
         self.preferred_upstream = NO_INSTANCE
         self.next_nearer_check_at = self.env.monotonic() + NEARER_CHECK_INTERVAL_S
         self.next_fresher_check_at = 0.0
         while not connection.closed:
-            if self.reports.last_arrival != sent:
-                new_reports = self.reports.received_after(sent)
-                sent = self.reports.last_arrival
+            if self.reports.last_arrival != last_sent:
+                new_reports = self.reports.received_after(last_sent)
+                last_sent = self.reports.last_arrival
                 try:
                     await connection.notify(ReportsMessage(new_reports, self.view.revision))
                 except PeerLost:
@@ -229,7 +229,7 @@
 
     async def _reason_to_leave(self) -> LeaveReason | None:
         if self.replica is not None and self.replica.leader != self.upstream:
-            return LeaveReason.LEADS_NO_LONGER
+            return LeaveReason.NO_LONGER_LEADER
         if self.has_gap:
             return LeaveReason.GAP
         if self.env.monotonic() - self.last_update_at > SILENCE_TIMEOUT_S:
--- a/tests/test_seeded.py
+++ b/tests/test_seeded.py
@@ -67,9 +67,9 @@
 
 def test_one_seed_alone_begins_the_state_and_only_at_the_first_start():
     others = [address_of('10.0.0.2:1'), address_of('10.0.0.3:1')]
-    assert Seeds(others, may_form=True).is_former(InstanceId('10.0.0.1:1'))
-    assert not Seeds(others, may_form=True).is_former(InstanceId('10.0.0.9:1'))
-    assert not Seeds(others, may_form=False).is_former(InstanceId('10.0.0.1:1'))
+    assert Seeds(others, may_form=True).writes_first_entry(InstanceId('10.0.0.1:1'))
+    assert not Seeds(others, may_form=True).writes_first_entry(InstanceId('10.0.0.9:1'))
+    assert not Seeds(others, may_form=False).writes_first_entry(InstanceId('10.0.0.1:1'))
 
 
 def replica_at(folder, instance='a:1', losses=1):
