--- a/tests/mutations_listed.py
+++ b/tests/mutations_listed.py
@@ -314,18 +314,18 @@
     ),
     Mutation(
         'who started first comes back to its own zone',
-        'tests/test_subscription.py::test_who_started_first_comes_back_to_its_own_zone',
+        'tests/test_subscription.py::test_a_process_that_started_first_returns_to_its_own_zone',
         (Edit(S + 'subscription.py', 'if await self._finds_nearer():', 'if False:'),),
     ),
     Mutation(
         'a replica cut off from the leader is left for one that hears it',
         'tests/test_subscription.py::'
-        'test_upstream_cut_off_from_the_leader_is_left_for_a_replica_that_hears_it',
+        'test_an_upstream_cut_off_from_the_leader_is_left_for_a_current_replica',
         (Edit(S + 'subscription.py', 'if await self._is_stale():', 'if False:'),),
     ),
     Mutation(
         'who was silent is asked last',
-        'tests/test_subscription.py::test_upstream_that_was_silent_is_asked_last',
+        'tests/test_subscription.py::test_an_upstream_that_was_silent_is_tried_last',
         (
             Edit(
                 S + 'subscription.py',
--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -106,7 +106,7 @@
     Mutation(
         'a version counts from when its entry came into the log',
         'tests/test_ends_after_an_election.py::'
-        'test_a_leader_elected_after_the_naming_counts_from_when_the_entry_came',
+        'test_a_leader_elected_later_counts_from_the_arrival_of_the_entry',
         (
             Edit(
                 D + 'versions.py',
@@ -204,7 +204,7 @@
     ),
     Mutation(
         'a replica is up to date once it holds what was committed',
-        'tests/test_replica_age.py::test_a_replica_that_lacks_what_was_committed_is_not_up_to_date',
+        'tests/test_replica_age.py::test_a_replica_that_lacks_committed_entries_is_not_up_to_date',
         (
             Edit(
                 'packages/millfork-state/millfork_state/replica.py',
@@ -421,7 +421,7 @@
     Mutation(
         'a version that does not come is not waited for',
         'tests/test_versions.py::'
-        'test_a_version_in_between_comes_first_where_the_newest_does_not_come',
+        'test_an_intermediate_version_is_the_target_if_the_newest_does_not_arrive',
         (Edit(D + 'beside/target.py', 'if self._is_stuck(newest, now):', 'if False:'),),
     ),
     Mutation(
--- a/tests/test_ends_after_an_election.py
+++ b/tests/test_ends_after_an_election.py
@@ -33,7 +33,7 @@
     return Clock()
 
 
-def replica_on(folder, clock):
+def replica_in(folder, clock):
     env = Environment(InstanceId('b'), ZoneId('zone'), monotonic=clock)
     made = Replica(env, StateSettings(), Storage(folder), View(), None, [])
     curio.run(made.recover)
@@ -48,12 +48,12 @@
     return made
 
 
-def named(index, version=2, term=1):
+def version_entry(index, version=2, term=1):
     value = encode_versioned(Versioned(version, b''))
     return entry(index, term, Raise(version_key('m'), version, value))
 
 
-def lead(replica, term=2):
+def win_election(replica, term=2):
     """
     Win an election, and commit all that is in the log with an entry of the own term.
 
@@ -65,43 +65,43 @@
     curio.run(replica.advance_commit, index)
 
 
-def test_a_leader_elected_after_the_naming_counts_from_when_the_entry_came(tmp_path, clock):
-    replica = replica_on(tmp_path, clock)
+def test_a_leader_elected_later_counts_from_the_arrival_of_the_entry(tmp_path, clock):
+    replica = replica_in(tmp_path, clock)
     versions = versions_of(replica)
-    append(replica, [genesis(replica), named(2)], commit=1)
+    append(replica, [genesis(replica), version_entry(2)], commit=1)
     came_at = clock.now
     clock.now += ELECTION_S
-    lead(replica)
+    win_election(replica)
     versions.refresh()
     assert versions.ends_at('m', 1) == pytest.approx(came_at + SWITCH_S - CUT_S)
 
 
-def test_one_that_restarts_meanwhile_counts_from_its_start_at_the_latest(tmp_path, clock):
-    before = replica_on(tmp_path, clock)
-    append(before, [genesis(before), named(2)], commit=1)
+def test_a_replica_that_restarts_meanwhile_counts_from_its_start_at_the_latest(tmp_path, clock):
+    before = replica_in(tmp_path, clock)
+    append(before, [genesis(before), version_entry(2)], commit=1)
     clock.now += 0.4
-    replica = replica_on(tmp_path, clock)
+    replica = replica_in(tmp_path, clock)
     versions = versions_of(replica)
     started_at = clock.now
     clock.now += ELECTION_S
-    lead(replica)
+    win_election(replica)
     versions.refresh()
     assert versions.ends_at('m', 1) == pytest.approx(started_at + SWITCH_S - CUT_S)
 
 
-def test_an_entry_that_another_leader_replaced_says_nothing(tmp_path, clock):
-    replica = replica_on(tmp_path, clock)
+def test_an_entry_that_another_leader_replaced_is_ignored(tmp_path, clock):
+    replica = replica_in(tmp_path, clock)
     versions = versions_of(replica)
-    append(replica, [genesis(replica), named(2)], commit=1)
+    append(replica, [genesis(replica), version_entry(2)], commit=1)
     clock.now += ELECTION_S
     append(replica, [entry(2, 2)], prev=(1, 1), commit=2, term=2)
     clock.now += 1.0
-    append(replica, [named(3, term=2)], prev=(2, 2), commit=3, term=2)
+    append(replica, [version_entry(3, term=2)], prev=(2, 2), commit=3, term=2)
     versions.refresh()
     assert versions.ends_at('m', 1) == pytest.approx(clock.now + SWITCH_S - CUT_S)
 
 
-def test_what_is_kept_of_arrivals_is_bounded(clock):
+def test_the_number_of_arrival_times_is_bounded(clock):
     arrivals = ArrivalTimes(clock)
     for index in range(2 * MAX_ARRIVAL_TIMES):
         arrivals.record(index, Raise('key', index, b''))
--- a/tests/test_faults_left_open.py
+++ b/tests/test_faults_left_open.py
@@ -16,7 +16,14 @@
 from millforkd.versions import CUT_S
 from tests import test_delayed_heartbeats as heartbeats
 from tests import test_drawn_deployments as drawn
-from tests.test_ends_after_an_election import append, genesis, lead, named, replica_on, versions_of
+from tests.test_ends_after_an_election import (
+    append,
+    genesis,
+    replica_in,
+    version_entry,
+    versions_of,
+    win_election,
+)
 from tests.test_quarantine import Entry
 from tests.test_servers import Clock
 from tests.test_versions import SWITCH_S
@@ -56,13 +63,13 @@
 
     """
     clock = Clock()
-    before = replica_on(tmp_path, clock)
-    append(before, [genesis(before), named(2)], commit=1)
+    before = replica_in(tmp_path, clock)
+    append(before, [genesis(before), version_entry(2)], commit=1)
     acknowledged_at = clock.now
     clock.now += AWAY_S
-    replica = replica_on(tmp_path, clock)
+    replica = replica_in(tmp_path, clock)
     versions = versions_of(replica)
-    lead(replica)
+    win_election(replica)
     versions.refresh()
     assert versions.ends_at('m', 1) <= acknowledged_at + SWITCH_S - CUT_S
 
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -34,7 +34,7 @@
 )
 from millfork_standins.seeded import SeededFleet
 from millforkd.versions import LAST_SENT_S
-from tests.test_seeded import filled
+from tests.test_seeded import filled_template
 from tests.test_servers import ENGINE
 from tests.utils.fleets import wait_until
 
@@ -80,7 +80,7 @@
 @pytest.mark.parametrize('role', SeededRole, ids=lambda role: role.value)
 def test_settings_without_a_promise_of_their_role_are_refused(role, tmp_path):
     for name in PROMISES_OF[role]:
-        head, mark, promises = filled(f'{role.value}.yaml').partition('promises:')
+        head, mark, promises = filled_template(f'{role.value}.yaml').partition('promises:')
         path = tmp_path / 'settings.yaml'
         path.write_text(head + mark + re.sub(f'  {name}: .*\n', '', promises))
         with pytest.raises(BadFile, match=f'promises.{name}'):
@@ -90,7 +90,7 @@
 @given(st.dictionaries(st.sampled_from(sorted(PromiseSettings.model_fields)), NUMBERS))
 def test_whatever_a_deployment_bounds_every_role_starts(bounds):
     for role in SeededRole:
-        text = filled(f'{role.value}.yaml', **bounds)
+        text = filled_template(f'{role.value}.yaml', **bounds)
         settings = SeededSettings.model_validate(yaml.safe_load(text))
         for name, info in PromiseSettings.model_fields.items():
             value = getattr(settings.promises, name)
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -85,13 +85,13 @@
     assert replica.storage.syncs == before + 1
 
 
-def test_a_gap_is_refused_with_where_to_go_on(replica):
+def test_an_append_after_a_gap_is_refused_with_the_last_index(replica):
     append(replica, [genesis(replica)])
     reply = append(replica, [entry(5)], prev=(4, 1))
     assert (reply.ok, reply.match) == (False, 1)
 
 
-def test_a_later_leader_replaces_what_was_not_committed(replica):
+def test_a_later_leader_replaces_uncommitted_entries(replica):
     append(replica, [genesis(replica), entry(2), entry(3)], commit=1)
     other = Apply('other', [Change('key', b'2')])
     assert append(replica, [entry(2, 2, other)], prev=(1, 1), commit=2, term=2).ok
@@ -99,19 +99,19 @@
     assert list(replica.view.items) == ['key']
 
 
-def test_an_old_leader_is_refused(replica):
+def test_a_leader_of_an_earlier_term_is_refused(replica):
     append(replica, [genesis(replica)], term=3)
     reply = append(replica, [entry(2)], prev=(1, 1), term=2)
     assert (reply.ok, reply.term) == (False, 3)
 
 
-def test_a_leader_of_another_state_is_refused(replica):
+def test_a_leader_of_another_cluster_is_refused(replica):
     append(replica, [genesis(replica)])
     request = AppendRequest('another', 9, 'x', 0, 0, [], 0)
     assert not curio.run(replica.on_append, request).ok
 
 
-def test_one_vote_a_term_and_none_for_a_log_that_is_behind(replica):
+def test_one_vote_per_term_and_none_for_an_outdated_log(replica):
     append(replica, [genesis(replica), entry(2)])
 
     def vote(candidate, term, last):
@@ -130,7 +130,7 @@
     assert not curio.run(replica.on_vote, request).granted
 
 
-def test_a_pre_vote_is_refused_while_a_leader_is_heard_and_changes_nothing(replica):
+def test_a_pre_vote_is_refused_during_contact_with_a_leader_and_changes_nothing(replica):
     append(replica, [genesis(replica)])
     request = PreVote(CLUSTER, 9, 'c', 5, 1)
     assert not curio.run(replica.on_pre_vote, request).granted
@@ -155,7 +155,7 @@
     assert again.cluster == CLUSTER
 
 
-def test_a_leader_whose_disk_fails_ends_and_does_not_lead_on(replica):
+def test_a_leader_whose_disk_fails_steps_down(replica):
     members = [('b', str(replica.storage.disk))]
     append(replica, [entry(1, 1, SetMembers(CLUSTER, members))])
 
--- a/tests/test_replica_age.py
+++ b/tests/test_replica_age.py
@@ -20,7 +20,7 @@
 from millforkd.versions import Versions, never_leads
 from tests.test_replica import append, entry, genesis
 from tests.test_servers import Clock
-from tests.test_versions import SWITCH_MS, name
+from tests.test_versions import SWITCH_MS, set_version
 
 
 @pytest.fixture
@@ -40,17 +40,17 @@
     assert replica.age_ms() == MAX_AGE_MS
 
 
-def test_a_replica_that_lacks_what_was_committed_is_not_up_to_date(replica):
+def test_a_replica_that_lacks_committed_entries_is_not_up_to_date(replica):
     append(replica, [genesis(replica), entry(2)], commit=5)
     assert replica.age_ms() == MAX_AGE_MS
 
 
-def test_a_replica_that_the_leader_can_not_place_is_not_up_to_date(replica):
+def test_a_replica_whose_log_does_not_match_is_not_up_to_date(replica):
     assert not append(replica, [], prev=(7, 1), commit=7).ok
     assert replica.age_ms() == MAX_AGE_MS
 
 
-def test_the_age_counts_from_when_all_that_was_committed_was_applied(replica, clock):
+def test_the_age_counts_from_when_all_committed_entries_were_applied(replica, clock):
     append(replica, [genesis(replica), entry(2), entry(3)], commit=3)
     assert replica.age_ms() == 0
     clock.now += 0.4
@@ -72,16 +72,16 @@
     assert replica.age_ms() == 0
 
 
-def test_a_version_heard_of_before_the_feed_was_up_to_date_was_named_long_ago(clock):
+def test_a_version_received_before_the_feed_is_current_is_due_at_once(clock):
     view, current = View(), False
     env = Environment(InstanceId('a:1'), ZoneId('zone'), monotonic=clock)
     entry = Versions(
         env, view, SWITCH_MS, untold_ms=2000, leads=never_leads, is_current=lambda: current
     )
     entry.refresh()
-    name(view, entry, 2)
+    set_version(view, entry, 2)
     assert entry.least('m') == 2
     current = True
     entry.refresh()
-    name(view, entry, 3)
+    set_version(view, entry, 3)
     assert entry.least('m') == 2
--- a/tests/test_seeded.py
+++ b/tests/test_seeded.py
@@ -31,7 +31,7 @@
 SEEDS = ['10.1.0.43:8000', '10.2.0.39:8000']
 
 
-def filled(name, **bounds):
+def filled_template(name, **bounds):
     place = Place('front-1', '10.1.0.40', 'z1', 'r1', 7700, 8000, 8005, 8002, SEEDS, True)
     place.engine, place.service = '10.1.0.44:8001', 's'
     place.bounds.update(bounds)
@@ -39,9 +39,9 @@
 
 
 @pytest.mark.parametrize('role', SeededRole, ids=lambda role: role.value)
-def test_each_template_makes_good_settings_also_with_empty_bounds(role, tmp_path):
+def test_each_template_yields_valid_settings_also_with_empty_bounds(role, tmp_path):
     path = tmp_path / 'settings.yaml'
-    path.write_text(filled(f'{role.value}.yaml', version_ms=None))
+    path.write_text(filled_template(f'{role.value}.yaml', version_ms=None))
     settings = load(path, SeededSettings)
     assert settings.role is role
     assert settings.seed_instances == ['10.1.0.43:7700', '10.2.0.39:7700']
@@ -60,12 +60,12 @@
 
 def test_settings_without_what_their_role_needs_are_refused(tmp_path):
     path = tmp_path / 'settings.yaml'
-    path.write_text(filled('entry.yaml').replace('callers:', 'other:'))
+    path.write_text(filled_template('entry.yaml').replace('callers:', 'other:'))
     with pytest.raises(BadFile):
         load(path, SeededSettings)
 
 
-def test_one_seed_alone_begins_the_state_and_only_at_the_first_start():
+def test_exactly_one_seed_forms_the_state_and_only_at_the_first_start():
     others = [address_of('10.0.0.2:1'), address_of('10.0.0.3:1')]
     assert Seeds(others, may_form=True).writes_first_entry(InstanceId('10.0.0.1:1'))
     assert not Seeds(others, may_form=True).writes_first_entry(InstanceId('10.0.0.9:1'))
@@ -126,7 +126,7 @@
     assert names(leadership._next_members()) == ['a:1', 'b:1', 'c:1', 'd:1']
 
 
-def test_a_silent_voter_leaves_only_while_enough_are_left(tmp_path):
+def test_a_silent_voter_is_removed_only_if_enough_voters_remain(tmp_path):
     three = leading(tmp_path / 'three', ['b:1', 'c:1'])
     silence(three, 'b:1')
     assert three._next_members() is None
@@ -138,7 +138,7 @@
     assert six._next_members() is None
 
 
-def test_the_higher_version_prevails_and_what_is_held_is_never_replaced():
+def test_only_a_higher_version_replaces_the_stored_value():
     machine = StateMachine(View())
     assert machine.apply(Raise('document', 2, b'two')).raised
     again = machine.apply(Raise('document', 2, b'other'))
@@ -156,7 +156,7 @@
 
 
 @given(RAISES, st.integers(0, 30))
-def test_in_any_order_the_first_of_the_highest_version_stands(raises, restored_at):
+def test_in_any_order_the_first_value_of_the_highest_version_remains(raises, restored_at):
     machine = StateMachine(View())
     expected: dict[str, tuple[int, bytes]] = {}
     for step, (key, version, body) in enumerate(raises):
@@ -197,7 +197,7 @@
         return self.file.fileno()
 
 
-def test_a_write_that_a_full_disk_cut_leaves_no_trace(tmp_path):
+def test_a_partial_write_to_a_full_disk_is_truncated(tmp_path):
     storage = Storage(tmp_path)
     storage.write_entries([LogEntry(1, 1, b'one')])
     real = storage.file
--- a/tests/test_state_machine.py
+++ b/tests/test_state_machine.py
@@ -18,7 +18,7 @@
     assert state.view.items['b'].revision == 1
 
 
-def test_a_resent_command_gets_its_first_answer():
+def test_a_resent_command_gets_its_first_result():
     state = machine()
     first = state.apply(Apply('one', [put('a', b'1')]))
     state.apply(Apply('two', [put('a', b'2')]))
@@ -26,7 +26,7 @@
     assert state.view.items['a'].value == b'2'
 
 
-def test_operators_racing_at_equal_numbers_one_wins():
+def test_of_two_changes_that_expect_the_same_revision_one_wins():
     state = machine()
     state.apply(Apply('base', [put('a', b'0')]))
     won = state.apply(Apply('left', [put('a', b'left', expect=1)]))
@@ -36,7 +36,7 @@
     assert state.view.items['a'].value == b'left'
 
 
-def test_a_removal_counts_as_a_change_for_the_race():
+def test_a_removal_conflicts_with_a_concurrent_change():
     state = machine()
     state.apply(Apply('base', [put('a', b'0')]))
     state.apply(Apply('left', [put('a', None, expect=1)]))
@@ -72,7 +72,7 @@
     assert state.apply(ClaimKey('k', 'third', 'print', 2)).state is ClaimState.IN_PROGRESS
 
 
-def test_a_done_key_gives_its_first_answer_again():
+def test_a_done_key_returns_its_first_answer():
     state = machine()
     state.apply(ClaimKey('k', 'first', 'print', 1))
     state.apply(SettleKey('k', 'first', False, 200, [('a', 'b')], b'body'))
@@ -81,7 +81,7 @@
     assert state.apply(ClaimKey('k', 'other', 'another', 3)).state is ClaimState.REUSED
 
 
-def test_a_key_whose_entry_is_lost_stays_taken():
+def test_a_key_whose_entry_is_lost_may_have_run():
     state = machine()
     state.apply(ClaimKey('k', 'first', 'print', 1))
     late = 2 + CLAIM_OPEN_TIMEOUT_MS
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -68,7 +68,7 @@
     assert first.disk == again.disk != other.disk
 
 
-def test_snapshot_drops_what_it_covers_and_keeps_the_rest(tmp_path):
+def test_a_snapshot_removes_the_entries_it_covers_and_keeps_later_ones(tmp_path):
     storage = Storage(tmp_path)
     storage.write_entries(entries(1, 2, 3, 4, 5))
     curio.run(storage.save_snapshot, Snapshot(3, 1, [('a', 'disk')], b'dump'))
@@ -116,7 +116,9 @@
 
 
 @pytest.mark.parametrize(('number', 'patience_s'), [(errno.EACCES, 60.0), (errno.ENOSPC, 0.0)])
-def test_it_does_not_wait_for_what_will_not_mend(tmp_path, monkeypatch, number, patience_s):
+def test_a_replica_does_not_wait_for_other_errors_or_beyond_the_timeout(
+    tmp_path, monkeypatch, number, patience_s
+):
     monkeypatch.setattr(storage_module, 'OPEN_RETRY_DELAY_S', 0.01)
     monkeypatch.setattr(storage_module, 'OPEN_TIMEOUT_S', patience_s)
     monkeypatch.setattr(storage_module, 'write_file', RefusingDisk(number, 99))
--- a/tests/test_subscription.py
+++ b/tests/test_subscription.py
@@ -88,14 +88,14 @@
     return made
 
 
-def test_an_update_that_overtakes_the_first_reply_is_taken():
+def test_an_update_before_the_first_reply_is_applied():
     connection = Upstream([Update('', 0, 0, True)], early=[full(3, a=b'1')])
     made = subscription(connection)
     curio.run(made._follow_upstream, REPLICA)
     assert made.view.position == (CLUSTER, 3)
 
 
-def test_an_update_with_a_gap_makes_it_subscribe_again():
+def test_an_update_with_a_gap_makes_the_process_subscribe_again():
     connection = Upstream([full(2, a=b'1'), full(9, a=b'9')])
     made = subscription(connection)
 
@@ -136,7 +136,7 @@
         return await connection.call(message, timeout)
 
 
-def test_who_started_first_comes_back_to_its_own_zone(monkeypatch):
+def test_a_process_that_started_first_returns_to_its_own_zone(monkeypatch):
     monkeypatch.setattr(subscription_module, 'HEARTBEAT_S', 0.01)
     monkeypatch.setattr(subscription_module, 'NEARER_CHECK_INTERVAL_S', 0.05)
 
@@ -231,7 +231,7 @@
             await curio.sleep(0.01)
 
 
-def test_upstream_that_is_silent_is_left_within_two_heartbeats():
+def test_a_silent_upstream_is_left_within_two_heartbeats():
     # Heartbeats come every 2 s.
     first, second = FakeReplica('r1'), FakeReplica('r2')
     made = following(first, second)
@@ -246,7 +246,7 @@
     curio.run(run)
 
 
-def test_upstream_that_was_silent_is_asked_last():
+def test_an_upstream_that_was_silent_is_tried_last():
     first, second = FakeReplica('r1'), FakeReplica('r2')
     made = following(first, second)
 
@@ -261,7 +261,7 @@
     assert (first.subscribed, second.subscribed) == (1, 1)
 
 
-def test_upstream_cut_off_from_the_leader_is_left_for_a_replica_that_hears_it():
+def test_an_upstream_cut_off_from_the_leader_is_left_for_a_current_replica():
     first, second, third = FakeReplica('r1'), FakeReplica('r2'), FakeReplica('r3')
     made = following(first, second, third)
 
@@ -276,7 +276,7 @@
     assert (first.subscribed, second.subscribed, third.subscribed) == (1, 0, 1)
 
 
-def test_where_no_replica_hears_a_leader_the_upstream_is_kept(monkeypatch):
+def test_the_upstream_is_kept_if_no_replica_is_current(monkeypatch):
     monkeypatch.setattr(subscription_module, 'HEARTBEAT_S', 0.05)
     first, second = FakeReplica('r1'), FakeReplica('r2')
     made = following(first, second)
@@ -294,7 +294,7 @@
 
 
 @pytest.mark.parametrize('trouble', ['silent', 'cut off from the leader'])
-def test_upstream_that_is_nearer_is_taken_again_once_it_is_in_touch(monkeypatch, trouble):
+def test_a_nearer_upstream_is_followed_again_once_it_is_current(monkeypatch, trouble):
     monkeypatch.setattr(subscription_module, 'NEARER_CHECK_INTERVAL_S', 0.05)
     first, second = FakeReplica('r1'), FakeReplica('r2')
     made = following(first, second)
@@ -319,14 +319,14 @@
 @pytest.mark.parametrize(
     'update', [full(1, a=b'old'), delta(0, 1, a=b'old'), Update('foreign', 0, 9, True)]
 )
-def test_it_never_goes_back_nor_to_another_state(update):
+def test_a_view_never_goes_back_nor_to_another_cluster(update):
     view = View()
     assert view.apply_update(full(2, a=b'1'))
     assert not view.apply_update(update)
     assert view.items['a'].value == b'1'
 
 
-def test_a_delta_brings_what_changed_and_what_was_removed():
+def test_a_delta_contains_changed_values_and_removed_keys():
     upstream, view = View(), View()
     upstream.replace(CLUSTER, Revision(1), {'a': StoredValue(b'1', Revision(1))})
     view.apply_update(upstream.update_since('', 0))
@@ -341,7 +341,7 @@
     assert view.items == upstream.items
 
 
-def test_a_subscriber_from_before_the_history_gets_everything():
+def test_a_subscriber_from_before_the_history_gets_the_whole_configuration():
     upstream = View()
     upstream.replace(CLUSTER, Revision(5), {'a': StoredValue(b'1', Revision(1))})
     upstream.apply_change(Revision(6), {'a': StoredValue(b'2', Revision(6))}, [])
@@ -367,7 +367,7 @@
     return roster
 
 
-def test_no_load_in_the_tree_grows_with_the_zone():
+def test_the_load_of_a_process_in_the_tree_does_not_grow_with_the_zone():
     order = zone_order(roster_of(300), ZoneId('zone'), {InstanceId('i0')})
     assert order[0] == 'i0'
     children = {}
@@ -379,12 +379,12 @@
     assert max(len(ancestors(order, name)) for name in order) == 3
 
 
-def test_an_instance_unknown_to_the_list_still_finds_someone():
+def test_an_instance_missing_from_the_list_still_finds_a_replica():
     found = candidates(roster_of(20), [REPLICA], InstanceId('new'), ZoneId('zone'))
     assert REPLICA in found
 
 
-def test_reports_go_up_once_and_the_newest_stands():
+def test_reports_are_passed_on_once_and_the_newest_is_kept():
     async def run():
         reports = Reports()
         await reports.merge([Report('e', 1, 1, b'a'), Report('e', 1, 3, b'c')])
@@ -417,7 +417,7 @@
     ('revisions', 'floor'),
     [([7, 9, 8], 9), ([7, None, 3], 7), ([None, None, None], 0)],
 )
-def test_nothing_is_served_from_before_what_the_zone_has_seen(revisions, floor):
+def test_no_revision_older_than_the_newest_in_the_zone_is_served(revisions, floor):
     made = subscription(Upstream([]))
     made.roster = roster_of(4)
     made.env.instance = InstanceId('i0')
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -12,7 +12,7 @@
 from millfork_state.view import View
 from millfork_wire.messages import VersionSwitch
 from millforkd.versions import Versions, never_leads
-from tests.test_versions import name
+from tests.test_versions import set_version
 
 SLEPT_S = 5.0
 
@@ -25,8 +25,8 @@
     view.replace(ClusterId('c'), Revision(1), {})
     told = SwitchEnds()
     versions = Versions(env, view, 8000, told, leads=never_leads)
-    name(view, versions, 1)
-    name(view, versions, 2)
+    set_version(view, versions, 1)
+    set_version(view, versions, 2)
     told.note(env.monotonic(), [VersionSwitch('m', 2, int(SLEPT_S * 1000) - 1000)])
     assert versions.least('m') < 2
     now[time.CLOCK_BOOTTIME] += SLEPT_S
--- a/tests/test_switch_ends.py
+++ b/tests/test_switch_ends.py
@@ -14,7 +14,7 @@
 from millfork_wire.messages import VersionSwitch
 from millforkd.versions import CUT_S, UNTOLD_MS, Versions, never_leads
 from tests.test_servers import Clock
-from tests.test_versions import SWITCH_MS, SWITCH_S, name
+from tests.test_versions import SWITCH_MS, SWITCH_S, set_version
 
 
 def left(left_s, version=2):
@@ -73,7 +73,7 @@
 
 
 def test_until_an_answer_comes_an_older_version_will_do_for_a_while(view, told, clock, follower):
-    name(view, follower, 2)
+    set_version(view, follower, 2)
     learned_at = clock.now
     assert follower.ends_at('m', 1) == pytest.approx(learned_at + UNTOLD_MS / 1000 - CUT_S)
     told.note(clock.now, left(SWITCH_S - 0.5))
@@ -83,7 +83,7 @@
 def test_what_stood_when_a_follower_began_is_due_unless_it_is_told_otherwise(view, told, clock):
     env = Environment(InstanceId('a:1'), ZoneId('zone'), monotonic=clock)
     follower = Versions(env, view, SWITCH_MS, told, UNTOLD_MS, never_leads)
-    name(view, follower, 2)
+    set_version(view, follower, 2)
     assert follower.least('m') == 2
     told.note(clock.now, left(3.0))
     assert follower.least('m') == 0
@@ -92,7 +92,7 @@
 
 def test_the_end_of_a_version_that_another_one_followed_is_kept(view, told, clock, follower):
     told.note(clock.now, left(2.0, version=2) + left(5.0, version=3))
-    name(view, follower, 3)
+    set_version(view, follower, 3)
     assert follower.ends_at('m', 1) == pytest.approx(clock.now + 2.0 - CUT_S)
     assert follower.ends_at('m', 2) == pytest.approx(clock.now + 5.0 - CUT_S)
     assert [item.version for item in follower.switches()] == [2, 3]
@@ -100,7 +100,7 @@
 
 def test_only_who_led_or_was_told_tells_of_a_version(view, told, clock):
     replica = versions(clock, view, told, 0, never_leads)
-    name(view, replica, 2)
+    set_version(view, replica, 2)
     assert replica.switches() == []
     assert replica.least('m') == 2
     told.note(clock.now, left(3.0))
@@ -110,7 +110,7 @@
 def test_a_leader_goes_by_when_it_learned_of_a_version_also_if_it_led_later(view, told, clock):
     leading = []
     replica = versions(clock, view, told, 0, lambda: bool(leading))
-    name(view, replica, 2)
+    set_version(view, replica, 2)
     clock.now += 1.5
     leading.append(True)
     assert [item.left_ms for item in replica.switches()] == [6500]
@@ -118,7 +118,7 @@
 
 def test_the_newest_version_is_told_of_also_once_all_before_it_has_ended(view, told, clock):
     replica = versions(clock, view, told, 0, lambda: True)
-    name(view, replica, 2)
-    name(view, replica, 3)
+    set_version(view, replica, 2)
+    set_version(view, replica, 3)
     clock.now += SWITCH_S + 60
     assert [(item.version, item.left_ms) for item in replica.switches()] == [(3, 0)]
--- a/tests/test_version_ends_after_restart.py
+++ b/tests/test_version_ends_after_restart.py
@@ -23,7 +23,7 @@
 from tests.test_seeded_fleet import document, request
 from tests.test_servers import Clock
 from tests.test_version_ends import LEARNED, name_version, pass_time
-from tests.test_versions import SWITCH_MS, SWITCH_S, name
+from tests.test_versions import SWITCH_MS, SWITCH_S, set_version
 from tests.utils.fleets import wait_until
 
 VERSION_MS = 3000
@@ -144,7 +144,7 @@
     entry = Versions(env, view, SWITCH_MS, told, UNTOLD_MS, never_leads)
     named = VersionSwitch('m', 2, SWITCH_MS)
     told.note(clock.now, [named])
-    name(view, entry, 2)
+    set_version(view, entry, 2)
     clock.now += SWITCH_S + 60
     assert entry.least('m') == 2
     # The replica was killed, and takes the version for one that was named just now.
@@ -163,7 +163,7 @@
         made.refresh()
         replicas.append(made)
     for number in range(2):
-        name(views[number], replicas[number], 2)
+        set_version(views[number], replicas[number], 2)
     true_end = clock.now + SWITCH_S
 
     def ask(asker, answerer, took_s):
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -44,24 +44,24 @@
     return made
 
 
-def name(view, versions, version):
+def set_version(view, versions, version):
     revision = Revision(view.revision + 1)
     value = encode_versioned(Versioned(version, b''))
     view.apply_change(revision, {version_key('m'): StoredValue(value, revision)}, [])
     versions.refresh()
 
 
-def test_until_a_new_version_is_due_an_older_one_will_do(view, versions, clock):
-    name(view, versions, 2)
+def test_an_older_version_is_allowed_until_the_new_one_is_due(view, versions, clock):
+    set_version(view, versions, 2)
     assert (versions.least('m'), versions.newest('m')) == (0, 2)
     clock.now += SWITCH_S - LAST_SENT_S + 0.01
     assert versions.least('m') == 2
 
 
-def test_each_version_is_due_by_its_own_naming(view, versions, clock):
-    name(view, versions, 2)
+def test_the_due_time_of_each_version_counts_from_its_own_setting(view, versions, clock):
+    set_version(view, versions, 2)
     clock.now += 3
-    name(view, versions, 3)
+    set_version(view, versions, 3)
     clock.now += SWITCH_S - LAST_SENT_S - 2.9
     assert versions.least('m') == 2
     clock.now += 3
@@ -70,17 +70,17 @@
     assert versions.ends_at('m', 1) < versions.ends_at('m', 2)
 
 
-def test_what_stood_at_the_start_is_due_at_once(view, clock):
+def test_a_version_present_at_the_start_is_due_at_once(view, clock):
     env = Environment(InstanceId('a:1'), ZoneId('zone'), monotonic=clock)
     made = Versions(env, view, SWITCH_MS)
-    name(view, made, 4)
+    set_version(view, made, 4)
     assert made.least('m') == 4
 
 
-def test_a_request_is_sent_again_by_what_holds_then(view, versions, clock):
+def test_a_retried_request_uses_the_versions_allowed_at_the_retry(view, versions, clock):
     admission = Admission(versions.env, versions)
     wanted = admission.as_of_now(Wanted(ServiceName('s'), ENGINE), False)
-    name(view, versions, 2)
+    set_version(view, versions, 2)
     assert wanted.least_version == 0
     clock.now += SWITCH_S
     assert admission.as_of_now(wanted, False).least_version == 2
@@ -94,24 +94,24 @@
     return Targets(versions.env, versions, store, lambda: served, RATE)
 
 
-def test_the_newest_version_is_brought_while_it_can_be_here_in_time(view, versions, clock):
+def test_the_newest_version_is_the_target_while_it_can_arrive_in_time(view, versions, clock):
     store = PieceStore()
     made = targets(versions, clock, store)
     assert made.choose(FIGURES).weights.version == 1
-    name(view, versions, 2)
+    set_version(view, versions, 2)
     assert made.choose(FIGURES).weights.version == 2
     clock.now += 2.0
-    name(view, versions, 3)
+    set_version(view, versions, 3)
     assert made.choose(FIGURES).weights.version == 3
 
 
-def test_a_version_in_between_comes_first_where_the_newest_does_not_come(view, versions, clock):
+def test_an_intermediate_version_is_the_target_if_the_newest_does_not_arrive(view, versions, clock):
     store = PieceStore()
     made = targets(versions, clock, store)
-    name(view, versions, 2)
+    set_version(view, versions, 2)
     store.of(WeightsId('m', 2)).pieces = dict.fromkeys(range(60), b'')
     clock.now += 3.0
-    name(view, versions, 3)
+    set_version(view, versions, 3)
     assert made.choose(FIGURES).weights.version == 3
     clock.now += STUCK_AFTER_S / 2
     assert made.choose(FIGURES).weights.version == 3
@@ -122,26 +122,26 @@
     assert target.due < clock.now + 4.0
 
 
-def test_after_the_end_the_version_that_is_nearly_here_serves_meanwhile(view, versions, clock):
+def test_after_the_end_a_nearly_complete_version_is_the_target_first(view, versions, clock):
     store = PieceStore()
     made = targets(versions, clock, store)
-    name(view, versions, 2)
+    set_version(view, versions, 2)
     store.of(WeightsId('m', 2)).pieces = dict.fromkeys(range(95), b'')
     clock.now += 5.0
-    name(view, versions, 3)
+    set_version(view, versions, 3)
     clock.now += 3.5
     assert made.choose(FIGURES).weights.version == 2
     clock.now += 3.0
     assert made.choose(FIGURES).weights.version == 3
 
 
-def test_a_version_that_ends_too_soon_is_not_served_in_between(view, versions, clock):
+def test_an_intermediate_version_that_ends_too_soon_is_not_the_target(view, versions, clock):
     store = PieceStore()
     made = targets(versions, clock, store)
-    name(view, versions, 2)
+    set_version(view, versions, 2)
     store.of(WeightsId('m', 2)).pieces = dict.fromkeys(range(94), b'')
     clock.now += 2.0
-    name(view, versions, 3)
+    set_version(view, versions, 3)
     made.choose(FIGURES)
     clock.now += SWITCH_S - 2.0 - LAST_SENT_S
     made.choose(FIGURES)
@@ -151,53 +151,53 @@
         clock.now += STUCK_AFTER_S / 5
 
 
-def test_an_engine_that_serves_its_target_waits_for_nothing(view, versions, clock):
+def test_an_engine_that_serves_its_target_is_never_stuck(view, versions, clock):
     store = PieceStore()
     made = targets(versions, clock, store, served=2)
-    name(view, versions, 2)
+    set_version(view, versions, 2)
     for _ in range(5):
         made.choose(FIGURES)
         clock.now += STUCK_AFTER_S
     assert made.stuck_until == {}
 
 
-def test_the_newest_comes_first_where_changing_twice_gains_nothing(view, versions, clock):
+def test_the_newest_version_is_the_target_if_changing_twice_gains_nothing(view, versions, clock):
     store = PieceStore()
     made = targets(versions, clock, store)
-    name(view, versions, 2)
+    set_version(view, versions, 2)
     store.of(WeightsId('m', 2)).pieces = dict.fromkeys(range(50), b'')
     clock.now += 3.5
-    name(view, versions, 3)
+    set_version(view, versions, 3)
     for count in range(0, 100, 5):
         store.of(WeightsId('m', 3)).pieces = dict.fromkeys(range(count), b'')
         assert made.choose(FIGURES).weights.version == 3
         clock.now += 0.25
 
 
-def test_a_version_that_is_nearly_here_comes_first(view, versions, clock):
+def test_a_nearly_complete_version_is_the_target_first(view, versions, clock):
     store = PieceStore()
     made = targets(versions, clock, store)
-    name(view, versions, 2)
+    set_version(view, versions, 2)
     store.of(WeightsId('m', 2)).pieces = dict.fromkeys(range(95), b'')
     clock.now += 6.0
-    name(view, versions, 3)
+    set_version(view, versions, 3)
     assert made.choose(FIGURES).weights.version == 2
 
 
-def test_an_engine_that_serves_nothing_is_brought_to_the_newest(view, versions, clock):
+def test_the_target_of_an_engine_that_serves_nothing_is_the_newest_version(view, versions, clock):
     made = targets(versions, clock, PieceStore(), served=0)
-    name(view, versions, 2)
+    set_version(view, versions, 2)
     clock.now += SWITCH_S - 1.0
-    name(view, versions, 3)
+    set_version(view, versions, 3)
     assert made.choose(FIGURES).weights.version == 3
 
 
-def test_the_engines_must_change_when_the_version_that_they_serve_ends(view, versions, clock):
+def test_the_target_is_due_when_the_served_version_ends(view, versions, clock):
     made = targets(versions, clock, PieceStore())
-    name(view, versions, 2)
+    set_version(view, versions, 2)
     began = clock.now
     clock.now += 2.0
-    name(view, versions, 3)
+    set_version(view, versions, 3)
     assert made.choose(FIGURES).due < began + SWITCH_S
 
 
@@ -217,7 +217,7 @@
 
     def name_next(self):
         self.newest += 1
-        name(self.view, self.versions, self.newest)
+        set_version(self.view, self.versions, self.newest)
 
     def choose(self):
         return self.targets.choose(FIGURES)
@@ -229,7 +229,7 @@
 
 
 @given(STEPS)
-def test_an_engine_is_never_sent_back_nor_to_a_version_that_was_not_named(steps):
+def test_an_engine_never_gets_an_older_version_nor_one_that_was_not_set(steps):
     fleet = OneEngine()
     for step, number in steps:
         if step == 'name':
@@ -246,7 +246,7 @@
 
 
 @given(STEPS)
-def test_once_all_pieces_come_the_newest_is_served_in_the_end(steps):
+def test_once_all_pieces_arrive_the_newest_version_is_served(steps):
     fleet = OneEngine()
     for step, number in steps:
         if step == 'name':
