--- a/tests/test_ends_after_an_election.py
+++ b/tests/test_ends_after_an_election.py
@@ -1,10 +1,10 @@
 """
-A version that is named just before its leader is lost.
+The end of a version whose successor is set just before the leader is lost.
 
-The leader that was lost had acknowledged version 2 at 0.0 s. The next one had the entry in its
-log all the time, but learned of the version when it committed it, 1.5 s later, and counted the
-end of version 1 from there: `Version named. version=2 due_s=7.1` at 1.5 s, so that requests
-could have begun on version 1 until 9.5 s after the acknowledgement in place of 8.
+A leader acknowledged version 2 at 0.0 s and was lost. The next leader had the entry in its log,
+but applied it only on its commit 1.5 s later, and counted the end of version 1 from then
+(`Version named. version=2 due_s=7.1`). Requests could have begun on version 1 until 9.5 s after
+the acknowledgement instead of 8 s.
 
 """
 
@@ -35,17 +35,17 @@
 
 def replica_in(folder, clock):
     env = Environment(InstanceId('b'), ZoneId('zone'), monotonic=clock)
-    made = Replica(env, StateSettings(), Storage(folder), View(), None, [])
-    curio.run(made.recover)
-    return made
+    replica = Replica(env, StateSettings(), Storage(folder), View(), None, [])
+    curio.run(replica.recover)
+    return replica
 
 
 def versions_of(replica):
-    made = Versions(
+    versions = Versions(
         replica.env, replica.view, SWITCH_MS, leads=lambda: True, arrived=replica.arrival_times.find
     )
-    made.refresh()
-    return made
+    versions.refresh()
+    return versions
 
 
 def version_entry(index, version=2, term=1):
@@ -55,7 +55,7 @@
 
 def win_election(replica, term=2):
     """
-    Win an election, and commit all that is in the log with an entry of the own term.
+    Make a replica the leader of `term`, and commit its log with an entry of that term.
 
     """
     curio.run(replica.enter_term, term)
@@ -69,11 +69,11 @@
     replica = replica_in(tmp_path, clock)
     versions = versions_of(replica)
     append(replica, [genesis(replica), version_entry(2)], commit=1)
-    came_at = clock.now
+    arrived_at = clock.now
     clock.now += ELECTION_S
     win_election(replica)
     versions.refresh()
-    assert versions.ends_at('m', 1) == pytest.approx(came_at + SWITCH_S - CUT_S)
+    assert versions.ends_at('m', 1) == pytest.approx(arrived_at + SWITCH_S - CUT_S)
 
 
 def test_a_replica_that_restarts_meanwhile_counts_from_its_start_at_the_latest(tmp_path, clock):
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -23,7 +23,7 @@
 
 class CountingStorage(Storage):
     """
-    Counts syncs, and fails them on request as a cancelled one does.
+    Counts syncs, and cancels the next one if `cancel_next` is set.
 
     """
 
@@ -42,9 +42,9 @@
 def replica(tmp_path):
     env = Environment(InstanceId('b'), ZoneId('zone'))
     storage = CountingStorage(tmp_path)
-    made = Replica(env, StateSettings(), storage, View(), None, [])
-    curio.run(made.recover)
-    return made
+    replica = Replica(env, StateSettings(), storage, View(), None, [])
+    curio.run(replica.recover)
+    return replica
 
 
 def entry(index, term=1, command=None):
@@ -80,9 +80,9 @@
     replica.storage.cancel_next = True
     with pytest.raises(curio.TaskCancelled):
         append(replica, [entry(2)], prev=(1, 1))
-    before = replica.storage.syncs
+    syncs_before = replica.storage.syncs
     assert append(replica, [entry(2)], prev=(1, 1)).ok
-    assert replica.storage.syncs == before + 1
+    assert replica.storage.syncs == syncs_before + 1
 
 
 def test_an_append_after_a_gap_is_refused_with_the_last_index(replica):
@@ -149,10 +149,10 @@
     assert curio.run(behind.on_install, request).match == 3
     assert behind.view.revision == replica.view.revision
     assert behind.members == members
-    again = Replica(env, StateSettings(), Storage(tmp_path / 'other'), View(), None, [])
-    curio.run(again.recover)
-    assert again.view.revision == 2
-    assert again.cluster == CLUSTER
+    restarted = Replica(env, StateSettings(), Storage(tmp_path / 'other'), View(), None, [])
+    curio.run(restarted.recover)
+    assert restarted.view.revision == 2
+    assert restarted.cluster == CLUSTER
 
 
 def test_a_leader_whose_disk_fails_steps_down(replica):
--- a/tests/test_replica_age.py
+++ b/tests/test_replica_age.py
@@ -1,9 +1,9 @@
 """
-How old a replica's state is, as it tells those who may follow it.
+The age of a replica's state, which it reports to processes that may follow it.
 
-A replica that was away heard its leader 36 ms ago and told that as its age, with none yet of
-what had been committed meanwhile. An entry that started beside it followed it and took a
-version named long ago for one named just then (`due_s=1.1`, told better 0.2 s later:
+A replica that had been away reported the time since its leader's last message, 36 ms, as its
+age, although it lacked the entries committed meanwhile. An entry that started at the same time
+followed it and took a version set long ago for a new one (`due_s=1.1`, corrected 0.2 s later to
 `due_s=-0.9`).
 
 """
@@ -31,9 +31,9 @@
 @pytest.fixture
 def replica(tmp_path, clock):
     env = Environment(InstanceId('b'), ZoneId('zone'), monotonic=clock)
-    made = Replica(env, StateSettings(), Storage(tmp_path), View(), None, [])
-    curio.run(made.recover)
-    return made
+    replica = Replica(env, StateSettings(), Storage(tmp_path), View(), None, [])
+    curio.run(replica.recover)
+    return replica
 
 
 def test_a_replica_that_starts_has_never_been_up_to_date(replica):
@@ -54,7 +54,7 @@
     append(replica, [genesis(replica), entry(2), entry(3)], commit=3)
     assert replica.age_ms() == 0
     clock.now += 0.4
-    # More was committed than has come here.
+    # The leader has committed entries that this replica doesn't have yet.
     append(replica, [], prev=(3, 1), commit=9)
     clock.now += 0.1
     assert replica.age_ms() == pytest.approx(500, abs=1)
@@ -65,7 +65,7 @@
     clock.now += 0.4
     curio.run(replica.enter_term, 2)
     replica.state = ReplicaState.LEADER
-    # The second entry is committed, as may be; this replica does not know it yet.
+    # The second entry may be committed without this replica's knowledge.
     assert replica.age_ms() == pytest.approx(400, abs=1)
     curio.run(replica.write, [LogEntry(2, 3, entry(3).payload)])
     curio.run(replica.advance_commit, 3)
--- a/tests/test_seeded.py
+++ b/tests/test_seeded.py
@@ -1,5 +1,5 @@
 """
-Seeded fleets: settings from templates, the first state, voters that change.
+Seeded fleets: settings from templates, formation of the state, changes of its voters.
 
 """
 
@@ -46,7 +46,7 @@
     assert settings.role is role
     assert settings.seed_instances == ['10.1.0.43:7700', '10.2.0.39:7700']
     assert settings.first_start
-    # No value for it was given above.
+    # The settings name no value for it.
     assert settings.promises.version_ms == 8000
 
 
@@ -77,9 +77,9 @@
     return Replica(env, StateSettings(losses=losses), Storage(folder), View(), None, [])
 
 
-def leading(folder, others, losses=1):
+def leadership_of(folder, others, losses=1):
     """
-    A leader of itself and `others`, all of which have its whole log.
+    The leadership of replica a:1 over itself and `others`, all of which have its whole log.
 
     """
     replica = replica_at(folder, losses=losses)
@@ -111,29 +111,29 @@
             progress.acked_at -= SILENT_VOTER_TIMEOUT_S + 1
 
 
-def newcomer(leadership, name, match=1):
+def add_replica(leadership, name, match=1):
     leadership.replica.add_address(address_of(name))
-    fresh = Leadership(leadership.replica).progress[-1]
-    fresh.disk, fresh.match = f'disk-{name}', match
-    leadership.progress.append(fresh)
+    progress = Leadership(leadership.replica).progress[-1]
+    progress.disk, progress.match = f'disk-{name}', match
+    leadership.progress.append(progress)
 
 
 def test_a_replica_at_a_new_address_joins_once_it_has_caught_up(tmp_path):
-    leadership = leading(tmp_path, ['b:1', 'c:1'])
-    newcomer(leadership, 'd:1', match=0)
+    leadership = leadership_of(tmp_path, ['b:1', 'c:1'])
+    add_replica(leadership, 'd:1', match=0)
     assert leadership._next_members() is None
     leadership.progress[-1].match = 1
     assert names(leadership._next_members()) == ['a:1', 'b:1', 'c:1', 'd:1']
 
 
 def test_a_silent_voter_is_removed_only_if_enough_voters_remain(tmp_path):
-    three = leading(tmp_path / 'three', ['b:1', 'c:1'])
+    three = leadership_of(tmp_path / 'three', ['b:1', 'c:1'])
     silence(three, 'b:1')
     assert three._next_members() is None
-    four = leading(tmp_path / 'four', ['b:1', 'c:1', 'd:1'])
+    four = leadership_of(tmp_path / 'four', ['b:1', 'c:1', 'd:1'])
     silence(four, 'b:1')
     assert names(four._next_members()) == ['a:1', 'c:1', 'd:1']
-    six = leading(tmp_path / 'six', ['b:1', 'c:1', 'd:1', 'e:1'], losses=2)
+    six = leadership_of(tmp_path / 'six', ['b:1', 'c:1', 'd:1', 'e:1'], losses=2)
     silence(six, 'b:1')
     assert six._next_members() is None
 
@@ -178,20 +178,20 @@
 
 class FullDisk:
     """
-    A log file that takes a part of a write and then no more.
+    A log file on a disk that takes `free_bytes` bytes and is then full.
 
     """
 
-    def __init__(self, file, room):
+    def __init__(self, file, free_bytes):
         self.file = file
-        self.room = room
+        self.free_bytes = free_bytes
 
     def write(self, data):
-        if self.room <= 0:
+        if self.free_bytes <= 0:
             raise OSError(28, 'no space left')
-        taken = self.file.write(bytes(data[: self.room]))
-        self.room -= taken
-        return taken
+        written = self.file.write(bytes(data[: self.free_bytes]))
+        self.free_bytes -= written
+        return written
 
     def fileno(self):
         return self.file.fileno()
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -74,10 +74,10 @@
     curio.run(storage.save_snapshot, Snapshot(3, 1, [('a', 'disk')], b'dump'))
     storage.write_entries(entries(6))
     storage.close()
-    again = Storage(tmp_path)
-    assert [entry.index for entry in again.entries] == [4, 5, 6]
-    assert (again.snapshot_index, again.last_index, again.term_at(3)) == (3, 6, 1)
-    assert again.commit_hint == 3
+    reopened = Storage(tmp_path)
+    assert [entry.index for entry in reopened.entries] == [4, 5, 6]
+    assert (reopened.snapshot_index, reopened.last_index, reopened.term_at(3)) == (3, 6, 1)
+    assert reopened.commit_hint == 3
 
 
 def test_commit_mark_survives_but_never_exceeds_the_log(tmp_path):
@@ -90,7 +90,7 @@
 
 class RefusingDisk:
     """
-    Refuses the first writes with an error, then takes them.
+    Stands in for `write_file`: fails the first `times` calls with error `number`.
 
     """
 
@@ -115,12 +115,12 @@
     assert storage_module.open_storage(tmp_path / 'state').disk == opened.disk
 
 
-@pytest.mark.parametrize(('number', 'patience_s'), [(errno.EACCES, 60.0), (errno.ENOSPC, 0.0)])
+@pytest.mark.parametrize(('number', 'timeout_s'), [(errno.EACCES, 60.0), (errno.ENOSPC, 0.0)])
 def test_a_replica_does_not_wait_for_other_errors_or_beyond_the_timeout(
-    tmp_path, monkeypatch, number, patience_s
+    tmp_path, monkeypatch, number, timeout_s
 ):
     monkeypatch.setattr(storage_module, 'OPEN_RETRY_DELAY_S', 0.01)
-    monkeypatch.setattr(storage_module, 'OPEN_TIMEOUT_S', patience_s)
+    monkeypatch.setattr(storage_module, 'OPEN_TIMEOUT_S', timeout_s)
     monkeypatch.setattr(storage_module, 'write_file', RefusingDisk(number, 99))
     with pytest.raises(OSError, match='refused'):
         storage_module.open_storage(tmp_path / 'state')
--- a/tests/test_subscription.py
+++ b/tests/test_subscription.py
@@ -1,11 +1,11 @@
 """
-Taking configuration from an upstream: forwards only, and never with a gap.
+Configuration updates from an upstream: only newer ones, and never with a gap.
 
-An entry that followed a replica whose link stood still had a change 6.5 s after it
-was accepted, beside 0.0 s elsewhere (log: 'Following entry-2' 6.5 s after the stall):
-silence was noted after five seconds, and looked for every two. An entry that followed
-a replica that was only cut off from the leader never had it (30 s, no second
-'Following'): a replica was left for silence alone, however old its word was.
+An entry that followed a replica with a stalled link applied a change 6.5 s after it was
+accepted, others after 0.0 s (log: 'Following entry-2' 6.5 s after the stall): silence counted
+after 5 s and was checked every 2 s. An entry that followed a replica cut off from the leader
+didn't apply the change within 30 s (no second 'Following'): a replica was left only for
+silence, whatever the age of its configuration.
 
 """
 
@@ -29,20 +29,20 @@
 REPLICA = PeerAddress(InstanceId('r'), '127.0.0.1', 1)
 
 
-def full(revision, **values):
+def full_update(revision, **values):
     items = [Item(key, value, revision) for key, value in values.items()]
     return Update(CLUSTER, 0, revision, True, items)
 
 
-def delta(before, revision, **values):
+def delta_update(before, revision, **values):
     items = [Item(key, value, revision) for key, value in values.items()]
     return Update(CLUSTER, before, revision, False, items)
 
 
 class Upstream:
     """
-    A connection to an upstream that answers with the next of its replies,
-    and sends events before the reply is seen.
+    A connection to an upstream that answers with the next of its replies. The `early`
+    updates arrive before the first reply.
 
     """
 
@@ -51,13 +51,13 @@
     def __init__(self, replies, early=()):
         self.replies = list(replies)
         self.early = list(early)
-        self.asked = []
+        self.requests = []
         self.closed = False
 
     async def call(self, request, timeout):
         if isinstance(request, AskRevision):
             return RevisionIs(CLUSTER, 2)
-        self.asked.append(request)
+        self.requests.append(request)
         for event in self.early:
             await self.subscription.on_update(self, event)
         self.early = []
@@ -69,7 +69,7 @@
 
 class FakePeers:
     """
-    Reaches one upstream.
+    Connects to one upstream, whatever the address.
 
     """
 
@@ -80,42 +80,42 @@
         return self.connection
 
 
-def subscription(connection):
+def new_subscription(connection):
     env = Environment(InstanceId('me'), ZoneId('zone'))
     roster = Roster(env, ('127.0.0.1', 1), '127.0.0.1')
-    made = Subscription(env, View(), roster, FakePeers(connection), [REPLICA], Reports())
-    connection.subscription = made
-    return made
+    subscription = Subscription(env, View(), roster, FakePeers(connection), [REPLICA], Reports())
+    connection.subscription = subscription
+    return subscription
 
 
 def test_an_update_before_the_first_reply_is_applied():
-    connection = Upstream([Update('', 0, 0, True)], early=[full(3, a=b'1')])
-    made = subscription(connection)
-    curio.run(made._follow_upstream, REPLICA)
-    assert made.view.position == (CLUSTER, 3)
+    connection = Upstream([Update('', 0, 0, True)], early=[full_update(3, a=b'1')])
+    subscription = new_subscription(connection)
+    curio.run(subscription._follow_upstream, REPLICA)
+    assert subscription.view.position == (CLUSTER, 3)
 
 
 def test_an_update_with_a_gap_makes_the_process_subscribe_again():
-    connection = Upstream([full(2, a=b'1'), full(9, a=b'9')])
-    made = subscription(connection)
+    connection = Upstream([full_update(2, a=b'1'), full_update(9, a=b'9')])
+    subscription = new_subscription(connection)
 
     async def run():
-        task = await curio.spawn(made._follow_upstream, REPLICA)
-        while made.view.revision != 2:
+        task = await curio.spawn(subscription._follow_upstream, REPLICA)
+        while subscription.view.revision != 2:
             await curio.sleep(0)
-        await made.on_update(connection, delta(7, 9, a=b'9'))
+        await subscription.on_update(connection, delta_update(7, 9, a=b'9'))
         async with curio.timeout_after(5):
             await task.join()
-        return await made._follow_upstream(REPLICA)
+        return await subscription._follow_upstream(REPLICA)
 
     curio.run(run)
-    assert connection.asked == [Subscribe('', 0), Subscribe(CLUSTER, 2)]
-    assert made.view.revision == 9
+    assert connection.requests == [Subscribe('', 0), Subscribe(CLUSTER, 2)]
+    assert subscription.view.revision == 9
 
 
 class TwoPeers:
     """
-    The zone's own entry, in reach or not, and a replica elsewhere.
+    An entry of the own zone, reachable if `near_up`, and a replica in another zone.
 
     """
 
@@ -141,18 +141,18 @@
     monkeypatch.setattr(subscription_module, 'NEARER_CHECK_INTERVAL_S', 0.05)
 
     async def run():
-        far, near = Upstream([full(2, a=b'1')] * 9), Upstream([full(2, a=b'1')] * 9)
-        made = subscription(far)
-        near.subscription = made
-        made.roster = roster_of(20)
-        made.env.instance = InstanceId('i9')
-        made.peers = TwoPeers(near, far)
-        task = await curio.spawn(made.follow, daemon=True)
+        far, near = Upstream([full_update(2, a=b'1')] * 9), Upstream([full_update(2, a=b'1')] * 9)
+        subscription = new_subscription(far)
+        near.subscription = subscription
+        subscription.roster = roster_of(20)
+        subscription.env.instance = InstanceId('i9')
+        subscription.peers = TwoPeers(near, far)
+        task = await curio.spawn(subscription.follow, daemon=True)
         async with curio.timeout_after(5):
-            while made.upstream != 'r':
+            while subscription.upstream != 'r':
                 await curio.sleep(0.01)
-            made.peers.near_up = True
-            while made.upstream in (None, 'r'):
+            subscription.peers.near_up = True
+            while subscription.upstream in (None, 'r'):
                 await curio.sleep(0.01)
         await task.cancel()
 
@@ -161,8 +161,8 @@
 
 class FakeReplica:
     """
-    A replica as seen from a subscriber: how old its leader's word is, and whether
-    its link stands still.
+    A replica as a subscriber sees it: the age of its configuration, and whether its link is
+    stalled.
 
     """
 
@@ -177,10 +177,10 @@
         if isinstance(request, Subscribe):
             self.subscribed += 1
         if self.is_silent:
-            raise PeerTimedOut('its link stands still')
+            raise PeerTimedOut('its link is stalled')
         if isinstance(request, AskRevision):
             return RevisionIs(CLUSTER, 2, self.age_ms)
-        update = full(2, a=b'1')
+        update = full_update(2, a=b'1')
         update.age_ms = self.age_ms
         return update
 
@@ -190,7 +190,7 @@
 
 class ReplicaPeers:
     """
-    Reaches replicas by name.
+    Connects to replicas by instance.
 
     """
 
@@ -203,59 +203,59 @@
     async def call(self, address, message, timeout):
         return await self.replicas[address.instance].call(message, timeout)
 
-    async def beat(self, made):
+    async def send_heartbeats(self, subscription):
         """
-        Send heartbeats to a subscriber, from all whose links work.
+        Send heartbeats to a subscriber from all replicas whose links work.
 
         """
         while True:
             for replica in self.replicas.values():
                 if replica.is_silent:
                     continue
-                update = full(2, a=b'1')
+                update = full_update(2, a=b'1')
                 update.age_ms = replica.age_ms
-                await made.on_update(replica, update)
+                await subscription.on_update(replica, update)
             await curio.sleep(0.05)
 
 
-def following(*replicas):
-    made = subscription(Upstream([]))
-    made.replicas = [PeerAddress(replica.peer, '127.0.0.1', 1) for replica in replicas]
-    made.peers = ReplicaPeers(*replicas)
-    return made
+def subscription_to(*replicas):
+    subscription = new_subscription(Upstream([]))
+    subscription.replicas = [PeerAddress(replica.peer, '127.0.0.1', 1) for replica in replicas]
+    subscription.peers = ReplicaPeers(*replicas)
+    return subscription
 
 
-async def turn_to(made, name, bound_s):
-    async with curio.timeout_after(bound_s):
-        while made.upstream != name:
+async def wait_for_upstream(subscription, name, timeout_s):
+    async with curio.timeout_after(timeout_s):
+        while subscription.upstream != name:
             await curio.sleep(0.01)
 
 
 def test_a_silent_upstream_is_left_within_two_heartbeats():
     # Heartbeats come every 2 s.
     first, second = FakeReplica('r1'), FakeReplica('r2')
-    made = following(first, second)
+    subscription = subscription_to(first, second)
 
     async def run():
-        await curio.spawn(made.peers.beat, made, daemon=True)
-        await curio.spawn(made.follow, daemon=True)
-        await turn_to(made, 'r1', 1)
+        await curio.spawn(subscription.peers.send_heartbeats, subscription, daemon=True)
+        await curio.spawn(subscription.follow, daemon=True)
+        await wait_for_upstream(subscription, 'r1', 1)
         first.is_silent = True
-        await turn_to(made, 'r2', 2 * subscription_module.HEARTBEAT_S)
+        await wait_for_upstream(subscription, 'r2', 2 * subscription_module.HEARTBEAT_S)
 
     curio.run(run)
 
 
 def test_an_upstream_that_was_silent_is_tried_last():
     first, second = FakeReplica('r1'), FakeReplica('r2')
-    made = following(first, second)
+    subscription = subscription_to(first, second)
 
     async def run():
-        await curio.spawn(made.peers.beat, made, daemon=True)
-        await curio.spawn(made.follow, daemon=True)
-        await turn_to(made, 'r1', 1)
+        await curio.spawn(subscription.peers.send_heartbeats, subscription, daemon=True)
+        await curio.spawn(subscription.follow, daemon=True)
+        await wait_for_upstream(subscription, 'r1', 1)
         first.is_silent = True
-        await turn_to(made, 'r2', 10)
+        await wait_for_upstream(subscription, 'r2', 10)
 
     curio.run(run)
     assert (first.subscribed, second.subscribed) == (1, 1)
@@ -263,14 +263,14 @@
 
 def test_an_upstream_cut_off_from_the_leader_is_left_for_a_current_replica():
     first, second, third = FakeReplica('r1'), FakeReplica('r2'), FakeReplica('r3')
-    made = following(first, second, third)
+    subscription = subscription_to(first, second, third)
 
     async def run():
-        await curio.spawn(made.peers.beat, made, daemon=True)
-        await curio.spawn(made.follow, daemon=True)
-        await turn_to(made, 'r1', 1)
+        await curio.spawn(subscription.peers.send_heartbeats, subscription, daemon=True)
+        await curio.spawn(subscription.follow, daemon=True)
+        await wait_for_upstream(subscription, 'r1', 1)
         first.age_ms = second.age_ms = subscription_module.STALE_AGE_MS + 1
-        await turn_to(made, 'r3', 5)
+        await wait_for_upstream(subscription, 'r3', 5)
 
     curio.run(run)
     assert (first.subscribed, second.subscribed, third.subscribed) == (1, 0, 1)
@@ -279,15 +279,15 @@
 def test_the_upstream_is_kept_if_no_replica_is_current(monkeypatch):
     monkeypatch.setattr(subscription_module, 'HEARTBEAT_S', 0.05)
     first, second = FakeReplica('r1'), FakeReplica('r2')
-    made = following(first, second)
+    subscription = subscription_to(first, second)
 
     async def run():
-        await curio.spawn(made.peers.beat, made, daemon=True)
-        await curio.spawn(made.follow, daemon=True)
-        await turn_to(made, 'r1', 1)
+        await curio.spawn(subscription.peers.send_heartbeats, subscription, daemon=True)
+        await curio.spawn(subscription.follow, daemon=True)
+        await wait_for_upstream(subscription, 'r1', 1)
         first.age_ms = second.age_ms = subscription_module.STALE_AGE_MS + 1
         with pytest.raises(curio.TaskTimeout):
-            await turn_to(made, 'r2', 2)
+            await wait_for_upstream(subscription, 'r2', 2)
 
     curio.run(run)
     assert (first.subscribed, second.subscribed) == (1, 0)
@@ -297,31 +297,32 @@
 def test_a_nearer_upstream_is_followed_again_once_it_is_current(monkeypatch, trouble):
     monkeypatch.setattr(subscription_module, 'NEARER_CHECK_INTERVAL_S', 0.05)
     first, second = FakeReplica('r1'), FakeReplica('r2')
-    made = following(first, second)
+    subscription = subscription_to(first, second)
 
     async def run():
-        await curio.spawn(made.peers.beat, made, daemon=True)
-        await curio.spawn(made.follow, daemon=True)
-        await turn_to(made, 'r1', 1)
+        await curio.spawn(subscription.peers.send_heartbeats, subscription, daemon=True)
+        await curio.spawn(subscription.follow, daemon=True)
+        await wait_for_upstream(subscription, 'r1', 1)
         first.is_silent = trouble == 'silent'
         first.age_ms = subscription_module.STALE_AGE_MS + 1
-        await turn_to(made, 'r2', 10)
+        await wait_for_upstream(subscription, 'r2', 10)
         with pytest.raises(curio.TaskTimeout):
-            await turn_to(made, 'r1', 2)
+            await wait_for_upstream(subscription, 'r1', 2)
         first.is_silent = False
         first.age_ms = 0
-        await turn_to(made, 'r1', 5)
+        await wait_for_upstream(subscription, 'r1', 5)
 
     curio.run(run)
     assert (first.subscribed, second.subscribed) == (2, 1)
 
 
 @pytest.mark.parametrize(
-    'update', [full(1, a=b'old'), delta(0, 1, a=b'old'), Update('foreign', 0, 9, True)]
+    'update',
+    [full_update(1, a=b'old'), delta_update(0, 1, a=b'old'), Update('foreign', 0, 9, True)],
 )
 def test_a_view_never_goes_back_nor_to_another_cluster(update):
     view = View()
-    assert view.apply_update(full(2, a=b'1'))
+    assert view.apply_update(full_update(2, a=b'1'))
     assert not view.apply_update(update)
     assert view.items['a'].value == b'1'
 
@@ -389,17 +390,17 @@
         reports = Reports()
         await reports.merge([Report('e', 1, 1, b'a'), Report('e', 1, 3, b'c')])
         await reports.merge([Report('e', 1, 2, b'b')])
-        seen = reports.last_arrival
+        last_arrival = reports.last_arrival
         await reports.merge([Report('f', 1, 1, b'x')])
         await reports.merge([Report('e', 2, 1, b'again')])
-        return [report.body for report in reports.received_after(seen)]
+        return [report.body for report in reports.received_after(last_arrival)]
 
     assert sorted(curio.run(run)) == [b'again', b'x']
 
 
 class ZonePeers:
     """
-    The zone's entries, each at a revision, or silent.
+    The zone's entries, each at a revision, or silent if that is None.
 
     """
 
@@ -409,24 +410,24 @@
     async def call(self, address, message, timeout):
         revision = self.revisions[address.instance]
         if revision is None:
-            raise PeerTimedOut('frozen')
+            raise PeerTimedOut('no answer')
         return RevisionIs(CLUSTER, revision)
 
 
 @pytest.mark.parametrize(
-    ('revisions', 'floor'),
+    ('revisions', 'min_revision'),
     [([7, 9, 8], 9), ([7, None, 3], 7), ([None, None, None], 0)],
 )
-def test_no_revision_older_than_the_newest_in_the_zone_is_served(revisions, floor):
-    made = subscription(Upstream([]))
-    made.roster = roster_of(4)
-    made.env.instance = InstanceId('i0')
-    made.peers = ZonePeers({f'i{n + 1}': revision for n, revision in enumerate(revisions)})
-    curio.run(made.query_min_revision)
-    assert made.min_revision == floor
-    assert made.has_min_revision is (floor == 0)
-    for revision in range(1, floor):
-        made.view.apply_update(full(revision, a=b'1'))
-        assert not made.has_min_revision
-    made.view.apply_update(full(floor, a=b'1'))
-    assert made.has_min_revision
+def test_no_revision_older_than_the_newest_in_the_zone_is_served(revisions, min_revision):
+    subscription = new_subscription(Upstream([]))
+    subscription.roster = roster_of(4)
+    subscription.env.instance = InstanceId('i0')
+    subscription.peers = ZonePeers({f'i{n + 1}': revision for n, revision in enumerate(revisions)})
+    curio.run(subscription.query_min_revision)
+    assert subscription.min_revision == min_revision
+    assert subscription.has_min_revision is (min_revision == 0)
+    for revision in range(1, min_revision):
+        subscription.view.apply_update(full_update(revision, a=b'1'))
+        assert not subscription.has_min_revision
+    subscription.view.apply_update(full_update(min_revision, a=b'1'))
+    assert subscription.has_min_revision
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -1,5 +1,5 @@
 """
-Which version of its weights a request may begin on, from moment to moment.
+The versions of its weights that a request may begin on at a given time.
 
 """
 
@@ -39,9 +39,9 @@
 @pytest.fixture
 def versions(clock, view):
     env = Environment(InstanceId('a:1'), ZoneId('zone'), monotonic=clock)
-    made = Versions(env, view, SWITCH_MS)
-    made.refresh()
-    return made
+    versions = Versions(env, view, SWITCH_MS)
+    versions.refresh()
+    return versions
 
 
 def set_version(view, versions, version):
@@ -72,9 +72,9 @@
 
 def test_a_version_present_at_the_start_is_due_at_once(view, clock):
     env = Environment(InstanceId('a:1'), ZoneId('zone'), monotonic=clock)
-    made = Versions(env, view, SWITCH_MS)
-    set_version(view, made, 4)
-    assert made.least('m') == 4
+    versions = Versions(env, view, SWITCH_MS)
+    set_version(view, versions, 4)
+    assert versions.least('m') == 4
 
 
 def test_a_retried_request_uses_the_versions_allowed_at_the_retry(view, versions, clock):
@@ -90,120 +90,120 @@
 RATE = 20_000.0
 
 
-def targets(versions, clock, store, served=1):
+def new_targets(versions, clock, store, served=1):
     return Targets(versions.env, versions, store, lambda: served, RATE)
 
 
 def test_the_newest_version_is_the_target_while_it_can_arrive_in_time(view, versions, clock):
     store = PieceStore()
-    made = targets(versions, clock, store)
-    assert made.choose(FIGURES).weights.version == 1
+    targets = new_targets(versions, clock, store)
+    assert targets.choose(FIGURES).weights.version == 1
     set_version(view, versions, 2)
-    assert made.choose(FIGURES).weights.version == 2
+    assert targets.choose(FIGURES).weights.version == 2
     clock.now += 2.0
     set_version(view, versions, 3)
-    assert made.choose(FIGURES).weights.version == 3
+    assert targets.choose(FIGURES).weights.version == 3
 
 
 def test_an_intermediate_version_is_the_target_if_the_newest_does_not_arrive(view, versions, clock):
     store = PieceStore()
-    made = targets(versions, clock, store)
+    targets = new_targets(versions, clock, store)
     set_version(view, versions, 2)
     store.of(WeightsId('m', 2)).pieces = dict.fromkeys(range(60), b'')
     clock.now += 3.0
     set_version(view, versions, 3)
-    assert made.choose(FIGURES).weights.version == 3
+    assert targets.choose(FIGURES).weights.version == 3
     clock.now += STUCK_AFTER_S / 2
-    assert made.choose(FIGURES).weights.version == 3
+    assert targets.choose(FIGURES).weights.version == 3
     clock.now += STUCK_AFTER_S
-    made.choose(FIGURES)
-    target = made.choose(FIGURES)
+    targets.choose(FIGURES)
+    target = targets.choose(FIGURES)
     assert target.weights.version == 2
     assert target.due < clock.now + 4.0
 
 
 def test_after_the_end_a_nearly_complete_version_is_the_target_first(view, versions, clock):
     store = PieceStore()
-    made = targets(versions, clock, store)
+    targets = new_targets(versions, clock, store)
     set_version(view, versions, 2)
     store.of(WeightsId('m', 2)).pieces = dict.fromkeys(range(95), b'')
     clock.now += 5.0
     set_version(view, versions, 3)
     clock.now += 3.5
-    assert made.choose(FIGURES).weights.version == 2
+    assert targets.choose(FIGURES).weights.version == 2
     clock.now += 3.0
-    assert made.choose(FIGURES).weights.version == 3
+    assert targets.choose(FIGURES).weights.version == 3
 
 
 def test_an_intermediate_version_that_ends_too_soon_is_not_the_target(view, versions, clock):
     store = PieceStore()
-    made = targets(versions, clock, store)
+    targets = new_targets(versions, clock, store)
     set_version(view, versions, 2)
     store.of(WeightsId('m', 2)).pieces = dict.fromkeys(range(94), b'')
     clock.now += 2.0
     set_version(view, versions, 3)
-    made.choose(FIGURES)
+    targets.choose(FIGURES)
     clock.now += SWITCH_S - 2.0 - LAST_SENT_S
-    made.choose(FIGURES)
+    targets.choose(FIGURES)
     clock.now += LAST_SENT_S + 0.4
     for _ in range(8):
-        assert made.choose(FIGURES).weights.version == 3
+        assert targets.choose(FIGURES).weights.version == 3
         clock.now += STUCK_AFTER_S / 5
 
 
 def test_an_engine_that_serves_its_target_is_never_stuck(view, versions, clock):
     store = PieceStore()
-    made = targets(versions, clock, store, served=2)
+    targets = new_targets(versions, clock, store, served=2)
     set_version(view, versions, 2)
     for _ in range(5):
-        made.choose(FIGURES)
+        targets.choose(FIGURES)
         clock.now += STUCK_AFTER_S
-    assert made.stuck_until == {}
+    assert targets.stuck_until == {}
 
 
 def test_the_newest_version_is_the_target_if_changing_twice_gains_nothing(view, versions, clock):
     store = PieceStore()
-    made = targets(versions, clock, store)
+    targets = new_targets(versions, clock, store)
     set_version(view, versions, 2)
     store.of(WeightsId('m', 2)).pieces = dict.fromkeys(range(50), b'')
     clock.now += 3.5
     set_version(view, versions, 3)
     for count in range(0, 100, 5):
         store.of(WeightsId('m', 3)).pieces = dict.fromkeys(range(count), b'')
-        assert made.choose(FIGURES).weights.version == 3
+        assert targets.choose(FIGURES).weights.version == 3
         clock.now += 0.25
 
 
 def test_a_nearly_complete_version_is_the_target_first(view, versions, clock):
     store = PieceStore()
-    made = targets(versions, clock, store)
+    targets = new_targets(versions, clock, store)
     set_version(view, versions, 2)
     store.of(WeightsId('m', 2)).pieces = dict.fromkeys(range(95), b'')
     clock.now += 6.0
     set_version(view, versions, 3)
-    assert made.choose(FIGURES).weights.version == 2
+    assert targets.choose(FIGURES).weights.version == 2
 
 
 def test_the_target_of_an_engine_that_serves_nothing_is_the_newest_version(view, versions, clock):
-    made = targets(versions, clock, PieceStore(), served=0)
+    targets = new_targets(versions, clock, PieceStore(), served=0)
     set_version(view, versions, 2)
     clock.now += SWITCH_S - 1.0
     set_version(view, versions, 3)
-    assert made.choose(FIGURES).weights.version == 3
+    assert targets.choose(FIGURES).weights.version == 3
 
 
 def test_the_target_is_due_when_the_served_version_ends(view, versions, clock):
-    made = targets(versions, clock, PieceStore())
+    targets = new_targets(versions, clock, PieceStore())
     set_version(view, versions, 2)
-    began = clock.now
+    set_at = clock.now
     clock.now += 2.0
     set_version(view, versions, 3)
-    assert made.choose(FIGURES).due < began + SWITCH_S
+    assert targets.choose(FIGURES).due < set_at + SWITCH_S
 
 
 class OneEngine:
     """
-    One engine, the versions named to its daemon, and the pieces there.
+    One engine, the versions set for it, and the pieces of weights at its daemon.
 
     """
 
@@ -215,7 +215,7 @@
         self.newest = 1
         self.targets = Targets(env, self.versions, self.store, lambda: self.served, RATE)
 
-    def name_next(self):
+    def set_next(self):
         self.newest += 1
         set_version(self.view, self.versions, self.newest)
 
@@ -224,39 +224,39 @@
 
 
 STEPS = st.lists(
-    st.tuples(st.sampled_from(['name', 'wait', 'piece', 'serve']), st.integers(1, 20)), max_size=40
+    st.tuples(st.sampled_from(['set', 'wait', 'piece', 'serve']), st.integers(1, 20)), max_size=40
 )
 
 
 @given(STEPS)
 def test_an_engine_never_gets_an_older_version_nor_one_that_was_not_set(steps):
-    fleet = OneEngine()
+    engine = OneEngine()
     for step, number in steps:
-        if step == 'name':
-            fleet.name_next()
+        if step == 'set':
+            engine.set_next()
         if step == 'wait':
-            fleet.clock.now += number / 4
-        target = fleet.choose()
-        assert max(fleet.served, 1) <= target.weights.version <= fleet.newest
-        held = fleet.store.of(target.weights)
+            engine.clock.now += number / 4
+        target = engine.choose()
+        assert max(engine.served, 1) <= target.weights.version <= engine.newest
+        held = engine.store.of(target.weights)
         if step == 'piece':
             held.pieces.update(dict.fromkeys(range(number * 5), b''))
         if step == 'serve' and len(held.pieces) == FIGURES.pieces:
-            fleet.served = target.weights.version
+            engine.served = target.weights.version
 
 
 @given(STEPS)
 def test_once_all_pieces_arrive_the_newest_version_is_served(steps):
-    fleet = OneEngine()
+    engine = OneEngine()
     for step, number in steps:
-        if step == 'name':
-            fleet.name_next()
-        fleet.clock.now += number / 4
-        fleet.choose()
+        if step == 'set':
+            engine.set_next()
+        engine.clock.now += number / 4
+        engine.choose()
     for _ in range(10):
-        fleet.clock.now += FIGURES.pieces * FIGURES.piece_bytes / RATE
-        target = fleet.choose()
-        fleet.store.of(target.weights).pieces = dict.fromkeys(range(FIGURES.pieces), b'')
-        fleet.choose()
-        fleet.served = target.weights.version
-    assert fleet.served == fleet.newest
+        engine.clock.now += FIGURES.pieces * FIGURES.piece_bytes / RATE
+        target = engine.choose()
+        engine.store.of(target.weights).pieces = dict.fromkeys(range(FIGURES.pieces), b'')
+        engine.choose()
+        engine.served = target.weights.version
+    assert engine.served == engine.newest
