--- a/packages/millfork-registry/millfork_registry/feed_client.py
+++ b/packages/millfork-registry/millfork_registry/feed_client.py
@@ -173,7 +173,7 @@
                 key.removeprefix(VERSION_PREFIX), decode_versioned(value).version
             )
             is None
-            for key, value in self.view.prefixed(VERSION_PREFIX).items()
+            for key, value in self.view.values_with_prefix(VERSION_PREFIX).items()
         )
 
     async def _fresher_replica_exists(self, address: PeerAddress, age_ms: int) -> bool:
@@ -273,7 +273,7 @@
             self.age_ms = update.age_ms
         elif peer != self.pending_relay:
             return
-        if not self.view.take(update):
+        if not self.view.apply_update(update):
             return
         self.env.metrics.revision.set({}, self.view.revision)
         log.info(
@@ -282,7 +282,7 @@
             peer,
             update.age_ms,
         )
-        await self.view.announce()
+        await self.view.notify_waiters()
         await self.changed.set()
 
     async def _on_leases(self, peer: InstanceId, message: Leases) -> None:
--- a/packages/millfork-state/millfork_state/formation.py
+++ b/packages/millfork-state/millfork_state/formation.py
@@ -1,9 +1,9 @@
 """
 The first start of the replicated state.
 
-The replica with the lowest id waits until every replica answers with an empty
-disk and then writes the first entry. A replica that lost its disk meets others
-that are not empty, so it can never form a second state beside the first.
+The replica with the lowest id waits until every replica answers that its disk is
+empty, and then writes the first entry. A replica that lost its disk finds others
+that are not empty, so it can never form a second state.
 
 """
 
@@ -22,7 +22,7 @@
 from millfork_wire.messages import Genesis, Identify, Identity, Member
 from millfork_wire.peers import PeerAddress
 
-FORM_PAUSE_S: Final = 0.2
+FORMATION_RETRY_S: Final = 0.2
 IDENTIFY_TIMEOUT_S: Final = 1.0
 FIRST_TERM: Final = 1
 
@@ -30,6 +30,10 @@
 
 
 def identity_of(replica: Replica) -> Identity:
+    """
+    The replica's disk id and cluster. It is empty if it has neither a cluster nor log entries.
+
+    """
     empty = not replica.cluster and replica.storage.last_index == 0
     return Identity(replica.storage.disk, replica.cluster, empty)
 
@@ -37,17 +41,17 @@
 @dataclass(frozen=True, slots=True)
 class Seeds:
     """
-    The replicas that begin a state together (the others join it later), and
-    whether this start may be the one at which they do.
+    The other replicas that form the state together with this one (further replicas join it
+    later), and whether this process may form it at this start.
 
     """
 
     others: list[PeerAddress]
     may_form: bool
 
-    def forms_here(self, instance: InstanceId) -> bool:
+    def writes_first_entry(self, instance: InstanceId) -> bool:
         """
-        Whether the replica on `instance` is the one that begins the state.
+        Whether the replica on `instance` is the one that writes the first entry.
 
         """
         return self.may_form and all(instance < other.instance for other in self.others)
@@ -55,18 +59,18 @@
 
 async def form_or_join(replica: Replica, seeds: Seeds) -> None:
     """
-    Return once this replica belongs to a state, formed here or elsewhere.
+    Return once this replica belongs to a cluster, formed here or joined.
 
     """
     while not replica.cluster:
-        if seeds.forms_here(replica.env.instance):
-            members = await _all_empty(replica, seeds.others)
-            if members is not None and await _form(replica, members):
+        if seeds.writes_first_entry(replica.env.instance):
+            members = await _find_empty_members(replica, seeds.others)
+            if members is not None and await _form_cluster(replica, members):
                 return
-        await curio.sleep(FORM_PAUSE_S)
+        await curio.sleep(FORMATION_RETRY_S)
 
 
-async def _all_empty(
+async def _find_empty_members(
     replica: Replica,
     others: list[PeerAddress],
 ) -> list[tuple[str, str]] | None:
@@ -82,25 +86,26 @@
     return members
 
 
-async def _form(replica: Replica, members: list[tuple[str, str]]) -> bool:
+async def _form_cluster(replica: Replica, members: list[tuple[str, str]]) -> bool:
     cluster = ClusterId(uuid.uuid4().hex)
     try:
-        formed = await take_genesis(replica, cluster, members)
+        formed = await accept_genesis(replica, cluster, members)
     except OSError as error:
-        replica.note_disk_failure(error)
+        replica.record_disk_failure(error)
         return False
     if formed:
         log.notice('Formed the state with {} replicas.', len(members))
     return formed
 
 
-async def take_genesis(
+async def accept_genesis(
     replica: Replica,
     cluster: str,
     members: list[tuple[str, str]],
 ) -> bool:
     """
-    Write the first entry, if this disk is empty and one of the members.
+    Write the first entry, if this disk is empty and one of the members. True if this
+    replica belongs to the cluster afterwards.
 
     """
     async with replica.lock:
@@ -115,10 +120,10 @@
     return True
 
 
-async def spread_genesis(replica: Replica) -> None:
+async def distribute_genesis(replica: Replica) -> None:
     """
-    Bring the first entry to every other replica that is still empty; the
-    task ends when each has it, or has the state from its leader.
+    Send the first entry to every other replica, and retry until each has answered. Replicas
+    that aren't empty ignore it.
 
     """
     if replica.storage.snapshot is not None or not replica.storage.entries:
@@ -128,12 +133,12 @@
         return
     members = [Member(instance, disk) for instance, disk in first.members]
     genesis = Genesis(first.cluster, members)
-    waiting = list(replica.others)
-    while waiting:
-        for address in list(waiting):
+    unanswered = list(replica.others)
+    while unanswered:
+        for address in list(unanswered):
             try:
                 await replica.peers.call(address, genesis, IDENTIFY_TIMEOUT_S)
             except PeerError:
                 continue
-            waiting.remove(address)
-        await curio.sleep(FORM_PAUSE_S)
+            unanswered.remove(address)
+        await curio.sleep(FORMATION_RETRY_S)
--- a/packages/millfork-state/millfork_state/leadership.py
+++ b/packages/millfork-state/millfork_state/leadership.py
@@ -1,5 +1,5 @@
 """
-The leader's side: one task for each other replica, one for its own log.
+The leader's side of the log: one task for each other replica, one for its own log.
 
 """
 
@@ -10,7 +10,7 @@
 
 from millfork_core.logs import Part, logger
 from millfork_state.commands import SetMembers, encode_command
-from millfork_state.pending import Pending, noop_entry
+from millfork_state.pending import PendingProposal, noop_entry
 from millfork_state.replica import Replica, ReplicaState
 from millfork_state.storage import LogEntry
 from millfork_wire.connection import PeerError
@@ -19,10 +19,10 @@
 
 MAX_BATCH_ENTRIES: Final = 256
 CALL_TIMEOUT_S: Final = 2.0
-# Of the log's quorum; more replicas would only slow each commit.
+# More voters would only slow each commit.
 MAX_VOTERS: Final = 9
-# Longer than two elections, so that a restart is no reason to leave.
-SILENT_VOTER_S: Final = 4.0
+# Longer than two elections, so that a restarting voter is not removed.
+SILENT_VOTER_TIMEOUT_S: Final = 4.0
 
 log = logger(Part.STATE)
 
@@ -30,7 +30,8 @@
 @dataclass(slots=True)
 class Progress:
     """
-    What the leader knows of one other replica.
+    The leader's record of one other replica: its disk id, the next index to send, the highest
+    index known durable there, and when the last answered request was sent (monotonic seconds).
 
     """
 
@@ -44,7 +45,7 @@
 
 class Leadership:
     """
-    One replica's time as leader of one term.
+    The tasks of one replica while it leads one term.
 
     """
 
@@ -65,7 +66,7 @@
 
     async def run(self) -> None:
         """
-        Lead until another term begins or the quorum is out of reach.
+        Lead until another term begins or a majority no longer answers.
 
         :raises OSError: if the disk fails.
 
@@ -74,36 +75,36 @@
             await group.spawn(self.replica.stepped_down.wait)
             await group.spawn(self._write_log)
             await group.spawn(self._watch_quorum)
-            await group.spawn(self._repair_members)
-            await group.spawn(self._follow_addresses)
+            await group.spawn(self._maintain_members)
+            await group.spawn(self._replicate_to_new_addresses)
             for progress in self.progress:
                 await group.spawn(self._replicate, progress)
         async with self.replica.lock:
             if self.replica.term == self.term:
                 await self.replica.step_down()
-        await self._drop_proposals()
-        # A group raises nothing by itself.
+        await self._reject_proposals()
+        # A curio TaskGroup doesn't raise its tasks' exceptions by itself.
         if group.completed.exception is not None:
             raise group.completed.exception
 
-    async def _follow_addresses(self) -> None:
+    async def _replicate_to_new_addresses(self) -> None:
         """
-        Replicate to replicas whose addresses become known later, too.
+        Start replicating to replicas whose addresses become known during the term.
 
         """
         replica = self.replica
         while True:
             await curio.sleep(replica.heartbeat_s)
-            known = {progress.address for progress in self.progress}
+            followed = {progress.address for progress in self.progress}
             for address in replica.others:
-                if address in known:
+                if address in followed:
                     continue
                 next_index = replica.storage.last_index + 1
                 progress = Progress(address, next_index, acked_at=replica.env.monotonic())
                 self.progress.append(progress)
                 await replica.env.spawn(self._replicate, progress)
 
-    async def _drop_proposals(self) -> None:
+    async def _reject_proposals(self) -> None:
         queue = self.replica.proposals
         while not queue.empty():
             pending = await queue.get()
@@ -120,10 +121,10 @@
                 batch.append(await self.replica.proposals.get())
             await self._append(batch, [])
 
-    async def _append(self, batch: list[Pending], entries: list[LogEntry]) -> None:
+    async def _append(self, batch: list[PendingProposal], entries: list[LogEntry]) -> None:
         """
-        Write proposals as one group: one sync for all, while the others
-        receive them.
+        Append proposals in one batch with one disk sync, which runs while
+        the other replicas receive the entries.
 
         """
         replica = self.replica
@@ -140,31 +141,32 @@
             await replica.write(entries)
             await self._wake_all()
             await replica.storage.sync()
-            await self._advance()
+            await self._advance_commit()
         await replica.snapshot_if_due()
 
     async def _wake_all(self) -> None:
         for progress in self.progress:
             await progress.wake.set()
 
-    async def _advance(self) -> None:
+    async def _advance_commit(self) -> None:
         """
-        Commit what a majority of voters holds durably, in this term.
+        Commit the highest index that a majority of voters holds durably, if
+        its entry is of this term.
 
         """
         replica = self.replica
-        held = []
+        match_indexes = []
         for instance, disk in replica.members:
-            held.append(self._match(instance, disk))
-        held.sort(reverse=True)
-        index = held[replica.majority - 1]
+            match_indexes.append(self._match_index(instance, disk))
+        match_indexes.sort(reverse=True)
+        index = match_indexes[replica.majority - 1]
         if index > replica.commit and replica.storage.term_at(index) == self.term:
             await replica.advance_commit(index)
             await self._wake_all()
 
-    def _match(self, instance: str, disk: str) -> int:
+    def _match_index(self, instance: str, disk: str) -> int:
         if instance == self.replica.env.instance:
-            return self.replica.storage.durable if disk == self.replica.storage.disk else 0
+            return self.replica.storage.durable_index if disk == self.replica.storage.disk else 0
         for progress in self.progress:
             if progress.address.instance == instance and progress.disk == disk:
                 return progress.match
@@ -182,11 +184,13 @@
             except PeerError:
                 await curio.sleep(self.replica.heartbeat_s)
                 continue
-            if isinstance(reply, AppendReply) and await self._learn(progress, reply, sent_at):
+            if isinstance(reply, AppendReply) and await self._handle_reply(
+                progress, reply, sent_at
+            ):
                 continue
-            await self._pause(progress)
+            await self._wait_for_work(progress)
 
-    async def _pause(self, progress: Progress) -> None:
+    async def _wait_for_work(self, progress: Progress) -> None:
         try:
             async with curio.timeout_after(self.replica.heartbeat_s):
                 await progress.wake.wait()
@@ -199,7 +203,7 @@
         prev_index = progress.next_index - 1
         prev_term = storage.term_at(prev_index)
         instance = replica.env.instance
-        if prev_term is None or progress.next_index <= storage.first_index:
+        if prev_term is None or progress.next_index <= storage.snapshot_index:
             snapshot = storage.snapshot
             assert snapshot is not None
             return InstallRequest(
@@ -213,9 +217,9 @@
             replica.cluster, self.term, instance, prev_index, prev_term, entries, replica.commit
         )
 
-    async def _learn(self, progress: Progress, reply: AppendReply, sent_at: float) -> bool:
+    async def _handle_reply(self, progress: Progress, reply: AppendReply, sent_at: float) -> bool:
         """
-        Take a reply into account; True if there is more to send at once.
+        Update the progress from a reply; True if another request is due at once.
 
         """
         replica = self.replica
@@ -237,14 +241,15 @@
         progress.next_index = progress.match + 1
         async with replica.lock:
             if self.active:
-                await self._advance()
+                await self._advance_commit()
         return progress.next_index <= replica.storage.last_index
 
     # Quorum.
 
     def _acked_since(self, moment: float) -> int:
         """
-        The voters, this one included, that answered a request sent since.
+        The number of voters, including this replica, that answered a request
+        sent at `moment` or later.
 
         """
         replica = self.replica
@@ -257,8 +262,8 @@
 
     async def _watch_quorum(self) -> None:
         """
-        A leader that a majority does not answer gives way, so that callers
-        hear 'no quorum' in place of waiting.
+        Return when a majority has not answered for two election timeouts. The leader then
+        steps down, so that callers get 'no quorum' at once instead of a timeout.
 
         """
         replica = self.replica
@@ -266,38 +271,39 @@
             await curio.sleep(replica.election_s / 2)
             since = replica.env.monotonic() - 2 * replica.election_s
             if self._acked_since(since) < replica.majority:
-                log.warning('Giving up term {}: no quorum.', self.term)
+                log.warning('Stepping down as leader of term {}: no quorum.', self.term)
                 replica.env.metrics.count(replica.env.metrics.state, event='quorum_lost')
                 return
 
-    async def confirm(self, timeout: float) -> bool:
+    async def confirm_leadership(self, timeout: float) -> bool:
         """
-        Whether a majority still follows, asked after this call began, and
-        everything committed before it is applied.
+        Whether a majority answered a request sent after this call started, and
+        all entries committed in earlier terms are applied here.
 
         """
         replica = self.replica
-        began = replica.env.monotonic()
+        started_at = replica.env.monotonic()
         await self._wake_all()
         try:
             async with curio.timeout_after(timeout), self.acked:
-                while self.active and not self._confirmed(began):
+                while self.active and not self._confirmed(started_at):
                     await self.acked.wait()
         except curio.TaskTimeout:
             return False
         return self.active
 
-    def _confirmed(self, began: float) -> bool:
+    def _confirmed(self, started_at: float) -> bool:
         replica = self.replica
-        enough = self._acked_since(began) >= replica.majority
-        return enough and replica.applied >= self.noop_index
+        has_majority = self._acked_since(started_at) >= replica.majority
+        return has_majority and replica.applied >= self.noop_index
 
     # Membership.
 
-    async def _repair_members(self) -> None:
+    async def _maintain_members(self) -> None:
         """
-        Replace a voter whose instance came back with another disk: first
-        the old disk leaves, then the new one joins, each by its own entry.
+        Add replicas that have caught up and remove silent voters. A voter whose instance
+        returned with another disk is replaced by two entries: the first removes the old disk,
+        the second adds the new one.
 
         """
         replica = self.replica
@@ -305,17 +311,17 @@
             await curio.sleep(replica.heartbeat_s)
             if replica.applied < self.noop_index:
                 continue
-            change = self._due_change()
-            if change is None:
+            members = self._next_members()
+            if members is None:
                 continue
-            pending = await replica.propose(SetMembers(replica.cluster, change))
+            pending = await replica.propose(SetMembers(replica.cluster, members))
             await pending.settled.wait()
             if not pending.applied:
                 continue
             replica.env.metrics.count(replica.env.metrics.state, event='members_changed')
-            log.notice('Voters are now {}.', ', '.join(instance for instance, _ in change))
+            log.notice('Voters are now {}.', ', '.join(instance for instance, _ in members))
 
-    def _due_change(self) -> list[tuple[str, str]] | None:
+    def _next_members(self) -> list[tuple[str, str]] | None:
         members = self.replica.members
         for progress in self.progress:
             instance = progress.address.instance
@@ -331,20 +337,21 @@
 
     def _without_silent_voter(self) -> list[tuple[str, str]] | None:
         """
-        The voters without one that has long been silent, if enough are left
-        to bear the losses that the settings name.
+        The voters without one that has been silent for `SILENT_VOTER_TIMEOUT_S`, or None.
+
+        None, too, if the remaining voters could not tolerate the losses that the settings require.
 
         """
         replica = self.replica
-        losses = replica.settings.losses
-        if losses is None or len(replica.members) - 1 < 2 * losses + 1:
+        tolerated_losses = replica.settings.losses
+        if tolerated_losses is None or len(replica.members) - 1 < 2 * tolerated_losses + 1:
             return None
         now = replica.env.monotonic()
         for progress in self.progress:
             voter = (str(progress.address.instance), progress.disk)
-            if now - progress.acked_at < SILENT_VOTER_S:
+            if now - progress.acked_at < SILENT_VOTER_TIMEOUT_S:
                 continue
-            rest = [member for member in replica.members if member[0] != voter[0]]
-            if len(rest) < len(replica.members):
-                return rest
+            remaining = [member for member in replica.members if member[0] != voter[0]]
+            if len(remaining) < len(replica.members):
+                return remaining
         return None
--- a/packages/millfork-state/millfork_state/pending.py
+++ b/packages/millfork-state/millfork_state/pending.py
@@ -1,5 +1,5 @@
 """
-Proposals on their way through the log.
+Proposed commands that are not yet applied.
 
 """
 
@@ -20,9 +20,10 @@
 from millfork_state.storage import LogEntry
 
 
-class Pending:
+class PendingProposal:
     """
-    A proposal on its way through the log.
+    A proposed command. `settled` is set once it is applied with a result, or its outcome
+    is unknown to this replica.
 
     """
 
@@ -38,9 +39,9 @@
         await self.settled.set()
 
 
-def stamped(command: AnyCommand) -> AnyCommand:
+def with_timestamp(command: AnyCommand) -> AnyCommand:
     """
-    The command with the leader's time, where it carries one.
+    A copy of the command with the current time, if its type has a time.
 
     """
     at_ms = int(time.time() * 1000)
--- a/packages/millfork-state/millfork_state/reports.py
+++ b/packages/millfork-state/millfork_state/reports.py
@@ -1,5 +1,5 @@
 """
-What the instances report of themselves, passed up the tree.
+The instances' reports of themselves, which are passed up the distribution tree.
 
 """
 
@@ -12,9 +12,9 @@
 
 
 @dataclass(slots=True)
-class Known:
+class ReceivedReport:
     """
-    A report and the order in which it came here.
+    A report and its position in the order of arrival at this process.
 
     """
 
@@ -29,34 +29,36 @@
 
 class Reports:
     """
-    The newest report of each instance heard of here.
+    The newest report of each instance that has reached this process.
 
     """
 
     def __init__(self) -> None:
-        self.known: dict[InstanceId, Known] = {}
-        self.arrivals = 0
+        self.by_instance: dict[InstanceId, ReceivedReport] = {}
+        self.last_arrival = 0
         self.changed = curio.Event()
 
-    async def take(self, reports: list[Report]) -> None:
+    async def merge(self, reports: list[Report]) -> None:
         """
-        Keep what is newer than what is known.
+        Keep the reports that are newer than the known ones of their instances.
 
         """
-        news = False
+        has_changed = False
         for report in reports:
-            held = self.known.get(InstanceId(report.instance))
-            if held is not None and not _is_newer(report, held.report):
+            known = self.by_instance.get(InstanceId(report.instance))
+            if known is not None and not _is_newer(report, known.report):
                 continue
-            self.arrivals += 1
-            self.known[InstanceId(report.instance)] = Known(report, self.arrivals)
-            news = True
-        if news:
+            self.last_arrival += 1
+            self.by_instance[InstanceId(report.instance)] = ReceivedReport(
+                report, self.last_arrival
+            )
+            has_changed = True
+        if has_changed:
             await self.changed.set()
 
-    def since(self, arrival: int) -> list[Report]:
-        return [known.report for known in self.known.values() if known.arrival > arrival]
+    def received_after(self, arrival: int) -> list[Report]:
+        return [known.report for known in self.by_instance.values() if known.arrival > arrival]
 
 
-def _is_newer(report: Report, held: Report) -> bool:
-    return (report.incarnation, report.sequence) > (held.incarnation, held.sequence)
+def _is_newer(report: Report, known: Report) -> bool:
+    return (report.incarnation, report.sequence) > (known.incarnation, known.sequence)
--- a/packages/millfork-state/millfork_state/selection.py
+++ b/packages/millfork-state/millfork_state/selection.py
@@ -1,5 +1,5 @@
 """
-Which instances a deployment selects.
+The instances that a deployment selects.
 
 """
 
@@ -15,26 +15,28 @@
     """
     return {
         key.removeprefix(DEPLOYMENTS): decode(value, Deployment)
-        for key, value in view.prefixed(DEPLOYMENTS).items()
+        for key, value in view.values_with_prefix(DEPLOYMENTS).items()
     }
 
 
-def selects(view: View, name: str, deployment: Deployment, facts: InstanceFacts) -> bool:
+def is_selected(view: View, name: str, deployment: Deployment, facts: InstanceFacts) -> bool:
     """
     Whether the deployment selects an instance, by the platform's facts and
-    the labels that the deployment's own organisation attached.
+    the labels that the deployment's own organisation attached to it.
 
     """
     organisation = name.split('/', 1)[0]
-    held = view.items.get(f'{LABELS}{organisation}/{facts.instance}')
-    attached = decode(held.value, dict[str, str]) if held else {}
-    return matches(deployment.selector, {**attached, **facts.facts()})
+    stored = view.items.get(f'{LABELS}{organisation}/{facts.instance}')
+    attached = decode(stored.value, dict[str, str]) if stored else {}
+    return matches(deployment.selector, {**attached, **facts.to_labels()})
 
 
-def selected(view: View, roster: Roster, name: str, deployment: Deployment) -> list[InstanceFacts]:
+def select_endpoints(
+    view: View, roster: Roster, name: str, deployment: Deployment
+) -> list[InstanceFacts]:
     """
     The endpoints that a deployment selects, by id.
 
     """
-    found = [facts for facts in roster.endpoints() if selects(view, name, deployment, facts)]
+    found = [facts for facts in roster.endpoints() if is_selected(view, name, deployment, facts)]
     return sorted(found, key=lambda facts: facts.instance)
--- a/packages/millfork-state/millfork_state/machine.py
+++ b/packages/millfork-state/millfork_state/state_machine.py
@@ -1,5 +1,5 @@
 """
-The state machine that every replica runs over the log.
+The state machine that every replica runs over its log.
 
 """
 
@@ -25,18 +25,19 @@
     decode_versioned,
     encode_versioned,
 )
-from millfork_state.view import Held, View
+from millfork_state.view import StoredValue, View
 
-REMEMBERED_COMMANDS: Final = 20_000
-REMEMBERED_REMOVALS: Final = 20_000
+MAX_REMEMBERED_COMMANDS: Final = 20_000
+MAX_REMEMBERED_REMOVALS: Final = 20_000
 CLAIM_LIFETIME_MS: Final = 24 * 3600 * 1000
-# An attempt still open after this long lost the entry that made it.
-CLAIM_OPEN_MS: Final = 120_000
+# The entry that claimed the key for an attempt counts as lost if the attempt is still open
+# after this time.
+CLAIM_OPEN_TIMEOUT_MS: Final = 120_000
 
 
 class Claim(msgspec.Struct):
     """
-    One claimed idempotency key.
+    The attempt that holds an idempotency key, and its answer once it is done.
 
     """
 
@@ -51,7 +52,7 @@
 
 class Dump(msgspec.Struct):
     """
-    The machine's whole state, as a snapshot holds it.
+    The whole state of the state machine, as a snapshot contains it.
 
     """
 
@@ -64,9 +65,9 @@
     removed: list[tuple[str, int]] = []
 
 
-class Machine:
+class StateMachine:
     """
-    Applies commands in log order; equal logs give equal machines.
+    Applies commands in log order. It is deterministic: equal logs give equal states.
 
     """
 
@@ -92,13 +93,13 @@
         return None
 
     def _raise(self, command: Raise) -> RaiseResult:
-        held = self.view.items.get(command.key)
-        held_version = decode_versioned(held.value).version if held is not None else None
-        if held_version is not None and command.version <= held_version:
-            return RaiseResult(False, held_version)
+        stored = self.view.items.get(command.key)
+        stored_version = decode_versioned(stored.value).version if stored is not None else None
+        if stored_version is not None and command.version <= stored_version:
+            return RaiseResult(False, stored_version)
         revision = Revision(self.view.revision + 1)
         value = encode_versioned(Versioned(command.version, command.value))
-        self.view.change(revision, {command.key: Held(value, revision)}, [])
+        self.view.apply_change(revision, {command.key: StoredValue(value, revision)}, [])
         return RaiseResult(True, command.version)
 
     def _apply_changes(self, command: Apply) -> ApplyResult:
@@ -107,7 +108,7 @@
             return first
         result = self._change_all(command.changes)
         self.results[command.command_id] = result
-        if len(self.results) > REMEMBERED_COMMANDS:
+        if len(self.results) > MAX_REMEMBERED_COMMANDS:
             self.results.popitem(last=False)
         return result
 
@@ -125,26 +126,26 @@
         if not effective:
             return ApplyResult(True, view.revision)
         revision = Revision(view.revision + 1)
-        items = {c.key: Held(c.value, revision) for c in effective if c.value is not None}
+        items = {c.key: StoredValue(c.value, revision) for c in effective if c.value is not None}
         removed = [c.key for c in effective if c.value is None]
-        view.change(revision, items, removed)
+        view.apply_change(revision, items, removed)
         self._remember_removed(revision, removed)
         return ApplyResult(True, revision)
 
     def _last_change(self, key: str) -> int:
-        held = self.view.items.get(key)
-        return held.revision if held else self.removed.get(key, 0)
+        stored = self.view.items.get(key)
+        return stored.revision if stored else self.removed.get(key, 0)
 
     def _remember_removed(self, revision: int, keys: list[str]) -> None:
         for key in keys:
             self.removed[key] = revision
             self.removed.move_to_end(key)
-        while len(self.removed) > REMEMBERED_REMOVALS:
+        while len(self.removed) > MAX_REMEMBERED_REMOVALS:
             self.removed.popitem(last=False)
 
     def _differs(self, key: str, value: bytes | None) -> bool:
-        held = self.view.items.get(key)
-        return (held.value if held else None) != value
+        stored = self.view.items.get(key)
+        return (stored.value if stored else None) != value
 
     def _claim(self, command: ClaimKey) -> ClaimResult:
         self._forget_old_claims(command.at_ms)
@@ -158,7 +159,7 @@
             return ClaimResult(ClaimState.REUSED)
         if claim.done:
             return ClaimResult(ClaimState.DONE, claim.status, claim.headers, claim.body)
-        if command.at_ms - claim.at_ms > CLAIM_OPEN_MS:
+        if command.at_ms - claim.at_ms > CLAIM_OPEN_TIMEOUT_MS:
             return ClaimResult(ClaimState.MAY_HAVE_RUN)
         return ClaimResult(ClaimState.IN_PROGRESS)
 
@@ -183,11 +184,11 @@
 
     def dump(self, members: list[tuple[str, str]]) -> bytes:
         """
-        The whole state as bytes.
+        Encode the whole state, together with the voters.
 
         """
         view = self.view
-        items = {key: (held.value, int(held.revision)) for key, held in view.items.items()}
+        items = {key: (stored.value, int(stored.revision)) for key, stored in view.items.items()}
         dump = Dump(
             view.cluster,
             view.revision,
@@ -201,11 +202,14 @@
 
     def restore(self, data: bytes) -> list[tuple[str, str]]:
         """
-        Take the state of a dump; return its members.
+        Replace the state by that of a dump, and return the dump's voters.
 
         """
         dump = msgspec.msgpack.decode(data, type=Dump)
-        items = {key: Held(value, Revision(made)) for key, (value, made) in dump.items.items()}
+        items = {
+            key: StoredValue(value, Revision(revision))
+            for key, (value, revision) in dump.items.items()
+        }
         self.view.replace(dump.cluster, Revision(dump.revision), items)  # type: ignore[arg-type]
         self.results = OrderedDict(dump.results)
         self.claims = OrderedDict(dump.claims)
--- a/packages/millfork-state/millfork_state/storage.py
+++ b/packages/millfork-state/millfork_state/storage.py
@@ -1,8 +1,8 @@
 """
 A replica's files: the log, the vote and the snapshot.
 
-All under one folder. A record or file counts only once it is synced, but
-for commit marks: losing one costs nothing that was promised.
+All files are in one folder. A record or file counts as written only once it is
+synced. Commit marks are not synced, as losing one loses no acknowledged entry.
 
 """
 
@@ -22,30 +22,30 @@
 from millfork_core.ids import ClusterId, DiskId, LogIndex, Term
 from millfork_core.logs import Part, logger
 
-RECORD: Final = struct.Struct('>II')
+RECORD_HEADER: Final = struct.Struct('>II')
 MAX_RECORD_BYTES: Final = 64 * 1024 * 1024
 VOTE_FILE: Final = 'vote'
 SNAPSHOT_FILE: Final = 'snapshot'
 LOG_FILE: Final = 'log'
-# A disk that is full or failing when a replica starts may be well again within
-# seconds; who waits longer should be looked at by a person.
-DISK_REFUSES: Final = frozenset({errno.ENOSPC, errno.EDQUOT, errno.EFBIG, errno.EIO})
-OPEN_RETRY_S: Final = 0.5
-OPEN_PATIENCE_S: Final = 60.0
+# A disk that is full or failing when a replica starts may recover within seconds.
+# A replica that can't start for longer than OPEN_TIMEOUT_S needs an operator.
+RETRIED_DISK_ERRORS: Final = frozenset({errno.ENOSPC, errno.EDQUOT, errno.EFBIG, errno.EIO})
+OPEN_RETRY_DELAY_S: Final = 0.5
+OPEN_TIMEOUT_S: Final = 60.0
 
 log = logger(Part.STATE)
 
 
 class CorruptStorage(Exception):
     """
-    A file is damaged in a way that no torn write explains.
+    A file is damaged in a way that a torn write can't cause.
 
     """
 
 
 class LogEntry(msgspec.Struct, frozen=True):
     """
-    One entry of the log; the payload is an encoded command.
+    One entry of the log. The payload is an encoded command.
 
     """
 
@@ -64,7 +64,7 @@
 
 class Vote(msgspec.Struct):
     """
-    What must survive a restart: whose disk this is, the term, the vote.
+    The disk's id, the cluster, the current term and the vote in it, kept over restarts.
 
     """
 
@@ -76,7 +76,7 @@
 
 class Snapshot(msgspec.Struct, frozen=True):
     """
-    The machine's dump after the entry at `index`.
+    The dump of the state machine after it applied the entry at `index`.
 
     """
 
@@ -90,7 +90,7 @@
 
 
 def frame_record(body: bytes) -> bytes:
-    return RECORD.pack(len(body), zlib.crc32(body)) + body
+    return RECORD_HEADER.pack(len(body), zlib.crc32(body)) + body
 
 
 def _sync_folder(folder: Path) -> None:
@@ -103,7 +103,7 @@
 
 def write_file(path: Path, body: bytes) -> None:
     """
-    Replace a file as a whole, durably.
+    Replace a file atomically and durably.
 
     """
     temporary = path.with_suffix('.tmp')
@@ -117,50 +117,50 @@
 
 def read_file(path: Path) -> bytes | None:
     """
-    A file written by `write_file`, or None if there is none.
+    The body of a file written by `write_file`, or None if the file doesn't exist.
 
-    :raises CorruptStorage: if its checksum does not hold.
+    :raises CorruptStorage: if the file is too short or its checksum doesn't match.
 
     """
     try:
         data = path.read_bytes()
     except FileNotFoundError:
         return None
-    if len(data) < RECORD.size:
-        raise CorruptStorage(f'{path} is cut short')
-    length, checksum = RECORD.unpack_from(data)
-    body = data[RECORD.size :]
+    if len(data) < RECORD_HEADER.size:
+        raise CorruptStorage(f'{path} is shorter than its header')
+    length, checksum = RECORD_HEADER.unpack_from(data)
+    body = data[RECORD_HEADER.size :]
     if len(body) != length or zlib.crc32(body) != checksum:
         raise CorruptStorage(f'{path} fails its checksum')
     return body
 
 
 @dataclass(slots=True)
-class _Scan:
+class _LogContents:
     entries: list[LogEntry]
     commit: int
-    good_bytes: int
+    valid_bytes: int
 
 
-def _scan(data: bytes, path: Path) -> _Scan:
-    scan = _Scan([], 0, 0)
-    while scan.good_bytes < len(data):
-        body = _record_at(data, scan.good_bytes)
+def _parse_log(data: bytes, path: Path) -> _LogContents:
+    contents = _LogContents([], 0, 0)
+    while contents.valid_bytes < len(data):
+        body = _record_at(data, contents.valid_bytes)
         if body is None:
-            _check_torn(data, scan.good_bytes, path)
-            return scan
+            _check_torn_write(data, contents.valid_bytes, path)
+            return contents
         record = _RECORDS.decode(body)
-        scan.good_bytes += RECORD.size + len(body)
+        contents.valid_bytes += RECORD_HEADER.size + len(body)
         if isinstance(record, _CommitMark):
-            scan.commit = max(scan.commit, record.index)
+            contents.commit = max(contents.commit, record.index)
             continue
-        _put(scan.entries, record.entry)
-    return scan
+        _append_entry(contents.entries, record.entry)
+    return contents
 
 
-def _put(entries: list[LogEntry], entry: LogEntry) -> None:
+def _append_entry(entries: list[LogEntry], entry: LogEntry) -> None:
     """
-    A later record of an index replaces that index and all after it.
+    Append an entry. It replaces the entry at its index and all later ones.
 
     """
     while entries and entries[-1].index >= entry.index:
@@ -169,31 +169,32 @@
 
 
 def _record_at(data: bytes, offset: int) -> bytes | None:
-    if len(data) - offset < RECORD.size:
+    if len(data) - offset < RECORD_HEADER.size:
         return None
-    length, checksum = RECORD.unpack_from(data, offset)
-    body = data[offset + RECORD.size : offset + RECORD.size + length]
+    length, checksum = RECORD_HEADER.unpack_from(data, offset)
+    body = data[offset + RECORD_HEADER.size : offset + RECORD_HEADER.size + length]
     if not length or len(body) != length or zlib.crc32(body) != checksum:
         return None
     return body
 
 
-def _check_torn(data: bytes, offset: int, path: Path) -> None:
+def _check_torn_write(data: bytes, offset: int, path: Path) -> None:
     """
-    A torn write is the file's end; whole records behind it mean damage.
+    Raise CorruptStorage if a complete record follows the bad one at `offset`: a torn write
+    can only be at the end of the file.
 
     """
-    if len(data) - offset < RECORD.size:
+    if len(data) - offset < RECORD_HEADER.size:
         return
-    length, _ = RECORD.unpack_from(data, offset)
-    behind = offset + RECORD.size + length
-    if length <= MAX_RECORD_BYTES and _record_at(data, behind) is not None:
+    length, _ = RECORD_HEADER.unpack_from(data, offset)
+    next_offset = offset + RECORD_HEADER.size + length
+    if length <= MAX_RECORD_BYTES and _record_at(data, next_offset) is not None:
         raise CorruptStorage(f'{path} is damaged at byte {offset}')
 
 
 class Storage:
     """
-    The files of one replica, and the log's entries in memory.
+    The files of one replica, and in memory the log entries after the snapshot.
 
     """
 
@@ -206,8 +207,8 @@
         self.entries: list[LogEntry] = []
         self.torn_bytes = 0
         self.commit_hint = self._load_log()
-        # The last index known durable; what is in memory may be ahead of it.
-        self.durable = int(self.last_index)
+        # The last index known durable. Entries in memory may be ahead of it.
+        self.durable_index = int(self.last_index)
         self.file = self.log_path.open('ab', buffering=0)
         self.size = self.log_path.stat().st_size
 
@@ -233,27 +234,27 @@
 
     def _load_log(self) -> int:
         data = self.log_path.read_bytes() if self.log_path.exists() else b''
-        scan = _scan(data, self.log_path)
-        self.torn_bytes = len(data) - scan.good_bytes
+        contents = _parse_log(data, self.log_path)
+        self.torn_bytes = len(data) - contents.valid_bytes
         if self.torn_bytes:
-            os.truncate(self.log_path, scan.good_bytes)
-        start = self.snapshot.index if self.snapshot else 0
-        self.entries = [entry for entry in scan.entries if entry.index > start]
-        if self.entries and self.entries[0].index != start + 1:
-            raise CorruptStorage(f'{self.log_path} does not follow its snapshot')
-        return min(scan.commit, self.last_index)
+            os.truncate(self.log_path, contents.valid_bytes)
+        covered = self.snapshot.index if self.snapshot else 0
+        self.entries = [entry for entry in contents.entries if entry.index > covered]
+        if self.entries and self.entries[0].index != covered + 1:
+            raise CorruptStorage(f'{self.log_path} lacks entries after its snapshot')
+        return min(contents.commit, self.last_index)
 
     @property
-    def first_index(self) -> LogIndex:
+    def snapshot_index(self) -> LogIndex:
         """
-        The index before the first entry kept.
+        The last index that the snapshot covers, 0 without a snapshot.
 
         """
         return LogIndex(self.snapshot.index if self.snapshot else 0)
 
     @property
     def last_index(self) -> LogIndex:
-        return LogIndex(self.entries[-1].index) if self.entries else self.first_index
+        return LogIndex(self.entries[-1].index) if self.entries else self.snapshot_index
 
     @property
     def last_term(self) -> Term:
@@ -263,25 +264,25 @@
 
     def term_at(self, index: int) -> int | None:
         """
-        The term of the entry at `index`, or None if it is not kept.
+        The term of the entry at `index`, or None if the log doesn't hold it.
 
         """
-        if index == self.first_index:
+        if index == self.snapshot_index:
             return self.snapshot.term if self.snapshot else 0
-        if index < self.first_index or index > self.last_index:
+        if index < self.snapshot_index or index > self.last_index:
             return None
-        return self.entries[index - self.first_index - 1].term
+        return self.entries[index - self.snapshot_index - 1].term
 
     def entry_at(self, index: int) -> LogEntry:
-        return self.entries[index - self.first_index - 1]
+        return self.entries[index - self.snapshot_index - 1]
 
-    def entries_from(self, index: int, most: int) -> list[LogEntry]:
-        start = index - self.first_index - 1
-        return self.entries[start : start + most]
+    def entries_from(self, index: int, max_entries: int) -> list[LogEntry]:
+        start = index - self.snapshot_index - 1
+        return self.entries[start : start + max_entries]
 
     async def save_vote(self, term: int, voted_for: str, cluster: str = '') -> None:
         """
-        Make term and vote durable.
+        Store term and vote durably. An empty `cluster` keeps the stored one.
 
         """
         vote = Vote(self.vote.disk, cluster or self.vote.cluster, term, voted_for)
@@ -290,71 +291,73 @@
 
     def write_entries(self, entries: list[LogEntry]) -> None:
         """
-        Write entries, which replace any at their indexes. Not yet durable.
+        Write entries, which replace the log from the first one's index on. They are durable
+        only after `sync`.
 
-        :raises OSError: if the disk takes no bytes; the log is unchanged.
+        :raises OSError: if the disk refuses the write; the log is then unchanged.
 
         """
         records = [frame_record(msgspec.msgpack.encode(_EntryRecord(entry))) for entry in entries]
         self._append_bytes(b''.join(records))
         for entry in entries:
-            _put(self.entries, entry)
+            _append_entry(self.entries, entry)
         if entries:
-            self.durable = min(self.durable, entries[0].index - 1)
+            self.durable_index = min(self.durable_index, entries[0].index - 1)
 
     def write_commit(self, index: int) -> None:
         """
-        Note that `index` is committed; not synced, as losing it is harmless.
+        Record that `index` is committed. The record is not synced, as losing it is harmless.
 
         """
         try:
             self._append_bytes(frame_record(msgspec.msgpack.encode(_CommitMark(index))))
         except OSError as error:
-            log.warning('No commit mark written at index {}: {}.', index, error)
+            log.warning('Could not write the commit mark of index {}: {}.', index, error)
 
     def _append_bytes(self, data: bytes) -> None:
         """
-        Write at the end of the log; on a failure nothing of it stays, as
-        records behind a torn one would look like damage.
+        Write at the end of the log. Bytes of an earlier write that failed are truncated first,
+        as records after a torn one would look like damage.
 
         """
         if self.log_path.stat().st_size != self.size:
             os.ftruncate(self.file.fileno(), self.size)
-        rest = memoryview(data)
-        while rest:
-            rest = rest[self.file.write(rest) :]
+        remaining = memoryview(data)
+        while remaining:
+            remaining = remaining[self.file.write(remaining) :]
         self.size += len(data)
 
     async def sync(self) -> None:
         """
-        Make all written entries durable.
+        Make all entries written before this call durable.
 
         """
         written = int(self.last_index)
         await curio.run_in_thread(os.fdatasync, self.file.fileno())
-        self.durable = written
+        self.durable_index = written
 
     async def save_snapshot(self, snapshot: Snapshot) -> None:
         """
-        Make a snapshot durable, then drop the entries it covers.
+        Store a snapshot durably, then remove the entries that it covers from the log. If the
+        log disagrees with the snapshot, all its entries are removed.
 
         """
         body = msgspec.msgpack.encode(snapshot)
         await curio.run_in_thread(write_file, self.folder / SNAPSHOT_FILE, body)
-        follows = self.term_at(snapshot.index) == snapshot.term
-        kept = [entry for entry in self.entries if follows and entry.index > snapshot.index]
+        is_consistent = self.term_at(snapshot.index) == snapshot.term
+        kept = [entry for entry in self.entries if is_consistent and entry.index > snapshot.index]
         self.snapshot = snapshot
         self.entries = kept
         await self._rewrite_log(kept, snapshot.index)
-        self.durable = int(self.last_index)
+        self.durable_index = int(self.last_index)
 
     async def _rewrite_log(self, entries: list[LogEntry], commit: int) -> None:
         records = [frame_record(msgspec.msgpack.encode(_EntryRecord(entry))) for entry in entries]
         records.append(frame_record(msgspec.msgpack.encode(_CommitMark(commit))))
         temporary = self.log_path.with_suffix('.tmp')
         body = b''.join(records)
-        with temporary.open('wb') as whole:
-            whole.write(body)
+        with temporary.open('wb') as new_log:
+            new_log.write(body)
         file = temporary.open('ab', buffering=0)
         await curio.run_in_thread(os.fdatasync, file.fileno())
         temporary.replace(self.log_path)
@@ -369,18 +372,19 @@
 
 def open_storage(folder: Path) -> Storage:
     """
-    The files in a folder, once its disk takes writes. Blocks, as a replica
-    can't do anything before.
+    Open the files in a folder, and retry while its disk refuses writes. Blocks the
+    process, as a replica can't do anything without its files.
 
-    :raises OSError: if the disk refuses for too long, or for another reason.
+    :raises OSError: if the disk refuses writes for longer than `OPEN_TIMEOUT_S`, or if the
+        error is none of `RETRIED_DISK_ERRORS`.
 
     """
-    until = time.monotonic() + OPEN_PATIENCE_S
+    deadline = time.monotonic() + OPEN_TIMEOUT_S
     while True:
         try:
             return Storage(folder)
         except OSError as error:
-            if error.errno not in DISK_REFUSES or time.monotonic() > until:
+            if error.errno not in RETRIED_DISK_ERRORS or time.monotonic() > deadline:
                 raise
-            log.error('The disk refuses writes: {}. Waiting to start.', error)
-            time.sleep(OPEN_RETRY_S)
+            log.error('The disk refuses writes: {}. The start is retried.', error)
+            time.sleep(OPEN_RETRY_DELAY_S)
--- a/packages/millforkd/millforkd/replica/replica_links.py
+++ b/packages/millforkd/millforkd/replica/replica_links.py
@@ -141,7 +141,7 @@
         for instance, _ in self.replica.members:
             if instance != self.env.instance:
                 self.discovery.add_replica(instance)
-                self.replica.learn_address(address_of(instance))
+                self.replica.add_address(address_of(instance))
 
     def _check_for_pause(self) -> None:
         """
@@ -175,7 +175,7 @@
             self.followers.entries_by_other_replica.pop(str(address.instance), None)
             return
         self.last_heard_at[str(address.instance)] = self.env.monotonic()
-        self.replica.learn_address(address)
+        self.replica.add_address(address)
         self.followers.entries_by_other_replica[str(address.instance)] = reply.entries
         self.version_cutoffs.record_answer(asked_at, reply.switches)
         await self._follow(address)
@@ -209,7 +209,7 @@
         caches = self.followers.local_caches()
         if message.instance:
             self.discovery.add_replica(message.instance)
-            self.replica.learn_address(address_of(message.instance))
+            self.replica.add_address(address_of(message.instance))
             self.last_heard_at[message.instance] = self.env.monotonic()
             self.followers.entries_by_other_replica[message.instance] = message.entries
         else:
--- a/tests/test_feed_relay.py
+++ b/tests/test_feed_relay.py
@@ -16,7 +16,7 @@
 from millfork_registry.records import EndpointState
 from millfork_registry.registry import Registry
 from millfork_registry.suspicion_store import Suspicion
-from millfork_state.view import Held, View
+from millfork_state.view import StoredValue, View
 from millfork_wire.connection import PeerTimedOut
 from millfork_wire.messages import AskFeed, CacheAddress, VersionSwitch
 
@@ -39,7 +39,7 @@
         env = Environment(InstanceId(name), ZoneId(ZONES[name]))
         peers = SimpleNamespace(call=lambda *args: self.call(name, *args), connections={})
         view = View()
-        view.replace(ClusterId('c'), Revision(1), {'key': Held(b'old', Revision(1))})
+        view.replace(ClusterId('c'), Revision(1), {'key': StoredValue(b'old', Revision(1))})
         discovery = Discovery(env, peers, [])
         discovery.caches = lambda: CACHES
         return FeedRelay(env, FeedClient(env, 'entry', view, Registry(env, 1.0), peers, discovery))
@@ -88,7 +88,7 @@
     async def run():
         cut_off = followers.relays[CUT].feed_client
         neighbour = followers.relays[NEAR].feed_client
-        neighbour.view.change(Revision(2), {'key': Held(b'new', Revision(2))}, [])
+        neighbour.view.apply_change(Revision(2), {'key': StoredValue(b'new', Revision(2))}, [])
         neighbour.registry.merge_endpoint_state(state(1, 5))
         task = await curio.spawn(followers.relays[CUT].run, daemon=True)
         connected = (NEAR, FAR)
@@ -145,7 +145,7 @@
     async def run():
         cut_off = followers.relays[CUT].feed_client
         other = followers.relays[NEAR].feed_client
-        other.view.change(Revision(2), {'key': Held(b'new', Revision(2))}, [])
+        other.view.apply_change(Revision(2), {'key': StoredValue(b'new', Revision(2))}, [])
         update = other.view.update_since('c', 1)
         assert await cut_off.handle_feed_message(InstanceId(NEAR), update)
         assert cut_off.view.items['key'].value == b'old'
--- a/tests/test_seeded.py
+++ b/tests/test_seeded.py
@@ -1,5 +1,5 @@
 """
-Seeded fleets: settings from templates, the first state, voters that change.
+Seeded fleets: settings from templates, formation of the state, changes of its voters.
 
 """
 
@@ -21,9 +21,9 @@
 from millfork_settings.seeded import SeededRole, SeededSettings
 from millfork_state.commands import Raise, SetMembers, decode_versioned, encode_command
 from millfork_state.formation import Seeds
-from millfork_state.leadership import SILENT_VOTER_S, Leadership
-from millfork_state.machine import Machine
+from millfork_state.leadership import SILENT_VOTER_TIMEOUT_S, Leadership
 from millfork_state.replica import Replica
+from millfork_state.state_machine import StateMachine
 from millfork_state.storage import LogEntry, Storage
 from millfork_state.view import View
 
@@ -31,7 +31,7 @@
 SEEDS = ['10.1.0.43:8000', '10.2.0.39:8000']
 
 
-def filled(name, **bounds):
+def filled_template(name, **bounds):
     place = Place('front-1', '10.1.0.40', 'z1', 'r1', 7700, 8000, 8005, 8002, SEEDS, True)
     place.engine, place.service = '10.1.0.44:8001', 's'
     place.bounds.update(bounds)
@@ -39,14 +39,14 @@
 
 
 @pytest.mark.parametrize('role', SeededRole, ids=lambda role: role.value)
-def test_each_template_makes_good_settings_also_with_empty_bounds(role, tmp_path):
+def test_each_template_yields_valid_settings_also_with_empty_bounds(role, tmp_path):
     path = tmp_path / 'settings.yaml'
-    path.write_text(filled(f'{role.value}.yaml', version_ms=None))
+    path.write_text(filled_template(f'{role.value}.yaml', version_ms=None))
     settings = load(path, SeededSettings)
     assert settings.role is role
     assert settings.seed_instances == ['10.1.0.43:7700', '10.2.0.39:7700']
     assert settings.first_start
-    # No value for it was given above.
+    # The settings name no value for it.
     assert settings.promises.version_ms == 8000
 
 
@@ -60,16 +60,16 @@
 
 def test_settings_without_what_their_role_needs_are_refused(tmp_path):
     path = tmp_path / 'settings.yaml'
-    path.write_text(filled('entry.yaml').replace('callers:', 'other:'))
+    path.write_text(filled_template('entry.yaml').replace('callers:', 'other:'))
     with pytest.raises(BadFile):
         load(path, SeededSettings)
 
 
-def test_one_seed_alone_begins_the_state_and_only_at_the_first_start():
+def test_exactly_one_seed_forms_the_state_and_only_at_the_first_start():
     others = [address_of('10.0.0.2:1'), address_of('10.0.0.3:1')]
-    assert Seeds(others, may_form=True).forms_here(InstanceId('10.0.0.1:1'))
-    assert not Seeds(others, may_form=True).forms_here(InstanceId('10.0.0.9:1'))
-    assert not Seeds(others, may_form=False).forms_here(InstanceId('10.0.0.1:1'))
+    assert Seeds(others, may_form=True).writes_first_entry(InstanceId('10.0.0.1:1'))
+    assert not Seeds(others, may_form=True).writes_first_entry(InstanceId('10.0.0.9:1'))
+    assert not Seeds(others, may_form=False).writes_first_entry(InstanceId('10.0.0.1:1'))
 
 
 def replica_at(folder, instance='a:1', losses=1):
@@ -77,9 +77,9 @@
     return Replica(env, StateSettings(losses=losses), Storage(folder), View(), None, [])
 
 
-def leading(folder, others, losses=1):
+def leadership_of(folder, others, losses=1):
     """
-    A leader of itself and `others`, all of which have its whole log.
+    The leadership of replica a:1 over itself and `others`, all of which have its whole log.
 
     """
     replica = replica_at(folder, losses=losses)
@@ -93,7 +93,7 @@
 
     curio.run(write)
     for name in others:
-        replica.learn_address(address_of(name))
+        replica.add_address(address_of(name))
     leadership = Leadership(replica)
     for progress in leadership.progress:
         progress.disk = f'disk-{progress.address.instance}'
@@ -108,38 +108,38 @@
 def silence(leadership, name):
     for progress in leadership.progress:
         if progress.address.instance == name:
-            progress.acked_at -= SILENT_VOTER_S + 1
+            progress.acked_at -= SILENT_VOTER_TIMEOUT_S + 1
 
 
-def newcomer(leadership, name, match=1):
-    leadership.replica.learn_address(address_of(name))
-    fresh = Leadership(leadership.replica).progress[-1]
-    fresh.disk, fresh.match = f'disk-{name}', match
-    leadership.progress.append(fresh)
+def add_replica(leadership, name, match=1):
+    leadership.replica.add_address(address_of(name))
+    progress = Leadership(leadership.replica).progress[-1]
+    progress.disk, progress.match = f'disk-{name}', match
+    leadership.progress.append(progress)
 
 
 def test_a_replica_at_a_new_address_joins_once_it_has_caught_up(tmp_path):
-    leadership = leading(tmp_path, ['b:1', 'c:1'])
-    newcomer(leadership, 'd:1', match=0)
-    assert leadership._due_change() is None
+    leadership = leadership_of(tmp_path, ['b:1', 'c:1'])
+    add_replica(leadership, 'd:1', match=0)
+    assert leadership._next_members() is None
     leadership.progress[-1].match = 1
-    assert names(leadership._due_change()) == ['a:1', 'b:1', 'c:1', 'd:1']
+    assert names(leadership._next_members()) == ['a:1', 'b:1', 'c:1', 'd:1']
 
 
-def test_a_silent_voter_leaves_only_while_enough_are_left(tmp_path):
-    three = leading(tmp_path / 'three', ['b:1', 'c:1'])
+def test_a_silent_voter_is_removed_only_if_enough_voters_remain(tmp_path):
+    three = leadership_of(tmp_path / 'three', ['b:1', 'c:1'])
     silence(three, 'b:1')
-    assert three._due_change() is None
-    four = leading(tmp_path / 'four', ['b:1', 'c:1', 'd:1'])
+    assert three._next_members() is None
+    four = leadership_of(tmp_path / 'four', ['b:1', 'c:1', 'd:1'])
     silence(four, 'b:1')
-    assert names(four._due_change()) == ['a:1', 'c:1', 'd:1']
-    six = leading(tmp_path / 'six', ['b:1', 'c:1', 'd:1', 'e:1'], losses=2)
+    assert names(four._next_members()) == ['a:1', 'c:1', 'd:1']
+    six = leadership_of(tmp_path / 'six', ['b:1', 'c:1', 'd:1', 'e:1'], losses=2)
     silence(six, 'b:1')
-    assert six._due_change() is None
+    assert six._next_members() is None
 
 
-def test_the_higher_version_prevails_and_what_is_held_is_never_replaced():
-    machine = Machine(View())
+def test_only_a_higher_version_replaces_the_stored_value():
+    machine = StateMachine(View())
     assert machine.apply(Raise('document', 2, b'two')).raised
     again = machine.apply(Raise('document', 2, b'other'))
     assert (again.raised, again.version) == (False, 2)
@@ -156,13 +156,13 @@
 
 
 @given(RAISES, st.integers(0, 30))
-def test_in_any_order_the_first_of_the_highest_version_stands(raises, restored_at):
-    machine = Machine(View())
+def test_in_any_order_the_first_value_of_the_highest_version_remains(raises, restored_at):
+    machine = StateMachine(View())
     expected: dict[str, tuple[int, bytes]] = {}
     for step, (key, version, body) in enumerate(raises):
         if step == restored_at:
             dump = machine.dump([])
-            machine = Machine(View())
+            machine = StateMachine(View())
             machine.restore(dump)
         before = machine.view.revision
         result = machine.apply(Raise(key, version, body))
@@ -178,26 +178,26 @@
 
 class FullDisk:
     """
-    A log file that takes a part of a write and then no more.
+    A log file on a disk that takes `free_bytes` bytes and is then full.
 
     """
 
-    def __init__(self, file, room):
+    def __init__(self, file, free_bytes):
         self.file = file
-        self.room = room
+        self.free_bytes = free_bytes
 
     def write(self, data):
-        if self.room <= 0:
+        if self.free_bytes <= 0:
             raise OSError(28, 'no space left')
-        taken = self.file.write(bytes(data[: self.room]))
-        self.room -= taken
-        return taken
+        written = self.file.write(bytes(data[: self.free_bytes]))
+        self.free_bytes -= written
+        return written
 
     def fileno(self):
         return self.file.fileno()
 
 
-def test_a_write_that_a_full_disk_cut_leaves_no_trace(tmp_path):
+def test_a_partial_write_to_a_full_disk_is_truncated(tmp_path):
     storage = Storage(tmp_path)
     storage.write_entries([LogEntry(1, 1, b'one')])
     real = storage.file
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -3,7 +3,7 @@
 import curio
 import pytest
 
-from millfork_state import storage as storages
+from millfork_state import storage as storage_module
 from millfork_state.storage import CorruptStorage, LogEntry, Snapshot, Storage
 
 
@@ -68,16 +68,16 @@
     assert first.disk == again.disk != other.disk
 
 
-def test_snapshot_drops_what_it_covers_and_keeps_the_rest(tmp_path):
+def test_a_snapshot_removes_the_entries_it_covers_and_keeps_later_ones(tmp_path):
     storage = Storage(tmp_path)
     storage.write_entries(entries(1, 2, 3, 4, 5))
     curio.run(storage.save_snapshot, Snapshot(3, 1, [('a', 'disk')], b'dump'))
     storage.write_entries(entries(6))
     storage.close()
-    again = Storage(tmp_path)
-    assert [entry.index for entry in again.entries] == [4, 5, 6]
-    assert (again.first_index, again.last_index, again.term_at(3)) == (3, 6, 1)
-    assert again.commit_hint == 3
+    reopened = Storage(tmp_path)
+    assert [entry.index for entry in reopened.entries] == [4, 5, 6]
+    assert (reopened.snapshot_index, reopened.last_index, reopened.term_at(3)) == (3, 6, 1)
+    assert reopened.commit_hint == 3
 
 
 def test_commit_mark_survives_but_never_exceeds_the_log(tmp_path):
@@ -90,14 +90,14 @@
 
 class RefusingDisk:
     """
-    Refuses the first writes with an error, then takes them.
+    Stands in for `write_file`: fails the first `times` calls with error `number`.
 
     """
 
     def __init__(self, number, times):
         self.number = number
         self.times = times
-        self.write = storages.write_file
+        self.write = storage_module.write_file
 
     def __call__(self, path, body):
         if self.times:
@@ -107,18 +107,20 @@
 
 
 def test_a_replica_waits_for_a_disk_that_is_full_when_it_starts(tmp_path, monkeypatch):
-    monkeypatch.setattr(storages, 'OPEN_RETRY_S', 0.01)
+    monkeypatch.setattr(storage_module, 'OPEN_RETRY_DELAY_S', 0.01)
     disk = RefusingDisk(errno.ENOSPC, 3)
-    monkeypatch.setattr(storages, 'write_file', disk)
-    opened = storages.open_storage(tmp_path / 'state')
+    monkeypatch.setattr(storage_module, 'write_file', disk)
+    opened = storage_module.open_storage(tmp_path / 'state')
     assert disk.times == 0
-    assert storages.open_storage(tmp_path / 'state').disk == opened.disk
+    assert storage_module.open_storage(tmp_path / 'state').disk == opened.disk
 
 
-@pytest.mark.parametrize(('number', 'patience_s'), [(errno.EACCES, 60.0), (errno.ENOSPC, 0.0)])
-def test_it_does_not_wait_for_what_will_not_mend(tmp_path, monkeypatch, number, patience_s):
-    monkeypatch.setattr(storages, 'OPEN_RETRY_S', 0.01)
-    monkeypatch.setattr(storages, 'OPEN_PATIENCE_S', patience_s)
-    monkeypatch.setattr(storages, 'write_file', RefusingDisk(number, 99))
+@pytest.mark.parametrize(('number', 'timeout_s'), [(errno.EACCES, 60.0), (errno.ENOSPC, 0.0)])
+def test_a_replica_does_not_wait_for_other_errors_or_beyond_the_timeout(
+    tmp_path, monkeypatch, number, timeout_s
+):
+    monkeypatch.setattr(storage_module, 'OPEN_RETRY_DELAY_S', 0.01)
+    monkeypatch.setattr(storage_module, 'OPEN_TIMEOUT_S', timeout_s)
+    monkeypatch.setattr(storage_module, 'write_file', RefusingDisk(number, 99))
     with pytest.raises(OSError, match='refused'):
-        storages.open_storage(tmp_path / 'state')
+        storage_module.open_storage(tmp_path / 'state')
--- a/tests/test_version_cutoffs.py
+++ b/tests/test_version_cutoffs.py
@@ -14,7 +14,7 @@
 from millfork_wire.messages import VersionSwitch
 from millforkd.versions import CUT_S, UNTOLD_MS, Versions, never_leads
 from tests.test_servers import Clock
-from tests.test_versions import SWITCH_MS, SWITCH_S, name
+from tests.test_versions import SWITCH_MS, SWITCH_S, set_version
 
 
 def switches_with(left_s, version=2):
@@ -75,7 +75,7 @@
 def test_an_older_version_stays_usable_for_a_while_until_an_answer_arrives(
     view, cutoffs, clock, follower
 ):
-    name(view, follower, 2)
+    set_version(view, follower, 2)
     learned_at = clock.now
     assert follower.ends_at('m', 1) == pytest.approx(learned_at + UNTOLD_MS / 1000 - CUT_S)
     cutoffs.record_answer(clock.now, switches_with(SWITCH_S - 0.5))
@@ -85,7 +85,7 @@
 def test_a_version_named_before_the_follower_started_is_due_without_an_answer(view, cutoffs, clock):
     env = Environment(InstanceId('a:1'), ZoneId('zone'), monotonic=clock)
     follower = Versions(env, view, SWITCH_MS, cutoffs, UNTOLD_MS, never_leads)
-    name(view, follower, 2)
+    set_version(view, follower, 2)
     assert follower.least('m') == 2
     cutoffs.record_answer(clock.now, switches_with(3.0))
     assert follower.least('m') == 0
@@ -94,7 +94,7 @@
 
 def test_the_cutoff_of_a_superseded_version_is_kept(view, cutoffs, clock, follower):
     cutoffs.record_answer(clock.now, switches_with(2.0, version=2) + switches_with(5.0, version=3))
-    name(view, follower, 3)
+    set_version(view, follower, 3)
     assert follower.ends_at('m', 1) == pytest.approx(clock.now + 2.0 - CUT_S)
     assert follower.ends_at('m', 2) == pytest.approx(clock.now + 5.0 - CUT_S)
     assert [item.version for item in follower.switches()] == [2, 3]
@@ -102,7 +102,7 @@
 
 def test_only_a_leader_or_a_process_with_an_answer_reports_a_switch(view, cutoffs, clock):
     replica = versions(clock, view, cutoffs, 0, never_leads)
-    name(view, replica, 2)
+    set_version(view, replica, 2)
     assert replica.switches() == []
     assert replica.least('m') == 2
     cutoffs.record_answer(clock.now, switches_with(3.0))
@@ -112,7 +112,7 @@
 def test_a_leader_counts_from_when_it_learned_of_a_version_even_before_it_led(view, cutoffs, clock):
     leading = []
     replica = versions(clock, view, cutoffs, 0, lambda: bool(leading))
-    name(view, replica, 2)
+    set_version(view, replica, 2)
     clock.now += 1.5
     leading.append(True)
     assert [item.left_ms for item in replica.switches()] == [6500]
@@ -120,7 +120,7 @@
 
 def test_the_newest_version_is_reported_even_after_its_cutoff(view, cutoffs, clock):
     replica = versions(clock, view, cutoffs, 0, lambda: True)
-    name(view, replica, 2)
-    name(view, replica, 3)
+    set_version(view, replica, 2)
+    set_version(view, replica, 3)
     clock.now += SWITCH_S + 60
     assert [(item.version, item.left_ms) for item in replica.switches()] == [(3, 0)]
--- a/tests/test_version_ends_after_restart.py
+++ b/tests/test_version_ends_after_restart.py
@@ -15,7 +15,7 @@
 from millfork_core.ids import InstanceId, ZoneId
 from millfork_registry.version_cutoffs import VersionCutoffs
 from millfork_standins.seeded import SeededFleet
-from millfork_state.storage import LOG_FILE, RECORD
+from millfork_state.storage import LOG_FILE, RECORD_HEADER
 from millfork_state.view import View
 from millfork_wire.messages import VersionSwitch
 from millforkd.replica.daemon import STATE_FOLDER
@@ -23,7 +23,7 @@
 from tests.test_seeded_fleet import document, request
 from tests.test_servers import Clock
 from tests.test_version_ends import LEARNED, name_version, pass_time
-from tests.test_versions import SWITCH_MS, SWITCH_S, name
+from tests.test_versions import SWITCH_MS, SWITCH_S, set_version
 from tests.utils.fleets import wait_until
 
 VERSION_MS = 3000
@@ -85,7 +85,7 @@
     data = log.read_bytes()
     at = data.rindex(b'\xa4type\xa1c')
     # The mark's record is a header of fixed size and a map with two items.
-    log.write_bytes(data[: at - 1 - RECORD.size])
+    log.write_bytes(data[: at - 1 - RECORD_HEADER.size])
 
 
 def test_a_starting_entry_gets_no_later_cutoff_from_a_replica_that_was_away(fleet):
@@ -142,7 +142,7 @@
     entry = Versions(env, view, SWITCH_MS, cutoffs, UNTOLD_MS, never_leads)
     named = VersionSwitch('m', 2, SWITCH_MS)
     cutoffs.record_answer(clock.now, [named])
-    name(view, entry, 2)
+    set_version(view, entry, 2)
     clock.now += SWITCH_S + 60
     assert entry.least('m') == 2
     # The restarted replica reports the version as newly named.
@@ -161,7 +161,7 @@
         made.refresh()
         replicas.append(made)
     for number in range(2):
-        name(views[number], replicas[number], 2)
+        set_version(views[number], replicas[number], 2)
     true_end = clock.now + SWITCH_S
 
     def ask(asker, answerer, took_s):
