--- a/packages/millforkd/millforkd/proxy/cache.py
+++ b/packages/millforkd/millforkd/proxy/cache.py
@@ -22,9 +22,9 @@
 from millfork_wire.connection import PeerError
 from millfork_wire.messages import CacheAddress, Chunk, GetChunk, GetManifest, Manifest
 from millfork_wire.peers import Peers
-from millforkd.beside.intake import keep_if_good
-from millforkd.beside.origin import Origin
-from millforkd.beside.pieces import (
+from millforkd.sidecar.intake import keep_if_good
+from millforkd.sidecar.origin import Origin
+from millforkd.sidecar.pieces import (
     PieceSet,
     PieceStore,
     WeightsId,
@@ -32,8 +32,8 @@
     encode_digests,
     parse_weights_id,
 )
-from millforkd.beside.silence import SilentPeers
-from millforkd.beside.sources import DIGESTS, in_turn
+from millforkd.sidecar.silence import SilentPeers
+from millforkd.sidecar.sources import DIGESTS, in_turn
 
 # Pieces drawn from the origin at once: enough to fill its link.
 DRAWN_AT_ONCE: Final = 3
--- a/packages/millforkd/millforkd/proxy/daemon.py
+++ b/packages/millforkd/millforkd/proxy/daemon.py
@@ -31,7 +31,6 @@
 from millfork_wire.connection import Connection, PeerError
 from millfork_wire.messages import Message
 from millforkd.admin import Admin
-from millforkd.beside.origin import Origin, origin_in
 from millforkd.document import document_in
 from millforkd.proxy.admission import Admission
 from millforkd.proxy.asking import LoadQuestions
@@ -43,6 +42,7 @@
 from millforkd.proxy.suspicions import SuspicionTeller
 from millforkd.quarantine import Quarantine
 from millforkd.seeded import feed_for, fleet_key
+from millforkd.sidecar.origin import Origin, origin_in
 
 # The balancer asks each second and needs two misses to look away.
 BALANCER_LOOKS_AWAY_S: Final = 2.5
--- a/packages/millforkd/millforkd/proxy/questions.py
+++ b/packages/millforkd/millforkd/proxy/questions.py
@@ -17,7 +17,7 @@
 from millfork_wire.connection import Connection, PeerError, PeerTimedOut
 from millfork_wire.messages import Message
 from millfork_wire.peers import Peers
-from millforkd.beside.silence import PASSED_OVER_S, SilentPeers
+from millforkd.sidecar.silence import PASSED_OVER_S, SilentPeers
 
 # Where others are heard on a connection more often, a single question may be late.
 SILENT_S: Final = 1.0
--- a/packages/millforkd/millforkd/beside/daemon.py
+++ b/packages/millforkd/millforkd/sidecar/daemon.py
@@ -24,25 +24,25 @@
 from millfork_wire.connection import Connection, PeerError
 from millfork_wire.messages import Chunk, Done, EndpointReport, Manifest, Message
 from millforkd.admin import Admin
-from millforkd.beside.engine import LocalEngine
-from millforkd.beside.expiry import Expiry
-from millforkd.beside.fleet import Fleet
-from millforkd.beside.gathering import Gathering
-from millforkd.beside.layout import serves_whole
-from millforkd.beside.load import EngineLoads
-from millforkd.beside.origin import Origin, origin_in
-from millforkd.beside.pieces import (
+from millforkd.document import document_in
+from millforkd.seeded import feed_for
+from millforkd.sidecar.engine import LocalEngine
+from millforkd.sidecar.expiry import Expiry
+from millforkd.sidecar.fleet import Fleet
+from millforkd.sidecar.gathering import Gathering
+from millforkd.sidecar.layout import serves_whole
+from millforkd.sidecar.load import EngineLoads
+from millforkd.sidecar.origin import Origin, origin_in
+from millforkd.sidecar.pieces import (
     PieceSet,
     PieceStore,
     WeightsId,
     encode_digests,
     parse_weights_id,
 )
-from millforkd.beside.pushing import Pushing
-from millforkd.beside.rollout import Rollout
-from millforkd.beside.target import Target, Targets
-from millforkd.document import document_in
-from millforkd.seeded import feed_for
+from millforkd.sidecar.pushing import Pushing
+from millforkd.sidecar.rollout import Rollout
+from millforkd.sidecar.target import Target, Targets
 
 # A server takes and ends about two requests in this time.
 REPORT_EVERY_S: Final = 0.15
--- a/packages/millforkd/millforkd/beside/expiry.py
+++ b/packages/millforkd/millforkd/sidecar/expiry.py
@@ -21,11 +21,11 @@
 from millfork_core.ids import UNTOLD_INCARNATION
 from millfork_core.logs import Part, logger
 from millfork_registry.records import ServedVersion
-from millforkd.beside.engine import LocalEngine
-from millforkd.beside.layout import Layers
-from millforkd.beside.pieces import PieceSet, PieceStore, WeightsId
-from millforkd.beside.rollout import Rollout
-from millforkd.beside.target import Target
+from millforkd.sidecar.engine import LocalEngine
+from millforkd.sidecar.layout import Layers
+from millforkd.sidecar.pieces import PieceSet, PieceStore, WeightsId
+from millforkd.sidecar.rollout import Rollout
+from millforkd.sidecar.target import Target
 from millforkd.switching import LAST_SENT_S
 
 POLL_S: Final = 0.05
--- a/packages/millforkd/millforkd/beside/fleet.py
+++ b/packages/millforkd/millforkd/sidecar/fleet.py
@@ -12,9 +12,9 @@
 from millfork_core.environment import Environment
 from millfork_core.ranks import rank
 from millfork_registry.records import EndpointState
-from millforkd.beside.layout import Layers, Place, lacking, places
-from millforkd.beside.pieces import WeightsId
-from millforkd.beside.sources import holders, in_turn, nearest
+from millforkd.sidecar.layout import Layers, Place, lacking, places
+from millforkd.sidecar.pieces import WeightsId
+from millforkd.sidecar.sources import holders, in_turn, nearest
 
 # What is worked out from the states is used this long, as it is asked for
 # with each piece.
--- a/packages/millforkd/millforkd/beside/gathering.py
+++ b/packages/millforkd/millforkd/sidecar/gathering.py
@@ -16,14 +16,14 @@
 from millfork_wire.connection import PeerError
 from millfork_wire.messages import CacheAddress, Chunk, GetChunk, GetManifest, Manifest
 from millfork_wire.peers import Peers
-from millforkd.beside.fleet import Fleet
-from millforkd.beside.intake import keep_if_good
-from millforkd.beside.origin import Origin
-from millforkd.beside.pieces import PieceSet, WeightsId, decode_digests
-from millforkd.beside.pushing import Pushing
-from millforkd.beside.silence import SilentPeers
-from millforkd.beside.sources import DIGESTS, in_turn
-from millforkd.beside.transit import Transit
+from millforkd.sidecar.fleet import Fleet
+from millforkd.sidecar.intake import keep_if_good
+from millforkd.sidecar.origin import Origin
+from millforkd.sidecar.pieces import PieceSet, WeightsId, decode_digests
+from millforkd.sidecar.pushing import Pushing
+from millforkd.sidecar.silence import SilentPeers
+from millforkd.sidecar.sources import DIGESTS, in_turn
+from millforkd.sidecar.transit import Transit
 
 # Pieces asked of peers at once: enough to fill the link over some
 # milliseconds, few enough not to wait in front of the engine's requests.
--- a/packages/millforkd/millforkd/beside/intake.py
+++ b/packages/millforkd/millforkd/sidecar/intake.py
@@ -5,7 +5,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.logs import Part, logger
-from millforkd.beside.pieces import PieceSet
+from millforkd.sidecar.pieces import PieceSet
 
 log = logger(Part.WEIGHTS)
 
--- a/packages/millforkd/millforkd/beside/layout.py
+++ b/packages/millforkd/millforkd/sidecar/layout.py
@@ -13,7 +13,7 @@
 
 from millfork_core.ranks import rank
 from millfork_registry.records import EndpointState, ServedVersion
-from millforkd.beside.pieces import WeightsId
+from millforkd.sidecar.pieces import WeightsId
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/millforkd/millforkd/beside/load.py
+++ b/packages/millforkd/millforkd/sidecar/load.py
@@ -11,7 +11,7 @@
 from millfork_adapter.exchange import EngineReport
 from millfork_core.environment import Environment
 from millfork_wire.messages import EngineLoad
-from millforkd.beside.engine import LocalEngine
+from millforkd.sidecar.engine import LocalEngine
 
 # Entries that ask within this time are told the same: an engine's pass takes as long.
 SHARED_S: Final = 0.005
--- a/packages/millforkd/millforkd/beside/origin.py
+++ b/packages/millforkd/millforkd/sidecar/origin.py
@@ -13,8 +13,8 @@
 from millfork_routing.documents import Document, OriginFigures
 from millfork_web.client import Client, ExchangeFailed
 from millfork_web.models import Request
-from millforkd.beside.intake import keep_if_good
-from millforkd.beside.pieces import PieceSet
+from millforkd.sidecar.intake import keep_if_good
+from millforkd.sidecar.pieces import PieceSet
 
 # A piece takes 0.03 s at the origin's 7.3 Mbit/s; a dozen may wait there. An origin
 # that is silent for longer is down, and may be back at any moment.
--- a/packages/millforkd/millforkd/beside/pushing.py
+++ b/packages/millforkd/millforkd/sidecar/pushing.py
@@ -19,7 +19,7 @@
 from millfork_wire.connection import PeerError
 from millfork_wire.messages import PushChunk
 from millfork_wire.peers import Peers
-from millforkd.beside.pieces import WeightsId
+from millforkd.sidecar.pieces import WeightsId
 
 # A piece takes 0.05 s on the slowest links when they are well, and must share
 # them; a peer that takes longer asks for what it misses.
--- a/packages/millforkd/millforkd/beside/rollout.py
+++ b/packages/millforkd/millforkd/sidecar/rollout.py
@@ -18,12 +18,12 @@
 from millfork_core.ids import UNTOLD_INCARNATION
 from millfork_core.logs import Part, logger
 from millfork_registry.records import ServedVersion
-from millforkd.beside.engine import LocalEngine
-from millforkd.beside.fleet import Fleet
-from millforkd.beside.gathering import Gathering
-from millforkd.beside.layout import Layers, Place, part_served
-from millforkd.beside.pieces import PieceSet, PieceStore, WeightsId
-from millforkd.beside.target import Target
+from millforkd.sidecar.engine import LocalEngine
+from millforkd.sidecar.fleet import Fleet
+from millforkd.sidecar.gathering import Gathering
+from millforkd.sidecar.layout import Layers, Place, part_served
+from millforkd.sidecar.pieces import PieceSet, PieceStore, WeightsId
+from millforkd.sidecar.target import Target
 from millforkd.switching import LAST_SENT_S
 
 # Entries stop sending to this engine within this time of being told.
--- a/packages/millforkd/millforkd/beside/sources.py
+++ b/packages/millforkd/millforkd/sidecar/sources.py
@@ -14,7 +14,7 @@
 
 from millfork_core.ranks import rank
 from millfork_registry.records import EndpointState
-from millforkd.beside.pieces import WeightsId
+from millforkd.sidecar.pieces import WeightsId
 
 # The number under which the digests are drawn.
 DIGESTS: Final = -1
--- a/packages/millforkd/millforkd/beside/target.py
+++ b/packages/millforkd/millforkd/sidecar/target.py
@@ -14,7 +14,7 @@
 from millfork_core.environment import Environment
 from millfork_core.logs import Part, logger
 from millfork_routing.documents import EngineFigures
-from millforkd.beside.pieces import PieceStore, WeightsId
+from millforkd.sidecar.pieces import PieceStore, WeightsId
 from millforkd.switching import LAST_SENT_S
 from millforkd.versions import Versions
 
--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -254,7 +254,7 @@
     Mutation(
         'a silent drawer is passed over',
         'tests/test_caches.py::test_a_drawer_that_was_silent_is_passed_over_for_a_while',
-        (Edit(D + 'beside/silence.py', 'if until > self.monotonic():', 'if False:'),),
+        (Edit(D + 'sidecar/silence.py', 'if until > self.monotonic():', 'if False:'),),
     ),
     Mutation(
         'a connection that is silent beside others is left',
@@ -319,7 +319,7 @@
         'test_a_version_that_ends_before_the_next_is_here_is_taken_from_the_engine',
         (
             Edit(
-                D + 'beside/expiry.py',
+                D + 'sidecar/expiry.py',
                 'if self._is_due(target, held):',
                 'if False:',
             ),
@@ -331,7 +331,7 @@
         'test_an_ended_version_is_taken_where_nothing_of_the_next_one_is_here',
         (
             Edit(
-                D + 'beside/expiry.py',
+                D + 'sidecar/expiry.py',
                 'return await self._order_own(target)',
                 'return None',
             ),
@@ -342,7 +342,7 @@
         'tests/test_rollouts.py::test_an_engine_is_left_a_single_layer_once',
         (
             Edit(
-                D + 'beside/expiry.py',
+                D + 'sidecar/expiry.py',
                 'if end - serves.first <= 1:',
                 'if False:',
             ),
@@ -354,7 +354,7 @@
         'test_a_daemon_that_has_started_looks_first_whose_pieces_lie_at_the_engine',
         (
             Edit(
-                D + 'beside/expiry.py',
+                D + 'sidecar/expiry.py',
                 'if not self.rollout.has_looked or self.rollout.lying == target.weights:',
                 'if False:',
             ),
@@ -366,7 +366,7 @@
         'test_an_ended_version_is_taken_where_nothing_of_the_next_one_is_here',
         (
             Edit(
-                D + 'beside/rollout.py',
+                D + 'sidecar/rollout.py',
                 'self.serves_another(target) and not self.is_emptied(target)',
                 'self.serves_another(target)',
             ),
@@ -412,7 +412,7 @@
         'tests/test_rollouts.py::test_an_engine_changes_once_those_of_the_turns_before_have',
         (
             Edit(
-                D + 'beside/rollout.py',
+                D + 'sidecar/rollout.py',
                 'if self._changed(target) * TURNS >= turn',
                 'if self._changed(target) * TURNS >= 0 * turn',
             ),
@@ -422,7 +422,7 @@
         'a version that does not come is not waited for',
         'tests/test_versions.py::'
         'test_a_version_in_between_comes_first_where_the_newest_does_not_come',
-        (Edit(D + 'beside/target.py', 'if self._is_stuck(newest, now):', 'if False:'),),
+        (Edit(D + 'sidecar/target.py', 'if self._is_stuck(newest, now):', 'if False:'),),
     ),
     Mutation(
         'the end of a version counts from the question',
@@ -601,7 +601,7 @@
         'tests/test_incarnations.py',
         (
             Edit(
-                D + 'beside/expiry.py',
+                D + 'sidecar/expiry.py',
                 'emptied = self.emptied_for == (self.rollout.incarnation, target.weights.version)',
                 'emptied = self.emptied_for[1] == target.weights.version',
             ),
@@ -667,7 +667,7 @@
         'tests/test_gathering.py',
         (
             Edit(
-                D + 'beside/gathering.py',
+                D + 'sidecar/gathering.py',
                 'if caches and self.digests_in_vain < DIGESTS_TRIED:',
                 'if False:',
             ),
--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -15,11 +15,11 @@
 from millfork_routing.documents import OriginFigures
 from millfork_wire.connection import PeerTimedOut
 from millfork_wire.messages import CacheAddress, GetChunk, GetManifest
-from millforkd.beside import gathering
-from millforkd.beside.pieces import WeightsId, decode_digests
-from millforkd.beside.silence import PASSED_OVER_S
 from millforkd.proxy import cache as caching
 from millforkd.proxy.cache import PieceCache, ahead_order
+from millforkd.sidecar import gathering
+from millforkd.sidecar.pieces import WeightsId, decode_digests
+from millforkd.sidecar.silence import PASSED_OVER_S
 
 PIECES = tuple(bytes([number]) * 8 for number in range(6))
 ASKED_DIGESTS = 'digests'
--- a/tests/test_closed_back_ends.py
+++ b/tests/test_closed_back_ends.py
@@ -29,7 +29,7 @@
     while_closed,
 )
 from millfork_web.models import Response
-from millforkd.beside.engine import LocalEngine
+from millforkd.sidecar.engine import LocalEngine
 from tests.test_limit_shares import BORN, lease, report, server
 from tests.test_servers import ENGINE, Clock
 
--- a/tests/test_gathering.py
+++ b/tests/test_gathering.py
@@ -12,13 +12,13 @@
 from millfork_weights.links import Link
 from millfork_wire.connection import PeerTimedOut
 from millfork_wire.messages import CacheAddress, Chunk, GetManifest, Manifest
-from millforkd.beside import gathering
-from millforkd.beside.fleet import Fleet
-from millforkd.beside.gathering import Gathering
-from millforkd.beside.pieces import PieceStore, WeightsId
-from millforkd.beside.pushing import Pushing
-from millforkd.beside.sources import DIGESTS as DIGESTS_TURN
-from millforkd.beside.sources import in_turn
+from millforkd.sidecar import gathering
+from millforkd.sidecar.fleet import Fleet
+from millforkd.sidecar.gathering import Gathering
+from millforkd.sidecar.pieces import PieceStore, WeightsId
+from millforkd.sidecar.pushing import Pushing
+from millforkd.sidecar.sources import DIGESTS as DIGESTS_TURN
+from millforkd.sidecar.sources import in_turn
 from tests.test_caches import DIGESTS, PIECES, StandInOrigin
 
 
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -31,11 +31,11 @@
 from millfork_registry.roles import REPLICA_ROLE
 from millfork_scheduling.book import ServerBook
 from millfork_scheduling.placement import Choice, Wanted
-from millforkd.beside.expiry import Expiry
-from millforkd.beside.pieces import WeightsId
 from millforkd.proxy.connections import SendFailed
 from millforkd.proxy.job import Attempt
 from millforkd.proxy.waiting import Waiting
+from millforkd.sidecar.expiry import Expiry
+from millforkd.sidecar.pieces import WeightsId
 from tests.test_registry import HEARTBEAT_S, LEASE_S, Clock, state_of
 from tests.test_rollouts import Engines
 from tests.test_servers import ENGINE
--- a/tests/test_load_questions.py
+++ b/tests/test_load_questions.py
@@ -16,9 +16,9 @@
 from millfork_scheduling.placement import Wanted
 from millfork_wire.connection import PeerTimedOut, PeerUnreachable
 from millfork_wire.messages import EngineLoad
-from millforkd.beside.load import SHARED_S, EngineLoads
 from millforkd.proxy.asking import PASSED_OVER_S, WAIT_S, LoadQuestions
 from millforkd.proxy.questions import SILENT_S
+from millforkd.sidecar.load import SHARED_S, EngineLoads
 from tests.test_servers import ENGINE, Clock
 
 SERVICE = ServiceName('s')
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -44,7 +44,7 @@
 READERS = {
     SeededRole.ENTRY: ('proxy/*.py', 'seeded.py'),
     SeededRole.REPLICA: ('replica/*.py',),
-    SeededRole.ENDPOINT: ('beside/*.py', 'seeded.py'),
+    SeededRole.ENDPOINT: ('sidecar/*.py', 'seeded.py'),
 }
 LEARNED = re.compile(
     r'(\S+) \w+ proxy: Version (?:named|end corrected)\. model=m version=2 due_s=(-?[\d.]+)'
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -14,11 +14,11 @@
 from millfork_core.ids import InstanceId, ZoneId
 from millfork_core.ranks import rank
 from millfork_registry.records import EndpointState, ServedVersion
-from millforkd.beside.expiry import Expiry
-from millforkd.beside.fleet import Fleet
-from millforkd.beside.pieces import PieceStore, WeightsId
-from millforkd.beside.rollout import DRAIN_S, LATE_DRAIN_S, TURNS, Rollout
-from millforkd.beside.target import Target
+from millforkd.sidecar.expiry import Expiry
+from millforkd.sidecar.fleet import Fleet
+from millforkd.sidecar.pieces import PieceStore, WeightsId
+from millforkd.sidecar.rollout import DRAIN_S, LATE_DRAIN_S, TURNS, Rollout
+from millforkd.sidecar.target import Target
 from millforkd.switching import LAST_SENT_S
 from tests.test_servers import Clock
 
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -11,16 +11,16 @@
 from hypothesis import strategies as st
 
 from millfork_registry.records import EndpointState, HeldVersion, ServedVersion
-from millforkd.beside.layout import Layers, part_served, places, serves_whole
-from millforkd.beside.pieces import (
+from millforkd.sidecar.layout import Layers, part_served, places, serves_whole
+from millforkd.sidecar.pieces import (
     PieceStore,
     WeightsId,
     decode_digests,
     encode_digests,
     parse_weights_id,
 )
-from millforkd.beside.sources import holders, in_turn, nearest
-from millforkd.beside.transit import Transit
+from millforkd.sidecar.sources import holders, in_turn, nearest
+from millforkd.sidecar.transit import Transit
 
 WEIGHTS = WeightsId('m', 2)
 NAMES = st.sets(st.integers(1, 300).map(lambda number: f'10.0.0.{number}:1'), min_size=1)
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -11,8 +11,8 @@
 
 LISTED = ('millforkd.entry', 'millforkd.endpoint', 'millfork_settings.models')
 OTHERS = {
-    'proxy': (*LISTED, 'millforkd.replica', 'millfork_state.replica', 'millforkd.beside.daemon'),
-    'replica': (*LISTED, 'millforkd.proxy', 'millforkd.beside', 'millfork_weights'),
+    'proxy': (*LISTED, 'millforkd.replica', 'millfork_state.replica', 'millforkd.sidecar.daemon'),
+    'replica': (*LISTED, 'millforkd.proxy', 'millforkd.sidecar', 'millfork_weights'),
     'beside': (*LISTED, 'millforkd.proxy', 'millforkd.replica', 'millfork_state.replica'),
 }
 
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -15,9 +15,9 @@
 from millfork_state.commands import Versioned, encode_versioned
 from millfork_state.keys import version_key
 from millfork_state.view import Held, View
-from millforkd.beside.pieces import PieceStore, WeightsId
-from millforkd.beside.target import STUCK_AFTER_S, Targets
 from millforkd.proxy.admission import Admission
+from millforkd.sidecar.pieces import PieceStore, WeightsId
+from millforkd.sidecar.target import STUCK_AFTER_S, Targets
 from millforkd.switching import LAST_SENT_S
 from millforkd.versions import Versions
 from tests.test_servers import ENGINE, Clock
