--- a/packages/millforkd/millforkd/proxy/asking.py
+++ b/packages/millforkd/millforkd/proxy/asking.py
@@ -73,7 +73,7 @@
         reply = await self.questions.ask(daemon, connection, AskLoad(), ANSWER_TIMEOUT_S)
         now = self.env.monotonic()
         if reply is None or now - asked_at > WAIT_S:
-            self.questions.silent.note(daemon)
+            self.questions.silent.mark_silent(daemon)
         if not isinstance(reply, EngineLoad) or not reply.known:
             return
         if server.is_another(Incarnation(reply.incarnation)):
--- a/packages/millforkd/millforkd/proxy/cache.py
+++ b/packages/millforkd/millforkd/proxy/cache.py
@@ -22,7 +22,6 @@
 from millfork_wire.connection import PeerError
 from millfork_wire.messages import CacheAddress, Chunk, GetChunk, GetManifest, Manifest
 from millfork_wire.peers import Peers
-from millforkd.sidecar.intake import keep_if_good
 from millforkd.sidecar.origin import Origin
 from millforkd.sidecar.pieces import (
     PieceSet,
@@ -32,8 +31,9 @@
     encode_digests,
     parse_weights_id,
 )
-from millforkd.sidecar.silence import SilentPeers
-from millforkd.sidecar.sources import DIGESTS, in_turn
+from millforkd.sidecar.silent_peers import SilentPeers
+from millforkd.sidecar.sources import DIGESTS_INDEX, request_order
+from millforkd.sidecar.verification import store_if_valid
 
 # Pieces drawn from the origin at once: enough to fill its link.
 DRAWN_AT_ONCE: Final = 3
@@ -103,7 +103,7 @@
         weights = _weights_of(message.digest)
         if weights is None or not await self._have_digests(weights, message.draw, self._until()):
             return Manifest(reason=self._why_not())
-        return Manifest(True, encode_digests(self.store.of(weights).digests), False)
+        return Manifest(True, encode_digests(self.store.get_or_create(weights).digests), False)
 
     async def chunk(self, message: GetChunk) -> Chunk:
         """
@@ -123,7 +123,7 @@
             self.ahead.add(weights)
             await self.env.spawn(self._bring_ahead, weights)
         await self._have(weights, message.index, message.draw, until)
-        data = self.store.of(weights).pieces.get(message.index)
+        data = self.store.get_or_create(weights).pieces.get(message.index)
         if data is None:
             return Chunk(reason=self._why_not())
         self.env.metrics.count(self.env.metrics.chunk_bytes, len(data), source='cached')
@@ -154,7 +154,7 @@
         return self.env.monotonic() + WAIT_S
 
     async def _have_digests(self, weights: WeightsId, draw: bool, until: float) -> bool:
-        held = self.store.of(weights)
+        held = self.store.get_or_create(weights)
         if not held.digests:
             await self._once((weights, None), until, self._bring_digests, held, draw)
         return bool(held.digests)
@@ -165,15 +165,15 @@
         they kept the origin's link from a third of the pieces in the first 2.5 s.
 
         """
-        if draw or not await self._left_to_drawer(held, DIGESTS):
-            await self.origin.draw_digests(held)
+        if draw or not await self._left_to_drawer(held, DIGESTS_INDEX):
+            await self.origin.fetch_digests(held)
 
     async def _have(self, weights: WeightsId, index: int, draw: bool, until: float) -> None:
         """
         Have a piece here, if it comes before `until`.
 
         """
-        held = self.store.of(weights)
+        held = self.store.get_or_create(weights)
         if 0 <= index < len(held.digests) and index not in held.pieces:
             await self._once((weights, index), until, self._bring, weights, index, draw)
 
@@ -208,7 +208,7 @@
             await self.coming.pop(key).set()
 
     async def _bring(self, weights: WeightsId, index: int, draw: bool) -> None:
-        held = self.store.of(weights)
+        held = self.store.get_or_create(weights)
         if not draw and await self._left_to_drawer(held, index):
             return
         async with self.drawing:
@@ -217,7 +217,7 @@
                     await self._draw(held, index)
 
     async def _draw(self, held: PieceSet, index: int) -> None:
-        data = await self.origin.draw_piece(held, index)
+        data = await self.origin.fetch_piece(held, index)
         if data is not None:
             self.drawn.append((self.env.monotonic(), len(data)))
 
@@ -246,9 +246,9 @@
 
     async def _keep(self, held: PieceSet, index: int, reply: Chunk | Manifest, drawer: str) -> bool:
         if isinstance(reply, Chunk):
-            return await keep_if_good(self.env, held, index, reply.data, 'cache', drawer)
+            return await store_if_valid(self.env, held, index, reply.data, 'cache', drawer)
         try:
-            await held.learn_digests(decode_digests(reply.body))
+            await held.set_digests(decode_digests(reply.body))
         except msgspec.DecodeError as error:
             log.warning('Digests of {} from {} can not be read: {}.', held.weights, drawer, error)
             return False
@@ -262,7 +262,7 @@
         """
         answering = [cache for cache in self.caches() if not self.silent.is_silent(cache.instance)]
         names = [cache.instance for cache in drawers(answering, self._origin_zone())]
-        return in_turn(names, weights, index)[0] if names else str(self.env.instance)
+        return request_order(names, weights, index)[0] if names else str(self.env.instance)
 
     async def _ask(self, drawer: str, weights: WeightsId, index: int) -> Chunk | Manifest | None:
         """
@@ -270,13 +270,13 @@
 
         """
         message: GetChunk | GetManifest = GetChunk(str(weights), index, draw=True)
-        if index == DIGESTS:
+        if index == DIGESTS_INDEX:
             message = GetManifest(str(weights), draw=True)
         try:
             reply = await self.peers.call(address_of(drawer), message, PEER_TIMEOUT_S)
         except PeerError as error:
             log.info('Piece {} of {} not from cache {}: {}.', index, weights, drawer, error)
-            self.silent.note(drawer)
+            self.silent.mark_silent(drawer)
             return None
         return reply if isinstance(reply, Chunk | Manifest) else Chunk(reason='no cache')
 
@@ -295,11 +295,11 @@
         """
         near = [cache.instance for cache in self.caches() if cache.zone == self.env.zone]
         own = str(self.env.instance)
-        held = self.store.of(weights)
+        held = self.store.get_or_create(weights)
         mine = [
             index
             for index in ahead_order(len(held.digests))
-            if not near or in_turn(near, weights, index)[0] == own
+            if not near or request_order(near, weights, index)[0] == own
         ]
         while self.store.find(weights) is held and self._is_wanted(weights):
             queue = [index for index in reversed(mine) if index not in held.pieces]
--- a/packages/millforkd/millforkd/proxy/daemon.py
+++ b/packages/millforkd/millforkd/proxy/daemon.py
@@ -42,7 +42,7 @@
 from millforkd.proxy.suspicions import SuspicionTeller
 from millforkd.quarantine import Quarantine
 from millforkd.seeded import feed_for, fleet_key
-from millforkd.sidecar.origin import Origin, origin_in
+from millforkd.sidecar.origin import Origin, find_origin
 
 # The balancer asks each second and needs two misses to look away.
 BALANCER_LOOKS_AWAY_S: Final = 2.5
@@ -111,7 +111,7 @@
         )
         self.suspicions = SuspicionTeller(env, self.peers, self.following, self.registry.suspects)
         self.document: Document | None = None
-        origin = Origin(env, adapter, str(settings.address), lambda: origin_in(self.document))
+        origin = Origin(env, adapter, str(settings.address), lambda: find_origin(self.document))
         self.cache = PieceCache(env, self.peers, origin, self.discovery.caches)
         self.server = Server(
             *socket_pair(settings.listen.callers),
--- a/packages/millforkd/millforkd/proxy/questions.py
+++ b/packages/millforkd/millforkd/proxy/questions.py
@@ -17,7 +17,7 @@
 from millfork_wire.connection import Connection, PeerError, PeerTimedOut
 from millfork_wire.messages import Message
 from millfork_wire.peers import Peers
-from millforkd.sidecar.silence import PASSED_OVER_S, SilentPeers
+from millforkd.sidecar.silent_peers import SKIP_SILENT_PEER_S, SilentPeers
 
 # Where others are heard on a connection more often, a single question may be late.
 SILENT_S: Final = 1.0
@@ -36,12 +36,12 @@
         env: Environment,
         peers: Peers,
         unanswered: str,
-        passed_over_s: float = PASSED_OVER_S,
+        skip_s: float = SKIP_SILENT_PEER_S,
     ) -> None:
         self.env = env
         self.peers = peers
         self.unanswered = unanswered
-        self.silent = SilentPeers(env.monotonic, passed_over_s)
+        self.silent = SilentPeers(env.monotonic, skip_s)
         # Those to which a connection is coming up.
         self.dialled: set[str] = set()
 
@@ -75,7 +75,7 @@
             return await self.peers.connect(address_of(name))
         except PeerError as error:
             log.info('No connection for questions. to={} why={}', name, error)
-            self.silent.note(name)
+            self.silent.mark_silent(name)
             return None
 
     async def ask(
--- a/packages/millforkd/millforkd/seeded_fleet.py
+++ b/packages/millforkd/millforkd/seeded_fleet.py
@@ -76,6 +76,6 @@
         from millforkd.replica.daemon import ReplicaDaemon
 
         return ReplicaDaemon(env, settings, adapter)
-    from millforkd.sidecar.daemon import BesideDaemon
+    from millforkd.sidecar.daemon import SidecarDaemon
 
-    return BesideDaemon(env, settings, adapter)
+    return SidecarDaemon(env, settings, adapter)
--- a/packages/millforkd/millforkd/sidecar/daemon.py
+++ b/packages/millforkd/millforkd/sidecar/daemon.py
@@ -27,12 +27,12 @@
 from millforkd.document import document_in
 from millforkd.seeded import feed_for
 from millforkd.sidecar.engine import LocalEngine
-from millforkd.sidecar.expiry import Expiry
+from millforkd.sidecar.expiry import ExpiryWatcher
 from millforkd.sidecar.fleet import Fleet
-from millforkd.sidecar.gathering import Gathering
-from millforkd.sidecar.layout import serves_whole
+from millforkd.sidecar.gathering import PieceGatherer
+from millforkd.sidecar.layer_assignment import serves_whole
 from millforkd.sidecar.load import EngineLoads
-from millforkd.sidecar.origin import Origin, origin_in
+from millforkd.sidecar.origin import Origin, find_origin
 from millforkd.sidecar.pieces import (
     PieceSet,
     PieceStore,
@@ -40,12 +40,12 @@
     encode_digests,
     parse_weights_id,
 )
-from millforkd.sidecar.pushing import Pushing
+from millforkd.sidecar.pushing import PiecePusher
 from millforkd.sidecar.rollout import Rollout
-from millforkd.sidecar.target import Target, Targets
+from millforkd.sidecar.target import Target, TargetChooser
 
 # A server takes and ends about two requests in this time.
-REPORT_EVERY_S: Final = 0.15
+REPORT_INTERVAL_S: Final = 0.15
 REPORT_TIMEOUT_S: Final = 0.5
 # Of the link, for transfers; the rest is for the engine's requests and answers,
 # which take about 3% of 3.65 Mbit/s at full load.
@@ -58,7 +58,7 @@
 log = logger(Part.ENDPOINT)
 
 
-class BesideDaemon:
+class SidecarDaemon:
     """
     One endpoint instance.
 
@@ -84,12 +84,12 @@
         )
         self.store = PieceStore()
         self.fleet = Fleet(env, self.service, self.states, self._state, self._shape)
-        self.pushing = Pushing(env, self.peers, self.fleet.drawers, self.link.outward)
-        origin = Origin(env, adapter, str(settings.address), lambda: origin_in(self.document))
-        self.gathering = Gathering(
+        self.pushing = PiecePusher(env, self.peers, self.fleet.origin_fetchers, self.link.outward)
+        origin = Origin(env, adapter, str(settings.address), lambda: find_origin(self.document))
+        self.gathering = PieceGatherer(
             env, self.peers, self.fleet, origin, self.discovery.caches, self.pushing, self.link
         )
-        self.targets = Targets(
+        self.targets = TargetChooser(
             env,
             feed.versions,
             self.store,
@@ -106,7 +106,7 @@
             self._report,
         )
         self.loads = EngineLoads(env, self.engine, lambda: self.rollout.report is not None)
-        self.expiry = Expiry(env, self.engine, self.store, self.rollout)
+        self.expiry = ExpiryWatcher(env, self.engine, self.store, self.rollout)
         self.admin = Admin(env, settings, lambda: bool(self.view.cluster))
         self.document: Document | None = None
         self.document_revision = 0
@@ -125,9 +125,9 @@
         await self.env.keep(self.admin.run)
         await self.env.keep(self.following.run)
         await self.env.keep(self.relaying.keep)
-        await self.env.keep(self._keep_reporting)
-        await self.env.keep(self.rollout.keep)
-        await self.env.keep(self.expiry.keep)
+        await self.env.keep(self._report_periodically)
+        await self.env.keep(self.rollout.run)
+        await self.env.keep(self.expiry.run)
 
     async def reload(self, settings: SeededSettings) -> None:
         """
@@ -177,15 +177,15 @@
 
     # The engine's state.
 
-    async def _keep_reporting(self) -> None:
+    async def _report_periodically(self) -> None:
         while True:
             report = await self.engine.report()
             if (report is None) != (self.rollout.report is None):
                 log.notice('The engine {}.', 'is silent' if report is None else 'answers')
             self._log_backpressure(report)
-            self.rollout.take_report(report)
+            self.rollout.record_report(report)
             await self._report()
-            await curio.sleep(REPORT_EVERY_S)
+            await curio.sleep(REPORT_INTERVAL_S)
 
     def _log_backpressure(self, report: EngineReport | None) -> None:
         if report is None:
@@ -229,7 +229,7 @@
             report.tokens_total if report is not None else 0,
             report.pace if report is not None else 1.0,
             served,
-            self._held(served),
+            self._held_versions(served),
             self.rollout.changing_to,
             self.rollout.goal,
             self.rollout.incarnation,
@@ -237,7 +237,7 @@
             report.backpressure.leaving if report is not None else False,
         )
 
-    def _held(self, served: tuple[ServedVersion, ...]) -> tuple[HeldVersion, ...]:
+    def _held_versions(self, served: tuple[ServedVersion, ...]) -> tuple[HeldVersion, ...]:
         """
         The pieces that others can take from here: those in memory, and those
         staged at the engine of what it serves whole.
@@ -245,7 +245,7 @@
         """
         held = []
         for weights, pieces in self.store.sets.items():
-            first, end = pieces.held_run()
+            first, end = pieces.longest_run()
             if end > first:
                 held.append(HeldVersion(weights.model, weights.version, first, end))
         layers, _ = self._shape()
@@ -285,14 +285,18 @@
 
     @on.register
     async def _(self, message: messages.AskLoad, connection: Connection) -> Message:
-        return await self.loads.now()
+        return await self.loads.current_load()
 
     @on.register
     async def _(self, message: messages.GetManifest, connection: Connection) -> Message:
         weights = self._weights_id(message.digest, connection)
         if weights is None:
             return Manifest()
-        held = self.store.of(weights) if self._is_target(weights) else self.store.find(weights)
+        held = (
+            self.store.get_or_create(weights)
+            if self._is_target(weights)
+            else self.store.find(weights)
+        )
         if held is not None and not held.digests:
             await self._wait_for_digests(held)
         if held is None or not held.digests:
@@ -310,7 +314,7 @@
     @on.register
     async def _(self, message: messages.GetChunk, connection: Connection) -> Message:
         weights = self._weights_id(message.manifest, connection)
-        data = await self._piece(weights, message.index) if weights is not None else None
+        data = await self._find_piece(weights, message.index) if weights is not None else None
         if data is None:
             return Chunk(reason='not here')
         await self.link.outward.take(len(data))
@@ -322,7 +326,7 @@
         weights = self._weights_id(message.manifest, connection)
         if weights is None or not self._is_wanted(weights):
             return Done(False)
-        held = self.store.of(weights)
+        held = self.store.get_or_create(weights)
         if message.index in held.pieces:
             self.env.metrics.count(self.env.metrics.chunks, source='pushed', outcome='again')
             return Done(True)
@@ -349,21 +353,21 @@
         newer one that this daemon will hear of.
 
         """
-        target = self.targets.known
+        target = self.targets.current
         return target is not None and (
             weights.model == target.weights.model and weights.version >= target.weights.version
         )
 
-    async def _piece(self, weights: WeightsId, index: int) -> bytes | None:
+    async def _find_piece(self, weights: WeightsId, index: int) -> bytes | None:
         held = self.store.find(weights)
         if held is not None and index in held.pieces:
             return held.pieces[index]
         if self._engine_serves(weights):
-            return await self.engine.staged(weights.model, index)
+            return await self.engine.read_staged(weights.model, index)
         return None
 
     def _is_target(self, weights: WeightsId) -> bool:
-        return self.targets.known is not None and self.targets.known.weights == weights
+        return self.targets.current is not None and self.targets.current.weights == weights
 
     def _engine_serves(self, weights: WeightsId) -> bool:
         """
--- a/packages/millforkd/millforkd/sidecar/engine.py
+++ b/packages/millforkd/millforkd/sidecar/engine.py
@@ -74,7 +74,7 @@
             return False
         return response.status < 300
 
-    async def staged(self, model: str, index: int) -> bytes | None:
+    async def read_staged(self, model: str, index: int) -> bytes | None:
         """
         The piece that lies there; None if there is none.
 
@@ -86,7 +86,7 @@
             return None
         return response.body if response.status == 200 else None
 
-    async def start(self, model: str, version: int, first: int, end: int, breaks_off: bool) -> bool:
+    async def start(self, model: str, version: int, first: int, end: int, interrupts: bool) -> bool:
         """
         Order the engine to take layers from what lies there, once what runs
         has ended or by breaking it off; False if it did not begin.
@@ -94,7 +94,7 @@
         """
         try:
             response = await self._fetch(
-                self.adapter.start_request(model, version, first, end, breaks_off)
+                self.adapter.start_request(model, version, first, end, interrupts)
             )
         except ExchangeFailed as error:
             log.warning('No answer to the order to start {} {}: {}.', model, version, error)
@@ -105,7 +105,7 @@
             version,
             first,
             end,
-            breaks_off,
+            interrupts,
             response.status,
         )
         return response.status < 300
--- a/packages/millforkd/millforkd/sidecar/expiry.py
+++ b/packages/millforkd/millforkd/sidecar/expiry.py
@@ -22,7 +22,7 @@
 from millfork_core.logs import Part, logger
 from millfork_registry.records import ServedVersion
 from millforkd.sidecar.engine import LocalEngine
-from millforkd.sidecar.layout import Layers
+from millforkd.sidecar.layer_assignment import Layers
 from millforkd.sidecar.pieces import PieceSet, PieceStore, WeightsId
 from millforkd.sidecar.rollout import Rollout
 from millforkd.sidecar.target import Target
@@ -32,16 +32,16 @@
 # The engine is emptied so long before requests may not begin on the old version any more:
 # the order takes two polls and a few calls on the same instance, and this daemon may have
 # learned of the version 0.2 s after the entries.
-EMPTIED_BEFORE_S: Final = 0.35
+EMPTY_AHEAD_S: Final = 0.35
 # The next version is about to be here if its pieces, as they came in the last second,
 # take no longer than this. On a link that delays requests by so much, they take longer.
-ABOUT_TO_COME_S: Final = 0.5
-RATE_OVER_S: Final = 1.0
+NEARLY_COMPLETE_S: Final = 0.5
+RATE_WINDOW_S: Final = 1.0
 
 log = logger(Part.WEIGHTS)
 
 
-class Expiry:
+class ExpiryWatcher:
     """
     Watches the version that the engine serves.
 
@@ -59,7 +59,7 @@
         # When how many pieces of the target were here, over the last second.
         self.arrivals: deque[tuple[float, int]] = deque()
 
-    async def keep(self) -> None:
+    async def run(self) -> None:
         """
         The task that takes ended versions away.
 
@@ -69,10 +69,10 @@
             target = self.rollout.target()
             if target is None:
                 continue
-            held = self.store.of(target.weights)
-            self._note_arrivals(len(held.pieces))
+            held = self.store.get_or_create(target.weights)
+            self._record_arrivals(len(held.pieces))
             if self._is_due(target, held):
-                await self._empty(target)
+                await self._empty_engine(target)
 
     def _is_due(self, target: Target, held: PieceSet) -> bool:
         """
@@ -81,15 +81,15 @@
         """
         if not self._has_ended(target):
             return False
-        return self._remaining_s(target, held) > ABOUT_TO_COME_S
+        return self._remaining_s(target, held) > NEARLY_COMPLETE_S
 
-    def _note_arrivals(self, count: int) -> None:
+    def _record_arrivals(self, count: int) -> None:
         now = self.env.monotonic()
         if self.arrivals and count < self.arrivals[-1][1]:
             # Another version is brought by now.
             self.arrivals.clear()
         self.arrivals.append((now, count))
-        while now - self.arrivals[0][0] > RATE_OVER_S:
+        while now - self.arrivals[0][0] > RATE_WINDOW_S:
             self.arrivals.popleft()
 
     def _remaining_s(self, target: Target, held: PieceSet) -> float:
@@ -97,14 +97,14 @@
         Seconds until the rest of the pieces is here, at the rate of the last second.
 
         """
-        began, before = self.arrivals[0]
-        came = len(held.pieces) - before
+        window_start, window_start_count = self.arrivals[0]
+        arrived = len(held.pieces) - window_start_count
         missing = target.pieces - len(held.pieces)
         if not missing:
             return 0.0
-        if not came:
+        if not arrived:
             return float('inf')
-        return missing * (self.env.monotonic() - began) / came
+        return missing * (self.env.monotonic() - window_start) / arrived
 
     def _has_ended(self, target: Target) -> bool:
         """
@@ -116,49 +116,49 @@
             return False
         if not self.rollout.serves_another(target):
             return False
-        return self.env.monotonic() > target.due + LAST_SENT_S - EMPTIED_BEFORE_S
+        return self.env.monotonic() > target.due + LAST_SENT_S - EMPTY_AHEAD_S
 
-    async def _empty(self, target: Target) -> None:
-        async with self.rollout.ordering:
+    async def _empty_engine(self, target: Target) -> None:
+        async with self.rollout.order_lock:
             if not self._has_ended(target):
                 return
             emptied = (self.rollout.incarnation, target.weights.version)
-            left = await self._order_single(target)
-        if left is None:
+            remaining = await self._order_single_layer(target)
+        if remaining is None:
             return
         self.emptied_for = emptied
         log.notice(
             'Took the ended version from the engine. next={} left={}@{} layer={} since_s={:.2f}',
             target.weights,
-            left.model,
-            left.version,
-            left.first,
+            remaining.model,
+            remaining.version,
+            remaining.first,
             self.env.monotonic() - target.since,
         )
 
-    async def _order_single(self, target: Target) -> ServedVersion | None:
+    async def _order_single_layer(self, target: Target) -> ServedVersion | None:
         """
         Have the engine hold a single layer: of the next version, which the rollout then
         goes on from, or else of its own. None if it does not take the order.
 
         """
         weights = target.weights
-        held = self.store.of(weights)
-        layer = _whole_layer(held, target)
+        held = self.store.get_or_create(weights)
+        layer = _find_complete_layer(held, target)
         if layer is None:
-            return await self._order_own(target)
+            return await self._order_layer_of_served_version(target)
         for index in layer.pieces(target.layers, target.pieces):
             if not await self.engine.stage(weights.model, index, held.pieces[index]):
                 return None
-        return await self._ordered(weights, layer)
+        return await self._order(weights, layer)
 
-    async def _order_own(self, target: Target) -> ServedVersion | None:
+    async def _order_layer_of_served_version(self, target: Target) -> ServedVersion | None:
         """
         Have the engine hold a single layer of what it serves; by itself it makes no token.
         Its pieces lie there, unless a daemon before this one has laid others.
 
         """
-        if not self.rollout.has_looked or self.rollout.lying == target.weights:
+        if not self.rollout.staged_checked or self.rollout.staged_weights == target.weights:
             return None
         serves = self.rollout.served[0]
         end = serves.end if serves.end is not None else target.layers
@@ -169,16 +169,16 @@
         # it.
         middle = (serves.first + end) // 2
         layer = Layers(middle, middle + 1)
-        return await self._ordered(WeightsId(serves.model, serves.version), layer)
+        return await self._order(WeightsId(serves.model, serves.version), layer)
 
-    async def _ordered(self, weights: WeightsId, layer: Layers) -> ServedVersion | None:
+    async def _order(self, weights: WeightsId, layer: Layers) -> ServedVersion | None:
         model, version = weights.model, weights.version
         if not await self.engine.start(model, version, layer.first, layer.end, False):
             return None
         return ServedVersion(model, version, layer.first, layer.end)
 
 
-def _whole_layer(held: PieceSet, target: Target) -> Layers | None:
+def _find_complete_layer(held: PieceSet, target: Target) -> Layers | None:
     """
     A layer of which all pieces are here, if there is one.
 
--- a/packages/millforkd/millforkd/sidecar/fleet.py
+++ b/packages/millforkd/millforkd/sidecar/fleet.py
@@ -12,17 +12,22 @@
 from millfork_core.environment import Environment
 from millfork_core.ranks import rank
 from millfork_registry.records import EndpointState
-from millforkd.sidecar.layout import Layers, Place, lacking, places
+from millforkd.sidecar.layer_assignment import (
+    LayerAssignment,
+    Layers,
+    assign_layers,
+    daemons_lacking,
+)
 from millforkd.sidecar.pieces import WeightsId
-from millforkd.sidecar.sources import holders, in_turn, nearest
+from millforkd.sidecar.sources import holders, preferred_holders, request_order
 
 # What is worked out from the states is used this long, as it is asked for
 # with each piece.
-PICTURE_S: Final = 0.2
+SNAPSHOT_MAX_AGE_S: Final = 0.2
 
 
 @dataclass(frozen=True, slots=True)
-class _Picture:
+class _FleetSnapshot:
     """
     The fleet with regard to one version, as worked out at one moment.
 
@@ -32,7 +37,7 @@
     at: float
     members: list[EndpointState]
     lacking: list[EndpointState]
-    places: dict[str, Place]
+    assignments: dict[str, LayerAssignment]
 
 
 class Fleet:
@@ -55,7 +60,7 @@
         self.own_state = own_state
         # The number of layers of the service's model, and of its pieces.
         self.shape = shape
-        self.picture: _Picture | None = None
+        self.snapshot: _FleetSnapshot | None = None
 
     def members(self) -> list[EndpointState]:
         """
@@ -70,37 +75,39 @@
         ]
         return [*others, own]
 
-    def _picture_of(self, weights: WeightsId) -> _Picture:
+    def _snapshot_for(self, weights: WeightsId) -> _FleetSnapshot:
         now = self.env.monotonic()
-        held = self.picture
-        if held is not None and held.weights == weights and now - held.at < PICTURE_S:
+        held = self.snapshot
+        if held is not None and held.weights == weights and now - held.at < SNAPSHOT_MAX_AGE_S:
             return held
         layers, _ = self.shape()
         members = self.members()
-        without = lacking(members, weights, self.service, layers)
-        found = places(without, weights, layers)
+        without = daemons_lacking(members, weights, self.service, layers)
+        found = assign_layers(without, weights, layers)
         for state in without:
             goal = state.goal
             if goal is None or (goal.model, goal.version) != (weights.model, weights.version):
                 continue
             # What a daemon has begun with goes before what is worked out now.
             end = goal.end if goal.end is not None else layers
-            found[state.instance] = Place(Layers(goal.first, end), found[state.instance].pair)
-        self.picture = _Picture(weights, now, members, without, found)
-        return self.picture
+            found[state.instance] = LayerAssignment(
+                Layers(goal.first, end), found[state.instance].pair
+            )
+        self.snapshot = _FleetSnapshot(weights, now, members, without, found)
+        return self.snapshot
 
-    def own_place(self, weights: WeightsId) -> Place:
+    def own_assignment(self, weights: WeightsId) -> LayerAssignment:
         """
         This daemon's place among those whose engines lack a version.
 
         """
         own = self.own_state()
-        found = self._picture_of(weights).places.get(own.instance)
+        found = self._snapshot_for(weights).assignments.get(own.instance)
         if found is not None:
             return found
         layers, _ = self.shape()
         emptied = msgspec.structs.replace(own, served=())
-        return places([emptied], weights, layers)[own.instance]
+        return assign_layers([emptied], weights, layers)[own.instance]
 
     def own_turn(self, weights: WeightsId, turns: int) -> int:
         """
@@ -114,7 +121,7 @@
         )
         return ordered.index(own) % turns
 
-    def drawers(self, weights: WeightsId, index: int) -> list[str]:
+    def origin_fetchers(self, weights: WeightsId, index: int) -> list[str]:
         """
         The daemons that need a piece first, in the order in which they are to
         draw it; the first of them sends it to the others.
@@ -123,10 +130,10 @@
         layers, pieces = self.shape()
         names = [
             name
-            for name, place in self._picture_of(weights).places.items()
-            if index in place.layers.pieces(layers, pieces)
+            for name, assignment in self._snapshot_for(weights).assignments.items()
+            if index in assignment.layers.pieces(layers, pieces)
         ]
-        return in_turn(names, weights, index)
+        return request_order(names, weights, index)
 
     def holders(self, weights: WeightsId, index: int) -> list[EndpointState]:
         """
@@ -134,7 +141,7 @@
 
         """
         own = str(self.env.instance)
-        return holders(self._picture_of(weights).members, weights, index, own)
+        return holders(self._snapshot_for(weights).members, weights, index, own)
 
     def nearest_holders(self, weights: WeightsId, index: int) -> list[str]:
         """
@@ -145,7 +152,7 @@
         zone = str(self.env.zone)
         here = [
             state
-            for state in self._picture_of(weights).lacking
+            for state in self._snapshot_for(weights).lacking
             if state.zone == zone and state not in found
         ]
-        return in_turn(nearest(found, zone, len(here)), weights, index)
+        return request_order(preferred_holders(found, zone, len(here)), weights, index)
--- a/packages/millforkd/millforkd/sidecar/gathering.py
+++ b/packages/millforkd/millforkd/sidecar/gathering.py
@@ -17,29 +17,29 @@
 from millfork_wire.messages import CacheAddress, Chunk, GetChunk, GetManifest, Manifest
 from millfork_wire.peers import Peers
 from millforkd.sidecar.fleet import Fleet
-from millforkd.sidecar.intake import keep_if_good
 from millforkd.sidecar.origin import Origin
 from millforkd.sidecar.pieces import PieceSet, WeightsId, decode_digests
-from millforkd.sidecar.pushing import Pushing
-from millforkd.sidecar.silence import SilentPeers
-from millforkd.sidecar.sources import DIGESTS, in_turn
-from millforkd.sidecar.transit import Transit
+from millforkd.sidecar.pushing import PiecePusher
+from millforkd.sidecar.silent_peers import SilentPeers
+from millforkd.sidecar.sources import DIGESTS_INDEX, request_order
+from millforkd.sidecar.transfer_times import TransferTimes
+from millforkd.sidecar.verification import store_if_valid
 
 # Pieces asked of peers at once: enough to fill the link over some
 # milliseconds, few enough not to wait in front of the engine's requests.
-PULL_WINDOW: Final = 4
+PEER_WINDOW_PIECES: Final = 4
 # Pieces asked of caches at once: one on the link, one on its way to the cache and
 # back. More would wait in a slow link, in front of the engine's requests.
-CACHE_WINDOW: Final = 2
+CACHE_WINDOW_PIECES: Final = 2
 # Rounds of questions to caches that brought nothing, before daemons help
 # themselves: an origin that is down for some seconds is drawn from by the caches
 # as soon as it is back.
-CACHES_TRIED: Final = 20
+MAX_FAILED_CACHE_ROUNDS: Final = 20
 # The same for the list of digests, which is small and without which nothing begins: some
 # 4 s, where caches that can reach its drawer have it within one.
-DIGESTS_TRIED: Final = 6
+MAX_FAILED_DIGEST_REQUESTS: Final = 6
 # Pieces asked of the origin at once by one daemon.
-DRAW_WINDOW: Final = 1
+ORIGIN_WINDOW_PIECES: Final = 1
 # Without a piece for this long, a daemon asks for what it misses. A piece
 # takes 0.05 s on the slowest links, a round of sendings ten times that.
 STALL_S: Final = 0.8
@@ -47,15 +47,15 @@
 # A cache says 'not yet' after half a second, and a piece is 0.05 s on the link.
 CACHE_TIMEOUT_S: Final = 1.0
 # Peers asked for one missing piece in one round.
-PEERS_TRIED: Final = 2
+MAX_PEERS_PER_ROUND: Final = 2
 RETRY_S: Final = 0.2
 
-Bring = Callable[[PieceSet, int], Awaitable[None]]
+FetchPiece = Callable[[PieceSet, int], Awaitable[None]]
 
 log = logger(Part.WEIGHTS)
 
 
-class Gathering:
+class PieceGatherer:
     """
     Fetches pieces from peers and the origin.
 
@@ -68,7 +68,7 @@
         fleet: Fleet,
         origin: Origin,
         caches: Callable[[], list[CacheAddress]],
-        pushing: Pushing,
+        pushing: PiecePusher,
         link: Link,
     ) -> None:
         self.env = env
@@ -77,10 +77,10 @@
         self.origin = origin
         self.caches = caches
         self.silent = SilentPeers(env.monotonic)
-        self.transit = Transit(link.rate, env.monotonic)
-        self.one_at_a_time = curio.Lock()
+        self.transfer_times = TransferTimes(link.rate, env.monotonic)
+        self.slow_link_lock = curio.Lock()
         # Questions for digests to caches that brought nothing.
-        self.digests_in_vain = 0
+        self.failed_digest_requests = 0
         self.pushing = pushing
         self.link = link
 
@@ -90,27 +90,29 @@
         wanted any more.
 
         """
-        while not await self.bring_digests(held):
+        while not await self.obtain_digests(held):
             await curio.sleep(RETRY_S)
-        turn = 0
-        in_vain = 0
+        fallback_rank = 0
+        failed_rounds = 0
         while missing := held.missing(wanted):
-            if in_vain < CACHES_TRIED and self.near_caches():
-                in_vain = 0 if await self._take_from_caches(held, missing) else in_vain + 1
+            if failed_rounds < MAX_FAILED_CACHE_ROUNDS and self.near_caches():
+                failed_rounds = (
+                    0 if await self._fetch_from_caches(held, missing) else failed_rounds + 1
+                )
                 continue
-            in_vain = 0
+            failed_rounds = 0
             held_elsewhere = [index for index in missing if self.fleet.holders(held.weights, index)]
             if held_elsewhere:
-                await self._pull(held, held_elsewhere)
+                await self._fetch_from_peers(held, held_elsewhere)
                 if len(held.missing(wanted)) < len(missing):
                     continue
-            elif await self._draw(held, missing, turn):
+            elif await self._fetch_from_origin(held, missing, fallback_rank):
                 continue
-            if await self._has_more(held):
+            if await self._wait_for_piece(held):
                 continue
-            turn += 1
+            fallback_rank += 1
 
-    async def _has_more(self, held: PieceSet) -> bool:
+    async def _wait_for_piece(self, held: PieceSet) -> bool:
         """
         Wait for another piece; False if none comes in time.
 
@@ -134,55 +136,57 @@
         near = [cache for cache in found if cache.zone == self.env.zone]
         return [cache.instance for cache in near or found]
 
-    async def _take_from_caches(self, held: PieceSet, missing: list[int]) -> bool:
+    async def _fetch_from_caches(self, held: PieceSet, missing: list[int]) -> bool:
         """
         Take the missing pieces from the caches; False if none of them came.
 
         """
         before = len(held.pieces)
         queue = sorted(missing, reverse=True)
-        await self._in_parallel(CACHE_WINDOW, held, queue, self._take_piece)
+        await self._in_parallel(CACHE_WINDOW_PIECES, held, queue, self._fetch_piece_from_caches)
         if len(held.pieces) > before:
             return True
         await curio.sleep(RETRY_S)
         return False
 
-    async def _take_piece(self, held: PieceSet, index: int) -> None:
+    async def _fetch_piece_from_caches(self, held: PieceSet, index: int) -> None:
         """
         Take one piece; on a link that is slow, one at a time with pauses, so
         that the engine's requests get through.
 
         """
-        if not self.transit.is_slow:
+        if not self.transfer_times.is_slow:
             await self._ask_caches(held, index)
             return
-        async with self.one_at_a_time:
+        async with self.slow_link_lock:
             began = self.env.monotonic()
             await self._ask_caches(held, index)
             await curio.sleep(self.env.monotonic() - began)
 
     async def _ask_caches(self, held: PieceSet, index: int) -> None:
-        for name in in_turn(self.near_caches(), held.weights, index)[:PEERS_TRIED]:
-            data = await self._piece_of_cache(name, held.weights, index)
-            if data and await self._keep(held, index, data, 'cache', name):
+        for name in request_order(self.near_caches(), held.weights, index)[:MAX_PEERS_PER_ROUND]:
+            data = await self._request_from_cache(name, held.weights, index)
+            if data and await self._store(held, index, data, 'cache', name):
                 return
 
-    async def _piece_of_cache(self, name: str, weights: WeightsId, index: int) -> bytes:
-        began = self.transit.begin()
-        timeout = PEER_TIMEOUT_S if self.transit.is_slow else CACHE_TIMEOUT_S
+    async def _request_from_cache(self, name: str, weights: WeightsId, index: int) -> bytes:
+        began = self.transfer_times.begin()
+        timeout = PEER_TIMEOUT_S if self.transfer_times.is_slow else CACHE_TIMEOUT_S
         data = b''
         try:
-            data = await self._chunk_of(name, weights, index, timeout)
+            data = await self._request_chunk(name, weights, index, timeout)
         except PeerError as error:
             log.info('Piece {} of {} not from {}: {}.', index, weights, name, error)
-            self.silent.note(name)
+            self.silent.mark_silent(name)
         finally:
-            self.transit.end(began, len(data))
+            self.transfer_times.end(began, len(data))
         return data
 
     # From the origin.
 
-    async def _draw(self, held: PieceSet, missing: list[int], turn: int) -> bool:
+    async def _fetch_from_origin(
+        self, held: PieceSet, missing: list[int], fallback_rank: int
+    ) -> bool:
         """
         Draw the missing pieces that are this daemon's, or fell to it as those
         before it in turn did not bring them; False if there were none.
@@ -190,14 +194,16 @@
         """
         own = str(self.env.instance)
         queue = [
-            index for index in missing if own in self.fleet.drawers(held.weights, index)[: turn + 1]
+            index
+            for index in missing
+            if own in self.fleet.origin_fetchers(held.weights, index)[: fallback_rank + 1]
         ]
         queue.reverse()
-        await self._in_parallel(DRAW_WINDOW, held, queue, self._draw_piece)
+        await self._in_parallel(ORIGIN_WINDOW_PIECES, held, queue, self._fetch_piece_from_origin)
         return bool(queue)
 
-    async def _draw_piece(self, held: PieceSet, index: int) -> None:
-        data = await self.origin.draw_piece(held, index)
+    async def _fetch_piece_from_origin(self, held: PieceSet, index: int) -> None:
+        data = await self.origin.fetch_piece(held, index)
         if data is None:
             await curio.sleep(RETRY_S)
             return
@@ -209,53 +215,55 @@
         window: int,
         held: PieceSet,
         queue: list[int],
-        bring: Bring,
+        fetch: FetchPiece,
     ) -> None:
         async with curio.TaskGroup() as group:
             for _ in range(min(window, len(queue))):
-                await group.spawn(self._work, held, queue, bring)
+                await group.spawn(self._fetch_queued, held, queue, fetch)
 
-    async def _work(self, held: PieceSet, queue: list[int], bring: Bring) -> None:
+    async def _fetch_queued(self, held: PieceSet, queue: list[int], fetch: FetchPiece) -> None:
         while queue:
             index = queue.pop()
             if index not in held.pieces:
-                await bring(held, index)
+                await fetch(held, index)
 
     # From peers.
 
-    async def _pull(self, held: PieceSet, missing: list[int]) -> None:
+    async def _fetch_from_peers(self, held: PieceSet, missing: list[int]) -> None:
         """
         Ask the holders for what is missing.
 
         """
         queue = list(missing)
         self.env.random.shuffle(queue)
-        await self._in_parallel(PULL_WINDOW, held, queue, self._pull_piece)
+        await self._in_parallel(PEER_WINDOW_PIECES, held, queue, self._fetch_piece_from_peers)
 
-    async def _pull_piece(self, held: PieceSet, index: int) -> None:
-        for peer in self.fleet.nearest_holders(held.weights, index)[:PEERS_TRIED]:
-            data = await self._piece_of_peer(peer, held.weights, index)
+    async def _fetch_piece_from_peers(self, held: PieceSet, index: int) -> None:
+        for peer in self.fleet.nearest_holders(held.weights, index)[:MAX_PEERS_PER_ROUND]:
+            data = await self._request_from_peer(peer, held.weights, index)
             if data is None:
                 continue
-            if await self._keep(held, index, data, 'peer', peer):
+            if await self._store(held, index, data, 'peer', peer):
                 return
 
-    async def _keep(
+    async def _store(
         self, held: PieceSet, index: int, data: bytes, source: str, sender: str
     ) -> bool:
-        good = await keep_if_good(self.env, held, index, data, source, sender)
+        good = await store_if_valid(self.env, held, index, data, source, sender)
         if good:
             self.link.inward.note(len(data))
         return good
 
-    async def _piece_of_peer(self, peer: str, weights: WeightsId, index: int) -> bytes | None:
+    async def _request_from_peer(self, peer: str, weights: WeightsId, index: int) -> bytes | None:
         try:
-            return await self._chunk_of(peer, weights, index, PEER_TIMEOUT_S) or None
+            return await self._request_chunk(peer, weights, index, PEER_TIMEOUT_S) or None
         except PeerError as error:
             log.info('Piece {} of {} not from {}: {}.', index, weights, peer, error)
             return None
 
-    async def _chunk_of(self, peer: str, weights: WeightsId, index: int, timeout: float) -> bytes:
+    async def _request_chunk(
+        self, peer: str, weights: WeightsId, index: int, timeout: float
+    ) -> bytes:
         """
         A piece of a peer; empty if it has none.
 
@@ -268,7 +276,7 @@
 
     # Digests.
 
-    async def bring_digests(self, held: PieceSet) -> bool:
+    async def obtain_digests(self, held: PieceSet) -> bool:
         """
         Learn the digests: from the caches while there are some, else from peers or the
         origin; False if nobody has them.
@@ -276,40 +284,42 @@
         """
         if held.digests:
             return True
-        caches = in_turn(self.near_caches(), held.weights, DIGESTS)
-        if caches and self.digests_in_vain < DIGESTS_TRIED:
-            self.digests_in_vain += 1
-            return await self._take_digests(held, caches[0])
-        self.digests_in_vain = 0
-        return await self._help_itself_to_digests(held)
-
-    async def _take_digests(self, held: PieceSet, peer: str) -> bool:
-        digests = await self._digests_of_peer(peer, held.weights)
+        caches = request_order(self.near_caches(), held.weights, DIGESTS_INDEX)
+        if caches and self.failed_digest_requests < MAX_FAILED_DIGEST_REQUESTS:
+            self.failed_digest_requests += 1
+            return await self._fetch_digests_from_peer(held, caches[0])
+        self.failed_digest_requests = 0
+        return await self._obtain_digests_without_caches(held)
+
+    async def _fetch_digests_from_peer(self, held: PieceSet, peer: str) -> bool:
+        digests = await self._request_digests(peer, held.weights)
         if not digests:
             return False
-        self.digests_in_vain = 0
-        await held.learn_digests(digests)
+        self.failed_digest_requests = 0
+        await held.set_digests(digests)
         return True
 
-    async def _help_itself_to_digests(self, held: PieceSet) -> bool:
+    async def _obtain_digests_without_caches(self, held: PieceSet) -> bool:
         own = str(self.env.instance)
         names = [state.instance for state in self.fleet.holders(held.weights, 0)]
-        ordered = in_turn(names, held.weights, DIGESTS) or self.fleet.drawers(held.weights, 0)
-        for peer in ordered[:PEERS_TRIED]:
+        ordered = request_order(names, held.weights, DIGESTS_INDEX) or self.fleet.origin_fetchers(
+            held.weights, 0
+        )
+        for peer in ordered[:MAX_PEERS_PER_ROUND]:
             if peer == own:
                 break
-            if await self._take_digests(held, peer):
+            if await self._fetch_digests_from_peer(held, peer):
                 return True
-        return bool(held.digests) or await self.origin.draw_digests(held)
+        return bool(held.digests) or await self.origin.fetch_digests(held)
 
-    async def _digests_of_peer(self, peer: str, weights: WeightsId) -> tuple[str, ...]:
+    async def _request_digests(self, peer: str, weights: WeightsId) -> tuple[str, ...]:
         try:
             reply = await self.peers.call(
                 address_of(peer), GetManifest(str(weights)), CACHE_TIMEOUT_S
             )
         except PeerError as error:
             log.info('Digests of {} not from {}: {}.', weights, peer, error)
-            self.silent.note(peer)
+            self.silent.mark_silent(peer)
             return ()
         if not isinstance(reply, Manifest) or not reply.found:
             return ()
--- a/packages/millforkd/millforkd/sidecar/layout.py
+++ b/packages/millforkd/millforkd/sidecar/layer_assignment.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class LayerAssignment:
     """
     One engine's first layers, and the number of the pair that it serves in.
 
@@ -47,7 +47,7 @@
     pair: int
 
 
-def lacking(
+def daemons_lacking(
     states: Iterable[EndpointState], weights: WeightsId, service: str, layers: int
 ) -> list[EndpointState]:
     """
@@ -72,7 +72,9 @@
     )
 
 
-def part_served(served: Iterable[ServedVersion], weights: WeightsId, layers: int) -> Layers | None:
+def served_layers(
+    served: Iterable[ServedVersion], weights: WeightsId, layers: int
+) -> Layers | None:
     """
     The layers of a version that an engine serves; None if there are none.
 
@@ -83,14 +85,16 @@
     return None
 
 
-def places(states: Iterable[EndpointState], weights: WeightsId, layers: int) -> dict[str, Place]:
+def assign_layers(
+    states: Iterable[EndpointState], weights: WeightsId, layers: int
+) -> dict[str, LayerAssignment]:
     """
     The place of each of the daemons `states`, in pairs of one zone where they
     can be. One that is left over takes all layers, as do all engines whose
     layers can't be shared.
 
     """
-    whole = Place(Layers(0, layers), 0)
+    whole = LayerAssignment(Layers(0, layers), 0)
     ordered = sorted(states, key=lambda state: (state.zone, rank(str(weights), state.instance)))
     found = {state.instance: whole for state in ordered}
     if layers < 2:
@@ -105,6 +109,6 @@
     pairs += list(zip(single[::2], single[1::2], strict=False))
     split = layers // 2
     for number, (lower, upper) in enumerate(pairs):
-        found[lower.instance] = Place(Layers(0, split), number)
-        found[upper.instance] = Place(Layers(split, layers), number)
+        found[lower.instance] = LayerAssignment(Layers(0, split), number)
+        found[upper.instance] = LayerAssignment(Layers(split, layers), number)
     return found
--- a/packages/millforkd/millforkd/sidecar/load.py
+++ b/packages/millforkd/millforkd/sidecar/load.py
@@ -14,7 +14,7 @@
 from millforkd.sidecar.engine import LocalEngine
 
 # Entries that ask within this time are told the same: an engine's pass takes as long.
-SHARED_S: Final = 0.005
+SHARED_REPORT_S: Final = 0.005
 PERCENT: Final = 100
 
 
@@ -24,26 +24,28 @@
 
     """
 
-    def __init__(self, env: Environment, engine: LocalEngine, answers: Callable[[], bool]) -> None:
+    def __init__(
+        self, env: Environment, engine: LocalEngine, engine_answers: Callable[[], bool]
+    ) -> None:
         self.env = env
         self.engine = engine
         # Whether the engine answered when it was last asked for its report.
-        self.answers = answers
+        self.engine_answers = engine_answers
         self.lock = curio.Lock()
-        self.looked_at = float('-inf')
+        self.reported_at = float('-inf')
         self.report: EngineReport | None = None
 
-    async def now(self) -> EngineLoad:
+    async def current_load(self) -> EngineLoad:
         """
         What runs and waits at the engine.
 
         """
-        if not self.answers():
+        if not self.engine_answers():
             return EngineLoad()
         async with self.lock:
-            if self.env.monotonic() - self.looked_at > SHARED_S:
+            if self.env.monotonic() - self.reported_at > SHARED_REPORT_S:
                 self.report = await self.engine.report()
-                self.looked_at = self.env.monotonic()
+                self.reported_at = self.env.monotonic()
         report = self.report
         if report is None:
             return EngineLoad()
--- a/packages/millforkd/millforkd/sidecar/origin.py
+++ b/packages/millforkd/millforkd/sidecar/origin.py
@@ -13,20 +13,20 @@
 from millfork_routing.documents import Document, OriginFigures
 from millfork_web.client import Client, ExchangeFailed
 from millfork_web.models import Request
-from millforkd.sidecar.intake import keep_if_good
 from millforkd.sidecar.pieces import PieceSet
+from millforkd.sidecar.verification import store_if_valid
 
 # A piece takes 0.03 s at the origin's 7.3 Mbit/s; a dozen may wait there. An origin
 # that is silent for longer is down, and may be back at any moment.
 ORIGIN_TIMEOUT_S: Final = 1.0
 # It is left alone this long once it failed: enough not to be flooded when it is
 # back, little against the second that it may have before it fails again.
-DOWN_S: Final = 0.1
+PAUSE_AFTER_FAILURE_S: Final = 0.1
 
 log = logger(Part.WEIGHTS)
 
 
-def origin_in(document: Document | None) -> OriginFigures | None:
+def find_origin(document: Document | None) -> OriginFigures | None:
     """
     Where a document says that weights come from.
 
@@ -54,11 +54,11 @@
         self.source = source
         self.figures = figures
         self.client: Client | None = None
-        self.down_until = float('-inf')
+        self.paused_until = float('-inf')
         # Whether the last request failed; only changes of this are logged.
         self.failing = False
 
-    async def draw_piece(self, held: PieceSet, index: int) -> bytes | None:
+    async def fetch_piece(self, held: PieceSet, index: int) -> bytes | None:
         """
         Draw one piece into `held`; None if no good one came.
 
@@ -75,10 +75,10 @@
         )
         if data is None:
             return None
-        good = await keep_if_good(self.env, held, index, data, 'origin', 'the origin')
+        good = await store_if_valid(self.env, held, index, data, 'origin', 'the origin')
         return data if good else None
 
-    async def draw_digests(self, held: PieceSet) -> bool:
+    async def fetch_digests(self, held: PieceSet) -> bool:
         """
         Draw the digests into `held`; False if none came.
 
@@ -95,7 +95,7 @@
         if (pieces.model, pieces.version) != (weights.model, weights.version):
             log.warning('The origin gave digests of {} {}.', pieces.model, pieces.version)
             return False
-        await held.learn_digests(pieces.digests)
+        await held.set_digests(pieces.digests)
         return True
 
     def _client(self) -> Client | None:
@@ -109,14 +109,14 @@
 
     async def _fetch(self, request: Request) -> bytes | None:
         client = self._client()
-        if client is None or self.env.monotonic() < self.down_until:
+        if client is None or self.env.monotonic() < self.paused_until:
             return None
         try:
             response = await client.fetch(
                 request.method, request.path, request.headers, timeout=ORIGIN_TIMEOUT_S
             )
         except ExchangeFailed as error:
-            self.down_until = self.env.monotonic() + DOWN_S
+            self.paused_until = self.env.monotonic() + PAUSE_AFTER_FAILURE_S
             if not self.failing:
                 log.warning('Nothing from the origin: {}. path={}', error, request.path)
             self.failing = True
--- a/packages/millforkd/millforkd/sidecar/pieces.py
+++ b/packages/millforkd/millforkd/sidecar/pieces.py
@@ -79,7 +79,7 @@
         everything = range(len(self.digests))
         return [index for index in wanted or everything if index not in self.pieces]
 
-    def held_run(self) -> tuple[int, int]:
+    def longest_run(self) -> tuple[int, int]:
         """
         The longest run of pieces that are here: its first, and its end.
 
@@ -94,7 +94,7 @@
             first = index + 1
         return best
 
-    async def learn_digests(self, digests: tuple[str, ...]) -> None:
+    async def set_digests(self, digests: tuple[str, ...]) -> None:
         """
         Take the digests, and check what came before them.
 
@@ -103,7 +103,7 @@
         unchecked, self.unchecked = self.unchecked, {}
         for index, data in unchecked.items():
             await self.put(index, data)
-        await self.announce()
+        await self.notify_waiters()
 
     async def put(self, index: int, data: bytes) -> bool:
         """
@@ -116,7 +116,7 @@
         if not self.is_good(index, data):
             return False
         self.pieces[index] = data
-        await self.announce()
+        await self.notify_waiters()
         return True
 
     def is_good(self, index: int, data: bytes) -> bool:
@@ -124,7 +124,7 @@
             return False
         return hashlib.sha256(data).hexdigest() == self.digests[index]
 
-    async def announce(self) -> None:
+    async def notify_waiters(self) -> None:
         """
         Wake whoever waits for a piece or for the digests.
 
@@ -142,7 +142,7 @@
     def __init__(self) -> None:
         self.sets: dict[WeightsId, PieceSet] = {}
 
-    def of(self, weights: WeightsId) -> PieceSet:
+    def get_or_create(self, weights: WeightsId) -> PieceSet:
         """
         The set of a version; the oldest versions make room for it.
 
--- a/packages/millforkd/millforkd/sidecar/pushing.py
+++ b/packages/millforkd/millforkd/sidecar/pushing.py
@@ -23,20 +23,20 @@
 
 # A piece takes 0.05 s on the slowest links when they are well, and must share
 # them; a peer that takes longer asks for what it misses.
-TAKEN_WITHIN_S: Final = 1.5
-PASSED_OVER_S: Final = 4.0
+PUSH_TIMEOUT_S: Final = 1.5
+SKIP_SLOW_PEER_S: Final = 4.0
 
 log = logger(Part.WEIGHTS)
 
 
 @dataclass(frozen=True, slots=True)
-class _Sending:
+class _OutgoingPiece:
     weights: WeightsId
     index: int
     data: bytes
 
 
-class Pushing:
+class PiecePusher:
     """
     The pieces on their way out, at the link's pace.
 
@@ -46,44 +46,44 @@
         self,
         env: Environment,
         peers: Peers,
-        targets: Callable[[WeightsId, int], list[str]],
+        receivers: Callable[[WeightsId, int], list[str]],
         outward: Pace,
     ) -> None:
         self.env = env
         self.peers = peers
-        self.targets = targets
+        self.receivers = receivers
         self.outward = outward
         self.queues: dict[str, curio.Queue] = {}
         # Peers that took nothing lately, and until when they are passed over.
-        self.slow_until: dict[str, float] = {}
+        self.skipped_until: dict[str, float] = {}
 
     async def add(self, weights: WeightsId, index: int, data: bytes) -> None:
         """
         Send a piece to all others that need it, when the link allows.
 
         """
-        for name in self.targets(weights, index):
+        for name in self.receivers(weights, index):
             if name == self.env.instance:
                 continue
             if name not in self.queues:
                 self.queues[name] = curio.Queue()
                 await self.env.spawn(self._send_all, name)
-            await self.queues[name].put(_Sending(weights, index, data))
+            await self.queues[name].put(_OutgoingPiece(weights, index, data))
 
     async def _send_all(self, name: str) -> None:
         while True:
-            sending = await self.queues[name].get()
-            if self.slow_until.get(name, 0.0) > self.env.monotonic():
+            outgoing = await self.queues[name].get()
+            if self.skipped_until.get(name, 0.0) > self.env.monotonic():
                 continue
-            await self.outward.take(len(sending.data))
-            await self._send(name, sending)
+            await self.outward.take(len(outgoing.data))
+            await self._send(name, outgoing)
 
-    async def _send(self, name: str, sending: _Sending) -> None:
-        message = PushChunk(str(sending.weights), sending.index, sending.data)
+    async def _send(self, name: str, outgoing: _OutgoingPiece) -> None:
+        message = PushChunk(str(outgoing.weights), outgoing.index, outgoing.data)
         try:
-            await self.peers.call(address_of(name), message, TAKEN_WITHIN_S)
+            await self.peers.call(address_of(name), message, PUSH_TIMEOUT_S)
         except PeerError as error:
-            self.slow_until[name] = self.env.monotonic() + PASSED_OVER_S
-            log.info('Piece {} not sent to {}: {}.', sending.index, name, error)
+            self.skipped_until[name] = self.env.monotonic() + SKIP_SLOW_PEER_S
+            log.info('Piece {} not sent to {}: {}.', outgoing.index, name, error)
             return
-        self.env.metrics.count(self.env.metrics.chunk_bytes, len(sending.data), source='sent')
+        self.env.metrics.count(self.env.metrics.chunk_bytes, len(outgoing.data), source='sent')
--- a/packages/millforkd/millforkd/sidecar/rollout.py
+++ b/packages/millforkd/millforkd/sidecar/rollout.py
@@ -20,14 +20,14 @@
 from millfork_registry.records import ServedVersion
 from millforkd.sidecar.engine import LocalEngine
 from millforkd.sidecar.fleet import Fleet
-from millforkd.sidecar.gathering import Gathering
-from millforkd.sidecar.layout import Layers, Place, part_served
+from millforkd.sidecar.gathering import PieceGatherer
+from millforkd.sidecar.layer_assignment import LayerAssignment, Layers, served_layers
 from millforkd.sidecar.pieces import PieceSet, PieceStore, WeightsId
 from millforkd.sidecar.target import Target
 from millforkd.switching import LAST_SENT_S
 
 # Entries stop sending to this engine within this time of being told.
-TELL_S: Final = 0.15
+ANNOUNCE_S: Final = 0.15
 # What runs on an engine that changes may end within this time; streams of 100
 # tokens take 1 s, so about a third is left, and goes on at other engines.
 DRAIN_S: Final = 0.9
@@ -40,7 +40,7 @@
 # away at once, more do not fit into the time that is left once the pieces are here.
 TURNS: Final = 3
 # Staged pieces read back before they are taken to be of another version.
-STAGED_TRIED: Final = 3
+MAX_STAGED_MISMATCHES: Final = 3
 # From the order until the engine serves: what runs ends first.
 START_TIMEOUT_S: Final = 6.0
 
@@ -58,7 +58,7 @@
         env: Environment,
         engine: LocalEngine,
         store: PieceStore,
-        gathering: Gathering,
+        gathering: PieceGatherer,
         fleet: Fleet,
         target: Callable[[], Target | None],
         announce: Callable[[], Awaitable[None]],
@@ -75,15 +75,15 @@
         self.incarnation = UNTOLD_INCARNATION
         self.changing_to = 0
         # Held while pieces are laid for an order and the order is given.
-        self.ordering = curio.Lock()
+        self.order_lock = curio.Lock()
         # Whether this daemon has looked whose pieces lie at the engine, and the target of
         # which some lay there, left by a daemon that ended before it gave the order.
-        self.has_looked = False
-        self.lying: WeightsId | None = None
+        self.staged_checked = False
+        self.staged_weights: WeightsId | None = None
         # The place is kept once chosen, as others move on meanwhile.
-        self.place: tuple[WeightsId, Place] | None = None
+        self.assignment: tuple[WeightsId, LayerAssignment] | None = None
 
-    def take_report(self, report: EngineReport | None) -> None:
+    def record_report(self, report: EngineReport | None) -> None:
         """
         Take what the engine answered; None if it is silent.
 
@@ -96,9 +96,9 @@
         )
         self.incarnation = report.incarnation
         # Whatever was known of the engine ended with its process; pieces may lie there.
-        self.has_looked = False
-        self.lying = None
-        self.place = None
+        self.staged_checked = False
+        self.staged_weights = None
+        self.assignment = None
 
     @property
     def served(self) -> tuple[ServedVersion, ...]:
@@ -116,23 +116,25 @@
         The layers that the engine is to have first, once they are chosen.
 
         """
-        if self.place is None:
+        if self.assignment is None:
             return None
-        weights, place = self.place
-        return ServedVersion(weights.model, weights.version, place.layers.first, place.layers.end)
+        weights, assignment = self.assignment
+        return ServedVersion(
+            weights.model, weights.version, assignment.layers.first, assignment.layers.end
+        )
 
-    def _part(self, target: Target) -> Layers | None:
-        return part_served(self.served, target.weights, target.layers)
+    def _served_layers(self, target: Target) -> Layers | None:
+        return served_layers(self.served, target.weights, target.layers)
 
     def _is_done(self, target: Target) -> bool:
-        return self._part(target) == Layers(0, target.layers)
+        return self._served_layers(target) == Layers(0, target.layers)
 
     def serves_another(self, target: Target) -> bool:
         """
         Whether the engine has work on another version.
 
         """
-        return bool(self.served) and self._part(target) is None
+        return bool(self.served) and self._served_layers(target) is None
 
     def is_emptied(self, target: Target) -> bool:
         """
@@ -145,7 +147,7 @@
             for item in self.served
         )
 
-    async def keep(self) -> None:
+    async def run(self) -> None:
         """
         The task that follows the target.
 
@@ -163,13 +165,13 @@
 
         """
         began = self.env.monotonic()
-        held = self.store.of(target.weights)
-        await self._look_at_staged(held)
-        goal = self._goal(target, held)
-        if not await self._gathered(held, target, goal):
+        held = self.store.get_or_create(target.weights)
+        await self._check_staged(held)
+        goal = self._choose_goal(target, held)
+        if not await self._gather(held, target, goal):
             return
         gathered = self.env.monotonic()
-        if not await self._turn_came(target):
+        if not await self._wait_for_turn(target):
             return
         await self._start(target, held, goal)
         now = self.env.monotonic()
@@ -179,33 +181,33 @@
             target.weights,
             goal.first,
             goal.end,
-            self._part(target),
+            self._served_layers(target),
             gathered - began,
             now - gathered,
             now - target.since,
         )
 
-    def _goal(self, target: Target, held: PieceSet) -> Layers:
+    def _choose_goal(self, target: Target, held: PieceSet) -> Layers:
         """
         The layers that the engine is to have next.
 
         """
-        begun = held.whole or self._part(target) is not None
+        begun = held.whole or self._served_layers(target) is not None
         if begun or (self.serves_another(target) and self.gathering.near_caches()):
             return Layers(0, target.layers)
-        return self._own_place(target).layers
+        return self._own_assignment(target).layers
 
-    def _own_place(self, target: Target) -> Place:
-        if self.place is None or self.place[0] != target.weights:
-            self.place = (target.weights, self.fleet.own_place(target.weights))
-            log.info('Place of this engine. weights={} place={}', *self.place)
-        return self.place[1]
+    def _own_assignment(self, target: Target) -> LayerAssignment:
+        if self.assignment is None or self.assignment[0] != target.weights:
+            self.assignment = (target.weights, self.fleet.own_assignment(target.weights))
+            log.info('Place of this engine. weights={} place={}', *self.assignment)
+        return self.assignment[1]
 
-    def _outdated(self, target: Target) -> bool:
+    def _is_outdated(self, target: Target) -> bool:
         now = self.target()
         return now is None or now.weights != target.weights
 
-    async def _gathered(self, held: PieceSet, target: Target, goal: Layers) -> bool:
+    async def _gather(self, held: PieceSet, target: Target, goal: Layers) -> bool:
         """
         Bring the pieces of some layers here; False if another version is
         wanted by then.
@@ -218,40 +220,42 @@
         try:
             while not task.terminated:
                 await curio.sleep(POLL_S)
-                if self._outdated(target):
+                if self._is_outdated(target):
                     return False
         finally:
             if not task.terminated:
                 await task.cancel()
         return bool(held.digests) and not held.missing(wanted)
 
-    async def _look_at_staged(self, held: PieceSet) -> None:
+    async def _check_staged(self, held: PieceSet) -> None:
         if not held.digests:
             await self._adopt_staged(held)
-        self.has_looked = True
+        self.staged_checked = True
 
     async def _adopt_staged(self, held: PieceSet) -> None:
         """
         Take what already lies at the engine, if it is of this version.
 
         """
-        if not await self.gathering.bring_digests(held):
+        if not await self.gathering.obtain_digests(held):
             return
         model = held.weights.model
-        good = bad = 0
+        matching = mismatched = 0
         for index in held.missing():
-            data = await self.engine.staged(model, index)
+            data = await self.engine.read_staged(model, index)
             if data is not None and await held.put(index, data):
-                good += 1
+                matching += 1
                 continue
-            bad += 1
-            if not good and bad >= STAGED_TRIED:
+            mismatched += 1
+            if not matching and mismatched >= MAX_STAGED_MISMATCHES:
                 break
-        if good:
-            self.lying = held.weights
-            log.info('Took staged pieces. weights={} good={} bad={}', held.weights, good, bad)
+        if matching:
+            self.staged_weights = held.weights
+            log.info(
+                'Took staged pieces. weights={} good={} bad={}', held.weights, matching, mismatched
+            )
 
-    async def _turn_came(self, target: Target) -> bool:
+    async def _wait_for_turn(self, target: Target) -> bool:
         """
         Wait for this engine's turn: the engines of a turn change once those of
         the turns before it have. False if another version is wanted by then.
@@ -259,24 +263,24 @@
         """
         turn = self.fleet.own_turn(target.weights, TURNS)
         while self.serves_another(target) and self.env.monotonic() < target.due:
-            if self._changed(target) * TURNS >= turn * len(self.fleet.members()):
+            if self._changed_count(target) * TURNS >= turn * len(self.fleet.members()):
                 break
             await curio.sleep(POLL_S)
-            if self._outdated(target):
+            if self._is_outdated(target):
                 return False
         return True
 
-    def _changed(self, target: Target) -> int:
+    def _changed_count(self, target: Target) -> int:
         """
         How many engines serve the target, in part at least.
 
         """
         return sum(
-            part_served(state.served, target.weights, target.layers) is not None
+            served_layers(state.served, target.weights, target.layers) is not None
             for state in self.fleet.members()
         )
 
-    async def _drained(self, target: Target) -> None:
+    async def _wait_for_drain(self, target: Target) -> None:
         """
         Wait until the engine has nothing left to do, for a while at most, and not beyond
         the end of its version: nothing may begin on it then.
@@ -300,23 +304,23 @@
         weights = target.weights
         # One that was emptied has nothing to end, and takes the order 0.3 s sooner.
         replaces = self.serves_another(target) and not self.is_emptied(target)
-        if self._part(target) is None:
+        if self._served_layers(target) is None:
             self.changing_to = weights.version
-            await self._tell()
+            await self._announce_state()
         draining = None
         try:
             if replaces:
-                await curio.sleep(TELL_S)
-                draining = await self.env.spawn(self._drained, target)
-            if await self._ordered(target, held, layers, replaces, draining):
-                await self._until_served(target, layers)
+                await curio.sleep(ANNOUNCE_S)
+                draining = await self.env.spawn(self._wait_for_drain, target)
+            if await self._give_order(target, held, layers, replaces, draining):
+                await self._wait_until_served(target, layers)
         finally:
             if draining is not None:
                 await draining.cancel()
             self.changing_to = 0
-            await self._tell()
+            await self._announce_state()
 
-    async def _ordered(
+    async def _give_order(
         self,
         target: Target,
         held: PieceSet,
@@ -330,7 +334,7 @@
 
         """
         weights = target.weights
-        async with self.ordering:
+        async with self.order_lock:
             for index in layers.pieces(target.layers, target.pieces):
                 if not await self.engine.stage(weights.model, index, held.pieces[index]):
                     return False
@@ -340,30 +344,30 @@
                 weights.model, weights.version, layers.first, layers.end, replaces
             )
 
-    async def _tell(self) -> None:
+    async def _announce_state(self) -> None:
         """
         Announce this daemon's state; a replica that does not answer (it may have
         lost power) must not hold the engine up. The next report tells it again.
 
         """
         try:
-            async with curio.timeout_after(TELL_S):
+            async with curio.timeout_after(ANNOUNCE_S):
                 await self.announce()
         except curio.TaskTimeout:
-            log.info('No replica took the state in {} s.', TELL_S)
+            log.info('No replica took the state in {} s.', ANNOUNCE_S)
 
-    async def _until_served(self, target: Target, layers: Layers) -> None:
+    async def _wait_until_served(self, target: Target, layers: Layers) -> None:
         until = self.env.monotonic() + START_TIMEOUT_S
-        ordered = self.incarnation
+        ordered_incarnation = self.incarnation
         while self.env.monotonic() < until:
             report = await self.engine.report()
             if report is not None:
-                self.take_report(report)
-            if self.incarnation != ordered:
+                self.record_report(report)
+            if self.incarnation != ordered_incarnation:
                 log.warning('The engine started again before it served {}.', target.weights)
                 return
-            part = self._part(target)
-            if part is not None and part.first <= layers.first and layers.end <= part.end:
+            serving = self._served_layers(target)
+            if serving is not None and serving.first <= layers.first and layers.end <= serving.end:
                 return
             await curio.sleep(POLL_S)
         log.warning('The engine does not serve layers {} of {} yet.', layers, target.weights)
--- a/packages/millforkd/millforkd/sidecar/silence.py
+++ b/packages/millforkd/millforkd/sidecar/silent_peers.py
@@ -8,7 +8,7 @@
 
 # A frozen or cut-off instance is back after some seconds; until then each question
 # to it would cost its whole time-out.
-PASSED_OVER_S: Final = 2.0
+SKIP_SILENT_PEER_S: Final = 2.0
 
 
 class SilentPeers:
@@ -17,29 +17,27 @@
 
     """
 
-    def __init__(
-        self, monotonic: Callable[[], float], passed_over_s: float = PASSED_OVER_S
-    ) -> None:
+    def __init__(self, monotonic: Callable[[], float], skip_s: float = SKIP_SILENT_PEER_S) -> None:
         self.monotonic = monotonic
-        self.passed_over_s = passed_over_s
-        self.until: dict[str, float] = {}
+        self.skip_s = skip_s
+        self.skipped_until: dict[str, float] = {}
 
-    def note(self, instance: str) -> None:
+    def mark_silent(self, instance: str) -> None:
         """
         Pass over a peer that did not answer.
 
         """
-        self.until[instance] = self.monotonic() + self.passed_over_s
+        self.skipped_until[instance] = self.monotonic() + self.skip_s
 
     def is_silent(self, instance: str) -> bool:
         """
         Whether a peer is passed over now.
 
         """
-        until = self.until.get(instance)
+        until = self.skipped_until.get(instance)
         if until is None:
             return False
         if until > self.monotonic():
             return True
-        del self.until[instance]
+        del self.skipped_until[instance]
         return False
--- a/packages/millforkd/millforkd/sidecar/sources.py
+++ b/packages/millforkd/millforkd/sidecar/sources.py
@@ -17,7 +17,7 @@
 from millforkd.sidecar.pieces import WeightsId
 
 # The number under which the digests are drawn.
-DIGESTS: Final = -1
+DIGESTS_INDEX: Final = -1
 
 
 def holders(
@@ -38,7 +38,7 @@
     ]
 
 
-def in_turn(names: Iterable[str], weights: WeightsId, index: int) -> list[str]:
+def request_order(names: Iterable[str], weights: WeightsId, index: int) -> list[str]:
     """
     The daemons in the order in which they are to draw a piece, or to be
     asked for it. The next piece begins with the next daemon, so that each
@@ -57,13 +57,13 @@
     return [first, *rest[again:], *rest[:again]]
 
 
-def nearest(found: list[EndpointState], zone: str, lacking_here: int) -> list[str]:
+def preferred_holders(found: list[EndpointState], zone: str, lacking_in_zone: int) -> list[str]:
     """
     The holders to take from: those of the own zone, unless more daemons there
     lack the piece than they can serve at the links' pace.
 
     """
     near = [state.instance for state in found if state.zone == zone]
-    if near and len(near) >= lacking_here:
+    if near and len(near) >= lacking_in_zone:
         return near
     return [state.instance for state in found]
--- a/packages/millforkd/millforkd/sidecar/target.py
+++ b/packages/millforkd/millforkd/sidecar/target.py
@@ -21,7 +21,7 @@
 # The first version of every model.
 FIRST_VERSION: Final = 1
 # What one more change costs an engine: 1.4 s, in which it works for a third.
-CHANGE_S: Final = 1.0
+VERSION_CHANGE_S: Final = 1.0
 # A version of which nothing came for this long is not to be had for some time. A
 # piece takes 0.2 s on a link squeezed to a quarter.
 STUCK_AFTER_S: Final = 1.0
@@ -46,7 +46,7 @@
     due: float
 
 
-class Targets:
+class TargetChooser:
     """
     Chooses among the versions named.
 
@@ -66,7 +66,7 @@
         # The version that the engine serves, 0 for none.
         self.served = served
         self.bytes_per_s = bytes_per_s
-        self.known: Target | None = None
+        self.current: Target | None = None
         # The pieces of the target that are here, and since when there are as many.
         self.progress = (0, 0.0)
         # Versions of which nothing comes, and until when to believe that.
@@ -81,15 +81,15 @@
         now = self.env.monotonic()
         ends = self._ends_at(figures, self.served())
         weights = WeightsId(figures.model, self._version(figures, now, ends))
-        known = self.known
-        since = known.since if known is not None and known.weights == weights else now
+        current = self.current
+        since = current.since if current is not None and current.weights == weights else now
         due = ends - LAST_SENT_S
         target = Target(weights, figures.layers, figures.pieces, since, due)
-        if known is None or known.weights != weights:
+        if current is None or current.weights != weights:
             self.progress = (0, now)
             log.notice('Version to be served: {}. served={}', weights, self.served())
-        self.known = target
-        self._watch(target, now)
+        self.current = target
+        self._track_progress(target, now)
         return target
 
     def _ends_at(self, figures: EngineFigures, version: int) -> float:
@@ -102,29 +102,29 @@
 
     def _version(self, figures: EngineFigures, now: float, ends: float) -> int:
         newest = self.versions.newest(figures.model) or FIRST_VERSION
-        between = [
+        intermediate = [
             version
             for version in self.versions.newer_than(figures.model, self.served())
             if version != newest
             and not self._is_stuck(version, now)
-            and self._is_worth(figures, version, now)
+            and self._is_worthwhile(figures, version, now)
         ]
-        best, least_s = newest, self._direct_s(figures, newest, now, ends)
-        for version in between:
-            gap_s = self._by_way_of_s(figures, version, now, ends)
-            if gap_s < least_s:
-                best, least_s = version, gap_s
+        best, least_idle_s = newest, self._idle_direct_s(figures, newest, now, ends)
+        for version in intermediate:
+            idle_s = self._idle_via_s(figures, version, now, ends)
+            if idle_s < least_idle_s:
+                best, least_idle_s = version, idle_s
         return best
 
-    def _is_worth(self, figures: EngineFigures, version: int, now: float) -> bool:
+    def _is_worthwhile(self, figures: EngineFigures, version: int, now: float) -> bool:
         """
         Whether a version in between would be served for longer than the change costs.
 
         """
-        here_at = now + self._bringing_s(figures, version)
-        return here_at + CHANGE_S < self._ends_at(figures, version) - LAST_SENT_S
+        complete_at = now + self._transfer_s(figures, version)
+        return complete_at + VERSION_CHANGE_S < self._ends_at(figures, version) - LAST_SENT_S
 
-    def _by_way_of_s(self, figures: EngineFigures, version: int, now: float, ends: float) -> float:
+    def _idle_via_s(self, figures: EngineFigures, version: int, now: float, ends: float) -> float:
         """
         For how long the engine would serve nothing on its way to the newest
         with another version in between, the second change included. An engine that
@@ -132,15 +132,15 @@
         all others, until its pieces are here and the change is over.
 
         """
-        here_at = now + self._bringing_s(figures, version)
-        whole_s = figures.pieces * figures.piece_bytes / self.bytes_per_s
+        complete_at = now + self._transfer_s(figures, version)
+        full_transfer_s = figures.pieces * figures.piece_bytes / self.bytes_per_s
         served_until = max(now, ends - LAST_SENT_S)
-        before_s = max(here_at + CHANGE_S - served_until, 0.0)
+        idle_before_s = max(complete_at + VERSION_CHANGE_S - served_until, 0.0)
         last_sent = self._ends_at(figures, version) - LAST_SENT_S
-        after_s = max(here_at + whole_s + CHANGE_S - last_sent, 0.0)
-        return before_s + after_s + CHANGE_S
+        idle_after_s = max(complete_at + full_transfer_s + VERSION_CHANGE_S - last_sent, 0.0)
+        return idle_before_s + idle_after_s + VERSION_CHANGE_S
 
-    def _direct_s(self, figures: EngineFigures, newest: int, now: float, ends: float) -> float:
+    def _idle_direct_s(self, figures: EngineFigures, newest: int, now: float, ends: float) -> float:
         """
         For how long the engine would serve nothing on its way to the newest.
 
@@ -149,16 +149,16 @@
             return 0.0
         if self._is_stuck(newest, now):
             return float('inf')
-        here_at = now + self._bringing_s(figures, newest)
-        return max(here_at + CHANGE_S - max(now, ends - LAST_SENT_S), 0.0)
+        complete_at = now + self._transfer_s(figures, newest)
+        return max(complete_at + VERSION_CHANGE_S - max(now, ends - LAST_SENT_S), 0.0)
 
-    def _bringing_s(self, figures: EngineFigures, version: int) -> float:
+    def _transfer_s(self, figures: EngineFigures, version: int) -> float:
         """
         Seconds in which the link could bring what is not here of a version.
 
         """
-        here = self._pieces_here(WeightsId(figures.model, version))
-        return (figures.pieces - here) * figures.piece_bytes / self.bytes_per_s
+        present = self._pieces_here(WeightsId(figures.model, version))
+        return (figures.pieces - present) * figures.piece_bytes / self.bytes_per_s
 
     def _pieces_here(self, weights: WeightsId) -> int:
         held = self.store.find(weights)
@@ -167,22 +167,22 @@
     def _is_stuck(self, version: int, now: float) -> bool:
         return self.stuck_until.get(version, 0.0) > now
 
-    def _watch(self, target: Target, now: float) -> None:
+    def _track_progress(self, target: Target, now: float) -> None:
         """
         Note whether pieces of the target still come.
 
         """
-        here = self._pieces_here(target.weights)
+        present = self._pieces_here(target.weights)
         if target.weights.version == self.served():
-            here = target.pieces
+            present = target.pieces
         count, at = self.progress
-        if here != count or here >= target.pieces:
-            self.progress = (here, now)
+        if present != count or present >= target.pieces:
+            self.progress = (present, now)
             self.stuck_until.pop(target.weights.version, None)
             return
         version = target.weights.version
         if now - at > STUCK_AFTER_S and not self._is_stuck(version, now):
             self.stuck_until[version] = now + STUCK_FOR_S
             log.info(
-                'No piece came for {:.1f} s. weights={} here={}', now - at, target.weights, here
+                'No piece came for {:.1f} s. weights={} here={}', now - at, target.weights, present
             )
--- a/packages/millforkd/millforkd/sidecar/transit.py
+++ b/packages/millforkd/millforkd/sidecar/transfer_times.py
@@ -12,54 +12,54 @@
 
 # A piece may take this many times as long as the link's rate says: others'
 # pieces and the engine's answers share it.
-SLOW_TIMES: Final = 2.5
+SLOW_FACTOR: Final = 2.5
 # All of the last pieces must have been slow: the first of a version wait for the
 # origin, not for this link.
-LAST_PIECES: Final = 4
+RECENT_PIECES: Final = 4
 
 
 @dataclass(frozen=True, slots=True)
-class Begun:
+class TransferStart:
     """
     When a piece was asked for, and how many were then on their way with it.
 
     """
 
     at: float
-    together: int
+    concurrent: int
 
 
-class Transit:
+class TransferTimes:
     """
     The time that pieces take, against the link's rate in bytes/s.
 
     """
 
-    def __init__(self, rate: float, monotonic: Callable[[], float]) -> None:
-        self.rate = rate
+    def __init__(self, rate_bytes_per_s: float, monotonic: Callable[[], float]) -> None:
+        self.rate_bytes_per_s = rate_bytes_per_s
         self.monotonic = monotonic
-        self.on_their_way = 0
-        self.times: deque[float] = deque(maxlen=LAST_PIECES)
+        self.in_flight = 0
+        self.ratios: deque[float] = deque(maxlen=RECENT_PIECES)
 
     @property
     def is_slow(self) -> bool:
-        return len(self.times) == LAST_PIECES and min(self.times) > SLOW_TIMES
+        return len(self.ratios) == RECENT_PIECES and min(self.ratios) > SLOW_FACTOR
 
-    def begin(self) -> Begun:
+    def begin(self) -> TransferStart:
         """
         Count a piece that is asked for.
 
         """
-        self.on_their_way += 1
-        return Begun(self.monotonic(), self.on_their_way)
+        self.in_flight += 1
+        return TransferStart(self.monotonic(), self.in_flight)
 
-    def end(self, begun: Begun, size: int) -> None:
+    def end(self, start: TransferStart, size: int) -> None:
         """
         Count a piece of `size` bytes that came; 0 if none did.
 
         """
-        self.on_their_way -= 1
+        self.in_flight -= 1
         if not size:
             return
-        usual_s = begun.together * size / self.rate
-        self.times.append((self.monotonic() - begun.at) / usual_s)
+        expected_s = start.concurrent * size / self.rate_bytes_per_s
+        self.ratios.append((self.monotonic() - start.at) / expected_s)
--- a/packages/millforkd/millforkd/sidecar/intake.py
+++ b/packages/millforkd/millforkd/sidecar/verification.py
@@ -10,7 +10,7 @@
 log = logger(Part.WEIGHTS)
 
 
-async def keep_if_good(
+async def store_if_valid(
     env: Environment, held: PieceSet, index: int, data: bytes, source: str, sender: str
 ) -> bool:
     """
--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -254,7 +254,7 @@
     Mutation(
         'a silent drawer is passed over',
         'tests/test_caches.py::test_a_drawer_that_was_silent_is_passed_over_for_a_while',
-        (Edit(D + 'sidecar/silence.py', 'if until > self.monotonic():', 'if False:'),),
+        (Edit(D + 'sidecar/silent_peers.py', 'if until > self.monotonic():', 'if False:'),),
     ),
     Mutation(
         'a connection that is silent beside others is left',
@@ -332,7 +332,7 @@
         (
             Edit(
                 D + 'sidecar/expiry.py',
-                'return await self._order_own(target)',
+                'return await self._order_layer_of_served_version(target)',
                 'return None',
             ),
         ),
@@ -355,7 +355,8 @@
         (
             Edit(
                 D + 'sidecar/expiry.py',
-                'if not self.rollout.has_looked or self.rollout.lying == target.weights:',
+                'if not self.rollout.staged_checked '
+                'or self.rollout.staged_weights == target.weights:',
                 'if False:',
             ),
         ),
@@ -413,8 +414,8 @@
         (
             Edit(
                 D + 'sidecar/rollout.py',
-                'if self._changed(target) * TURNS >= turn',
-                'if self._changed(target) * TURNS >= 0 * turn',
+                'if self._changed_count(target) * TURNS >= turn',
+                'if self._changed_count(target) * TURNS >= 0 * turn',
             ),
         ),
     ),
@@ -657,7 +658,7 @@
         (
             Edit(
                 D + 'proxy/cache.py',
-                'if draw or not await self._left_to_drawer(held, DIGESTS):',
+                'if draw or not await self._left_to_drawer(held, DIGESTS_INDEX):',
                 'if True:',
             ),
         ),
@@ -668,7 +669,7 @@
         (
             Edit(
                 D + 'sidecar/gathering.py',
-                'if caches and self.digests_in_vain < DIGESTS_TRIED:',
+                'if caches and self.failed_digest_requests < MAX_FAILED_DIGEST_REQUESTS:',
                 'if False:',
             ),
         ),
--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -19,7 +19,7 @@
 from millforkd.proxy.cache import PieceCache, ahead_order
 from millforkd.sidecar import gathering
 from millforkd.sidecar.pieces import WeightsId, decode_digests
-from millforkd.sidecar.silence import PASSED_OVER_S
+from millforkd.sidecar.silent_peers import SKIP_SILENT_PEER_S
 
 PIECES = tuple(bytes([number]) * 8 for number in range(6))
 ASKED_DIGESTS = 'digests'
@@ -50,13 +50,13 @@
     def figures(self):
         return OriginFigures('10.0.0.9', 80, 8, self.zone, self.bytes_per_s)
 
-    async def draw_digests(self, held):
+    async def fetch_digests(self, held):
         self.lists += 1
         await curio.sleep(0)
-        await held.learn_digests(DIGESTS)
+        await held.set_digests(DIGESTS)
         return True
 
-    async def draw_piece(self, held, index):
+    async def fetch_piece(self, held, index):
         self.drawn.append(index)
         await curio.sleep(0)
         if self.spoilt:
@@ -203,7 +203,7 @@
         origin.spoilt = 0
         assert (await cache.chunk(GetChunk('m@2', 0))).found
         async with curio.timeout_after(5):
-            while not cache.store.of(WeightsId('m', 2)).whole:
+            while not cache.store.get_or_create(WeightsId('m', 2)).whole:
                 await curio.sleep(0)
 
     curio.run(run)
@@ -245,7 +245,7 @@
         assert peers.asked == [('10.0.0.1:1', ASKED_DIGESTS)]
         peers.silent = False
         cache_at('10.0.0.1:1', 'z1', origin, peers, caches)
-        now += PASSED_OVER_S + 0.1
+        now += SKIP_SILENT_PEER_S + 0.1
         assert (await cache.chunk(GetChunk('m@2', 4))).data == PIECES[4]
         assert peers.asked[-1] == ('10.0.0.1:1', 4)
 
@@ -258,13 +258,13 @@
     async def run():
         cache, drawer = cache_and_its_drawer()
         here = curio.Event()
-        real = drawer.origin.draw_piece
+        real = drawer.origin.fetch_piece
 
-        async def draw_piece(held, index):
+        async def fetch_piece(held, index):
             await here.wait()
             return await real(held, index)
 
-        drawer.origin.draw_piece = draw_piece
+        drawer.origin.fetch_piece = fetch_piece
         for _ in range(caching.PATIENCE - 1):
             assert not (await cache.chunk(GetChunk('m@2', 3))).found
         assert cache.origin.drawn == []
@@ -308,16 +308,16 @@
 
     async def run():
         cache, drawer = cache_and_its_drawer()
-        real = drawer.origin.draw_piece
+        real = drawer.origin.fetch_piece
         # Of the origin's rate two drawers have a half each: four pieces of eight bytes.
         drawer.origin.bytes_per_s = cache.origin.bytes_per_s = 64.0
 
-        async def draw_piece(held, index):
+        async def fetch_piece(held, index):
             if index == 3:
                 await curio.sleep(30)
             return await real(held, index)
 
-        drawer.origin.draw_piece = draw_piece
+        drawer.origin.fetch_piece = fetch_piece
         for number in range(caching.PATIENCE * 3):
             version = f'm@{number + 10}'
             drawer.ahead.add(WeightsId('m', number + 10))
@@ -336,10 +336,10 @@
     async def run():
         cache, drawer = cache_and_its_drawer()
 
-        async def draw_piece(held, index):
+        async def fetch_piece(held, index):
             await curio.sleep(30)
 
-        drawer.origin.draw_piece = draw_piece
+        drawer.origin.fetch_piece = fetch_piece
         async with curio.timeout_after(10):
             while not (await cache.chunk(GetChunk('m@2', 3))).found:
                 pass
@@ -389,7 +389,7 @@
         cache = cache_at('10.0.0.1:1', 'z1', origin, peers, caches)
         assert (await cache.chunk(GetChunk('m@2', 5))).reason == caching.NOT_YET
         async with curio.timeout_after(5):
-            while not cache.store.of(WeightsId('m', 2)).whole:
+            while not cache.store.get_or_create(WeightsId('m', 2)).whole:
                 await curio.sleep(0.01)
         assert (await cache.chunk(GetChunk('m@2', 5))).data == PIECES[5]
 
@@ -404,13 +404,13 @@
         origin, peers = StandInOrigin(), StandInPeers()
         cache = cache_at('10.0.0.1:1', 'z1', origin, peers, caches)
         hanging = curio.Event()
-        real = origin.draw_piece
+        real = origin.fetch_piece
 
-        async def draw_piece(held, index):
+        async def fetch_piece(held, index):
             await hanging.wait()
             return await real(held, index)
 
-        origin.draw_piece = draw_piece
+        origin.fetch_piece = fetch_piece
         async with curio.timeout_after(2):
             assert not (await cache.chunk(GetChunk('m@2', 0))).found
         await hanging.set()
@@ -428,16 +428,16 @@
         caches = [CacheAddress('10.0.0.1:1', 'z1')]
         origin, peers = StandInOrigin(), StandInPeers()
         cache = cache_at('10.0.0.1:1', 'z1', origin, peers, caches)
-        real = origin.draw_digests
+        real = origin.fetch_digests
 
-        async def draw_digests(held):
+        async def fetch_digests(held):
             await curio.sleep(0.9)
             return await real(held)
 
-        async def draw_piece(held, index):
+        async def fetch_piece(held, index):
             await curio.sleep(30)
 
-        origin.draw_digests, origin.draw_piece = draw_digests, draw_piece
+        origin.fetch_digests, origin.fetch_piece = fetch_digests, fetch_piece
         began = cache.env.monotonic()
         assert (await cache.chunk(GetChunk('m@2', 0))).reason == caching.NOT_YET
         assert cache.env.monotonic() - began < 1.7
--- a/tests/test_gathering.py
+++ b/tests/test_gathering.py
@@ -14,11 +14,11 @@
 from millfork_wire.messages import CacheAddress, Chunk, GetManifest, Manifest
 from millforkd.sidecar import gathering
 from millforkd.sidecar.fleet import Fleet
-from millforkd.sidecar.gathering import Gathering
+from millforkd.sidecar.gathering import PieceGatherer
 from millforkd.sidecar.pieces import PieceStore, WeightsId
-from millforkd.sidecar.pushing import Pushing
-from millforkd.sidecar.sources import DIGESTS as DIGESTS_TURN
-from millforkd.sidecar.sources import in_turn
+from millforkd.sidecar.pushing import PiecePusher
+from millforkd.sidecar.sources import DIGESTS_INDEX as DIGESTS_INDEX
+from millforkd.sidecar.sources import request_order
 from tests.test_caches import DIGESTS, PIECES, StandInOrigin
 
 
@@ -55,8 +55,10 @@
     own = EndpointState('10.0.0.7:1', 's', 'z1', '10.0.0.7', 80, 1)
     fleet = Fleet(env, 's', lambda: [], lambda: own, lambda: (2, len(PIECES)))
     link = Link(1_000_000, 0.94, True, env.monotonic)
-    pushing = Pushing(env, peers, fleet.drawers, link.outward)
-    return Gathering(env, peers, fleet, origin or StandInOrigin(), lambda: caches, pushing, link)
+    pushing = PiecePusher(env, peers, fleet.origin_fetchers, link.outward)
+    return PieceGatherer(
+        env, peers, fleet, origin or StandInOrigin(), lambda: caches, pushing, link
+    )
 
 
 def test_a_daemon_asks_its_caches_again_and_draws_nothing_itself(monkeypatch):
@@ -65,7 +67,7 @@
     async def run():
         origin, peers = StandInOrigin(), CachePeers(not_yet=20)
         made = gathering_with(peers, [CacheAddress('10.0.0.1:1', 'z1')], origin)
-        held = PieceStore().of(WeightsId('m', 2))
+        held = PieceStore().get_or_create(WeightsId('m', 2))
         async with curio.timeout_after(5):
             await made.gather(held, range(len(PIECES)))
         assert held.whole
@@ -80,7 +82,7 @@
     async def run():
         origin, peers = StandInOrigin(), CachePeers(no_digests=5)
         made = gathering_with(peers, [CacheAddress('10.0.0.1:1', 'z1')], origin)
-        held = PieceStore().of(WeightsId('m', 2))
+        held = PieceStore().get_or_create(WeightsId('m', 2))
         async with curio.timeout_after(5):
             await made.gather(held, range(len(PIECES)))
         assert held.whole
@@ -95,7 +97,7 @@
     async def run():
         origin, peers = StandInOrigin(), CachePeers(no_digests=10_000)
         made = gathering_with(peers, [CacheAddress('10.0.0.1:1', 'z1')], origin)
-        held = PieceStore().of(WeightsId('m', 2))
+        held = PieceStore().get_or_create(WeightsId('m', 2))
         async with curio.timeout_after(5):
             await made.gather(held, range(len(PIECES)))
         assert held.whole
@@ -109,7 +111,7 @@
         caches = [CacheAddress('10.0.0.1:1', 'z1'), CacheAddress('10.0.0.2:1', 'z1')]
         peers = CachePeers(silent={'10.0.0.1:1'})
         made = gathering_with(peers, caches)
-        held = PieceStore().of(WeightsId('m', 2))
+        held = PieceStore().get_or_create(WeightsId('m', 2))
         async with curio.timeout_after(5):
             await made.gather(held, range(len(PIECES)))
         assert held.whole
@@ -122,10 +124,12 @@
 def test_who_does_not_tell_the_digests_is_not_asked_for_pieces():
     async def run():
         caches = [CacheAddress('10.0.0.1:1', 'z1'), CacheAddress('10.0.0.2:1', 'z1')]
-        first = in_turn([cache.instance for cache in caches], WeightsId('m', 2), DIGESTS_TURN)[0]
+        first = request_order(
+            [cache.instance for cache in caches], WeightsId('m', 2), DIGESTS_INDEX
+        )[0]
         peers = CachePeers(silent={first})
         made = gathering_with(peers, caches)
-        held = PieceStore().of(WeightsId('m', 2))
+        held = PieceStore().get_or_create(WeightsId('m', 2))
         async with curio.timeout_after(5):
             await made.gather(held, range(len(PIECES)))
         assert held.whole
@@ -138,7 +142,7 @@
     async def run():
         origin = StandInOrigin()
         made = gathering_with(CachePeers(silent={'10.0.0.1:1'}), [], origin)
-        held = PieceStore().of(WeightsId('m', 2))
+        held = PieceStore().get_or_create(WeightsId('m', 2))
         async with curio.timeout_after(5):
             await made.gather(held, range(len(PIECES)))
         assert held.whole
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -34,7 +34,7 @@
 from millforkd.proxy.connections import SendFailed
 from millforkd.proxy.job import Attempt
 from millforkd.proxy.waiting import Waiting
-from millforkd.sidecar.expiry import Expiry
+from millforkd.sidecar.expiry import ExpiryWatcher
 from millforkd.sidecar.pieces import WeightsId
 from tests.test_registry import HEARTBEAT_S, LEASE_S, Clock, state_of
 from tests.test_rollouts import Engines
@@ -175,16 +175,20 @@
 def test_a_daemon_forgets_what_it_did_to_the_engine_before_this_one():
     async def run():
         rollout = Engines(turn=0).rollout
-        rollout.take_report(engine_report(FIRST))
-        rollout.has_looked = True
-        rollout.lying = WeightsId('m', 2)
-        expiry = Expiry(rollout.env, rollout.engine, rollout.store, rollout)
+        rollout.record_report(engine_report(FIRST))
+        rollout.staged_checked = True
+        rollout.staged_weights = WeightsId('m', 2)
+        expiry = ExpiryWatcher(rollout.env, rollout.engine, rollout.store, rollout)
         expiry.emptied_for = (rollout.incarnation, 2)
         target = ended_target(rollout)
         assert not expiry._has_ended(target)
-        rollout.take_report(None)
-        rollout.take_report(engine_report(SECOND))
-        assert (rollout.has_looked, rollout.lying, rollout.place) == (False, None, None)
+        rollout.record_report(None)
+        rollout.record_report(engine_report(SECOND))
+        assert (rollout.staged_checked, rollout.staged_weights, rollout.assignment) == (
+            False,
+            None,
+            None,
+        )
         assert expiry._has_ended(target)
 
     curio.run(run)
--- a/tests/test_load_questions.py
+++ b/tests/test_load_questions.py
@@ -18,7 +18,7 @@
 from millfork_wire.messages import EngineLoad
 from millforkd.proxy.asking import PASSED_OVER_S, WAIT_S, LoadQuestions
 from millforkd.proxy.questions import SILENT_S
-from millforkd.sidecar.load import SHARED_S, EngineLoads
+from millforkd.sidecar.load import SHARED_REPORT_S, EngineLoads
 from tests.test_servers import ENGINE, Clock
 
 SERVICE = ServiceName('s')
@@ -258,19 +258,19 @@
     loads = loads_of(engine, clock)
 
     async def run():
-        tasks = [await curio.spawn(loads.now) for _ in range(20)]
+        tasks = [await curio.spawn(loads.current_load) for _ in range(20)]
         return [await task.join() for task in tasks]
 
     told = curio.run(run)
     assert told == [EngineLoad(True, 3, 2, 125, BORN)] * 20
     assert engine.asked == 1
-    clock.now += SHARED_S + 0.001
+    clock.now += SHARED_REPORT_S + 0.001
     engine.running = 7
-    assert curio.run(loads.now).running == 7
+    assert curio.run(loads.current_load).running == 7
 
 
 def test_of_an_engine_that_does_not_answer_nothing_is_told_and_nobody_waits():
-    assert curio.run(loads_of(Engine(None), Clock()).now) == EngineLoad()
+    assert curio.run(loads_of(Engine(None), Clock()).current_load) == EngineLoad()
     engine = Engine()
-    assert curio.run(loads_of(engine, Clock(), answers=False).now) == EngineLoad()
+    assert curio.run(loads_of(engine, Clock(), answers=False).current_load) == EngineLoad()
     assert engine.asked == 0
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -14,7 +14,7 @@
 from millfork_core.ids import InstanceId, ZoneId
 from millfork_core.ranks import rank
 from millfork_registry.records import EndpointState, ServedVersion
-from millforkd.sidecar.expiry import Expiry
+from millforkd.sidecar.expiry import ExpiryWatcher
 from millforkd.sidecar.fleet import Fleet
 from millforkd.sidecar.pieces import PieceStore, WeightsId
 from millforkd.sidecar.rollout import DRAIN_S, LATE_DRAIN_S, TURNS, Rollout
@@ -45,15 +45,15 @@
         items = tuple((item.model, item.version, item.first, item.end) for item in self.served)
         return EngineReport(self.running, 0, 0, 0, 1.0, False, items)
 
-    async def staged(self, model, index):
+    async def read_staged(self, model, index):
         return None
 
     async def stage(self, model, index, data):
         self.laid.append(index)
         return True
 
-    async def start(self, model, version, first, end, breaks_off):
-        self.orders.append((version, first, end, breaks_off, self.running))
+    async def start(self, model, version, first, end, interrupts):
+        self.orders.append((version, first, end, interrupts, self.running))
         self.served = (ServedVersion(model, version, first, end),)
         self.running = 0
         return True
@@ -66,8 +66,8 @@
     def near_caches(self):
         return self.caches
 
-    async def bring_digests(self, held):
-        await held.learn_digests(tuple('d' for _ in range(PIECES)))
+    async def obtain_digests(self, held):
+        await held.set_digests(tuple('d' for _ in range(PIECES)))
         return True
 
     async def gather(self, held, wanted):
@@ -123,7 +123,7 @@
 
     async def run(self):
         self.rollout.report = await self.engine.report()
-        return await curio.spawn(self.rollout.keep, daemon=True)
+        return await curio.spawn(self.rollout.run, daemon=True)
 
 
 def _state(instance, served):
@@ -135,7 +135,9 @@
         engines = Engines(turn=1)
         task = await engines.run()
         engines.change(len(NAMES) // TURNS - 1)
-        await engines.until(lambda: engines.rollout.store.of(engines.target.weights).whole)
+        await engines.until(
+            lambda: engines.rollout.store.get_or_create(engines.target.weights).whole
+        )
         asked = engines.asked
         await engines.until(lambda: engines.asked > asked + 3)
         assert engines.changing == []
@@ -200,9 +202,9 @@
         engines.others = dict.fromkeys(engines.others, served)
         task = await engines.run()
         await engines.until(lambda: engines.engine.orders)
-        _, begin, end, breaks_off, _ = engines.engine.orders[0]
+        _, begin, end, interrupts, _ = engines.engine.orders[0]
         assert end - begin == first
-        assert breaks_off == bool(served)
+        assert interrupts == bool(served)
         await engines.until(lambda: engines.engine.served == (NEW,))
         await task.cancel()
 
@@ -245,9 +247,9 @@
     async def run():
         engines = Engines(0, StandInEngine(running=3), StalledGathering(3))
         rollout = engines.rollout
-        expiry = Expiry(engines.env, engines.engine, rollout.store, rollout)
+        expiry = ExpiryWatcher(engines.env, engines.engine, rollout.store, rollout)
         task = await engines.run()
-        watching = await curio.spawn(expiry.keep, daemon=True)
+        watching = await curio.spawn(expiry.run, daemon=True)
         await engines.until(lambda: engines.engine.orders)
         ends = engines.target.due + LAST_SENT_S
         assert engines.target.due < engines.env.monotonic() < ends
@@ -270,9 +272,9 @@
     async def run():
         engines = Engines(0, StandInEngine(running=3), StalledGathering(0))
         rollout = engines.rollout
-        expiry = Expiry(engines.env, engines.engine, rollout.store, rollout)
+        expiry = ExpiryWatcher(engines.env, engines.engine, rollout.store, rollout)
         task = await engines.run()
-        watching = await curio.spawn(expiry.keep, daemon=True)
+        watching = await curio.spawn(expiry.run, daemon=True)
         await engines.until(lambda: engines.engine.orders)
         ends = engines.target.due + LAST_SENT_S
         assert engines.target.due < engines.env.monotonic() < ends
@@ -306,12 +308,12 @@
         engines.target = replace(engines.target, layers=layers, due=0.0)
         rollout = engines.rollout
         rollout.report = await engines.engine.report()
-        expiry = Expiry(engines.env, engines.engine, rollout.store, rollout)
+        expiry = ExpiryWatcher(engines.env, engines.engine, rollout.store, rollout)
         for version in (2, 3, 2):
             engines.target = replace(engines.target, weights=WeightsId('m', version))
-            rollout.has_looked = True
+            rollout.staged_checked = True
             if expiry._has_ended(engines.target):
-                await expiry._empty(engines.target)
+                await expiry._empty_engine(engines.target)
             rollout.report = await engines.engine.report()
         assert len(engines.engine.orders) == orders
 
@@ -332,25 +334,25 @@
         engines = Engines(0, StandInEngine(), StalledGathering(0))
         rollout = engines.rollout
         rollout.report = await engines.engine.report()
-        expiry = Expiry(engines.env, engines.engine, rollout.store, rollout)
+        expiry = ExpiryWatcher(engines.env, engines.engine, rollout.store, rollout)
         engines.target = replace(engines.target, due=0.0)
-        await expiry._empty(engines.target)
+        await expiry._empty_engine(engines.target)
         assert engines.engine.orders == []
-        held = rollout.store.of(engines.target.weights)
+        held = rollout.store.get_or_create(engines.target.weights)
         data = b'piece'
         digest = hashlib.sha256(data).hexdigest() if lies else 'd'
 
-        async def bring_digests(held):
-            await held.learn_digests((digest,) + ('d',) * (PIECES - 1))
+        async def obtain_digests(held):
+            await held.set_digests((digest,) + ('d',) * (PIECES - 1))
             return True
 
-        async def staged(model, index):
+        async def read_staged(model, index):
             return data
 
-        engines.gathering.bring_digests = bring_digests
-        engines.engine.staged = staged
-        await rollout._look_at_staged(held)
-        await expiry._empty(engines.target)
+        engines.gathering.obtain_digests = obtain_digests
+        engines.engine.read_staged = read_staged
+        await rollout._check_staged(held)
+        await expiry._empty_engine(engines.target)
         assert len(engines.engine.orders) == orders
 
     curio.run(run)
@@ -369,10 +371,10 @@
         engines = Engines(0, StandInEngine(), StalledGathering(0))
         rollout = engines.rollout
         rollout.report = await engines.engine.report()
-        expiry = Expiry(engines.env, engines.engine, rollout.store, rollout)
-        rollout.has_looked = True
+        expiry = ExpiryWatcher(engines.env, engines.engine, rollout.store, rollout)
+        rollout.staged_checked = True
         engines.target = replace(engines.target, weights=WeightsId('m', 4), due=0.0)
-        await expiry._empty(engines.target)
+        await expiry._empty_engine(engines.target)
         assert engines.engine.orders == [(1, LAYERS // 2, LAYERS // 2 + 1, False, 0)]
 
     curio.run(run)
@@ -387,12 +389,12 @@
         engines.target = replace(engines.target, due=clock.now + 1.0)
         rollout = engines.rollout
         rollout.report = await engines.engine.report()
-        expiry = Expiry(engines.env, engines.engine, rollout.store, rollout)
-        held = rollout.store.of(engines.target.weights)
+        expiry = ExpiryWatcher(engines.env, engines.engine, rollout.store, rollout)
+        held = rollout.store.get_or_create(engines.target.weights)
         clock.now = engines.target.due + LAST_SENT_S - 1.0
         for count in range(here - 3, here + 1):
             held.pieces = dict.fromkeys(range(count), b'piece')
-            expiry._note_arrivals(count)
+            expiry._record_arrivals(count)
             clock.now += 0.32
         assert expiry._is_due(engines.target, held) == due
 
@@ -404,7 +406,7 @@
         engines = Engines(0, StandInEngine(), StalledGathering(3))
         engines.target = replace(engines.target, due=float('inf'))
         rollout = engines.rollout
-        expiry = Expiry(engines.env, engines.engine, rollout.store, rollout)
+        expiry = ExpiryWatcher(engines.env, engines.engine, rollout.store, rollout)
         rollout.report = await engines.engine.report()
         assert not expiry._has_ended(engines.target)
 
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from millfork_registry.records import EndpointState, HeldVersion, ServedVersion
-from millforkd.sidecar.layout import Layers, part_served, places, serves_whole
+from millforkd.sidecar.layer_assignment import Layers, assign_layers, served_layers, serves_whole
 from millforkd.sidecar.pieces import (
     PieceStore,
     WeightsId,
@@ -19,8 +19,8 @@
     encode_digests,
     parse_weights_id,
 )
-from millforkd.sidecar.sources import holders, in_turn, nearest
-from millforkd.sidecar.transit import Transit
+from millforkd.sidecar.sources import holders, preferred_holders, request_order
+from millforkd.sidecar.transfer_times import TransferTimes
 
 WEIGHTS = WeightsId('m', 2)
 NAMES = st.sets(st.integers(1, 300).map(lambda number: f'10.0.0.{number}:1'), min_size=1)
@@ -34,16 +34,16 @@
 def test_each_piece_has_one_drawer_and_each_drawer_its_equal_part(names):
     counts = dict.fromkeys(names, 0)
     for index in range(96):
-        counts[in_turn(names, WEIGHTS, index)[0]] += 1
+        counts[request_order(names, WEIGHTS, index)[0]] += 1
     assert max(counts.values()) - min(counts.values()) <= 1
 
 
 @given(st.integers(2, 12))
 def test_the_part_of_a_daemon_that_fails_is_spread_over_the_others(count):
     names = [f'10.0.0.{number}:1' for number in range(count)]
-    lost = in_turn(names, WEIGHTS, 0)[0]
-    seconds = [in_turn(names, WEIGHTS, index)[1] for index in range(count * (count - 1) * 2)
-               if in_turn(names, WEIGHTS, index)[0] == lost]  # fmt: skip
+    lost = request_order(names, WEIGHTS, 0)[0]
+    seconds = [request_order(names, WEIGHTS, index)[1] for index in range(count * (count - 1) * 2)
+               if request_order(names, WEIGHTS, index)[0] == lost]  # fmt: skip
     counts = {name: seconds.count(name) for name in names if name != lost}
     assert set(counts.values()) == {2}
 
@@ -54,13 +54,13 @@
 @given(ZONES, st.integers(2, 64))
 def test_pairs_hold_all_layers_and_lie_in_one_zone_where_they_can(zones, layers):
     states = [state(f'10.0.0.{number}:1', zone) for number, zone in enumerate(zones)]
-    found = places(states, WEIGHTS, layers)
+    found = assign_layers(states, WEIGHTS, layers)
     assert set(found) == {item.instance for item in states}
     pairs = {}
     for item in states:
-        place = found[item.instance]
-        if place.layers != Layers(0, layers):
-            pairs.setdefault(place.pair, []).append((place.layers, item.zone))
+        assignment = found[item.instance]
+        if assignment.layers != Layers(0, layers):
+            pairs.setdefault(assignment.pair, []).append((assignment.layers, item.zone))
     assert len(pairs) == len(states) // 2
     for parts in pairs.values():
         lower, upper = sorted(part for part, _ in ((p.first, z) for p, z in parts))
@@ -79,7 +79,7 @@
 
 def test_layers_that_can_not_be_shared_are_taken_whole():
     states = [state('a'), state('b')]
-    assert places(states, WEIGHTS, 1)['a'].layers == Layers(0, 1)
+    assert assign_layers(states, WEIGHTS, 1)['a'].layers == Layers(0, 1)
     assert list(Layers(0, 0).pieces(0, 3)) == [0, 1, 2]
 
 
@@ -96,25 +96,25 @@
 
 def test_the_own_zone_serves_where_it_can():
     found = [state('a'), state('d', 'z2')]
-    assert nearest(found, 'z2', 1) == ['d']
-    assert nearest(found, 'z1', 2) == ['a', 'd']
-    assert nearest(found, 'z3', 1) == ['a', 'd']
+    assert preferred_holders(found, 'z2', 1) == ['d']
+    assert preferred_holders(found, 'z1', 2) == ['a', 'd']
+    assert preferred_holders(found, 'z3', 1) == ['a', 'd']
 
 
 def test_what_an_engine_serves_of_a_version():
     served = [ServedVersion('m', 2, 8, 16)]
-    assert part_served(served, WEIGHTS, 16) == Layers(8, 16)
+    assert served_layers(served, WEIGHTS, 16) == Layers(8, 16)
     assert not serves_whole(served, WEIGHTS, 16)
     assert serves_whole([ServedVersion('m', 2)], WEIGHTS, 16)
-    assert part_served([ServedVersion('m', 1)], WEIGHTS, 16) is None
+    assert served_layers([ServedVersion('m', 1)], WEIGHTS, 16) is None
 
 
 @given(st.sets(st.integers(0, 19)))
 def test_the_longest_run_of_pieces_is_offered(indexes):
-    held = PieceStore().of(WEIGHTS)
+    held = PieceStore().get_or_create(WEIGHTS)
     held.digests = tuple('d' for _ in range(20))
     held.pieces = dict.fromkeys(indexes, b'')
-    first, end = held.held_run()
+    first, end = held.longest_run()
     assert set(range(first, end)) <= indexes
     runs = [length for length in range(1, 21) for begin in range(20)
             if set(range(begin, begin + length)) <= indexes]  # fmt: skip
@@ -127,10 +127,10 @@
 
 def test_a_spoilt_piece_is_refused_also_when_it_came_before_the_digests():
     async def run():
-        held = PieceStore().of(WEIGHTS)
+        held = PieceStore().get_or_create(WEIGHTS)
         assert await held.put(0, b'spoilt')
         assert await held.put(1, b'one')
-        await held.learn_digests((digest(b'zero'), digest(b'one')))
+        await held.set_digests((digest(b'zero'), digest(b'one')))
         assert held.missing() == [0]
         assert not await held.put(0, b'spoilt')
         assert not await held.put(7, b'beyond')
@@ -143,7 +143,7 @@
 def test_the_last_versions_are_kept():
     store = PieceStore()
     for version in (1, 2, 3):
-        store.of(WeightsId('m', version))
+        store.get_or_create(WeightsId('m', version))
     assert sorted(weights.version for weights in store.sets) == [2, 3]
 
 
@@ -157,30 +157,30 @@
 
 def test_a_link_is_slow_once_all_of_the_last_pieces_were():
     now = [0.0]
-    transit = Transit(1000.0, lambda: now[0])
+    transfer_times = TransferTimes(1000.0, lambda: now[0])
 
     def piece(seconds, size=100):
-        begun = transit.begin()
+        start = transfer_times.begin()
         now[0] += seconds
-        transit.end(begun, size)
+        transfer_times.end(start, size)
 
     for seconds in (0.1, 0.9, 0.9, 0.9):
         piece(seconds)
-    assert not transit.is_slow
+    assert not transfer_times.is_slow
     piece(0.9)
-    assert transit.is_slow
+    assert transfer_times.is_slow
     piece(5.0, size=0)
-    assert transit.is_slow
+    assert transfer_times.is_slow
     piece(0.1)
-    assert not transit.is_slow
+    assert not transfer_times.is_slow
 
 
 def test_pieces_that_share_a_link_may_take_longer():
     now = [0.0]
-    transit = Transit(1000.0, lambda: now[0])
+    transfer_times = TransferTimes(1000.0, lambda: now[0])
     for _ in range(4):
-        first, second = transit.begin(), transit.begin()
+        first, second = transfer_times.begin(), transfer_times.begin()
         now[0] += 0.2
-        transit.end(first, 100)
-        transit.end(second, 100)
-    assert not transit.is_slow
+        transfer_times.end(first, 100)
+        transfer_times.end(second, 100)
+    assert not transfer_times.is_slow
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -17,7 +17,7 @@
 from millfork_state.view import Held, View
 from millforkd.proxy.admission import Admission
 from millforkd.sidecar.pieces import PieceStore, WeightsId
-from millforkd.sidecar.target import STUCK_AFTER_S, Targets
+from millforkd.sidecar.target import STUCK_AFTER_S, TargetChooser
 from millforkd.switching import LAST_SENT_S
 from millforkd.versions import Versions
 from tests.test_servers import ENGINE, Clock
@@ -91,7 +91,7 @@
 
 
 def targets(versions, clock, store, served=1):
-    return Targets(versions.env, versions, store, lambda: served, RATE)
+    return TargetChooser(versions.env, versions, store, lambda: served, RATE)
 
 
 def test_the_newest_version_is_brought_while_it_can_be_here_in_time(view, versions, clock):
@@ -109,7 +109,7 @@
     store = PieceStore()
     made = targets(versions, clock, store)
     name(view, versions, 2)
-    store.of(WeightsId('m', 2)).pieces = dict.fromkeys(range(60), b'')
+    store.get_or_create(WeightsId('m', 2)).pieces = dict.fromkeys(range(60), b'')
     clock.now += 3.0
     name(view, versions, 3)
     assert made.choose(FIGURES).weights.version == 3
@@ -126,7 +126,7 @@
     store = PieceStore()
     made = targets(versions, clock, store)
     name(view, versions, 2)
-    store.of(WeightsId('m', 2)).pieces = dict.fromkeys(range(95), b'')
+    store.get_or_create(WeightsId('m', 2)).pieces = dict.fromkeys(range(95), b'')
     clock.now += 5.0
     name(view, versions, 3)
     clock.now += 3.5
@@ -139,7 +139,7 @@
     store = PieceStore()
     made = targets(versions, clock, store)
     name(view, versions, 2)
-    store.of(WeightsId('m', 2)).pieces = dict.fromkeys(range(94), b'')
+    store.get_or_create(WeightsId('m', 2)).pieces = dict.fromkeys(range(94), b'')
     clock.now += 2.0
     name(view, versions, 3)
     made.choose(FIGURES)
@@ -165,11 +165,11 @@
     store = PieceStore()
     made = targets(versions, clock, store)
     name(view, versions, 2)
-    store.of(WeightsId('m', 2)).pieces = dict.fromkeys(range(50), b'')
+    store.get_or_create(WeightsId('m', 2)).pieces = dict.fromkeys(range(50), b'')
     clock.now += 3.5
     name(view, versions, 3)
     for count in range(0, 100, 5):
-        store.of(WeightsId('m', 3)).pieces = dict.fromkeys(range(count), b'')
+        store.get_or_create(WeightsId('m', 3)).pieces = dict.fromkeys(range(count), b'')
         assert made.choose(FIGURES).weights.version == 3
         clock.now += 0.25
 
@@ -178,7 +178,7 @@
     store = PieceStore()
     made = targets(versions, clock, store)
     name(view, versions, 2)
-    store.of(WeightsId('m', 2)).pieces = dict.fromkeys(range(95), b'')
+    store.get_or_create(WeightsId('m', 2)).pieces = dict.fromkeys(range(95), b'')
     clock.now += 6.0
     name(view, versions, 3)
     assert made.choose(FIGURES).weights.version == 2
@@ -213,7 +213,7 @@
         self.versions = Versions(env, self.view, SWITCH_MS)
         self.served = 1
         self.newest = 1
-        self.targets = Targets(env, self.versions, self.store, lambda: self.served, RATE)
+        self.targets = TargetChooser(env, self.versions, self.store, lambda: self.served, RATE)
 
     def name_next(self):
         self.newest += 1
@@ -238,7 +238,7 @@
             fleet.clock.now += number / 4
         target = fleet.choose()
         assert max(fleet.served, 1) <= target.weights.version <= fleet.newest
-        held = fleet.store.of(target.weights)
+        held = fleet.store.get_or_create(target.weights)
         if step == 'piece':
             held.pieces.update(dict.fromkeys(range(number * 5), b''))
         if step == 'serve' and len(held.pieces) == FIGURES.pieces:
@@ -256,7 +256,7 @@
     for _ in range(10):
         fleet.clock.now += FIGURES.pieces * FIGURES.piece_bytes / RATE
         target = fleet.choose()
-        fleet.store.of(target.weights).pieces = dict.fromkeys(range(FIGURES.pieces), b'')
+        fleet.store.get_or_create(target.weights).pieces = dict.fromkeys(range(FIGURES.pieces), b'')
         fleet.choose()
         fleet.served = target.weights.version
     assert fleet.served == fleet.newest
