--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -226,7 +226,7 @@
     ),
     Mutation(
         'the origin is drawn once for all zones',
-        'tests/test_caches.py::test_the_origin_is_drawn_once_for_all_zones',
+        'tests/test_caches.py::test_each_piece_is_fetched_from_the_origin_once_for_all_zones',
         (
             Edit(
                 D + 'proxy/cache.py',
@@ -237,12 +237,12 @@
     ),
     Mutation(
         'a piece is left to a drawer that is at it',
-        'tests/test_caches.py::test_a_piece_that_its_drawer_brings_is_not_drawn_beside_it',
+        'tests/test_caches.py::test_a_piece_that_the_assigned_cache_fetches_is_not_fetched_twice',
         (Edit(D + 'proxy/cache.py', 'self.not_yet[place] < PATIENCE', 'not self.not_yet[place]'),),
     ),
     Mutation(
         'a drawer whose origin sends other pieces first is waited for',
-        'tests/test_caches.py::test_a_drawer_whose_origin_sends_other_pieces_first_is_waited_for',
+        'tests/test_caches.py::test_an_assigned_cache_is_waited_for_while_its_origin_sends_other_pieces',
         (
             Edit(
                 D + 'proxy/cache.py',
@@ -253,7 +253,7 @@
     ),
     Mutation(
         'a silent drawer is passed over',
-        'tests/test_caches.py::test_a_drawer_that_was_silent_is_passed_over_for_a_while',
+        'tests/test_caches.py::test_a_silent_assigned_cache_is_skipped_for_a_while',
         (Edit(D + 'sidecar/silent_peers.py', 'if until > self.monotonic():', 'if False:'),),
     ),
     Mutation(
@@ -316,7 +316,7 @@
     Mutation(
         'an ended version is taken from its engine',
         'tests/test_rollouts.py::'
-        'test_a_version_that_ends_before_the_next_is_here_is_taken_from_the_engine',
+        'test_a_version_that_ends_before_the_next_arrives_is_removed_from_the_engine',
         (
             Edit(
                 D + 'sidecar/expiry.py',
@@ -327,8 +327,7 @@
     ),
     Mutation(
         'an ended version is taken where nothing of the next one is here',
-        'tests/test_rollouts.py::'
-        'test_an_ended_version_is_taken_where_nothing_of_the_next_one_is_here',
+        'tests/test_rollouts.py::test_an_ended_version_is_removed_without_any_piece_of_the_next',
         (
             Edit(
                 D + 'sidecar/expiry.py',
@@ -339,7 +338,7 @@
     ),
     Mutation(
         'an engine is left a single layer once',
-        'tests/test_rollouts.py::test_an_engine_is_left_a_single_layer_once',
+        'tests/test_rollouts.py::test_an_engine_is_reduced_to_a_single_layer_once',
         (
             Edit(
                 D + 'sidecar/expiry.py',
@@ -351,7 +350,7 @@
     Mutation(
         'a daemon looks first whose pieces lie at its engine',
         'tests/test_rollouts.py::'
-        'test_a_daemon_that_has_started_looks_first_whose_pieces_lie_at_the_engine',
+        'test_a_started_daemon_checks_staged_pieces_before_it_empties_the_engine',
         (
             Edit(
                 D + 'sidecar/expiry.py',
@@ -363,8 +362,7 @@
     ),
     Mutation(
         'an emptied engine has nothing to end',
-        'tests/test_rollouts.py::'
-        'test_an_ended_version_is_taken_where_nothing_of_the_next_one_is_here',
+        'tests/test_rollouts.py::test_an_ended_version_is_removed_without_any_piece_of_the_next',
         (
             Edit(
                 D + 'sidecar/rollout.py',
@@ -410,7 +408,7 @@
     ),
     Mutation(
         'engines change in turns',
-        'tests/test_rollouts.py::test_an_engine_changes_once_those_of_the_turns_before_have',
+        'tests/test_rollouts.py::test_an_engine_changes_after_the_engines_of_earlier_turns',
         (
             Edit(
                 D + 'sidecar/rollout.py',
@@ -654,7 +652,7 @@
     ),
     Mutation(
         'the digests are drawn once for all caches',
-        'tests/test_caches.py::test_the_digests_are_drawn_once_for_all_caches',
+        'tests/test_caches.py::test_digests_are_fetched_from_the_origin_once_for_all_caches',
         (
             Edit(
                 D + 'proxy/cache.py',
--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -22,7 +22,7 @@
 from millforkd.sidecar.silent_peers import SKIP_SILENT_PEER_S
 
 PIECES = tuple(bytes([number]) * 8 for number in range(6))
-ASKED_DIGESTS = 'digests'
+DIGESTS_REQUEST = 'digests'
 DIGESTS = tuple(hashlib.sha256(piece).hexdigest() for piece in PIECES)
 CACHES = st.lists(
     st.tuples(st.integers(1, 40), st.sampled_from(['z1', 'z2', 'z3'])).map(
@@ -33,17 +33,17 @@
 )
 
 
-class StandInOrigin:
+class FakeOrigin:
     """
     Counts what is drawn; may spoil the first pieces.
 
     """
 
-    def __init__(self, zone='z1', spoilt=0):
+    def __init__(self, zone='z1', corrupt_count=0):
         self.zone = zone
-        self.spoilt = spoilt
-        self.drawn = []
-        self.lists = 0
+        self.corrupt_count = corrupt_count
+        self.fetched = []
+        self.digest_fetches = 0
         self.failing = False
         self.bytes_per_s = 0.0
 
@@ -51,22 +51,22 @@
         return OriginFigures('10.0.0.9', 80, 8, self.zone, self.bytes_per_s)
 
     async def fetch_digests(self, held):
-        self.lists += 1
+        self.digest_fetches += 1
         await curio.sleep(0)
         await held.set_digests(DIGESTS)
         return True
 
     async def fetch_piece(self, held, index):
-        self.drawn.append(index)
+        self.fetched.append(index)
         await curio.sleep(0)
-        if self.spoilt:
-            self.spoilt -= 1
+        if self.corrupt_count:
+            self.corrupt_count -= 1
             return None
         await held.put(index, PIECES[index])
         return PIECES[index]
 
 
-class StandInPeers:
+class FakePeers:
     """
     The other caches, as calls straight into them.
 
@@ -79,7 +79,7 @@
 
     async def call(self, address, message, timeout):
         asks_digests = isinstance(message, GetManifest)
-        self.asked.append((address.instance, ASKED_DIGESTS if asks_digests else message.index))
+        self.asked.append((address.instance, DIGESTS_REQUEST if asks_digests else message.index))
         if self.silent:
             raise PeerTimedOut('silent')
         cache = self.caches[address.instance]
@@ -93,23 +93,23 @@
     return made
 
 
-def cache_and_its_drawer():
+def cache_and_assigned_cache():
     """
     A cache, and the one of another zone that draws for it; each has an origin of
     its own that counts, and brings nothing ahead.
 
     """
     caches = [CacheAddress('10.0.0.1:1', 'z1'), CacheAddress('10.0.0.2:1', 'z2')]
-    peers = StandInPeers()
-    cache = cache_at('10.0.0.2:1', 'z2', StandInOrigin(), peers, caches)
-    drawer = cache_at('10.0.0.1:1', 'z1', StandInOrigin(), peers, caches)
-    for made in (cache, drawer):
+    peers = FakePeers()
+    cache = cache_at('10.0.0.2:1', 'z2', FakeOrigin(), peers, caches)
+    assigned = cache_at('10.0.0.1:1', 'z1', FakeOrigin(), peers, caches)
+    for made in (cache, assigned):
         made.ahead.add(WeightsId('m', 2))
-    return cache, drawer
+    return cache, assigned
 
 
 @given(CACHES, st.sampled_from(['z1', 'z2', 'z3']))
-def test_a_few_caches_of_each_zone_are_named_whoever_is_asked(caches, zone):
+def test_the_named_caches_of_a_zone_do_not_depend_on_their_order(caches, zone):
     found = named(caches, zone)
     assert named([*reversed(caches), *caches[:3]], zone) == found
     for name in ('z1', 'z2', 'z3'):
@@ -119,18 +119,18 @@
 
 
 @given(CACHES, st.sampled_from(['z1', 'z2', 'z3', '']))
-def test_all_zones_agree_on_who_draws_from_the_origin(caches, origin_zone):
-    told = [drawers(named(caches, zone), origin_zone) for zone in ('z1', 'z2', 'z3')]
-    assert told[0] == told[1] == told[2]
-    assert bool(told[0]) == bool(caches)
+def test_all_zones_agree_on_the_caches_that_fetch_from_the_origin(caches, origin_zone):
+    assigned_caches = [drawers(named(caches, zone), origin_zone) for zone in ('z1', 'z2', 'z3')]
+    assert assigned_caches[0] == assigned_caches[1] == assigned_caches[2]
+    assert bool(assigned_caches[0]) == bool(caches)
     if any(cache.zone == origin_zone for cache in caches):
-        assert {cache.zone for cache in told[0]} == {origin_zone}
+        assert {cache.zone for cache in assigned_caches[0]} == {origin_zone}
 
 
-def test_the_origin_is_drawn_once_for_all_zones():
+def test_each_piece_is_fetched_from_the_origin_once_for_all_zones():
     async def run():
         caches = [CacheAddress('10.0.0.1:1', 'z1'), CacheAddress('10.0.0.2:1', 'z2')]
-        origin, peers = StandInOrigin(), StandInPeers()
+        origin, peers = FakeOrigin(), FakePeers()
         for cache in caches:
             cache_at(cache.instance, cache.zone, origin, peers, caches)
         async with curio.TaskGroup() as group:
@@ -140,12 +140,12 @@
         for index, piece in enumerate(PIECES):
             for cache in peers.caches.values():
                 assert (await cache.chunk(GetChunk('m@2', index))).data == piece
-        assert sorted(origin.drawn) == list(range(len(PIECES)))
+        assert sorted(origin.fetched) == list(range(len(PIECES)))
 
     curio.run(run)
 
 
-def test_the_digests_are_drawn_once_for_all_caches():
+def test_digests_are_fetched_from_the_origin_once_for_all_caches():
     """
     Of the 96 pieces of a version, 60 had been drawn after 2.5 s where 92 fit the origin's
     link: each of 98 entries had drawn the list of digests from it as well.
@@ -154,7 +154,7 @@
 
     async def run():
         caches = [CacheAddress(f'10.0.0.{number}:1', f'z{number % 3}') for number in range(1, 9)]
-        origin, peers = StandInOrigin(), StandInPeers()
+        origin, peers = FakeOrigin(), FakePeers()
         for cache in caches:
             cache_at(cache.instance, cache.zone, origin, peers, caches)
         async with curio.TaskGroup() as group:
@@ -162,32 +162,32 @@
                 await group.spawn(cache.manifest, GetManifest('m@2'))
         for cache in peers.caches.values():
             assert decode_digests((await cache.manifest(GetManifest('m@2'))).body) == DIGESTS
-        assert origin.lists == 1
+        assert origin.digest_fetches == 1
 
     curio.run(run)
 
 
-def test_one_question_brings_what_will_be_asked_next():
+def test_one_request_prefetches_the_other_pieces():
     async def run():
         caches = [CacheAddress('10.0.0.1:1', 'z1')]
-        origin, peers = StandInOrigin(), StandInPeers()
+        origin, peers = FakeOrigin(), FakePeers()
         cache = cache_at('10.0.0.1:1', 'z1', origin, peers, caches)
         assert decode_digests((await cache.manifest(GetManifest('m@2'))).body) == DIGESTS
         assert (await cache.chunk(GetChunk('m@2', 4))).data == PIECES[4]
-        while len(origin.drawn) < len(PIECES):
+        while len(origin.fetched) < len(PIECES):
             await curio.sleep(0)
-        assert sorted(origin.drawn) == list(range(len(PIECES)))
-        assert origin.lists == 1
+        assert sorted(origin.fetched) == list(range(len(PIECES)))
+        assert origin.digest_fetches == 1
 
     curio.run(run)
 
 
-def test_what_nobody_asks_for_any_more_is_not_brought(monkeypatch):
+def test_prefetching_stops_when_nobody_asks_any_more(monkeypatch):
     monkeypatch.setattr(caching, 'RETRY_S', 0.01)
 
     async def run():
         now = 100.0
-        origin, peers = StandInOrigin(spoilt=10_000), StandInPeers()
+        origin, peers = FakeOrigin(corrupt_count=10_000), FakePeers()
         cache = cache_at('10.0.0.1:1', 'z1', origin, peers, [CacheAddress('10.0.0.1:1', 'z1')])
         cache.env.monotonic = lambda: now
         assert not (await cache.chunk(GetChunk('m@2', 0))).found
@@ -195,12 +195,12 @@
         async with curio.timeout_after(5):
             while WeightsId('m', 2) in cache.ahead:
                 await curio.sleep(0)
-        drawn = len(origin.drawn)
+        fetched = len(origin.fetched)
         for _ in range(50):
             await curio.sleep(0)
-        assert len(origin.drawn) == drawn
+        assert len(origin.fetched) == fetched
         # Whoever asks again has all of them brought.
-        origin.spoilt = 0
+        origin.corrupt_count = 0
         assert (await cache.chunk(GetChunk('m@2', 0))).found
         async with curio.timeout_after(5):
             while not cache.store.get_or_create(WeightsId('m', 2)).whole:
@@ -210,7 +210,7 @@
 
 
 @given(st.integers(0, 200))
-def test_both_halves_are_brought_ahead_alike(pieces):
+def test_both_halves_are_prefetched_evenly(pieces):
     order = ahead_order(pieces)
     assert sorted(order) == list(range(pieces))
     for count in range(pieces + 1):
@@ -218,23 +218,23 @@
         assert abs(2 * lower - count) <= 1
 
 
-def test_a_cache_whose_drawer_is_silent_draws_itself():
+def test_a_cache_fetches_itself_when_the_assigned_cache_is_silent():
     async def run():
         caches = [CacheAddress('10.0.0.1:1', 'z1'), CacheAddress('10.0.0.2:1', 'z2')]
-        origin, peers = StandInOrigin(), StandInPeers()
+        origin, peers = FakeOrigin(), FakePeers()
         peers.silent = True
         cache = cache_at('10.0.0.2:1', 'z2', origin, peers, caches)
         assert (await cache.chunk(GetChunk('m@2', 3))).data == PIECES[3]
         # Its silence to the question for digests is enough.
-        assert peers.asked[0] == ('10.0.0.1:1', ASKED_DIGESTS)
+        assert peers.asked[0] == ('10.0.0.1:1', DIGESTS_REQUEST)
 
     curio.run(run)
 
 
-def test_a_drawer_that_was_silent_is_passed_over_for_a_while():
+def test_a_silent_assigned_cache_is_skipped_for_a_while():
     async def run():
         caches = [CacheAddress('10.0.0.1:1', 'z1'), CacheAddress('10.0.0.2:1', 'z2')]
-        origin, peers = StandInOrigin(), StandInPeers()
+        origin, peers = FakeOrigin(), FakePeers()
         peers.silent = True
         cache = cache_at('10.0.0.2:1', 'z2', origin, peers, caches)
         cache.ahead.add(WeightsId('m', 2))
@@ -242,7 +242,7 @@
         cache.silent.monotonic = lambda: now
         for index in range(4):
             assert (await cache.chunk(GetChunk('m@2', index))).data == PIECES[index]
-        assert peers.asked == [('10.0.0.1:1', ASKED_DIGESTS)]
+        assert peers.asked == [('10.0.0.1:1', DIGESTS_REQUEST)]
         peers.silent = False
         cache_at('10.0.0.1:1', 'z1', origin, peers, caches)
         now += SKIP_SILENT_PEER_S + 0.1
@@ -252,51 +252,51 @@
     curio.run(run)
 
 
-def test_a_piece_that_its_drawer_brings_is_not_drawn_beside_it(monkeypatch):
+def test_a_piece_that_the_assigned_cache_fetches_is_not_fetched_twice(monkeypatch):
     monkeypatch.setattr(caching, 'WAIT_S', 0.05)
 
     async def run():
-        cache, drawer = cache_and_its_drawer()
+        cache, assigned = cache_and_assigned_cache()
         here = curio.Event()
-        real = drawer.origin.fetch_piece
+        real = assigned.origin.fetch_piece
 
         async def fetch_piece(held, index):
             await here.wait()
             return await real(held, index)
 
-        drawer.origin.fetch_piece = fetch_piece
+        assigned.origin.fetch_piece = fetch_piece
         for _ in range(caching.PATIENCE - 1):
             assert not (await cache.chunk(GetChunk('m@2', 3))).found
-        assert cache.origin.drawn == []
+        assert cache.origin.fetched == []
         await here.set()
         async with curio.timeout_after(5):
             while not (await cache.chunk(GetChunk('m@2', 3))).found:
                 pass
-        assert cache.origin.drawn == []
+        assert cache.origin.fetched == []
 
     curio.run(run)
 
 
-def test_an_origin_that_is_down_is_left_to_its_drawers_for_as_long_as_that(monkeypatch):
+def test_only_the_assigned_cache_retries_an_origin_that_is_down(monkeypatch):
     monkeypatch.setattr(caching, 'WAIT_S', 0.02)
 
     async def run():
-        cache, drawer = cache_and_its_drawer()
-        drawer.origin.spoilt = 10_000
-        drawer.origin.failing = True
+        cache, assigned = cache_and_assigned_cache()
+        assigned.origin.corrupt_count = 10_000
+        assigned.origin.failing = True
         for _ in range(caching.PATIENCE * 3):
             assert not (await cache.chunk(GetChunk('m@2', 3))).found
-        assert cache.origin.drawn == []
-        drawer.origin.spoilt = 0
+        assert cache.origin.fetched == []
+        assigned.origin.corrupt_count = 0
         async with curio.timeout_after(5):
             while not (await cache.chunk(GetChunk('m@2', 3))).found:
                 pass
-        assert cache.origin.drawn == []
+        assert cache.origin.fetched == []
 
     curio.run(run)
 
 
-def test_a_drawer_whose_origin_sends_other_pieces_first_is_waited_for(monkeypatch):
+def test_an_assigned_cache_is_waited_for_while_its_origin_sends_other_pieces(monkeypatch):
     """
     Two versions were wanted of an origin that sends one in 4.4 s. Drawers said 'not yet' for
     3 s of a piece of the second, then all entries drew it beside them: requests timed out
@@ -307,44 +307,44 @@
     monkeypatch.setattr(caching, 'WAIT_S', 0.02)
 
     async def run():
-        cache, drawer = cache_and_its_drawer()
-        real = drawer.origin.fetch_piece
+        cache, assigned = cache_and_assigned_cache()
+        real = assigned.origin.fetch_piece
         # Of the origin's rate two drawers have a half each: four pieces of eight bytes.
-        drawer.origin.bytes_per_s = cache.origin.bytes_per_s = 64.0
+        assigned.origin.bytes_per_s = cache.origin.bytes_per_s = 64.0
 
         async def fetch_piece(held, index):
             if index == 3:
                 await curio.sleep(30)
             return await real(held, index)
 
-        drawer.origin.fetch_piece = fetch_piece
+        assigned.origin.fetch_piece = fetch_piece
         for number in range(caching.PATIENCE * 3):
             version = f'm@{number + 10}'
-            drawer.ahead.add(WeightsId('m', number + 10))
+            assigned.ahead.add(WeightsId('m', number + 10))
             for index in (0, 1):
-                assert (await drawer.chunk(GetChunk(version, index, draw=True))).found
+                assert (await assigned.chunk(GetChunk(version, index, draw=True))).found
             assert not (await cache.chunk(GetChunk('m@2', 3))).found
-        assert cache.origin.drawn == []
-        cache.env.ended = drawer.env.ended = True
+        assert cache.origin.fetched == []
+        cache.env.ended = assigned.env.ended = True
 
     curio.run(run)
 
 
-def test_a_drawer_that_is_too_slow_is_not_waited_for(monkeypatch):
+def test_an_assigned_cache_that_is_too_slow_is_not_waited_for(monkeypatch):
     monkeypatch.setattr(caching, 'WAIT_S', 0.05)
 
     async def run():
-        cache, drawer = cache_and_its_drawer()
+        cache, assigned = cache_and_assigned_cache()
 
         async def fetch_piece(held, index):
             await curio.sleep(30)
 
-        drawer.origin.fetch_piece = fetch_piece
+        assigned.origin.fetch_piece = fetch_piece
         async with curio.timeout_after(10):
             while not (await cache.chunk(GetChunk('m@2', 3))).found:
                 pass
-        assert cache.origin.drawn == [3]
-        cache.env.ended = drawer.env.ended = True
+        assert cache.origin.fetched == [3]
+        cache.env.ended = assigned.env.ended = True
 
     curio.run(run)
 
@@ -354,23 +354,23 @@
     assert caching.WAIT_S < gathering.CACHE_TIMEOUT_S
 
 
-def test_a_spoilt_piece_is_drawn_again_and_an_unknown_one_refused():
+def test_a_corrupt_piece_is_fetched_again_and_an_unknown_one_refused():
     async def run():
         caches = [CacheAddress('10.0.0.1:1', 'z1')]
-        origin, peers = StandInOrigin(spoilt=1), StandInPeers()
+        origin, peers = FakeOrigin(corrupt_count=1), FakePeers()
         cache = cache_at('10.0.0.1:1', 'z1', origin, peers, caches)
         assert (await cache.chunk(GetChunk('m@2', 0))).data == PIECES[0]
-        assert origin.drawn[:2] == [0, 0]
+        assert origin.fetched[:2] == [0, 0]
         for bad in (GetChunk('m@2', 6), GetChunk('m', 0), GetChunk('m@x', 0)):
             assert not (await cache.chunk(bad)).found
 
     curio.run(run)
 
 
-def test_who_is_asked_to_draw_asks_no_other_cache():
+def test_the_assigned_cache_asks_no_other_cache():
     async def run():
         caches = [CacheAddress('10.0.0.1:1', 'z1')]
-        origin, peers = StandInOrigin(), StandInPeers()
+        origin, peers = FakeOrigin(), FakePeers()
         cache = cache_at('10.0.0.3:1', 'z1', origin, peers, caches)
         cache.ahead.add(WeightsId('m', 2))
         assert (await cache.chunk(GetChunk('m@2', 1, draw=True))).data == PIECES[1]
@@ -379,13 +379,13 @@
     curio.run(run)
 
 
-def test_who_asks_while_the_origin_is_down_gets_the_piece_once_it_is_back(monkeypatch):
+def test_a_piece_requested_while_the_origin_is_down_arrives_once_it_is_back(monkeypatch):
     monkeypatch.setattr(caching, 'WAIT_S', 0.05)
     monkeypatch.setattr(caching, 'RETRY_S', 0.01)
 
     async def run():
         caches = [CacheAddress('10.0.0.1:1', 'z1')]
-        origin, peers = StandInOrigin(spoilt=40), StandInPeers()
+        origin, peers = FakeOrigin(corrupt_count=40), FakePeers()
         cache = cache_at('10.0.0.1:1', 'z1', origin, peers, caches)
         assert (await cache.chunk(GetChunk('m@2', 5))).reason == caching.NOT_YET
         async with curio.timeout_after(5):
@@ -396,12 +396,12 @@
     curio.run(run)
 
 
-def test_an_origin_that_hangs_keeps_no_one_waiting(monkeypatch):
+def test_a_hanging_origin_does_not_block_requests(monkeypatch):
     monkeypatch.setattr(caching, 'WAIT_S', 0.05)
 
     async def run():
         caches = [CacheAddress('10.0.0.1:1', 'z1')]
-        origin, peers = StandInOrigin(), StandInPeers()
+        origin, peers = FakeOrigin(), FakePeers()
         cache = cache_at('10.0.0.1:1', 'z1', origin, peers, caches)
         hanging = curio.Event()
         real = origin.fetch_piece
@@ -421,12 +421,12 @@
     curio.run(run)
 
 
-def test_one_wait_is_for_digests_and_piece_together(monkeypatch):
+def test_digests_and_piece_share_one_wait(monkeypatch):
     monkeypatch.setattr(caching, 'WAIT_S', 1.0)
 
     async def run():
         caches = [CacheAddress('10.0.0.1:1', 'z1')]
-        origin, peers = StandInOrigin(), StandInPeers()
+        origin, peers = FakeOrigin(), FakePeers()
         cache = cache_at('10.0.0.1:1', 'z1', origin, peers, caches)
         real = origin.fetch_digests
 
--- a/tests/test_gathering.py
+++ b/tests/test_gathering.py
@@ -19,10 +19,10 @@
 from millforkd.sidecar.pushing import PiecePusher
 from millforkd.sidecar.sources import DIGESTS_INDEX as DIGESTS_INDEX
 from millforkd.sidecar.sources import request_order
-from tests.test_caches import DIGESTS, PIECES, StandInOrigin
+from tests.test_caches import DIGESTS, PIECES, FakeOrigin
 
 
-class CachePeers:
+class FakeCachePeers:
     """
     A cache that has nothing yet the first times it is asked, or is silent.
 
@@ -56,96 +56,94 @@
     fleet = Fleet(env, 's', lambda: [], lambda: own, lambda: (2, len(PIECES)))
     link = Link(1_000_000, 0.94, True, env.monotonic)
     pushing = PiecePusher(env, peers, fleet.origin_fetchers, link.outward)
-    return PieceGatherer(
-        env, peers, fleet, origin or StandInOrigin(), lambda: caches, pushing, link
-    )
+    return PieceGatherer(env, peers, fleet, origin or FakeOrigin(), lambda: caches, pushing, link)
 
 
-def test_a_daemon_asks_its_caches_again_and_draws_nothing_itself(monkeypatch):
+def test_a_daemon_retries_its_caches_and_leaves_the_origin_alone(monkeypatch):
     monkeypatch.setattr(gathering, 'RETRY_S', 0.01)
 
     async def run():
-        origin, peers = StandInOrigin(), CachePeers(not_yet=20)
-        made = gathering_with(peers, [CacheAddress('10.0.0.1:1', 'z1')], origin)
+        origin, peers = FakeOrigin(), FakeCachePeers(not_yet=20)
+        gatherer = gathering_with(peers, [CacheAddress('10.0.0.1:1', 'z1')], origin)
         held = PieceStore().get_or_create(WeightsId('m', 2))
         async with curio.timeout_after(5):
-            await made.gather(held, range(len(PIECES)))
+            await gatherer.gather(held, range(len(PIECES)))
         assert held.whole
-        assert origin.drawn == []
+        assert origin.fetched == []
 
     curio.run(run)
 
 
-def test_a_daemon_asks_its_caches_again_for_the_digests(monkeypatch):
+def test_a_daemon_retries_its_caches_for_the_digests(monkeypatch):
     monkeypatch.setattr(gathering, 'RETRY_S', 0.01)
 
     async def run():
-        origin, peers = StandInOrigin(), CachePeers(no_digests=5)
-        made = gathering_with(peers, [CacheAddress('10.0.0.1:1', 'z1')], origin)
+        origin, peers = FakeOrigin(), FakeCachePeers(no_digests=5)
+        gatherer = gathering_with(peers, [CacheAddress('10.0.0.1:1', 'z1')], origin)
         held = PieceStore().get_or_create(WeightsId('m', 2))
         async with curio.timeout_after(5):
-            await made.gather(held, range(len(PIECES)))
+            await gatherer.gather(held, range(len(PIECES)))
         assert held.whole
-        assert origin.lists == 0
+        assert origin.digest_fetches == 0
 
     curio.run(run)
 
 
-def test_a_daemon_whose_caches_never_have_the_digests_draws_them(monkeypatch):
+def test_a_daemon_fetches_digests_from_the_origin_if_its_caches_never_have_them(monkeypatch):
     monkeypatch.setattr(gathering, 'RETRY_S', 0.01)
 
     async def run():
-        origin, peers = StandInOrigin(), CachePeers(no_digests=10_000)
-        made = gathering_with(peers, [CacheAddress('10.0.0.1:1', 'z1')], origin)
+        origin, peers = FakeOrigin(), FakeCachePeers(no_digests=10_000)
+        gatherer = gathering_with(peers, [CacheAddress('10.0.0.1:1', 'z1')], origin)
         held = PieceStore().get_or_create(WeightsId('m', 2))
         async with curio.timeout_after(5):
-            await made.gather(held, range(len(PIECES)))
+            await gatherer.gather(held, range(len(PIECES)))
         assert held.whole
-        assert origin.lists == 1
+        assert origin.digest_fetches == 1
 
     curio.run(run)
 
 
-def test_a_silent_cache_is_passed_over():
+def test_a_silent_cache_is_skipped():
     async def run():
         caches = [CacheAddress('10.0.0.1:1', 'z1'), CacheAddress('10.0.0.2:1', 'z1')]
-        peers = CachePeers(silent={'10.0.0.1:1'})
-        made = gathering_with(peers, caches)
+        peers = FakeCachePeers(silent={'10.0.0.1:1'})
+        gatherer = gathering_with(peers, caches)
         held = PieceStore().get_or_create(WeightsId('m', 2))
         async with curio.timeout_after(5):
-            await made.gather(held, range(len(PIECES)))
+            await gatherer.gather(held, range(len(PIECES)))
         assert held.whole
-        assert made.near_caches() == ['10.0.0.2:1']
+        assert gatherer.near_caches() == ['10.0.0.2:1']
         assert peers.asked.count('10.0.0.1:1') <= 3
 
     curio.run(run)
 
 
-def test_who_does_not_tell_the_digests_is_not_asked_for_pieces():
+def test_a_cache_that_is_silent_about_digests_is_not_asked_for_pieces():
     async def run():
         caches = [CacheAddress('10.0.0.1:1', 'z1'), CacheAddress('10.0.0.2:1', 'z1')]
         first = request_order(
             [cache.instance for cache in caches], WeightsId('m', 2), DIGESTS_INDEX
         )[0]
-        peers = CachePeers(silent={first})
-        made = gathering_with(peers, caches)
+        peers = FakeCachePeers(silent={first})
+        gatherer = gathering_with(peers, caches)
         held = PieceStore().get_or_create(WeightsId('m', 2))
         async with curio.timeout_after(5):
-            await made.gather(held, range(len(PIECES)))
+            await gatherer.gather(held, range(len(PIECES)))
         assert held.whole
         assert peers.asked.count(first) == 1
 
     curio.run(run)
 
 
-def test_without_caches_daemons_help_themselves():
+def test_without_caches_daemons_fetch_from_the_origin():
     async def run():
-        origin = StandInOrigin()
-        made = gathering_with(CachePeers(silent={'10.0.0.1:1'}), [], origin)
+        origin = FakeOrigin()
+        gatherer = gathering_with(FakeCachePeers(silent={'10.0.0.1:1'}), [], origin)
         held = PieceStore().get_or_create(WeightsId('m', 2))
         async with curio.timeout_after(5):
-            await made.gather(held, range(len(PIECES)))
+            await gatherer.gather(held, range(len(PIECES)))
         assert held.whole
-        assert sorted(origin.drawn) == list(range(len(PIECES)))
+        assert sorted(origin.fetched) == list(range(len(PIECES)))
 
     curio.run(run)
--- a/tests/test_load_questions.py
+++ b/tests/test_load_questions.py
@@ -134,7 +134,7 @@
         async with curio.timeout_after(FOREVER_S / 2):
             await fleet.choose()
         # It has not answered by now; what the entry does when the answer is overdue.
-        fleet.questions.questions.silent.note('10.0.0.1:10')
+        fleet.questions.questions.silent.mark_silent('10.0.0.1:10')
         fleet.asked.clear()
         await fleet.choose()
 
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -30,7 +30,7 @@
 
 
 @dataclass
-class StandInEngine:
+class FakeEngine:
     """
     Serves what it was ordered to; what runs ends when the test says so.
 
@@ -38,7 +38,7 @@
 
     served: tuple = (OLD,)
     running: int = 0
-    laid: list = field(default_factory=list)
+    staged_indexes: list = field(default_factory=list)
     orders: list = field(default_factory=list)
 
     async def report(self):
@@ -49,7 +49,7 @@
         return None
 
     async def stage(self, model, index, data):
-        self.laid.append(index)
+        self.staged_indexes.append(index)
         return True
 
     async def start(self, model, version, first, end, interrupts):
@@ -59,7 +59,7 @@
         return True
 
 
-class StandInGathering:
+class FakeGatherer:
     def __init__(self, caches=('10.0.1.1:1',)):
         self.caches = list(caches)
 
@@ -74,23 +74,23 @@
         held.pieces.update(dict.fromkeys(wanted, b'piece'))
 
 
-class Engines:
+class RolloutUnderTest:
     """
     A rollout among other engines whose states the test sets.
 
     """
 
     def __init__(self, turn, engine=None, gathering=None):
-        self.engine = engine if engine is not None else StandInEngine()
-        self.gathering = gathering if gathering is not None else StandInGathering()
+        self.engine = engine if engine is not None else FakeEngine()
+        self.gathering = gathering if gathering is not None else FakeGatherer()
         weights = WeightsId('m', 2)
         ordered = sorted(NAMES, key=lambda name: rank(str(weights), name))
         self.env = Environment(InstanceId(ordered[turn]), ZoneId('z1'))
         self.others = {name: (OLD,) for name in NAMES if name != ordered[turn]}
         now = self.env.monotonic()
         self.target = Target(weights, LAYERS, PIECES, now, now + DUE_S)
-        self.changing = []
-        self.asked = 0
+        self.announced_versions = []
+        self.state_requests = 0
         fleet = Fleet(self.env, 's', self.states, self.own, lambda: (LAYERS, PIECES))
         self.rollout = Rollout(
             self.env,
@@ -103,14 +103,14 @@
         )
 
     def states(self):
-        self.asked += 1
+        self.state_requests += 1
         return [_state(name, served) for name, served in self.others.items()]
 
     def own(self):
         return _state(str(self.env.instance), self.engine.served)
 
     async def announce(self):
-        self.changing.append(self.rollout.changing_to)
+        self.announced_versions.append(self.rollout.changing_to)
 
     def change(self, count):
         for name in list(self.others)[:count]:
@@ -130,63 +130,63 @@
     return EndpointState(instance, 's', 'z1', instance, 80, 1, '', True, served=tuple(served))
 
 
-def test_an_engine_changes_once_those_of_the_turns_before_have():
+def test_an_engine_changes_after_the_engines_of_earlier_turns():
     async def run():
-        engines = Engines(turn=1)
-        task = await engines.run()
-        engines.change(len(NAMES) // TURNS - 1)
-        await engines.until(
-            lambda: engines.rollout.store.get_or_create(engines.target.weights).whole
+        under_test = RolloutUnderTest(turn=1)
+        task = await under_test.run()
+        under_test.change(len(NAMES) // TURNS - 1)
+        await under_test.until(
+            lambda: under_test.rollout.store.get_or_create(under_test.target.weights).whole
         )
-        asked = engines.asked
-        await engines.until(lambda: engines.asked > asked + 3)
-        assert engines.changing == []
-        engines.change(len(NAMES) // TURNS)
-        await engines.until(lambda: engines.engine.orders)
-        assert engines.env.monotonic() < engines.target.due
+        state_requests = under_test.state_requests
+        await under_test.until(lambda: under_test.state_requests > state_requests + 3)
+        assert under_test.announced_versions == []
+        under_test.change(len(NAMES) // TURNS)
+        await under_test.until(lambda: under_test.engine.orders)
+        assert under_test.env.monotonic() < under_test.target.due
         await task.cancel()
 
     curio.run(run)
 
 
-def test_the_last_turn_comes_when_nothing_more_is_sent_to_the_old_version():
+def test_the_last_turn_starts_when_entries_stop_sending_to_the_old_version():
     async def run():
-        engines = Engines(turn=2)
-        task = await engines.run()
-        await engines.until(lambda: engines.engine.orders)
-        assert engines.env.monotonic() >= engines.target.due
+        under_test = RolloutUnderTest(turn=2)
+        task = await under_test.run()
+        await under_test.until(lambda: under_test.engine.orders)
+        assert under_test.env.monotonic() >= under_test.target.due
         await task.cancel()
 
     curio.run(run)
 
 
-def test_entries_hear_first_and_what_runs_has_time_to_end():
+def test_a_change_is_announced_and_the_engine_drains_before_the_order():
     async def run():
-        engines = Engines(turn=0, engine=StandInEngine(running=3))
-        task = await engines.run()
-        await engines.until(lambda: engines.changing)
-        assert engines.changing == [2]
-        assert engines.engine.orders == []
-        engines.engine.running = 0
-        await engines.until(lambda: engines.engine.orders)
-        assert engines.engine.orders == [(2, 0, LAYERS, True, 0)]
-        assert engines.engine.laid == list(range(PIECES))
-        await engines.until(lambda: engines.changing[-1] == 0)
+        under_test = RolloutUnderTest(turn=0, engine=FakeEngine(running=3))
+        task = await under_test.run()
+        await under_test.until(lambda: under_test.announced_versions)
+        assert under_test.announced_versions == [2]
+        assert under_test.engine.orders == []
+        under_test.engine.running = 0
+        await under_test.until(lambda: under_test.engine.orders)
+        assert under_test.engine.orders == [(2, 0, LAYERS, True, 0)]
+        assert under_test.engine.staged_indexes == list(range(PIECES))
+        await under_test.until(lambda: under_test.announced_versions[-1] == 0)
         await task.cancel()
 
     curio.run(run)
 
 
 @pytest.mark.parametrize(('ended_s', 'drain_s'), [(0.0, DRAIN_S), (5.0, LATE_DRAIN_S)])
-def test_what_runs_too_long_is_broken_off(ended_s, drain_s):
+def test_requests_that_outlast_the_drain_are_interrupted(ended_s, drain_s):
     async def run():
-        engines = Engines(turn=0, engine=StandInEngine(running=3))
-        engines.target = replace(engines.target, due=engines.target.due - ended_s)
-        began = engines.env.monotonic()
-        task = await engines.run()
-        await engines.until(lambda: engines.engine.orders)
-        assert engines.engine.orders == [(2, 0, LAYERS, True, 3)]
-        assert (engines.env.monotonic() - began > DRAIN_S) == (drain_s == DRAIN_S)
+        under_test = RolloutUnderTest(turn=0, engine=FakeEngine(running=3))
+        under_test.target = replace(under_test.target, due=under_test.target.due - ended_s)
+        began = under_test.env.monotonic()
+        task = await under_test.run()
+        await under_test.until(lambda: under_test.engine.orders)
+        assert under_test.engine.orders == [(2, 0, LAYERS, True, 3)]
+        assert (under_test.env.monotonic() - began > DRAIN_S) == (drain_s == DRAIN_S)
         await task.cancel()
 
     curio.run(run)
@@ -196,37 +196,39 @@
     ('served', 'caches', 'first'),
     [((OLD,), ('10.0.1.1:1',), LAYERS), ((), ('10.0.1.1:1',), 2), ((OLD,), (), 2)],
 )
-def test_halves_come_first_where_an_engine_is_empty_or_no_cache_helps(served, caches, first):
+def test_an_empty_engine_or_one_without_caches_takes_half_of_the_layers_first(
+    served, caches, first
+):
     async def run():
-        engines = Engines(0, StandInEngine(served), StandInGathering(caches))
-        engines.others = dict.fromkeys(engines.others, served)
-        task = await engines.run()
-        await engines.until(lambda: engines.engine.orders)
-        _, begin, end, interrupts, _ = engines.engine.orders[0]
+        under_test = RolloutUnderTest(0, FakeEngine(served), FakeGatherer(caches))
+        under_test.others = dict.fromkeys(under_test.others, served)
+        task = await under_test.run()
+        await under_test.until(lambda: under_test.engine.orders)
+        _, begin, end, interrupts, _ = under_test.engine.orders[0]
         assert end - begin == first
         assert interrupts == bool(served)
-        await engines.until(lambda: engines.engine.served == (NEW,))
+        await under_test.until(lambda: under_test.engine.served == (NEW,))
         await task.cancel()
 
     curio.run(run)
 
 
-def test_a_replica_that_does_not_answer_does_not_hold_an_engine_up():
+def test_a_silent_replica_does_not_delay_the_engine():
     async def run():
-        engines = Engines(turn=0)
+        under_test = RolloutUnderTest(turn=0)
 
         async def announce():
             await curio.sleep(30)
 
-        engines.rollout.announce = announce
-        task = await engines.run()
-        await engines.until(lambda: engines.engine.served == (NEW,))
+        under_test.rollout.announce = announce
+        task = await under_test.run()
+        await under_test.until(lambda: under_test.engine.served == (NEW,))
         await task.cancel()
 
     curio.run(run)
 
 
-class StalledGathering(StandInGathering):
+class StalledGatherer(FakeGatherer):
     """
     Brings so many pieces, then no more until the test says so.
 
@@ -243,25 +245,25 @@
         await super().gather(held, wanted)
 
 
-def test_a_version_that_ends_before_the_next_is_here_is_taken_from_the_engine():
+def test_a_version_that_ends_before_the_next_arrives_is_removed_from_the_engine():
     async def run():
-        engines = Engines(0, StandInEngine(running=3), StalledGathering(3))
-        rollout = engines.rollout
-        expiry = ExpiryWatcher(engines.env, engines.engine, rollout.store, rollout)
-        task = await engines.run()
-        watching = await curio.spawn(expiry.run, daemon=True)
-        await engines.until(lambda: engines.engine.orders)
-        ends = engines.target.due + LAST_SENT_S
-        assert engines.target.due < engines.env.monotonic() < ends
-        assert engines.engine.orders == [(2, 0, 1, False, 3)]
-        assert engines.engine.laid == [0, 1]
+        under_test = RolloutUnderTest(0, FakeEngine(running=3), StalledGatherer(3))
+        rollout = under_test.rollout
+        expiry = ExpiryWatcher(under_test.env, under_test.engine, rollout.store, rollout)
+        task = await under_test.run()
+        expiry_task = await curio.spawn(expiry.run, daemon=True)
+        await under_test.until(lambda: under_test.engine.orders)
+        ends = under_test.target.due + LAST_SENT_S
+        assert under_test.target.due < under_test.env.monotonic() < ends
+        assert under_test.engine.orders == [(2, 0, 1, False, 3)]
+        assert under_test.engine.staged_indexes == [0, 1]
         await task.cancel()
-        await watching.cancel()
+        await expiry_task.cancel()
 
     curio.run(run)
 
 
-def test_an_ended_version_is_taken_where_nothing_of_the_next_one_is_here():
+def test_an_ended_version_is_removed_without_any_piece_of_the_next():
     """
     An origin was down when version 2 was named. All six engines kept version 1 until the
     first layer of the next one came: it ended 8.0 s after it was replaced, and was taken
@@ -270,23 +272,23 @@
     """
 
     async def run():
-        engines = Engines(0, StandInEngine(running=3), StalledGathering(0))
-        rollout = engines.rollout
-        expiry = ExpiryWatcher(engines.env, engines.engine, rollout.store, rollout)
-        task = await engines.run()
-        watching = await curio.spawn(expiry.run, daemon=True)
-        await engines.until(lambda: engines.engine.orders)
-        ends = engines.target.due + LAST_SENT_S
-        assert engines.target.due < engines.env.monotonic() < ends
-        (order,) = engines.engine.orders
+        under_test = RolloutUnderTest(0, FakeEngine(running=3), StalledGatherer(0))
+        rollout = under_test.rollout
+        expiry = ExpiryWatcher(under_test.env, under_test.engine, rollout.store, rollout)
+        task = await under_test.run()
+        expiry_task = await curio.spawn(expiry.run, daemon=True)
+        await under_test.until(lambda: under_test.engine.orders)
+        ends = under_test.target.due + LAST_SENT_S
+        assert under_test.target.due < under_test.env.monotonic() < ends
+        (order,) = under_test.engine.orders
         assert order == (1, LAYERS // 2, LAYERS // 2 + 1, False, 3)
-        assert engines.engine.laid == []
-        rollout.report = await engines.engine.report()
-        await engines.gathering.resume.set()
-        await engines.until(lambda: engines.engine.served == (NEW,))
-        assert engines.engine.orders == [order, (2, 0, LAYERS, False, 0)]
+        assert under_test.engine.staged_indexes == []
+        rollout.report = await under_test.engine.report()
+        await under_test.gathering.resume.set()
+        await under_test.until(lambda: under_test.engine.served == (NEW,))
+        assert under_test.engine.orders == [order, (2, 0, LAYERS, False, 0)]
         await task.cancel()
-        await watching.cancel()
+        await expiry_task.cancel()
 
     curio.run(run)
 
@@ -302,26 +304,26 @@
         ((), LAYERS, 0),
     ],
 )
-def test_an_engine_is_left_a_single_layer_once(served, layers, orders):
+def test_an_engine_is_reduced_to_a_single_layer_once(served, layers, orders):
     async def run():
-        engines = Engines(0, StandInEngine(served))
-        engines.target = replace(engines.target, layers=layers, due=0.0)
-        rollout = engines.rollout
-        rollout.report = await engines.engine.report()
-        expiry = ExpiryWatcher(engines.env, engines.engine, rollout.store, rollout)
+        under_test = RolloutUnderTest(0, FakeEngine(served))
+        under_test.target = replace(under_test.target, layers=layers, due=0.0)
+        rollout = under_test.rollout
+        rollout.report = await under_test.engine.report()
+        expiry = ExpiryWatcher(under_test.env, under_test.engine, rollout.store, rollout)
         for version in (2, 3, 2):
-            engines.target = replace(engines.target, weights=WeightsId('m', version))
+            under_test.target = replace(under_test.target, weights=WeightsId('m', version))
             rollout.staged_checked = True
-            if expiry._has_ended(engines.target):
-                await expiry._empty_engine(engines.target)
-            rollout.report = await engines.engine.report()
-        assert len(engines.engine.orders) == orders
+            if expiry._has_ended(under_test.target):
+                await expiry._empty_engine(under_test.target)
+            rollout.report = await under_test.engine.report()
+        assert len(under_test.engine.orders) == orders
 
     curio.run(run)
 
 
-@pytest.mark.parametrize(('lies', 'orders'), [(False, 1), (True, 0)])
-def test_a_daemon_that_has_started_looks_first_whose_pieces_lie_at_the_engine(lies, orders):
+@pytest.mark.parametrize(('matches', 'orders'), [(False, 1), (True, 0)])
+def test_a_started_daemon_checks_staged_pieces_before_it_empties_the_engine(matches, orders):
     """
     Daemons were killed with all pieces of version 2 laid and the order not given yet.
     Those that came after them had an engine of version 1 take layer 8 of 16 from these,
@@ -331,16 +333,16 @@
     """
 
     async def run():
-        engines = Engines(0, StandInEngine(), StalledGathering(0))
-        rollout = engines.rollout
-        rollout.report = await engines.engine.report()
-        expiry = ExpiryWatcher(engines.env, engines.engine, rollout.store, rollout)
-        engines.target = replace(engines.target, due=0.0)
-        await expiry._empty_engine(engines.target)
-        assert engines.engine.orders == []
-        held = rollout.store.get_or_create(engines.target.weights)
+        under_test = RolloutUnderTest(0, FakeEngine(), StalledGatherer(0))
+        rollout = under_test.rollout
+        rollout.report = await under_test.engine.report()
+        expiry = ExpiryWatcher(under_test.env, under_test.engine, rollout.store, rollout)
+        under_test.target = replace(under_test.target, due=0.0)
+        await expiry._empty_engine(under_test.target)
+        assert under_test.engine.orders == []
+        held = rollout.store.get_or_create(under_test.target.weights)
         data = b'piece'
-        digest = hashlib.sha256(data).hexdigest() if lies else 'd'
+        digest = hashlib.sha256(data).hexdigest() if matches else 'd'
 
         async def obtain_digests(held):
             await held.set_digests((digest,) + ('d',) * (PIECES - 1))
@@ -349,16 +351,16 @@
         async def read_staged(model, index):
             return data
 
-        engines.gathering.obtain_digests = obtain_digests
-        engines.engine.read_staged = read_staged
+        under_test.gathering.obtain_digests = obtain_digests
+        under_test.engine.read_staged = read_staged
         await rollout._check_staged(held)
-        await expiry._empty_engine(engines.target)
-        assert len(engines.engine.orders) == orders
+        await expiry._empty_engine(under_test.target)
+        assert len(under_test.engine.orders) == orders
 
     curio.run(run)
 
 
-def test_an_ended_version_is_taken_though_the_target_has_just_moved_on():
+def test_an_ended_version_is_removed_though_the_target_has_just_changed():
     """
     Three engines behind squeezed links kept version 1 beyond its end at 22.0 s: 88 of 96
     pieces of version 2 were here, but version 4 had become the target at 21.51 s and no
@@ -368,54 +370,54 @@
     """
 
     async def run():
-        engines = Engines(0, StandInEngine(), StalledGathering(0))
-        rollout = engines.rollout
-        rollout.report = await engines.engine.report()
-        expiry = ExpiryWatcher(engines.env, engines.engine, rollout.store, rollout)
+        under_test = RolloutUnderTest(0, FakeEngine(), StalledGatherer(0))
+        rollout = under_test.rollout
+        rollout.report = await under_test.engine.report()
+        expiry = ExpiryWatcher(under_test.env, under_test.engine, rollout.store, rollout)
         rollout.staged_checked = True
-        engines.target = replace(engines.target, weights=WeightsId('m', 4), due=0.0)
-        await expiry._empty_engine(engines.target)
-        assert engines.engine.orders == [(1, LAYERS // 2, LAYERS // 2 + 1, False, 0)]
+        under_test.target = replace(under_test.target, weights=WeightsId('m', 4), due=0.0)
+        await expiry._empty_engine(under_test.target)
+        assert under_test.engine.orders == [(1, LAYERS // 2, LAYERS // 2 + 1, False, 0)]
 
     curio.run(run)
 
 
-@pytest.mark.parametrize(('here', 'due'), [(3, True), (6, True), (7, False)])
-def test_an_engine_that_is_about_to_have_the_next_version_takes_no_order_before(here, due):
+@pytest.mark.parametrize(('present_count', 'due'), [(3, True), (6, True), (7, False)])
+def test_an_engine_is_not_emptied_while_the_next_version_is_nearly_complete(present_count, due):
     async def run():
-        engines = Engines(0)
+        under_test = RolloutUnderTest(0)
         clock = Clock()
-        engines.env.monotonic = clock
-        engines.target = replace(engines.target, due=clock.now + 1.0)
-        rollout = engines.rollout
-        rollout.report = await engines.engine.report()
-        expiry = ExpiryWatcher(engines.env, engines.engine, rollout.store, rollout)
-        held = rollout.store.get_or_create(engines.target.weights)
-        clock.now = engines.target.due + LAST_SENT_S - 1.0
-        for count in range(here - 3, here + 1):
+        under_test.env.monotonic = clock
+        under_test.target = replace(under_test.target, due=clock.now + 1.0)
+        rollout = under_test.rollout
+        rollout.report = await under_test.engine.report()
+        expiry = ExpiryWatcher(under_test.env, under_test.engine, rollout.store, rollout)
+        held = rollout.store.get_or_create(under_test.target.weights)
+        clock.now = under_test.target.due + LAST_SENT_S - 1.0
+        for count in range(present_count - 3, present_count + 1):
             held.pieces = dict.fromkeys(range(count), b'piece')
             expiry._record_arrivals(count)
             clock.now += 0.32
-        assert expiry._is_due(engines.target, held) == due
+        assert expiry._is_due(under_test.target, held) == due
 
     curio.run(run)
 
 
 def test_a_version_that_has_not_ended_stays():
     async def run():
-        engines = Engines(0, StandInEngine(), StalledGathering(3))
-        engines.target = replace(engines.target, due=float('inf'))
-        rollout = engines.rollout
-        expiry = ExpiryWatcher(engines.env, engines.engine, rollout.store, rollout)
-        rollout.report = await engines.engine.report()
-        assert not expiry._has_ended(engines.target)
+        under_test = RolloutUnderTest(0, FakeEngine(), StalledGatherer(3))
+        under_test.target = replace(under_test.target, due=float('inf'))
+        rollout = under_test.rollout
+        expiry = ExpiryWatcher(under_test.env, under_test.engine, rollout.store, rollout)
+        rollout.report = await under_test.engine.report()
+        assert not expiry._has_ended(under_test.target)
 
     curio.run(run)
 
 
-def test_turns_take_equal_parts_of_the_engines():
+def test_each_turn_has_equally_many_engines():
     counts = [0] * TURNS
     for position in range(len(NAMES)):
-        engines = Engines(position)
-        counts[engines.rollout.fleet.own_turn(WeightsId('m', 2), TURNS)] += 1
+        under_test = RolloutUnderTest(position)
+        counts[under_test.rollout.fleet.own_turn(WeightsId('m', 2), TURNS)] += 1
     assert counts == [len(NAMES) // TURNS] * TURNS
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -31,7 +31,7 @@
 
 
 @given(NAMES)
-def test_each_piece_has_one_drawer_and_each_drawer_its_equal_part(names):
+def test_pieces_are_assigned_evenly_to_the_daemons(names):
     counts = dict.fromkeys(names, 0)
     for index in range(96):
         counts[request_order(names, WEIGHTS, index)[0]] += 1
@@ -39,7 +39,7 @@
 
 
 @given(st.integers(2, 12))
-def test_the_part_of_a_daemon_that_fails_is_spread_over_the_others(count):
+def test_pieces_of_a_failed_daemon_are_spread_evenly_over_the_others(count):
     names = [f'10.0.0.{number}:1' for number in range(count)]
     lost = request_order(names, WEIGHTS, 0)[0]
     seconds = [request_order(names, WEIGHTS, index)[1] for index in range(count * (count - 1) * 2)
@@ -52,7 +52,7 @@
 
 
 @given(ZONES, st.integers(2, 64))
-def test_pairs_hold_all_layers_and_lie_in_one_zone_where_they_can(zones, layers):
+def test_pairs_cover_all_layers_and_stay_in_one_zone_where_possible(zones, layers):
     states = [state(f'10.0.0.{number}:1', zone) for number, zone in enumerate(zones)]
     found = assign_layers(states, WEIGHTS, layers)
     assert set(found) == {item.instance for item in states}
@@ -70,14 +70,14 @@
 
 
 @given(st.integers(2, 64), st.integers(1, 300))
-def test_the_pieces_of_two_halves_are_all_pieces(layers, pieces):
+def test_two_halves_of_the_layers_cover_all_pieces(layers, pieces):
     lower = Layers(0, layers // 2).pieces(layers, pieces)
     upper = Layers(layers // 2, layers).pieces(layers, pieces)
     assert set(lower) | set(upper) == set(range(pieces))
     assert len(set(lower) & set(upper)) <= 1
 
 
-def test_layers_that_can_not_be_shared_are_taken_whole():
+def test_a_model_of_one_layer_is_assigned_whole():
     states = [state('a'), state('b')]
     assert assign_layers(states, WEIGHTS, 1)['a'].layers == Layers(0, 1)
     assert list(Layers(0, 0).pieces(0, 3)) == [0, 1, 2]
@@ -94,14 +94,14 @@
     assert [item.instance for item in holders(states, WEIGHTS, 48, 'd')] == ['a']
 
 
-def test_the_own_zone_serves_where_it_can():
+def test_holders_in_the_own_zone_are_preferred_while_they_suffice():
     found = [state('a'), state('d', 'z2')]
     assert preferred_holders(found, 'z2', 1) == ['d']
     assert preferred_holders(found, 'z1', 2) == ['a', 'd']
     assert preferred_holders(found, 'z3', 1) == ['a', 'd']
 
 
-def test_what_an_engine_serves_of_a_version():
+def test_served_layers_of_a_version():
     served = [ServedVersion('m', 2, 8, 16)]
     assert served_layers(served, WEIGHTS, 16) == Layers(8, 16)
     assert not serves_whole(served, WEIGHTS, 16)
@@ -125,7 +125,7 @@
     return hashlib.sha256(data).hexdigest()
 
 
-def test_a_spoilt_piece_is_refused_also_when_it_came_before_the_digests():
+def test_a_corrupt_piece_is_refused_even_if_it_arrived_before_the_digests():
     async def run():
         held = PieceStore().get_or_create(WEIGHTS)
         assert await held.put(0, b'spoilt')
@@ -140,14 +140,14 @@
     curio.run(run)
 
 
-def test_the_last_versions_are_kept():
+def test_only_the_newest_versions_are_kept():
     store = PieceStore()
     for version in (1, 2, 3):
         store.get_or_create(WeightsId('m', version))
     assert sorted(weights.version for weights in store.sets) == [2, 3]
 
 
-def test_ids_and_digests_go_over_the_wire():
+def test_ids_and_digests_survive_encoding():
     assert parse_weights_id(str(WEIGHTS)) == WEIGHTS
     digests = (digest(b'a'), digest(b'b'))
     assert decode_digests(encode_digests(digests)) == digests
@@ -155,7 +155,7 @@
         parse_weights_id('m')
 
 
-def test_a_link_is_slow_once_all_of_the_last_pieces_were():
+def test_a_link_is_slow_once_all_recent_pieces_were_slow():
     now = [0.0]
     transfer_times = TransferTimes(1000.0, lambda: now[0])
 
@@ -175,7 +175,7 @@
     assert not transfer_times.is_slow
 
 
-def test_pieces_that_share_a_link_may_take_longer():
+def test_concurrent_pieces_may_take_longer():
     now = [0.0]
     transfer_times = TransferTimes(1000.0, lambda: now[0])
     for _ in range(4):
