--- a/packages/millforkd/millforkd/sidecar/__init__.py
+++ b/packages/millforkd/millforkd/sidecar/__init__.py
@@ -1,4 +1,5 @@
 """
-The endpoint role of a seeded fleet: weights in pieces, and the engine's state.
+The endpoint role of a seeded fleet: a daemon next to each model engine, which fetches
+weights in pieces, reports the state of the engine and orders it to change versions.
 
 """
--- a/packages/millforkd/millforkd/sidecar/daemon.py
+++ b/packages/millforkd/millforkd/sidecar/daemon.py
@@ -1,5 +1,5 @@
 """
-The endpoint daemon beside an engine.
+The endpoint daemon of a seeded fleet, which runs next to one engine.
 
 """
 
@@ -44,13 +44,13 @@
 from millforkd.sidecar.rollout import Rollout
 from millforkd.sidecar.target import Target, TargetChooser
 
-# A server takes and ends about two requests in this time.
+# An engine starts and finishes about two requests in this time.
 REPORT_INTERVAL_S: Final = 0.15
 REPORT_TIMEOUT_S: Final = 0.5
-# Of the link, for transfers; the rest is for the engine's requests and answers,
-# which take about 3% of 3.65 Mbit/s at full load.
+# Share of the link that weight transfers may use. The rest is for the engine's requests
+# and answers, which take about 3% of 3.65 Mbit/s at full load.
 TRANSFER_SHARE: Final = 0.94
-# A daemon that was asked for digests waits this long for them itself.
+# A daemon that is asked for digests it does not have yet waits this long for them.
 DIGESTS_WAIT_S: Final = 1.0
 BITS_PER_MBIT: Final = 1_000_000
 UNLIMITED_BYTES_PER_S: Final = 1_250_000_000
@@ -60,7 +60,7 @@
 
 class SidecarDaemon:
     """
-    One endpoint instance.
+    The tasks and message handlers of one endpoint instance.
 
     """
 
@@ -131,25 +131,26 @@
 
     async def reload(self, settings: SeededSettings) -> None:
         """
-        Take changed settings: other seeds.
+        Apply changed settings; only the seeds can change at run time.
 
         """
         self.discovery.take_seeds(settings.seed_instances)
 
     async def drain(self) -> None:
         """
-        A planned stop: nothing of a caller's is in progress here.
+        Return at once: this daemon handles no requests of callers, so a planned stop
+        has nothing to wait for.
 
         """
 
     def states(self) -> list[EndpointState]:
         """
-        All endpoint daemons known.
+        The last known state of every endpoint daemon in the registry.
 
         """
         return list(self.registry.endpoints.values())
 
-    # What is to be served.
+    # The version to be served.
 
     def _engine_figures(self) -> EngineFigures | None:
         found = document_in(self.view, self.adapter, self.document_revision)
@@ -194,11 +195,12 @@
         before = last.backpressure if last is not None else NO_BACKPRESSURE
         if report.backpressure == before:
             return
-        log.notice('The engine says of itself: {}', report.backpressure)
+        log.notice('The engine reports backpressure: {}', report.backpressure)
 
     async def _report(self) -> None:
         """
-        Tell the replica that this daemon follows, or whoever passes it on.
+        Send this daemon's state to the process it follows: a replica, or a daemon that
+        relays the state to one.
 
         """
         source = self.following.reports_to
@@ -208,7 +210,7 @@
         try:
             await self.peers.call(address_of(source), EndpointReport(body), REPORT_TIMEOUT_S)
         except PeerError as error:
-            log.debug('No report to {}: {}.', source, error)
+            log.debug('The report could not be sent to {}: {}.', source, error)
 
     def _state(self) -> EndpointState:
         report = self.rollout.report
@@ -239,8 +241,8 @@
 
     def _held_versions(self, served: tuple[ServedVersion, ...]) -> tuple[HeldVersion, ...]:
         """
-        The pieces that others can take from here: those in memory, and those
-        staged at the engine of what it serves whole.
+        The pieces that other daemons can fetch from this one: those in memory, and those
+        staged at the engine if it serves the whole model.
 
         """
         held = []
@@ -266,7 +268,7 @@
 
     async def handle(self, connection: Connection, message: Message) -> Message | None:
         """
-        Answer a peer's message.
+        Handle one message of a peer; returns the reply, or None if there is none.
 
         """
         if await self.following.take(connection.peer, message):
@@ -336,7 +338,10 @@
         self.env.metrics.count(self.env.metrics.chunks, source='pushed', outcome=outcome)
         if not good:
             log.warning(
-                'Piece {} of {} from {} is corrupt.', message.index, weights, connection.peer
+                'Piece {} of {} from {} does not match its digest.',
+                message.index,
+                weights,
+                connection.peer,
             )
         return Done(good)
 
@@ -344,13 +349,13 @@
         try:
             return parse_weights_id(text)
         except ValueError as error:
-            log.warning('A bad id of weights from {}: {}.', connection.peer, error)
+            log.warning('{} sent an invalid weights id: {}.', connection.peer, error)
             return None
 
     def _is_wanted(self, weights: WeightsId) -> bool:
         """
-        Whether pieces of a version are of use here: it is the target, or a
-        newer one that this daemon will hear of.
+        Whether this daemon can use pieces of a version: it is the target version, or
+        a newer one whose announcement has not reached this daemon yet.
 
         """
         target = self.targets.current
@@ -371,7 +376,8 @@
 
     def _engine_serves(self, weights: WeightsId) -> bool:
         """
-        Whether the pieces staged at the engine are of this version.
+        Whether the pieces staged at the engine are those of this version: the engine
+        serves all its layers, and no change to another version is in progress.
 
         """
         layers, _ = self._shape()
--- a/packages/millforkd/millforkd/sidecar/engine.py
+++ b/packages/millforkd/millforkd/sidecar/engine.py
@@ -1,5 +1,5 @@
 """
-The engine on this instance: its state, its staged pieces, its orders.
+Calls to the engine on this instance: its report, its staged pieces and load orders.
 
 """
 
@@ -15,7 +15,7 @@
 from millfork_web.client import Client, ExchangeFailed
 from millfork_web.models import Request, Response
 
-# The engine is on the same instance, so a longer silence is a fault of it.
+# The engine is on the same instance, so a longer silence means that the engine has failed.
 CALL_TIMEOUT_S: Final = 1.0
 
 log = logger(Part.ENGINE)
@@ -23,8 +23,8 @@
 
 class LocalEngine:
     """
-    Calls to the engine, one at a time over one kept connection: each
-    connection counts against the engine's cap.
+    Sends calls to the engine one at a time over one persistent connection, because
+    each connection counts against the engine's connection limit.
 
     """
 
@@ -41,55 +41,59 @@
 
     async def report(self) -> EngineReport | None:
         """
-        The engine's state; None if it does not answer.
+        The engine's state; None if the engine does not answer or its report is invalid.
 
         """
         try:
             response = await self._fetch(self.adapter.report_request())
         except ExchangeFailed as error:
-            log.debug('No report from the engine: {}.', error)
+            log.debug('The engine did not answer the request for its report: {}.', error)
             return None
         if response.status != 200:
-            log.warning('The engine gives no report. status={}', response.status)
+            log.warning('The engine refused the request for its report. status={}', response.status)
             return None
         try:
             report = self.adapter.read_report(response.body)
         except BadCall as error:
-            log.warning('The report of the engine can not be read: {}.', error)
+            log.warning("The engine's report could not be parsed: {}.", error)
             return None
         head = self.adapter.read_answer(response.status, response.headers)
         if head.backpressure.unread:
-            log.warning('The engine says what can not be read. {}', head.backpressure.unread)
+            log.warning(
+                'The backpressure headers of the engine could not be parsed. {}',
+                head.backpressure.unread,
+            )
         return replace(report, backpressure=head.backpressure)
 
     async def stage(self, model: str, index: int, data: bytes) -> bool:
         """
-        Lay one piece where the engine takes it from.
+        Write one piece to the engine's staging area; False if the engine did not accept it.
 
         """
         try:
             response = await self._fetch(self.adapter.stage_request(model, index, data))
         except ExchangeFailed as error:
-            log.warning('Piece {} of {} not staged: {}.', index, model, error)
+            log.warning('Piece {} of {} was not staged: {}.', index, model, error)
             return False
         return response.status < 300
 
     async def read_staged(self, model: str, index: int) -> bytes | None:
         """
-        The piece that lies there; None if there is none.
+        Read one piece from the engine's staging area; None if it could not be read.
 
         """
         try:
             response = await self._fetch(self.adapter.staged_request(model, index))
         except ExchangeFailed as error:
-            log.debug('Piece {} of {} not read back: {}.', index, model, error)
+            log.debug('Staged piece {} of {} could not be read: {}.', index, model, error)
             return None
         return response.body if response.status == 200 else None
 
     async def start(self, model: str, version: int, first: int, end: int, interrupts: bool) -> bool:
         """
-        Order the engine to take layers from what lies there, once what runs
-        has ended or by breaking it off; False if it did not begin.
+        Order the engine to load layers from its staged pieces. It first lets running
+        requests finish, or interrupts them if `interrupts` is set. False if it did not
+        accept the order.
 
         """
         try:
@@ -97,10 +101,13 @@
                 self.adapter.start_request(model, version, first, end, interrupts)
             )
         except ExchangeFailed as error:
-            log.warning('No answer to the order to start {} {}: {}.', model, version, error)
+            log.warning(
+                'The engine did not answer the order to load {} {}: {}.', model, version, error
+            )
             return False
         log.notice(
-            'Ordered the engine to start. model={} version={} layers={}-{} breaks_off={} status={}',
+            'Ordered the engine to load layers. '
+            'model={} version={} layers={}-{} breaks_off={} status={}',
             model,
             version,
             first,
--- a/packages/millforkd/millforkd/sidecar/expiry.py
+++ b/packages/millforkd/millforkd/sidecar/expiry.py
@@ -1,14 +1,15 @@
 """
-Taking a version from the engine that has ended before the next one is here.
-
-Entries stop sending in time, but what they sent last may lie in a slow link, and nothing
-calls it back there: a request was seen to begin 1.1 s after it was sent. The daemon
-beside the engine has no link to cross. It has the engine hold a single layer of the next
-version instead, so that whatever still comes is refused as not run. Where no layer of
-the next version is here (an origin that is down, a daemon that has just started), it is a
-layer of the version served, whose pieces lie at the engine. An engine that is about to
-have the next version whole is left alone: it takes no other order until what runs has
-ended, and would change 0.5 s to 1.5 s later.
+Removes a version from the engine if it ends before the next version has arrived.
+
+Entries stop sending in time, but their last requests may be queued in a slow link, where
+they can't be cancelled: a request was seen to start 1.1 s after it was sent. This daemon
+runs on the same instance as the engine, so no link delays its orders. It orders the engine
+to hold a single layer of the next version, so that the engine refuses late requests as not
+run. If no layer of the next version has arrived (the origin is down, or the daemon has just
+started), the order names one layer of the served version, whose pieces are staged at the
+engine. An engine that is about to have the whole next version gets no such order: it would
+accept no other order until its running requests have ended, and would change 0.5 s to
+1.5 s later.
 
 """
 
@@ -29,12 +30,13 @@
 from millforkd.switching import LAST_SENT_S
 
 POLL_S: Final = 0.05
-# The engine is emptied so long before requests may not begin on the old version any more:
-# the order takes two polls and a few calls on the same instance, and this daemon may have
-# learned of the version 0.2 s after the entries.
+# The engine is emptied this long before the end of the old version. The order takes two
+# polls and a few calls on the same instance, and this daemon may have learned of the new
+# version 0.2 s after the entries did.
 EMPTY_AHEAD_S: Final = 0.35
-# The next version is about to be here if its pieces, as they came in the last second,
-# take no longer than this. On a link that delays requests by so much, they take longer.
+# The next version counts as nearly complete if its missing pieces take no longer than this
+# at the rate of the last second. On a link slow enough to delay requests as described
+# above, they take longer.
 NEARLY_COMPLETE_S: Final = 0.5
 RATE_WINDOW_S: Final = 1.0
 
@@ -43,7 +45,7 @@
 
 class ExpiryWatcher:
     """
-    Watches the version that the engine serves.
+    Empties the engine when the version that it serves is about to end.
 
     """
 
@@ -54,14 +56,14 @@
         self.engine = engine
         self.store = store
         self.rollout = rollout
-        # The version that the engine was last emptied for, and which incarnation of it.
+        # The engine's incarnation when it was last emptied, and the target version then.
         self.emptied_for = (UNTOLD_INCARNATION, 0)
-        # When how many pieces of the target were here, over the last second.
+        # Samples of the last second: a time, and the number of target pieces held then.
         self.arrivals: deque[tuple[float, int]] = deque()
 
     async def run(self) -> None:
         """
-        The task that takes ended versions away.
+        Check the served version periodically, until cancelled.
 
         """
         while True:
@@ -76,7 +78,7 @@
 
     def _is_due(self, target: Target, held: PieceSet) -> bool:
         """
-        Whether the version has ended, and the next one is not about to be here.
+        Whether the served version is about to end and the next one is not nearly complete.
 
         """
         if not self._has_ended(target):
@@ -86,7 +88,7 @@
     def _record_arrivals(self, count: int) -> None:
         now = self.env.monotonic()
         if self.arrivals and count < self.arrivals[-1][1]:
-            # Another version is brought by now.
+            # The target is another version now.
             self.arrivals.clear()
         self.arrivals.append((now, count))
         while now - self.arrivals[0][0] > RATE_WINDOW_S:
@@ -94,7 +96,7 @@
 
     def _remaining_s(self, target: Target, held: PieceSet) -> float:
         """
-        Seconds until the rest of the pieces is here, at the rate of the last second.
+        Seconds until the missing pieces have arrived, at the rate of the last second.
 
         """
         window_start, window_start_count = self.arrivals[0]
@@ -108,7 +110,8 @@
 
     def _has_ended(self, target: Target) -> bool:
         """
-        Whether the engine still serves what nothing may begin on any more.
+        Whether the engine still serves a version on which no request may start any more,
+        or which gets there within `EMPTY_AHEAD_S`.
 
         """
         emptied = self.emptied_for == (self.rollout.incarnation, target.weights.version)
@@ -128,7 +131,7 @@
             return
         self.emptied_for = emptied
         log.notice(
-            'Took the ended version from the engine. next={} left={}@{} layer={} since_s={:.2f}',
+            'Removed the ended version from the engine. next={} left={}@{} layer={} since_s={:.2f}',
             target.weights,
             remaining.model,
             remaining.version,
@@ -138,8 +141,9 @@
 
     async def _order_single_layer(self, target: Target) -> ServedVersion | None:
         """
-        Have the engine hold a single layer: of the next version, which the rollout then
-        goes on from, or else of its own. None if it does not take the order.
+        Order the engine to hold a single layer of the next version, from which the rollout
+        continues, or else one of the served version. None if the engine got or accepted
+        no order.
 
         """
         weights = target.weights
@@ -154,8 +158,9 @@
 
     async def _order_layer_of_served_version(self, target: Target) -> ServedVersion | None:
         """
-        Have the engine hold a single layer of what it serves; by itself it makes no token.
-        Its pieces lie there, unless a daemon before this one has laid others.
+        Order the engine to hold a single layer of the version that it serves, with which
+        alone it can't generate tokens. The pieces of this layer are still staged at the
+        engine, unless an earlier process of this daemon has staged those of the target.
 
         """
         if not self.rollout.staged_checked or self.rollout.staged_weights == target.weights:
@@ -164,9 +169,8 @@
         end = serves.end if serves.end is not None else target.layers
         if end - serves.first <= 1:
             return None
-        # Neither the first nor the last of the model, where there are others: no path
-        # begins or ends with it, whatever an entry that knows of no newer version makes of
-        # it.
+        # A layer that is neither the first nor the last of the model, if there is one. An
+        # entry that knows of no newer version then can't start or end a path at this engine.
         middle = (serves.first + end) // 2
         layer = Layers(middle, middle + 1)
         return await self._order(WeightsId(serves.model, serves.version), layer)
@@ -180,7 +184,7 @@
 
 def _find_complete_layer(held: PieceSet, target: Target) -> Layers | None:
     """
-    A layer of which all pieces are here, if there is one.
+    The first layer of which this daemon holds all pieces; None if there is none.
 
     """
     for first in range(target.layers):
--- a/packages/millforkd/millforkd/sidecar/fleet.py
+++ b/packages/millforkd/millforkd/sidecar/fleet.py
@@ -1,5 +1,5 @@
 """
-The endpoint daemons of one service, as one of them knows them.
+The endpoint daemons of one service, as known to one of them.
 
 """
 
@@ -21,15 +21,16 @@
 from millforkd.sidecar.pieces import WeightsId
 from millforkd.sidecar.sources import holders, preferred_holders, request_order
 
-# What is worked out from the states is used this long, as it is asked for
-# with each piece.
+# Results computed from the states of all daemons are reused this long, because they are
+# needed for each piece.
 SNAPSHOT_MAX_AGE_S: Final = 0.2
 
 
 @dataclass(frozen=True, slots=True)
 class _FleetSnapshot:
     """
-    The fleet with regard to one version, as worked out at one moment.
+    The members of a fleet and their layer assignments for one version, computed at `at`
+    (monotonic seconds).
 
     """
 
@@ -42,7 +43,8 @@
 
 class Fleet:
     """
-    Who holds what, and who brings what to whom.
+    Computes which daemons hold a piece, which one fetches it from the origin, and when
+    this daemon's engine changes.
 
     """
 
@@ -58,7 +60,7 @@
         self.service = service
         self.states = states
         self.own_state = own_state
-        # The number of layers of the service's model, and of its pieces.
+        # Returns the numbers of layers and of pieces of the service's model.
         self.shape = shape
         self.snapshot: _FleetSnapshot | None = None
 
@@ -88,7 +90,7 @@
             goal = state.goal
             if goal is None or (goal.model, goal.version) != (weights.model, weights.version):
                 continue
-            # What a daemon has begun with goes before what is worked out now.
+            # The layers that a daemon has begun with override the computed assignment.
             end = goal.end if goal.end is not None else layers
             found[state.instance] = LayerAssignment(
                 Layers(goal.first, end), found[state.instance].pair
@@ -98,7 +100,7 @@
 
     def own_assignment(self, weights: WeightsId) -> LayerAssignment:
         """
-        This daemon's place among those whose engines lack a version.
+        This daemon's layer assignment among the daemons whose engines lack a version.
 
         """
         own = self.own_state()
@@ -111,7 +113,7 @@
 
     def own_turn(self, weights: WeightsId, turns: int) -> int:
         """
-        The turn, of so many, in which this daemon's engine changes.
+        The turn, from 0 to before `turns`, in which this daemon's engine changes.
 
         """
         own = str(self.env.instance)
@@ -123,8 +125,8 @@
 
     def origin_fetchers(self, weights: WeightsId, index: int) -> list[str]:
         """
-        The daemons that need a piece first, in the order in which they are to
-        draw it; the first of them sends it to the others.
+        The daemons whose first layers need a piece, in the order in which they try to
+        fetch it from the origin; the first of them sends it to the others.
 
         """
         layers, pieces = self.shape()
@@ -137,7 +139,7 @@
 
     def holders(self, weights: WeightsId, index: int) -> list[EndpointState]:
         """
-        The other daemons that hold a piece.
+        The states of the other daemons that hold a piece.
 
         """
         own = str(self.env.instance)
@@ -145,7 +147,7 @@
 
     def nearest_holders(self, weights: WeightsId, index: int) -> list[str]:
         """
-        The daemons to ask for a piece, best first.
+        The daemons to request a piece from, in order of preference.
 
         """
         found = self.holders(weights, index)
--- a/packages/millforkd/millforkd/sidecar/gathering.py
+++ b/packages/millforkd/millforkd/sidecar/gathering.py
@@ -1,5 +1,5 @@
 """
-Bringing all pieces of a version into memory.
+Fetches the pieces of a version into memory, from caches, peers and the origin.
 
 """
 
@@ -25,28 +25,29 @@
 from millforkd.sidecar.transfer_times import TransferTimes
 from millforkd.sidecar.verification import store_if_valid
 
-# Pieces asked of peers at once: enough to fill the link over some
-# milliseconds, few enough not to wait in front of the engine's requests.
+# Concurrent requests to peers: enough to fill the link for some milliseconds, few enough
+# that pieces don't queue ahead of the engine's requests.
 PEER_WINDOW_PIECES: Final = 4
-# Pieces asked of caches at once: one on the link, one on its way to the cache and
-# back. More would wait in a slow link, in front of the engine's requests.
+# Concurrent requests to caches: one piece on the link and one request on its way to the
+# cache and back. More would queue in a slow link ahead of the engine's requests.
 CACHE_WINDOW_PIECES: Final = 2
-# Rounds of questions to caches that brought nothing, before daemons help
-# themselves: an origin that is down for some seconds is drawn from by the caches
-# as soon as it is back.
+# Consecutive rounds of requests to caches without a piece, before daemons ask peers and
+# the origin. Caches themselves retry an origin that is down for some seconds as soon as
+# it is back.
 MAX_FAILED_CACHE_ROUNDS: Final = 20
-# The same for the list of digests, which is small and without which nothing begins: some
-# 4 s, where caches that can reach its drawer have it within one.
+# Consecutive requests to caches for the list of digests before it is requested from peers
+# or the origin. No transfer starts without this small list. The requests take about 4 s;
+# caches that can reach the cache that fetches the list have it within 1 s.
 MAX_FAILED_DIGEST_REQUESTS: Final = 6
-# Pieces asked of the origin at once by one daemon.
+# Concurrent requests of one daemon to the origin.
 ORIGIN_WINDOW_PIECES: Final = 1
-# Without a piece for this long, a daemon asks for what it misses. A piece
-# takes 0.05 s on the slowest links, a round of sendings ten times that.
+# A daemon that received no piece for this long requests the missing ones. A piece takes
+# 0.05 s on the slowest links, and sending it to all receivers ten times that.
 STALL_S: Final = 0.8
 PEER_TIMEOUT_S: Final = 2.0
-# A cache says 'not yet' after half a second, and a piece is 0.05 s on the link.
+# A cache answers 'not yet' after 0.5 s, and a piece takes 0.05 s on the link.
 CACHE_TIMEOUT_S: Final = 1.0
-# Peers asked for one missing piece in one round.
+# Peers that are asked for the same piece in one round.
 MAX_PEERS_PER_ROUND: Final = 2
 RETRY_S: Final = 0.2
 
@@ -57,7 +58,7 @@
 
 class PieceGatherer:
     """
-    Fetches pieces from peers and the origin.
+    Fetches missing pieces and digests, from caches first, then from peers and the origin.
 
     """
 
@@ -79,15 +80,15 @@
         self.silent = SilentPeers(env.monotonic)
         self.transfer_times = TransferTimes(link.rate, env.monotonic)
         self.slow_link_lock = curio.Lock()
-        # Questions for digests to caches that brought nothing.
+        # Consecutive requests to caches that returned no digests.
         self.failed_digest_requests = 0
         self.pushing = pushing
         self.link = link
 
     async def gather(self, held: PieceSet, wanted: range) -> None:
         """
-        Return once the wanted pieces are here; cancelled when they are not
-        wanted any more.
+        Fetch the wanted pieces and return when all of them are held. The caller cancels
+        this task when it does not need them any more.
 
         """
         while not await self.obtain_digests(held):
@@ -114,7 +115,7 @@
 
     async def _wait_for_piece(self, held: PieceSet) -> bool:
         """
-        Wait for another piece; False if none comes in time.
+        Wait for another piece; False if none arrives within `STALL_S`.
 
         """
         arrived = held.arrived
@@ -125,11 +126,11 @@
             return False
         return True
 
-    # From the caches.
+    # Requests to caches.
 
     def near_caches(self) -> list[str]:
         """
-        The caches to ask: those of the own zone, or all if there are none.
+        The answering caches of this daemon's zone, or of all zones if it has none.
 
         """
         found = [cache for cache in self.caches() if not self.silent.is_silent(cache.instance)]
@@ -138,7 +139,7 @@
 
     async def _fetch_from_caches(self, held: PieceSet, missing: list[int]) -> bool:
         """
-        Take the missing pieces from the caches; False if none of them came.
+        Fetch the missing pieces from the caches; False if none of them arrived.
 
         """
         before = len(held.pieces)
@@ -151,8 +152,8 @@
 
     async def _fetch_piece_from_caches(self, held: PieceSet, index: int) -> None:
         """
-        Take one piece; on a link that is slow, one at a time with pauses, so
-        that the engine's requests get through.
+        Fetch one piece. On a slow link pieces are fetched one at a time, with a pause as
+        long as the transfer, so that the engine's requests get through.
 
         """
         if not self.transfer_times.is_slow:
@@ -176,20 +177,21 @@
         try:
             data = await self._request_chunk(name, weights, index, timeout)
         except PeerError as error:
-            log.info('Piece {} of {} not from {}: {}.', index, weights, name, error)
+            log.info('Piece {} of {} was not received from {}: {}.', index, weights, name, error)
             self.silent.mark_silent(name)
         finally:
             self.transfer_times.end(began, len(data))
         return data
 
-    # From the origin.
+    # Requests to the origin.
 
     async def _fetch_from_origin(
         self, held: PieceSet, missing: list[int], fallback_rank: int
     ) -> bool:
         """
-        Draw the missing pieces that are this daemon's, or fell to it as those
-        before it in turn did not bring them; False if there were none.
+        Fetch the missing pieces for which this daemon is among the first
+        `fallback_rank + 1` origin fetchers: its own, and those that the daemons ahead of
+        it did not deliver. False if there are no such pieces.
 
         """
         own = str(self.env.instance)
@@ -227,11 +229,11 @@
             if index not in held.pieces:
                 await fetch(held, index)
 
-    # From peers.
+    # Requests to peers.
 
     async def _fetch_from_peers(self, held: PieceSet, missing: list[int]) -> None:
         """
-        Ask the holders for what is missing.
+        Fetch the missing pieces from their holders, in random order.
 
         """
         queue = list(missing)
@@ -258,14 +260,14 @@
         try:
             return await self._request_chunk(peer, weights, index, PEER_TIMEOUT_S) or None
         except PeerError as error:
-            log.info('Piece {} of {} not from {}: {}.', index, weights, peer, error)
+            log.info('Piece {} of {} was not received from {}: {}.', index, weights, peer, error)
             return None
 
     async def _request_chunk(
         self, peer: str, weights: WeightsId, index: int, timeout: float
     ) -> bytes:
         """
-        A piece of a peer; empty if it has none.
+        Request a piece from a peer; returns empty bytes if the peer does not hold it.
 
         :raises PeerError: if the peer does not answer.
 
@@ -278,8 +280,8 @@
 
     async def obtain_digests(self, held: PieceSet) -> bool:
         """
-        Learn the digests: from the caches while there are some, else from peers or the
-        origin; False if nobody has them.
+        Fetch the digests: from caches, and after `MAX_FAILED_DIGEST_REQUESTS` failures or
+        without caches from peers or the origin. False if they could not be fetched.
 
         """
         if held.digests:
@@ -318,7 +320,7 @@
                 address_of(peer), GetManifest(str(weights)), CACHE_TIMEOUT_S
             )
         except PeerError as error:
-            log.info('Digests of {} not from {}: {}.', weights, peer, error)
+            log.info('The digests of {} were not received from {}: {}.', weights, peer, error)
             self.silent.mark_silent(peer)
             return ()
         if not isinstance(reply, Manifest) or not reply.found:
@@ -326,5 +328,5 @@
         try:
             return decode_digests(reply.body)
         except msgspec.DecodeError as error:
-            log.warning('Digests of {} from {} can not be read: {}.', weights, peer, error)
+            log.warning('The digests of {} from {} could not be parsed: {}.', weights, peer, error)
             return ()
--- a/packages/millforkd/millforkd/sidecar/verification.py
+++ b/packages/millforkd/millforkd/sidecar/verification.py
@@ -1,5 +1,5 @@
 """
-What becomes of a piece that arrived: kept if it is good, else counted and said.
+Verifies received pieces by their digests before they are stored.
 
 """
 
@@ -14,12 +14,14 @@
     env: Environment, held: PieceSet, index: int, data: bytes, source: str, sender: str
 ) -> bool:
     """
-    Check a piece by its digest and keep it; False if it is corrupt. `source`
-    is the kind of sender, for the counters.
+    Store a piece if it matches its digest, and count it; False if it is corrupt.
+    `source` is the kind of sender (metric label), `sender` its name for the log.
 
     """
     if not await held.put(index, data):
-        log.warning('Piece {} of {} from {} is corrupt.', index, held.weights, sender)
+        log.warning(
+            'Piece {} of {} from {} does not match its digest.', index, held.weights, sender
+        )
         env.metrics.count(env.metrics.chunks, source=source, outcome='corrupt')
         return False
     env.metrics.count(env.metrics.chunks, source=source, outcome='good')
