--- a/packages/millforkd/millforkd/sidecar/layer_assignment.py
+++ b/packages/millforkd/millforkd/sidecar/layer_assignment.py
@@ -1,10 +1,10 @@
 """
-Which layers each engine takes first.
+Assigns the layers that each engine loads first.
 
-A link carries two copies of a model in the time in which a new version must
-be served, what an instance sends and receives together. So each engine first
-takes half of the layers: its daemon needs half of the pieces, and two engines
-serve the model between them. The other half follows while they serve.
+Within the time in which a new version must be served, a link can carry two copies of a
+model, sent and received data taken together. So each engine first loads half of the
+layers: its daemon then needs only half of the pieces, and a pair of engines serves the
+model together. The other half follows while the pair serves.
 
 """
 
@@ -19,7 +19,7 @@
 @dataclass(frozen=True, slots=True)
 class Layers:
     """
-    Layers of a model, from `first` to before `end`.
+    A range of layers of a model, from `first` to before `end`.
 
     """
 
@@ -28,7 +28,8 @@
 
     def pieces(self, layers: int, pieces: int) -> range:
         """
-        The pieces that hold them, of all `pieces` of a model of `layers`.
+        The indexes of the pieces that contain these layers, in a model of `layers` layers
+        and `pieces` pieces. Without layers (0), all pieces.
 
         """
         if layers <= 0:
@@ -39,7 +40,7 @@
 @dataclass(frozen=True, slots=True)
 class LayerAssignment:
     """
-    One engine's first layers, and the number of the pair that it serves in.
+    The layers that one engine loads first, and the number of its pair.
 
     """
 
@@ -51,7 +52,7 @@
     states: Iterable[EndpointState], weights: WeightsId, service: str, layers: int
 ) -> list[EndpointState]:
     """
-    The daemons of a service whose engines do not serve the version whole.
+    The daemons of a service whose engines do not serve all layers of the version.
 
     """
     return [
@@ -63,7 +64,7 @@
 
 def serves_whole(served: Iterable[ServedVersion], weights: WeightsId, layers: int) -> bool:
     """
-    Whether an engine serves a version whole.
+    Whether an engine that serves `served` serves all layers of a version.
 
     """
     return any(
@@ -76,7 +77,7 @@
     served: Iterable[ServedVersion], weights: WeightsId, layers: int
 ) -> Layers | None:
     """
-    The layers of a version that an engine serves; None if there are none.
+    The layers of a version that an engine serves; None if it does not serve the version.
 
     """
     for item in served:
@@ -89,9 +90,9 @@
     states: Iterable[EndpointState], weights: WeightsId, layers: int
 ) -> dict[str, LayerAssignment]:
     """
-    The place of each of the daemons `states`, in pairs of one zone where they
-    can be. One that is left over takes all layers, as do all engines whose
-    layers can't be shared.
+    The layer assignment of each daemon in `states`, by instance. Pairs are formed within
+    a zone where possible. An engine without a partner loads all layers, and so do all
+    engines if the model has fewer than two layers.
 
     """
     whole = LayerAssignment(Layers(0, layers), 0)
--- a/packages/millforkd/millforkd/sidecar/load.py
+++ b/packages/millforkd/millforkd/sidecar/load.py
@@ -1,5 +1,5 @@
 """
-The load of the engine on this instance, for entries that ask.
+Reports the current load of the engine on this instance to entries.
 
 """
 
@@ -13,14 +13,15 @@
 from millfork_wire.messages import EngineLoad
 from millforkd.sidecar.engine import LocalEngine
 
-# Entries that ask within this time are told the same: an engine's pass takes as long.
+# Entries that ask within this time get the same report. A batch step of the engine takes
+# as long.
 SHARED_REPORT_S: Final = 0.005
 PERCENT: Final = 100
 
 
 class EngineLoads:
     """
-    Asks the engine once for all that ask at the same moment.
+    Shares one report of the engine between entries that ask at the same time.
 
     """
 
@@ -37,7 +38,8 @@
 
     async def current_load(self) -> EngineLoad:
         """
-        What runs and waits at the engine.
+        The engine's running and queued requests and its pace; an empty message if the
+        engine does not answer.
 
         """
         if not self.engine_answers():
--- a/packages/millforkd/millforkd/sidecar/origin.py
+++ b/packages/millforkd/millforkd/sidecar/origin.py
@@ -1,5 +1,5 @@
 """
-Drawing weights from their origin, in pieces.
+Fetches weights from their origin, in pieces.
 
 """
 
@@ -16,11 +16,12 @@
 from millforkd.sidecar.pieces import PieceSet
 from millforkd.sidecar.verification import store_if_valid
 
-# A piece takes 0.03 s at the origin's 7.3 Mbit/s; a dozen may wait there. An origin
-# that is silent for longer is down, and may be back at any moment.
+# A piece takes 0.03 s at the origin's 7.3 Mbit/s, and a dozen may be queued there. An
+# origin that is silent for longer is down, and may be back at any moment.
 ORIGIN_TIMEOUT_S: Final = 1.0
-# It is left alone this long once it failed: enough not to be flooded when it is
-# back, little against the second that it may have before it fails again.
+# After a failure no request is sent for this long. The pause keeps an origin that comes
+# back from being flooded, and is short compared with the second for which it may be up
+# before it fails again.
 PAUSE_AFTER_FAILURE_S: Final = 0.1
 
 log = logger(Part.WEIGHTS)
@@ -28,7 +29,7 @@
 
 def find_origin(document: Document | None) -> OriginFigures | None:
     """
-    Where a document says that weights come from.
+    The origin that a document names; None if it names none.
 
     """
     if document is None:
@@ -38,7 +39,7 @@
 
 class Origin:
     """
-    The origin that the document in force names.
+    Fetches pieces and digests from the origin that the current document names.
 
     """
 
@@ -55,19 +56,19 @@
         self.figures = figures
         self.client: Client | None = None
         self.paused_until = float('-inf')
-        # Whether the last request failed; only changes of this are logged.
+        # Whether the last request failed. Only changes of this state are logged.
         self.failing = False
 
     async def fetch_piece(self, held: PieceSet, index: int) -> bytes | None:
         """
-        Draw one piece into `held`; None if no good one came.
+        Fetch one piece into `held`; None if no valid piece was received.
 
         """
         weights = held.weights
         began = self.env.monotonic()
         data = await self._fetch(self.adapter.piece_request(weights.model, weights.version, index))
         log.debug(
-            'Piece drawn. weights={} index={} got={} ms={:.0f}',
+            'Piece fetched from the origin. weights={} index={} got={} ms={:.0f}',
             weights,
             index,
             data is not None,
@@ -80,7 +81,7 @@
 
     async def fetch_digests(self, held: PieceSet) -> bool:
         """
-        Draw the digests into `held`; False if none came.
+        Fetch the digests into `held`; False if no valid ones were received.
 
         """
         weights = held.weights
@@ -90,10 +91,14 @@
         try:
             pieces = self.adapter.read_piece_list(body)
         except BadCall as error:
-            log.warning('The digests of {} can not be read: {}.', weights, error)
+            log.warning(
+                'The digests of {} from the origin could not be parsed: {}.', weights, error
+            )
             return False
         if (pieces.model, pieces.version) != (weights.model, weights.version):
-            log.warning('The origin gave digests of {} {}.', pieces.model, pieces.version)
+            log.warning(
+                'The origin sent digests of another version: {} {}.', pieces.model, pieces.version
+            )
             return False
         await held.set_digests(pieces.digests)
         return True
@@ -118,7 +123,7 @@
         except ExchangeFailed as error:
             self.paused_until = self.env.monotonic() + PAUSE_AFTER_FAILURE_S
             if not self.failing:
-                log.warning('Nothing from the origin: {}. path={}', error, request.path)
+                log.warning('The request to the origin failed: {}. path={}', error, request.path)
             self.failing = True
             self.env.metrics.count(self.env.metrics.chunks, source='origin', outcome='failed')
             return None
@@ -126,6 +131,8 @@
             self.failing = False
             log.notice('The origin answers again. path={}', request.path)
         if response.status != 200:
-            log.warning('The origin answered {}. path={}', response.status, request.path)
+            log.warning(
+                'The origin answered with status {}. path={}', response.status, request.path
+            )
             return None
         return response.body
--- a/packages/millforkd/millforkd/sidecar/pieces.py
+++ b/packages/millforkd/millforkd/sidecar/pieces.py
@@ -1,5 +1,5 @@
 """
-Pieces of weights in memory, each checked against its digest.
+Pieces of weights in memory, each verified by its digest.
 
 """
 
@@ -10,7 +10,7 @@
 import curio
 import msgspec
 
-# The version served and the one on its way.
+# The version that is served and the one that is being fetched.
 KEPT_VERSIONS: Final = 2
 
 
@@ -30,9 +30,9 @@
 
 def parse_weights_id(text: str) -> WeightsId:
     """
-    The id in `MODEL@VERSION`.
+    Parse an id of the form `MODEL@VERSION`.
 
-    :raises ValueError: if it is none.
+    :raises ValueError: if the version is not a number.
 
     """
     model, _, version = text.rpartition('@')
@@ -45,9 +45,9 @@
 
 def decode_digests(data: bytes) -> tuple[str, ...]:
     """
-    The digests that `encode_digests` wrote, in hex.
+    Decode the output of `encode_digests` to digests in hex.
 
-    :raises msgspec.DecodeError: if there are none.
+    :raises msgspec.DecodeError: if the data is not a list of digests.
 
     """
     return tuple(digest.hex() for digest in msgspec.msgpack.decode(data, type=list[bytes]))
@@ -56,14 +56,14 @@
 @dataclass(slots=True)
 class PieceSet:
     """
-    The pieces of one version that are here, and their digests.
+    The pieces of one version that this process holds, and the digests of all its pieces.
 
     """
 
     weights: WeightsId
     digests: tuple[str, ...] = ()
     pieces: dict[int, bytes] = field(default_factory=dict)
-    # Pieces that came before the digests did.
+    # Pieces that arrived before the digests.
     unchecked: dict[int, bytes] = field(default_factory=dict)
     arrived: curio.Event = field(default_factory=curio.Event)
 
@@ -73,7 +73,7 @@
 
     def missing(self, wanted: range | None = None) -> list[int]:
         """
-        The pieces that are not here, of those wanted or of all.
+        The indexes in `wanted`, or of all pieces, whose pieces are not held.
 
         """
         everything = range(len(self.digests))
@@ -81,7 +81,7 @@
 
     def longest_run(self) -> tuple[int, int]:
         """
-        The longest run of pieces that are here: its first, and its end.
+        The longest run of held pieces, as its first index and the index after its last.
 
         """
         best = (0, 0)
@@ -96,7 +96,7 @@
 
     async def set_digests(self, digests: tuple[str, ...]) -> None:
         """
-        Take the digests, and check what came before them.
+        Set the digests, and verify the pieces that arrived before them.
 
         """
         self.digests = digests
@@ -107,7 +107,8 @@
 
     async def put(self, index: int, data: bytes) -> bool:
         """
-        Take a piece; False if it is not the one its digest names.
+        Store a piece; False if it does not match its digest. A piece that arrives before
+        the digests is accepted, and verified by `set_digests`.
 
         """
         if not self.digests:
@@ -126,7 +127,7 @@
 
     async def notify_waiters(self) -> None:
         """
-        Wake whoever waits for a piece or for the digests.
+        Wake the tasks that wait for a piece or for the digests.
 
         """
         arrived, self.arrived = self.arrived, curio.Event()
@@ -135,7 +136,7 @@
 
 class PieceStore:
     """
-    The pieces of the last versions.
+    The piece sets of the newest versions.
 
     """
 
@@ -144,7 +145,8 @@
 
     def get_or_create(self, weights: WeightsId) -> PieceSet:
         """
-        The set of a version; the oldest versions make room for it.
+        The piece set of a version. Creating one evicts the oldest versions beyond
+        `KEPT_VERSIONS`.
 
         """
         held = self.sets.get(weights)
--- a/packages/millforkd/millforkd/sidecar/pushing.py
+++ b/packages/millforkd/millforkd/sidecar/pushing.py
@@ -1,8 +1,8 @@
 """
-Sending drawn pieces to all other daemons that need them first.
+Sends pieces fetched from the origin to the other daemons whose first layers need them.
 
-One task for each of them, with one piece on its way at a time: more would only
-wait in a slow link, in front of the requests to the engine behind it.
+Each receiver has a task that sends it one piece at a time: further pieces would only queue
+in a slow link, ahead of the requests to the receiver's engine.
 
 """
 
@@ -21,9 +21,10 @@
 from millfork_wire.peers import Peers
 from millforkd.sidecar.pieces import WeightsId
 
-# A piece takes 0.05 s on the slowest links when they are well, and must share
-# them; a peer that takes longer asks for what it misses.
+# A piece takes 0.05 s on the slowest healthy links, which it shares with other traffic. A
+# receiver that times out requests the missing pieces itself.
 PUSH_TIMEOUT_S: Final = 1.5
+# A receiver that timed out is sent no pieces for this long.
 SKIP_SLOW_PEER_S: Final = 4.0
 
 log = logger(Part.WEIGHTS)
@@ -38,7 +39,7 @@
 
 class PiecePusher:
     """
-    The pieces on their way out, at the link's pace.
+    Queues outgoing pieces for each receiver and sends them at the pace of the link.
 
     """
 
@@ -54,12 +55,12 @@
         self.receivers = receivers
         self.outward = outward
         self.queues: dict[str, curio.Queue] = {}
-        # Peers that took nothing lately, and until when they are passed over.
+        # Until when each receiver that did not accept a piece is skipped (monotonic seconds).
         self.skipped_until: dict[str, float] = {}
 
     async def add(self, weights: WeightsId, index: int, data: bytes) -> None:
         """
-        Send a piece to all others that need it, when the link allows.
+        Queue a piece for every other daemon that needs it.
 
         """
         for name in self.receivers(weights, index):
@@ -84,6 +85,6 @@
             await self.peers.call(address_of(name), message, PUSH_TIMEOUT_S)
         except PeerError as error:
             self.skipped_until[name] = self.env.monotonic() + SKIP_SLOW_PEER_S
-            log.info('Piece {} not sent to {}: {}.', outgoing.index, name, error)
+            log.info('Piece {} could not be sent to {}: {}.', outgoing.index, name, error)
             return
         self.env.metrics.count(self.env.metrics.chunk_bytes, len(outgoing.data), source='sent')
--- a/packages/millforkd/millforkd/sidecar/rollout.py
+++ b/packages/millforkd/millforkd/sidecar/rollout.py
@@ -1,10 +1,10 @@
 """
-Bringing the engine to the version that is to be served, and keeping it there.
+Brings the engine to the target version.
 
-An engine that serves an older version changes whole, in its turn: a third of the
-engines at a time. One that serves nothing takes its own half of the layers first,
-then the rest beside the work; so does every engine where no cache brings the
-pieces, as the links between engines are too slow to bring them all in time.
+An engine that serves an older version loads all layers of the new one in one step. The
+engines change in turns, a third of them at a time. An engine that serves nothing first
+loads its assigned half of the layers, then the rest while it serves. Without caches every
+engine does so, since the links between engines are too slow to transfer all pieces in time.
 
 """
 
@@ -26,22 +26,23 @@
 from millforkd.sidecar.target import Target
 from millforkd.switching import LAST_SENT_S
 
-# Entries stop sending to this engine within this time of being told.
+# Entries stop sending to this engine within this time after its state was announced.
 ANNOUNCE_S: Final = 0.15
-# What runs on an engine that changes may end within this time; streams of 100
-# tokens take 1 s, so about a third is left, and goes on at other engines.
+# Requests that run on a changing engine may finish within this time. Streams of 100 tokens
+# take 1 s, so about a third of them remains, and continues at other engines.
 DRAIN_S: Final = 0.9
 DRAIN_POLL_S: Final = 0.03
-# Once the old version has ended, the engines that change are missed more than what
-# is left on them.
+# Shorter limit once the old version has ended: the capacity of the changing engines then
+# matters more than the requests that remain on them.
 LATE_DRAIN_S: Final = 0.3
 POLL_S: Final = 0.1
-# The engines change in this many turns: fewer would take half of the capacity
-# away at once, more do not fit into the time that is left once the pieces are here.
+# The engines change in this many turns. Fewer turns would remove half of the capacity at
+# once; more do not fit into the time that remains once the pieces have arrived.
 TURNS: Final = 3
-# Staged pieces read back before they are taken to be of another version.
+# After this many mismatching pieces and no matching one, the staged pieces are assumed to
+# be of another version.
 MAX_STAGED_MISMATCHES: Final = 3
-# From the order until the engine serves: what runs ends first.
+# Time from the order until the engine serves, which includes the end of running requests.
 START_TIMEOUT_S: Final = 6.0
 
 log = logger(Part.WEIGHTS)
@@ -49,7 +50,7 @@
 
 class Rollout:
     """
-    One engine's way to its target.
+    Takes one engine step by step to its target version.
 
     """
 
@@ -71,31 +72,34 @@
         self.target = target
         self.announce = announce
         self.report: EngineReport | None = None
-        # The engine's, by its reports.
+        # The engine's incarnation in its last report.
         self.incarnation = UNTOLD_INCARNATION
         self.changing_to = 0
-        # Held while pieces are laid for an order and the order is given.
+        # Held while pieces are staged for an order and the order is given.
         self.order_lock = curio.Lock()
-        # Whether this daemon has looked whose pieces lie at the engine, and the target of
-        # which some lay there, left by a daemon that ended before it gave the order.
+        # Whether this daemon has checked which version the staged pieces belong to, and the
+        # target that they belong to, if an earlier process staged them and gave no order.
         self.staged_checked = False
         self.staged_weights: WeightsId | None = None
-        # The place is kept once chosen, as others move on meanwhile.
+        # The assignment is kept once chosen, although the states of other daemons change.
         self.assignment: tuple[WeightsId, LayerAssignment] | None = None
 
     def record_report(self, report: EngineReport | None) -> None:
         """
-        Take what the engine answered; None if it is silent.
+        Record the engine's latest report, None if it did not answer. A new incarnation
+        discards everything known about the process before it.
 
         """
         self.report = report
         if report is None or report.incarnation == self.incarnation:
             return
         log.notice(
-            'Incarnation of the engine. before={} now={}', self.incarnation, report.incarnation
+            'The incarnation of the engine changed. before={} now={}',
+            self.incarnation,
+            report.incarnation,
         )
         self.incarnation = report.incarnation
-        # Whatever was known of the engine ended with its process; pieces may lie there.
+        # What was known of the engine ended with its process. Pieces may still be staged.
         self.staged_checked = False
         self.staged_weights = None
         self.assignment = None
@@ -103,7 +107,7 @@
     @property
     def served(self) -> tuple[ServedVersion, ...]:
         """
-        What the engine serves, by its last report.
+        The versions and layers that the engine serves according to its last report.
 
         """
         if self.report is None:
@@ -113,7 +117,7 @@
     @property
     def goal(self) -> ServedVersion | None:
         """
-        The layers that the engine is to have first, once they are chosen.
+        The layers that the engine loads first; None until they are chosen.
 
         """
         if self.assignment is None:
@@ -131,15 +135,15 @@
 
     def serves_another(self, target: Target) -> bool:
         """
-        Whether the engine has work on another version.
+        Whether the engine serves another version and none of the target.
 
         """
         return bool(self.served) and self._served_layers(target) is None
 
     def is_emptied(self, target: Target) -> bool:
         """
-        Whether the engine has neither the first layer nor the last, and so no work: paths
-        are of two.
+        Whether the engine holds neither the first nor the last layer. Paths have two engines
+        and include both layers, so such an engine gets no requests.
 
         """
         return all(
@@ -149,7 +153,7 @@
 
     async def run(self) -> None:
         """
-        The task that follows the target.
+        Bring the engine to each new target, until cancelled.
 
         """
         while True:
@@ -161,7 +165,7 @@
 
     async def _step(self, target: Target) -> None:
         """
-        Bring and start what the engine lacks next.
+        Fetch the next layers that the engine lacks, and order the engine to load them.
 
         """
         began = self.env.monotonic()
@@ -189,7 +193,7 @@
 
     def _choose_goal(self, target: Target, held: PieceSet) -> Layers:
         """
-        The layers that the engine is to have next.
+        The layers that the engine loads next.
 
         """
         begun = held.whole or self._served_layers(target) is not None
@@ -200,7 +204,7 @@
     def _own_assignment(self, target: Target) -> LayerAssignment:
         if self.assignment is None or self.assignment[0] != target.weights:
             self.assignment = (target.weights, self.fleet.own_assignment(target.weights))
-            log.info('Place of this engine. weights={} place={}', *self.assignment)
+            log.info('Layers assigned to this engine. weights={} place={}', *self.assignment)
         return self.assignment[1]
 
     def _is_outdated(self, target: Target) -> bool:
@@ -209,8 +213,7 @@
 
     async def _gather(self, held: PieceSet, target: Target, goal: Layers) -> bool:
         """
-        Bring the pieces of some layers here; False if another version is
-        wanted by then.
+        Fetch the pieces of the `goal` layers; False if the target changes meanwhile.
 
         """
         wanted = goal.pieces(target.layers, target.pieces)
@@ -234,7 +237,8 @@
 
     async def _adopt_staged(self, held: PieceSet) -> None:
         """
-        Take what already lies at the engine, if it is of this version.
+        Read the pieces that are staged at the engine into `held`, if they are of this
+        version.
 
         """
         if not await self.gathering.obtain_digests(held):
@@ -252,13 +256,13 @@
         if matching:
             self.staged_weights = held.weights
             log.info(
-                'Took staged pieces. weights={} good={} bad={}', held.weights, matching, mismatched
+                'Read staged pieces. weights={} good={} bad={}', held.weights, matching, mismatched
             )
 
     async def _wait_for_turn(self, target: Target) -> bool:
         """
-        Wait for this engine's turn: the engines of a turn change once those of
-        the turns before it have. False if another version is wanted by then.
+        Wait for this engine's turn: the engines of a turn change after those of all earlier
+        turns, or when the change is due. False if the target changes meanwhile.
 
         """
         turn = self.fleet.own_turn(target.weights, TURNS)
@@ -272,7 +276,7 @@
 
     def _changed_count(self, target: Target) -> int:
         """
-        How many engines serve the target, in part at least.
+        The number of engines that serve at least some layers of the target.
 
         """
         return sum(
@@ -282,8 +286,9 @@
 
     async def _wait_for_drain(self, target: Target) -> None:
         """
-        Wait until the engine has nothing left to do, for a while at most, and not beyond
-        the end of its version: nothing may begin on it then.
+        Wait until the engine has no requests, for at most `DRAIN_S` and not beyond the end
+        of its version, after which no request may start on it; but always for up to
+        `LATE_DRAIN_S`.
 
         """
         now = self.env.monotonic()
@@ -297,12 +302,12 @@
 
     async def _start(self, target: Target, held: PieceSet, layers: Layers) -> None:
         """
-        Order the engine to hold just these layers. Those that it has of the
-        version go on being served, if they are among them.
+        Order the engine to hold exactly these layers. If it already serves some of them,
+        it continues to do so.
 
         """
         weights = target.weights
-        # One that was emptied has nothing to end, and takes the order 0.3 s sooner.
+        # An emptied engine has no requests to drain, and gets the order 0.3 s sooner.
         replaces = self.serves_another(target) and not self.is_emptied(target)
         if self._served_layers(target) is None:
             self.changing_to = weights.version
@@ -329,8 +334,8 @@
         draining: curio.Task | None,
     ) -> bool:
         """
-        Lay the pieces, wait until what runs has ended, give the order; False if the
-        engine did not take it.
+        Stage the pieces, wait for the drain, and give the order; False if the engine did not
+        accept a piece or the order.
 
         """
         weights = target.weights
@@ -346,15 +351,15 @@
 
     async def _announce_state(self) -> None:
         """
-        Announce this daemon's state; a replica that does not answer (it may have
-        lost power) must not hold the engine up. The next report tells it again.
+        Announce this daemon's state. A replica that does not answer (it may have lost power)
+        must not delay the engine, and the next report repeats the state.
 
         """
         try:
             async with curio.timeout_after(ANNOUNCE_S):
                 await self.announce()
         except curio.TaskTimeout:
-            log.info('No replica took the state in {} s.', ANNOUNCE_S)
+            log.info('No replica accepted the state within {} s.', ANNOUNCE_S)
 
     async def _wait_until_served(self, target: Target, layers: Layers) -> None:
         until = self.env.monotonic() + START_TIMEOUT_S
@@ -364,7 +369,7 @@
             if report is not None:
                 self.record_report(report)
             if self.incarnation != ordered_incarnation:
-                log.warning('The engine started again before it served {}.', target.weights)
+                log.warning('The engine restarted before it served {}.', target.weights)
                 return
             serving = self._served_layers(target)
             if serving is not None and serving.first <= layers.first and layers.end <= serving.end:
--- a/packages/millforkd/millforkd/sidecar/silent_peers.py
+++ b/packages/millforkd/millforkd/sidecar/silent_peers.py
@@ -1,19 +1,19 @@
 """
-Peers that did not answer lately, so that nobody waits for them again at once.
+Remembers peers that recently did not answer, so that they are not asked again at once.
 
 """
 
 from collections.abc import Callable
 from typing import Final
 
-# A frozen or cut-off instance is back after some seconds; until then each question
-# to it would cost its whole time-out.
+# A frozen or partitioned instance is back after some seconds. Until then each request to
+# it would cost a full timeout.
 SKIP_SILENT_PEER_S: Final = 2.0
 
 
 class SilentPeers:
     """
-    Who is passed over, and until when (monotonic seconds).
+    The peers to skip, and until when (monotonic seconds).
 
     """
 
@@ -24,14 +24,14 @@
 
     def mark_silent(self, instance: str) -> None:
         """
-        Pass over a peer that did not answer.
+        Skip a peer that did not answer for the next `skip_s` seconds.
 
         """
         self.skipped_until[instance] = self.monotonic() + self.skip_s
 
     def is_silent(self, instance: str) -> bool:
         """
-        Whether a peer is passed over now.
+        Whether a peer is to be skipped now.
 
         """
         until = self.skipped_until.get(instance)
--- a/packages/millforkd/millforkd/sidecar/sources.py
+++ b/packages/millforkd/millforkd/sidecar/sources.py
@@ -1,11 +1,11 @@
 """
-From whom a piece is taken.
+Chooses the daemons from which a piece is fetched.
 
-Where daemons hold a piece, the others take it from them. A version that nobody
-holds is drawn from the origin, each piece by one daemon of those whose engines
-need it first, which then sends it to the others of these (`layout.py`).
+A piece that some daemons hold is fetched from them. A piece that no daemon holds is fetched
+from the origin by one of the daemons whose first layers need it (`layer_assignment.py`),
+which then sends it to the others of these.
 
-Each daemon computes the same order from the endpoints it knows.
+Each daemon computes the same order from the endpoints that it knows.
 
 """
 
@@ -16,7 +16,7 @@
 from millfork_registry.records import EndpointState
 from millforkd.sidecar.pieces import WeightsId
 
-# The number under which the digests are drawn.
+# Stands for the list of digests where a piece index is expected.
 DIGESTS_INDEX: Final = -1
 
 
@@ -24,7 +24,7 @@
     states: Iterable[EndpointState], weights: WeightsId, index: int, own: str
 ) -> list[EndpointState]:
     """
-    The other daemons that hold a piece.
+    The states of the daemons other than `own` that hold a piece.
 
     """
     return [
@@ -40,9 +40,9 @@
 
 def request_order(names: Iterable[str], weights: WeightsId, index: int) -> list[str]:
     """
-    The daemons in the order in which they are to draw a piece, or to be
-    asked for it. The next piece begins with the next daemon, so that each
-    has its equal part.
+    The daemons in the order in which they fetch a piece from the origin, or are asked
+    for it. Consecutive pieces start with consecutive daemons, so that the pieces are
+    spread evenly.
 
     """
     ordered = sorted(names, key=lambda name: rank(str(weights), name))
@@ -52,15 +52,15 @@
     first, rest = ordered[begin], ordered[begin + 1 :] + ordered[:begin]
     if not rest:
         return [first]
-    # The part of one that fails is spread over all others, too.
+    # The pieces of a daemon that fails are spread evenly over all others.
     again = index // len(ordered) % len(rest)
     return [first, *rest[again:], *rest[:again]]
 
 
 def preferred_holders(found: list[EndpointState], zone: str, lacking_in_zone: int) -> list[str]:
     """
-    The holders to take from: those of the own zone, unless more daemons there
-    lack the piece than they can serve at the links' pace.
+    The holders to request a piece from: those of the own zone if at least as many hold
+    the piece there as lack it, since otherwise their links are too slow; else all holders.
 
     """
     near = [state.instance for state in found if state.zone == zone]
--- a/packages/millforkd/millforkd/sidecar/target.py
+++ b/packages/millforkd/millforkd/sidecar/target.py
@@ -1,9 +1,9 @@
 """
-Which version an engine is brought to next.
+Chooses the version that an engine loads next.
 
-The newest, as a rule. Where its pieces do not come (an origin that is down), and
-one named in between can be here before the version that the engine serves ends,
-that one comes first: the engine would else serve nothing meanwhile.
+Usually this is the newest version. If its pieces do not arrive (the origin is down), and an
+intermediate version can be complete before the served version ends, the intermediate
+version comes first: the engine would otherwise serve nothing in the meantime.
 
 """
 
@@ -20,11 +20,13 @@
 
 # The first version of every model.
 FIRST_VERSION: Final = 1
-# What one more change costs an engine: 1.4 s, in which it works for a third.
+# Serving time that one more change costs an engine: a change takes 1.4 s, in which the
+# engine works at a third of its rate.
 VERSION_CHANGE_S: Final = 1.0
-# A version of which nothing came for this long is not to be had for some time. A
-# piece takes 0.2 s on a link squeezed to a quarter.
+# A version of which no piece arrived for this long counts as stuck. A piece takes 0.2 s on a
+# link that is throttled to a quarter.
 STUCK_AFTER_S: Final = 1.0
+# A version counts as stuck for this long.
 STUCK_FOR_S: Final = 1.5
 
 log = logger(Part.WEIGHTS)
@@ -33,9 +35,9 @@
 @dataclass(frozen=True, slots=True)
 class Target:
     """
-    What the engine is to serve, since when this daemon knows, and when the
-    engine must change at the latest (monotonic seconds; never: infinity). The model has
-    `layers` layers in `pieces` pieces.
+    The version that the engine is to serve, of a model with `layers` layers in `pieces`
+    pieces. `since` is when this daemon chose it, `due` when the engine must change at the
+    latest (monotonic seconds, infinity for never).
 
     """
 
@@ -48,7 +50,7 @@
 
 class TargetChooser:
     """
-    Chooses among the versions named.
+    Chooses the target among the versions that were named.
 
     """
 
@@ -63,18 +65,18 @@
         self.env = env
         self.versions = versions
         self.store = store
-        # The version that the engine serves, 0 for none.
+        # Returns the version that the engine serves, 0 for none.
         self.served = served
         self.bytes_per_s = bytes_per_s
         self.current: Target | None = None
-        # The pieces of the target that are here, and since when there are as many.
+        # The number of held pieces of the target, and since when (monotonic seconds).
         self.progress = (0, 0.0)
-        # Versions of which nothing comes, and until when to believe that.
+        # Versions that count as stuck, and until when (monotonic seconds).
         self.stuck_until: dict[int, float] = {}
 
     def choose(self, figures: EngineFigures) -> Target:
         """
-        The version to bring next, for an engine of these figures.
+        The next target of an engine with these figures.
 
         """
         self.versions.refresh()
@@ -87,14 +89,15 @@
         target = Target(weights, figures.layers, figures.pieces, since, due)
         if current is None or current.weights != weights:
             self.progress = (0, now)
-            log.notice('Version to be served: {}. served={}', weights, self.served())
+            log.notice('New target version: {}. served={}', weights, self.served())
         self.current = target
         self._track_progress(target, now)
         return target
 
     def _ends_at(self, figures: EngineFigures, version: int) -> float:
         """
-        When a version may no longer be begun on; of none, this does not count.
+        The time from which no request may start on a version (monotonic seconds);
+        infinity for version 0 or one without an end.
 
         """
         ends = self.versions.ends_at(figures.model, version) if version else None
@@ -118,7 +121,7 @@
 
     def _is_worthwhile(self, figures: EngineFigures, version: int, now: float) -> bool:
         """
-        Whether a version in between would be served for longer than the change costs.
+        Whether an intermediate version would be served for longer than its change costs.
 
         """
         complete_at = now + self._transfer_s(figures, version)
@@ -126,10 +129,10 @@
 
     def _idle_via_s(self, figures: EngineFigures, version: int, now: float, ends: float) -> float:
         """
-        For how long the engine would serve nothing on its way to the newest
-        with another version in between, the second change included. An engine that
-        has not changed when entries stop sending to the old version stands idle with
-        all others, until its pieces are here and the change is over.
+        For how many seconds the engine would serve nothing on the way to the newest version
+        via an intermediate one, including the second change. An engine that has not
+        changed when entries stop sending to the old version is idle, like all others, until
+        its pieces have arrived and the change is complete.
 
         """
         complete_at = now + self._transfer_s(figures, version)
@@ -142,7 +145,8 @@
 
     def _idle_direct_s(self, figures: EngineFigures, newest: int, now: float, ends: float) -> float:
         """
-        For how long the engine would serve nothing on its way to the newest.
+        For how many seconds the engine would serve nothing if it loaded the newest version
+        next.
 
         """
         if ends == float('inf'):
@@ -154,7 +158,7 @@
 
     def _transfer_s(self, figures: EngineFigures, version: int) -> float:
         """
-        Seconds in which the link could bring what is not here of a version.
+        Seconds that the link needs to transfer the missing pieces of a version.
 
         """
         present = self._pieces_here(WeightsId(figures.model, version))
@@ -169,7 +173,7 @@
 
     def _track_progress(self, target: Target, now: float) -> None:
         """
-        Note whether pieces of the target still come.
+        Mark the target as stuck if no piece of it arrived for `STUCK_AFTER_S`.
 
         """
         present = self._pieces_here(target.weights)
@@ -184,5 +188,8 @@
         if now - at > STUCK_AFTER_S and not self._is_stuck(version, now):
             self.stuck_until[version] = now + STUCK_FOR_S
             log.info(
-                'No piece came for {:.1f} s. weights={} here={}', now - at, target.weights, present
+                'No piece arrived for {:.1f} s. weights={} here={}',
+                now - at,
+                target.weights,
+                present,
             )
--- a/packages/millforkd/millforkd/sidecar/transfer_times.py
+++ b/packages/millforkd/millforkd/sidecar/transfer_times.py
@@ -1,7 +1,7 @@
 """
-Whether the link to this instance is slower than its settings say.
+Detects that the link to this instance is slower than configured.
 
-Pieces that wait in a slow link stand in front of the engine's requests.
+Pieces that queue in a slow link delay the engine's requests behind them.
 
 """
 
@@ -10,18 +10,18 @@
 from dataclasses import dataclass
 from typing import Final
 
-# A piece may take this many times as long as the link's rate says: others'
-# pieces and the engine's answers share it.
+# A piece may take this many times as long as expected at the link's rate, because pieces
+# for others and the engine's answers share the link.
 SLOW_FACTOR: Final = 2.5
-# All of the last pieces must have been slow: the first of a version wait for the
-# origin, not for this link.
+# The link is slow if this many consecutive pieces were slow: the first pieces of a version
+# wait for the origin, not for this link.
 RECENT_PIECES: Final = 4
 
 
 @dataclass(frozen=True, slots=True)
 class TransferStart:
     """
-    When a piece was asked for, and how many were then on their way with it.
+    When a piece was requested, and how many pieces were in flight then, itself included.
 
     """
 
@@ -31,7 +31,7 @@
 
 class TransferTimes:
     """
-    The time that pieces take, against the link's rate in bytes/s.
+    Compares the transfer times of recent pieces with those expected at the link's rate.
 
     """
 
@@ -47,7 +47,7 @@
 
     def begin(self) -> TransferStart:
         """
-        Count a piece that is asked for.
+        Record the start of a request for a piece.
 
         """
         self.in_flight += 1
@@ -55,7 +55,7 @@
 
     def end(self, start: TransferStart, size: int) -> None:
         """
-        Count a piece of `size` bytes that came; 0 if none did.
+        Record the end of a request that returned `size` bytes, 0 if it returned no piece.
 
         """
         self.in_flight -= 1
