--- a/packages/millforkd/millforkd/sidecar/daemon.py
+++ b/packages/millforkd/millforkd/sidecar/daemon.py
@@ -84,10 +84,10 @@
         )
         self.store = PieceStore()
         self.fleet = Fleet(env, self.service, self.states, self._state, self._shape)
-        self.pushing = PiecePusher(env, self.peers, self.fleet.origin_fetchers, self.link.outward)
+        self.pusher = PiecePusher(env, self.peers, self.fleet.origin_fetchers, self.link.outward)
         origin = Origin(env, adapter, str(settings.address), lambda: find_origin(self.document))
-        self.gathering = PieceGatherer(
-            env, self.peers, self.fleet, origin, self.discovery.caches, self.pushing, self.link
+        self.gatherer = PieceGatherer(
+            env, self.peers, self.fleet, origin, self.discovery.caches, self.pusher, self.link
         )
         self.targets = TargetChooser(
             env,
@@ -100,7 +100,7 @@
             env,
             self.engine,
             self.store,
-            self.gathering,
+            self.gatherer,
             self.fleet,
             self._target,
             self._report,
--- a/packages/millforkd/millforkd/sidecar/expiry.py
+++ b/packages/millforkd/millforkd/sidecar/expiry.py
@@ -136,7 +136,7 @@
             remaining.model,
             remaining.version,
             remaining.first,
-            self.env.monotonic() - target.since,
+            self.env.monotonic() - target.chosen_at,
         )
 
     async def _order_single_layer(self, target: Target) -> ServedVersion | None:
--- a/packages/millforkd/millforkd/sidecar/gathering.py
+++ b/packages/millforkd/millforkd/sidecar/gathering.py
@@ -69,7 +69,7 @@
         fleet: Fleet,
         origin: Origin,
         caches: Callable[[], list[CacheAddress]],
-        pushing: PiecePusher,
+        pusher: PiecePusher,
         link: Link,
     ) -> None:
         self.env = env
@@ -82,7 +82,7 @@
         self.slow_link_lock = curio.Lock()
         # Consecutive requests to caches that returned no digests.
         self.failed_digest_requests = 0
-        self.pushing = pushing
+        self.pusher = pusher
         self.link = link
 
     async def gather(self, held: PieceSet, wanted: range) -> None:
@@ -210,7 +210,7 @@
             await curio.sleep(RETRY_S)
             return
         self.link.inward.note(len(data))
-        await self.pushing.add(held.weights, index, data)
+        await self.pusher.add(held.weights, index, data)
 
     async def _in_parallel(
         self,
--- a/packages/millforkd/millforkd/sidecar/rollout.py
+++ b/packages/millforkd/millforkd/sidecar/rollout.py
@@ -59,7 +59,7 @@
         env: Environment,
         engine: LocalEngine,
         store: PieceStore,
-        gathering: PieceGatherer,
+        gatherer: PieceGatherer,
         fleet: Fleet,
         target: Callable[[], Target | None],
         announce: Callable[[], Awaitable[None]],
@@ -67,7 +67,7 @@
         self.env = env
         self.engine = engine
         self.store = store
-        self.gathering = gathering
+        self.gatherer = gatherer
         self.fleet = fleet
         self.target = target
         self.announce = announce
@@ -188,7 +188,7 @@
             self._served_layers(target),
             gathered - began,
             now - gathered,
-            now - target.since,
+            now - target.chosen_at,
         )
 
     def _choose_goal(self, target: Target, held: PieceSet) -> Layers:
@@ -197,7 +197,7 @@
 
         """
         begun = held.whole or self._served_layers(target) is not None
-        if begun or (self.serves_another(target) and self.gathering.near_caches()):
+        if begun or (self.serves_another(target) and self.gatherer.near_caches()):
             return Layers(0, target.layers)
         return self._own_assignment(target).layers
 
@@ -219,7 +219,7 @@
         wanted = goal.pieces(target.layers, target.pieces)
         if held.digests and not held.missing(wanted):
             return True
-        task = await self.env.spawn(self.gathering.gather, held, wanted)
+        task = await self.env.spawn(self.gatherer.gather, held, wanted)
         try:
             while not task.terminated:
                 await curio.sleep(POLL_S)
@@ -241,7 +241,7 @@
         version.
 
         """
-        if not await self.gathering.obtain_digests(held):
+        if not await self.gatherer.obtain_digests(held):
             return
         model = held.weights.model
         matching = mismatched = 0
--- a/packages/millforkd/millforkd/sidecar/target.py
+++ b/packages/millforkd/millforkd/sidecar/target.py
@@ -36,7 +36,7 @@
 class Target:
     """
     The version that the engine is to serve, of a model with `layers` layers in `pieces`
-    pieces. `since` is when this daemon chose it, `due` when the engine must change at the
+    pieces. `chosen_at` is when this daemon chose it, `due` when the engine must change at the
     latest (monotonic seconds, infinity for never).
 
     """
@@ -44,7 +44,7 @@
     weights: WeightsId
     layers: int
     pieces: int
-    since: float
+    chosen_at: float
     due: float
 
 
@@ -84,9 +84,9 @@
         ends = self._ends_at(figures, self.served())
         weights = WeightsId(figures.model, self._version(figures, now, ends))
         current = self.current
-        since = current.since if current is not None and current.weights == weights else now
+        chosen_at = current.chosen_at if current is not None and current.weights == weights else now
         due = ends - LAST_SENT_S
-        target = Target(weights, figures.layers, figures.pieces, since, due)
+        target = Target(weights, figures.layers, figures.pieces, chosen_at, due)
         if current is None or current.weights != weights:
             self.progress = (0, now)
             log.notice('New target version: {}. served={}', weights, self.served())
--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -1,5 +1,5 @@
 """
-Entries that keep pieces of weights: who is named, who draws, what is kept.
+Entries as caches of pieces: which caches are named, and which fetches from the origin.
 
 """
 
@@ -35,7 +35,7 @@
 
 class FakeOrigin:
     """
-    Counts what is drawn; may spoil the first pieces.
+    Records the fetches; returns nothing for the first `corrupt_count` of them.
 
     """
 
@@ -68,7 +68,7 @@
 
 class FakePeers:
     """
-    The other caches, as calls straight into them.
+    Delivers requests to the other caches by direct calls.
 
     """
 
@@ -95,8 +95,8 @@
 
 def cache_and_assigned_cache():
     """
-    A cache, and the one of another zone that draws for it; each has an origin of
-    its own that counts, and brings nothing ahead.
+    A cache, and the cache of another zone that fetches from the origin for it. Each has
+    an origin of its own that records fetches, and prefetches nothing.
 
     """
     caches = [CacheAddress('10.0.0.1:1', 'z1'), CacheAddress('10.0.0.2:1', 'z2')]
@@ -147,8 +147,9 @@
 
 def test_digests_are_fetched_from_the_origin_once_for_all_caches():
     """
-    Of the 96 pieces of a version, 60 had been drawn after 2.5 s where 92 fit the origin's
-    link: each of 98 entries had drawn the list of digests from it as well.
+    Guards against a list of digests that every entry fetches from the origin. With 98 entries
+    doing so, 60 of the 96 pieces of a version were fetched in 2.5 s, where the origin's link
+    can carry 92.
 
     """
 
@@ -199,7 +200,7 @@
         for _ in range(50):
             await curio.sleep(0)
         assert len(origin.fetched) == fetched
-        # Whoever asks again has all of them brought.
+        # A later request starts prefetching again.
         origin.corrupt_count = 0
         assert (await cache.chunk(GetChunk('m@2', 0))).found
         async with curio.timeout_after(5):
@@ -225,7 +226,7 @@
         peers.silent = True
         cache = cache_at('10.0.0.2:1', 'z2', origin, peers, caches)
         assert (await cache.chunk(GetChunk('m@2', 3))).data == PIECES[3]
-        # Its silence to the question for digests is enough.
+        # One unanswered request for digests is enough.
         assert peers.asked[0] == ('10.0.0.1:1', DIGESTS_REQUEST)
 
     curio.run(run)
@@ -298,10 +299,11 @@
 
 def test_an_assigned_cache_is_waited_for_while_its_origin_sends_other_pieces(monkeypatch):
     """
-    Two versions were wanted of an origin that sends one in 4.4 s. Drawers said 'not yet' for
-    3 s of a piece of the second, then all entries drew it beside them: requests timed out
-    after 1.0 s (`no response in 1.0 s`, at six of nine entries within 0.3 s), 4.6 copies were
-    sent, and the first engine had the version whole 12.8 s after the origin was back.
+    Guards against all entries fetching the same piece from a busy origin. Two versions were
+    requested from an origin that sends one in 4.4 s. The assigned caches answered 'not yet'
+    for 3 s for a piece of the second, then all entries fetched it as well: requests timed
+    out after 1.0 s at six of nine entries within 0.3 s, 4.6 copies were sent, and the first
+    engine had the whole version 12.8 s after the origin was back.
 
     """
     monkeypatch.setattr(caching, 'WAIT_S', 0.02)
@@ -309,7 +311,7 @@
     async def run():
         cache, assigned = cache_and_assigned_cache()
         real = assigned.origin.fetch_piece
-        # Of the origin's rate two drawers have a half each: four pieces of eight bytes.
+        # Two assigned caches share the origin's rate: four pieces of eight bytes each.
         assigned.origin.bytes_per_s = cache.origin.bytes_per_s = 64.0
 
         async def fetch_piece(held, index):
--- a/tests/test_gathering.py
+++ b/tests/test_gathering.py
@@ -1,5 +1,5 @@
 """
-How an endpoint daemon gets the pieces of a version: from caches, else by itself.
+How an endpoint daemon fetches the pieces of a version: from caches, else from the origin.
 
 """
 
@@ -24,7 +24,8 @@
 
 class FakeCachePeers:
     """
-    A cache that has nothing yet the first times it is asked, or is silent.
+    Caches that answer `not_yet` requests for pieces and `no_digests` requests for digests
+    without data before they succeed. Those in `silent` never answer.
 
     """
 
@@ -55,8 +56,8 @@
     own = EndpointState('10.0.0.7:1', 's', 'z1', '10.0.0.7', 80, 1)
     fleet = Fleet(env, 's', lambda: [], lambda: own, lambda: (2, len(PIECES)))
     link = Link(1_000_000, 0.94, True, env.monotonic)
-    pushing = PiecePusher(env, peers, fleet.origin_fetchers, link.outward)
-    return PieceGatherer(env, peers, fleet, origin or FakeOrigin(), lambda: caches, pushing, link)
+    pusher = PiecePusher(env, peers, fleet.origin_fetchers, link.outward)
+    return PieceGatherer(env, peers, fleet, origin or FakeOrigin(), lambda: caches, pusher, link)
 
 
 def test_a_daemon_retries_its_caches_and_leaves_the_origin_alone(monkeypatch):
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -37,7 +37,7 @@
 from millforkd.sidecar.expiry import ExpiryWatcher
 from millforkd.sidecar.pieces import WeightsId
 from tests.test_registry import HEARTBEAT_S, LEASE_S, Clock, state_of
-from tests.test_rollouts import Engines
+from tests.test_rollouts import RolloutUnderTest
 from tests.test_servers import ENGINE
 
 FIRST, SECOND = 1_000_000, 2_000_000
@@ -174,7 +174,7 @@
 
 def test_a_daemon_forgets_what_it_did_to_the_engine_before_this_one():
     async def run():
-        rollout = Engines(turn=0).rollout
+        rollout = RolloutUnderTest(turn=0).rollout
         rollout.record_report(engine_report(FIRST))
         rollout.staged_checked = True
         rollout.staged_weights = WeightsId('m', 2)
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -1,5 +1,5 @@
 """
-One engine's way to a version: its turn, the end of what runs, halves and wholes.
+The rollout of a version on one engine: its turn, the drain, halves and whole models.
 
 """
 
@@ -32,7 +32,7 @@
 @dataclass
 class FakeEngine:
     """
-    Serves what it was ordered to; what runs ends when the test says so.
+    Serves the ordered layers. Its requests run until the test ends them.
 
     """
 
@@ -76,13 +76,13 @@
 
 class RolloutUnderTest:
     """
-    A rollout among other engines whose states the test sets.
+    The rollout of one engine, among others whose states the test sets.
 
     """
 
-    def __init__(self, turn, engine=None, gathering=None):
+    def __init__(self, turn, engine=None, gatherer=None):
         self.engine = engine if engine is not None else FakeEngine()
-        self.gathering = gathering if gathering is not None else FakeGatherer()
+        self.gatherer = gatherer if gatherer is not None else FakeGatherer()
         weights = WeightsId('m', 2)
         ordered = sorted(NAMES, key=lambda name: rank(str(weights), name))
         self.env = Environment(InstanceId(ordered[turn]), ZoneId('z1'))
@@ -96,7 +96,7 @@
             self.env,
             self.engine,
             PieceStore(),
-            self.gathering,
+            self.gatherer,
             fleet,
             lambda: self.target,
             self.announce,
@@ -230,7 +230,7 @@
 
 class StalledGatherer(FakeGatherer):
     """
-    Brings so many pieces, then no more until the test says so.
+    Fetches the first `count` pieces, and the others once the test sets `resume`.
 
     """
 
@@ -265,9 +265,10 @@
 
 def test_an_ended_version_is_removed_without_any_piece_of_the_next():
     """
-    An origin was down when version 2 was named. All six engines kept version 1 until the
-    first layer of the next one came: it ended 8.0 s after it was replaced, and was taken
-    from them 12.15 s to 12.31 s after. A layer that lies at the engine will do.
+    Guards against a version served beyond its end while the origin is down. Six engines kept
+    version 1 until the first layer of version 2 arrived. Version 1 ended 8.0 s after it was
+    replaced, and was removed 12.15 s to 12.31 s after. One layer that is staged at the
+    engine is enough to remove the version in time.
 
     """
 
@@ -284,7 +285,7 @@
         assert order == (1, LAYERS // 2, LAYERS // 2 + 1, False, 3)
         assert under_test.engine.staged_indexes == []
         rollout.report = await under_test.engine.report()
-        await under_test.gathering.resume.set()
+        await under_test.gatherer.resume.set()
         await under_test.until(lambda: under_test.engine.served == (NEW,))
         assert under_test.engine.orders == [order, (2, 0, LAYERS, False, 0)]
         await task.cancel()
@@ -325,10 +326,10 @@
 @pytest.mark.parametrize(('matches', 'orders'), [(False, 1), (True, 0)])
 def test_a_started_daemon_checks_staged_pieces_before_it_empties_the_engine(matches, orders):
     """
-    Daemons were killed with all pieces of version 2 laid and the order not given yet.
-    Those that came after them had an engine of version 1 take layer 8 of 16 from these,
-    0.08 s before they had looked at what lies there: 'version=1 layers=8-9 status=202',
-    then 'Took staged pieces. weights=tilo440000@2 good=96 bad=0'.
+    Guards against an engine that loads pieces of version 2 as version 1. Daemons were killed
+    when all pieces of version 2 were staged and the order was not given yet. The daemons
+    started in their place ordered an engine of version 1 to load layer 8 of 16, 0.08 s
+    before they checked which version is staged.
 
     """
 
@@ -351,7 +352,7 @@
         async def read_staged(model, index):
             return data
 
-        under_test.gathering.obtain_digests = obtain_digests
+        under_test.gatherer.obtain_digests = obtain_digests
         under_test.engine.read_staged = read_staged
         await rollout._check_staged(held)
         await expiry._empty_engine(under_test.target)
@@ -362,10 +363,11 @@
 
 def test_an_ended_version_is_removed_though_the_target_has_just_changed():
     """
-    Three engines behind squeezed links kept version 1 beyond its end at 22.0 s: 88 of 96
-    pieces of version 2 were here, but version 4 had become the target at 21.51 s and no
-    piece nor digest of it had come. A request that its entry had given up at 21.7 s came
-    through the link at 22.02 s and began 8,132 ms after version 2 was acknowledged.
+    Guards against a version served beyond its end because the target changed shortly before.
+    Three engines behind throttled links kept version 1 beyond its end at 22.0 s: 88 of 96
+    pieces of version 2 were held, but version 4 became the target at 21.51 s, and none of its
+    pieces or digests had arrived. A request that its entry had given up at 21.7 s arrived at
+    22.02 s and started 8,132 ms after version 2 was acknowledged.
 
     """
 
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -1,5 +1,5 @@
 """
-Pieces of weights: who draws them, who sends them to whom, which ones are good.
+Pieces of weights: assignment to daemons, choice of holders, digests, transfer times.
 
 """
 
