--- a/packages/millforkd/millforkd/sidecar/daemon.py
+++ b/packages/millforkd/millforkd/sidecar/daemon.py
@@ -83,7 +83,7 @@
             adapter, Client(*self.engine_address, source=str(settings.address))
         )
         self.store = PieceStore()
-        self.fleet = Fleet(env, self.service, self.states, self._state, self._shape)
+        self.fleet = Fleet(env, self.service, self.states, self._state, self._model_shape)
         self.pusher = PiecePusher(env, self.peers, self.fleet.origin_fetchers, self.link.outward)
         origin = Origin(env, adapter, str(settings.address), lambda: find_origin(self.document))
         self.gatherer = PieceGatherer(
@@ -102,8 +102,8 @@
             self.store,
             self.gatherer,
             self.fleet,
-            self._target,
-            self._report,
+            self._current_target,
+            self._send_report,
         )
         self.loads = EngineLoads(env, self.engine, lambda: self.rollout.report is not None)
         self.expiry = ExpiryWatcher(env, self.engine, self.store, self.rollout)
@@ -138,8 +138,7 @@
 
     async def drain(self) -> None:
         """
-        Return at once: this daemon handles no requests of callers, so a planned stop
-        has nothing to wait for.
+        Return at once: this daemon handles no requests that a planned stop must wait for.
 
         """
 
@@ -163,11 +162,11 @@
                 return service.engine
         return None
 
-    def _shape(self) -> tuple[int, int]:
+    def _model_shape(self) -> tuple[int, int]:
         figures = self._engine_figures()
         return (figures.layers, figures.pieces) if figures is not None else (0, 0)
 
-    def _target(self) -> Target | None:
+    def _current_target(self) -> Target | None:
         figures = self._engine_figures()
         if figures is None or not figures.model:
             return None
@@ -185,7 +184,7 @@
                 log.notice('The engine {}.', 'is silent' if report is None else 'answers')
             self._log_backpressure(report)
             self.rollout.record_report(report)
-            await self._report()
+            await self._send_report()
             await curio.sleep(REPORT_INTERVAL_S)
 
     def _log_backpressure(self, report: EngineReport | None) -> None:
@@ -197,10 +196,9 @@
             return
         log.notice('The engine reports backpressure: {}', report.backpressure)
 
-    async def _report(self) -> None:
+    async def _send_report(self) -> None:
         """
-        Send this daemon's state to the process it follows: a replica, or a daemon that
-        relays the state to one.
+        Send this daemon's state to the replica that it follows, or to a daemon that relays it.
 
         """
         source = self.following.reports_to
@@ -250,7 +248,7 @@
             first, end = pieces.longest_run()
             if end > first:
                 held.append(HeldVersion(weights.model, weights.version, first, end))
-        layers, _ = self._shape()
+        layers, _ = self._model_shape()
         if not self.rollout.changing_to and layers:
             held += [
                 HeldVersion(item.model, item.version)
@@ -380,7 +378,7 @@
         serves all its layers, and no change to another version is in progress.
 
         """
-        layers, _ = self._shape()
+        layers, _ = self._model_shape()
         served = self.rollout.served
         return not self.rollout.changing_to and serves_whole(served, weights, layers)
 
--- a/packages/millforkd/millforkd/sidecar/engine.py
+++ b/packages/millforkd/millforkd/sidecar/engine.py
@@ -91,9 +91,8 @@
 
     async def start(self, model: str, version: int, first: int, end: int, interrupts: bool) -> bool:
         """
-        Order the engine to load layers from its staged pieces. It first lets running
-        requests finish, or interrupts them if `interrupts` is set. False if it did not
-        accept the order.
+        Order the engine to load layers from its staged pieces, after running requests have
+        finished or, if `interrupts` is set, by ending them. False if it refuses the order.
 
         """
         try:
--- a/packages/millforkd/millforkd/sidecar/fleet.py
+++ b/packages/millforkd/millforkd/sidecar/fleet.py
@@ -21,16 +21,15 @@
 from millforkd.sidecar.pieces import WeightsId
 from millforkd.sidecar.sources import holders, preferred_holders, request_order
 
-# Results computed from the states of all daemons are reused this long, because they are
-# needed for each piece.
+# What is computed from the states of all daemons is needed for each piece, and reused for
+# this long.
 SNAPSHOT_MAX_AGE_S: Final = 0.2
 
 
 @dataclass(frozen=True, slots=True)
 class _FleetSnapshot:
     """
-    The members of a fleet and their layer assignments for one version, computed at `at`
-    (monotonic seconds).
+    Members and layer assignments for one version, computed at `at` (monotonic seconds).
 
     """
 
@@ -43,8 +42,7 @@
 
 class Fleet:
     """
-    Computes which daemons hold a piece, which one fetches it from the origin, and when
-    this daemon's engine changes.
+    Computes which daemons hold a piece, who fetches it, and when each engine changes.
 
     """
 
@@ -54,14 +52,14 @@
         service: str,
         states: Callable[[], list[EndpointState]],
         own_state: Callable[[], EndpointState],
-        shape: Callable[[], tuple[int, int]],
+        model_shape: Callable[[], tuple[int, int]],
     ) -> None:
         self.env = env
         self.service = service
         self.states = states
         self.own_state = own_state
         # Returns the numbers of layers and of pieces of the service's model.
-        self.shape = shape
+        self.model_shape = model_shape
         self.snapshot: _FleetSnapshot | None = None
 
     def members(self) -> list[EndpointState]:
@@ -82,20 +80,20 @@
         held = self.snapshot
         if held is not None and held.weights == weights and now - held.at < SNAPSHOT_MAX_AGE_S:
             return held
-        layers, _ = self.shape()
+        layers, _ = self.model_shape()
         members = self.members()
-        without = daemons_lacking(members, weights, self.service, layers)
-        found = assign_layers(without, weights, layers)
-        for state in without:
+        lacking = daemons_lacking(members, weights, self.service, layers)
+        assignments = assign_layers(lacking, weights, layers)
+        for state in lacking:
             goal = state.goal
             if goal is None or (goal.model, goal.version) != (weights.model, weights.version):
                 continue
             # The layers that a daemon has begun with override the computed assignment.
             end = goal.end if goal.end is not None else layers
-            found[state.instance] = LayerAssignment(
-                Layers(goal.first, end), found[state.instance].pair
+            assignments[state.instance] = LayerAssignment(
+                Layers(goal.first, end), assignments[state.instance].pair
             )
-        self.snapshot = _FleetSnapshot(weights, now, members, without, found)
+        self.snapshot = _FleetSnapshot(weights, now, members, lacking, assignments)
         return self.snapshot
 
     def own_assignment(self, weights: WeightsId) -> LayerAssignment:
@@ -104,10 +102,10 @@
 
         """
         own = self.own_state()
-        found = self._snapshot_for(weights).assignments.get(own.instance)
-        if found is not None:
-            return found
-        layers, _ = self.shape()
+        assignment = self._snapshot_for(weights).assignments.get(own.instance)
+        if assignment is not None:
+            return assignment
+        layers, _ = self.model_shape()
         emptied = msgspec.structs.replace(own, served=())
         return assign_layers([emptied], weights, layers)[own.instance]
 
@@ -129,7 +127,7 @@
         fetch it from the origin; the first of them sends it to the others.
 
         """
-        layers, pieces = self.shape()
+        layers, pieces = self.model_shape()
         names = [
             name
             for name, assignment in self._snapshot_for(weights).assignments.items()
@@ -150,11 +148,13 @@
         The daemons to request a piece from, in order of preference.
 
         """
-        found = self.holders(weights, index)
+        candidates = self.holders(weights, index)
         zone = str(self.env.zone)
-        here = [
+        lacking_in_zone = [
             state
             for state in self._snapshot_for(weights).lacking
-            if state.zone == zone and state not in found
+            if state.zone == zone and state not in candidates
         ]
-        return request_order(preferred_holders(found, zone, len(here)), weights, index)
+        return request_order(
+            preferred_holders(candidates, zone, len(lacking_in_zone)), weights, index
+        )
--- a/packages/millforkd/millforkd/sidecar/load.py
+++ b/packages/millforkd/millforkd/sidecar/load.py
@@ -13,8 +13,7 @@
 from millfork_wire.messages import EngineLoad
 from millforkd.sidecar.engine import LocalEngine
 
-# Entries that ask within this time get the same report. A batch step of the engine takes
-# as long.
+# Entries that ask within this time, which a pass of the engine takes, get the same report.
 SHARED_REPORT_S: Final = 0.005
 PERCENT: Final = 100
 
@@ -38,8 +37,7 @@
 
     async def current_load(self) -> EngineLoad:
         """
-        The engine's running and queued requests and its pace; an empty message if the
-        engine does not answer.
+        The engine's running and queued requests and pace; an empty message if it is silent.
 
         """
         if not self.engine_answers():
--- a/packages/millforkd/millforkd/sidecar/origin.py
+++ b/packages/millforkd/millforkd/sidecar/origin.py
@@ -19,9 +19,8 @@
 # A piece takes 0.03 s at the origin's 7.3 Mbit/s, and a dozen may be queued there. An
 # origin that is silent for longer is down, and may be back at any moment.
 ORIGIN_TIMEOUT_S: Final = 1.0
-# After a failure no request is sent for this long. The pause keeps an origin that comes
-# back from being flooded, and is short compared with the second for which it may be up
-# before it fails again.
+# No request is sent for this long after a failure: enough not to flood an origin that comes
+# back, and short compared with the second for which it may be up before it fails again.
 PAUSE_AFTER_FAILURE_S: Final = 0.1
 
 log = logger(Part.WEIGHTS)
--- a/packages/millforkd/millforkd/sidecar/pieces.py
+++ b/packages/millforkd/millforkd/sidecar/pieces.py
@@ -114,13 +114,13 @@
         if not self.digests:
             self.unchecked[index] = data
             return True
-        if not self.is_good(index, data):
+        if not self.matches_digest(index, data):
             return False
         self.pieces[index] = data
         await self.notify_waiters()
         return True
 
-    def is_good(self, index: int, data: bytes) -> bool:
+    def matches_digest(self, index: int, data: bytes) -> bool:
         if not 0 <= index < len(self.digests):
             return False
         return hashlib.sha256(data).hexdigest() == self.digests[index]
--- a/packages/millforkd/millforkd/sidecar/rollout.py
+++ b/packages/millforkd/millforkd/sidecar/rollout.py
@@ -86,8 +86,7 @@
 
     def record_report(self, report: EngineReport | None) -> None:
         """
-        Record the engine's latest report, None if it did not answer. A new incarnation
-        discards everything known about the process before it.
+        Record the engine's latest report, None if it did not answer.
 
         """
         self.report = report
@@ -99,7 +98,7 @@
             report.incarnation,
         )
         self.incarnation = report.incarnation
-        # What was known of the engine ended with its process. Pieces may still be staged.
+        # What was known of the engine's last process is void. Pieces may still be staged.
         self.staged_checked = False
         self.staged_weights = None
         self.assignment = None
@@ -237,8 +236,7 @@
 
     async def _adopt_staged(self, held: PieceSet) -> None:
         """
-        Read the pieces that are staged at the engine into `held`, if they are of this
-        version.
+        Read the pieces that are staged at the engine into `held`, if they match its digests.
 
         """
         if not await self.gatherer.obtain_digests(held):
@@ -286,9 +284,8 @@
 
     async def _wait_for_drain(self, target: Target) -> None:
         """
-        Wait until the engine has no requests, for at most `DRAIN_S` and not beyond the end
-        of its version, after which no request may start on it; but always for up to
-        `LATE_DRAIN_S`.
+        Wait until the engine has no requests, for up to `DRAIN_S` but not beyond the end of
+        its version, when no request may start on it; if that is near, up to `LATE_DRAIN_S`.
 
         """
         now = self.env.monotonic()
--- a/packages/millforkd/millforkd/sidecar/sources.py
+++ b/packages/millforkd/millforkd/sidecar/sources.py
@@ -48,22 +48,24 @@
     ordered = sorted(names, key=lambda name: rank(str(weights), name))
     if not ordered:
         return []
-    begin = index % len(ordered)
-    first, rest = ordered[begin], ordered[begin + 1 :] + ordered[:begin]
+    offset = index % len(ordered)
+    first, rest = ordered[offset], ordered[offset + 1 :] + ordered[:offset]
     if not rest:
         return [first]
     # The pieces of a daemon that fails are spread evenly over all others.
-    again = index // len(ordered) % len(rest)
-    return [first, *rest[again:], *rest[:again]]
+    rotation = index // len(ordered) % len(rest)
+    return [first, *rest[rotation:], *rest[:rotation]]
 
 
-def preferred_holders(found: list[EndpointState], zone: str, lacking_in_zone: int) -> list[str]:
+def preferred_holders(
+    candidates: list[EndpointState], zone: str, lacking_in_zone: int
+) -> list[str]:
     """
     The holders to request a piece from: those of the own zone if at least as many hold
     the piece there as lack it, since otherwise their links are too slow; else all holders.
 
     """
-    near = [state.instance for state in found if state.zone == zone]
+    near = [state.instance for state in candidates if state.zone == zone]
     if near and len(near) >= lacking_in_zone:
         return near
-    return [state.instance for state in found]
+    return [state.instance for state in candidates]
--- a/packages/millforkd/millforkd/sidecar/target.py
+++ b/packages/millforkd/millforkd/sidecar/target.py
@@ -82,7 +82,7 @@
         self.versions.refresh()
         now = self.env.monotonic()
         ends = self._ends_at(figures, self.served())
-        weights = WeightsId(figures.model, self._version(figures, now, ends))
+        weights = WeightsId(figures.model, self._choose_version(figures, now, ends))
         current = self.current
         chosen_at = current.chosen_at if current is not None and current.weights == weights else now
         due = ends - LAST_SENT_S
@@ -103,7 +103,7 @@
         ends = self.versions.ends_at(figures.model, version) if version else None
         return ends if ends is not None else float('inf')
 
-    def _version(self, figures: EngineFigures, now: float, ends: float) -> int:
+    def _choose_version(self, figures: EngineFigures, now: float, ends: float) -> int:
         newest = self.versions.newest(figures.model) or FIRST_VERSION
         intermediate = [
             version
@@ -145,8 +145,7 @@
 
     def _idle_direct_s(self, figures: EngineFigures, newest: int, now: float, ends: float) -> float:
         """
-        For how many seconds the engine would serve nothing if it loaded the newest version
-        next.
+        For how many seconds the engine would serve nothing if it loaded the newest next.
 
         """
         if ends == float('inf'):
@@ -161,10 +160,10 @@
         Seconds that the link needs to transfer the missing pieces of a version.
 
         """
-        present = self._pieces_here(WeightsId(figures.model, version))
-        return (figures.pieces - present) * figures.piece_bytes / self.bytes_per_s
+        held_count = self._held_count(WeightsId(figures.model, version))
+        return (figures.pieces - held_count) * figures.piece_bytes / self.bytes_per_s
 
-    def _pieces_here(self, weights: WeightsId) -> int:
+    def _held_count(self, weights: WeightsId) -> int:
         held = self.store.find(weights)
         return len(held.pieces) if held is not None else 0
 
@@ -176,12 +175,12 @@
         Mark the target as stuck if no piece of it arrived for `STUCK_AFTER_S`.
 
         """
-        present = self._pieces_here(target.weights)
+        held_count = self._held_count(target.weights)
         if target.weights.version == self.served():
-            present = target.pieces
+            held_count = target.pieces
         count, at = self.progress
-        if present != count or present >= target.pieces:
-            self.progress = (present, now)
+        if held_count != count or held_count >= target.pieces:
+            self.progress = (held_count, now)
             self.stuck_until.pop(target.weights.version, None)
             return
         version = target.weights.version
@@ -191,5 +190,5 @@
                 'No piece arrived for {:.1f} s. weights={} here={}',
                 now - at,
                 target.weights,
-                present,
+                held_count,
             )
