--- a/packages/millforkd/millforkd/beside/__init__.py
+++ /dev/null
@@ -1,4 +0,0 @@
-"""
-The endpoint role of a seeded fleet: weights in pieces, and the engine's state.
-
-"""
--- a/packages/millforkd/millforkd/proxy/cache.py
+++ b/packages/millforkd/millforkd/proxy/cache.py
@@ -22,9 +22,9 @@
 from millfork_wire.connection import PeerError
 from millfork_wire.messages import CacheAddress, Chunk, GetChunk, GetManifest, Manifest
 from millfork_wire.peers import Peers
-from millforkd.beside.intake import keep_if_good
-from millforkd.beside.origin import Origin
-from millforkd.beside.pieces import (
+from millforkd.sidecar.verification import store_if_valid
+from millforkd.sidecar.origin import Origin
+from millforkd.sidecar.pieces import (
     PieceSet,
     PieceStore,
     WeightsId,
@@ -32,8 +32,8 @@
     encode_digests,
     parse_weights_id,
 )
-from millforkd.beside.silence import SilentPeers
-from millforkd.beside.sources import DIGESTS, in_turn
+from millforkd.sidecar.silent_peers import SilentPeers
+from millforkd.sidecar.sources import DIGESTS_INDEX, request_order
 
 # Enough concurrent fetches to use the whole link of the origin.
 MAX_CONCURRENT_ORIGIN_FETCHES: Final = 3
@@ -104,7 +104,7 @@
             weights, message.draw, self._answer_deadline()
         ):
             return Manifest(reason=self._reason())
-        return Manifest(True, encode_digests(self.store.of(weights).digests), False)
+        return Manifest(True, encode_digests(self.store.get_or_create(weights).digests), False)
 
     async def chunk(self, message: GetChunk) -> Chunk:
         """
@@ -124,7 +124,7 @@
             self.prefetching.add(weights)
             await self.env.spawn(self._prefetch, weights)
         await self._ensure_piece(weights, message.index, message.draw, deadline)
-        data = self.store.of(weights).pieces.get(message.index)
+        data = self.store.get_or_create(weights).pieces.get(message.index)
         if data is None:
             return Chunk(reason=self._reason())
         self.env.metrics.count(self.env.metrics.chunk_bytes, len(data), source='cached')
@@ -157,7 +157,7 @@
         return self.env.monotonic() + WAIT_S
 
     async def _ensure_digests(self, weights: WeightsId, draw: bool, deadline: float) -> bool:
-        held = self.store.of(weights)
+        held = self.store.get_or_create(weights)
         if not held.digests:
             await self._fetch_once((weights, None), deadline, self._fetch_digests, held, draw)
         return bool(held.digests)
@@ -169,8 +169,8 @@
         2.5 s.
 
         """
-        if draw or not await self._fetch_from_cache(held, DIGESTS):
-            await self.origin.draw_digests(held)
+        if draw or not await self._fetch_from_cache(held, DIGESTS_INDEX):
+            await self.origin.fetch_digests(held)
 
     async def _ensure_piece(
         self, weights: WeightsId, index: int, draw: bool, deadline: float
@@ -179,7 +179,7 @@
         Fetch a piece if it is missing; returns at `deadline` at the latest.
 
         """
-        held = self.store.of(weights)
+        held = self.store.get_or_create(weights)
         if 0 <= index < len(held.digests) and index not in held.pieces:
             await self._fetch_once((weights, index), deadline, self._fetch, weights, index, draw)
 
@@ -214,7 +214,7 @@
             await self.pending.pop(key).set()
 
     async def _fetch(self, weights: WeightsId, index: int, draw: bool) -> None:
-        held = self.store.of(weights)
+        held = self.store.get_or_create(weights)
         if not draw and await self._fetch_from_cache(held, index):
             return
         async with self.origin_slots:
@@ -223,7 +223,7 @@
                     await self._fetch_from_origin(held, index)
 
     async def _fetch_from_origin(self, held: PieceSet, index: int) -> None:
-        data = await self.origin.draw_piece(held, index)
+        data = await self.origin.fetch_piece(held, index)
         if data is not None:
             self.received_from_origin.append((self.env.monotonic(), len(data)))
 
@@ -254,9 +254,9 @@
         self, held: PieceSet, index: int, reply: Chunk | Manifest, fetcher: str
     ) -> bool:
         if isinstance(reply, Chunk):
-            return await keep_if_good(self.env, held, index, reply.data, 'cache', fetcher)
+            return await store_if_valid(self.env, held, index, reply.data, 'cache', fetcher)
         try:
-            await held.learn_digests(decode_digests(reply.body))
+            await held.set_digests(decode_digests(reply.body))
         except msgspec.DecodeError as error:
             log.warning(
                 'Digests of {} from {} can not be decoded: {}.', held.weights, fetcher, error
@@ -272,7 +272,7 @@
         """
         answering = [cache for cache in self.caches() if not self.silent.is_silent(cache.instance)]
         names = [cache.instance for cache in caches_near_origin(answering, self._origin_zone())]
-        return in_turn(names, weights, index)[0] if names else str(self.env.instance)
+        return request_order(names, weights, index)[0] if names else str(self.env.instance)
 
     async def _ask(self, fetcher: str, weights: WeightsId, index: int) -> Chunk | Manifest | None:
         """
@@ -280,7 +280,7 @@
 
         """
         message: GetChunk | GetManifest = GetChunk(str(weights), index, draw=True)
-        if index == DIGESTS:
+        if index == DIGESTS_INDEX:
             message = GetManifest(str(weights), draw=True)
         try:
             reply = await self.peers.call(address_of(fetcher), message, PEER_TIMEOUT_S)
@@ -288,7 +288,7 @@
             log.info(
                 'Piece {} of {} was not received from cache {}: {}.', index, weights, fetcher, error
             )
-            self.silent.note(fetcher)
+            self.silent.mark_silent(fetcher)
             return None
         return reply if isinstance(reply, Chunk | Manifest) else Chunk(reason='no cache')
 
@@ -307,11 +307,11 @@
         """
         zone_caches = [cache.instance for cache in self.caches() if cache.zone == self.env.zone]
         own = str(self.env.instance)
-        held = self.store.of(weights)
+        held = self.store.get_or_create(weights)
         own_indexes = [
             index
             for index in prefetch_order(len(held.digests))
-            if not zone_caches or in_turn(zone_caches, weights, index)[0] == own
+            if not zone_caches or request_order(zone_caches, weights, index)[0] == own
         ]
         while self.store.find(weights) is held and self._is_wanted(weights):
             queue = [index for index in reversed(own_indexes) if index not in held.pieces]
--- a/packages/millforkd/millforkd/proxy/daemon.py
+++ b/packages/millforkd/millforkd/proxy/daemon.py
@@ -31,7 +31,7 @@
 from millfork_wire.connection import Connection, PeerError
 from millfork_wire.messages import Message
 from millforkd.admin import Admin
-from millforkd.beside.origin import Origin, origin_in
+from millforkd.sidecar.origin import Origin, find_origin
 from millforkd.document import document_in
 from millforkd.proxy.admission import Admission
 from millforkd.proxy.cache import PieceCache
@@ -113,7 +113,7 @@
             env, self.peers, self.feed_client, self.registry.suspects
         )
         self.document: Document | None = None
-        origin = Origin(env, adapter, str(settings.address), lambda: origin_in(self.document))
+        origin = Origin(env, adapter, str(settings.address), lambda: find_origin(self.document))
         self.cache = PieceCache(env, self.peers, origin, self.discovery.caches)
         self.server = Server(
             *socket_pair(settings.listen.callers),
--- a/packages/millforkd/millforkd/proxy/load_queries.py
+++ b/packages/millforkd/millforkd/proxy/load_queries.py
@@ -73,7 +73,7 @@
         reply = await self.queries.ask(daemon, connection, AskLoad(), ANSWER_TIMEOUT_S)
         now = self.env.monotonic()
         if reply is None or now - queried_at > WAIT_S:
-            self.queries.silent.note(daemon)
+            self.queries.silent.mark_silent(daemon)
         if not isinstance(reply, EngineLoad) or not reply.known:
             return
         if server.is_other_incarnation(Incarnation(reply.incarnation)):
--- a/packages/millforkd/millforkd/proxy/peer_queries.py
+++ b/packages/millforkd/millforkd/proxy/peer_queries.py
@@ -17,7 +17,7 @@
 from millfork_wire.connection import Connection, PeerError, PeerTimedOut
 from millfork_wire.messages import Message
 from millfork_wire.peers import Peers
-from millforkd.beside.silence import PASSED_OVER_S, SilentPeers
+from millforkd.sidecar.silent_peers import SKIP_SILENT_PEER_S, SilentPeers
 
 # A connection that received data within this time is kept: a single answer may be late.
 MIN_SILENCE_S: Final = 1.0
@@ -36,12 +36,12 @@
         env: Environment,
         peers: Peers,
         unanswered_event: str,
-        passed_over_s: float = PASSED_OVER_S,
+        skip_s: float = SKIP_SILENT_PEER_S,
     ) -> None:
         self.env = env
         self.peers = peers
         self.unanswered_event = unanswered_event
-        self.silent = SilentPeers(env.monotonic, passed_over_s)
+        self.silent = SilentPeers(env.monotonic, skip_s)
         # The peers to which a connection is being opened.
         self.connecting: set[str] = set()
 
@@ -76,7 +76,7 @@
             return await self.peers.connect(address_of(name))
         except PeerError as error:
             log.info('No connection for queries. to={} why={}', name, error)
-            self.silent.note(name)
+            self.silent.mark_silent(name)
             return None
 
     async def ask(
--- a/packages/millforkd/millforkd/beside/daemon.py
+++ b/packages/millforkd/millforkd/sidecar/daemon.py
@@ -1,5 +1,5 @@
 """
-The endpoint daemon beside an engine.
+The endpoint daemon of a seeded fleet, which runs next to one engine.
 
 """
 
@@ -24,33 +24,33 @@
 from millfork_wire.connection import Connection, PeerError
 from millfork_wire.messages import Chunk, Done, EndpointReport, Manifest, Message
 from millforkd.admin import Admin
-from millforkd.beside.engine import LocalEngine
-from millforkd.beside.expiry import Expiry
-from millforkd.beside.fleet import Fleet
-from millforkd.beside.gathering import Gathering
-from millforkd.beside.layout import serves_whole
-from millforkd.beside.load import EngineLoads
-from millforkd.beside.origin import Origin, origin_in
-from millforkd.beside.pieces import (
+from millforkd.document import document_in
+from millforkd.seeded import feed_for
+from millforkd.sidecar.engine import LocalEngine
+from millforkd.sidecar.expiry import ExpiryWatcher
+from millforkd.sidecar.fleet import Fleet
+from millforkd.sidecar.gathering import PieceGatherer
+from millforkd.sidecar.layer_assignment import serves_whole
+from millforkd.sidecar.load import EngineLoads
+from millforkd.sidecar.origin import Origin, find_origin
+from millforkd.sidecar.pieces import (
     PieceSet,
     PieceStore,
     WeightsId,
     encode_digests,
     parse_weights_id,
 )
-from millforkd.beside.pushing import Pushing
-from millforkd.beside.rollout import Rollout
-from millforkd.beside.target import Target, Targets
-from millforkd.document import document_in
-from millforkd.seeded import feed_for
+from millforkd.sidecar.pushing import PiecePusher
+from millforkd.sidecar.rollout import Rollout
+from millforkd.sidecar.target import Target, TargetChooser
 
-# A server takes and ends about two requests in this time.
-REPORT_EVERY_S: Final = 0.15
+# An engine starts and finishes about two requests in this time.
+REPORT_INTERVAL_S: Final = 0.15
 REPORT_TIMEOUT_S: Final = 0.5
-# Of the link, for transfers; the rest is for the engine's requests and answers,
-# which take about 3% of 3.65 Mbit/s at full load.
+# Share of the link that weight transfers may use. The rest is for the engine's requests
+# and answers, which take about 3% of 3.65 Mbit/s at full load.
 TRANSFER_SHARE: Final = 0.94
-# A daemon that was asked for digests waits this long for them itself.
+# A daemon that is asked for digests it does not have yet waits this long for them.
 DIGESTS_WAIT_S: Final = 1.0
 BITS_PER_MBIT: Final = 1_000_000
 UNLIMITED_BYTES_PER_S: Final = 1_250_000_000
@@ -58,9 +58,9 @@
 log = logger(Part.ENDPOINT)
 
 
-class BesideDaemon:
+class SidecarDaemon:
     """
-    One endpoint instance.
+    The tasks and message handlers of one endpoint instance.
 
     """
 
@@ -83,13 +83,13 @@
             adapter, Client(*self.engine_address, source=str(settings.address))
         )
         self.store = PieceStore()
-        self.fleet = Fleet(env, self.service, self.states, self._state, self._shape)
-        self.pushing = Pushing(env, self.peers, self.fleet.drawers, self.link.outward)
-        origin = Origin(env, adapter, str(settings.address), lambda: origin_in(self.document))
-        self.gathering = Gathering(
-            env, self.peers, self.fleet, origin, self.discovery.caches, self.pushing, self.link
+        self.fleet = Fleet(env, self.service, self.states, self._state, self._model_shape)
+        self.pusher = PiecePusher(env, self.peers, self.fleet.origin_fetchers, self.link.outward)
+        origin = Origin(env, adapter, str(settings.address), lambda: find_origin(self.document))
+        self.gatherer = PieceGatherer(
+            env, self.peers, self.fleet, origin, self.discovery.caches, self.pusher, self.link
         )
-        self.targets = Targets(
+        self.targets = TargetChooser(
             env,
             feed.versions,
             self.store,
@@ -100,13 +100,13 @@
             env,
             self.engine,
             self.store,
-            self.gathering,
+            self.gatherer,
             self.fleet,
-            self._target,
-            self._report,
+            self._current_target,
+            self._send_report,
         )
         self.loads = EngineLoads(env, self.engine, lambda: self.rollout.report is not None)
-        self.expiry = Expiry(env, self.engine, self.store, self.rollout)
+        self.expiry = ExpiryWatcher(env, self.engine, self.store, self.rollout)
         self.admin = Admin(env, settings, lambda: bool(self.view.cluster))
         self.document: Document | None = None
         self.document_revision = 0
@@ -125,31 +125,31 @@
         await self.env.keep(self.admin.run)
         await self.env.keep(self.feed_client.run)
         await self.env.keep(self.feed_relay.run)
-        await self.env.keep(self._keep_reporting)
-        await self.env.keep(self.rollout.keep)
-        await self.env.keep(self.expiry.keep)
+        await self.env.keep(self._report_periodically)
+        await self.env.keep(self.rollout.run)
+        await self.env.keep(self.expiry.run)
 
     async def reload(self, settings: SeededSettings) -> None:
         """
-        Take changed settings: other seeds.
+        Apply changed settings; only the seeds can change at run time.
 
         """
         self.discovery.set_seeds(settings.seed_instances)
 
     async def drain(self) -> None:
         """
-        A planned stop: nothing of a caller's is in progress here.
+        Return at once: this daemon handles no requests that a planned stop must wait for.
 
         """
 
     def states(self) -> list[EndpointState]:
         """
-        All endpoint daemons known.
+        The last known state of every endpoint daemon in the registry.
 
         """
         return list(self.registry.endpoints.values())
 
-    # What is to be served.
+    # The version to be served.
 
     def _engine_figures(self) -> EngineSpec | None:
         found = document_in(self.view, self.adapter, self.document_revision)
@@ -162,11 +162,11 @@
                 return service.engine
         return None
 
-    def _shape(self) -> tuple[int, int]:
+    def _model_shape(self) -> tuple[int, int]:
         figures = self._engine_figures()
         return (figures.layers, figures.pieces) if figures is not None else (0, 0)
 
-    def _target(self) -> Target | None:
+    def _current_target(self) -> Target | None:
         figures = self._engine_figures()
         if figures is None or not figures.model:
             return None
@@ -177,15 +177,15 @@
 
     # The engine's state.
 
-    async def _keep_reporting(self) -> None:
+    async def _report_periodically(self) -> None:
         while True:
             report = await self.engine.report()
             if (report is None) != (self.rollout.report is None):
                 log.notice('The engine {}.', 'is silent' if report is None else 'answers')
             self._log_backpressure(report)
-            self.rollout.take_report(report)
-            await self._report()
-            await curio.sleep(REPORT_EVERY_S)
+            self.rollout.record_report(report)
+            await self._send_report()
+            await curio.sleep(REPORT_INTERVAL_S)
 
     def _log_backpressure(self, report: EngineReport | None) -> None:
         if report is None:
@@ -194,11 +194,11 @@
         before = last.backpressure if last is not None else NO_BACKPRESSURE
         if report.backpressure == before:
             return
-        log.notice('The engine says of itself: {}', report.backpressure)
+        log.notice('The engine reports backpressure: {}', report.backpressure)
 
-    async def _report(self) -> None:
+    async def _send_report(self) -> None:
         """
-        Tell the replica that this daemon follows, or whoever passes it on.
+        Send this daemon's state to the replica that it follows, or to a daemon that relays it.
 
         """
         source = self.feed_client.report_target
@@ -208,7 +208,7 @@
         try:
             await self.peers.call(address_of(source), EndpointReport(body), REPORT_TIMEOUT_S)
         except PeerError as error:
-            log.debug('No report to {}: {}.', source, error)
+            log.debug('The report could not be sent to {}: {}.', source, error)
 
     def _state(self) -> EndpointState:
         report = self.rollout.report
@@ -229,7 +229,7 @@
             report.tokens_total if report is not None else 0,
             report.pace if report is not None else 1.0,
             served,
-            self._held(served),
+            self._held_versions(served),
             self.rollout.changing_to,
             self.rollout.goal,
             self.rollout.incarnation,
@@ -237,18 +237,18 @@
             report.backpressure.leaving if report is not None else False,
         )
 
-    def _held(self, served: tuple[ServedVersion, ...]) -> tuple[HeldVersion, ...]:
+    def _held_versions(self, served: tuple[ServedVersion, ...]) -> tuple[HeldVersion, ...]:
         """
-        The pieces that others can take from here: those in memory, and those
-        staged at the engine of what it serves whole.
+        The pieces that other daemons can fetch from this one: those in memory, and those
+        staged at the engine if it serves the whole model.
 
         """
         held = []
         for weights, pieces in self.store.sets.items():
-            first, end = pieces.held_run()
+            first, end = pieces.longest_run()
             if end > first:
                 held.append(HeldVersion(weights.model, weights.version, first, end))
-        layers, _ = self._shape()
+        layers, _ = self._model_shape()
         if not self.rollout.changing_to and layers:
             held += [
                 HeldVersion(item.model, item.version)
@@ -266,7 +266,7 @@
 
     async def handle(self, connection: Connection, message: Message) -> Message | None:
         """
-        Answer a peer's message.
+        Handle one message of a peer; returns the reply, or None if there is none.
 
         """
         if await self.feed_client.handle_feed_message(connection.peer, message):
@@ -285,14 +285,18 @@
 
     @on.register
     async def _(self, message: messages.AskLoad, connection: Connection) -> Message:
-        return await self.loads.now()
+        return await self.loads.current_load()
 
     @on.register
     async def _(self, message: messages.GetManifest, connection: Connection) -> Message:
         weights = self._weights_id(message.digest, connection)
         if weights is None:
             return Manifest()
-        held = self.store.of(weights) if self._is_target(weights) else self.store.find(weights)
+        held = (
+            self.store.get_or_create(weights)
+            if self._is_target(weights)
+            else self.store.find(weights)
+        )
         if held is not None and not held.digests:
             await self._wait_for_digests(held)
         if held is None or not held.digests:
@@ -310,7 +314,7 @@
     @on.register
     async def _(self, message: messages.GetChunk, connection: Connection) -> Message:
         weights = self._weights_id(message.manifest, connection)
-        data = await self._piece(weights, message.index) if weights is not None else None
+        data = await self._find_piece(weights, message.index) if weights is not None else None
         if data is None:
             return Chunk(reason='not here')
         await self.link.outward.take(len(data))
@@ -322,7 +326,7 @@
         weights = self._weights_id(message.manifest, connection)
         if weights is None or not self._is_wanted(weights):
             return Done(False)
-        held = self.store.of(weights)
+        held = self.store.get_or_create(weights)
         if message.index in held.pieces:
             self.env.metrics.count(self.env.metrics.chunks, source='pushed', outcome='again')
             return Done(True)
@@ -332,7 +336,10 @@
         self.env.metrics.count(self.env.metrics.chunks, source='pushed', outcome=outcome)
         if not good:
             log.warning(
-                'Piece {} of {} from {} is corrupt.', message.index, weights, connection.peer
+                'Piece {} of {} from {} does not match its digest.',
+                message.index,
+                weights,
+                connection.peer,
             )
         return Done(good)
 
@@ -340,37 +347,38 @@
         try:
             return parse_weights_id(text)
         except ValueError as error:
-            log.warning('A bad id of weights from {}: {}.', connection.peer, error)
+            log.warning('{} sent an invalid weights id: {}.', connection.peer, error)
             return None
 
     def _is_wanted(self, weights: WeightsId) -> bool:
         """
-        Whether pieces of a version are of use here: it is the target, or a
-        newer one that this daemon will hear of.
+        Whether this daemon can use pieces of a version: it is the target version, or
+        a newer one whose announcement has not reached this daemon yet.
 
         """
-        target = self.targets.known
+        target = self.targets.current
         return target is not None and (
             weights.model == target.weights.model and weights.version >= target.weights.version
         )
 
-    async def _piece(self, weights: WeightsId, index: int) -> bytes | None:
+    async def _find_piece(self, weights: WeightsId, index: int) -> bytes | None:
         held = self.store.find(weights)
         if held is not None and index in held.pieces:
             return held.pieces[index]
         if self._engine_serves(weights):
-            return await self.engine.staged(weights.model, index)
+            return await self.engine.read_staged(weights.model, index)
         return None
 
     def _is_target(self, weights: WeightsId) -> bool:
-        return self.targets.known is not None and self.targets.known.weights == weights
+        return self.targets.current is not None and self.targets.current.weights == weights
 
     def _engine_serves(self, weights: WeightsId) -> bool:
         """
-        Whether the pieces staged at the engine are of this version.
+        Whether the pieces staged at the engine are those of this version: the engine
+        serves all its layers, and no change to another version is in progress.
 
         """
-        layers, _ = self._shape()
+        layers, _ = self._model_shape()
         served = self.rollout.served
         return not self.rollout.changing_to and serves_whole(served, weights, layers)
 
--- /dev/null
+++ b/packages/millforkd/millforkd/sidecar/expiry.py
@@ -0,0 +1,194 @@
+"""
+Removes a version from the engine if it ends before the next version has arrived.
+
+Entries stop sending in time, but their last requests may be queued in a slow link, where
+they can't be cancelled: a request was seen to start 1.1 s after it was sent. This daemon
+runs on the same instance as the engine, so no link delays its orders. It orders the engine
+to hold a single layer of the next version, so that the engine refuses late requests as not
+run. If no layer of the next version has arrived (the origin is down, or the daemon has just
+started), the order names one layer of the served version, whose pieces are staged at the
+engine. An engine that is about to have the whole next version gets no such order: it would
+accept no other order until its running requests have ended, and would change 0.5 s to
+1.5 s later.
+
+"""
+
+from collections import deque
+from typing import Final
+
+import curio
+
+from millfork_core.environment import Environment
+from millfork_core.ids import UNTOLD_INCARNATION
+from millfork_core.logs import Part, logger
+from millfork_registry.records import ServedVersion
+from millforkd.sidecar.engine import LocalEngine
+from millforkd.sidecar.layer_assignment import Layers
+from millforkd.sidecar.pieces import PieceSet, PieceStore, WeightsId
+from millforkd.sidecar.rollout import Rollout
+from millforkd.sidecar.target import Target
+from millforkd.version_switching import LAST_SEND_BEFORE_END_S
+
+POLL_S: Final = 0.05
+# The engine is emptied this long before the end of the old version. The order takes two
+# polls and a few calls on the same instance, and this daemon may have learned of the new
+# version 0.2 s after the entries did.
+EMPTY_AHEAD_S: Final = 0.35
+# The next version counts as nearly complete if its missing pieces take no longer than this
+# at the rate of the last second. On a link slow enough to delay requests as described
+# above, they take longer.
+NEARLY_COMPLETE_S: Final = 0.5
+RATE_WINDOW_S: Final = 1.0
+
+log = logger(Part.WEIGHTS)
+
+
+class ExpiryWatcher:
+    """
+    Empties the engine when the version that it serves is about to end.
+
+    """
+
+    def __init__(
+        self, env: Environment, engine: LocalEngine, store: PieceStore, rollout: Rollout
+    ) -> None:
+        self.env = env
+        self.engine = engine
+        self.store = store
+        self.rollout = rollout
+        # The engine's incarnation when it was last emptied, and the target version then.
+        self.emptied_for = (UNTOLD_INCARNATION, 0)
+        # Samples of the last second: a time, and the number of target pieces held then.
+        self.arrivals: deque[tuple[float, int]] = deque()
+
+    async def run(self) -> None:
+        """
+        Check the served version periodically, until cancelled.
+
+        """
+        while True:
+            await curio.sleep(POLL_S)
+            target = self.rollout.target()
+            if target is None:
+                continue
+            held = self.store.get_or_create(target.weights)
+            self._record_arrivals(len(held.pieces))
+            if self._is_due(target, held):
+                await self._empty_engine(target)
+
+    def _is_due(self, target: Target, held: PieceSet) -> bool:
+        """
+        Whether the served version is about to end and the next one is not nearly complete.
+
+        """
+        if not self._has_ended(target):
+            return False
+        return self._remaining_s(target, held) > NEARLY_COMPLETE_S
+
+    def _record_arrivals(self, count: int) -> None:
+        now = self.env.monotonic()
+        if self.arrivals and count < self.arrivals[-1][1]:
+            # The target is another version now.
+            self.arrivals.clear()
+        self.arrivals.append((now, count))
+        while now - self.arrivals[0][0] > RATE_WINDOW_S:
+            self.arrivals.popleft()
+
+    def _remaining_s(self, target: Target, held: PieceSet) -> float:
+        """
+        Seconds until the missing pieces have arrived, at the rate of the last second.
+
+        """
+        window_start, window_start_count = self.arrivals[0]
+        arrived = len(held.pieces) - window_start_count
+        missing = target.pieces - len(held.pieces)
+        if not missing:
+            return 0.0
+        if not arrived:
+            return float('inf')
+        return missing * (self.env.monotonic() - window_start) / arrived
+
+    def _has_ended(self, target: Target) -> bool:
+        """
+        Whether the engine still serves a version on which no request may start any more,
+        or which gets there within `EMPTY_AHEAD_S`.
+
+        """
+        emptied = self.emptied_for == (self.rollout.incarnation, target.weights.version)
+        if emptied or self.rollout.changing_to:
+            return False
+        if not self.rollout.serves_another(target):
+            return False
+        return self.env.monotonic() > target.due + LAST_SEND_BEFORE_END_S - EMPTY_AHEAD_S
+
+    async def _empty_engine(self, target: Target) -> None:
+        async with self.rollout.order_lock:
+            if not self._has_ended(target):
+                return
+            emptied = (self.rollout.incarnation, target.weights.version)
+            remaining = await self._order_single_layer(target)
+        if remaining is None:
+            return
+        self.emptied_for = emptied
+        log.notice(
+            'Removed the ended version from the engine. next={} left={}@{} layer={} since_s={:.2f}',
+            target.weights,
+            remaining.model,
+            remaining.version,
+            remaining.first,
+            self.env.monotonic() - target.chosen_at,
+        )
+
+    async def _order_single_layer(self, target: Target) -> ServedVersion | None:
+        """
+        Order the engine to hold a single layer of the next version, from which the rollout
+        continues, or else one of the served version. None if the engine got or accepted
+        no order.
+
+        """
+        weights = target.weights
+        held = self.store.get_or_create(weights)
+        layer = _find_complete_layer(held, target)
+        if layer is None:
+            return await self._order_layer_of_served_version(target)
+        for index in layer.pieces(target.layers, target.pieces):
+            if not await self.engine.stage(weights.model, index, held.pieces[index]):
+                return None
+        return await self._order(weights, layer)
+
+    async def _order_layer_of_served_version(self, target: Target) -> ServedVersion | None:
+        """
+        Order the engine to hold a single layer of the version that it serves, with which
+        alone it can't generate tokens. The pieces of this layer are still staged at the
+        engine, unless an earlier process of this daemon has staged those of the target.
+
+        """
+        if not self.rollout.staged_checked or self.rollout.staged_weights == target.weights:
+            return None
+        serves = self.rollout.served[0]
+        end = serves.end if serves.end is not None else target.layers
+        if end - serves.first <= 1:
+            return None
+        # A layer that is neither the first nor the last of the model, if there is one. An
+        # entry that knows of no newer version then can't start or end a path at this engine.
+        middle = (serves.first + end) // 2
+        layer = Layers(middle, middle + 1)
+        return await self._order(WeightsId(serves.model, serves.version), layer)
+
+    async def _order(self, weights: WeightsId, layer: Layers) -> ServedVersion | None:
+        model, version = weights.model, weights.version
+        if not await self.engine.start(model, version, layer.first, layer.end, False):
+            return None
+        return ServedVersion(model, version, layer.first, layer.end)
+
+
+def _find_complete_layer(held: PieceSet, target: Target) -> Layers | None:
+    """
+    The first layer of which this daemon holds all pieces; None if there is none.
+
+    """
+    for first in range(target.layers):
+        layer = Layers(first, first + 1)
+        if all(index in held.pieces for index in layer.pieces(target.layers, target.pieces)):
+            return layer
+    return None
--- /dev/null
+++ b/packages/millforkd/millforkd/sidecar/gathering.py
@@ -0,0 +1,332 @@
+"""
+Fetches the pieces of a version into memory, from caches, peers and the origin.
+
+"""
+
+from collections.abc import Awaitable, Callable
+from typing import Final
+
+import curio
+import msgspec
+
+from millfork_core.environment import Environment
+from millfork_core.logs import Part, logger
+from millfork_registry.discovery import address_of
+from millfork_weights.links import Link
+from millfork_wire.connection import PeerError
+from millfork_wire.messages import CacheAddress, Chunk, GetChunk, GetManifest, Manifest
+from millfork_wire.peers import Peers
+from millforkd.sidecar.fleet import Fleet
+from millforkd.sidecar.origin import Origin
+from millforkd.sidecar.pieces import PieceSet, WeightsId, decode_digests
+from millforkd.sidecar.pushing import PiecePusher
+from millforkd.sidecar.silent_peers import SilentPeers
+from millforkd.sidecar.sources import DIGESTS_INDEX, request_order
+from millforkd.sidecar.transfer_times import TransferTimes
+from millforkd.sidecar.verification import store_if_valid
+
+# Concurrent requests to peers: enough to fill the link for some milliseconds, few enough
+# that pieces don't queue ahead of the engine's requests.
+PEER_WINDOW_PIECES: Final = 4
+# Concurrent requests to caches: one piece on the link and one request on its way to the
+# cache and back. More would queue in a slow link ahead of the engine's requests.
+CACHE_WINDOW_PIECES: Final = 2
+# Consecutive rounds of requests to caches without a piece, before daemons ask peers and
+# the origin. Caches themselves retry an origin that is down for some seconds as soon as
+# it is back.
+MAX_FAILED_CACHE_ROUNDS: Final = 20
+# Consecutive requests to caches for the list of digests before it is requested from peers
+# or the origin. No transfer starts without this small list. The requests take about 4 s;
+# caches that can reach the cache that fetches the list have it within 1 s.
+MAX_FAILED_DIGEST_REQUESTS: Final = 6
+# Concurrent requests of one daemon to the origin.
+ORIGIN_WINDOW_PIECES: Final = 1
+# A daemon that received no piece for this long requests the missing ones. A piece takes
+# 0.05 s on the slowest links, and sending it to all receivers ten times that.
+STALL_S: Final = 0.8
+PEER_TIMEOUT_S: Final = 2.0
+# A cache answers 'not yet' after 0.5 s, and a piece takes 0.05 s on the link.
+CACHE_TIMEOUT_S: Final = 1.0
+# Peers that are asked for the same piece in one round.
+MAX_PEERS_PER_ROUND: Final = 2
+RETRY_S: Final = 0.2
+
+FetchPiece = Callable[[PieceSet, int], Awaitable[None]]
+
+log = logger(Part.WEIGHTS)
+
+
+class PieceGatherer:
+    """
+    Fetches missing pieces and digests, from caches first, then from peers and the origin.
+
+    """
+
+    def __init__(
+        self,
+        env: Environment,
+        peers: Peers,
+        fleet: Fleet,
+        origin: Origin,
+        caches: Callable[[], list[CacheAddress]],
+        pusher: PiecePusher,
+        link: Link,
+    ) -> None:
+        self.env = env
+        self.peers = peers
+        self.fleet = fleet
+        self.origin = origin
+        self.caches = caches
+        self.silent = SilentPeers(env.monotonic)
+        self.transfer_times = TransferTimes(link.rate, env.monotonic)
+        self.slow_link_lock = curio.Lock()
+        # Consecutive requests to caches that returned no digests.
+        self.failed_digest_requests = 0
+        self.pusher = pusher
+        self.link = link
+
+    async def gather(self, held: PieceSet, wanted: range) -> None:
+        """
+        Fetch the wanted pieces and return when all of them are held. The caller cancels
+        this task when it does not need them any more.
+
+        """
+        while not await self.obtain_digests(held):
+            await curio.sleep(RETRY_S)
+        fallback_rank = 0
+        failed_rounds = 0
+        while missing := held.missing(wanted):
+            if failed_rounds < MAX_FAILED_CACHE_ROUNDS and self.near_caches():
+                failed_rounds = (
+                    0 if await self._fetch_from_caches(held, missing) else failed_rounds + 1
+                )
+                continue
+            failed_rounds = 0
+            held_elsewhere = [index for index in missing if self.fleet.holders(held.weights, index)]
+            if held_elsewhere:
+                await self._fetch_from_peers(held, held_elsewhere)
+                if len(held.missing(wanted)) < len(missing):
+                    continue
+            elif await self._fetch_from_origin(held, missing, fallback_rank):
+                continue
+            if await self._wait_for_piece(held):
+                continue
+            fallback_rank += 1
+
+    async def _wait_for_piece(self, held: PieceSet) -> bool:
+        """
+        Wait for another piece; False if none arrives within `STALL_S`.
+
+        """
+        arrived = held.arrived
+        try:
+            async with curio.timeout_after(STALL_S):
+                await arrived.wait()
+        except curio.TaskTimeout:
+            return False
+        return True
+
+    # Requests to caches.
+
+    def near_caches(self) -> list[str]:
+        """
+        The answering caches of this daemon's zone, or of all zones if it has none.
+
+        """
+        found = [cache for cache in self.caches() if not self.silent.is_silent(cache.instance)]
+        near = [cache for cache in found if cache.zone == self.env.zone]
+        return [cache.instance for cache in near or found]
+
+    async def _fetch_from_caches(self, held: PieceSet, missing: list[int]) -> bool:
+        """
+        Fetch the missing pieces from the caches; False if none of them arrived.
+
+        """
+        before = len(held.pieces)
+        queue = sorted(missing, reverse=True)
+        await self._in_parallel(CACHE_WINDOW_PIECES, held, queue, self._fetch_piece_from_caches)
+        if len(held.pieces) > before:
+            return True
+        await curio.sleep(RETRY_S)
+        return False
+
+    async def _fetch_piece_from_caches(self, held: PieceSet, index: int) -> None:
+        """
+        Fetch one piece. On a slow link pieces are fetched one at a time, with a pause as
+        long as the transfer, so that the engine's requests get through.
+
+        """
+        if not self.transfer_times.is_slow:
+            await self._ask_caches(held, index)
+            return
+        async with self.slow_link_lock:
+            began = self.env.monotonic()
+            await self._ask_caches(held, index)
+            await curio.sleep(self.env.monotonic() - began)
+
+    async def _ask_caches(self, held: PieceSet, index: int) -> None:
+        for name in request_order(self.near_caches(), held.weights, index)[:MAX_PEERS_PER_ROUND]:
+            data = await self._request_from_cache(name, held.weights, index)
+            if data and await self._store(held, index, data, 'cache', name):
+                return
+
+    async def _request_from_cache(self, name: str, weights: WeightsId, index: int) -> bytes:
+        began = self.transfer_times.begin()
+        timeout = PEER_TIMEOUT_S if self.transfer_times.is_slow else CACHE_TIMEOUT_S
+        data = b''
+        try:
+            data = await self._request_chunk(name, weights, index, timeout)
+        except PeerError as error:
+            log.info('Piece {} of {} was not received from {}: {}.', index, weights, name, error)
+            self.silent.mark_silent(name)
+        finally:
+            self.transfer_times.end(began, len(data))
+        return data
+
+    # Requests to the origin.
+
+    async def _fetch_from_origin(
+        self, held: PieceSet, missing: list[int], fallback_rank: int
+    ) -> bool:
+        """
+        Fetch the missing pieces for which this daemon is among the first
+        `fallback_rank + 1` origin fetchers: its own, and those that the daemons ahead of
+        it did not deliver. False if there are no such pieces.
+
+        """
+        own = str(self.env.instance)
+        queue = [
+            index
+            for index in missing
+            if own in self.fleet.origin_fetchers(held.weights, index)[: fallback_rank + 1]
+        ]
+        queue.reverse()
+        await self._in_parallel(ORIGIN_WINDOW_PIECES, held, queue, self._fetch_piece_from_origin)
+        return bool(queue)
+
+    async def _fetch_piece_from_origin(self, held: PieceSet, index: int) -> None:
+        data = await self.origin.fetch_piece(held, index)
+        if data is None:
+            await curio.sleep(RETRY_S)
+            return
+        self.link.inward.note(len(data))
+        await self.pusher.add(held.weights, index, data)
+
+    async def _in_parallel(
+        self,
+        window: int,
+        held: PieceSet,
+        queue: list[int],
+        fetch: FetchPiece,
+    ) -> None:
+        async with curio.TaskGroup() as group:
+            for _ in range(min(window, len(queue))):
+                await group.spawn(self._fetch_queued, held, queue, fetch)
+
+    async def _fetch_queued(self, held: PieceSet, queue: list[int], fetch: FetchPiece) -> None:
+        while queue:
+            index = queue.pop()
+            if index not in held.pieces:
+                await fetch(held, index)
+
+    # Requests to peers.
+
+    async def _fetch_from_peers(self, held: PieceSet, missing: list[int]) -> None:
+        """
+        Fetch the missing pieces from their holders, in random order.
+
+        """
+        queue = list(missing)
+        self.env.random.shuffle(queue)
+        await self._in_parallel(PEER_WINDOW_PIECES, held, queue, self._fetch_piece_from_peers)
+
+    async def _fetch_piece_from_peers(self, held: PieceSet, index: int) -> None:
+        for peer in self.fleet.nearest_holders(held.weights, index)[:MAX_PEERS_PER_ROUND]:
+            data = await self._request_from_peer(peer, held.weights, index)
+            if data is None:
+                continue
+            if await self._store(held, index, data, 'peer', peer):
+                return
+
+    async def _store(
+        self, held: PieceSet, index: int, data: bytes, source: str, sender: str
+    ) -> bool:
+        good = await store_if_valid(self.env, held, index, data, source, sender)
+        if good:
+            self.link.inward.note(len(data))
+        return good
+
+    async def _request_from_peer(self, peer: str, weights: WeightsId, index: int) -> bytes | None:
+        try:
+            return await self._request_chunk(peer, weights, index, PEER_TIMEOUT_S) or None
+        except PeerError as error:
+            log.info('Piece {} of {} was not received from {}: {}.', index, weights, peer, error)
+            return None
+
+    async def _request_chunk(
+        self, peer: str, weights: WeightsId, index: int, timeout: float
+    ) -> bytes:
+        """
+        Request a piece from a peer; returns empty bytes if the peer does not hold it.
+
+        :raises PeerError: if the peer does not answer.
+
+        """
+        message = GetChunk(str(weights), index)
+        reply = await self.peers.call(address_of(peer), message, timeout)
+        return reply.data if isinstance(reply, Chunk) and reply.found else b''
+
+    # Digests.
+
+    async def obtain_digests(self, held: PieceSet) -> bool:
+        """
+        Fetch the digests: from caches, and after `MAX_FAILED_DIGEST_REQUESTS` failures or
+        without caches from peers or the origin. False if they could not be fetched.
+
+        """
+        if held.digests:
+            return True
+        caches = request_order(self.near_caches(), held.weights, DIGESTS_INDEX)
+        if caches and self.failed_digest_requests < MAX_FAILED_DIGEST_REQUESTS:
+            self.failed_digest_requests += 1
+            return await self._fetch_digests_from_peer(held, caches[0])
+        self.failed_digest_requests = 0
+        return await self._obtain_digests_without_caches(held)
+
+    async def _fetch_digests_from_peer(self, held: PieceSet, peer: str) -> bool:
+        digests = await self._request_digests(peer, held.weights)
+        if not digests:
+            return False
+        self.failed_digest_requests = 0
+        await held.set_digests(digests)
+        return True
+
+    async def _obtain_digests_without_caches(self, held: PieceSet) -> bool:
+        own = str(self.env.instance)
+        names = [state.instance for state in self.fleet.holders(held.weights, 0)]
+        ordered = request_order(names, held.weights, DIGESTS_INDEX) or self.fleet.origin_fetchers(
+            held.weights, 0
+        )
+        for peer in ordered[:MAX_PEERS_PER_ROUND]:
+            if peer == own:
+                break
+            if await self._fetch_digests_from_peer(held, peer):
+                return True
+        return bool(held.digests) or await self.origin.fetch_digests(held)
+
+    async def _request_digests(self, peer: str, weights: WeightsId) -> tuple[str, ...]:
+        try:
+            reply = await self.peers.call(
+                address_of(peer), GetManifest(str(weights)), CACHE_TIMEOUT_S
+            )
+        except PeerError as error:
+            log.info('The digests of {} were not received from {}: {}.', weights, peer, error)
+            self.silent.mark_silent(peer)
+            return ()
+        if not isinstance(reply, Manifest) or not reply.found:
+            return ()
+        try:
+            return decode_digests(reply.body)
+        except msgspec.DecodeError as error:
+            log.warning('The digests of {} from {} could not be parsed: {}.', weights, peer, error)
+            return ()
--- a/packages/millforkd/millforkd/beside/origin.py
+++ b/packages/millforkd/millforkd/sidecar/origin.py
@@ -1,5 +1,5 @@
 """
-Drawing weights from their origin, in pieces.
+Fetches weights from their origin, in pieces.
 
 """
 
@@ -13,22 +13,22 @@
 from millfork_routing.documents import Document, OriginSpec
 from millfork_web.client import Client, ExchangeFailed
 from millfork_web.models import Request
-from millforkd.beside.intake import keep_if_good
-from millforkd.beside.pieces import PieceSet
+from millforkd.sidecar.pieces import PieceSet
+from millforkd.sidecar.verification import store_if_valid
 
-# A piece takes 0.03 s at the origin's 7.3 Mbit/s; a dozen may wait there. An origin
-# that is silent for longer is down, and may be back at any moment.
+# A piece takes 0.03 s at the origin's 7.3 Mbit/s, and a dozen may be queued there. An
+# origin that is silent for longer is down, and may be back at any moment.
 ORIGIN_TIMEOUT_S: Final = 1.0
-# It is left alone this long once it failed: enough not to be flooded when it is
-# back, little against the second that it may have before it fails again.
-DOWN_S: Final = 0.1
+# No request is sent for this long after a failure: enough not to flood an origin that comes
+# back, and short compared with the second for which it may be up before it fails again.
+PAUSE_AFTER_FAILURE_S: Final = 0.1
 
 log = logger(Part.WEIGHTS)
 
 
-def origin_in(document: Document | None) -> OriginSpec | None:
+def find_origin(document: Document | None) -> OriginSpec | None:
     """
-    Where a document says that weights come from.
+    The origin that a document names; None if it names none.
 
     """
     if document is None:
@@ -38,7 +38,7 @@
 
 class Origin:
     """
-    The origin that the document in force names.
+    Fetches pieces and digests from the origin that the current document names.
 
     """
 
@@ -54,20 +54,20 @@
         self.source = source
         self.figures = figures
         self.client: Client | None = None
-        self.down_until = float('-inf')
-        # Whether the last request failed; only changes of this are logged.
+        self.paused_until = float('-inf')
+        # Whether the last request failed. Only changes of this state are logged.
         self.failing = False
 
-    async def draw_piece(self, held: PieceSet, index: int) -> bytes | None:
+    async def fetch_piece(self, held: PieceSet, index: int) -> bytes | None:
         """
-        Draw one piece into `held`; None if no good one came.
+        Fetch one piece into `held`; None if no valid piece was received.
 
         """
         weights = held.weights
         began = self.env.monotonic()
         data = await self._fetch(self.adapter.piece_request(weights.model, weights.version, index))
         log.debug(
-            'Piece drawn. weights={} index={} got={} ms={:.0f}',
+            'Piece fetched from the origin. weights={} index={} got={} ms={:.0f}',
             weights,
             index,
             data is not None,
@@ -75,12 +75,12 @@
         )
         if data is None:
             return None
-        good = await keep_if_good(self.env, held, index, data, 'origin', 'the origin')
+        good = await store_if_valid(self.env, held, index, data, 'origin', 'the origin')
         return data if good else None
 
-    async def draw_digests(self, held: PieceSet) -> bool:
+    async def fetch_digests(self, held: PieceSet) -> bool:
         """
-        Draw the digests into `held`; False if none came.
+        Fetch the digests into `held`; False if no valid ones were received.
 
         """
         weights = held.weights
@@ -90,12 +90,16 @@
         try:
             pieces = self.adapter.read_piece_list(body)
         except BadCall as error:
-            log.warning('The digests of {} can not be read: {}.', weights, error)
+            log.warning(
+                'The digests of {} from the origin could not be parsed: {}.', weights, error
+            )
             return False
         if (pieces.model, pieces.version) != (weights.model, weights.version):
-            log.warning('The origin gave digests of {} {}.', pieces.model, pieces.version)
+            log.warning(
+                'The origin sent digests of another version: {} {}.', pieces.model, pieces.version
+            )
             return False
-        await held.learn_digests(pieces.digests)
+        await held.set_digests(pieces.digests)
         return True
 
     def _client(self) -> Client | None:
@@ -109,16 +113,16 @@
 
     async def _fetch(self, request: Request) -> bytes | None:
         client = self._client()
-        if client is None or self.env.monotonic() < self.down_until:
+        if client is None or self.env.monotonic() < self.paused_until:
             return None
         try:
             response = await client.fetch(
                 request.method, request.path, request.headers, timeout=ORIGIN_TIMEOUT_S
             )
         except ExchangeFailed as error:
-            self.down_until = self.env.monotonic() + DOWN_S
+            self.paused_until = self.env.monotonic() + PAUSE_AFTER_FAILURE_S
             if not self.failing:
-                log.warning('Nothing from the origin: {}. path={}', error, request.path)
+                log.warning('The request to the origin failed: {}. path={}', error, request.path)
             self.failing = True
             self.env.metrics.count(self.env.metrics.chunks, source='origin', outcome='failed')
             return None
@@ -126,6 +130,8 @@
             self.failing = False
             log.notice('The origin answers again. path={}', request.path)
         if response.status != 200:
-            log.warning('The origin answered {}. path={}', response.status, request.path)
+            log.warning(
+                'The origin answered with status {}. path={}', response.status, request.path
+            )
             return None
         return response.body
--- /dev/null
+++ b/packages/millforkd/millforkd/sidecar/pushing.py
@@ -0,0 +1,90 @@
+"""
+Sends pieces fetched from the origin to the other daemons whose first layers need them.
+
+Each receiver has a task that sends it one piece at a time: further pieces would only queue
+in a slow link, ahead of the requests to the receiver's engine.
+
+"""
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Final
+
+import curio
+
+from millfork_core.environment import Environment
+from millfork_core.logs import Part, logger
+from millfork_registry.discovery import address_of
+from millfork_weights.links import Pace
+from millfork_wire.connection import PeerError
+from millfork_wire.messages import PushChunk
+from millfork_wire.peers import Peers
+from millforkd.sidecar.pieces import WeightsId
+
+# A piece takes 0.05 s on the slowest healthy links, which it shares with other traffic. A
+# receiver that times out requests the missing pieces itself.
+PUSH_TIMEOUT_S: Final = 1.5
+# A receiver that timed out is sent no pieces for this long.
+SKIP_SLOW_PEER_S: Final = 4.0
+
+log = logger(Part.WEIGHTS)
+
+
+@dataclass(frozen=True, slots=True)
+class _OutgoingPiece:
+    weights: WeightsId
+    index: int
+    data: bytes
+
+
+class PiecePusher:
+    """
+    Queues outgoing pieces for each receiver and sends them at the pace of the link.
+
+    """
+
+    def __init__(
+        self,
+        env: Environment,
+        peers: Peers,
+        receivers: Callable[[WeightsId, int], list[str]],
+        outward: Pace,
+    ) -> None:
+        self.env = env
+        self.peers = peers
+        self.receivers = receivers
+        self.outward = outward
+        self.queues: dict[str, curio.Queue] = {}
+        # Until when each receiver that did not accept a piece is skipped (monotonic seconds).
+        self.skipped_until: dict[str, float] = {}
+
+    async def add(self, weights: WeightsId, index: int, data: bytes) -> None:
+        """
+        Queue a piece for every other daemon that needs it.
+
+        """
+        for name in self.receivers(weights, index):
+            if name == self.env.instance:
+                continue
+            if name not in self.queues:
+                self.queues[name] = curio.Queue()
+                await self.env.spawn(self._send_all, name)
+            await self.queues[name].put(_OutgoingPiece(weights, index, data))
+
+    async def _send_all(self, name: str) -> None:
+        while True:
+            outgoing = await self.queues[name].get()
+            if self.skipped_until.get(name, 0.0) > self.env.monotonic():
+                continue
+            await self.outward.take(len(outgoing.data))
+            await self._send(name, outgoing)
+
+    async def _send(self, name: str, outgoing: _OutgoingPiece) -> None:
+        message = PushChunk(str(outgoing.weights), outgoing.index, outgoing.data)
+        try:
+            await self.peers.call(address_of(name), message, PUSH_TIMEOUT_S)
+        except PeerError as error:
+            self.skipped_until[name] = self.env.monotonic() + SKIP_SLOW_PEER_S
+            log.info('Piece {} could not be sent to {}: {}.', outgoing.index, name, error)
+            return
+        self.env.metrics.count(self.env.metrics.chunk_bytes, len(outgoing.data), source='sent')
--- /dev/null
+++ b/packages/millforkd/millforkd/sidecar/rollout.py
@@ -0,0 +1,375 @@
+"""
+Brings the engine to the target version.
+
+An engine that serves an older version loads all layers of the new one in one step. The
+engines change in turns, a third of them at a time. An engine that serves nothing first
+loads its assigned half of the layers, then the rest while it serves. Without caches every
+engine does so, since the links between engines are too slow to transfer all pieces in time.
+
+"""
+
+from collections.abc import Awaitable, Callable
+from typing import Final
+
+import curio
+
+from millfork_adapter.exchange import EngineReport
+from millfork_core.environment import Environment
+from millfork_core.ids import UNTOLD_INCARNATION
+from millfork_core.logs import Part, logger
+from millfork_registry.records import ServedVersion
+from millforkd.sidecar.engine import LocalEngine
+from millforkd.sidecar.fleet import Fleet
+from millforkd.sidecar.gathering import PieceGatherer
+from millforkd.sidecar.layer_assignment import LayerAssignment, Layers, served_layers
+from millforkd.sidecar.pieces import PieceSet, PieceStore, WeightsId
+from millforkd.sidecar.target import Target
+from millforkd.version_switching import LAST_SEND_BEFORE_END_S
+
+# Entries stop sending to this engine within this time after its state was announced.
+ANNOUNCE_S: Final = 0.15
+# Requests that run on a changing engine may finish within this time. Streams of 100 tokens
+# take 1 s, so about a third of them remains, and continues at other engines.
+DRAIN_S: Final = 0.9
+DRAIN_POLL_S: Final = 0.03
+# Shorter limit once the old version has ended: the capacity of the changing engines then
+# matters more than the requests that remain on them.
+LATE_DRAIN_S: Final = 0.3
+POLL_S: Final = 0.1
+# The engines change in this many turns. Fewer turns would remove half of the capacity at
+# once; more do not fit into the time that remains once the pieces have arrived.
+TURNS: Final = 3
+# After this many mismatching pieces and no matching one, the staged pieces are assumed to
+# be of another version.
+MAX_STAGED_MISMATCHES: Final = 3
+# Time from the order until the engine serves, which includes the end of running requests.
+START_TIMEOUT_S: Final = 6.0
+
+log = logger(Part.WEIGHTS)
+
+
+class Rollout:
+    """
+    Takes one engine step by step to its target version.
+
+    """
+
+    def __init__(
+        self,
+        env: Environment,
+        engine: LocalEngine,
+        store: PieceStore,
+        gatherer: PieceGatherer,
+        fleet: Fleet,
+        target: Callable[[], Target | None],
+        announce: Callable[[], Awaitable[None]],
+    ) -> None:
+        self.env = env
+        self.engine = engine
+        self.store = store
+        self.gatherer = gatherer
+        self.fleet = fleet
+        self.target = target
+        self.announce = announce
+        self.report: EngineReport | None = None
+        # The engine's incarnation in its last report.
+        self.incarnation = UNTOLD_INCARNATION
+        self.changing_to = 0
+        # Held while pieces are staged for an order and the order is given.
+        self.order_lock = curio.Lock()
+        # Whether this daemon has checked which version the staged pieces belong to, and the
+        # target that they belong to, if an earlier process staged them and gave no order.
+        self.staged_checked = False
+        self.staged_weights: WeightsId | None = None
+        # The assignment is kept once chosen, although the states of other daemons change.
+        self.assignment: tuple[WeightsId, LayerAssignment] | None = None
+
+    def record_report(self, report: EngineReport | None) -> None:
+        """
+        Record the engine's latest report, None if it did not answer.
+
+        """
+        self.report = report
+        if report is None or report.incarnation == self.incarnation:
+            return
+        log.notice(
+            'The incarnation of the engine changed. before={} now={}',
+            self.incarnation,
+            report.incarnation,
+        )
+        self.incarnation = report.incarnation
+        # What was known of the engine's last process is void. Pieces may still be staged.
+        self.staged_checked = False
+        self.staged_weights = None
+        self.assignment = None
+
+    @property
+    def served(self) -> tuple[ServedVersion, ...]:
+        """
+        The versions and layers that the engine serves according to its last report.
+
+        """
+        if self.report is None:
+            return ()
+        return tuple(ServedVersion(*item) for item in self.report.served)
+
+    @property
+    def goal(self) -> ServedVersion | None:
+        """
+        The layers that the engine loads first; None until they are chosen.
+
+        """
+        if self.assignment is None:
+            return None
+        weights, assignment = self.assignment
+        return ServedVersion(
+            weights.model, weights.version, assignment.layers.first, assignment.layers.end
+        )
+
+    def _served_layers(self, target: Target) -> Layers | None:
+        return served_layers(self.served, target.weights, target.layers)
+
+    def _is_done(self, target: Target) -> bool:
+        return self._served_layers(target) == Layers(0, target.layers)
+
+    def serves_another(self, target: Target) -> bool:
+        """
+        Whether the engine serves another version and none of the target.
+
+        """
+        return bool(self.served) and self._served_layers(target) is None
+
+    def is_emptied(self, target: Target) -> bool:
+        """
+        Whether the engine holds neither the first nor the last layer. Paths have two engines
+        and include both layers, so such an engine gets no requests.
+
+        """
+        return all(
+            item.first > 0 and item.end is not None and item.end < target.layers
+            for item in self.served
+        )
+
+    async def run(self) -> None:
+        """
+        Bring the engine to each new target, until cancelled.
+
+        """
+        while True:
+            await curio.sleep(POLL_S)
+            target = self.target()
+            if target is None or self.report is None or self._is_done(target):
+                continue
+            await self._step(target)
+
+    async def _step(self, target: Target) -> None:
+        """
+        Fetch the next layers that the engine lacks, and order the engine to load them.
+
+        """
+        began = self.env.monotonic()
+        held = self.store.get_or_create(target.weights)
+        await self._check_staged(held)
+        goal = self._choose_goal(target, held)
+        if not await self._gather(held, target, goal):
+            return
+        gathered = self.env.monotonic()
+        if not await self._wait_for_turn(target):
+            return
+        await self._start(target, held, goal)
+        now = self.env.monotonic()
+        log.notice(
+            'Rollout step ended. weights={} goal={}-{} served={} gather_s={:.2f} start_s={:.2f} '
+            'since_s={:.2f}',
+            target.weights,
+            goal.first,
+            goal.end,
+            self._served_layers(target),
+            gathered - began,
+            now - gathered,
+            now - target.chosen_at,
+        )
+
+    def _choose_goal(self, target: Target, held: PieceSet) -> Layers:
+        """
+        The layers that the engine loads next.
+
+        """
+        begun = held.whole or self._served_layers(target) is not None
+        if begun or (self.serves_another(target) and self.gatherer.near_caches()):
+            return Layers(0, target.layers)
+        return self._own_assignment(target).layers
+
+    def _own_assignment(self, target: Target) -> LayerAssignment:
+        if self.assignment is None or self.assignment[0] != target.weights:
+            self.assignment = (target.weights, self.fleet.own_assignment(target.weights))
+            log.info('Layers assigned to this engine. weights={} place={}', *self.assignment)
+        return self.assignment[1]
+
+    def _is_outdated(self, target: Target) -> bool:
+        now = self.target()
+        return now is None or now.weights != target.weights
+
+    async def _gather(self, held: PieceSet, target: Target, goal: Layers) -> bool:
+        """
+        Fetch the pieces of the `goal` layers; False if the target changes meanwhile.
+
+        """
+        wanted = goal.pieces(target.layers, target.pieces)
+        if held.digests and not held.missing(wanted):
+            return True
+        task = await self.env.spawn(self.gatherer.gather, held, wanted)
+        try:
+            while not task.terminated:
+                await curio.sleep(POLL_S)
+                if self._is_outdated(target):
+                    return False
+        finally:
+            if not task.terminated:
+                await task.cancel()
+        return bool(held.digests) and not held.missing(wanted)
+
+    async def _check_staged(self, held: PieceSet) -> None:
+        if not held.digests:
+            await self._adopt_staged(held)
+        self.staged_checked = True
+
+    async def _adopt_staged(self, held: PieceSet) -> None:
+        """
+        Read the pieces that are staged at the engine into `held`, if they match its digests.
+
+        """
+        if not await self.gatherer.obtain_digests(held):
+            return
+        model = held.weights.model
+        matching = mismatched = 0
+        for index in held.missing():
+            data = await self.engine.read_staged(model, index)
+            if data is not None and await held.put(index, data):
+                matching += 1
+                continue
+            mismatched += 1
+            if not matching and mismatched >= MAX_STAGED_MISMATCHES:
+                break
+        if matching:
+            self.staged_weights = held.weights
+            log.info(
+                'Read staged pieces. weights={} good={} bad={}', held.weights, matching, mismatched
+            )
+
+    async def _wait_for_turn(self, target: Target) -> bool:
+        """
+        Wait for this engine's turn: the engines of a turn change after those of all earlier
+        turns, or when the change is due. False if the target changes meanwhile.
+
+        """
+        turn = self.fleet.own_turn(target.weights, TURNS)
+        while self.serves_another(target) and self.env.monotonic() < target.due:
+            if self._changed_count(target) * TURNS >= turn * len(self.fleet.members()):
+                break
+            await curio.sleep(POLL_S)
+            if self._is_outdated(target):
+                return False
+        return True
+
+    def _changed_count(self, target: Target) -> int:
+        """
+        The number of engines that serve at least some layers of the target.
+
+        """
+        return sum(
+            served_layers(state.served, target.weights, target.layers) is not None
+            for state in self.fleet.members()
+        )
+
+    async def _wait_for_drain(self, target: Target) -> None:
+        """
+        Wait until the engine has no requests, for up to `DRAIN_S` but not beyond the end of
+        its version, when no request may start on it; if that is near, up to `LATE_DRAIN_S`.
+
+        """
+        now = self.env.monotonic()
+        ends = target.due + LAST_SEND_BEFORE_END_S
+        until = max(now + LATE_DRAIN_S, min(now + DRAIN_S, ends))
+        while self.env.monotonic() < until:
+            report = await self.engine.report()
+            if report is not None and not report.running and not report.queued:
+                return
+            await curio.sleep(DRAIN_POLL_S)
+
+    async def _start(self, target: Target, held: PieceSet, layers: Layers) -> None:
+        """
+        Order the engine to hold exactly these layers. If it already serves some of them,
+        it continues to do so.
+
+        """
+        weights = target.weights
+        # An emptied engine has no requests to drain, and gets the order 0.3 s sooner.
+        replaces = self.serves_another(target) and not self.is_emptied(target)
+        if self._served_layers(target) is None:
+            self.changing_to = weights.version
+            await self._announce_state()
+        draining = None
+        try:
+            if replaces:
+                await curio.sleep(ANNOUNCE_S)
+                draining = await self.env.spawn(self._wait_for_drain, target)
+            if await self._give_order(target, held, layers, replaces, draining):
+                await self._wait_until_served(target, layers)
+        finally:
+            if draining is not None:
+                await draining.cancel()
+            self.changing_to = 0
+            await self._announce_state()
+
+    async def _give_order(
+        self,
+        target: Target,
+        held: PieceSet,
+        layers: Layers,
+        replaces: bool,
+        draining: curio.Task | None,
+    ) -> bool:
+        """
+        Stage the pieces, wait for the drain, and give the order; False if the engine did not
+        accept a piece or the order.
+
+        """
+        weights = target.weights
+        async with self.order_lock:
+            for index in layers.pieces(target.layers, target.pieces):
+                if not await self.engine.stage(weights.model, index, held.pieces[index]):
+                    return False
+            if draining is not None:
+                await draining.join()
+            return await self.engine.start(
+                weights.model, weights.version, layers.first, layers.end, replaces
+            )
+
+    async def _announce_state(self) -> None:
+        """
+        Announce this daemon's state. A replica that does not answer (it may have lost power)
+        must not delay the engine, and the next report repeats the state.
+
+        """
+        try:
+            async with curio.timeout_after(ANNOUNCE_S):
+                await self.announce()
+        except curio.TaskTimeout:
+            log.info('No replica accepted the state within {} s.', ANNOUNCE_S)
+
+    async def _wait_until_served(self, target: Target, layers: Layers) -> None:
+        until = self.env.monotonic() + START_TIMEOUT_S
+        ordered_incarnation = self.incarnation
+        while self.env.monotonic() < until:
+            report = await self.engine.report()
+            if report is not None:
+                self.record_report(report)
+            if self.incarnation != ordered_incarnation:
+                log.warning('The engine restarted before it served {}.', target.weights)
+                return
+            serving = self._served_layers(target)
+            if serving is not None and serving.first <= layers.first and layers.end <= serving.end:
+                return
+            await curio.sleep(POLL_S)
+        log.warning('The engine does not serve layers {} of {} yet.', layers, target.weights)
--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -236,7 +236,7 @@
     ),
     Mutation(
         'the origin is drawn once for all zones',
-        'tests/test_caches.py::test_the_origin_is_drawn_once_for_all_zones',
+        'tests/test_caches.py::test_each_piece_is_fetched_from_the_origin_once_for_all_zones',
         (
             Edit(
                 D + 'proxy/cache.py',
@@ -247,12 +247,12 @@
     ),
     Mutation(
         'a piece is left to a drawer that is at it',
-        'tests/test_caches.py::test_a_piece_that_its_drawer_brings_is_not_drawn_beside_it',
+        'tests/test_caches.py::test_a_piece_that_the_assigned_cache_fetches_is_not_fetched_twice',
         (Edit(D + 'proxy/cache.py', 'self.not_yet_answers[key] < MAX_NOT_YET_ANSWERS', 'not self.not_yet_answers[key]'),),
     ),
     Mutation(
         'a drawer whose origin sends other pieces first is waited for',
-        'tests/test_caches.py::test_a_drawer_whose_origin_sends_other_pieces_first_is_waited_for',
+        'tests/test_caches.py::test_an_assigned_cache_is_waited_for_while_its_origin_sends_other_pieces',
         (
             Edit(
                 D + 'proxy/cache.py',
@@ -263,8 +263,8 @@
     ),
     Mutation(
         'a silent drawer is passed over',
-        'tests/test_caches.py::test_a_drawer_that_was_silent_is_passed_over_for_a_while',
-        (Edit(D + 'beside/silence.py', 'if until > self.monotonic():', 'if False:'),),
+        'tests/test_caches.py::test_a_silent_assigned_cache_is_skipped_for_a_while',
+        (Edit(D + 'sidecar/silent_peers.py', 'if until > self.monotonic():', 'if False:'),),
     ),
     Mutation(
         'a connection that is silent beside others is left',
@@ -328,10 +328,10 @@
     Mutation(
         'an ended version is taken from its engine',
         'tests/test_rollouts.py::'
-        'test_a_version_that_ends_before_the_next_is_here_is_taken_from_the_engine',
+        'test_a_version_that_ends_before_the_next_arrives_is_removed_from_the_engine',
         (
             Edit(
-                D + 'beside/expiry.py',
+                D + 'sidecar/expiry.py',
                 'if self._is_due(target, held):',
                 'if False:',
             ),
@@ -339,22 +339,22 @@
     ),
     Mutation(
         'an ended version is taken where nothing of the next one is here',
-        'tests/test_rollouts.py::'
+        'tests/test_rollouts.py::test_an_ended_version_is_removed_without_any_piece_of_the_next'
         'test_an_ended_version_is_taken_where_nothing_of_the_next_one_is_here',
         (
             Edit(
-                D + 'beside/expiry.py',
-                'return await self._order_own(target)',
+                D + 'sidecar/expiry.py',
+                'return await self._order_layer_of_served_version(target)',
                 'return None',
             ),
         ),
     ),
     Mutation(
         'an engine is left a single layer once',
-        'tests/test_rollouts.py::test_an_engine_is_left_a_single_layer_once',
+        'tests/test_rollouts.py::test_an_engine_is_reduced_to_a_single_layer_once',
         (
             Edit(
-                D + 'beside/expiry.py',
+                D + 'sidecar/expiry.py',
                 'if end - serves.first <= 1:',
                 'if False:',
             ),
@@ -363,11 +363,11 @@
     Mutation(
         'a daemon looks first whose pieces lie at its engine',
         'tests/test_rollouts.py::'
-        'test_a_daemon_that_has_started_looks_first_whose_pieces_lie_at_the_engine',
+        'test_a_started_daemon_checks_staged_pieces_before_it_empties_the_engine',
         (
             Edit(
-                D + 'beside/expiry.py',
-                'if not self.rollout.has_looked or self.rollout.lying == target.weights:',
+                D + 'sidecar/expiry.py',
+                'if not self.rollout.staged_checked ',
                 'if False:',
             ),
         ),
@@ -375,10 +375,10 @@
     Mutation(
         'an emptied engine has nothing to end',
         'tests/test_rollouts.py::'
-        'test_an_ended_version_is_taken_where_nothing_of_the_next_one_is_here',
+        'tests/test_rollouts.py::test_an_ended_version_is_removed_without_any_piece_of_the_next',
         (
             Edit(
-                D + 'beside/rollout.py',
+                D + 'sidecar/rollout.py',
                 'self.serves_another(target) and not self.is_emptied(target)',
                 'self.serves_another(target)',
             ),
@@ -421,12 +421,12 @@
     ),
     Mutation(
         'engines change in turns',
-        'tests/test_rollouts.py::test_an_engine_changes_once_those_of_the_turns_before_have',
+        'tests/test_rollouts.py::test_an_engine_changes_after_the_engines_of_earlier_turns',
         (
             Edit(
-                D + 'beside/rollout.py',
-                'if self._changed(target) * TURNS >= turn',
-                'if self._changed(target) * TURNS >= 0 * turn',
+                D + 'sidecar/rollout.py',
+                'if self._changed_count(target) * TURNS >= turn',
+                'if self._changed_count(target) * TURNS >= 0 * turn',
             ),
         ),
     ),
@@ -434,7 +434,7 @@
         'a version that does not come is not waited for',
         'tests/test_versions.py::'
         'test_an_intermediate_version_is_the_target_if_the_newest_does_not_arrive',
-        (Edit(D + 'beside/target.py', 'if self._is_stuck(newest, now):', 'if False:'),),
+        (Edit(D + 'sidecar/target.py', 'if self._is_stuck(newest, now):', 'if False:'),),
     ),
     Mutation(
         'the end of a version counts from the question',
@@ -613,7 +613,7 @@
         'tests/test_incarnations.py',
         (
             Edit(
-                D + 'beside/expiry.py',
+                D + 'sidecar/expiry.py',
                 'emptied = self.emptied_for == (self.rollout.incarnation, target.weights.version)',
                 'emptied = self.emptied_for[1] == target.weights.version',
             ),
@@ -665,7 +665,7 @@
     ),
     Mutation(
         'the digests are drawn once for all caches',
-        'tests/test_caches.py::test_the_digests_are_drawn_once_for_all_caches',
+        'tests/test_caches.py::test_digests_are_fetched_from_the_origin_once_for_all_caches',
         (
             Edit(
                 D + 'proxy/cache.py',
@@ -679,8 +679,8 @@
         'tests/test_gathering.py',
         (
             Edit(
-                D + 'beside/gathering.py',
-                'if caches and self.digests_in_vain < DIGESTS_TRIED:',
+                D + 'sidecar/gathering.py',
+                'if caches and self.failed_digest_requests < MAX_FAILED_DIGEST_REQUESTS:',
                 'if False:',
             ),
         ),
--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -1,5 +1,5 @@
 """
-Entries that keep pieces of weights: who is named, who draws, what is kept.
+Entries as caches of pieces: which caches are named, and which fetches from the origin.
 
 """
 
@@ -15,14 +15,14 @@
 from millfork_routing.documents import OriginSpec
 from millfork_wire.connection import PeerTimedOut
 from millfork_wire.messages import CacheAddress, GetChunk, GetManifest
-from millforkd.beside import gathering
-from millforkd.beside.pieces import WeightsId, decode_digests
-from millforkd.beside.silence import PASSED_OVER_S
 from millforkd.proxy import cache as caching
 from millforkd.proxy.cache import PieceCache, prefetch_order
+from millforkd.sidecar import gathering
+from millforkd.sidecar.pieces import WeightsId, decode_digests
+from millforkd.sidecar.silent_peers import SKIP_SILENT_PEER_S
 
 PIECES = tuple(bytes([number]) * 8 for number in range(6))
-ASKED_DIGESTS = 'digests'
+DIGESTS_REQUEST = 'digests'
 DIGESTS = tuple(hashlib.sha256(piece).hexdigest() for piece in PIECES)
 CACHES = st.lists(
     st.tuples(st.integers(1, 40), st.sampled_from(['z1', 'z2', 'z3'])).map(
@@ -33,42 +33,42 @@
 )
 
 
-class StandInOrigin:
+class FakeOrigin:
     """
-    Counts what is drawn; may spoil the first pieces.
+    Records the fetches; returns nothing for the first `corrupt_count` of them.
 
     """
 
-    def __init__(self, zone='z1', spoilt=0):
+    def __init__(self, zone='z1', corrupt_count=0):
         self.zone = zone
-        self.spoilt = spoilt
-        self.drawn = []
-        self.lists = 0
+        self.corrupt_count = corrupt_count
+        self.fetched = []
+        self.digest_fetches = 0
         self.failing = False
         self.bytes_per_s = 0.0
 
     def figures(self):
         return OriginSpec('10.0.0.9', 80, 8, self.zone, self.bytes_per_s)
 
-    async def draw_digests(self, held):
-        self.lists += 1
+    async def fetch_digests(self, held):
+        self.digest_fetches += 1
         await curio.sleep(0)
-        await held.learn_digests(DIGESTS)
+        await held.set_digests(DIGESTS)
         return True
 
-    async def draw_piece(self, held, index):
-        self.drawn.append(index)
+    async def fetch_piece(self, held, index):
+        self.fetched.append(index)
         await curio.sleep(0)
-        if self.spoilt:
-            self.spoilt -= 1
+        if self.corrupt_count:
+            self.corrupt_count -= 1
             return None
         await held.put(index, PIECES[index])
         return PIECES[index]
 
 
-class StandInPeers:
+class FakePeers:
     """
-    The other caches, as calls straight into them.
+    Delivers requests to the other caches by direct calls.
 
     """
 
@@ -79,7 +79,7 @@
 
     async def call(self, address, message, timeout):
         asks_digests = isinstance(message, GetManifest)
-        self.asked.append((address.instance, ASKED_DIGESTS if asks_digests else message.index))
+        self.asked.append((address.instance, DIGESTS_REQUEST if asks_digests else message.index))
         if self.silent:
             raise PeerTimedOut('silent')
         cache = self.caches[address.instance]
@@ -93,23 +93,23 @@
     return made
 
 
-def cache_and_its_fetcher():
+def cache_and_assigned_cache():
     """
-    A cache, and the one of another zone that draws for it; each has an origin of
-    its own that counts, and brings nothing ahead.
+    A cache, and the cache of another zone that fetches from the origin for it. Each has
+    an origin of its own that records fetches, and prefetches nothing.
 
     """
     caches = [CacheAddress('10.0.0.1:1', 'z1'), CacheAddress('10.0.0.2:1', 'z2')]
-    peers = StandInPeers()
-    cache = cache_at('10.0.0.2:1', 'z2', StandInOrigin(), peers, caches)
-    fetcher = cache_at('10.0.0.1:1', 'z1', StandInOrigin(), peers, caches)
-    for made in (cache, fetcher):
+    peers = FakePeers()
+    cache = cache_at('10.0.0.2:1', 'z2', FakeOrigin(), peers, caches)
+    assigned = cache_at('10.0.0.1:1', 'z1', FakeOrigin(), peers, caches)
+    for made in (cache, assigned):
         made.prefetching.add(WeightsId('m', 2))
-    return cache, fetcher
+    return cache, assigned
 
 
 @given(CACHES, st.sampled_from(['z1', 'z2', 'z3']))
-def test_a_few_caches_of_each_zone_are_named_whoever_is_asked(caches, zone):
+def test_the_named_caches_of_a_zone_do_not_depend_on_their_order(caches, zone):
     found = advertised_caches(caches, zone)
     assert advertised_caches([*reversed(caches), *caches[:3]], zone) == found
     for name in ('z1', 'z2', 'z3'):
@@ -119,18 +119,18 @@
 
 
 @given(CACHES, st.sampled_from(['z1', 'z2', 'z3', '']))
-def test_all_zones_agree_on_who_draws_from_the_origin(caches, origin_zone):
-    told = [caches_near_origin(advertised_caches(caches, zone), origin_zone) for zone in ('z1', 'z2', 'z3')]
-    assert told[0] == told[1] == told[2]
-    assert bool(told[0]) == bool(caches)
+def test_all_zones_agree_on_the_caches_that_fetch_from_the_origin(caches, origin_zone):
+    assigned_caches = [caches_near_origin(advertised_caches(caches, zone), origin_zone) for zone in ('z1', 'z2', 'z3')]
+    assert assigned_caches[0] == assigned_caches[1] == assigned_caches[2]
+    assert bool(assigned_caches[0]) == bool(caches)
     if any(cache.zone == origin_zone for cache in caches):
-        assert {cache.zone for cache in told[0]} == {origin_zone}
+        assert {cache.zone for cache in assigned_caches[0]} == {origin_zone}
 
 
-def test_the_origin_is_drawn_once_for_all_zones():
+def test_each_piece_is_fetched_from_the_origin_once_for_all_zones():
     async def run():
         caches = [CacheAddress('10.0.0.1:1', 'z1'), CacheAddress('10.0.0.2:1', 'z2')]
-        origin, peers = StandInOrigin(), StandInPeers()
+        origin, peers = FakeOrigin(), FakePeers()
         for cache in caches:
             cache_at(cache.instance, cache.zone, origin, peers, caches)
         async with curio.TaskGroup() as group:
@@ -140,21 +140,22 @@
         for index, piece in enumerate(PIECES):
             for cache in peers.caches.values():
                 assert (await cache.chunk(GetChunk('m@2', index))).data == piece
-        assert sorted(origin.drawn) == list(range(len(PIECES)))
+        assert sorted(origin.fetched) == list(range(len(PIECES)))
 
     curio.run(run)
 
 
-def test_the_digests_are_drawn_once_for_all_caches():
+def test_digests_are_fetched_from_the_origin_once_for_all_caches():
     """
-    Of the 96 pieces of a version, 60 had been drawn after 2.5 s where 92 fit the origin's
-    link: each of 98 entries had drawn the list of digests from it as well.
+    Guards against a list of digests that every entry fetches from the origin. With 98 entries
+    doing so, 60 of the 96 pieces of a version were fetched in 2.5 s, where the origin's link
+    can carry 92.
 
     """
 
     async def run():
         caches = [CacheAddress(f'10.0.0.{number}:1', f'z{number % 3}') for number in range(1, 9)]
-        origin, peers = StandInOrigin(), StandInPeers()
+        origin, peers = FakeOrigin(), FakePeers()
         for cache in caches:
             cache_at(cache.instance, cache.zone, origin, peers, caches)
         async with curio.TaskGroup() as group:
@@ -162,32 +163,32 @@
                 await group.spawn(cache.manifest, GetManifest('m@2'))
         for cache in peers.caches.values():
             assert decode_digests((await cache.manifest(GetManifest('m@2'))).body) == DIGESTS
-        assert origin.lists == 1
+        assert origin.digest_fetches == 1
 
     curio.run(run)
 
 
-def test_one_question_brings_what_will_be_asked_next():
+def test_one_request_prefetches_the_other_pieces():
     async def run():
         caches = [CacheAddress('10.0.0.1:1', 'z1')]
-        origin, peers = StandInOrigin(), StandInPeers()
+        origin, peers = FakeOrigin(), FakePeers()
         cache = cache_at('10.0.0.1:1', 'z1', origin, peers, caches)
         assert decode_digests((await cache.manifest(GetManifest('m@2'))).body) == DIGESTS
         assert (await cache.chunk(GetChunk('m@2', 4))).data == PIECES[4]
-        while len(origin.drawn) < len(PIECES):
+        while len(origin.fetched) < len(PIECES):
             await curio.sleep(0)
-        assert sorted(origin.drawn) == list(range(len(PIECES)))
-        assert origin.lists == 1
+        assert sorted(origin.fetched) == list(range(len(PIECES)))
+        assert origin.digest_fetches == 1
 
     curio.run(run)
 
 
-def test_what_nobody_asks_for_any_more_is_not_brought(monkeypatch):
+def test_prefetching_stops_when_nobody_asks_any_more(monkeypatch):
     monkeypatch.setattr(caching, 'RETRY_S', 0.01)
 
     async def run():
         now = 100.0
-        origin, peers = StandInOrigin(spoilt=10_000), StandInPeers()
+        origin, peers = FakeOrigin(corrupt_count=10_000), FakePeers()
         cache = cache_at('10.0.0.1:1', 'z1', origin, peers, [CacheAddress('10.0.0.1:1', 'z1')])
         cache.env.monotonic = lambda: now
         assert not (await cache.chunk(GetChunk('m@2', 0))).found
@@ -195,22 +196,22 @@
         async with curio.timeout_after(5):
             while WeightsId('m', 2) in cache.prefetching:
                 await curio.sleep(0)
-        drawn = len(origin.drawn)
+        fetched = len(origin.fetched)
         for _ in range(50):
             await curio.sleep(0)
-        assert len(origin.drawn) == drawn
-        # Whoever asks again has all of them brought.
-        origin.spoilt = 0
+        assert len(origin.fetched) == fetched
+        # A later request starts prefetching again.
+        origin.corrupt_count = 0
         assert (await cache.chunk(GetChunk('m@2', 0))).found
         async with curio.timeout_after(5):
-            while not cache.store.of(WeightsId('m', 2)).whole:
+            while not cache.store.get_or_create(WeightsId('m', 2)).whole:
                 await curio.sleep(0)
 
     curio.run(run)
 
 
 @given(st.integers(0, 200))
-def test_both_halves_are_brought_ahead_alike(pieces):
+def test_both_halves_are_prefetched_evenly(pieces):
     order = prefetch_order(pieces)
     assert sorted(order) == list(range(pieces))
     for count in range(pieces + 1):
@@ -218,23 +219,23 @@
         assert abs(2 * lower - count) <= 1
 
 
-def test_a_cache_whose_drawer_is_silent_draws_itself():
+def test_a_cache_fetches_itself_when_the_assigned_cache_is_silent():
     async def run():
         caches = [CacheAddress('10.0.0.1:1', 'z1'), CacheAddress('10.0.0.2:1', 'z2')]
-        origin, peers = StandInOrigin(), StandInPeers()
+        origin, peers = FakeOrigin(), FakePeers()
         peers.silent = True
         cache = cache_at('10.0.0.2:1', 'z2', origin, peers, caches)
         assert (await cache.chunk(GetChunk('m@2', 3))).data == PIECES[3]
-        # Its silence to the question for digests is enough.
-        assert peers.asked[0] == ('10.0.0.1:1', ASKED_DIGESTS)
+        # One unanswered request for digests is enough.
+        assert peers.asked[0] == ('10.0.0.1:1', DIGESTS_REQUEST)
 
     curio.run(run)
 
 
-def test_a_drawer_that_was_silent_is_passed_over_for_a_while():
+def test_a_silent_assigned_cache_is_skipped_for_a_while():
     async def run():
         caches = [CacheAddress('10.0.0.1:1', 'z1'), CacheAddress('10.0.0.2:1', 'z2')]
-        origin, peers = StandInOrigin(), StandInPeers()
+        origin, peers = FakeOrigin(), FakePeers()
         peers.silent = True
         cache = cache_at('10.0.0.2:1', 'z2', origin, peers, caches)
         cache.prefetching.add(WeightsId('m', 2))
@@ -242,109 +243,110 @@
         cache.silent.monotonic = lambda: now
         for index in range(4):
             assert (await cache.chunk(GetChunk('m@2', index))).data == PIECES[index]
-        assert peers.asked == [('10.0.0.1:1', ASKED_DIGESTS)]
+        assert peers.asked == [('10.0.0.1:1', DIGESTS_REQUEST)]
         peers.silent = False
         cache_at('10.0.0.1:1', 'z1', origin, peers, caches)
-        now += PASSED_OVER_S + 0.1
+        now += SKIP_SILENT_PEER_S + 0.1
         assert (await cache.chunk(GetChunk('m@2', 4))).data == PIECES[4]
         assert peers.asked[-1] == ('10.0.0.1:1', 4)
 
     curio.run(run)
 
 
-def test_a_piece_that_its_drawer_brings_is_not_drawn_beside_it(monkeypatch):
+def test_a_piece_that_the_assigned_cache_fetches_is_not_fetched_twice(monkeypatch):
     monkeypatch.setattr(caching, 'WAIT_S', 0.05)
 
     async def run():
-        cache, fetcher = cache_and_its_fetcher()
+        cache, assigned = cache_and_assigned_cache()
         here = curio.Event()
-        real = fetcher.origin.draw_piece
+        real = assigned.origin.fetch_piece
 
-        async def draw_piece(held, index):
+        async def fetch_piece(held, index):
             await here.wait()
             return await real(held, index)
 
-        fetcher.origin.draw_piece = draw_piece
+        assigned.origin.fetch_piece = fetch_piece
         for _ in range(caching.MAX_NOT_YET_ANSWERS - 1):
             assert not (await cache.chunk(GetChunk('m@2', 3))).found
-        assert cache.origin.drawn == []
+        assert cache.origin.fetched == []
         await here.set()
         async with curio.timeout_after(5):
             while not (await cache.chunk(GetChunk('m@2', 3))).found:
                 pass
-        assert cache.origin.drawn == []
+        assert cache.origin.fetched == []
 
     curio.run(run)
 
 
-def test_an_origin_that_is_down_is_left_to_its_drawers_for_as_long_as_that(monkeypatch):
+def test_only_the_assigned_cache_retries_an_origin_that_is_down(monkeypatch):
     monkeypatch.setattr(caching, 'WAIT_S', 0.02)
 
     async def run():
-        cache, fetcher = cache_and_its_fetcher()
-        fetcher.origin.spoilt = 10_000
-        fetcher.origin.failing = True
+        cache, assigned = cache_and_assigned_cache()
+        assigned.origin.corrupt_count = 10_000
+        assigned.origin.failing = True
         for _ in range(caching.MAX_NOT_YET_ANSWERS * 3):
             assert not (await cache.chunk(GetChunk('m@2', 3))).found
-        assert cache.origin.drawn == []
-        fetcher.origin.spoilt = 0
+        assert cache.origin.fetched == []
+        assigned.origin.corrupt_count = 0
         async with curio.timeout_after(5):
             while not (await cache.chunk(GetChunk('m@2', 3))).found:
                 pass
-        assert cache.origin.drawn == []
+        assert cache.origin.fetched == []
 
     curio.run(run)
 
 
-def test_a_drawer_whose_origin_sends_other_pieces_first_is_waited_for(monkeypatch):
+def test_an_assigned_cache_is_waited_for_while_its_origin_sends_other_pieces(monkeypatch):
     """
-    Two versions were wanted of an origin that sends one in 4.4 s. Drawers said 'not yet' for
-    3 s of a piece of the second, then all entries drew it beside them: requests timed out
-    after 1.0 s (`no response in 1.0 s`, at six of nine entries within 0.3 s), 4.6 copies were
-    sent, and the first engine had the version whole 12.8 s after the origin was back.
+    Guards against all entries fetching the same piece from a busy origin. Two versions were
+    requested from an origin that sends one in 4.4 s. The assigned caches answered 'not yet'
+    for 3 s for a piece of the second, then all entries fetched it as well: requests timed
+    out after 1.0 s at six of nine entries within 0.3 s, 4.6 copies were sent, and the first
+    engine had the whole version 12.8 s after the origin was back.
 
     """
     monkeypatch.setattr(caching, 'WAIT_S', 0.02)
 
     async def run():
-        cache, fetcher = cache_and_its_fetcher()
-        real = fetcher.origin.draw_piece
-        # Of the origin's rate two drawers have a half each: four pieces of eight bytes.
-        fetcher.origin.bytes_per_s = cache.origin.bytes_per_s = 64.0
+        cache, assigned = cache_and_assigned_cache()
+        real = assigned.origin.fetch_piece
+        # Two assigned caches share the origin's rate: four pieces of eight bytes each.
+        assigned.origin.bytes_per_s = cache.origin.bytes_per_s = 64.0
 
-        async def draw_piece(held, index):
+        async def fetch_piece(held, index):
             if index == 3:
                 await curio.sleep(30)
             return await real(held, index)
 
-        fetcher.origin.draw_piece = draw_piece
+        assigned.origin.fetch_piece = fetch_piece
         for number in range(caching.MAX_NOT_YET_ANSWERS * 3):
             version = f'm@{number + 10}'
-            fetcher.prefetching.add(WeightsId('m', number + 10))
+            assigned.prefetching.add(WeightsId('m', number + 10))
             for index in (0, 1):
-                assert (await fetcher.chunk(GetChunk(version, index, draw=True))).found
+                assert (await assigned.chunk(GetChunk(version, index, draw=True))).found
             assert not (await cache.chunk(GetChunk('m@2', 3))).found
-        assert cache.origin.drawn == []
-        cache.env.ended = fetcher.env.ended = True
+        assert cache.origin.fetched == []
+        cache.env.ended = assigned.env.ended = True
 
     curio.run(run)
 
 
-def test_a_drawer_that_is_too_slow_is_not_waited_for(monkeypatch):
+def test_an_assigned_cache_that_is_too_slow_is_not_waited_for(monkeypatch):
     monkeypatch.setattr(caching, 'WAIT_S', 0.05)
 
     async def run():
-        cache, fetcher = cache_and_its_fetcher()
+        cache, assigned = cache_and_assigned_cache()
 
-        async def draw_piece(held, index):
+        async def fetch_piece(held, index):
             await curio.sleep(30)
 
-        fetcher.origin.draw_piece = draw_piece
+        assigned.origin.fetch_piece = fetch_piece
         async with curio.timeout_after(10):
             while not (await cache.chunk(GetChunk('m@2', 3))).found:
                 pass
-        assert cache.origin.drawn == [3]
-        cache.env.ended = fetcher.env.ended = True
+        assert cache.origin.fetched == [3]
+        cache.env.ended = assigned.env.ended = True
 
     curio.run(run)
 
@@ -354,23 +356,23 @@
     assert caching.WAIT_S < gathering.CACHE_TIMEOUT_S
 
 
-def test_a_spoilt_piece_is_drawn_again_and_an_unknown_one_refused():
+def test_a_corrupt_piece_is_fetched_again_and_an_unknown_one_refused():
     async def run():
         caches = [CacheAddress('10.0.0.1:1', 'z1')]
-        origin, peers = StandInOrigin(spoilt=1), StandInPeers()
+        origin, peers = FakeOrigin(corrupt_count=1), FakePeers()
         cache = cache_at('10.0.0.1:1', 'z1', origin, peers, caches)
         assert (await cache.chunk(GetChunk('m@2', 0))).data == PIECES[0]
-        assert origin.drawn[:2] == [0, 0]
+        assert origin.fetched[:2] == [0, 0]
         for bad in (GetChunk('m@2', 6), GetChunk('m', 0), GetChunk('m@x', 0)):
             assert not (await cache.chunk(bad)).found
 
     curio.run(run)
 
 
-def test_who_is_asked_to_draw_asks_no_other_cache():
+def test_the_assigned_cache_asks_no_other_cache():
     async def run():
         caches = [CacheAddress('10.0.0.1:1', 'z1')]
-        origin, peers = StandInOrigin(), StandInPeers()
+        origin, peers = FakeOrigin(), FakePeers()
         cache = cache_at('10.0.0.3:1', 'z1', origin, peers, caches)
         cache.prefetching.add(WeightsId('m', 2))
         assert (await cache.chunk(GetChunk('m@2', 1, draw=True))).data == PIECES[1]
@@ -379,38 +381,38 @@
     curio.run(run)
 
 
-def test_who_asks_while_the_origin_is_down_gets_the_piece_once_it_is_back(monkeypatch):
+def test_a_piece_requested_while_the_origin_is_down_arrives_once_it_is_back(monkeypatch):
     monkeypatch.setattr(caching, 'WAIT_S', 0.05)
     monkeypatch.setattr(caching, 'RETRY_S', 0.01)
 
     async def run():
         caches = [CacheAddress('10.0.0.1:1', 'z1')]
-        origin, peers = StandInOrigin(spoilt=40), StandInPeers()
+        origin, peers = FakeOrigin(corrupt_count=40), FakePeers()
         cache = cache_at('10.0.0.1:1', 'z1', origin, peers, caches)
         assert (await cache.chunk(GetChunk('m@2', 5))).reason == caching.NOT_YET
         async with curio.timeout_after(5):
-            while not cache.store.of(WeightsId('m', 2)).whole:
+            while not cache.store.get_or_create(WeightsId('m', 2)).whole:
                 await curio.sleep(0.01)
         assert (await cache.chunk(GetChunk('m@2', 5))).data == PIECES[5]
 
     curio.run(run)
 
 
-def test_an_origin_that_hangs_keeps_no_one_waiting(monkeypatch):
+def test_a_hanging_origin_does_not_block_requests(monkeypatch):
     monkeypatch.setattr(caching, 'WAIT_S', 0.05)
 
     async def run():
         caches = [CacheAddress('10.0.0.1:1', 'z1')]
-        origin, peers = StandInOrigin(), StandInPeers()
+        origin, peers = FakeOrigin(), FakePeers()
         cache = cache_at('10.0.0.1:1', 'z1', origin, peers, caches)
         hanging = curio.Event()
-        real = origin.draw_piece
+        real = origin.fetch_piece
 
-        async def draw_piece(held, index):
+        async def fetch_piece(held, index):
             await hanging.wait()
             return await real(held, index)
 
-        origin.draw_piece = draw_piece
+        origin.fetch_piece = fetch_piece
         async with curio.timeout_after(2):
             assert not (await cache.chunk(GetChunk('m@2', 0))).found
         await hanging.set()
@@ -421,23 +423,23 @@
     curio.run(run)
 
 
-def test_one_wait_is_for_digests_and_piece_together(monkeypatch):
+def test_digests_and_piece_share_one_wait(monkeypatch):
     monkeypatch.setattr(caching, 'WAIT_S', 1.0)
 
     async def run():
         caches = [CacheAddress('10.0.0.1:1', 'z1')]
-        origin, peers = StandInOrigin(), StandInPeers()
+        origin, peers = FakeOrigin(), FakePeers()
         cache = cache_at('10.0.0.1:1', 'z1', origin, peers, caches)
-        real = origin.draw_digests
+        real = origin.fetch_digests
 
-        async def draw_digests(held):
+        async def fetch_digests(held):
             await curio.sleep(0.9)
             return await real(held)
 
-        async def draw_piece(held, index):
+        async def fetch_piece(held, index):
             await curio.sleep(30)
 
-        origin.draw_digests, origin.draw_piece = draw_digests, draw_piece
+        origin.fetch_digests, origin.fetch_piece = fetch_digests, fetch_piece
         began = cache.env.monotonic()
         assert (await cache.chunk(GetChunk('m@2', 0))).reason == caching.NOT_YET
         assert cache.env.monotonic() - began < 1.7
--- a/tests/test_closed_back_ends.py
+++ b/tests/test_closed_back_ends.py
@@ -29,7 +29,7 @@
 )
 from millfork_scheduling.server_table import ServerTable
 from millfork_web.models import Response
-from millforkd.beside.engine import LocalEngine
+from millforkd.sidecar.engine import LocalEngine
 from tests.test_limit_shares import BORN, lease, report, server
 from tests.test_servers import ENGINE, Clock
 
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -31,13 +31,13 @@
 from millfork_registry.roles import REPLICA_ROLE
 from millfork_scheduling.server_table import ServerTable
 from millfork_scheduling.placement import Choice, Requirements
-from millforkd.beside.expiry import Expiry
-from millforkd.beside.pieces import WeightsId
+from millforkd.sidecar.expiry import ExpiryWatcher
+from millforkd.sidecar.pieces import WeightsId
 from millforkd.proxy.connections import SendFailed
 from millforkd.proxy.job import Attempt
 from millforkd.proxy.response_monitor import ResponseMonitor
 from tests.test_registry import HEARTBEAT_S, LEASE_S, Clock, state_of
-from tests.test_rollouts import Engines
+from tests.test_rollouts import RolloutUnderTest
 from tests.test_servers import ENGINE
 
 FIRST_INCARNATION, SECOND_INCARNATION = 1_000_000, 2_000_000
@@ -177,17 +177,17 @@
 
 def test_a_daemon_resets_its_state_for_a_restarted_engine():
     async def run():
-        rollout = Engines(turn=0).rollout
-        rollout.take_report(engine_report(FIRST_INCARNATION))
-        rollout.has_looked = True
-        rollout.lying = WeightsId('m', 2)
-        expiry = Expiry(rollout.env, rollout.engine, rollout.store, rollout)
+        rollout = RolloutUnderTest(turn=0).rollout
+        rollout.record_report(engine_report(FIRST_INCARNATION))
+        rollout.staged_checked = True
+        rollout.staged_weights = WeightsId('m', 2)
+        expiry = ExpiryWatcher(rollout.env, rollout.engine, rollout.store, rollout)
         expiry.emptied_for = (rollout.incarnation, 2)
         target = ended_target(rollout)
         assert not expiry._has_ended(target)
-        rollout.take_report(None)
-        rollout.take_report(engine_report(SECOND_INCARNATION))
-        assert (rollout.has_looked, rollout.lying, rollout.place) == (False, None, None)
+        rollout.record_report(None)
+        rollout.record_report(engine_report(SECOND_INCARNATION))
+        assert (rollout.staged_checked, rollout.staged_weights, rollout.assignment) == (False, None, None)
         assert expiry._has_ended(target)
 
     curio.run(run)
--- a/tests/test_load_queries.py
+++ b/tests/test_load_queries.py
@@ -16,7 +16,7 @@
 from millfork_scheduling.server_table import ServerTable
 from millfork_wire.connection import PeerTimedOut, PeerUnreachable
 from millfork_wire.messages import EngineLoad
-from millforkd.beside.load import SHARED_S, EngineLoads
+from millforkd.sidecar.load import SHARED_REPORT_S, EngineLoads
 from millforkd.proxy.load_queries import PASSED_OVER_S, WAIT_S, LoadQueries
 from millforkd.proxy.peer_queries import MIN_SILENCE_S
 from tests.test_servers import ENGINE, Clock
@@ -134,7 +134,7 @@
         async with curio.timeout_after(FOREVER_S / 2):
             await fleet.choose()
         # The answer is overdue; this is the entry's reaction to that.
-        fleet.queries.queries.silent.note('10.0.0.1:10')
+        fleet.queries.queries.silent.mark_silent('10.0.0.1:10')
         fleet.asked.clear()
         await fleet.choose()
 
@@ -258,19 +258,19 @@
     loads = loads_of(engine, clock)
 
     async def run():
-        tasks = [await curio.spawn(loads.now) for _ in range(20)]
+        tasks = [await curio.spawn(loads.current_load) for _ in range(20)]
         return [await task.join() for task in tasks]
 
     told = curio.run(run)
     assert told == [EngineLoad(True, 3, 2, 125, BORN)] * 20
     assert engine.asked == 1
-    clock.now += SHARED_S + 0.001
+    clock.now += SHARED_REPORT_S + 0.001
     engine.running = 7
-    assert curio.run(loads.now).running == 7
+    assert curio.run(loads.current_load).running == 7
 
 
 def test_an_engine_without_an_answer_yields_an_empty_load_at_once():
-    assert curio.run(loads_of(Engine(None), Clock()).now) == EngineLoad()
+    assert curio.run(loads_of(Engine(None), Clock()).current_load) == EngineLoad()
     engine = Engine()
-    assert curio.run(loads_of(engine, Clock(), answers=False).now) == EngineLoad()
+    assert curio.run(loads_of(engine, Clock(), answers=False).current_load) == EngineLoad()
     assert engine.asked == 0
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -15,8 +15,8 @@
 from millfork_state.commands import Versioned, encode_versioned
 from millfork_state.keys import version_key
 from millfork_state.view import StoredValue, View
-from millforkd.beside.pieces import PieceStore, WeightsId
-from millforkd.beside.target import STUCK_AFTER_S, Targets
+from millforkd.sidecar.pieces import PieceStore, WeightsId
+from millforkd.sidecar.target import STUCK_AFTER_S, TargetChooser
 from millforkd.proxy.admission import Admission
 from millforkd.version_switching import LAST_SEND_BEFORE_END_S
 from millforkd.versions import Versions
@@ -91,7 +91,7 @@
 
 
 def new_targets(versions, clock, store, served=1):
-    return Targets(versions.env, versions, store, lambda: served, RATE)
+    return TargetChooser(versions.env, versions, store, lambda: served, RATE)
 
 
 def test_the_newest_version_is_the_target_while_it_can_arrive_in_time(view, versions, clock):
@@ -109,7 +109,7 @@
     store = PieceStore()
     targets = new_targets(versions, clock, store)
     set_version(view, versions, 2)
-    store.of(WeightsId('m', 2)).pieces = dict.fromkeys(range(60), b'')
+    store.get_or_create(WeightsId('m', 2)).pieces = dict.fromkeys(range(60), b'')
     clock.now += 3.0
     set_version(view, versions, 3)
     assert targets.choose(FIGURES).weights.version == 3
@@ -126,7 +126,7 @@
     store = PieceStore()
     targets = new_targets(versions, clock, store)
     set_version(view, versions, 2)
-    store.of(WeightsId('m', 2)).pieces = dict.fromkeys(range(95), b'')
+    store.get_or_create(WeightsId('m', 2)).pieces = dict.fromkeys(range(95), b'')
     clock.now += 5.0
     set_version(view, versions, 3)
     clock.now += 3.5
@@ -139,7 +139,7 @@
     store = PieceStore()
     targets = new_targets(versions, clock, store)
     set_version(view, versions, 2)
-    store.of(WeightsId('m', 2)).pieces = dict.fromkeys(range(94), b'')
+    store.get_or_create(WeightsId('m', 2)).pieces = dict.fromkeys(range(94), b'')
     clock.now += 2.0
     set_version(view, versions, 3)
     targets.choose(FIGURES)
@@ -165,11 +165,11 @@
     store = PieceStore()
     targets = new_targets(versions, clock, store)
     set_version(view, versions, 2)
-    store.of(WeightsId('m', 2)).pieces = dict.fromkeys(range(50), b'')
+    store.get_or_create(WeightsId('m', 2)).pieces = dict.fromkeys(range(50), b'')
     clock.now += 3.5
     set_version(view, versions, 3)
     for count in range(0, 100, 5):
-        store.of(WeightsId('m', 3)).pieces = dict.fromkeys(range(count), b'')
+        store.get_or_create(WeightsId('m', 3)).pieces = dict.fromkeys(range(count), b'')
         assert targets.choose(FIGURES).weights.version == 3
         clock.now += 0.25
 
@@ -178,7 +178,7 @@
     store = PieceStore()
     targets = new_targets(versions, clock, store)
     set_version(view, versions, 2)
-    store.of(WeightsId('m', 2)).pieces = dict.fromkeys(range(95), b'')
+    store.get_or_create(WeightsId('m', 2)).pieces = dict.fromkeys(range(95), b'')
     clock.now += 6.0
     set_version(view, versions, 3)
     assert targets.choose(FIGURES).weights.version == 2
@@ -213,7 +213,7 @@
         self.versions = Versions(env, self.view, SWITCH_MS)
         self.served = 1
         self.newest = 1
-        self.targets = Targets(env, self.versions, self.store, lambda: self.served, RATE)
+        self.targets = TargetChooser(env, self.versions, self.store, lambda: self.served, RATE)
 
     def set_next(self):
         self.newest += 1
@@ -238,7 +238,7 @@
             engine.clock.now += number / 4
         target = engine.choose()
         assert max(engine.served, 1) <= target.weights.version <= engine.newest
-        held = engine.store.of(target.weights)
+        held = engine.store.get_or_create(target.weights)
         if step == 'piece':
             held.pieces.update(dict.fromkeys(range(number * 5), b''))
         if step == 'serve' and len(held.pieces) == FIGURES.pieces:
@@ -256,7 +256,7 @@
     for _ in range(10):
         engine.clock.now += FIGURES.pieces * FIGURES.piece_bytes / RATE
         target = engine.choose()
-        engine.store.of(target.weights).pieces = dict.fromkeys(range(FIGURES.pieces), b'')
+        engine.store.get_or_create(target.weights).pieces = dict.fromkeys(range(FIGURES.pieces), b'')
         engine.choose()
         engine.served = target.weights.version
     assert engine.served == engine.newest
