--- a/packages/millforkd/millforkd/end_watch.py
+++ b/packages/millforkd/millforkd/end_watch.py
@@ -169,9 +169,16 @@
         resolved: dict[IncarnationStatus, list[Interruption[Subject]]] = {}
         for key, broken in list(self.interruptions.items()):
             fate = self.liveness(broken)
-            if fate is IncarnationStatus.UNKNOWN and result is ProbeResult.REFUSES and broken.at <= probed_at:
+            if (
+                fate is IncarnationStatus.UNKNOWN
+                and result is ProbeResult.REFUSES
+                and broken.at <= probed_at
+            ):
                 fate = IncarnationStatus.ENDED
-            if fate is IncarnationStatus.UNKNOWN and self.env.monotonic() - broken.at <= self.max_watch_s:
+            if (
+                fate is IncarnationStatus.UNKNOWN
+                and self.env.monotonic() - broken.at <= self.max_watch_s
+            ):
                 continue
             del self.interruptions[key]
             resolved.setdefault(fate, []).append(broken)
--- a/packages/millforkd/millforkd/endpoint/ends.py
+++ b/packages/millforkd/millforkd/endpoint/ends.py
@@ -14,7 +14,13 @@
 from millfork_scheduling.incarnation_status import IncarnationStatus
 from millfork_wire.connection import Connection, PeerLost
 from millfork_wire.messages import BackEndFate
-from millforkd.end_watch import CALLER_LEFT_WATCH_S, ProbeResult, Interruption, EndWatch, probe_address
+from millforkd.end_watch import (
+    CALLER_LEFT_WATCH_S,
+    EndWatch,
+    Interruption,
+    ProbeResult,
+    probe_address,
+)
 
 NO_ANSWER = ''
 
--- a/packages/millforkd/millforkd/entry/daemon.py
+++ b/packages/millforkd/millforkd/entry/daemon.py
@@ -15,9 +15,9 @@
 from millfork_registry.suspicion_store import SuspicionStore
 from millfork_settings.loading import read_secret
 from millfork_settings.models import Settings
+from millfork_state.leader_client import LeaderClient
 from millfork_state.message_handler import StateMessageHandler
 from millfork_state.node import StateNode
-from millfork_state.leader_client import LeaderClient
 from millfork_state.replica import Replica
 from millfork_state.storage import Storage
 from millfork_web.problem import problem
--- a/packages/millforkd/millforkd/entry/operators.py
+++ b/packages/millforkd/millforkd/entry/operators.py
@@ -25,8 +25,8 @@
     WeightPart,
     encode,
 )
-from millfork_state.node import decode_apply_result
 from millfork_state.leader_client import LeaderClient
+from millfork_state.node import decode_apply_result
 from millfork_state.reports import Reports
 from millfork_state.roster import Roster
 from millfork_state.selection import deployments, select_endpoints
@@ -215,7 +215,9 @@
         One deployment's rollout, as far as reports tell.
 
         """
-        chosen = [f for f in select_endpoints(self.view, self.roster, name, deployment) if not f.leaving]
+        chosen = [
+            f for f in select_endpoints(self.view, self.roster, name, deployment) if not f.leaving
+        ]
         instances = []
         for facts in chosen:
             report = EndpointReport.of(reports.get(facts.instance))
--- a/packages/millforkd/millforkd/proxy/cache.py
+++ b/packages/millforkd/millforkd/proxy/cache.py
@@ -22,7 +22,6 @@
 from millfork_wire.connection import PeerError
 from millfork_wire.messages import CacheAddress, Chunk, GetChunk, GetManifest, Manifest
 from millfork_wire.peers import Peers
-from millforkd.sidecar.verification import store_if_valid
 from millforkd.sidecar.origin import Origin
 from millforkd.sidecar.pieces import (
     PieceSet,
@@ -34,6 +33,7 @@
 )
 from millforkd.sidecar.silent_peers import SilentPeers
 from millforkd.sidecar.sources import DIGESTS_INDEX, request_order
+from millforkd.sidecar.verification import store_if_valid
 
 # Enough concurrent fetches to use the whole link of the origin.
 MAX_CONCURRENT_ORIGIN_FETCHES: Final = 3
@@ -150,7 +150,8 @@
             self.received_from_origin.popleft()
         received_bytes = sum(size for _, size in self.received_from_origin)
         return (
-            received_bytes >= MIN_RATE_SHARE * RATE_WINDOW_S * figures.bytes_per_s / MAX_ADVERTISED_PER_OTHER_ZONE
+            received_bytes
+            >= MIN_RATE_SHARE * RATE_WINDOW_S * figures.bytes_per_s / MAX_ADVERTISED_PER_OTHER_ZONE
         )
 
     def _answer_deadline(self) -> float:
--- a/packages/millforkd/millforkd/proxy/daemon.py
+++ b/packages/millforkd/millforkd/proxy/daemon.py
@@ -17,12 +17,12 @@
 from millfork_registry.discovery import address_of
 from millfork_registry.roles import ENTRY_ROLE
 from millfork_registry.suspicion_store import decode_suspicions
-from millfork_routing.shared_budget import SharedBudget
 from millfork_routing.documents import Document
 from millfork_routing.routes import RouteTable
+from millfork_routing.shared_budget import SharedBudget
 from millfork_scheduling.availability import SignalSource
-from millfork_scheduling.server_table import ServerTable
 from millfork_scheduling.quarantine import TrialSchedule
+from millfork_scheduling.server_table import ServerTable
 from millfork_settings.seeded import SeededSettings, socket_pair
 from millfork_web.models import Response
 from millfork_web.problem import problem
@@ -31,7 +31,6 @@
 from millfork_wire.connection import Connection, PeerError
 from millfork_wire.messages import Message
 from millforkd.admin import Admin
-from millforkd.sidecar.origin import Origin, find_origin
 from millforkd.document import document_in
 from millforkd.proxy.admission import Admission
 from millforkd.proxy.cache import PieceCache
@@ -43,6 +42,7 @@
 from millforkd.proxy.turned_away_directory import TurnedAwayDirectory
 from millforkd.quarantine import Quarantine
 from millforkd.seeded import feed_for, fleet_key
+from millforkd.sidecar.origin import Origin, find_origin
 
 # The load balancer polls each second and removes an entry after two failed polls.
 BALANCER_REMOVAL_S: Final = 2.5
@@ -142,7 +142,9 @@
         number is assumed: otherwise this entry would use the whole of a shared limit.
 
         """
-        return self.feed_client.most_entries if self.feed_client.entries_known else DEFAULT_ENTRY_COUNT
+        return (
+            self.feed_client.most_entries if self.feed_client.entries_known else DEFAULT_ENTRY_COUNT
+        )
 
     @property
     def in_progress(self) -> int:
--- a/packages/millforkd/millforkd/proxy/end_detection.py
+++ b/packages/millforkd/millforkd/proxy/end_detection.py
@@ -16,7 +16,7 @@
 from millfork_core.environment import Environment
 from millfork_core.ids import Fingerprint, IncarnationKey
 from millfork_core.logs import Part, logger
-from millfork_registry.suspicion_store import SuspicionStore, Suspicion
+from millfork_registry.suspicion_store import Suspicion, SuspicionStore
 from millfork_scheduling.incarnation_status import IncarnationStatus, determine_status
 from millfork_scheduling.server import Server
 from millforkd.end_watch import (
--- a/packages/millforkd/millforkd/proxy/forwarding.py
+++ b/packages/millforkd/millforkd/proxy/forwarding.py
@@ -14,10 +14,10 @@
 from millfork_core.verdicts import Reason, Refusal, Refused, Verdict
 from millfork_registry.suspicion_store import Suspicion
 from millfork_routing.shared_budget import SharedBudget
-from millfork_scheduling.server_table import ServerTable
 from millfork_scheduling.placement import Choice
 from millfork_scheduling.quarantine import SuspicionLevel
-from millfork_scheduling.retry_after import refusal_wait_ms, closed_wait_ms, nothing_serves_wait_ms
+from millfork_scheduling.retry_after import closed_wait_ms, nothing_serves_wait_ms, refusal_wait_ms
+from millfork_scheduling.server_table import ServerTable
 from millfork_web.server import CallerGone, Exchange
 from millforkd.proxy.admission import Admission
 from millforkd.proxy.backpressure import BackpressureRecorder
--- a/packages/millforkd/millforkd/proxy/load_queries.py
+++ b/packages/millforkd/millforkd/proxy/load_queries.py
@@ -15,8 +15,8 @@
 from millfork_core.ids import Incarnation
 from millfork_core.logs import Part, logger
 from millfork_scheduling.load_queries import needs_fresh_loads
-from millfork_scheduling.server_table import ServerTable
 from millfork_scheduling.server import Load, Server
+from millfork_scheduling.server_table import ServerTable
 from millfork_wire.connection import Connection
 from millfork_wire.messages import AskLoad, EngineLoad
 from millfork_wire.peers import Peers
--- a/packages/millforkd/millforkd/proxy/request_sender.py
+++ b/packages/millforkd/millforkd/proxy/request_sender.py
@@ -11,10 +11,10 @@
 from millfork_adapter.exchange import PathPart, SendOrders
 from millfork_core.environment import Environment
 from millfork_core.verdicts import Reason, Verdict
-from millfork_routing.shared_budget import SharedBudget
 from millfork_routing.documents import EngineSpec, RouteKind
-from millfork_scheduling.server_table import ServerTable
+from millfork_routing.shared_budget import SharedBudget
 from millfork_scheduling.placement import Choice
+from millfork_scheduling.server_table import ServerTable
 from millforkd.proxy.admission import Admission
 from millforkd.proxy.backpressure import BackpressureRecorder
 from millforkd.proxy.connections import Pools, SendFailed, ServerConnection
--- a/packages/millforkd/millforkd/replica/daemon.py
+++ b/packages/millforkd/millforkd/replica/daemon.py
@@ -19,10 +19,10 @@
 from millfork_registry.registry import RecordChange, Registry
 from millfork_registry.suspicion_store import decode_suspicions
 from millfork_settings.seeded import SeededSettings, socket_pair
-from millfork_state.message_handler import StateMessageHandler
 from millfork_state.formation import Seeds
-from millfork_state.node import StateNode
 from millfork_state.leader_client import LeaderClient
+from millfork_state.message_handler import StateMessageHandler
+from millfork_state.node import StateNode
 from millfork_state.replica import Replica, ReplicaState
 from millfork_state.reports import Reports
 from millfork_state.storage import open_storage
--- a/packages/millforkd/millforkd/sidecar/target.py
+++ b/packages/millforkd/millforkd/sidecar/target.py
@@ -125,7 +125,10 @@
 
         """
         complete_at = now + self._transfer_s(figures, version)
-        return complete_at + VERSION_CHANGE_S < self._ends_at(figures, version) - LAST_SEND_BEFORE_END_S
+        return (
+            complete_at + VERSION_CHANGE_S
+            < self._ends_at(figures, version) - LAST_SEND_BEFORE_END_S
+        )
 
     def _idle_via_s(self, figures: EngineSpec, version: int, now: float, ends: float) -> float:
         """
--- a/packages/millforkd/millforkd/suspicion_updates.py
+++ b/packages/millforkd/millforkd/suspicion_updates.py
@@ -8,7 +8,7 @@
 from millfork_core.environment import Environment
 from millfork_core.ids import Fingerprint, IncarnationKey
 from millfork_core.windows import Allowance
-from millfork_registry.suspicion_store import SuspicionStore, Suspicion
+from millfork_registry.suspicion_store import Suspicion, SuspicionStore
 from millfork_scheduling.quarantine import count_ends
 
 # The number of newly suspected requests that are published immediately, per window. Where many
--- a/tests/mutations_listed.py
+++ b/tests/mutations_listed.py
@@ -270,7 +270,13 @@
     Mutation(
         'nothing is served from before what the zone has seen',
         'tests/test_subscription.py',
-        (Edit(S + 'subscription.py', 'self.min_revision = max([0, *answers])', 'self.min_revision = 0'),),
+        (
+            Edit(
+                S + 'subscription.py',
+                'self.min_revision = max([0, *answers])',
+                'self.min_revision = 0',
+            ),
+        ),
     ),
     Mutation(
         'an append is acknowledged once it is durable',
--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -147,7 +147,13 @@
     Mutation(
         'a back end that is silent is looked at again',
         'tests/test_ends_of_silent_back_ends.py::test_a_silent_back_end_that_refuses_connections_later_has_ended',
-        (Edit(D + 'end_watch.py', 'while self.interruptions:', 'for _ in range(PROBES_BEFORE_RETURN):'),),
+        (
+            Edit(
+                D + 'end_watch.py',
+                'while self.interruptions:',
+                'for _ in range(PROBES_BEFORE_RETURN):',
+            ),
+        ),
     ),
     Mutation(
         'no refusal promises not run after an attempt that may have run',
@@ -248,7 +254,13 @@
     Mutation(
         'a piece is left to a drawer that is at it',
         'tests/test_caches.py::test_a_piece_that_the_assigned_cache_fetches_is_not_fetched_twice',
-        (Edit(D + 'proxy/cache.py', 'self.not_yet_answers[key] < MAX_NOT_YET_ANSWERS', 'not self.not_yet_answers[key]'),),
+        (
+            Edit(
+                D + 'proxy/cache.py',
+                'self.not_yet_answers[key] < MAX_NOT_YET_ANSWERS',
+                'not self.not_yet_answers[key]',
+            ),
+        ),
     ),
     Mutation(
         'a drawer whose origin sends other pieces first is waited for',
@@ -339,8 +351,7 @@
     ),
     Mutation(
         'an ended version is taken where nothing of the next one is here',
-        'tests/test_rollouts.py::test_an_ended_version_is_removed_without_any_piece_of_the_next'
-        'test_an_ended_version_is_taken_where_nothing_of_the_next_one_is_here',
+        'tests/test_rollouts.py::test_an_ended_version_is_removed_without_any_piece_of_the_next',
         (
             Edit(
                 D + 'sidecar/expiry.py',
@@ -374,7 +385,6 @@
     ),
     Mutation(
         'an emptied engine has nothing to end',
-        'tests/test_rollouts.py::'
         'tests/test_rollouts.py::test_an_ended_version_is_removed_without_any_piece_of_the_next',
         (
             Edit(
@@ -386,8 +396,7 @@
     ),
     Mutation(
         'nothing is sent to a version that ends while a connection comes up',
-        'tests/test_forwarding.py::test_nothing_is_sent_to_a_version_that_ends_while_connecting'
-        'test_nothing_is_sent_to_a_version_that_ends_while_a_connection_comes_up',
+        'tests/test_forwarding.py::test_nothing_is_sent_to_a_version_that_ends_while_connecting',
         (
             Edit(
                 D + 'proxy/request_sender.py',
@@ -398,7 +407,6 @@
     ),
     Mutation(
         'nothing is sent to an engine that has no whole version by then',
-        'tests/test_forwarding.py::'
         'tests/test_forwarding.py::test_nothing_is_sent_to_an_engine_without_a_complete_version',
         (
             Edit(
@@ -438,8 +446,7 @@
     ),
     Mutation(
         'the end of a version counts from the question',
-        'tests/test_version_cutoffs.py::test_a_late_answer_never_gives_too_late_a_cutoff'
-        'test_however_late_an_answer_is_given_or_read_no_end_is_later_than_the_true_one',
+        'tests/test_version_cutoffs.py::test_a_late_answer_never_gives_too_late_a_cutoff',
         (
             Edit(
                 G + 'version_cutoffs.py',
@@ -451,7 +458,13 @@
     Mutation(
         'what has ended does not come back',
         'tests/test_version_cutoffs.py::test_a_passed_cutoff_is_not_moved',
-        (Edit(G + 'version_cutoffs.py', '(known <= asked_at or cutoff <= known)', 'cutoff <= known'),),
+        (
+            Edit(
+                G + 'version_cutoffs.py',
+                '(known <= asked_at or cutoff <= known)',
+                'cutoff <= known',
+            ),
+        ),
     ),
     Mutation(
         'every version told of has its own end',
@@ -548,7 +561,7 @@
         (
             Edit(
                 C + 'server_table.py',
-                'made.report_sequence = before.report_sequence',
+                'new_server.report_sequence = before.report_sequence',
                 'pass',
             ),
         ),
@@ -669,7 +682,7 @@
         (
             Edit(
                 D + 'proxy/cache.py',
-                'if draw or not await self._fetch_from_cache(held, DIGESTS):',
+                'if draw or not await self._fetch_from_cache(held, DIGESTS_INDEX):',
                 'if True:',
             ),
         ),
@@ -732,8 +745,7 @@
     ),
     Mutation(
         'an end counts only where the address takes no connections',
-        'tests/test_quarantine.py::test_a_broken_off_answer_counts_only_if_the_back_end_has_ended'
-        'test_an_answer_that_broke_off_counts_only_where_the_back_end_has_ended',
+        'tests/test_quarantine.py::test_a_broken_off_answer_counts_only_if_the_back_end_has_ended',
         (Edit(D + 'end_watch.py', 'return ProbeResult.ANSWERS\n', 'return ProbeResult.REFUSES\n'),),
     ),
     Mutation(
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -74,7 +74,7 @@
 ):
     made = admission()
     job = job_of(made)
-    job.is_undecided = is_undecided
+    job.needs_first_try_lookup = is_undecided
     assert made.depends_on_first_try(job, choice_of(made, expected_ms, running)) == hinges
 
 
--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -11,7 +11,12 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import InstanceId, ZoneId
-from millfork_registry.caches import MAX_ADVERTISED_PER_OTHER_ZONE, MAX_ADVERTISED_IN_ZONE, caches_near_origin, advertised_caches
+from millfork_registry.caches import (
+    MAX_ADVERTISED_IN_ZONE,
+    MAX_ADVERTISED_PER_OTHER_ZONE,
+    advertised_caches,
+    caches_near_origin,
+)
 from millfork_routing.documents import OriginSpec
 from millfork_wire.connection import PeerTimedOut
 from millfork_wire.messages import CacheAddress, GetChunk, GetManifest
@@ -120,7 +125,10 @@
 
 @given(CACHES, st.sampled_from(['z1', 'z2', 'z3', '']))
 def test_all_zones_agree_on_the_caches_that_fetch_from_the_origin(caches, origin_zone):
-    assigned_caches = [caches_near_origin(advertised_caches(caches, zone), origin_zone) for zone in ('z1', 'z2', 'z3')]
+    assigned_caches = [
+        caches_near_origin(advertised_caches(caches, zone), origin_zone)
+        for zone in ('z1', 'z2', 'z3')
+    ]
     assert assigned_caches[0] == assigned_caches[1] == assigned_caches[2]
     assert bool(assigned_caches[0]) == bool(caches)
     if any(cache.zone == origin_zone for cache in caches):
--- a/tests/test_faults_left_open.py
+++ b/tests/test_faults_left_open.py
@@ -16,7 +16,14 @@
 from millforkd.versions import CUT_S
 from tests import test_delayed_heartbeats as heartbeats
 from tests import test_drawn_deployments as drawn
-from tests.test_ends_after_an_election import append, genesis, win_election, version_entry, replica_in, versions_of
+from tests.test_ends_after_an_election import (
+    append,
+    genesis,
+    replica_in,
+    version_entry,
+    versions_of,
+    win_election,
+)
 from tests.test_quarantine import Entry
 from tests.test_servers import Clock
 from tests.test_versions import SWITCH_S
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -16,9 +16,9 @@
 from millfork_registry.records import ServedVersion
 from millfork_registry.suspicion_store import SuspicionStore
 from millfork_routing.shared_budget import SharedBudget
-from millfork_scheduling.server_table import ServerTable
 from millfork_scheduling.placement import Choice, Requirements
 from millfork_scheduling.server import Server
+from millfork_scheduling.server_table import ServerTable
 from millfork_state.view import View
 from millforkd.proxy.connections import SendFailed
 from millforkd.proxy.fingerprints import Fingerprints
@@ -145,7 +145,15 @@
         caller = CallerRequest('id', 'h.example', '/')
         now = self.clock.now
         self.job = Job(
-            exchange, caller, route, None, Requirements(ServiceName('s'), ENGINE), 1, now, now + 6.0, 1
+            exchange,
+            caller,
+            route,
+            None,
+            Requirements(ServiceName('s'), ENGINE),
+            1,
+            now,
+            now + 6.0,
+            1,
         )
 
     async def refresh(self, servers):
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -29,13 +29,13 @@
 )
 from millfork_registry.registry import RecordChange, Registry
 from millfork_registry.roles import REPLICA_ROLE
-from millfork_scheduling.server_table import ServerTable
 from millfork_scheduling.placement import Choice, Requirements
-from millforkd.sidecar.expiry import ExpiryWatcher
-from millforkd.sidecar.pieces import WeightsId
+from millfork_scheduling.server_table import ServerTable
 from millforkd.proxy.connections import SendFailed
 from millforkd.proxy.job import Attempt
 from millforkd.proxy.response_monitor import ResponseMonitor
+from millforkd.sidecar.expiry import ExpiryWatcher
+from millforkd.sidecar.pieces import WeightsId
 from tests.test_registry import HEARTBEAT_S, LEASE_S, Clock, state_of
 from tests.test_rollouts import RolloutUnderTest
 from tests.test_servers import ENGINE
@@ -187,7 +187,11 @@
         assert not expiry._has_ended(target)
         rollout.record_report(None)
         rollout.record_report(engine_report(SECOND_INCARNATION))
-        assert (rollout.staged_checked, rollout.staged_weights, rollout.assignment) == (False, None, None)
+        assert (rollout.staged_checked, rollout.staged_weights, rollout.assignment) == (
+            False,
+            None,
+            None,
+        )
         assert expiry._has_ended(target)
 
     curio.run(run)
--- a/tests/test_late_ends_at_endpoints.py
+++ b/tests/test_late_ends_at_endpoints.py
@@ -18,6 +18,7 @@
 from millfork_state.view import View
 from millfork_wire.connection import PeerLost
 from millfork_wire.messages import BackEndFate, Cancelled, End, Reserve, Reserved
+from millforkd.end_watch import ProbeResult
 from millforkd.endpoint import ends as ends_module
 from millforkd.endpoint.ends import Ends
 from millforkd.entry import crashes as crashes_module
@@ -25,7 +26,6 @@
 from millforkd.entry.crashes import Crashes
 from millforkd.entry.delivery import Delivery
 from millforkd.entry.dispatch import Dispatch
-from millforkd.end_watch import ProbeResult
 
 ADDRESS = ('127.0.0.1', 1)
 
--- a/tests/test_repeat_budget_in_cuts.py
+++ b/tests/test_repeat_budget_in_cuts.py
@@ -10,8 +10,8 @@
 from millfork_registry.followers import Follower, Followers
 from millfork_registry.registry import Registry
 from millfork_registry.roles import ENTRY_ROLE
-from tests.test_shared_budget import ENTRIES, RATIO, SERVICE, SLACK, TICK_S, WINDOW_S, Fleet
 from tests.test_servers import Clock
+from tests.test_shared_budget import ENTRIES, RATIO, SERVICE, SLACK, TICK_S, WINDOW_S, Fleet
 
 # Each entry gets one request in this many ticks; nearly all requests are turned away.
 TICKS_PER_REQUEST = 4
--- a/tests/test_suspicions.py
+++ b/tests/test_suspicions.py
@@ -24,8 +24,8 @@
 from millfork_registry.suspicion_store import (
     MAX_BROKEN_INCARNATIONS,
     MAX_SUSPICIONS,
-    SuspicionStore,
     Suspicion,
+    SuspicionStore,
     decode_suspicions,
     encode_suspicions,
 )
@@ -41,7 +41,7 @@
 )
 from millfork_scheduling.server import Server
 from millforkd.proxy import end_detection as end_detection
-from millforkd.proxy.end_detection import ProbeResult, EndDetector
+from millforkd.proxy.end_detection import EndDetector, ProbeResult
 from tests.test_servers import Clock
 
 FINGERPRINT = Fingerprint('ab')
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -15,9 +15,9 @@
 from millfork_state.commands import Versioned, encode_versioned
 from millfork_state.keys import version_key
 from millfork_state.view import StoredValue, View
+from millforkd.proxy.admission import Admission
 from millforkd.sidecar.pieces import PieceStore, WeightsId
 from millforkd.sidecar.target import STUCK_AFTER_S, TargetChooser
-from millforkd.proxy.admission import Admission
 from millforkd.version_switching import LAST_SEND_BEFORE_END_S
 from millforkd.versions import Versions
 from tests.test_servers import ENGINE, Clock
@@ -256,7 +256,9 @@
     for _ in range(10):
         engine.clock.now += FIGURES.pieces * FIGURES.piece_bytes / RATE
         target = engine.choose()
-        engine.store.get_or_create(target.weights).pieces = dict.fromkeys(range(FIGURES.pieces), b'')
+        engine.store.get_or_create(target.weights).pieces = dict.fromkeys(
+            range(FIGURES.pieces), b''
+        )
         engine.choose()
         engine.served = target.weights.version
     assert engine.served == engine.newest
