--- a/packages/millfork-scheduling/millfork_scheduling/server_table.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server_table.py
@@ -114,11 +114,11 @@
                 known_since=self.monotonic(),
                 availability=self.lapsed.restore((key, lease.incarnation)),
             )
-            before = self.index.by_address.get((lease.host, lease.port))
-            if before is not None:
+            previous = self.index.by_address.get((lease.host, lease.port))
+            if previous is not None:
                 # The last report from this address describes the previous engine. Applied to
                 # the new one, it would show weights and load that the new engine doesn't have.
-                new_server.report_sequence = before.report_sequence
+                new_server.report_sequence = previous.report_sequence
             self.servers[key] = new_server
             return
         if lease.served == server.lease_served:
@@ -189,9 +189,9 @@
             return []
         now = self.monotonic()
         paths = self._paths(requirements.service, requirements.engine, requirements.newest_version)
-        drawn = self._sample(requirements, paths, tried, now)
-        if drawn:
-            return drawn
+        sampled = self._sample(requirements, paths, tried, now)
+        if sampled:
+            return sampled
         by_first = {path.first.instance: path.second for path in paths}
         eligible = filter_startable(
             self._unsuspected(requirements, paths, tried, now), requirements.engine, paths
@@ -247,17 +247,17 @@
             return self._choose_from_all(requirements, [], tried, context)
         paths = self._paths(requirements.service, requirements.engine, requirements.newest_version)
         if candidates is None:
-            drawn = self._sample(requirements, paths, tried, now)
+            sampled = self._sample(requirements, paths, tried, now)
         else:
-            drawn = [
+            sampled = [
                 server
                 for server in candidates
                 if self._is_still_usable(server, requirements, paths, tried)
             ]
         choice = None
-        if drawn:
+        if sampled:
             choice = choose_engine(
-                drawn, requirements, requirements.engine, paths, context, self.random
+                sampled, requirements, requirements.engine, paths, context, self.random
             )
         return choice or self._choose_from_all(requirements, paths, tried, context)
 
@@ -296,7 +296,7 @@
         near = self.index.near.get(requirements.service, [])
         far = self.index.far.get(requirements.service, [])
         by_first = {path.first.instance: path.second for path in paths}
-        drawn: list[Server] = []
+        sampled: list[Server] = []
         for servers, count in ((near, NEAR_SAMPLED), (far, FAR_SAMPLED)):
             found = 0
             for server in self.random.sample(servers, min(len(servers), SAMPLE_SIZE)):
@@ -308,11 +308,11 @@
                 ):
                     continue
                 if all(self._can_serve_now(member, requirements, paths, now) for member in members):
-                    drawn += members
+                    sampled += members
                     found += 1
             if found < count:
                 return []
-        return drawn
+        return sampled
 
     def _servers_through(
         self, server: Server, by_first: dict[InstanceId, Server], requirements: Requirements
--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -548,7 +548,7 @@
         (
             Edit(
                 C + 'server_table.py',
-                'made.report_sequence = before.report_sequence',
+                'new_server.report_sequence = previous.report_sequence',
                 'pass',
             ),
         ),
