--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -561,7 +561,7 @@
         (
             Edit(
                 C + 'server_table.py',
-                'new_server.report_sequence = before.report_sequence',
+                'new_server.report_sequence = previous.report_sequence',
                 'pass',
             ),
         ),
