--- a/packages/millforkd/millforkd/endpoint/door.py
+++ b/packages/millforkd/millforkd/endpoint/backend_gateway.py
@@ -32,26 +32,26 @@
     ServedVersion,
     Start,
 )
-from millforkd.endpoint.calls import REQUEST_ID_HEADER, call_of
-from millforkd.endpoint.ends import Ends
+from millforkd.endpoint.backend_requests import REQUEST_ID_HEADER, build_backend_request
+from millforkd.endpoint.incarnation_tracking import IncarnationTracker
 from millforkd.endpoint.reservations import Reservation, Stage
-from millforkd.endpoint.resting import Resting
+from millforkd.endpoint.rest_tracking import RestTracker
 from millforkd.settling import settle_claim
 
-START_PATIENCE_S: Final = 2.0
-LOAD_HEARTBEAT_S: Final = 8.0
-LOAD_PAUSE_S: Final = 0.1
-DRAIN_POLL_S: Final = 0.05
+START_TIMEOUT_S: Final = 2.0
+LOAD_HEARTBEAT_INTERVAL_S: Final = 8.0
+MIN_LOAD_REPORT_INTERVAL_S: Final = 0.1
+DRAIN_POLL_INTERVAL_S: Final = 0.05
 VERSION_HEADER: Final = 'millfork-version'
 # Answers by which an engine says that it has not the version asked for.
-NOT_LOADED: Final = frozenset({404, 409})
+NOT_LOADED_STATUSES: Final = frozenset({404, 409})
 PLAIN_VERSION: Final = ''
 STREAM_TYPE: Final = 'text/event-stream'
 
 log = logger(LogPart.ENDPOINT)
 
 
-class Door:
+class BackendGateway:
     """
     All requests to one back end pass here.
 
@@ -74,8 +74,8 @@
         self.reservations: dict[str, Reservation] = {}
         self.served: dict[str, str] = {}
         self.leaving = False
-        self.resting = Resting(env)
-        self.ends = Ends(env, lambda: self.settings.address.pair)
+        self.rest_tracker = RestTracker(env)
+        self.incarnations = IncarnationTracker(env, lambda: self.settings.address.pair)
         self.entries: dict[str, Connection] = {}
         self.load_changed = curio.Event()
         if not self.is_engine:
@@ -88,7 +88,7 @@
     def in_progress(self) -> int:
         return len(self.reservations)
 
-    def uses(self, version: str) -> bool:
+    def is_in_use(self, version: str) -> bool:
         """
         Whether a request in progress was admitted to this version.
 
@@ -122,10 +122,10 @@
         if refusal is not None:
             self.env.metrics.refused(refusal.reason, 'endpoint')
             return Reserved(False, refusal.reason.value, refusal.detail, refusal.wait_ms)
-        until = self.env.monotonic() + request.deadline_ms / 1000
-        waiter = await self.queue.join(organisation, until)
+        deadline = self.env.monotonic() + request.deadline_ms / 1000
+        waiter = await self.queue.join(organisation, deadline)
         version = self.served[request.service]
-        reservation = Reservation(request, connection, version, until, waiter)
+        reservation = Reservation(request, connection, version, deadline, waiter)
         self.reservations[request.request_id] = reservation
         reservation.task = await self.env.spawn(self._serve, reservation)
         await self.load_changed.set()
@@ -136,7 +136,7 @@
             return Refusal(Reason.LEAVING, detail='this endpoint is leaving')
         if request.service not in self.served:
             return Refusal(Reason.NOT_SERVABLE, detail='not servable here')
-        resting = self.resting.refusal()
+        resting = self.rest_tracker.current_refusal()
         if resting is not None:
             return resting
         wait_ms = self.queue.refusal_wait_ms(organisation, request.deadline_ms / 1000)
@@ -169,10 +169,10 @@
             await reservation.task.cancel()
         cancelled = Cancelled(message.request_id, reservation.verdict.value)
         if reservation.stage is Stage.SENT:
-            number = reservation.sent_to
+            number = reservation.incarnation_number
             request_id = RequestId(message.request_id)
-            await self.ends.note_called_off(request_id, connection, number)
-            cancelled.incarnation = self.ends.key_of(number)
+            await self.incarnations.record_cancellation(request_id, connection, number)
+            cancelled.incarnation = self.incarnations.incarnation_key(number)
         return cancelled
 
     async def on_closed(self, connection: Connection) -> None:
@@ -193,11 +193,11 @@
 
     async def _serve(self, reservation: Reservation) -> None:
         try:
-            refusal = await self._wait_for_slot(reservation)
+            refusal = await self._wait_for_start_and_slot(reservation)
             if refusal is None:
-                began = self.env.monotonic()
+                service_started_at = self.env.monotonic()
                 refusal = await self._run(reservation)
-                self.queue.learn_service_time(self.env.monotonic() - began)
+                self.queue.learn_service_time(self.env.monotonic() - service_started_at)
             await self._end(reservation, refusal)
         except PeerLost:
             self.env.metrics.count(self.env.metrics.requests, outcome='entry_gone')
@@ -220,12 +220,12 @@
                 self.env, self.proposals, request.key, request.attempt, reservation.response
             )
 
-    async def _wait_for_slot(self, reservation: Reservation) -> Refusal | None:
+    async def _wait_for_start_and_slot(self, reservation: Reservation) -> Refusal | None:
         expired = Refusal(Reason.EXPIRED, detail='it never came to its turn')
         try:
-            async with curio.timeout_after(START_PATIENCE_S):
+            async with curio.timeout_after(START_TIMEOUT_S):
                 await reservation.started.wait()
-            async with curio.timeout_after(max(reservation.until - self.env.monotonic(), 0.001)):
+            async with curio.timeout_after(max(reservation.deadline - self.env.monotonic(), 0.001)):
                 await reservation.waiter.granted.wait()
         except curio.TaskTimeout:
             return expired
@@ -235,22 +235,22 @@
         request = reservation.request
         if self.is_engine and reservation.version not in self.served.values():
             return Refusal(Reason.NOT_SERVABLE, detail='its version left while it waited')
-        resting = self.resting.refusal()
+        resting = self.rest_tracker.current_refusal()
         if resting is not None:
             return resting
         reservation.stage = Stage.SENT
         sent_at = self.env.monotonic()
-        reservation.sent_to = self.ends.number
-        self.resting.note_sent(sent_at)
-        left = max(reservation.until - self.env.monotonic(), 0.001)
+        reservation.incarnation_number = self.incarnations.number
+        self.rest_tracker.record_sent(sent_at)
+        remaining_s = max(reservation.deadline - self.env.monotonic(), 0.001)
         try:
-            async with curio.timeout_after(left):
-                headers, body = call_of(reservation, self.is_engine)
+            async with curio.timeout_after(remaining_s):
+                headers, body = build_backend_request(reservation, self.is_engine)
                 reply = await self.client.send(request.method, request.path, headers, body)
-                self.resting.note_answer(reply, sent_at)
-                self.ends.note_answer(sent_at)
+                self.rest_tracker.record_answer(reply, sent_at)
+                self.incarnations.record_answer(sent_at)
                 try:
-                    return await self._pass_on(reservation, reply)
+                    return await self._relay_reply(reservation, reply)
                 finally:
                     await reply.close()
         except curio.TaskTimeout:
@@ -259,21 +259,25 @@
             if error.verdict is Verdict.NOT_RUN:
                 reservation.stage = Stage.STARTED
                 return Refusal(Reason.UNREACHABLE, Verdict.NOT_RUN, 'the back end is unreachable')
-            return await self._broke_off(reservation)
+            return await self._interruption_refusal(reservation)
 
-    async def _broke_off(self, reservation: Reservation) -> Refusal:
-        fate = await self.ends.note_broken(
-            RequestId(reservation.request.request_id), reservation.connection, reservation.sent_to
+    async def _interruption_refusal(self, reservation: Reservation) -> Refusal:
+        status = await self.incarnations.record_interruption(
+            RequestId(reservation.request.request_id),
+            reservation.connection,
+            reservation.incarnation_number,
         )
-        if fate is not IncarnationStatus.LIVES:
-            reservation.broke_off_at = self.ends.key_of(reservation.sent_to)
-        if fate is IncarnationStatus.ENDED:
+        if status is not IncarnationStatus.LIVES:
+            reservation.interrupted_incarnation = self.incarnations.incarnation_key(
+                reservation.incarnation_number
+            )
+        if status is IncarnationStatus.ENDED:
             detail = 'the back end ended'
             return Refusal(Reason.BACKEND_FAILED, Verdict.MAY_HAVE_RUN, detail)
         detail = 'the connection to the back end broke off'
         return Refusal(Reason.TRUNCATED, Verdict.MAY_HAVE_RUN, detail)
 
-    async def _pass_on(self, reservation: Reservation, reply: Reply) -> Refusal | None:
+    async def _relay_reply(self, reservation: Reservation, reply: Reply) -> Refusal | None:
         refusal = self._check_head(reservation, reply)
         if refusal is not None:
             return refusal
@@ -284,16 +288,16 @@
             headers.append(Header(VERSION_HEADER, reservation.version))
         await self._send(reservation, Head(request_id, reply.status, headers))
         body = bytearray()
-        pause_s = self.settings.coalesce_ms / 1000 if _is_stream(reply) else 0.0
+        coalesce_s = self.settings.coalesce_ms / 1000 if _is_stream(reply) else 0.0
         async for data in reply.parts():
             await self._send(reservation, Part(request_id, reservation.parts, data))
             reservation.parts += 1
             reservation.bytes += len(data)
             if reservation.request.attempt:
                 body += data
-            if pause_s:
+            if coalesce_s:
                 # What the engine sends meanwhile is the next piece.
-                await curio.sleep(pause_s)
+                await curio.sleep(coalesce_s)
         if reservation.request.attempt:
             reservation.response = Response(reply.status, reply.headers, bytes(body))
         return None
@@ -321,7 +325,7 @@
             return Refusal(Reason.TRUNCATED, Verdict.MAY_HAVE_RUN, detail)
         if not self.is_engine:
             return None
-        if reply.status in NOT_LOADED:
+        if reply.status in NOT_LOADED_STATUSES:
             reservation.stage = Stage.STARTED
             return Refusal(Reason.ENGINE_EMPTY, Verdict.NOT_RUN, 'the engine has not the version')
         version = reply.header(VERSION_HEADER)
@@ -337,7 +341,7 @@
             end.reason = refusal.reason.value
             end.verdict = refusal.verdict.value
             end.detail = refusal.detail
-            end.incarnation = reservation.broke_off_at
+            end.incarnation = reservation.interrupted_incarnation
         await reservation.connection.notify(end)
 
     # Load reports.
@@ -350,10 +354,10 @@
             self.queue.slots,
             self.leaving,
             served,
-            self.ends.start,
+            self.incarnations.start,
         )
 
-    async def on_load_asked(self, connection: Connection) -> Load:
+    async def subscribe_to_load(self, connection: Connection) -> Load:
         """
         An entry begins to keep up with this endpoint.
 
@@ -369,7 +373,7 @@
         """
         while True:
             try:
-                async with curio.timeout_after(LOAD_HEARTBEAT_S):
+                async with curio.timeout_after(LOAD_HEARTBEAT_INTERVAL_S):
                     await self.load_changed.wait()
             except curio.TaskTimeout:
                 pass
@@ -380,7 +384,7 @@
                     await connection.notify(load)
                 except PeerLost:
                     continue
-            await curio.sleep(LOAD_PAUSE_S)
+            await curio.sleep(MIN_LOAD_REPORT_INTERVAL_S)
 
     async def wait_until_idle(self, timeout: float) -> bool:
         """
@@ -390,7 +394,7 @@
         try:
             async with curio.timeout_after(timeout):
                 while self.reservations:
-                    await curio.sleep(DRAIN_POLL_S)
+                    await curio.sleep(DRAIN_POLL_INTERVAL_S)
         except curio.TaskTimeout:
             return False
         return True
--- a/packages/millforkd/millforkd/endpoint/calls.py
+++ b/packages/millforkd/millforkd/endpoint/backend_requests.py
@@ -13,7 +13,7 @@
 PRIORITY_HEADER: Final = 'x-priority'
 
 
-def call_of(reservation: Reservation, is_engine: bool) -> tuple[Headers, bytes]:
+def build_backend_request(reservation: Reservation, is_engine: bool) -> tuple[Headers, bytes]:
     """
     Headers and body of the call. An engine is told the priority, and the version of the
     weights that the request was admitted to.
--- a/packages/millforkd/millforkd/endpoint/daemon.py
+++ b/packages/millforkd/millforkd/endpoint/daemon.py
@@ -22,14 +22,14 @@
 from millfork_wire import messages
 from millfork_wire.connection import Connection
 from millfork_wire.messages import Message, Report
-from millforkd.endpoint.door import Door
-from millforkd.endpoint.engine import Engine
+from millforkd.endpoint.backend_gateway import BackendGateway
+from millforkd.endpoint.engine_client import EngineClient
 from millforkd.endpoint.rollout import Rollout
 from millforkd.member import Member
 from millforkd.report import EndpointReport
 
 POLL_INTERVAL_S: Final = 5.0
-WATCH_S: Final = 0.25
+WATCH_INTERVAL_S: Final = 0.25
 WEIGHTS_FOLDER: Final = 'weights'
 SHARE_STEPS: Final = 8
 
@@ -49,19 +49,19 @@
         self.member = Member(env, settings, self.handle, POLL_INTERVAL_S)
         host = str(settings.address)
         proposals = LeaderClient(env, self.member.peers, self.member.replicas, None)
-        self.door = Door(env, settings.backend, host, proposals)
+        self.gateway = BackendGateway(env, settings.backend, host, proposals)
         self.store: WeightStore | None = None
         self.sharing: Sharing | None = None
         self.rollout: Rollout | None = None
         if settings.backend.kind is BackendKind.ENGINE:
             self._build_weights(settings)
         self.stopping = False
-        self.told_leaving = False
+        self.notified_leaving = False
         self.incarnation = time.time_ns()
         self.sequence = 0
-        self.shares_from: object = None
-        self.reported = EndpointReport()
-        self.member.peers.closed_hooks.append(self.door.on_closed)
+        self.shares_position: object = None
+        self.last_report = EndpointReport()
+        self.member.peers.closed_hooks.append(self.gateway.on_closed)
 
     def _build_weights(self, settings: Settings) -> None:
         assert settings.data_folder is not None and settings.backend is not None
@@ -73,8 +73,8 @@
         )
         self.store = WeightStore(settings.data_folder / WEIGHTS_FOLDER)
         self.sharing = Sharing(self.env, self.store, link)
-        engine = Engine(self.env, settings.backend, str(settings.address))
-        self.door.ends.ask = engine.incarnation
+        engine = EngineClient(self.env, settings.backend, str(settings.address))
+        self.gateway.incarnations.query_incarnation = engine.query_incarnation
         self.rollout = Rollout(
             self.env,
             settings,
@@ -83,13 +83,13 @@
             self.member.peers,
             self.store,
             link,
-            self.door,
+            self.gateway,
             engine,
         )
 
     @property
     def in_progress(self) -> int:
-        return self.door.in_progress
+        return self.gateway.in_progress
 
     async def start(self) -> None:
         """
@@ -97,16 +97,16 @@
 
         """
         await self.member.start()
-        await self.env.keep(self.door.report_load)
+        await self.env.keep(self.gateway.report_load)
         await self.env.keep(self._watch)
         if self.rollout is not None:
-            await self.env.keep(self._keep_rollout)
+            await self.env.keep(self._run_rollout)
 
-    async def _keep_rollout(self) -> None:
+    async def _run_rollout(self) -> None:
         assert self.rollout is not None
         while not self.member.ready_check():
-            await curio.sleep(WATCH_S)
-        await self.rollout.keep()
+            await curio.sleep(WATCH_INTERVAL_S)
+        await self.rollout.run()
 
     async def drain(self) -> None:
         """
@@ -114,11 +114,11 @@
 
         """
         self.stopping = True
-        await self.door.set_leaving(True)
+        await self.gateway.set_leaving(True)
         timeout = self.settings.routing.drain_ms / 1000
-        if not await self.door.wait_until_idle(timeout):
+        if not await self.gateway.wait_until_idle(timeout):
             self.env.metrics.count(self.env.metrics.requests, outcome='cut_off_by_deadline')
-            log.warning('Drain deadline: {} requests are cut off.', self.door.in_progress)
+            log.warning('Drain deadline: {} requests are cut off.', self.gateway.in_progress)
 
     async def _watch(self) -> None:
         """
@@ -126,39 +126,41 @@
 
         """
         while True:
-            await self.door.set_leaving(self._is_leaving())
-            self._learn_shares()
+            await self.gateway.set_leaving(self._is_leaving())
+            self._update_shares()
             await self._report()
-            await curio.sleep(WATCH_S)
+            await curio.sleep(WATCH_INTERVAL_S)
 
     def _is_leaving(self) -> bool:
         facts = self.member.roster.instances.get(self.env.instance)
         listed = facts is not None and facts.leaving
         drained = f'{DRAINS}{self.env.instance}' in self.member.view.items
-        return self.stopping or self.told_leaving or listed or drained
+        return self.stopping or self.notified_leaving or listed or drained
 
-    def _learn_shares(self) -> None:
-        if self.shares_from == self.member.view.position:
+    def _update_shares(self) -> None:
+        if self.shares_position == self.member.view.position:
             return
-        self.shares_from = self.member.view.position
+        self.shares_position = self.member.view.position
         shares = {}
         for key, value in self.member.view.values_with_prefix(ORGANISATIONS).items():
             name = OrganisationId(key.removeprefix(ORGANISATIONS))
             shares[name] = decode(value, Organisation).share
-        self.door.shares = shares
+        self.gateway.shares = shares
 
     async def _report(self) -> None:
-        report = EndpointReport(self._shares_held(), dict(self.door.served), self.door.leaving)
-        if report == self.reported:
+        report = EndpointReport(
+            self._held_shares(), dict(self.gateway.served), self.gateway.leaving
+        )
+        if report == self.last_report:
             return
-        self.reported = report
+        self.last_report = report
         self.sequence += 1
         body = msgspec.json.encode(report)
         await self.member.reports.merge(
             [Report(self.env.instance, self.incarnation, self.sequence, body)]
         )
 
-    def _shares_held(self) -> dict[str, float]:
+    def _held_shares(self) -> dict[str, float]:
         """
         The share of each wanted version held, in coarse steps: progress
         must not cost a message for each chunk.
@@ -167,7 +169,7 @@
         if self.rollout is None or self.store is None:
             return {}
         shares = {}
-        for deployment in self.rollout.wanted.values():
+        for deployment in self.rollout.wanted_deployments.values():
             held = [self.store.holdings.get(part.manifest) for part in deployment.parts]
             share = min(holding.share if holding else 0.0 for holding in held)
             shares[deployment.version] = int(share * SHARE_STEPS) / SHARE_STEPS
@@ -190,25 +192,25 @@
 
     @on.register
     async def _(self, message: messages.Reserve, connection: Connection) -> Message:
-        return await self.door.on_reserve(connection, message)
+        return await self.gateway.on_reserve(connection, message)
 
     @on.register
     async def _(self, message: messages.Start, connection: Connection) -> None:
-        await self.door.on_start(connection, message)
+        await self.gateway.on_start(connection, message)
 
     @on.register
     async def _(self, message: messages.Cancel, connection: Connection) -> Message:
-        return await self.door.on_cancel(connection, message)
+        return await self.gateway.on_cancel(connection, message)
 
     @on.register
     async def _(self, message: messages.Load, connection: Connection) -> Message:
-        return await self.door.on_load_asked(connection)
+        return await self.gateway.subscribe_to_load(connection)
 
     @on.register
     async def _(self, message: messages.Leaving, connection: Connection) -> None:
         if message.instance == self.env.instance:
-            self.told_leaving = True
-            await self.door.set_leaving(True)
+            self.notified_leaving = True
+            await self.gateway.set_leaving(True)
 
     @on.register
     async def _(self, message: messages.GetManifest, connection: Connection) -> Message | None:
--- a/packages/millforkd/millforkd/endpoint/engine.py
+++ b/packages/millforkd/millforkd/endpoint/engine_client.py
@@ -23,9 +23,9 @@
 ORDER_TIMEOUT_S: Final = 120.0
 STATUS_TIMEOUT_S: Final = 2.0
 # Of a look whether it still lives.
-LOOK_TIMEOUT_S: Final = 0.4
-OK: Final = 200
-REFUSED_ORDER: Final = 409
+PROBE_TIMEOUT_S: Final = 0.4
+OK_STATUS: Final = 200
+REFUSED_ORDER_STATUS: Final = 409
 
 log = logger(Part.ENGINE)
 
@@ -49,7 +49,7 @@
     """
 
 
-class Engine:
+class EngineClient:
     """
     The order-giver of one engine.
 
@@ -77,13 +77,13 @@
             self.number = FencingNumber(self.status.fencing_number + 1)
         return True
 
-    async def incarnation(self) -> str:
+    async def query_incarnation(self) -> str:
         """
         The engine's incarnation, as it tells it at this moment; empty without an answer.
 
         """
         try:
-            response = await self.client.fetch('GET', '/status', [], timeout=LOOK_TIMEOUT_S)
+            response = await self.client.fetch('GET', '/status', [], timeout=PROBE_TIMEOUT_S)
             return msgspec.json.decode(response.body, type=EngineStatus).incarnation
         except (ExchangeFailed, msgspec.DecodeError) as error:
             log.debug('The engine tells no incarnation: {}.', error)
@@ -114,11 +114,11 @@
         except ExchangeFailed as error:
             self._count(order, 'unanswered')
             raise OrderFailed(str(error)) from error
-        if response.status == REFUSED_ORDER:
+        if response.status == REFUSED_ORDER_STATUS:
             self._count(order, 'old_number')
             self.number = FencingNumber(0)
             raise OrderFailed('the engine has seen a higher fencing number')
-        if response.status != OK:
+        if response.status != OK_STATUS:
             self._count(order, 'refused')
             raise OrderFailed(f'the engine answered {response.status}')
         self._count(order, 'done')
--- /dev/null
+++ b/packages/millforkd/millforkd/endpoint/incarnation_tracking.py
@@ -0,0 +1,193 @@
+"""
+Whether the back end of an endpoint has ended, or only connections to it broke off.
+
+"""
+
+import itertools
+import time
+from collections.abc import Awaitable, Callable
+from dataclasses import dataclass
+
+from millfork_core.environment import Environment
+from millfork_core.ids import IncarnationKey, RequestId
+from millfork_core.logs import Part, logger
+from millfork_scheduling.incarnation_status import IncarnationStatus
+from millfork_wire.connection import Connection, PeerLost
+from millfork_wire.messages import BackEndFate
+from millforkd.end_watch import (
+    CALLER_LEFT_WATCH_S,
+    EndWatch,
+    Interruption,
+    ProbeResult,
+    probe_address,
+)
+
+UNKNOWN_INCARNATION = ''
+
+log = logger(Part.ENDPOINT)
+
+
+@dataclass(slots=True)
+class InterruptedRequest:
+    """
+    A request that broke off, and the entry it came from; `number` is that of the incarnation
+    it was sent to. Its fate is told to the entry where it was not known in time.
+
+    """
+
+    request_id: RequestId
+    connection: Connection
+    number: int
+    status: IncarnationStatus = IncarnationStatus.UNKNOWN
+    is_awaited: bool = True
+    # Whether it was called off instead, as its caller left: its back end may go on with it.
+    is_cancelled: bool = False
+
+
+class IncarnationTracker:
+    """
+    Tells the incarnations of one back end apart.
+
+    `query_incarnation` asks it for its incarnation; a plain service has none to tell.
+
+    """
+
+    def __init__(
+        self,
+        env: Environment,
+        address: Callable[[], tuple[str, int]],
+        query_incarnation: Callable[[], Awaitable[str]] | None = None,
+    ) -> None:
+        self.env = env
+        self.address = address
+        self.query_incarnation = query_incarnation
+        # Of this process, as its numbers of incarnations begin anew with it.
+        self.start = time.time_ns()
+        self.number = 0
+        # As the back end tells it; empty where it is not known.
+        self.reported_incarnation = UNKNOWN_INCARNATION
+        # When the latest of what it answered was sent, in monotonic seconds.
+        self.last_answered_sent_at = float('-inf')
+        self.watch_keys = itertools.count(1)
+        self.watch: EndWatch[InterruptedRequest] = EndWatch(
+            env, self._probe, self._determine_status, self._apply_status
+        )
+        self.is_watching = False
+
+    def incarnation_key(self, number: int) -> IncarnationKey:
+        return IncarnationKey(f'{self.env.instance}/{self.start}.{number}')
+
+    def record_answer(self, sent_at: float) -> None:
+        """
+        It answered what was sent at a moment in monotonic seconds.
+
+        """
+        self.last_answered_sent_at = max(self.last_answered_sent_at, sent_at)
+
+    def record_incarnation(self, incarnation: str, asked_at: float) -> None:
+        """
+        It told its incarnation when it was asked at a moment in monotonic seconds.
+
+        """
+        if incarnation == self.reported_incarnation:
+            self.record_answer(asked_at)
+            return
+        if self.reported_incarnation:
+            self._start_next_incarnation()
+        self.reported_incarnation = incarnation
+
+    def _start_next_incarnation(self) -> None:
+        self.number += 1
+        self.reported_incarnation = UNKNOWN_INCARNATION
+        self.last_answered_sent_at = float('-inf')
+
+    async def record_interruption(
+        self, request_id: RequestId, connection: Connection, number: int
+    ) -> IncarnationStatus:
+        """
+        A request broke off that was sent to an incarnation. Returns what is known of it
+        within moments; what becomes known later is told to the entry.
+
+        """
+        interrupted = InterruptedRequest(request_id, connection, number)
+        await self._add(interrupted)
+        await self.watch.wait_until_probed()
+        interrupted.is_awaited = False
+        return interrupted.status
+
+    async def _add(self, interrupted: InterruptedRequest) -> None:
+        await self.watch.add(
+            str(next(self.watch_keys)), interrupted, at_once=not interrupted.is_cancelled
+        )
+        if not self.is_watching:
+            self.is_watching = True
+            await self.env.spawn(self._run_watch)
+
+    async def record_cancellation(
+        self, request_id: RequestId, connection: Connection, number: int
+    ) -> None:
+        """
+        A request was called off that was sent to an incarnation; the entry is told whether
+        that ends soon.
+
+        """
+        interrupted = InterruptedRequest(
+            request_id, connection, number, is_awaited=False, is_cancelled=True
+        )
+        await self._add(interrupted)
+
+    async def _run_watch(self) -> None:
+        try:
+            await self.watch.run()
+        finally:
+            self.is_watching = False
+
+    def _determine_status(self, interrupted: Interruption[InterruptedRequest]) -> IncarnationStatus:
+        if interrupted.subject.number < self.number:
+            return IncarnationStatus.ENDED
+        if interrupted.subject.is_cancelled:
+            is_over = self.env.monotonic() - interrupted.at > CALLER_LEFT_WATCH_S
+            return IncarnationStatus.LIVES if is_over else IncarnationStatus.UNKNOWN
+        return (
+            IncarnationStatus.LIVES
+            if self.last_answered_sent_at > interrupted.at
+            else IncarnationStatus.UNKNOWN
+        )
+
+    async def _probe(self) -> ProbeResult:
+        if self.query_incarnation is not None:
+            asked_at = self.env.monotonic()
+            incarnation = await self.query_incarnation()
+            if incarnation != UNKNOWN_INCARNATION:
+                self.record_incarnation(incarnation, asked_at)
+                return ProbeResult.ANSWERS
+        return await probe_address(*self.address())
+
+    async def _apply_status(
+        self, status: IncarnationStatus, interrupted: list[Interruption[InterruptedRequest]]
+    ) -> None:
+        after_ms = (self.env.monotonic() - min(item.at for item in interrupted)) * 1000
+        log.info(
+            'Back end after answers broke off: {}. requests={} after_ms={:.0f}',
+            status.value,
+            len(interrupted),
+            after_ms,
+        )
+        if status is IncarnationStatus.ENDED and any(
+            item.subject.number == self.number for item in interrupted
+        ):
+            self._start_next_incarnation()
+        for item in interrupted:
+            item.subject.status = status
+            if not item.subject.is_awaited:
+                await self._notify_entry(item.subject)
+
+    async def _notify_entry(self, interrupted: InterruptedRequest) -> None:
+        try:
+            await interrupted.connection.notify(
+                BackEndFate(interrupted.request_id, interrupted.status is IncarnationStatus.ENDED)
+            )
+        except PeerLost:
+            log.info(
+                'An entry is gone that would hear of the back end. id={}', interrupted.request_id
+            )
--- a/packages/millforkd/millforkd/endpoint/reservations.py
+++ b/packages/millforkd/millforkd/endpoint/reservations.py
@@ -30,7 +30,7 @@
 @dataclass(slots=True)
 class Reservation:
     """
-    One request from its `Reserve` to its `End`; `until` is its deadline on
+    One request from its `Reserve` to its `End`; `deadline` is its deadline on
     this process's monotonic clock, `version` the weights it was admitted to.
     `response` gathers the answer of a request with an idempotency key.
 
@@ -39,7 +39,7 @@
     request: Reserve
     connection: Connection
     version: str
-    until: float
+    deadline: float
     waiter: Waiter
     stage: Stage = Stage.RESERVED
     started: curio.Event = field(default_factory=curio.Event)
@@ -48,9 +48,9 @@
     bytes: int = 0
     response: Response | None = None
     # The number of the back end's incarnation that it was sent to.
-    sent_to: int = 0
+    incarnation_number: int = 0
     # The back end's incarnation, if the answer broke off and it ended, or may have.
-    broke_off_at: IncarnationKey = NO_INCARNATION
+    interrupted_incarnation: IncarnationKey = NO_INCARNATION
 
     @property
     def verdict(self) -> Verdict:
--- a/packages/millforkd/millforkd/endpoint/resting.py
+++ b/packages/millforkd/millforkd/endpoint/rest_tracking.py
@@ -15,7 +15,7 @@
 log = logger(Part.ENDPOINT)
 
 
-class Resting:
+class RestTracker:
     """
     Takes what answers say of rest. Requests that come meanwhile are refused at once; one
     request asks whether it is over.
@@ -24,48 +24,54 @@
 
     def __init__(self, env: Environment) -> None:
         self.env = env
-        self.rest: RestPeriod | None = None
+        self.rest_period: RestPeriod | None = None
 
-    def refusal(self) -> Refusal | None:
+    def current_refusal(self) -> Refusal | None:
         """
         A refusal while the back end rests.
 
         """
-        rest_s = self.rest.opens_in_s(self.env.monotonic()) if self.rest is not None else 0.0
+        rest_s = (
+            self.rest_period.opens_in_s(self.env.monotonic())
+            if self.rest_period is not None
+            else 0.0
+        )
         if not rest_s:
             return None
         detail = 'the back end asked for rest'
         return Refusal(Reason.RESTING, detail=detail, retry_after_ms=math.ceil(rest_s * 1000))
 
-    def note_sent(self, now: float) -> None:
+    def record_sent(self, now: float) -> None:
         """
         A request is sent.
 
         """
-        if self.rest is not None:
-            self.rest.note_sent(now)
+        if self.rest_period is not None:
+            self.rest_period.note_sent(now)
 
-    def note_answer(self, reply: Reply, sent_at: float) -> None:
+    def record_answer(self, reply: Reply, sent_at: float) -> None:
         """
         The answer to a request begins that was sent at a moment (monotonic seconds).
 
         """
         if reply.status not in TURNED_AWAY:
-            if self.rest is not None and self.rest.is_ended_by(sent_at):
+            if self.rest_period is not None and self.rest_period.is_ended_by(sent_at):
                 log.info('The back end takes requests again.')
-                self.rest = None
+                self.rest_period = None
             return
-        asked = read_retry_after(reply.headers)
-        if asked.unread:
+        requested = read_retry_after(reply.headers)
+        if requested.unread:
             log.warning(
-                'The back end asks for rest in a way that can not be read: {}', asked.unread
+                'The back end asks for rest in a way that can not be read: {}', requested.unread
             )
-        if not asked.seconds:
+        if not requested.seconds:
             return
         now = self.env.monotonic()
-        self.rest = self.rest or RestPeriod(now)
-        self.rest.extend(asked.seconds, now)
+        self.rest_period = self.rest_period or RestPeriod(now)
+        self.rest_period.extend(requested.seconds, now)
         self.env.metrics.count(
             self.env.metrics.backpressure, signal='rest', event='began', told_by='answer'
         )
-        log.info('The back end asks for rest. rest_s={:g} status={}', asked.seconds, reply.status)
+        log.info(
+            'The back end asks for rest. rest_s={:g} status={}', requested.seconds, reply.status
+        )
--- a/packages/millforkd/millforkd/endpoint/rollout.py
+++ b/packages/millforkd/millforkd/endpoint/rollout.py
@@ -21,11 +21,11 @@
 from millfork_weights.transfer import Transfer, TransferFailed, TransferSettings
 from millfork_weights.trees import Holder
 from millfork_wire.peers import Peers
-from millforkd.endpoint.door import Door
-from millforkd.endpoint.engine import Engine, OrderFailed
+from millforkd.endpoint.backend_gateway import BackendGateway
+from millforkd.endpoint.engine_client import EngineClient, OrderFailed
 
-RECONCILE_S: Final = 0.5
-FAILED_PAUSE_S: Final = 5.0
+RECONCILE_INTERVAL_S: Final = 0.5
+TRANSFER_RETRY_DELAY_S: Final = 5.0
 
 log = logger(Part.WEIGHTS)
 
@@ -45,8 +45,8 @@
         peers: Peers,
         store: WeightStore,
         link: Link,
-        door: Door,
-        engine: Engine,
+        gateway: BackendGateway,
+        engine: EngineClient,
     ) -> None:
         assert settings.weights.origin is not None
         self.env = env
@@ -55,7 +55,7 @@
         self.peers = peers
         self.store = store
         self.link = link
-        self.door = door
+        self.gateway = gateway
         self.engine = engine
         host = str(settings.address)
         self.origin = Origin(*settings.weights.origin.pair, host)
@@ -66,57 +66,57 @@
             settings.weights.origin_copies,
         )
         self.transfers: dict[Digest, curio.Task] = {}
-        self.failed_until: dict[Digest, float] = {}
-        self.wanted: dict[str, Deployment] = {}
-        self.basis: tuple[object, int] | None = None
-        self.wake = curio.Event()
+        self.retry_after: dict[Digest, float] = {}
+        self.wanted_deployments: dict[str, Deployment] = {}
+        self.computed_from: tuple[object, int] | None = None
+        self.wake_event = curio.Event()
 
-    async def keep(self) -> None:
+    async def run(self) -> None:
         """
         The task that reconciles, on each change and now and then.
 
         """
-        await self.env.keep(self._wake_on_change)
+        await self.env.keep(self._wake_after_changes)
         while True:
             # Serving stops short of configuration older than the zone's.
             if self.view.cluster:
                 await self._reconcile()
-            self.wake.clear()
+            self.wake_event.clear()
             try:
-                async with curio.timeout_after(RECONCILE_S):
-                    await self.wake.wait()
+                async with curio.timeout_after(RECONCILE_INTERVAL_S):
+                    await self.wake_event.wait()
             except curio.TaskTimeout:
                 pass
 
-    async def _wake_on_change(self) -> None:
+    async def _wake_after_changes(self) -> None:
         while True:
-            if await self.view.wait_for_change(self.view.position, RECONCILE_S):
-                await self.wake.set()
+            if await self.view.wait_for_change(self.view.position, RECONCILE_INTERVAL_S):
+                await self.wake_event.set()
 
     async def _reconcile(self) -> None:
-        self.wanted = self._wanted_here()
-        await self._keep_transfers()
+        self.wanted_deployments = self._find_wanted_deployments()
+        await self._reconcile_transfers()
         asked_at = self.env.monotonic()
         if not await self.engine.poll():
-            await self.door.set_served({})
+            await self.gateway.set_served({})
             return
-        self.door.ends.note_incarnation(self.engine.status.incarnation, asked_at)
+        self.gateway.incarnations.record_incarnation(self.engine.status.incarnation, asked_at)
         await self._load_wanted()
         await self._serve_loaded()
         await self._unload_unwanted()
 
     # What is wanted.
 
-    def _wanted_here(self) -> dict[str, Deployment]:
+    def _find_wanted_deployments(self) -> dict[str, Deployment]:
         """
         The deployments that select this instance, by `ORG/NAME`.
 
         """
-        basis = (self.view.position, self.roster.version)
+        computed_from = (self.view.position, self.roster.version)
         facts = self.roster.instances.get(self.env.instance)
-        if facts is None or basis == self.basis:
-            return self.wanted
-        self.basis = basis
+        if facts is None or computed_from == self.computed_from:
+            return self.wanted_deployments
+        self.computed_from = computed_from
         return {
             name: deployment
             for name, deployment in deployments(self.view).items()
@@ -140,10 +140,12 @@
 
     def _wanted_parts(self) -> dict[Digest, WeightPart]:
         return {
-            part.manifest: part for deployment in self.wanted.values() for part in deployment.parts
+            part.manifest: part
+            for deployment in self.wanted_deployments.values()
+            for part in deployment.parts
         }
 
-    async def _keep_transfers(self) -> None:
+    async def _reconcile_transfers(self) -> None:
         parts = self._wanted_parts()
         for digest in list(self.transfers):
             if digest not in parts:
@@ -153,12 +155,12 @@
             holding = self.store.holdings.get(digest)
             if digest in self.transfers or (holding is not None and holding.whole):
                 continue
-            if self.failed_until.get(digest, 0.0) > self.env.monotonic():
+            if self.retry_after.get(digest, 0.0) > self.env.monotonic():
                 continue
             self.transfers[digest] = await self.env.spawn(self._transfer, part)
 
     async def _transfer(self, part: WeightPart) -> None:
-        began = self.env.monotonic()
+        started_at = self.env.monotonic()
         transfer = Transfer(
             self.env,
             self.transfer_settings,
@@ -175,12 +177,12 @@
             log.error('Transfer of {} {} failed: {}.', part.name, part.version, error)
             if isinstance(error, WholeMismatch):
                 self.store.forget(part.manifest)
-            self.failed_until[part.manifest] = self.env.monotonic() + FAILED_PAUSE_S
+            self.retry_after[part.manifest] = self.env.monotonic() + TRANSFER_RETRY_DELAY_S
         else:
-            took = self.env.monotonic() - began
-            log.info('{} {} is whole after {:.2f} s.', part.name, part.version, took)
+            duration_s = self.env.monotonic() - started_at
+            log.info('{} {} is whole after {:.2f} s.', part.name, part.version, duration_s)
         self.transfers.pop(part.manifest, None)
-        await self.wake.set()
+        await self.wake_event.set()
 
     def _is_whole(self, deployment: Deployment) -> bool:
         for part in deployment.parts:
@@ -192,7 +194,7 @@
     # The engine.
 
     async def _load_wanted(self) -> None:
-        for deployment in self.wanted.values():
+        for deployment in self.wanted_deployments.values():
             version = deployment.version
             if version in self.engine.status.loaded or not self._is_whole(deployment):
                 continue
@@ -219,14 +221,14 @@
 
         """
         served = {}
-        for name, deployment in self.wanted.items():
+        for name, deployment in self.wanted_deployments.items():
             if deployment.version in self.engine.status.loaded:
                 served[name] = deployment.version
                 continue
-            current = self.door.served.get(name, '')
+            current = self.gateway.served.get(name, '')
             if current in self.engine.status.loaded:
                 served[name] = current
-        await self.door.set_served(served)
+        await self.gateway.set_served(served)
 
     async def _unload_unwanted(self) -> None:
         """
@@ -234,15 +236,15 @@
         the weights that no version left here is made of.
 
         """
-        wanted = {deployment.version for deployment in self.wanted.values()}
-        kept = wanted | set(self.door.served.values())
+        wanted = {deployment.version for deployment in self.wanted_deployments.values()}
+        kept = wanted | set(self.gateway.served.values())
         for version in list(self.engine.status.loaded):
-            if version in kept or self.door.uses(version):
+            if version in kept or self.gateway.is_in_use(version):
                 continue
             try:
                 await self.engine.unload(version)
             except OrderFailed:
                 continue
             self.engine.status.loaded.remove(version)
-        if set(self.engine.status.loaded) <= wanted and wanted == set(self.door.served.values()):
+        if set(self.engine.status.loaded) <= wanted and wanted == set(self.gateway.served.values()):
             self.store.forget_all_but(set(self._wanted_parts()))
--- a/packages/millforkd/millforkd/entry/access.py
+++ b/packages/millforkd/millforkd/entry/access_control.py
@@ -34,7 +34,7 @@
     return hashlib.sha256(token).hexdigest()
 
 
-class Access:
+class AccessControl:
     """
     Token hashes of the configuration in force.
 
@@ -62,7 +62,7 @@
             self.callers.update(dict.fromkeys(organisation.caller_tokens, name))
             self.operators.update(dict.fromkeys(organisation.operator_tokens, name))
 
-    def caller(self, request: Request) -> OrganisationId:
+    def authenticate_caller(self, request: Request) -> OrganisationId:
         """
         The organisation of a caller.
 
@@ -70,12 +70,12 @@
 
         """
         self._refresh()
-        organisation = self.callers.get(_hash_in(request))
+        organisation = self.callers.get(_hash_of_bearer_token(request))
         if organisation is None:
             raise Refused(Refusal(Reason.UNAUTHENTICATED, detail='a known bearer token is needed'))
         return organisation
 
-    def operator(self, request: Request) -> Operator:
+    def authenticate_operator(self, request: Request) -> Operator:
         """
         The operator who sent a control request.
 
@@ -83,7 +83,7 @@
 
         """
         self._refresh()
-        found = _hash_in(request)
+        found = _hash_of_bearer_token(request)
         if self.admin_hash and hmac.compare_digest(found, self.admin_hash):
             return Operator(None)
         organisation = self.operators.get(found)
@@ -103,7 +103,7 @@
         return found.share if found else 1
 
 
-def _hash_in(request: Request) -> str:
+def _hash_of_bearer_token(request: Request) -> str:
     value = request.header('authorization')
     if value[: len(BEARER)].lower() != BEARER:
         return ''
--- a/packages/millforkd/millforkd/entry/attempts.py
+++ b/packages/millforkd/millforkd/entry/attempts.py
@@ -71,7 +71,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BrokeOff(Refusal):
+class InterruptedAttempt(Refusal):
     """
     An attempt whose back end ended, or whose answer broke off so that it may have.
 
@@ -80,7 +80,7 @@
     request_id: RequestId = RequestId('')
     incarnation: IncarnationKey = NO_INCARNATION
     # The endpoint, where the connection to it was lost: it tells nothing more of this attempt.
-    lost: InstanceId = NO_INSTANCE
+    lost_endpoint: InstanceId = NO_INSTANCE
 
 
 @dataclass(frozen=True, slots=True)
@@ -94,7 +94,7 @@
     response: Response = field(default_factory=lambda: Response(0))
 
 
-def state_key(call: Call) -> str:
+def replicated_key(call: Call) -> str:
     """
     The call's idempotency key, as the replicated state knows it.
 
@@ -102,7 +102,7 @@
     return f'{call.organisation}/{call.service}/{call.key}'
 
 
-def endpoint_key(instance: InstanceId, start: int) -> IncarnationKey:
+def endpoint_incarnation(instance: InstanceId, start: int) -> IncarnationKey:
     """
     One run of an endpoint's process.
 
@@ -110,7 +110,7 @@
     return IncarnationKey(f'{instance}/{start}')
 
 
-class Lost(Message):
+class ConnectionLost(Message):
     """
     Stands in the queue where the connection ended.
 
@@ -135,21 +135,21 @@
         self.backend = backend
         self.connection = connection
         self.events: curio.Queue = curio.Queue()
-        self.buffered = 0
+        self.buffered_bytes = 0
         self.started = False
         self.ended = False
         self.next_sequence = 0
-        self.received = 0
+        self.received_bytes = 0
         # The back end's incarnation that had it when it was cancelled, if one had.
-        self.called_off_at = NO_INCARNATION
+        self.cancelled_incarnation = NO_INCARNATION
 
-    async def take(self, message: Message) -> None:
+    async def enqueue(self, message: Message) -> None:
         """
         Take an event from the endpoint, in order.
 
         """
         if isinstance(message, Part):
-            self.buffered += len(message.data)
+            self.buffered_bytes += len(message.data)
         await self.events.put(message)
 
     async def reserve(self, call: Call, timeout: float) -> Refusal | None:
@@ -157,24 +157,24 @@
         Ask for a place; a refusal here is always NOT_RUN.
 
         """
-        left = call.deadline - self.env.monotonic()
+        remaining_s = call.deadline - self.env.monotonic()
         request = Reserve(
             self.request_id,
             call.organisation,
             call.service,
-            max(int(left * 1000), 1),
+            max(int(remaining_s * 1000), 1),
             call.priority,
             call.method,
             call.path,
             [Header(name, value) for name, value in call.headers],
             call.body,
-            state_key(call) if call.claim else '',
+            replicated_key(call) if call.claim else '',
             call.claim,
         )
         try:
-            reply = await self.connection.call(request, min(timeout, left))
+            reply = await self.connection.call(request, min(timeout, remaining_s))
         except PeerTimedOut:
-            await self._forget()
+            await self._cancel_without_reply()
             return Refusal(Reason.TIMED_OUT, detail='an endpoint gave no answer')
         except PeerRefused:
             return Refusal(Reason.BACKEND_FAILED, detail='an endpoint failed')
@@ -186,7 +186,7 @@
             return None
         return Refusal(Reason(reply.reason), Verdict.NOT_RUN, reply.detail, reply.retry_after_ms)
 
-    async def _forget(self) -> None:
+    async def _cancel_without_reply(self) -> None:
         try:
             await self.connection.notify(Cancel(self.request_id))
         except PeerLost:
@@ -204,77 +204,77 @@
         self.started = True
         return None
 
-    async def head(self, deadline: float) -> Head | Refusal:
+    async def receive_head(self, deadline: float) -> Head | Refusal:
         """
         Wait for the answer's head.
 
         """
-        message = await self._next(deadline)
+        message = await self._next_event(deadline)
         if isinstance(message, (Head, Refusal)):
             return message
         return Refusal(Reason.BACKEND_FAILED, Verdict.MAY_HAVE_RUN, 'an answer without a head')
 
-    async def part(self, deadline: float) -> bytes | Refusal | None:
+    async def receive_part(self, deadline: float) -> bytes | Refusal | None:
         """
         The next piece of the answer; None once it is whole.
 
         """
-        message = await self._next(deadline)
+        message = await self._next_event(deadline)
         if isinstance(message, Part):
-            self.buffered -= len(message.data)
+            self.buffered_bytes -= len(message.data)
             if message.sequence != self.next_sequence:
                 return Refusal(Reason.TRUNCATED, Verdict.MAY_HAVE_RUN, 'a piece is missing')
             self.next_sequence += 1
-            self.received += len(message.data)
+            self.received_bytes += len(message.data)
             return message.data
         if isinstance(message, Refusal):
             return message
         if not isinstance(message, End):
             return Refusal(Reason.BACKEND_FAILED, Verdict.MAY_HAVE_RUN, 'out of order')
-        if (message.parts, message.bytes) != (self.next_sequence, self.received):
+        if (message.parts, message.bytes) != (self.next_sequence, self.received_bytes):
             return Refusal(Reason.TRUNCATED, Verdict.MAY_HAVE_RUN, 'the answer is cut short')
         return None
 
-    async def _next(self, deadline: float) -> Message | Refusal:
-        if self.buffered > MAX_BUFFERED_BYTES:
+    async def _next_event(self, deadline: float) -> Message | Refusal:
+        if self.buffered_bytes > MAX_BUFFERED_BYTES:
             return Refusal(Reason.TOO_LARGE, Verdict.MAY_HAVE_RUN, 'the caller reads too slowly')
         try:
             async with curio.timeout_after(max(deadline - self.env.monotonic(), 0.001)):
                 message: Message = await self.events.get()
         except curio.TaskTimeout:
-            return await self._give_up()
-        if isinstance(message, Lost):
+            return await self._cancel_at_deadline()
+        if isinstance(message, ConnectionLost):
             self.ended = True
-            return self._refusal_of_lost()
+            return self._connection_lost_refusal()
         if isinstance(message, End):
             self.ended = True
             if message.reason:
-                return self._refusal_in(message)
+                return self._refusal_from_end(message)
         return message
 
-    def _refusal_of_lost(self) -> Refusal:
+    def _connection_lost_refusal(self) -> Refusal:
         detail = 'the endpoint went away while it ran the request'
         if not self.backend.start:
             return Refusal(Reason.CONNECTION_LOST, Verdict.MAY_HAVE_RUN, detail)
-        return BrokeOff(
+        return InterruptedAttempt(
             Reason.CONNECTION_LOST,
             Verdict.MAY_HAVE_RUN,
             detail,
             request_id=self.request_id,
-            incarnation=endpoint_key(self.backend.instance, self.backend.start),
-            lost=self.backend.instance,
+            incarnation=endpoint_incarnation(self.backend.instance, self.backend.start),
+            lost_endpoint=self.backend.instance,
         )
 
-    def _refusal_in(self, end: End) -> Refusal:
+    def _refusal_from_end(self, end: End) -> Refusal:
         reason, verdict = Reason(end.reason), Verdict(end.verdict)
         if not end.incarnation:
             return Refusal(reason, verdict, end.detail)
         incarnation = IncarnationKey(end.incarnation)
-        return BrokeOff(
+        return InterruptedAttempt(
             reason, verdict, end.detail, request_id=self.request_id, incarnation=incarnation
         )
 
-    async def _give_up(self) -> Refusal:
+    async def _cancel_at_deadline(self) -> Refusal:
         """
         Cancel at the endpoint; it may know that nothing ran.
 
@@ -294,5 +294,5 @@
             return Verdict.MAY_HAVE_RUN
         if not isinstance(reply, Cancelled):
             return Verdict.MAY_HAVE_RUN
-        self.called_off_at = IncarnationKey(reply.incarnation)
+        self.cancelled_incarnation = IncarnationKey(reply.incarnation)
         return Verdict(reply.verdict)
--- a/packages/millforkd/millforkd/entry/callers.py
+++ b/packages/millforkd/millforkd/entry/caller_requests.py
@@ -21,11 +21,11 @@
 from millfork_web.models import Request, Response
 from millfork_web.problem import problem
 from millfork_web.server import Exchange
-from millforkd.entry.access import Access
+from millforkd.entry.access_control import AccessControl
 from millforkd.entry.attempts import Call
-from millforkd.entry.claims import Claims
 from millforkd.entry.delivery import Delivery
-from millforkd.entry.dispatch import Dispatch
+from millforkd.entry.dispatcher import Dispatcher
+from millforkd.entry.key_claims import KeyClaims
 
 COMPLETION_PATHS: Final = frozenset({'/v1/completions', '/v1/chat/completions'})
 SERVICES_PATH: Final = '/services/'
@@ -36,8 +36,8 @@
 PRIORITY_HEADER: Final = 'millfork-priority'
 MAX_KEY_CHARS: Final = 255
 MAX_PRIORITY: Final = 9
-AFFINITY_CHARS: Final = 256
-NOT_SENT_ON: Final = frozenset(
+MAX_AFFINITY_CHARS: Final = 256
+UNFORWARDED_HEADERS: Final = frozenset(
     {
         'authorization',
         'connection',
@@ -49,12 +49,12 @@
         'upgrade',
     }
 )
-PART: Final = 'entry'
+METRICS_PART: Final = 'entry'
 
 log = logger(Part.ENTRY)
 
 
-class Callers:
+class CallerRequests:
     """
     Answers callers.
 
@@ -65,26 +65,26 @@
         env: Environment,
         settings: RoutingSettings,
         view: View,
-        access: Access,
-        dispatch: Dispatch,
-        claims: Claims,
+        access: AccessControl,
+        dispatcher: Dispatcher,
+        claims: KeyClaims,
     ) -> None:
         self.env = env
         self.settings = settings
         self.view = view
-        self.access = access
-        self.dispatch = dispatch
+        self.access_control = access
+        self.dispatcher = dispatcher
         self.claims = claims
         self.in_flight = InFlightCounter(settings.organisation_slots)
 
-    async def answer(self, exchange: Exchange) -> None:
+    async def handle(self, exchange: Exchange) -> None:
         """
         Answer one request: with a response, or a refusal at once.
 
         """
         try:
-            organisation = self.access.caller(exchange.request)
-            call = self._understand(exchange.request, organisation)
+            organisation = self.access_control.authenticate_caller(exchange.request)
+            call = self._parse_call(exchange.request, organisation)
             if not self.in_flight.begin(organisation):
                 detail = 'too many requests of this organisation are in progress'
                 raise Refused(Refusal(Reason.OVER_SHARE, detail=detail))
@@ -92,11 +92,11 @@
             await self._refuse(exchange, error.refusal)
             return
         try:
-            await self._answer_while_wanted(exchange, call)
+            await self._answer_until_caller_leaves(exchange, call)
         finally:
             self.in_flight.end(organisation)
 
-    async def _answer_while_wanted(self, exchange: Exchange, call: Call) -> None:
+    async def _answer_until_caller_leaves(self, exchange: Exchange, call: Call) -> None:
         """
         Run the call until it is answered or the caller is gone. A call that
         is not repeatable goes on, so that its key learns the outcome.
@@ -124,11 +124,11 @@
             if call.key:
                 refusal = await self._run_claimed(call, delivery)
             else:
-                refusal = await self.dispatch.run(call, delivery)
+                refusal = await self.dispatcher.run(call, delivery)
         except Refused as error:
             refusal = error.refusal
         if refusal is not None:
-            await self._refuse(exchange, refusal, delivery.begun)
+            await self._refuse(exchange, refusal, delivery.has_started)
             return
         self.env.metrics.count(self.env.metrics.requests, outcome='answered')
         if delivery.response is not None:
@@ -140,12 +140,12 @@
 
         """
         call = replace(call, claim=uuid.uuid4().hex)
-        earlier = await self.claims.claim(call)
-        if earlier is not None:
+        first_response = await self.claims.claim(call)
+        if first_response is not None:
             self.env.metrics.count(self.env.metrics.requests, outcome='answered_again')
-            delivery.response = earlier
+            delivery.response = first_response
             return None
-        refusal = await self.dispatch.run(call, delivery)
+        refusal = await self.dispatcher.run(call, delivery)
         verdict = refusal.verdict if refusal else Verdict.RAN
         response = delivery.response
         if refusal is None and response is None:
@@ -156,28 +156,28 @@
         return refusal
 
     async def _refuse(self, exchange: Exchange, refusal: Refusal, begun: bool = False) -> None:
-        self.env.metrics.refused(refusal.reason, PART)
+        self.env.metrics.refused(refusal.reason, METRICS_PART)
         self.env.metrics.count(self.env.metrics.requests, outcome='refused')
         if not begun:
             await exchange.respond(problem(refusal))
 
     # Understanding a request.
 
-    def _understand(self, request: Request, organisation: OrganisationId) -> Call:
+    def _parse_call(self, request: Request, organisation: OrganisationId) -> Call:
         path = request.path.split('?', 1)[0]
         key = request.header(KEY_HEADER)
         if len(key) > MAX_KEY_CHARS:
-            raise _bad(f'{KEY_HEADER} is longer than {MAX_KEY_CHARS} characters')
+            raise _bad_request(f'{KEY_HEADER} is longer than {MAX_KEY_CHARS} characters')
         affinity = ''
         if path in COMPLETION_PATHS:
-            service, affinity = self._deployment(request, organisation)
+            service, affinity = self._parse_deployment(request, organisation)
             target = request.path
         elif path.startswith(SERVICES_PATH):
-            service, target = self._plain_service(request, organisation)
+            service, target = self._parse_plain_service(request, organisation)
         else:
             raise Refused(Refusal(Reason.NOT_FOUND, detail='no such path'))
         repeatable = _is_repeatable(request)
-        headers = [(n, v) for n, v in request.headers if n not in NOT_SENT_ON]
+        headers = [(n, v) for n, v in request.headers if n not in UNFORWARDED_HEADERS]
         return Call(
             organisation,
             service,
@@ -189,37 +189,39 @@
             '' if repeatable else key,
             '',
             affinity,
-            _number(request, PRIORITY_HEADER, 0, 0, MAX_PRIORITY),
+            _parse_number(request, PRIORITY_HEADER, 0, 0, MAX_PRIORITY),
             self.env.monotonic() + self._timeout_ms(request) / 1000,
         )
 
     def _timeout_ms(self, request: Request) -> int:
-        most = self.settings.request_timeout_ms
-        return _number(request, TIMEOUT_HEADER, most, 1, most)
+        maximum = self.settings.request_timeout_ms
+        return _parse_number(request, TIMEOUT_HEADER, maximum, 1, maximum)
 
-    def _deployment(self, request: Request, organisation: OrganisationId) -> tuple[str, str]:
+    def _parse_deployment(self, request: Request, organisation: OrganisationId) -> tuple[str, str]:
         if request.method != 'POST':
-            raise _bad('a completion is asked for by POST')
+            raise _bad_request('a completion is asked for by POST')
         body = _json_object(request)
         name = body.get('model')
         if not isinstance(name, str):
-            raise _bad('model: a deployment name expected')
+            raise _bad_request('model: a deployment name expected')
         service = f'{organisation}/{name}'
         if f'{DEPLOYMENTS}{service}' not in self.view.items:
             raise Refused(Refusal(Reason.NOT_FOUND, detail='no such deployment'))
         prompt = body.get('prompt') or body.get('messages') or ''
         text = prompt if isinstance(prompt, str) else json.dumps(prompt)
-        return service, f'{service}/{text[:AFFINITY_CHARS]}'
+        return service, f'{service}/{text[:MAX_AFFINITY_CHARS]}'
 
-    def _plain_service(self, request: Request, organisation: OrganisationId) -> tuple[str, str]:
+    def _parse_plain_service(
+        self, request: Request, organisation: OrganisationId
+    ) -> tuple[str, str]:
         rest = request.path.removeprefix(SERVICES_PATH)
         service, _, target = rest.partition('/')
-        if not self.access.may_use(organisation, service):
+        if not self.access_control.may_use(organisation, service):
             raise Refused(Refusal(Reason.NOT_FOUND, detail='no such service'))
         return service, '/' + target
 
 
-def _bad(detail: str) -> Refused:
+def _bad_request(detail: str) -> Refused:
     return Refused(Refusal(Reason.BAD_REQUEST, detail=detail))
 
 
@@ -227,9 +229,9 @@
     try:
         body = request.json()
     except ValueError:
-        raise _bad('the body is no JSON') from None
+        raise _bad_request('the body is no JSON') from None
     if not isinstance(body, dict):
-        raise _bad('the body is no JSON object')
+        raise _bad_request('the body is no JSON object')
     return body
 
 
@@ -240,16 +242,16 @@
     """
     mark = request.header(REPEATABLE_HEADER)
     if mark not in ('', 'yes', 'no'):
-        raise _bad(f'{REPEATABLE_HEADER}: yes or no expected')
+        raise _bad_request(f'{REPEATABLE_HEADER}: yes or no expected')
     if mark:
         return mark == 'yes'
     return request.method in REPEATABLE_METHODS
 
 
-def _number(request: Request, name: str, default: int, least: int, most: int) -> int:
+def _parse_number(request: Request, name: str, default: int, minimum: int, maximum: int) -> int:
     text = request.header(name)
     if not text:
         return default
-    if not text.isdecimal() or not least <= int(text):
-        raise _bad(f'{name}: a number from {least} expected')
-    return min(int(text), most)
+    if not text.isdecimal() or not minimum <= int(text):
+        raise _bad_request(f'{name}: a number from {minimum} expected')
+    return min(int(text), maximum)
--- a/packages/millforkd/millforkd/entry/crashes.py
+++ b/packages/millforkd/millforkd/entry/crash_tracking.py
@@ -19,29 +19,29 @@
 from millfork_scheduling.quarantine import SuspicionLevel, TrialSchedule
 from millfork_state.view import View
 from millfork_wire.messages import BackEndFate
-from millforkd.entry.attempts import BrokeOff, Call, endpoint_key
+from millforkd.entry.attempts import Call, InterruptedAttempt, endpoint_incarnation
 from millforkd.fingerprints import fingerprint_of
 from millforkd.quarantine import Quarantine
 from millforkd.suspicion_updates import SuspicionUpdater
 
-DETAILS: Final = {
+REFUSAL_DETAILS: Final = {
     SuspicionLevel.AT_FAULT: 'back ends end when they run this request',
     SuspicionLevel.SUSPECTED: 'back ends broke off when they ran this request',
 }
-REASONS: Final = {
+REFUSAL_REASONS: Final = {
     SuspicionLevel.AT_FAULT: Reason.QUARANTINED,
     SuspicionLevel.SUSPECTED: Reason.SUSPECTED,
 }
 
 # An endpoint watches its back end for 20 s; one that is gone tells nothing any more.
-PENDING_S: Final = 30.0
-MOST_EARLY_FATES: Final = 256
+PENDING_RETENTION_S: Final = 30.0
+MAX_EARLY_FATES: Final = 256
 
 log = logger(Part.ENTRY)
 
 
 @dataclass(frozen=True, slots=True)
-class Pending:
+class PendingAttempt:
     """
     An attempt that broke off, at a moment in monotonic seconds, before its endpoint knows
     whether the back end ended; `before` is what was known of the call when it was sent.
@@ -50,11 +50,11 @@
 
     before: Suspicion
     incarnation: IncarnationKey
-    since: float
+    interrupted_at: float
     # The endpoint, where it was lost itself.
-    lost: InstanceId = NO_INSTANCE
+    lost_endpoint: InstanceId = NO_INSTANCE
     # Whether its caller left; it is not suspected before its back end is known to have ended.
-    called_off: bool = False
+    is_cancelled: bool = False
 
 
 class CallFingerprints:
@@ -72,7 +72,7 @@
         return fingerprint_of(self.key, self.cluster(), parts, call.body)
 
 
-class Crashes:
+class CrashTracker:
     """
     Counts ends by what calls say. An answer that comes whole clears a call.
 
@@ -82,35 +82,35 @@
         self, env: Environment, key: bytes, view: View, entries: Callable[[], int]
     ) -> None:
         self.env = env
-        self.suspects = SuspicionStore(env.monotonic)
-        self.suspecting = SuspicionUpdater(env, self.suspects)
-        self.pending: dict[RequestId, Pending] = {}
+        self.suspicions = SuspicionStore(env.monotonic)
+        self.suspicion_updater = SuspicionUpdater(env, self.suspicions)
+        self.pending: dict[RequestId, PendingAttempt] = {}
         self.early_fates: dict[RequestId, bool] = {}
         self.quarantine = Quarantine(
-            self.suspects,
+            self.suspicions,
             view,
             CallFingerprints(key, lambda: view.cluster),
             TrialSchedule(env.random, env.monotonic, entries),
         )
 
-    def known(self, call: Call) -> Suspicion:
+    def suspicion_of(self, call: Call) -> Suspicion:
         """
         What is known of a call at this moment.
 
         """
         return self.quarantine.suspicion_of(call)
 
-    def bars(self, call: Call) -> Refusal | None:
+    def block_refusal(self, call: Call) -> Refusal | None:
         """
         A refusal if a call is, or may be, what ends back ends.
 
         """
-        standing = self.quarantine.blocking_standing(call)
-        if standing is None:
+        level = self.quarantine.blocking_standing(call)
+        if level is None:
             return None
-        return Refusal(REASONS[standing], detail=DETAILS[standing])
+        return Refusal(REFUSAL_REASONS[level], detail=REFUSAL_DETAILS[level])
 
-    async def note(self, call: Call, before: Suspicion, outcome: Refusal | None) -> None:
+    async def record_outcome(self, call: Call, before: Suspicion, outcome: Refusal | None) -> None:
         """
         Take how an attempt ended; `before` is what was known of its call when it was sent.
 
@@ -118,19 +118,21 @@
         if outcome is None:
             await self.quarantine.clear_suspicion(call)
             return
-        await self._take(outcome, before)
+        await self._record_refusal(outcome, before)
 
     @singledispatchmethod
-    async def _take(self, outcome: Refusal, before: Suspicion) -> None:
+    async def _record_refusal(self, outcome: Refusal, before: Suspicion) -> None:
         if outcome.reason is not Reason.BACKEND_FAILED or outcome.verdict is Verdict.NOT_RUN:
             return
-        await self.suspects.record(before.with_end())
+        await self.suspicions.record(before.with_end())
         self._log_end(before)
 
-    @_take.register
-    async def _(self, outcome: BrokeOff, before: Suspicion) -> None:
-        await self.suspecting.note_broken(before.fingerprint, outcome.incarnation)
-        pending = Pending(before, outcome.incarnation, self.env.monotonic(), outcome.lost)
+    @_record_refusal.register
+    async def _(self, outcome: InterruptedAttempt, before: Suspicion) -> None:
+        await self.suspicion_updater.note_broken(before.fingerprint, outcome.incarnation)
+        pending = PendingAttempt(
+            before, outcome.incarnation, self.env.monotonic(), outcome.lost_endpoint
+        )
         if outcome.reason is Reason.BACKEND_FAILED:
             await self._settle(pending, ended=True)
             return
@@ -140,16 +142,20 @@
             return
         await self._settle(pending, ended)
 
-    def note_left(self, call: Call, request_id: RequestId, incarnation: IncarnationKey) -> None:
+    def record_cancellation(
+        self, call: Call, request_id: RequestId, incarnation: IncarnationKey
+    ) -> None:
         """
         An attempt was called off, as its caller left or its time was up; its back end may end
         all the same.
 
         """
         now = self.env.monotonic()
-        self.pending[request_id] = Pending(self.known(call), incarnation, now, called_off=True)
+        self.pending[request_id] = PendingAttempt(
+            self.suspicion_of(call), incarnation, now, is_cancelled=True
+        )
 
-    async def on_fate(self, message: BackEndFate) -> None:
+    async def apply_fate(self, message: BackEndFate) -> None:
         """
         An endpoint found out whether its back end ended.
 
@@ -159,12 +165,12 @@
         if pending is None:
             # It may overtake the end of its attempt, which is taken by another task.
             self.early_fates[request_id] = message.ended
-            while len(self.early_fates) > MOST_EARLY_FATES:
+            while len(self.early_fates) > MAX_EARLY_FATES:
                 del self.early_fates[next(iter(self.early_fates))]
             return
         await self._settle(pending, message.ended)
 
-    async def on_endpoint(self, instance: InstanceId, start: int) -> None:
+    async def apply_endpoint_start(self, instance: InstanceId, start: int) -> None:
         """
         An endpoint was reached again; its process started at a moment. What broke off as the
         connection to it was lost broke off with another one of its processes, or with the
@@ -172,36 +178,40 @@
 
         """
         for request_id, pending in list(self.pending.items()):
-            if pending.lost != instance:
+            if pending.lost_endpoint != instance:
                 continue
             del self.pending[request_id]
-            await self._settle(pending, pending.incarnation != endpoint_key(instance, start))
-
-    async def _settle(self, pending: Pending, ended: bool) -> None:
-        if ended and pending.called_off:
-            await self.suspecting.note_broken(pending.before.fingerprint, pending.incarnation)
+            await self._settle(
+                pending, pending.incarnation != endpoint_incarnation(instance, start)
+            )
+
+    async def _settle(self, pending: PendingAttempt, ended: bool) -> None:
+        if ended and pending.is_cancelled:
+            await self.suspicion_updater.note_broken(
+                pending.before.fingerprint, pending.incarnation
+            )
         if ended:
-            await self.suspecting.note_end(pending.before, pending.incarnation)
+            await self.suspicion_updater.note_end(pending.before, pending.incarnation)
             self._log_end(pending.before)
             return
-        await self.suspecting.note_no_end(pending.before.fingerprint, pending.incarnation)
+        await self.suspicion_updater.note_no_end(pending.before.fingerprint, pending.incarnation)
 
     def _log_end(self, before: Suspicion) -> None:
         log.info(
             'A back end ended under a request. fingerprint={} ends={}',
             before.fingerprint,
-            self.suspects.get(before.fingerprint).ends,
+            self.suspicions.get(before.fingerprint).ends,
         )
 
-    async def keep_house(self) -> None:
+    async def expire(self) -> None:
         """
         Forget what is old, and tell others what did not prove to be nothing.
 
         """
-        self.suspects.forget_expired()
-        await self.suspects.publish_overdue()
-        since = self.env.monotonic() - PENDING_S
+        self.suspicions.forget_expired()
+        await self.suspicions.publish_overdue()
+        interrupted_at = self.env.monotonic() - PENDING_RETENTION_S
         for request_id, pending in list(self.pending.items()):
-            if pending.since < since:
+            if pending.interrupted_at < interrupted_at:
                 del self.pending[request_id]
                 await self._settle(pending, ended=False)
--- a/packages/millforkd/millforkd/entry/daemon.py
+++ b/packages/millforkd/millforkd/entry/daemon.py
@@ -26,14 +26,14 @@
 from millfork_wire import messages
 from millfork_wire.connection import Connection
 from millfork_wire.messages import Message
-from millforkd.entry.access import Access
-from millforkd.entry.book import EndpointBook
-from millforkd.entry.callers import Callers
-from millforkd.entry.claims import Claims
-from millforkd.entry.crashes import Crashes
-from millforkd.entry.dispatch import Dispatch
-from millforkd.entry.operators import PREFIX, Operators
-from millforkd.entry.spreading import SuspicionSpreading
+from millforkd.entry.access_control import AccessControl
+from millforkd.entry.caller_requests import CallerRequests
+from millforkd.entry.crash_tracking import CrashTracker
+from millforkd.entry.dispatcher import Dispatcher
+from millforkd.entry.endpoint_connections import EndpointConnections
+from millforkd.entry.key_claims import KeyClaims
+from millforkd.entry.operator_requests import CONTROL_PREFIX, OperatorRequests
+from millforkd.entry.suspicion_gossip import SuspicionGossip
 from millforkd.member import Member
 from millforkd.replica.quarantine import QuarantineList
 
@@ -41,8 +41,8 @@
 STATE_FOLDER: Final = 'state'
 # Time for the balancer to see that this entry is not ready any more.
 BALANCER_GRACE_S: Final = 1.0
-DRAIN_POLL_S: Final = 0.05
-HOUSEKEEPING_S: Final = 0.5
+DRAIN_POLL_INTERVAL_S: Final = 0.05
+EXPIRY_INTERVAL_S: Final = 0.5
 
 log = logger(Part.ENTRY)
 
@@ -58,40 +58,42 @@
         self.settings = settings
         self.member = Member(env, settings, self.handle, POLL_INTERVAL_S)
         self.node = self._build_node() if settings.is_replica else None
-        self.answers = StateMessageHandler(self.node) if self.node is not None else None
+        self.state_messages = StateMessageHandler(self.node) if self.node is not None else None
         view = self.member.view
         token_file = settings.admin_token_file
-        self.access = Access(view, read_secret(token_file) if token_file else None)
+        self.access_control = AccessControl(view, read_secret(token_file) if token_file else None)
         origin = settings.weights.origin
         self.proposals = LeaderClient(env, self.member.peers, self.member.replicas, self.node)
-        self.book = EndpointBook(
+        self.endpoints = EndpointConnections(
             env, view, self.member.roster, self.member.peers, settings.routing.subset
         )
-        self.crashes = Crashes(
+        self.crashes = CrashTracker(
             env,
             read_secret(settings.fleet_key_file),
             view,
             lambda: max(len(self.member.roster.all_entries()), 1),
         )
-        suspects = self.crashes.suspects
-        self.spreading = SuspicionSpreading(env, self.member.peers, self.member.roster, suspects)
-        self.dispatch = Dispatch(env, settings.routing, self.book, self.crashes)
-        self.book.connected_hooks.append(self.crashes.on_endpoint)
-        self.callers = Callers(
+        suspicions = self.crashes.suspicions
+        self.suspicion_gossip = SuspicionGossip(
+            env, self.member.peers, self.member.roster, suspicions
+        )
+        self.dispatcher = Dispatcher(env, settings.routing, self.endpoints, self.crashes)
+        self.endpoints.endpoint_reached_hooks.append(self.crashes.apply_endpoint_start)
+        self.caller_requests = CallerRequests(
             env,
             settings.routing,
             view,
-            self.access,
-            self.dispatch,
-            Claims(env, self.proposals),
+            self.access_control,
+            self.dispatcher,
+            KeyClaims(env, self.proposals),
         )
-        self.quarantine = self._build_quarantine(suspects)
-        self.operators = Operators(
+        self.quarantine = self._build_quarantine(suspicions)
+        self.operator_requests = OperatorRequests(
             env,
             view,
             self.member.roster,
             self.member.reports,
-            self.access,
+            self.access_control,
             self.proposals,
             Origin(*origin.pair, str(settings.address)) if origin else None,
         )
@@ -102,9 +104,9 @@
             on_refusal=lambda reason: env.metrics.refused(reason, 'http'),
             spawn=env.spawn,
         )
-        self.refusing = False
+        self.refuses_new_requests = False
         self.member.ready_check = self._is_ready
-        self.member.peers.closed_hooks += [self.book.on_closed, self.dispatch.on_closed]
+        self.member.peers.closed_hooks += [self.endpoints.on_closed, self.dispatcher.on_closed]
 
     def _build_node(self) -> StateNode:
         assert self.settings.data_folder is not None
@@ -118,14 +120,14 @@
         )
         return StateNode(replica, self.member.reports)
 
-    def _build_quarantine(self, suspects: SuspicionStore) -> QuarantineList | None:
+    def _build_quarantine(self, suspicions: SuspicionStore) -> QuarantineList | None:
         node = self.node
         if node is None:
             return None
         return QuarantineList(
             self.env,
             self.member.view,
-            suspects,
+            suspicions,
             self.proposals,
             lambda: node.leads,
             lambda: int(time.time() * 1000),
@@ -149,9 +151,9 @@
             await self.env.keep(self.node.take_snapshots)
         if self.quarantine is not None:
             await self.env.keep(self.quarantine.run)
-        await self.env.keep(self.spreading.keep)
-        await self.env.keep(self._keep_house)
-        await self.env.keep(self.book.keep)
+        await self.env.keep(self.suspicion_gossip.run)
+        await self.env.keep(self._expire_crashes)
+        await self.env.keep(self.endpoints.run)
         await self.env.keep(self.server.run)
 
     async def drain(self) -> None:
@@ -163,38 +165,42 @@
         self.server.closing = True
         self.member.ready_check = lambda: False
         await curio.sleep(BALANCER_GRACE_S)
-        self.refusing = True
+        self.refuses_new_requests = True
         try:
             async with curio.timeout_after(self.settings.routing.drain_ms / 1000):
                 while self.server.active:
-                    await curio.sleep(DRAIN_POLL_S)
+                    await curio.sleep(DRAIN_POLL_INTERVAL_S)
         except curio.TaskTimeout:
             self.env.metrics.count(self.env.metrics.requests, outcome='cut_off_by_deadline')
             log.warning('Drain deadline: {} requests are cut off.', self.server.active)
 
     def _is_ready(self) -> bool:
-        return self.member.is_ready() and self.book.settled and self.spreading.learned
+        return (
+            self.member.is_ready()
+            and self.endpoints.all_dialled
+            and self.suspicion_gossip.has_asked_others
+        )
 
     async def _answer(self, exchange: Exchange) -> None:
-        if self.refusing:
+        if self.refuses_new_requests:
             await self._refuse(exchange, Reason.STOPPING)
             return
-        if exchange.request.path.startswith(PREFIX):
-            await self.operators.answer(exchange)
+        if exchange.request.path.startswith(CONTROL_PREFIX):
+            await self.operator_requests.handle(exchange)
             return
         if not self._is_ready():
             await self._refuse(exchange, Reason.NOT_READY)
             return
-        await self.callers.answer(exchange)
+        await self.caller_requests.handle(exchange)
 
     async def _refuse(self, exchange: Exchange, reason: Reason) -> None:
         self.env.metrics.refused(reason, 'entry')
         await exchange.respond(problem(Refusal(reason, detail='ask another entry')))
 
-    async def _keep_house(self) -> None:
+    async def _expire_crashes(self) -> None:
         while True:
-            await curio.sleep(HOUSEKEEPING_S)
-            await self.crashes.keep_house()
+            await curio.sleep(EXPIRY_INTERVAL_S)
+            await self.crashes.expire()
 
     # Messages of peers.
 
@@ -208,7 +214,9 @@
 
     @singledispatchmethod
     async def on(self, message: Message, connection: Connection) -> Message | None:
-        reply = await self.answers.handle(message) if self.answers is not None else None
+        reply = (
+            await self.state_messages.handle(message) if self.state_messages is not None else None
+        )
         if reply is not None:
             return reply
         self.env.metrics.count(self.env.metrics.wire, event='unexpected')
@@ -220,20 +228,20 @@
     async def _(
         self, message: messages.Head | messages.Part | messages.End, connection: Connection
     ) -> None:
-        await self.dispatch.on_event(connection, message)
+        await self.dispatcher.on_event(connection, message)
 
     @on.register
     async def _(self, message: messages.BackEndFate, connection: Connection) -> None:
-        await self.crashes.on_fate(message)
+        await self.crashes.apply_fate(message)
 
     @on.register
     async def _(self, message: messages.SuspicionReport, connection: Connection) -> Message:
-        return await self.spreading.on_report(connection, message)
+        return await self.suspicion_gossip.apply_report(connection, message)
 
     @on.register
     async def _(self, message: messages.AskSuspicions, connection: Connection) -> Message:
-        return self.spreading.on_ask()
+        return self.suspicion_gossip.list_suspicions()
 
     @on.register
     async def _(self, message: messages.Load, connection: Connection) -> None:
-        self.book.on_load(connection, message)
+        self.endpoints.apply_load(connection, message)
--- a/packages/millforkd/millforkd/entry/delivery.py
+++ b/packages/millforkd/millforkd/entry/delivery.py
@@ -13,8 +13,8 @@
 from millforkd.entry.attempts import Attempt, TurnedAway
 
 STREAM_TYPE: Final = 'text/event-stream'
-MAX_WHOLE_BYTES: Final = 16 * 1024 * 1024
-NOT_PASSED_ON: Final = frozenset(
+MAX_UNSTREAMED_BYTES: Final = 16 * 1024 * 1024
+UNFORWARDED_HEADERS: Final = frozenset(
     {'connection', 'content-length', 'keep-alive', 'transfer-encoding', 'date', 'server'}
 )
 
@@ -28,7 +28,7 @@
 
     def __init__(self, exchange: Exchange) -> None:
         self.exchange = exchange
-        self.begun = False
+        self.has_started = False
         self.response: Response | None = None
 
     async def deliver(self, attempt: Attempt, deadline: float) -> Refusal | None:
@@ -36,13 +36,13 @@
         Pass on one attempt's answer, or say why there is none.
 
         """
-        head = await attempt.head(deadline)
+        head = await attempt.receive_head(deadline)
         if isinstance(head, Refusal):
             return head
-        headers = _passed_on(head)
+        headers = _forwarded_headers(head)
         if find_header(headers, 'content-type').startswith(STREAM_TYPE):
             return await self._stream(attempt, head.status, headers, deadline)
-        refusal = await self._whole(attempt, head.status, headers, deadline)
+        refusal = await self._receive_whole(attempt, head.status, headers, deadline)
         if refusal is not None or self.response is None or head.status not in TURNED_AWAY:
             return refusal
         response, self.response = self.response, None
@@ -52,15 +52,15 @@
     async def _stream(
         self, attempt: Attempt, status: int, headers: Headers, deadline: float
     ) -> Refusal | None:
-        first = await attempt.part(deadline)
+        first = await attempt.receive_part(deadline)
         if isinstance(first, Refusal):
             return first
-        self.begun = True
+        self.has_started = True
         await self.exchange.start(status, headers)
         piece = first
         while piece is not None:
             await self.exchange.write(piece)
-            next_piece = await attempt.part(deadline)
+            next_piece = await attempt.receive_part(deadline)
             if isinstance(next_piece, Refusal):
                 await self.exchange.break_off()
                 return next_piece
@@ -68,24 +68,26 @@
         await self.exchange.finish()
         return None
 
-    async def _whole(
+    async def _receive_whole(
         self, attempt: Attempt, status: int, headers: Headers, deadline: float
     ) -> Refusal | None:
         body = bytearray()
         while True:
-            piece = await attempt.part(deadline)
+            piece = await attempt.receive_part(deadline)
             if isinstance(piece, Refusal):
                 return piece
             if piece is None:
                 break
             body += piece
-            if len(body) > MAX_WHOLE_BYTES:
+            if len(body) > MAX_UNSTREAMED_BYTES:
                 return Refusal(Reason.TOO_LARGE, Verdict.MAY_HAVE_RUN, 'the answer is too large')
         self.response = Response(status, headers, bytes(body))
         return None
 
 
-def _passed_on(head: Head) -> Headers:
+def _forwarded_headers(head: Head) -> Headers:
     return [
-        (header.name, header.value) for header in head.headers if header.name not in NOT_PASSED_ON
+        (header.name, header.value)
+        for header in head.headers
+        if header.name not in UNFORWARDED_HEADERS
     ]
--- a/packages/millforkd/millforkd/entry/book.py
+++ b/packages/millforkd/millforkd/entry/endpoint_connections.py
@@ -21,13 +21,13 @@
 from millfork_wire.messages import Leaving, Load
 from millfork_wire.peers import PeerAddress, Peers
 
-UPKEEP_S: Final = 0.5
-REMOTE_SHARE: Final = 4
+CONNECT_INTERVAL_S: Final = 0.5
+REMOTE_DIVISOR: Final = 4
 
 log = logger(Part.ENTRY)
 
 
-class EndpointBook:
+class EndpointConnections:
     """
     Connections to a subset of endpoints and what each reported last.
 
@@ -49,54 +49,54 @@
         self.backends: dict[InstanceId, Backend] = {}
         self.connections: dict[InstanceId, Connection] = {}
         self.dialling: set[InstanceId] = set()
-        self.told_leaving: set[InstanceId] = set()
+        self.notified_leaving: set[InstanceId] = set()
         # Told of each endpoint that was reached, and when its process started.
-        self.connected_hooks: list[Callable[[InstanceId, int], Awaitable[None]]] = []
-        self.settled = False
-        self.basis: tuple[object, int] | None = None
-        self.wanted: list[InstanceFacts] = []
+        self.endpoint_reached_hooks: list[Callable[[InstanceId, int], Awaitable[None]]] = []
+        self.all_dialled = False
+        self.targets_computed_from: tuple[object, int] | None = None
+        self.targets: list[InstanceFacts] = []
 
-    async def keep(self) -> None:
+    async def run(self) -> None:
         """
         The task that keeps the connections and passes on who is leaving.
 
         """
         while True:
-            for facts in self._wanted():
+            for facts in self._connection_targets():
                 if facts.instance in self.connections or facts.instance in self.dialling:
                     continue
                 self.dialling.add(facts.instance)
                 await self.env.spawn(self._dial, facts)
-            await self._pass_on_leaving()
-            self._note_settled()
+            await self._notify_leaving_endpoints()
+            self._check_all_dialled()
             self.roster.changed.clear()
             try:
-                async with curio.timeout_after(UPKEEP_S):
+                async with curio.timeout_after(CONNECT_INTERVAL_S):
                     await self.roster.changed.wait()
             except curio.TaskTimeout:
                 pass
 
-    def _note_settled(self) -> None:
+    def _check_all_dialled(self) -> None:
         """
         Once every endpoint was dialled, this entry knows whom it can ask.
 
         """
         if self.roster.version >= 0 and not self.dialling:
-            self.settled = True
+            self.all_dialled = True
 
-    def _wanted(self) -> list[InstanceFacts]:
+    def _connection_targets(self) -> list[InstanceFacts]:
         """
         The endpoints to keep up with, worked out anew only when the
         configuration or the list has changed.
 
         """
-        basis = (self.view.position, self.roster.version)
-        if basis != self.basis:
-            self.basis = basis
-            self.wanted = self._choose_wanted()
-        return self.wanted
+        targets_computed_from = (self.view.position, self.roster.version)
+        if targets_computed_from != self.targets_computed_from:
+            self.targets_computed_from = targets_computed_from
+            self.targets = self._choose_targets()
+        return self.targets
 
-    def _choose_wanted(self) -> list[InstanceFacts]:
+    def _choose_targets(self) -> list[InstanceFacts]:
         groups: list[list[InstanceFacts]] = []
         for name, deployment in deployments(self.view).items():
             groups.append(select_endpoints(self.view, self.roster, name, deployment))
@@ -104,10 +104,10 @@
         for facts in self.roster.endpoints():
             services.setdefault(facts.service, []).append(facts)
         groups.extend(services.values())
-        wanted: dict[InstanceId, InstanceFacts] = {}
+        targets: dict[InstanceId, InstanceFacts] = {}
         for group in groups:
-            wanted.update({facts.instance: facts for facts in self._subset(group)})
-        return list(wanted.values())
+            targets.update({facts.instance: facts for facts in self._subset(group)})
+        return list(targets.values())
 
     def _subset(self, group: list[InstanceFacts]) -> list[InstanceFacts]:
         """
@@ -118,8 +118,8 @@
         ranked = sorted(group, key=lambda facts: self._rank(facts.instance))
         local = [facts for facts in ranked if facts.zone == self.env.zone][: self.subset]
         remote = [facts for facts in ranked if facts.zone != self.env.zone]
-        room = max(self.subset - len(local), self.subset // REMOTE_SHARE)
-        return [*local, *remote[:room]]
+        remote_count = max(self.subset - len(local), self.subset // REMOTE_DIVISOR)
+        return [*local, *remote[:remote_count]]
 
     def _rank(self, instance: InstanceId) -> int:
         return rank(self.env.instance, instance)
@@ -133,16 +133,16 @@
             return
         finally:
             self.dialling.discard(facts.instance)
-            self._note_settled()
+            self._check_all_dialled()
         if connection.closed or not isinstance(load, Load):
             return
         self.connections[facts.instance] = connection
         self.backends[facts.instance] = Backend(facts.instance, facts.zone)
-        self.on_load(connection, load)
-        for hook in self.connected_hooks:
+        self.apply_load(connection, load)
+        for hook in self.endpoint_reached_hooks:
             await hook(facts.instance, load.start)
 
-    def on_load(self, connection: Connection, load: Load) -> None:
+    def apply_load(self, connection: Connection, load: Load) -> None:
         """
         Take an endpoint's report.
 
@@ -153,18 +153,18 @@
         backend.apply_report(load.running + load.queued, load.limit)
         backend.start = load.start
         backend.served = {served.service: served.version for served in load.served}
-        backend.leaving = load.leaving or self._listed_leaving(connection.peer)
+        backend.leaving = load.leaving or self._is_listed_as_leaving(connection.peer)
 
     async def on_closed(self, connection: Connection) -> None:
         if self.connections.get(connection.peer) is connection:
             del self.connections[connection.peer]
             self.backends.pop(connection.peer, None)
 
-    def _listed_leaving(self, instance: InstanceId) -> bool:
+    def _is_listed_as_leaving(self, instance: InstanceId) -> bool:
         facts = self.roster.instances.get(instance)
         return facts is not None and facts.leaving
 
-    async def _pass_on_leaving(self) -> None:
+    async def _notify_leaving_endpoints(self) -> None:
         """
         Tell an endpoint that the platform lists it as leaving: it then
         refuses new work from every entry, also from one that the notice
@@ -172,17 +172,17 @@
 
         """
         for instance, connection in list(self.connections.items()):
-            if not self._listed_leaving(instance):
-                self.told_leaving.discard(instance)
+            if not self._is_listed_as_leaving(instance):
+                self.notified_leaving.discard(instance)
                 continue
             backend = self.backends.get(instance)
             if backend is not None:
                 backend.leaving = True
-            if instance in self.told_leaving:
+            if instance in self.notified_leaving:
                 continue
             try:
                 await connection.notify(Leaving(instance))
-                self.told_leaving.add(instance)
+                self.notified_leaving.add(instance)
             except PeerLost:
                 continue
 
--- a/packages/millforkd/millforkd/entry/claims.py
+++ b/packages/millforkd/millforkd/entry/key_claims.py
@@ -12,13 +12,13 @@
 from millfork_state.leader_client import LeaderClient
 from millfork_state.node import decode_claim_result
 from millfork_web.models import Response
-from millforkd.entry.attempts import Call, state_key
+from millforkd.entry.attempts import Call, replicated_key
 from millforkd.settling import settle_claim
 
-CLAIM_PATIENCE_S: Final = 4.0
+CLAIM_TIMEOUT_S: Final = 4.0
 
 
-class Claims:
+class KeyClaims:
     """
     Claims on keys, kept in the replicated state.
 
@@ -36,16 +36,16 @@
         :raises Refused: if the key is another's, or nobody can say.
 
         """
-        command = ClaimKey(state_key(call), call.claim, _fingerprint(call))
+        command = ClaimKey(replicated_key(call), call.claim, _fingerprint(call))
         try:
-            data = await self.proposals.propose(command, CLAIM_PATIENCE_S)
+            data = await self.proposals.propose(command, CLAIM_TIMEOUT_S)
         except Refused as error:
             detail = 'no quorum can say whether this key is in use'
             raise Refused(Refusal(Reason.CLAIM_UNAVAILABLE, detail=detail)) from error
         result = decode_claim_result(data)
         if result.state is ClaimState.GRANTED:
             return None
-        return _answer_of(result)
+        return _repeated_response(result)
 
     async def settle(self, call: Call, response: Response | None, verdict: Verdict) -> None:
         """
@@ -54,10 +54,10 @@
         """
         if response is None and verdict is not Verdict.NOT_RUN:
             return
-        await settle_claim(self.env, self.proposals, state_key(call), call.claim, response)
+        await settle_claim(self.env, self.proposals, replicated_key(call), call.claim, response)
 
 
-def _answer_of(result: ClaimResult) -> Response:
+def _repeated_response(result: ClaimResult) -> Response:
     if result.state is ClaimState.DONE and result.status:
         headers = [*result.headers, ('millfork-repeated-answer', 'yes')]
         return Response(result.status, headers, result.body)
--- a/packages/millforkd/millforkd/entry/operators.py
+++ b/packages/millforkd/millforkd/entry/operator_requests.py
@@ -37,11 +37,11 @@
 from millfork_weights.manifest import BadManifest, decode_manifest, digest_of
 from millfork_weights.origin import Origin, OriginFailed
 from millfork_wire.messages import Report
-from millforkd.entry.access import Access, Operator
+from millforkd.entry.access_control import AccessControl, Operator
 from millforkd.report import EndpointReport
 
-PREFIX: Final = '/control/v1/'
-PART: Final = 'control'
+CONTROL_PREFIX: Final = '/control/v1/'
+METRICS_PART: Final = 'control'
 
 
 class ApplyRequest(msgspec.Struct, forbid_unknown_fields=True):
@@ -57,7 +57,7 @@
     remove: list[str] = []
 
 
-class Operators:
+class OperatorRequests:
     """
     Answers operators. Each sees and changes what is its own.
 
@@ -69,7 +69,7 @@
         view: View,
         roster: Roster,
         reports: Reports,
-        access: Access,
+        access: AccessControl,
         proposals: LeaderClient,
         origin: Origin | None,
     ) -> None:
@@ -77,26 +77,26 @@
         self.view = view
         self.roster = roster
         self.reports = reports
-        self.access = access
+        self.access_control = access
         self.proposals = proposals
         self.origin = origin
 
-    async def answer(self, exchange: Exchange) -> None:
+    async def handle(self, exchange: Exchange) -> None:
         """
         Answer one control request.
 
         """
         try:
-            operator = self.access.operator(exchange.request)
-            response = await self._answer(exchange, operator)
+            operator = self.access_control.authenticate_operator(exchange.request)
+            response = await self._route(exchange, operator)
         except Refused as error:
-            self.env.metrics.refused(error.refusal.reason, PART)
+            self.env.metrics.refused(error.refusal.reason, METRICS_PART)
             response = problem(error.refusal)
         await exchange.respond(response)
 
-    async def _answer(self, exchange: Exchange, operator: Operator) -> Response:
+    async def _route(self, exchange: Exchange, operator: Operator) -> Response:
         request = exchange.request
-        action = (request.method, request.path.removeprefix(PREFIX).split('?', 1)[0])
+        action = (request.method, request.path.removeprefix(CONTROL_PREFIX).split('?', 1)[0])
         if action == ('POST', 'apply'):
             return await self._apply(request.body, operator)
         if action == ('GET', 'state'):
@@ -116,7 +116,7 @@
         except ValidationError as error:
             found = [f'{problem.key}: {problem.expected}' for problem in find_problems(error)]
             raise Refused(Refusal(Reason.INVALID, detail='; '.join(found))) from error
-        changes = await self._changes(declaration, operator, request)
+        changes = await self._build_changes(declaration, operator, request)
         command = Apply(request.command_id or uuid.uuid4().hex, changes)
         result = decode_apply_result(await self.proposals.propose(command))
         if not result.ok:
@@ -124,7 +124,7 @@
             raise Refused(Refusal(Reason.CONFLICT, detail=detail))
         return json_response({'revision': result.revision, 'command_id': command.command_id})
 
-    async def _changes(
+    async def _build_changes(
         self, declaration: Declaration, operator: Operator, request: ApplyRequest
     ) -> list[Change]:
         if not operator.is_admin and (declaration.organisations or declaration.drains):
@@ -142,7 +142,7 @@
         for instance, labels in declaration.labels.items():
             values[f'{LABELS}{organisation}/{instance}'] = encode(labels)
         for name, deployment in declaration.deployments.items():
-            value = encode(await self._pinned(deployment))
+            value = encode(await self._pin_deployment(deployment))
             values[f'{DEPLOYMENTS}{organisation}/{name}'] = value
         for instance, draining in declaration.drains.items():
             values[DRAINS + instance] = encode(True) if draining else None
@@ -150,7 +150,7 @@
             values[f'{DEPLOYMENTS}{organisation}/{name}'] = None
         return [Change(key, value, request.expect) for key, value in values.items()]
 
-    async def _pinned(self, spec: DeploymentSpec) -> Deployment:
+    async def _pin_deployment(self, spec: DeploymentSpec) -> Deployment:
         """
         The deployment with the manifests that the origin has now: what is
         accepted is exactly these weights.
@@ -160,10 +160,10 @@
         named += [(adapter.name, adapter.version) for adapter in spec.adapters]
         parts = []
         for name, version in named:
-            parts.append(await self._pin(name, version))
+            parts.append(await self._pin_weights(name, version))
         return Deployment(parts, dict(spec.selector))
 
-    async def _pin(self, name: str, version: str) -> WeightPart:
+    async def _pin_weights(self, name: str, version: str) -> WeightPart:
         if self.origin is None:
             detail = 'this entry knows no origin (weights.origin)'
             raise Refused(Refusal(Reason.NOT_READY, detail=detail))
@@ -203,12 +203,12 @@
         rows = []
         for name, deployment in deployments(self.view).items():
             if self._may_see(operator, DEPLOYMENTS + name):
-                rows.append(self._rollout(name, deployment, reports))
+                rows.append(self._rollout_status(name, deployment, reports))
         return json_response(
             {'revision': self.view.revision, 'partial': partial, 'deployments': rows}
         )
 
-    def _rollout(
+    def _rollout_status(
         self, name: str, deployment: Deployment, reports: Mapping[str, Report]
     ) -> dict[str, Any]:
         """
--- a/packages/millforkd/millforkd/entry/spreading.py
+++ b/packages/millforkd/millforkd/entry/suspicion_gossip.py
@@ -21,18 +21,18 @@
 from millfork_wire.peers import PeerAddress, Peers
 
 # A report may cross two regions.
-TELL_TIMEOUT_S: Final = 0.3
+REPORT_TIMEOUT_S: Final = 0.3
 # What was not taken is told again this much later.
-AGAIN_S: Final = 0.5
+RESEND_INTERVAL_S: Final = 0.5
 # An entry that starts asks so many others, and serves after this time without an answer.
-ASKED: Final = 3
-LEARN_WITHIN_S: Final = 1.0
-ROSTER_POLL_S: Final = 0.05
+MAX_ENTRIES_ASKED: Final = 3
+ASK_TIMEOUT_S: Final = 1.0
+ROSTER_POLL_INTERVAL_S: Final = 0.05
 
 log = logger(Part.ENTRY)
 
 
-def told_by(order: list[InstanceId], instance: InstanceId) -> list[InstanceId]:
+def gossip_targets(order: list[InstanceId], instance: InstanceId) -> list[InstanceId]:
     """
     Whom an entry tells: those that stand 1, 2, 4, ... places after it in an order that all
     compute alike. Of N entries each tells log N, and hears within log N steps.
@@ -49,115 +49,115 @@
     return found
 
 
-class SuspicionSpreading:
+class SuspicionGossip:
     """
     One entry's part in that.
 
     """
 
     def __init__(
-        self, env: Environment, peers: Peers, roster: Roster, suspects: SuspicionStore
+        self, env: Environment, peers: Peers, roster: Roster, suspicions: SuspicionStore
     ) -> None:
         self.env = env
         self.peers = peers
         self.roster = roster
-        self.suspects = suspects
+        self.suspicions = suspicions
         # Whether others were asked what they know.
-        self.learned = False
+        self.has_asked_others = False
         # What each of the others has not taken yet.
-        self.owed: dict[InstanceId, set[Fingerprint]] = {}
-        self.telling: set[InstanceId] = set()
+        self.undelivered: dict[InstanceId, set[Fingerprint]] = {}
+        self.sending_to: set[InstanceId] = set()
 
-    async def keep(self) -> None:
+    async def run(self) -> None:
         """
         The task that learns what others know, and tells what is new here.
 
         """
-        await self._learn()
+        await self._ask_others()
         while True:
-            await self.suspects.unsent_event.wait()
-            self.suspects.unsent_event.clear()
-            told = set(self.suspects.unsent)
-            self.suspects.unsent.clear()
+            await self.suspicions.unsent_event.wait()
+            self.suspicions.unsent_event.clear()
+            told = set(self.suspicions.unsent)
+            self.suspicions.unsent.clear()
             order = [facts.instance for facts in self.roster.all_entries()]
-            for name in told_by(order, self.env.instance):
-                self.owed.setdefault(name, set()).update(told)
-                if name not in self.telling:
-                    self.telling.add(name)
-                    await self.env.spawn(self._keep_telling, name)
+            for name in gossip_targets(order, self.env.instance):
+                self.undelivered.setdefault(name, set()).update(told)
+                if name not in self.sending_to:
+                    self.sending_to.add(name)
+                    await self.env.spawn(self._send_until_accepted, name)
 
     # Telling.
 
-    async def _keep_telling(self, name: InstanceId) -> None:
+    async def _send_until_accepted(self, name: InstanceId) -> None:
         try:
-            while self.owed.get(name):
+            while self.undelivered.get(name):
                 address = self.roster.address(name)
                 if address is None:
-                    del self.owed[name]
+                    del self.undelivered[name]
                     return
-                if not await self._tell(address):
-                    await curio.sleep(AGAIN_S)
+                if not await self._send_report(address):
+                    await curio.sleep(RESEND_INTERVAL_S)
         finally:
-            self.telling.discard(name)
+            self.sending_to.discard(name)
 
-    async def _tell(self, address: PeerAddress) -> bool:
-        told = self.owed.pop(address.instance)
-        body = encode_suspicions([self.suspects.get(fingerprint) for fingerprint in told])
+    async def _send_report(self, address: PeerAddress) -> bool:
+        told = self.undelivered.pop(address.instance)
+        body = encode_suspicions([self.suspicions.get(fingerprint) for fingerprint in told])
         try:
-            reply = await self.peers.call(address, SuspicionReport(body), TELL_TIMEOUT_S)
+            reply = await self.peers.call(address, SuspicionReport(body), REPORT_TIMEOUT_S)
         except PeerError as error:
             log.info('Suspicions not told to {}: {}.', address.instance, error)
             reply = None
         if isinstance(reply, Done) and reply.ok:
             return True
-        self.owed.setdefault(address.instance, set()).update(told)
+        self.undelivered.setdefault(address.instance, set()).update(told)
         return False
 
-    async def on_report(self, connection: Connection, message: SuspicionReport) -> Done:
+    async def apply_report(self, connection: Connection, message: SuspicionReport) -> Done:
         """
         Take what another entry knows, and pass on what is new.
 
         """
-        return Done(await self._hear(str(connection.peer), message))
+        return Done(await self._merge_report(str(connection.peer), message))
 
-    async def _hear(self, name: str, message: SuspicionReport) -> bool:
+    async def _merge_report(self, name: str, message: SuspicionReport) -> bool:
         try:
             told = decode_suspicions(message.body)
         except msgspec.DecodeError as error:
             log.warning('Suspicions of {} can not be read: {}.', name, error)
             return False
-        for fingerprint in await self.suspects.merge(told):
-            await self.suspects.mark_unsent(fingerprint)
+        for fingerprint in await self.suspicions.merge(told):
+            await self.suspicions.mark_unsent(fingerprint)
         return True
 
     # Learning.
 
-    def on_ask(self) -> SuspicionReport:
+    def list_suspicions(self) -> SuspicionReport:
         """
         Tell all to an entry that starts.
 
         """
-        return SuspicionReport(encode_suspicions(self.suspects.published()))
+        return SuspicionReport(encode_suspicions(self.suspicions.published()))
 
-    async def _learn(self) -> None:
+    async def _ask_others(self) -> None:
         while self.roster.version < 0:
-            await curio.sleep(ROSTER_POLL_S)
+            await curio.sleep(ROSTER_POLL_INTERVAL_S)
         others = [f for f in self.roster.all_entries() if f.instance != self.env.instance]
-        asked = self.env.random.sample(others, min(ASKED, len(others)))
+        asked = self.env.random.sample(others, min(MAX_ENTRIES_ASKED, len(others)))
         try:
-            async with curio.timeout_after(LEARN_WITHIN_S), curio.TaskGroup() as group:
+            async with curio.timeout_after(ASK_TIMEOUT_S), curio.TaskGroup() as group:
                 for facts in asked:
                     address = PeerAddress(facts.instance, facts.host, facts.port)
                     await group.spawn(self._ask, address)
         except curio.TaskTimeout:
             log.info('Not all of those asked told what they suspect. asked={}', len(asked))
-        self.learned = True
+        self.has_asked_others = True
 
     async def _ask(self, address: PeerAddress) -> None:
         try:
-            reply = await self.peers.call(address, AskSuspicions(), LEARN_WITHIN_S)
+            reply = await self.peers.call(address, AskSuspicions(), ASK_TIMEOUT_S)
         except PeerError as error:
             log.info('{} does not tell what it suspects: {}.', address.instance, error)
             return
         if isinstance(reply, SuspicionReport):
-            await self._hear(str(address.instance), reply)
+            await self._merge_report(str(address.instance), reply)
--- a/tests/mutations_listed.py
+++ b/tests/mutations_listed.py
@@ -41,16 +41,22 @@
         'tests/test_crashing_requests_on_listed_fleets.py',
         (
             Edit(
-                D + 'entry/spreading.py',
-                'for name in told_by(order, self.env.instance):',
-                'for name in told_by([], self.env.instance):',
+                D + 'entry/suspicion_gossip.py',
+                'for name in gossip_targets(order, self.env.instance):',
+                'for name in gossip_targets([], self.env.instance):',
             ),
         ),
     ),
     Mutation(
         'an endpoint tells an entry what it finds out later of its back end',
         'tests/test_late_ends_at_endpoints.py::test_what_becomes_known_later_is_told_to_the_entry',
-        (Edit(D + 'endpoint/ends.py', 'if not item.subject.is_awaited:', 'if False:'),),
+        (
+            Edit(
+                D + 'endpoint/incarnation_tracking.py',
+                'if not item.subject.is_awaited:',
+                'if False:',
+            ),
+        ),
     ),
     Mutation(
         'an entry suspects a call whose back ends may have ended',
@@ -58,8 +64,8 @@
         'test_a_call_is_suspected_until_the_fates_of_its_back_ends_are_told',
         (
             Edit(
-                D + 'entry/crashes.py',
-                'await self.suspecting.note_broken(before.fingerprint, outcome.incarnation)',
+                D + 'entry/crash_tracking.py',
+                'await self.suspicion_updater.note_broken(before.fingerprint, outcome.incarnation)',
                 'pass',
             ),
         ),
@@ -85,12 +91,18 @@
         'an end counts also after its call was called off',
         'tests/test_crashing_requests_on_listed_fleets.py::'
         'test_ends_count_also_after_their_callers_left',
-        (Edit(D + 'entry/dispatch.py', 'if attempt.called_off_at:', 'if False:'),),
+        (Edit(D + 'entry/dispatcher.py', 'if attempt.cancelled_incarnation:', 'if False:'),),
     ),
     Mutation(
         'an entry that starts learns which requests end back ends',
-        'tests/test_spreading_suspicions.py::test_an_entry_that_starts_learns_what_others_know',
-        (Edit(D + 'entry/spreading.py', 'await self._learn()', 'self.learned = True'),),
+        'tests/test_suspicion_gossip.py::test_an_entry_that_starts_learns_what_others_know',
+        (
+            Edit(
+                D + 'entry/suspicion_gossip.py',
+                'await self._ask_others()',
+                'self.has_asked_others = True',
+            ),
+        ),
     ),
     Mutation(
         'pieces of an answer are counted',
@@ -98,7 +110,7 @@
         (
             Edit(
                 D + 'entry/attempts.py',
-                'if (message.parts, message.bytes) != (self.next_sequence, self.received):',
+                'if (message.parts, message.bytes) != (self.next_sequence, self.received_bytes):',
                 'if False:',
             ),
         ),
@@ -106,14 +118,14 @@
     Mutation(
         'nothing runs before its start',
         scenario('frozen_endpoint'),
-        (Edit(D + 'endpoint/door.py', 'await reservation.started.wait()', 'pass'),),
+        (Edit(D + 'endpoint/backend_gateway.py', 'await reservation.started.wait()', 'pass'),),
     ),
     Mutation(
         'keys are claimed by quorum',
         scenario('entry_killed_under_filings'),
         (
             Edit(
-                D + 'entry/callers.py',
+                D + 'entry/caller_requests.py',
                 "'' if repeatable else key,",
                 "'',",
             ),
@@ -125,11 +137,11 @@
         (
             Edit(
                 D + 'endpoint/daemon.py',
-                'return self.stopping or self.told_leaving or listed or drained',
+                'return self.stopping or self.notified_leaving or listed or drained',
                 'return self.stopping or drained',
             ),
             Edit(
-                D + 'entry/book.py',
+                D + 'entry/endpoint_connections.py',
                 'return facts is not None and facts.leaving',
                 'return False',
             ),
@@ -140,7 +152,7 @@
         scenario('planned_stops'),
         (
             Edit(D + 'entry/daemon.py', 'while self.server.active:', 'while False:'),
-            Edit(D + 'endpoint/door.py', 'while self.reservations:', 'while False:'),
+            Edit(D + 'endpoint/backend_gateway.py', 'while self.reservations:', 'while False:'),
         ),
     ),
     Mutation(
@@ -245,7 +257,7 @@
         'tests/test_fencing.py',
         (
             Edit(
-                D + 'endpoint/engine.py',
+                D + 'endpoint/engine_client.py',
                 'self.number = FencingNumber(self.status.fencing_number + 1)',
                 'self.number = FencingNumber(1)',
             ),
@@ -253,8 +265,12 @@
     ),
     Mutation(
         'an answer from other weights is withheld',
-        'tests/test_door.py',
-        (Edit(D + 'endpoint/door.py', 'if version != reservation.version:', 'if False:'),),
+        'tests/test_backend_gateway.py',
+        (
+            Edit(
+                D + 'endpoint/backend_gateway.py', 'if version != reservation.version:', 'if False:'
+            ),
+        ),
     ),
     Mutation(
         'a manifest is only what was accepted',
@@ -294,7 +310,7 @@
         'tests/test_isolation.py',
         (
             Edit(
-                D + 'entry/operators.py',
+                D + 'entry/operator_requests.py',
                 "return key == f'{ORGANISATIONS}{own}'",
                 'return True',
             ),
@@ -305,7 +321,7 @@
         'tests/test_isolation.py',
         (
             Edit(
-                D + 'entry/callers.py',
+                D + 'entry/caller_requests.py',
                 "service = f'{organisation}/{name}'",
                 'service = next((k.removeprefix(DEPLOYMENTS) for k in self.view.items'
                 " if k.startswith(DEPLOYMENTS) and k.endswith('/' + name)), '')",
--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -82,11 +82,11 @@
     ),
     Mutation(
         'what waits at an endpoint does not reach a back end that rests',
-        'tests/test_door.py::test_what_waits_at_the_door_does_not_reach_a_back_end_that_rests',
+        'tests/test_backend_gateway.py::test_queued_requests_are_not_sent_to_a_resting_back_end',
         (
             Edit(
-                D + 'endpoint/resting.py',
-                'self.rest.extend(asked.seconds, now)',
+                D + 'endpoint/rest_tracking.py',
+                'self.rest_period.extend(requested.seconds, now)',
                 'pass',
             ),
         ),
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -13,8 +13,8 @@
 from millfork_settings.models import RoutingSettings
 from millfork_wire.connection import PeerLost, PeerTimedOut
 from millfork_wire.messages import Cancel, Cancelled, End, Head, Part, Reserve, Reserved, Start
-from millforkd.entry.attempts import Attempt, Call, Lost
-from millforkd.entry.dispatch import Dispatch
+from millforkd.entry.attempts import Attempt, Call, ConnectionLost
+from millforkd.entry.dispatcher import Dispatcher
 
 
 class FakeConnection:
@@ -25,7 +25,7 @@
 
     def __init__(self, answers):
         self.answers = answers
-        self.told = []
+        self.sent = []
 
     async def call(self, message, timeout):
         answer = self.answers[type(message)]
@@ -34,7 +34,7 @@
         return answer
 
     async def notify(self, message):
-        self.told.append(message)
+        self.sent.append(message)
 
 
 def environment():
@@ -57,14 +57,14 @@
 
     """
     for message in messages:
-        await made.take(message)
-    until = made.env.monotonic() + 5
-    head = await made.head(until)
+        await made.enqueue(message)
+    deadline = made.env.monotonic() + 5
+    head = await made.receive_head(deadline)
     if isinstance(head, Refusal):
         return [], head
     pieces = []
     while True:
-        piece = await made.part(until)
+        piece = await made.receive_part(deadline)
         if not isinstance(piece, bytes):
             return pieces, piece
         pieces.append(piece)
@@ -81,12 +81,12 @@
         ([Head('r', 200), Part('r', 1, b'b'), End('r', 1, 1)], Reason.TRUNCATED),
         ([Head('r', 200), Part('r', 0, b'a'), End('r', 2, 2)], Reason.TRUNCATED),
         ([Head('r', 200), Part('r', 0, b'a'), End('r', 1, 9)], Reason.TRUNCATED),
-        ([Head('r', 200), Part('r', 0, b'a'), Lost()], Reason.CONNECTION_LOST),
+        ([Head('r', 200), Part('r', 0, b'a'), ConnectionLost()], Reason.CONNECTION_LOST),
         ([Part('r', 0, b'a')], Reason.BACKEND_FAILED),
         ([Head('r', 200), Head('r', 200)], Reason.BACKEND_FAILED),
     ],
 )
-def test_what_is_cut_reordered_or_lost_is_never_whole(messages, reason):
+def test_truncated_reordered_or_lost_answers_are_refused(messages, reason):
     _, refusal = curio.run(collect, attempt(), messages)
     assert (refusal.reason, refusal.verdict) == (reason, Verdict.MAY_HAVE_RUN)
 
@@ -97,35 +97,35 @@
     assert (refusal.reason, refusal.verdict) == (Reason.EXPIRED, Verdict.NOT_RUN)
 
 
-def test_a_frozen_endpoint_is_told_to_forget_and_nothing_ran():
+def test_a_reservation_that_times_out_is_cancelled_and_did_not_run():
     made = attempt({Reserve: PeerTimedOut('frozen')})
     refusal = curio.run(made.reserve, call(made.env), 0.1)
     assert refusal.verdict is Verdict.NOT_RUN
-    assert made.connection.told == [Cancel('r')]
+    assert made.connection.sent == [Cancel('r')]
     assert not made.started
 
 
-def test_after_the_start_a_lost_cancel_leaves_it_unknown():
+def test_a_lost_cancel_after_the_start_may_have_run():
     made = attempt({Reserve: Reserved(True), Cancel: PeerLost('gone')})
     assert curio.run(made.reserve, call(made.env), 0.1) is None
     assert curio.run(made.start) is None
-    assert made.connection.told == [Start('r')]
+    assert made.connection.sent == [Start('r')]
     assert curio.run(made.cancel) is Verdict.MAY_HAVE_RUN
 
 
-def test_a_confirmed_cancel_binds_the_endpoint():
+def test_a_confirmed_cancel_gives_the_endpoints_verdict():
     made = attempt({Cancel: Cancelled('r', Verdict.NOT_RUN.value)})
     assert curio.run(made.cancel) is Verdict.NOT_RUN
 
 
 @pytest.mark.parametrize('other', ['request', 'connection'])
-def test_a_late_answer_reaches_nobody(other):
+def test_a_late_answer_is_dropped(other):
     async def late():
-        dispatch = Dispatch(environment(), RoutingSettings(), None)
+        dispatcher = Dispatcher(environment(), RoutingSettings(), None)
         made = attempt()
-        dispatch.attempts['r'] = made
+        dispatcher.attempts['r'] = made
         connection = made.connection if other == 'request' else FakeConnection({})
-        await dispatch.on_event(connection, Head('old' if other == 'request' else 'r', 200))
+        await dispatcher.on_event(connection, Head('old' if other == 'request' else 'r', 200))
         return made.events.empty()
 
     assert curio.run(late)
--- a/tests/test_door.py
+++ b/tests/test_backend_gateway.py
@@ -17,7 +17,7 @@
 from millfork_web.models import Response
 from millfork_wire.connection import PeerLost
 from millfork_wire.messages import Cancel, End, Head, Part, Reserve, Start
-from millforkd.endpoint.door import Door
+from millforkd.endpoint.backend_gateway import BackendGateway
 from tests.test_servers import Clock
 
 VERSION = 'version-1'
@@ -111,22 +111,22 @@
         )
         env = Environment(InstanceId('e'), ZoneId('z'), monotonic=clock)
         self.proposals = FakeProposals()
-        self.door = Door(env, settings, '127.0.0.1', self.proposals)
+        self.gateway = BackendGateway(env, settings, '127.0.0.1', self.proposals)
         if kind is BackendKind.ENGINE:
-            self.door.served = {'org/main': VERSION}
+            self.gateway.served = {'org/main': VERSION}
         self.backend = FakeBackend(Response(status, [('millfork-version', version)], b'answer'))
-        self.door.client = self.backend
+        self.gateway.client = self.backend
         self.connection = FakeConnection()
         self.service = 'org/main' if kind is BackendKind.ENGINE else 'pool'
 
     async def reserve(self, name='r', **fields):
         request = Reserve(name, 'org', self.service, 5000, 0, 'POST', '/x', [], BODY, **fields)
-        return await self.door.on_reserve(self.connection, request)
+        return await self.gateway.on_reserve(self.connection, request)
 
     async def start(self, name='r'):
-        await self.door.on_start(self.connection, Start(name))
+        await self.gateway.on_start(self.connection, Start(name))
 
-    async def settle_down(self):
+    async def run_pending_tasks(self):
         """
         Let everything run that can.
 
@@ -138,37 +138,37 @@
         return [message for message in self.connection.sent if isinstance(message, End)]
 
 
-def play(scene, *steps):
+def run_steps(scene, *steps):
     async def run():
         found = None
         for step in steps:
             found = await step()
-            await scene.settle_down()
+            await scene.run_pending_tasks()
         return found
 
     return curio.run(run)
 
 
-def test_nothing_runs_before_its_start():
+def test_no_request_runs_before_its_start_message():
     scene = Scene()
-    assert play(scene, scene.reserve).ok
+    assert run_steps(scene, scene.reserve).ok
     assert scene.backend.ran == []
 
 
-def test_the_answer_goes_out_whole_under_its_version():
+def test_an_answer_is_relayed_with_its_version():
     scene = Scene()
-    play(scene, scene.reserve, scene.start, scene.backend.gate.set)
+    run_steps(scene, scene.reserve, scene.start, scene.backend.gate.set)
     head, part, end = scene.connection.sent
     assert isinstance(head, Head) and isinstance(part, Part)
     assert [h.value for h in head.headers if h.name == 'millfork-version'] == [VERSION]
     assert (end.parts, end.bytes, end.reason) == (1, len(part.data), '')
     assert json.loads(scene.backend.ran[0][1])['model'] == VERSION
-    assert scene.door.in_progress == 0
+    assert scene.gateway.in_progress == 0
 
 
-def test_a_start_without_its_reservation_runs_nothing():
+def test_a_start_without_a_reservation_is_refused():
     scene = Scene()
-    play(scene, scene.start)
+    run_steps(scene, scene.start)
     assert scene.backend.ran == []
     assert [(e.reason, e.verdict) for e in scene.ends()] == [('expired', 'not_run')]
 
@@ -183,57 +183,57 @@
 )
 def test_an_answer_from_other_weights_is_withheld(version, status, reason, verdict):
     scene = Scene(version=version, status=status)
-    play(scene, scene.reserve, scene.start, scene.backend.gate.set)
+    run_steps(scene, scene.reserve, scene.start, scene.backend.gate.set)
     assert [type(message) for message in scene.connection.sent] == [End]
     assert [(e.reason, e.verdict) for e in scene.ends()] == [(reason, verdict)]
 
 
-def test_refusals_at_the_door():
+def test_leaving_and_unservable_requests_are_refused_at_once():
     scene = Scene()
 
     async def leave():
-        await scene.door.set_leaving(True)
+        await scene.gateway.set_leaving(True)
 
-    assert play(scene, leave, scene.reserve).reason == Reason.LEAVING.value
+    assert run_steps(scene, leave, scene.reserve).reason == Reason.LEAVING.value
     scene = Scene()
     scene.service = 'org/other'
-    assert play(scene, scene.reserve).reason == Reason.NOT_SERVABLE.value
+    assert run_steps(scene, scene.reserve).reason == Reason.NOT_SERVABLE.value
 
 
-def test_a_full_queue_refuses_at_once_with_when_to_come_back():
+def test_a_full_queue_refuses_with_a_retry_after_time():
     scene = Scene()
 
     async def reserve_many():
         return [await scene.reserve(f'r{number}') for number in range(4)]
 
-    replies = play(scene, reserve_many)
+    replies = run_steps(scene, reserve_many)
     assert [reply.ok for reply in replies] == [True, True, False, False]
     assert replies[-1].reason == Reason.BUSY.value
     assert replies[-1].retry_after_ms >= 100
 
 
-def test_a_cancel_says_whether_it_came_in_time():
+def test_a_cancel_reports_whether_the_request_may_have_run():
     async def cancel(scene):
-        return await scene.door.on_cancel(scene.connection, Cancel('r'))
+        return await scene.gateway.on_cancel(scene.connection, Cancel('r'))
 
     early = Scene()
-    assert play(early, early.reserve, lambda: cancel(early)).verdict == Verdict.NOT_RUN.value
-    assert play(early, early.start, early.backend.gate.set) is None
+    assert run_steps(early, early.reserve, lambda: cancel(early)).verdict == Verdict.NOT_RUN.value
+    assert run_steps(early, early.start, early.backend.gate.set) is None
     assert early.backend.ran == []
     late = Scene()
     steps = (late.reserve, late.start, lambda: cancel(late))
-    assert play(late, *steps).verdict == Verdict.MAY_HAVE_RUN.value
+    assert run_steps(late, *steps).verdict == Verdict.MAY_HAVE_RUN.value
 
 
-async def lose(scene):
+async def lose_entry(scene):
     scene.connection.closed = True
-    await scene.door.on_closed(scene.connection)
+    await scene.gateway.on_closed(scene.connection)
 
 
-def test_without_its_entry_an_engines_work_is_cancelled():
+def test_engine_requests_are_cancelled_when_their_entry_is_lost():
     scene = Scene()
-    play(scene, scene.reserve, scene.start, lambda: lose(scene))
-    assert scene.door.in_progress == 0
+    run_steps(scene, scene.reserve, scene.start, lambda: lose_entry(scene))
+    assert scene.gateway.in_progress == 0
 
 
 def test_the_outcome_of_a_keyed_request_is_recorded_when_its_entry_is_lost():
@@ -242,7 +242,7 @@
     async def reserve():
         return await scene.reserve(key='org/pool/k', attempt='claim')
 
-    play(scene, reserve, scene.start, lambda: lose(scene), scene.backend.gate.set)
+    run_steps(scene, reserve, scene.start, lambda: lose_entry(scene), scene.backend.gate.set)
     (command,) = scene.proposals.commands
     assert isinstance(command, SettleKey)
     assert (command.key, command.attempt, command.released) == ('org/pool/k', 'claim', False)
@@ -255,12 +255,12 @@
     async def reserve():
         return await scene.reserve(key='org/pool/k', attempt='claim')
 
-    play(scene, reserve, lambda: lose(scene))
-    assert scene.door.in_progress == 0
+    run_steps(scene, reserve, lambda: lose_entry(scene))
+    assert scene.gateway.in_progress == 0
     assert scene.proposals.commands == []
 
 
-def test_a_back_end_that_asked_for_rest_is_asked_by_one_request_once_it_is_over():
+def test_one_trial_request_is_sent_after_a_rest_period():
     clock = Clock()
     scene = Scene(BackendKind.PLAIN, status=503, clock=clock)
     scene.backend.response.headers.append(('retry-after', '3'))
@@ -269,7 +269,7 @@
         await scene.backend.gate.set()
         assert (await scene.reserve('a')).ok
         await scene.start('a')
-        await scene.settle_down()
+        await scene.run_pending_tasks()
         refused = await scene.reserve('b')
         assert (refused.ok, refused.reason) == (False, Reason.RESTING.value)
         assert refused.retry_after_ms == pytest.approx(3000, abs=1)
@@ -278,17 +278,17 @@
         scene.backend.response = Response(200, [], b'answer')
         assert (await scene.reserve('c')).ok
         await scene.start('c')
-        await scene.settle_down()
+        await scene.run_pending_tasks()
         assert not (await scene.reserve('d')).ok
         await scene.backend.gate.set()
-        await scene.settle_down()
+        await scene.run_pending_tasks()
         assert (await scene.reserve('e')).ok
 
     curio.run(run)
     assert len(scene.backend.ran) == 2
 
 
-def test_what_waits_at_the_door_does_not_reach_a_back_end_that_rests():
+def test_queued_requests_are_not_sent_to_a_resting_back_end():
     scene = Scene(BackendKind.PLAIN, status=503)
     scene.backend.response.headers.append(('retry-after', '3'))
 
@@ -296,9 +296,9 @@
         for name in ('a', 'b'):
             assert (await scene.reserve(name)).ok
             await scene.start(name)
-        await scene.settle_down()
+        await scene.run_pending_tasks()
         await scene.backend.gate.set()
-        await scene.settle_down()
+        await scene.run_pending_tasks()
 
     curio.run(run)
     assert len(scene.backend.ran) == 1
--- a/tests/test_crashing_requests_listed.py
+++ b/tests/test_crashing_requests_listed.py
@@ -12,22 +12,22 @@
 from millfork_core.verdicts import Reason, Refusal, Verdict
 from millforkd.entry.attempts import Call
 from millforkd.entry.delivery import Delivery
-from tests.test_dispatch import ScriptedDispatch
+from tests.test_dispatcher import ScriptedDispatcher
 
 BROKE_OFF = Refusal(Reason.BACKEND_FAILED, Verdict.MAY_HAVE_RUN, 'the back end broke off')
 CALLS = 8
 ENDS = 3
-MOST_AFTER = 3
+MAX_RUNS_AFTER_QUARANTINE = 3
 
 
 def test_a_request_that_ends_back_ends_is_sent_no_more():
-    dispatch = ScriptedDispatch([BROKE_OFF] * CALLS * 3)
+    dispatcher = ScriptedDispatcher([BROKE_OFF] * CALLS * 3)
 
     async def run():
         for _ in range(CALLS):
-            deadline = dispatch.env.monotonic() + 5
+            deadline = dispatcher.env.monotonic() + 5
             call = Call('o', 's', 'POST', '/', [], b'crash', True, '', '', '', 0, deadline)
-            await dispatch.run(call, Delivery(None))
+            await dispatcher.run(call, Delivery(None))
 
     curio.run(run)
-    assert len(dispatch.asked) <= ENDS + MOST_AFTER
+    assert len(dispatcher.asked) <= ENDS + MAX_RUNS_AFTER_QUARANTINE
--- a/tests/test_ends_after_their_callers_left.py
+++ b/tests/test_ends_after_their_callers_left.py
@@ -23,9 +23,9 @@
 WORKS_S = 0.2
 LEAVES_AFTER_S = 0.1
 OTHERS_PER_S = 100
-MOST_LOADS = 30
+MAX_LOADS = 30
 # Of two entries, one may send before it hears of the other's third end.
-MOST_CROSSING = 1
+MAX_CONCURRENT_ENDS = 1
 
 
 @pytest.fixture
@@ -80,13 +80,13 @@
         over.set()
     if busy:
         asking.join()
-    assert ended(fleet) <= ENDS + MOST_CROSSING + MOST_AFTER
+    assert ended(fleet) <= ENDS + MAX_CONCURRENT_ENDS + MOST_AFTER
 
 
 def ask_others(fleet, over):
     for number in itertools.count():
         fleet.load(lambda: request('/safe/x'), OTHERS_PER_S, 1.0)
-        if over.is_set() or number > MOST_LOADS:
+        if over.is_set() or number > MAX_LOADS:
             return
 
 
--- a/tests/test_ends_at_endpoints.py
+++ b/tests/test_ends_at_endpoints.py
@@ -11,8 +11,8 @@
 from millfork_web.client import ExchangeFailed
 from millforkd.entry.attempts import Call
 from millforkd.entry.delivery import Delivery
-from tests.test_dispatch import ScriptedDispatch
-from tests.test_door import Scene
+from tests.test_backend_gateway import Scene
+from tests.test_dispatcher import ScriptedDispatcher
 
 ENDED = Refusal(Reason.BACKEND_FAILED, Verdict.MAY_HAVE_RUN, 'the back end ended')
 BROKE_OFF = Refusal(Reason.TRUNCATED, Verdict.MAY_HAVE_RUN, 'the connection broke off')
@@ -33,12 +33,12 @@
 )
 def test_only_a_back_end_whose_address_refuses_has_ended(listens, reason):
     scene = Scene()
-    scene.door.client = BreakingBackend()
+    scene.gateway.client = BreakingBackend()
 
     async def run():
         sock = curio.tcp_server_socket('127.0.0.1', 0)
         host, port = sock.getsockname()
-        scene.door.settings = scene.door.settings.model_copy(
+        scene.gateway.settings = scene.gateway.settings.model_copy(
             update={'address': Address(host=host, port=port)}
         )
         if not listens:
@@ -62,19 +62,19 @@
     """
 
     def __init__(self, outcomes):
-        self.dispatch = ScriptedDispatch(outcomes)
+        self.dispatcher = ScriptedDispatcher(outcomes)
 
     def call(self, body):
-        deadline = self.dispatch.env.monotonic() + 5
+        deadline = self.dispatcher.env.monotonic() + 5
         call = Call('o', 's', 'POST', '/', [], body, False, '', '', '', 0, deadline)
-        return curio.run(self.dispatch.run, call, Delivery(None))
+        return curio.run(self.dispatcher.run, call, Delivery(None))
 
 
 def test_a_call_is_barred_once_three_back_ends_ended_under_it():
     callers = Callers([ENDED] * 3 + [None])
     assert [callers.call(b'crash').reason for _ in range(3)] == [Reason.BACKEND_FAILED] * 3
-    barred = callers.call(b'crash')
-    assert (barred.reason, barred.verdict) == (Reason.QUARANTINED, Verdict.NOT_RUN)
+    block_reason = callers.call(b'crash')
+    assert (block_reason.reason, block_reason.verdict) == (Reason.QUARANTINED, Verdict.NOT_RUN)
     assert callers.call(b'another') is None
 
 
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -14,7 +14,7 @@
 from millfork_standins.execution_log import read_executions
 from millfork_standins.fleet import Fleet
 from millfork_standins.layout import BACKEND_PORT, FleetOptions
-from millforkd.endpoint.engine import Engine, OrderFailed
+from millforkd.endpoint.engine_client import EngineClient, OrderFailed
 from tests.utils.fleets import wait_until
 
 
@@ -28,23 +28,23 @@
     made.close()
 
 
-def order_giver(instance):
+def make_engine_client(instance):
     settings = BackendSettings(
         kind=BackendKind.ENGINE,
         service='millfork-pool',
         address=Address(host=instance.host, port=BACKEND_PORT),
     )
-    return Engine(Environment(InstanceId('e'), ZoneId('z')), settings, instance.host)
+    return EngineClient(Environment(InstanceId('e'), ZoneId('z')), settings, instance.host)
 
 
-def test_a_successor_numbers_above_its_predecessor(fleet):
+def test_a_successor_takes_a_higher_fencing_number(fleet):
     instance = fleet.engines[0]
 
     async def take_over():
-        first = order_giver(instance)
+        first = make_engine_client(instance)
         await first.poll()
         await first.unload('x')
-        second = order_giver(instance)
+        second = make_engine_client(instance)
         await second.poll()
         await second.unload('x')
         return first, second
@@ -53,13 +53,13 @@
     assert second.number > first.number
 
 
-def test_an_old_order_is_refused_by_engines_that_look(fleet):
+def test_engines_that_check_numbers_refuse_old_orders(fleet):
     instance = fleet.engines[0]
 
     async def order_late():
-        first = order_giver(instance)
+        first = make_engine_client(instance)
         await first.poll()
-        second = order_giver(instance)
+        second = make_engine_client(instance)
         second.number = FencingNumber(first.number + 1)
         await second.unload('x')
         await first.unload('late')
@@ -74,7 +74,7 @@
     assert len(late) == (0 if refuses else 1)
 
 
-def test_no_second_order_giver_beside_a_running_or_frozen_one(fleet):
+def test_a_second_endpoint_cannot_start_beside_a_running_or_frozen_one(fleet):
     """
     For engines that ignore numbers the order-giver itself must be singular.
 
--- a/tests/test_late_ends_at_endpoints.py
+++ b/tests/test_late_ends_at_endpoints.py
@@ -19,34 +19,34 @@
 from millfork_wire.connection import PeerLost
 from millfork_wire.messages import BackEndFate, Cancelled, End, Reserve, Reserved
 from millforkd.end_watch import ProbeResult
-from millforkd.endpoint import ends as ends_module
-from millforkd.endpoint.ends import Ends
-from millforkd.entry import crashes as crashes_module
-from millforkd.entry.attempts import Attempt, BrokeOff, Call, Lost
-from millforkd.entry.crashes import Crashes
+from millforkd.endpoint import incarnation_tracking as incarnation_tracking_module
+from millforkd.endpoint.incarnation_tracking import IncarnationTracker
+from millforkd.entry import crash_tracking as crash_tracking_module
+from millforkd.entry.attempts import Attempt, Call, ConnectionLost, InterruptedAttempt
+from millforkd.entry.crash_tracking import CrashTracker
 from millforkd.entry.delivery import Delivery
-from millforkd.entry.dispatch import Dispatch
+from millforkd.entry.dispatcher import Dispatcher
 
 ADDRESS = ('127.0.0.1', 1)
 
 
-class Entry:
+class FakeEntryConnection:
     """
     The connection to an entry.
 
     """
 
     def __init__(self):
-        self.told = []
+        self.sent = []
         self.gone = False
 
     async def notify(self, message):
         if self.gone:
             raise PeerLost('gone')
-        self.told.append(message)
+        self.sent.append(message)
 
 
-class BackEnd:
+class FakeBackEnd:
     """
     What an endpoint finds when it looks at its back end.
 
@@ -59,19 +59,19 @@
         async def probe_address(host, port):
             return self.found
 
-        monkeypatch.setattr(ends_module, 'probe_address', probe_address)
+        monkeypatch.setattr(incarnation_tracking_module, 'probe_address', probe_address)
 
     def ends(self, asks=True):
         env = Environment(InstanceId('e-1'), ZoneId('z'))
-        made = Ends(env, lambda: ADDRESS, self.ask if asks else None)
-        made.note_incarnation('a', env.monotonic())
+        made = IncarnationTracker(env, lambda: ADDRESS, self.ask if asks else None)
+        made.record_incarnation('a', env.monotonic())
         return made
 
     async def ask(self):
         return self.tells
 
 
-async def until(holds):
+async def wait_until(holds):
     async with curio.timeout_after(5):
         while not holds():
             await curio.sleep(0.005)
@@ -89,10 +89,13 @@
 )
 def test_what_an_engine_tells_and_its_address_show(monkeypatch, tells, found, fate):
     async def run():
-        back_end = BackEnd(monkeypatch, tells)
+        back_end = FakeBackEnd(monkeypatch, tells)
         back_end.found = found
         ends = back_end.ends()
-        assert await ends.note_broken(RequestId('r'), Entry(), ends.number) is fate
+        assert (
+            await ends.record_interruption(RequestId('r'), FakeEntryConnection(), ends.number)
+            is fate
+        )
 
     curio.run(run)
 
@@ -100,33 +103,35 @@
 @pytest.mark.parametrize('ended', [True, False])
 def test_what_becomes_known_later_is_told_to_the_entry(monkeypatch, ended):
     async def run():
-        back_end = BackEnd(monkeypatch, tells='')
-        ends, entry, gone = back_end.ends(), Entry(), Entry()
+        back_end = FakeBackEnd(monkeypatch, tells='')
+        ends, entry, gone = back_end.ends(), FakeEntryConnection(), FakeEntryConnection()
         gone.gone = True
-        await ends.note_broken(RequestId('r'), entry, ends.number)
-        await ends.note_broken(RequestId('s'), gone, ends.number)
+        await ends.record_interruption(RequestId('r'), entry, ends.number)
+        await ends.record_interruption(RequestId('s'), gone, ends.number)
         back_end.tells = 'b' if ended else 'a'
-        await until(lambda: entry.told)
-        assert entry.told == [BackEndFate('r', ended)]
-        await until(lambda: not ends.is_watching)
+        await wait_until(lambda: entry.sent)
+        assert entry.sent == [BackEndFate('r', ended)]
+        await wait_until(lambda: not ends.is_watching)
 
     curio.run(run)
 
 
 def test_what_breaks_off_after_an_end_is_of_the_next_incarnation(monkeypatch):
     async def run():
-        back_end = BackEnd(monkeypatch, tells='')
+        back_end = FakeBackEnd(monkeypatch, tells='')
         back_end.found = ProbeResult.REFUSES
         ends = back_end.ends()
-        first = ends.key_of(ends.number)
+        first = ends.incarnation_key(ends.number)
         assert (
-            await ends.note_broken(RequestId('r'), Entry(), ends.number) is IncarnationStatus.ENDED
+            await ends.record_interruption(RequestId('r'), FakeEntryConnection(), ends.number)
+            is IncarnationStatus.ENDED
         )
-        ends.note_incarnation('b', ends.env.monotonic())
+        ends.record_incarnation('b', ends.env.monotonic())
         back_end.tells = 'b'
-        assert ends.key_of(ends.number) != first
+        assert ends.incarnation_key(ends.number) != first
         assert (
-            await ends.note_broken(RequestId('s'), Entry(), ends.number) is IncarnationStatus.LIVES
+            await ends.record_interruption(RequestId('s'), FakeEntryConnection(), ends.number)
+            is IncarnationStatus.LIVES
         )
 
     curio.run(run)
@@ -134,18 +139,19 @@
 
 def test_a_plain_service_lives_on_once_it_answers_what_was_sent_later(monkeypatch):
     async def run():
-        ends = BackEnd(monkeypatch).ends(asks=False)
-        entry = Entry()
+        ends = FakeBackEnd(monkeypatch).ends(asks=False)
+        entry = FakeEntryConnection()
         assert (
-            await ends.note_broken(RequestId('r'), entry, ends.number) is IncarnationStatus.UNKNOWN
+            await ends.record_interruption(RequestId('r'), entry, ends.number)
+            is IncarnationStatus.UNKNOWN
         )
-        ends.note_answer(ends.env.monotonic())
-        await until(lambda: entry.told == [BackEndFate('r', False)])
+        ends.record_answer(ends.env.monotonic())
+        await wait_until(lambda: entry.sent == [BackEndFate('r', False)])
 
     curio.run(run)
 
 
-class Breaks:
+class InterruptedCalls:
     """
     An entry's calls that break off at one endpoint after another.
 
@@ -153,69 +159,72 @@
 
     def __init__(self):
         self.env = Environment(InstanceId('entry'), ZoneId('z'))
-        self.crashes = Crashes(self.env, b'key', View(), lambda: 1)
+        self.crashes = CrashTracker(self.env, b'key', View(), lambda: 1)
         deadline = self.env.monotonic() + 5
         self.call = Call('o', 's', 'POST', '/', [], b'body', True, '', '', '', 0, deadline)
 
     async def break_off(self, number, reason=Reason.TRUNCATED):
-        known = self.crashes.known(self.call)
-        outcome = BrokeOff(
+        known = self.crashes.suspicion_of(self.call)
+        outcome = InterruptedAttempt(
             reason,
             Verdict.MAY_HAVE_RUN,
             request_id=RequestId(f'r-{number}'),
             incarnation=IncarnationKey(f'e-{number}/1.0'),
         )
-        await self.crashes.note(self.call, known, outcome)
+        await self.crashes.record_outcome(self.call, known, outcome)
 
     async def tell(self, number, ended):
-        await self.crashes.on_fate(BackEndFate(f'r-{number}', ended))
+        await self.crashes.apply_fate(BackEndFate(f'r-{number}', ended))
 
     @property
-    def barred(self):
-        refusal = self.crashes.bars(self.call)
+    def block_reason(self):
+        refusal = self.crashes.block_refusal(self.call)
         return None if refusal is None else refusal.reason
 
 
 def test_a_call_is_suspected_until_the_fates_of_its_back_ends_are_told():
     async def run():
-        breaks = Breaks()
+        interrupted_calls = InterruptedCalls()
         for number in range(MIN_ENDS_AT_FAULT):
-            assert breaks.barred is None
-            await breaks.break_off(number)
-        assert breaks.barred is Reason.SUSPECTED
+            assert interrupted_calls.block_reason is None
+            await interrupted_calls.break_off(number)
+        assert interrupted_calls.block_reason is Reason.SUSPECTED
         for number in range(MIN_ENDS_AT_FAULT):
-            await breaks.tell(number, ended=True)
-        assert breaks.barred is Reason.QUARANTINED
+            await interrupted_calls.tell(number, ended=True)
+        assert interrupted_calls.block_reason is Reason.QUARANTINED
 
     curio.run(run)
 
 
 def test_a_fate_that_overtakes_the_end_of_its_attempt_counts():
     async def run():
-        breaks = Breaks()
+        interrupted_calls = InterruptedCalls()
         for number in range(MIN_ENDS_AT_FAULT):
-            await breaks.tell(number, ended=number > 0)
-            await breaks.break_off(number)
-        assert breaks.crashes.known(breaks.call).ends == MIN_ENDS_AT_FAULT - 1
-        assert not breaks.crashes.early_fates and not breaks.crashes.pending
+            await interrupted_calls.tell(number, ended=number > 0)
+            await interrupted_calls.break_off(number)
+        assert (
+            interrupted_calls.crashes.suspicion_of(interrupted_calls.call).ends
+            == MIN_ENDS_AT_FAULT - 1
+        )
+        assert not interrupted_calls.crashes.early_fates and not interrupted_calls.crashes.pending
 
     curio.run(run)
 
 
 def test_ends_at_one_moment_are_suspected_together():
     async def run():
-        breaks = Breaks()
-        known = breaks.crashes.known(breaks.call)
+        interrupted_calls = InterruptedCalls()
+        known = interrupted_calls.crashes.suspicion_of(interrupted_calls.call)
         for number in range(MIN_ENDS_AT_FAULT):
-            outcome = BrokeOff(
+            outcome = InterruptedAttempt(
                 Reason.BACKEND_FAILED,
                 Verdict.MAY_HAVE_RUN,
                 request_id=RequestId(f'r-{number}'),
                 incarnation=IncarnationKey(f'e-{number}/1.0'),
             )
-            await breaks.crashes.note(breaks.call, known, outcome)
-        assert breaks.crashes.known(breaks.call).ends == 1
-        assert breaks.barred is Reason.SUSPECTED
+            await interrupted_calls.crashes.record_outcome(interrupted_calls.call, known, outcome)
+        assert interrupted_calls.crashes.suspicion_of(interrupted_calls.call).ends == 1
+        assert interrupted_calls.block_reason is Reason.SUSPECTED
 
     curio.run(run)
 
@@ -223,35 +232,39 @@
 @pytest.mark.parametrize('ended', [True, False])
 def test_a_lost_endpoint_ended_if_another_process_has_its_place(ended):
     async def run():
-        breaks = Breaks()
+        interrupted_calls = InterruptedCalls()
         endpoints = [
             Backend(InstanceId(f'e-{n}'), ZoneId('z'), start=1) for n in range(MIN_ENDS_AT_FAULT)
         ]
         for endpoint in endpoints:
-            attempt = Attempt(breaks.env, RequestId(f'r-{endpoint.instance}'), endpoint, None)
-            await attempt.take(Lost())
-            known = breaks.crashes.known(breaks.call)
-            outcome = await attempt.head(breaks.env.monotonic() + 1)
+            attempt = Attempt(
+                interrupted_calls.env, RequestId(f'r-{endpoint.instance}'), endpoint, None
+            )
+            await attempt.enqueue(ConnectionLost())
+            known = interrupted_calls.crashes.suspicion_of(interrupted_calls.call)
+            outcome = await attempt.receive_head(interrupted_calls.env.monotonic() + 1)
             assert outcome.reason is Reason.CONNECTION_LOST
-            await breaks.crashes.note(breaks.call, known, outcome)
-        assert breaks.barred is Reason.SUSPECTED
+            await interrupted_calls.crashes.record_outcome(interrupted_calls.call, known, outcome)
+        assert interrupted_calls.block_reason is Reason.SUSPECTED
         for endpoint in endpoints:
-            await breaks.crashes.on_endpoint(endpoint.instance, 2 if ended else 1)
-        assert breaks.barred is (Reason.QUARANTINED if ended else None)
+            await interrupted_calls.crashes.apply_endpoint_start(
+                endpoint.instance, 2 if ended else 1
+            )
+        assert interrupted_calls.block_reason is (Reason.QUARANTINED if ended else None)
 
     curio.run(run)
 
 
 def test_where_an_endpoint_is_gone_nothing_is_suspected_for_long(monkeypatch):
-    monkeypatch.setattr(crashes_module, 'PENDING_S', 0.0)
+    monkeypatch.setattr(crash_tracking_module, 'PENDING_RETENTION_S', 0.0)
 
     async def run():
-        breaks = Breaks()
+        interrupted_calls = InterruptedCalls()
         for number in range(MIN_ENDS_AT_FAULT):
-            await breaks.break_off(number)
+            await interrupted_calls.break_off(number)
         await curio.sleep(0.001)
-        await breaks.crashes.keep_house()
-        assert breaks.barred is None
+        await interrupted_calls.crashes.expire()
+        assert interrupted_calls.block_reason is None
 
     curio.run(run)
 
@@ -261,10 +274,10 @@
         env = Environment(InstanceId('entry'), ZoneId('z'))
         attempt = Attempt(env, RequestId('r'), None, None)
         refused = ('r', 0, 0, Reason.TRUNCATED.value, Verdict.MAY_HAVE_RUN.value, 'why')
-        await attempt.take(End(*refused, 'e-1/1.0'))
-        await attempt.take(End(*refused))
-        first = await attempt.head(env.monotonic() + 1)
-        second = await attempt.head(env.monotonic() + 1)
+        await attempt.enqueue(End(*refused, 'e-1/1.0'))
+        await attempt.enqueue(End(*refused))
+        first = await attempt.receive_head(env.monotonic() + 1)
+        second = await attempt.receive_head(env.monotonic() + 1)
         assert (first.request_id, first.incarnation) == ('r', 'e-1/1.0')
         assert second == Refusal(Reason.TRUNCATED, Verdict.MAY_HAVE_RUN, 'why')
 
@@ -274,19 +287,21 @@
 @pytest.mark.parametrize('ended', [True, False])
 def test_a_call_whose_time_was_up_counts_if_its_back_end_ends(ended):
     async def run():
-        breaks = Breaks()
+        interrupted_calls = InterruptedCalls()
         for number in range(MIN_ENDS_AT_FAULT):
             request_id = RequestId(f'r-{number}')
             incarnation = IncarnationKey(f'e-{number}/1.0')
-            breaks.crashes.note_left(breaks.call, request_id, incarnation)
-            assert breaks.barred is None
-            await breaks.tell(number, ended)
-        assert breaks.barred is (Reason.QUARANTINED if ended else None)
+            interrupted_calls.crashes.record_cancellation(
+                interrupted_calls.call, request_id, incarnation
+            )
+            assert interrupted_calls.block_reason is None
+            await interrupted_calls.tell(number, ended)
+        assert interrupted_calls.block_reason is (Reason.QUARANTINED if ended else None)
 
     curio.run(run)
 
 
-class TimedOut:
+class FakeTimedOutConnection:
     """
     The connection to an endpoint that answers only to calls it off.
 
@@ -309,16 +324,18 @@
     async def run():
         backend = Backend(InstanceId('e-1'), ZoneId('z'), start=1)
         backend.served = {'s': 'v'}
-        book = SimpleNamespace(
+        endpoints = SimpleNamespace(
             serving=lambda service: [backend],
-            connections={backend.instance: TimedOut(incarnation)},
+            connections={backend.instance: FakeTimedOutConnection(incarnation)},
+        )
+        dispatcher = Dispatcher(
+            Environment(InstanceId('a'), ZoneId('z')), RoutingSettings(), endpoints
         )
-        dispatch = Dispatch(Environment(InstanceId('a'), ZoneId('z')), RoutingSettings(), book)
-        deadline = dispatch.env.monotonic() + 0.05
+        deadline = dispatcher.env.monotonic() + 0.05
         call = Call('o', 's', 'GET', '/', [], b'', False, '', '', '', 0, deadline)
-        refusal = await dispatch.run(call, Delivery(None))
+        refusal = await dispatcher.run(call, Delivery(None))
         assert refusal.reason is Reason.TIMED_OUT
-        assert [item.incarnation for item in dispatch.crashes.pending.values()] == (
+        assert [item.incarnation for item in dispatcher.crashes.pending.values()] == (
             [incarnation] if incarnation else []
         )
 
--- a/tests/test_spreading_suspicions.py
+++ b/tests/test_suspicion_gossip.py
@@ -14,29 +14,29 @@
 from millfork_state.config import InstanceFacts
 from millfork_wire.connection import PeerUnreachable
 from millfork_wire.messages import AskSuspicions, SuspicionReport
-from millforkd.entry import spreading as spreading_module
-from millforkd.entry.spreading import SuspicionSpreading, told_by
+from millforkd.entry import suspicion_gossip as gossip_module
+from millforkd.entry.suspicion_gossip import SuspicionGossip, gossip_targets
 
 FINGERPRINT = Fingerprint('ab')
 
 
 @given(st.integers(2, 200))
-def test_all_hear_within_few_steps(count):
+def test_reports_reach_all_entries_within_logarithmic_steps(count):
     order = [InstanceId(f'entry-{number:03}') for number in range(count)]
     heard = {order[0]}
     for _ in range(count.bit_length()):
-        heard |= {told for name in heard for told in told_by(order, name)}
+        heard |= {told for name in heard for told in gossip_targets(order, name)}
     assert heard == set(order)
-    assert all(name not in told_by(order, name) for name in order)
-    assert max(len(told_by(order, name)) for name in order) <= count.bit_length()
+    assert all(name not in gossip_targets(order, name) for name in order)
+    assert max(len(gossip_targets(order, name)) for name in order) <= count.bit_length()
 
 
-def test_an_entry_that_the_list_does_not_know_tells_one():
-    assert told_by([InstanceId('a'), InstanceId('b')], InstanceId('c')) == ['a']
-    assert told_by([], InstanceId('c')) == []
+def test_an_unlisted_entry_reports_to_one_entry():
+    assert gossip_targets([InstanceId('a'), InstanceId('b')], InstanceId('c')) == ['a']
+    assert gossip_targets([], InstanceId('c')) == []
 
 
-class Network:
+class FakeNetwork:
     """
     Entries that call each other directly.
 
@@ -51,7 +51,7 @@
     def add(self, name):
         env = Environment(InstanceId(name), ZoneId('z'))
         roster = FakeRoster(self.entries)
-        made = SuspicionSpreading(env, FakePeers(self), roster, SuspicionStore(env.monotonic))
+        made = SuspicionGossip(env, FakePeers(self), roster, SuspicionStore(env.monotonic))
         self.entries[InstanceId(name)] = made
         return made
 
@@ -82,84 +82,84 @@
             raise PeerUnreachable('cut off')
         asked = self.network.entries[address.instance]
         if isinstance(message, AskSuspicions):
-            return asked.on_ask()
+            return asked.list_suspicions()
 
         class Sender:
             peer = 'other'
 
-        return await asked.on_report(Sender(), message)
+        return await asked.apply_report(Sender(), message)
 
 
-async def until(holds):
+async def wait_until(holds):
     async with curio.timeout_after(5):
         while not holds():
             await curio.sleep(0.01)
 
 
-def known(network, ends):
-    return [entry.suspects.get(FINGERPRINT).ends for entry in network.entries.values()] == [
+def all_know(network, ends):
+    return [entry.suspicions.get(FINGERPRINT).ends for entry in network.entries.values()] == [
         ends
     ] * len(network.entries)
 
 
 @pytest.fixture
-def quick(monkeypatch):
-    monkeypatch.setattr(spreading_module, 'AGAIN_S', 0.02)
+def short_resend_interval(monkeypatch):
+    monkeypatch.setattr(gossip_module, 'RESEND_INTERVAL_S', 0.02)
 
 
-def test_all_entries_hear_of_an_end_also_those_cut_off_for_a_while(quick):
+def test_all_entries_learn_of_an_end_after_a_partition(short_resend_interval):
     async def run():
-        network = Network([f'entry-{number}' for number in range(9)])
+        network = FakeNetwork([f'entry-{number}' for number in range(9)])
         for entry in network.entries.values():
-            await entry.env.spawn(entry.keep)
+            await entry.env.spawn(entry.run)
         network.unreachable = {InstanceId('entry-1'), InstanceId('entry-4')}
         first = network.entries[InstanceId('entry-0')]
-        await first.suspects.record(Suspicion(FINGERPRINT, 0, 1))
+        await first.suspicions.record(Suspicion(FINGERPRINT, 0, 1))
         reached = [e for name, e in network.entries.items() if name not in network.unreachable]
-        await until(lambda: all(e.suspects.get(FINGERPRINT).ends == 1 for e in reached))
+        await wait_until(lambda: all(e.suspicions.get(FINGERPRINT).ends == 1 for e in reached))
         network.unreachable = set()
-        await until(lambda: known(network, 1))
-        await until(lambda: not any(entry.telling for entry in network.entries.values()))
+        await wait_until(lambda: all_know(network, 1))
+        await wait_until(lambda: not any(entry.sending_to for entry in network.entries.values()))
 
     curio.run(run)
 
 
 def test_an_entry_that_starts_learns_what_others_know():
     async def run():
-        network = Network(['entry-0', 'entry-1'])
+        network = FakeNetwork(['entry-0', 'entry-1'])
         other = network.entries[InstanceId('entry-1')]
-        await other.suspects.record(Suspicion(FINGERPRINT, 0, 2))
-        other.suspects.record_privately(Suspicion(Fingerprint('cd'), 0, 1))
+        await other.suspicions.record(Suspicion(FINGERPRINT, 0, 2))
+        other.suspicions.record_privately(Suspicion(Fingerprint('cd'), 0, 1))
         starting = network.add('entry-2')
-        assert not starting.learned
-        await starting.env.spawn(starting.keep)
-        await until(lambda: starting.learned)
-        assert list(starting.suspects.table.values()) == [Suspicion(FINGERPRINT, 0, 2)]
+        assert not starting.has_asked_others
+        await starting.env.spawn(starting.run)
+        await wait_until(lambda: starting.has_asked_others)
+        assert list(starting.suspicions.table.values()) == [Suspicion(FINGERPRINT, 0, 2)]
 
     curio.run(run)
 
 
-def test_one_that_reaches_nobody_serves_all_the_same():
+def test_an_entry_that_reaches_no_other_entry_becomes_ready():
     async def run():
-        network = Network(['entry-0', 'entry-1'])
+        network = FakeNetwork(['entry-0', 'entry-1'])
         network.unreachable = {InstanceId('entry-1')}
         starting = network.entries[InstanceId('entry-0')]
-        await starting.env.spawn(starting.keep)
-        await until(lambda: starting.learned)
+        await starting.env.spawn(starting.run)
+        await wait_until(lambda: starting.has_asked_others)
 
     curio.run(run)
 
 
-def test_what_can_not_be_read_changes_nothing():
+def test_an_unreadable_report_changes_nothing():
     async def run():
-        network = Network(['entry-0'])
+        network = FakeNetwork(['entry-0'])
         entry = network.entries[InstanceId('entry-0')]
 
         class Sender:
             peer = 'other'
 
-        reply = await entry.on_report(Sender(), SuspicionReport(b'\xff'))
+        reply = await entry.apply_report(Sender(), SuspicionReport(b'\xff'))
         assert not reply.ok
-        assert decode_suspicions(entry.on_ask().body) == []
+        assert decode_suspicions(entry.list_suspicions().body) == []
 
     curio.run(run)
--- a/tests/test_turned_away_on_listed_fleets.py
+++ b/tests/test_turned_away_on_listed_fleets.py
@@ -23,7 +23,7 @@
 from millfork_web.models import Response
 from millforkd.entry.attempts import Call, TurnedAway
 from millforkd.entry.delivery import Delivery
-from tests.test_dispatch import ScriptedDispatch
+from tests.test_dispatcher import ScriptedDispatcher
 from tests.utils.fleets import call_service, wait_until
 
 SERVICE = 'portal-assets'
@@ -95,23 +95,23 @@
 
 
 def run(outcomes, repeatable=True):
-    dispatch = ScriptedDispatch(outcomes)
-    deadline = dispatch.env.monotonic() + 5
+    dispatcher = ScriptedDispatcher(outcomes)
+    deadline = dispatcher.env.monotonic() + 5
     call = Call('o', 's', 'GET', '/', [], b'', repeatable, '', '', '', 0, deadline)
     delivery = Delivery(None)
-    return dispatch, curio.run(dispatch.run, call, delivery), delivery.response
+    return dispatcher, curio.run(dispatcher.run, call, delivery), delivery.response
 
 
 def test_another_back_end_is_asked_for_a_repeatable_request():
-    dispatch, refusal, response = run([turned_away_with(503), None])
-    assert (len(dispatch.asked), refusal, response) == (2, None, None)
+    dispatcher, refusal, response = run([turned_away_with(503), None])
+    assert (len(dispatcher.asked), refusal, response) == (2, None, None)
 
 
 @pytest.mark.parametrize(('repeatable', 'asked'), [(True, 3), (False, 1)])
 def test_where_none_does_better_the_back_end_s_own_answer_is_passed_on(repeatable, asked):
     outcomes = [turned_away_with(503), turned_away_with(503), turned_away_with(429)]
-    dispatch, refusal, response = run(outcomes, repeatable)
-    assert (len(dispatch.asked), refusal) == (asked, None)
+    dispatcher, refusal, response = run(outcomes, repeatable)
+    assert (len(dispatcher.asked), refusal) == (asked, None)
     assert response.status == (429 if repeatable else 503)
 
 
--- a/tests/utils/crashing.py
+++ b/tests/utils/crashing.py
@@ -14,8 +14,8 @@
 from millfork_standins.requests import fetch
 from tests.utils.fleets import complete, serve_version, wait_until
 
-BACK_AFTER_S = 1.0
-LOOK_S = 0.05
+RESTART_DELAY_S = 1.0
+POLL_INTERVAL_S = 0.05
 LEAVES_AFTER_S = 0.1
 
 
@@ -29,29 +29,29 @@
         self.fleet = Fleet(LANTING, folder, FleetOptions(engine=engine))
         self.token = self.fleet.caller_tokens[LANTING.organisations[0]]
         self.over = threading.Event()
-        self.reviver = threading.Thread(target=self._revive)
+        self.restarter = threading.Thread(target=self._restart_ended_engines)
 
     def start(self):
         self.fleet.start()
         serve_version(self.fleet, 'v1')
-        self.reviver.start()
+        self.restarter.start()
 
     def close(self):
         self.over.set()
-        if self.reviver.is_alive():
-            self.reviver.join()
+        if self.restarter.is_alive():
+            self.restarter.join()
         self.fleet.close()
 
-    def _revive(self):
+    def _restart_ended_engines(self):
         ended_for = {}
-        while not self.over.wait(LOOK_S):
+        while not self.over.wait(POLL_INTERVAL_S):
             for instance in self.fleet.engines:
                 process = self.fleet.processes[f'{instance.name}.backend']
                 if process.poll() is None:
                     ended_for.pop(instance.name, None)
                     continue
-                ended_for[instance.name] = ended_for.get(instance.name, 0.0) + LOOK_S
-                if ended_for[instance.name] >= BACK_AFTER_S:
+                ended_for[instance.name] = ended_for.get(instance.name, 0.0) + POLL_INTERVAL_S
+                if ended_for[instance.name] >= RESTART_DELAY_S:
                     self.fleet.start_backend(instance)
 
     def call(self, entry=0, prompt=CRASHING_PROMPT, **fields):
