--- a/packages/millforkd/millforkd/endpoint/__init__.py
+++ b/packages/millforkd/millforkd/endpoint/__init__.py
@@ -1,4 +1,4 @@
 """
-Role endpoint: the door to an engine or plain service.
+Role endpoint: admits requests to an engine or plain service.
 
 """
--- a/packages/millforkd/millforkd/endpoint/backend_gateway.py
+++ b/packages/millforkd/millforkd/endpoint/backend_gateway.py
@@ -1,5 +1,5 @@
 """
-The door to the back end: admits, runs, passes on, tells the truth.
+Admits requests to the back end, sends them and relays its answers to the entries.
 
 """
 
@@ -43,7 +43,7 @@
 MIN_LOAD_REPORT_INTERVAL_S: Final = 0.1
 DRAIN_POLL_INTERVAL_S: Final = 0.05
 VERSION_HEADER: Final = 'millfork-version'
-# Answers by which an engine says that it has not the version asked for.
+# Statuses with which an engine reports that the requested version is not loaded.
 NOT_LOADED_STATUSES: Final = frozenset({404, 409})
 PLAIN_VERSION: Final = ''
 STREAM_TYPE: Final = 'text/event-stream'
@@ -53,7 +53,7 @@
 
 class BackendGateway:
     """
-    All requests to one back end pass here.
+    Handles all requests to one back end.
 
     """
 
@@ -90,14 +90,14 @@
 
     def is_in_use(self, version: str) -> bool:
         """
-        Whether a request in progress was admitted to this version.
+        Return whether a request in progress was admitted to this version.
 
         """
         return any(held.version == version for held in self.reservations.values())
 
     async def set_served(self, served: dict[str, str]) -> None:
         """
-        From now on admit requests to these versions.
+        Set the versions that requests are admitted to, by service.
 
         """
         if served != self.served:
@@ -106,15 +106,15 @@
 
     async def set_leaving(self, leaving: bool) -> None:
         if leaving != self.leaving:
-            log.info('Leaving: {}.', 'no new work' if leaving else 'called off')
+            log.info('Leaving: {}.', 'new requests are refused' if leaving else 'cancelled')
             self.leaving = leaving
             await self.load_changed.set()
 
-    # The entries' messages.
+    # Messages of entries.
 
     async def on_reserve(self, connection: Connection, request: Reserve) -> Reserved:
         """
-        Give a place, or refuse at once with when to come back.
+        Reserve a slot, or refuse at once with a time after which to retry.
 
         """
         organisation = OrganisationId(request.organisation)
@@ -135,18 +135,18 @@
         if self.leaving:
             return Refusal(Reason.LEAVING, detail='this endpoint is leaving')
         if request.service not in self.served:
-            return Refusal(Reason.NOT_SERVABLE, detail='not servable here')
+            return Refusal(Reason.NOT_SERVABLE, detail='the service is not servable here')
         resting = self.rest_tracker.current_refusal()
         if resting is not None:
             return resting
         wait_ms = self.queue.refusal_wait_ms(organisation, request.deadline_ms / 1000)
         if wait_ms:
-            return Refusal(Reason.BUSY, detail='all places are taken', retry_after_ms=wait_ms)
+            return Refusal(Reason.BUSY, detail='all slots are taken', retry_after_ms=wait_ms)
         return None
 
     async def on_start(self, connection: Connection, message: Start) -> None:
         """
-        The entry's word that the request may run.
+        Let a reserved request run, as its entry sent `Start`.
 
         """
         reservation = self.reservations.get(message.request_id)
@@ -159,7 +159,7 @@
 
     async def on_cancel(self, connection: Connection, message: Cancel) -> Cancelled:
         """
-        End a request; what it answers binds this endpoint.
+        Cancel a request. After the verdict NOT_RUN in the reply it is never run here.
 
         """
         reservation = self.reservations.get(message.request_id)
@@ -177,8 +177,8 @@
 
     async def on_closed(self, connection: Connection) -> None:
         """
-        Without its entry nobody can have the answer: what has not gone to
-        the back end never will, and an engine's work is cancelled.
+        Cancel requests of an entry whose connection closed, as nobody can get
+        their answers: those not yet sent to the back end, and all of an engine.
 
         """
         if self.entries.get(connection.peer) is connection:
@@ -210,8 +210,8 @@
 
     async def _settle(self, reservation: Reservation) -> None:
         """
-        Record the answer in place of an entry that may be gone. A key is
-        never released here: the entry may live and try another endpoint.
+        Record the answer in place of an entry that may be gone. An endpoint
+        never releases a key: the entry may be alive and try another endpoint.
 
         """
         request = reservation.request
@@ -221,7 +221,7 @@
             )
 
     async def _wait_for_start_and_slot(self, reservation: Reservation) -> Refusal | None:
-        expired = Refusal(Reason.EXPIRED, detail='it never came to its turn')
+        expired = Refusal(Reason.EXPIRED, detail='the request did not get a slot in time')
         try:
             async with curio.timeout_after(START_TIMEOUT_S):
                 await reservation.started.wait()
@@ -234,7 +234,7 @@
     async def _run(self, reservation: Reservation) -> Refusal | None:
         request = reservation.request
         if self.is_engine and reservation.version not in self.served.values():
-            return Refusal(Reason.NOT_SERVABLE, detail='its version left while it waited')
+            return Refusal(Reason.NOT_SERVABLE, detail='the version is no longer served here')
         resting = self.rest_tracker.current_refusal()
         if resting is not None:
             return resting
@@ -274,7 +274,7 @@
         if status is IncarnationStatus.ENDED:
             detail = 'the back end ended'
             return Refusal(Reason.BACKEND_FAILED, Verdict.MAY_HAVE_RUN, detail)
-        detail = 'the connection to the back end broke off'
+        detail = 'the connection to the back end was lost'
         return Refusal(Reason.TRUNCATED, Verdict.MAY_HAVE_RUN, detail)
 
     async def _relay_reply(self, reservation: Reservation, reply: Reply) -> Refusal | None:
@@ -296,7 +296,7 @@
             if reservation.request.attempt:
                 body += data
             if coalesce_s:
-                # What the engine sends meanwhile is the next piece.
+                # Everything that the engine sends meanwhile becomes the next piece.
                 await curio.sleep(coalesce_s)
         if reservation.request.attempt:
             reservation.response = Response(reply.status, reply.headers, bytes(body))
@@ -304,8 +304,8 @@
 
     async def _send(self, reservation: Reservation, message: Head | Part) -> None:
         """
-        Send a piece to the entry. The answer to a request with a key is
-        read to its end even without the entry, as its outcome matters.
+        Send a piece to the entry. The answer to a request with a key is read
+        to its end even if the entry is gone, as its outcome is recorded.
 
         """
         try:
@@ -316,7 +316,7 @@
 
     def _check_head(self, reservation: Reservation, reply: Reply) -> Refusal | None:
         """
-        Refuse an answer that belongs to another request or other weights.
+        Refuse an answer to another request, or by another version of the weights.
 
         """
         echoed = reply.header(REQUEST_ID_HEADER)
@@ -327,10 +327,12 @@
             return None
         if reply.status in NOT_LOADED_STATUSES:
             reservation.stage = Stage.STARTED
-            return Refusal(Reason.ENGINE_EMPTY, Verdict.NOT_RUN, 'the engine has not the version')
+            return Refusal(
+                Reason.ENGINE_EMPTY, Verdict.NOT_RUN, 'the version is not loaded in the engine'
+            )
         version = reply.header(VERSION_HEADER)
         if version != reservation.version:
-            detail = f'the engine answered by {version or "an unnamed version"}'
+            detail = f'the engine answered with {version or "an unnamed version"}'
             return Refusal(Reason.VERSION_MISMATCH, Verdict.MAY_HAVE_RUN, detail)
         return None
 
@@ -359,7 +361,7 @@
 
     async def subscribe_to_load(self, connection: Connection) -> Load:
         """
-        An entry begins to keep up with this endpoint.
+        Subscribe an entry to load reports and return the present load.
 
         """
         self.entries[connection.peer] = connection
@@ -367,8 +369,8 @@
 
     async def report_load(self) -> None:
         """
-        The task that tells the entries of a changed load, and now and then
-        of an unchanged one.
+        Send load reports to the entries, when the load changes and as a
+        heartbeat.
 
         """
         while True:
@@ -388,7 +390,7 @@
 
     async def wait_until_idle(self, timeout: float) -> bool:
         """
-        Wait for the requests in progress, `timeout` seconds at most.
+        Wait at most `timeout` seconds for the requests in progress; False if some remain.
 
         """
         try:
--- a/packages/millforkd/millforkd/endpoint/backend_requests.py
+++ b/packages/millforkd/millforkd/endpoint/backend_requests.py
@@ -1,5 +1,5 @@
 """
-What an endpoint sends to its back end for a caller's request.
+Builds the request that an endpoint sends to its back end.
 
 """
 
@@ -15,8 +15,8 @@
 
 def build_backend_request(reservation: Reservation, is_engine: bool) -> tuple[Headers, bytes]:
     """
-    Headers and body of the call. An engine is told the priority, and the version of the
-    weights that the request was admitted to.
+    Return headers and body. Requests to an engine also carry the priority and the version of
+    the weights that the request was admitted to.
 
     """
     request = reservation.request
--- a/packages/millforkd/millforkd/endpoint/daemon.py
+++ b/packages/millforkd/millforkd/endpoint/daemon.py
@@ -1,5 +1,5 @@
 """
-The endpoint: the one process in an instance's slot.
+The daemon of an endpoint, which admits requests to the back end of its instance.
 
 """
 
@@ -38,7 +38,7 @@
 
 class EndpointDaemon:
     """
-    One endpoint instance.
+    Builds the parts of one endpoint instance and routes messages to them.
 
     """
 
@@ -110,7 +110,7 @@
 
     async def drain(self) -> None:
         """
-        A planned stop: no new work, then wait for what is in progress.
+        Prepare for a planned stop: refuse new requests and wait for those in progress.
 
         """
         self.stopping = True
@@ -122,7 +122,7 @@
 
     async def _watch(self) -> None:
         """
-        The task that follows drains and shares, and reports upwards.
+        Apply drains and shares of the configuration, and report the state of this endpoint.
 
         """
         while True:
@@ -162,8 +162,8 @@
 
     def _held_shares(self) -> dict[str, float]:
         """
-        The share of each wanted version held, in coarse steps: progress
-        must not cost a message for each chunk.
+        Return the share of each wanted version that is held. Shares are rounded
+        down to coarse steps, so that not every chunk causes a report.
 
         """
         if self.rollout is None or self.store is None:
--- a/packages/millforkd/millforkd/endpoint/engine_client.py
+++ b/packages/millforkd/millforkd/endpoint/engine_client.py
@@ -1,11 +1,10 @@
 """
-Orders to the model engine, under a fencing number.
+Sends orders to the model engine, with a fencing number.
 
-The endpoint is the only process that gives orders: it holds the wire port of
-its address, so a second one can't run beside it, even beside a frozen one. A
-new endpoint takes a number above the highest that the engine has seen; an
-engine that refuses old numbers then refuses what a predecessor left on its
-way.
+Only the endpoint sends orders: it holds the wire port of its address, so a
+second endpoint can't run at the same address, even while the first is frozen.
+A new endpoint takes a number above the highest that the engine has seen; an
+engine that refuses old numbers then refuses late orders of a predecessor.
 
 """
 
@@ -22,7 +21,7 @@
 
 ORDER_TIMEOUT_S: Final = 120.0
 STATUS_TIMEOUT_S: Final = 2.0
-# Of a look whether it still lives.
+# Timeout of a probe whether the engine is still alive.
 PROBE_TIMEOUT_S: Final = 0.4
 OK_STATUS: Final = 200
 REFUSED_ORDER_STATUS: Final = 409
@@ -33,7 +32,7 @@
 @dataclass(slots=True)
 class EngineStatus:
     """
-    What the engine says of itself; `incarnation` changes with each start.
+    The status that the engine reports; `incarnation` changes with each start.
 
     """
 
@@ -44,14 +43,14 @@
 
 class OrderFailed(Exception):
     """
-    The engine did not carry out an order.
+    Raised when the engine did not carry out an order.
 
     """
 
 
 class EngineClient:
     """
-    The order-giver of one engine.
+    Polls one engine and sends it orders.
 
     """
 
@@ -64,7 +63,7 @@
 
     async def poll(self) -> bool:
         """
-        Learn the engine's status; False if it does not answer.
+        Fetch the engine's status; return False if it does not answer.
 
         """
         try:
@@ -79,30 +78,30 @@
 
     async def query_incarnation(self) -> str:
         """
-        The engine's incarnation, as it tells it at this moment; empty without an answer.
+        Return the incarnation that the engine reports now; empty without an answer.
 
         """
         try:
             response = await self.client.fetch('GET', '/status', [], timeout=PROBE_TIMEOUT_S)
             return msgspec.json.decode(response.body, type=EngineStatus).incarnation
         except (ExchangeFailed, msgspec.DecodeError) as error:
-            log.debug('The engine tells no incarnation: {}.', error)
+            log.debug('Could not fetch the incarnation of the engine: {}.', error)
             return ''
 
     async def load(self, version: str, parts: list[dict[str, str]]) -> None:
         """
         Order the engine to load a version: base first, then adapters.
 
-        :raises OrderFailed: if it did not.
+        :raises OrderFailed: if the engine did not load it.
 
         """
         await self._order({'action': 'load', 'version': version, 'parts': parts})
 
     async def unload(self, version: str) -> None:
         """
-        Order the engine to drop a version.
+        Order the engine to unload a version.
 
-        :raises OrderFailed: if it did not.
+        :raises OrderFailed: if the engine did not unload it.
 
         """
         await self._order({'action': 'unload', 'version': version})
--- a/packages/millforkd/millforkd/endpoint/incarnation_tracking.py
+++ b/packages/millforkd/millforkd/endpoint/incarnation_tracking.py
@@ -1,5 +1,5 @@
 """
-Whether the back end of an endpoint has ended, or only connections to it broke off.
+Determines whether the back end of an endpoint has ended or only its connections were lost.
 
 """
 
@@ -30,8 +30,8 @@
 @dataclass(slots=True)
 class InterruptedRequest:
     """
-    A request that broke off, and the entry it came from; `number` is that of the incarnation
-    it was sent to. Its fate is told to the entry where it was not known in time.
+    A request whose answer was interrupted, with the connection to its entry. `number` is the
+    incarnation that it was sent to. A status that becomes known late is sent to the entry.
 
     """
 
@@ -40,15 +40,15 @@
     number: int
     status: IncarnationStatus = IncarnationStatus.UNKNOWN
     is_awaited: bool = True
-    # Whether it was called off instead, as its caller left: its back end may go on with it.
+    # Whether the entry cancelled the request; the back end may still be running it.
     is_cancelled: bool = False
 
 
 class IncarnationTracker:
     """
-    Tells the incarnations of one back end apart.
+    Numbers the incarnations of one back end.
 
-    `query_incarnation` asks it for its incarnation; a plain service has none to tell.
+    `query_incarnation` asks an engine for its incarnation; a plain service reports none.
 
     """
 
@@ -61,12 +61,12 @@
         self.env = env
         self.address = address
         self.query_incarnation = query_incarnation
-        # Of this process, as its numbers of incarnations begin anew with it.
+        # When this process started (ns): its incarnation numbers start again at 0.
         self.start = time.time_ns()
         self.number = 0
-        # As the back end tells it; empty where it is not known.
+        # The incarnation that the back end reported; empty if unknown.
         self.reported_incarnation = UNKNOWN_INCARNATION
-        # When the latest of what it answered was sent, in monotonic seconds.
+        # When the latest request that the back end answered was sent, in monotonic seconds.
         self.last_answered_sent_at = float('-inf')
         self.watch_keys = itertools.count(1)
         self.watch: EndWatch[InterruptedRequest] = EndWatch(
@@ -79,14 +79,14 @@
 
     def record_answer(self, sent_at: float) -> None:
         """
-        It answered what was sent at a moment in monotonic seconds.
+        Record that the back end answered a request sent at `sent_at` (monotonic seconds).
 
         """
         self.last_answered_sent_at = max(self.last_answered_sent_at, sent_at)
 
     def record_incarnation(self, incarnation: str, asked_at: float) -> None:
         """
-        It told its incarnation when it was asked at a moment in monotonic seconds.
+        Record the incarnation that the back end reported to a query at `asked_at`.
 
         """
         if incarnation == self.reported_incarnation:
@@ -105,8 +105,8 @@
         self, request_id: RequestId, connection: Connection, number: int
     ) -> IncarnationStatus:
         """
-        A request broke off that was sent to an incarnation. Returns what is known of it
-        within moments; what becomes known later is told to the entry.
+        Record an interrupted request and return the status of its incarnation after the first
+        probe. A status that becomes known later is sent to the entry.
 
         """
         interrupted = InterruptedRequest(request_id, connection, number)
@@ -127,8 +127,8 @@
         self, request_id: RequestId, connection: Connection, number: int
     ) -> None:
         """
-        A request was called off that was sent to an incarnation; the entry is told whether
-        that ends soon.
+        Record a cancelled request; the entry is notified whether its incarnation ends soon
+        after.
 
         """
         interrupted = InterruptedRequest(
@@ -168,7 +168,7 @@
     ) -> None:
         after_ms = (self.env.monotonic() - min(item.at for item in interrupted)) * 1000
         log.info(
-            'Back end after answers broke off: {}. requests={} after_ms={:.0f}',
+            'Back end status after interrupted answers: {}. requests={} after_ms={:.0f}',
             status.value,
             len(interrupted),
             after_ms,
@@ -189,5 +189,6 @@
             )
         except PeerLost:
             log.info(
-                'An entry is gone that would hear of the back end. id={}', interrupted.request_id
+                'Could not report the back end status, the entry is gone. id={}',
+                interrupted.request_id,
             )
--- a/packages/millforkd/millforkd/endpoint/reservations.py
+++ b/packages/millforkd/millforkd/endpoint/reservations.py
@@ -1,5 +1,5 @@
 """
-Requests that an entry reserved a place for.
+Requests for which an entry reserved a slot.
 
 """
 
@@ -18,7 +18,7 @@
 
 class Stage(Enum):
     """
-    How far a request has come here.
+    The progress of a request at this endpoint.
 
     """
 
@@ -30,9 +30,9 @@
 @dataclass(slots=True)
 class Reservation:
     """
-    One request from its `Reserve` to its `End`; `deadline` is its deadline on
-    this process's monotonic clock, `version` the weights it was admitted to.
-    `response` gathers the answer of a request with an idempotency key.
+    One request from its `Reserve` to its `End`. `deadline` is in monotonic
+    seconds of this process, `version` the weights that the request was admitted
+    to, `response` the answer to a request with an idempotency key.
 
     """
 
@@ -47,16 +47,16 @@
     parts: int = 0
     bytes: int = 0
     response: Response | None = None
-    # The number of the back end's incarnation that it was sent to.
+    # The number of the back end's incarnation that the request was sent to.
     incarnation_number: int = 0
-    # The back end's incarnation, if the answer broke off and it ended, or may have.
+    # The back end's incarnation, if it ended or may have ended during the answer.
     interrupted_incarnation: IncarnationKey = NO_INCARNATION
 
     @property
     def verdict(self) -> Verdict:
         """
-        What can be said if it ends now: before anything went to the back
-        end, nothing ran.
+        The verdict if the request ends now: NOT_RUN until it is sent to the
+        back end.
 
         """
         return Verdict.MAY_HAVE_RUN if self.stage is Stage.SENT else Verdict.NOT_RUN
--- a/packages/millforkd/millforkd/endpoint/rest_tracking.py
+++ b/packages/millforkd/millforkd/endpoint/rest_tracking.py
@@ -1,5 +1,5 @@
 """
-The rest that the back end of an endpoint asks for.
+Tracks the rest period that the back end of an endpoint asks for with Retry-After.
 
 """
 
@@ -17,8 +17,8 @@
 
 class RestTracker:
     """
-    Takes what answers say of rest. Requests that come meanwhile are refused at once; one
-    request asks whether it is over.
+    Reads rest periods from answers. Requests are refused at once during a rest period; after
+    it one request is sent to find out whether the back end accepts requests again.
 
     """
 
@@ -28,7 +28,7 @@
 
     def current_refusal(self) -> Refusal | None:
         """
-        A refusal while the back end rests.
+        Return a refusal while the back end rests, else None.
 
         """
         rest_s = (
@@ -38,12 +38,12 @@
         )
         if not rest_s:
             return None
-        detail = 'the back end asked for rest'
+        detail = 'the back end asked for a rest period'
         return Refusal(Reason.RESTING, detail=detail, retry_after_ms=math.ceil(rest_s * 1000))
 
     def record_sent(self, now: float) -> None:
         """
-        A request is sent.
+        Record that a request is sent at `now` (monotonic seconds).
 
         """
         if self.rest_period is not None:
@@ -51,18 +51,18 @@
 
     def record_answer(self, reply: Reply, sent_at: float) -> None:
         """
-        The answer to a request begins that was sent at a moment (monotonic seconds).
+        Record the head of the answer to a request sent at `sent_at` (monotonic seconds).
 
         """
         if reply.status not in TURNED_AWAY:
             if self.rest_period is not None and self.rest_period.is_ended_by(sent_at):
-                log.info('The back end takes requests again.')
+                log.info('The back end accepts requests again.')
                 self.rest_period = None
             return
         requested = read_retry_after(reply.headers)
         if requested.unread:
             log.warning(
-                'The back end asks for rest in a way that can not be read: {}', requested.unread
+                'Could not parse the rest period that the back end asked for: {}', requested.unread
             )
         if not requested.seconds:
             return
@@ -73,5 +73,7 @@
             self.env.metrics.backpressure, signal='rest', event='began', told_by='answer'
         )
         log.info(
-            'The back end asks for rest. rest_s={:g} status={}', requested.seconds, reply.status
+            'The back end asked for a rest period. rest_s={:g} status={}',
+            requested.seconds,
+            reply.status,
         )
--- a/packages/millforkd/millforkd/endpoint/rollout.py
+++ b/packages/millforkd/millforkd/endpoint/rollout.py
@@ -1,5 +1,5 @@
 """
-From accepted configuration to servable weights on this instance.
+Rolls out the accepted configuration: transfers, loads and serves weights on this instance.
 
 """
 
@@ -32,7 +32,7 @@
 
 class Rollout:
     """
-    Keeps what is held, loaded and served in step with the configuration.
+    Reconciles the held weights and the loaded and served versions with the configuration.
 
     """
 
@@ -73,12 +73,12 @@
 
     async def run(self) -> None:
         """
-        The task that reconciles, on each change and now and then.
+        Reconcile on each change and at regular intervals.
 
         """
         await self.env.keep(self._wake_after_changes)
         while True:
-            # Serving stops short of configuration older than the zone's.
+            # Without a configuration as new as the zone's, nothing is loaded or served.
             if self.view.cluster:
                 await self._reconcile()
             self.wake_event.clear()
@@ -105,11 +105,11 @@
         await self._serve_loaded()
         await self._unload_unwanted()
 
-    # What is wanted.
+    # Deployments of this instance.
 
     def _find_wanted_deployments(self) -> dict[str, Deployment]:
         """
-        The deployments that select this instance, by `ORG/NAME`.
+        Return the deployments that select this instance, by `ORG/NAME`.
 
         """
         computed_from = (self.view.position, self.roster.version)
@@ -125,7 +125,7 @@
 
     def _holders(self, part: WeightPart) -> list[Holder]:
         """
-        All instances that a weight part should reach.
+        Return all instances that should hold a weight part.
 
         """
         found: dict[str, Holder] = {}
@@ -150,7 +150,7 @@
         for digest in list(self.transfers):
             if digest not in parts:
                 await self.transfers.pop(digest).cancel()
-                log.info('Transfer of {} is called off.', digest[:16])
+                log.info('Transfer of {} is cancelled.', digest[:16])
         for digest, part in parts.items():
             holding = self.store.holdings.get(digest)
             if digest in self.transfers or (holding is not None and holding.whole):
@@ -180,7 +180,9 @@
             self.retry_after[part.manifest] = self.env.monotonic() + TRANSFER_RETRY_DELAY_S
         else:
             duration_s = self.env.monotonic() - started_at
-            log.info('{} {} is whole after {:.2f} s.', part.name, part.version, duration_s)
+            log.info(
+                'Transfer of {} {} is complete after {:.2f} s.', part.name, part.version, duration_s
+            )
         self.transfers.pop(part.manifest, None)
         await self.wake_event.set()
 
@@ -216,8 +218,8 @@
 
     async def _serve_loaded(self) -> None:
         """
-        Admit to the wanted version once it is loaded; until then go on with
-        the one that is.
+        Serve the wanted version once it is loaded; until then keep serving the
+        version that is.
 
         """
         served = {}
@@ -232,14 +234,14 @@
 
     async def _unload_unwanted(self) -> None:
         """
-        Drop versions that nothing wants, serves or still runs on, and then
-        the weights that no version left here is made of.
+        Unload versions that are not wanted, served or in use by a request, then
+        delete weights that no remaining version needs.
 
         """
         wanted = {deployment.version for deployment in self.wanted_deployments.values()}
-        kept = wanted | set(self.gateway.served.values())
+        kept_versions = wanted | set(self.gateway.served.values())
         for version in list(self.engine.status.loaded):
-            if version in kept or self.gateway.is_in_use(version):
+            if version in kept_versions or self.gateway.is_in_use(version):
                 continue
             try:
                 await self.engine.unload(version)
--- a/packages/millforkd/millforkd/entry/__init__.py
+++ b/packages/millforkd/millforkd/entry/__init__.py
@@ -1,4 +1,4 @@
 """
-Role entry: callers, operators, routing.
+Role entry: serves callers and operators, and routes calls to endpoints.
 
 """
--- a/packages/millforkd/millforkd/entry/access_control.py
+++ b/packages/millforkd/millforkd/entry/access_control.py
@@ -1,5 +1,5 @@
 """
-Who a caller or operator is, by bearer token; tokens are kept hashed.
+Authenticates callers and operators by bearer token; only hashes of tokens are kept.
 
 """
 
@@ -19,7 +19,7 @@
 @dataclass(frozen=True, slots=True)
 class Operator:
     """
-    A proven operator: of one organisation, or of the fleet.
+    An authenticated operator: of one organisation, or of the fleet (None).
 
     """
 
@@ -36,7 +36,7 @@
 
 class AccessControl:
     """
-    Token hashes of the configuration in force.
+    The token hashes and organisations of the current configuration.
 
     """
 
@@ -64,22 +64,24 @@
 
     def authenticate_caller(self, request: Request) -> OrganisationId:
         """
-        The organisation of a caller.
+        Return the organisation of a caller.
 
-        :raises Refused: if the token is none of the fleet's.
+        :raises Refused: if the token is unknown.
 
         """
         self._refresh()
         organisation = self.callers.get(_hash_of_bearer_token(request))
         if organisation is None:
-            raise Refused(Refusal(Reason.UNAUTHENTICATED, detail='a known bearer token is needed'))
+            raise Refused(
+                Refusal(Reason.UNAUTHENTICATED, detail='a known bearer token is required')
+            )
         return organisation
 
     def authenticate_operator(self, request: Request) -> Operator:
         """
-        The operator who sent a control request.
+        Return the operator who sent a control request.
 
-        :raises Refused: if the token is none of the fleet's.
+        :raises Refused: if the token is unknown.
 
         """
         self._refresh()
@@ -88,7 +90,7 @@
             return Operator(None)
         organisation = self.operators.get(found)
         if organisation is None:
-            detail = "a known operator's token is needed"
+            detail = "a known operator's token is required"
             raise Refused(Refusal(Reason.UNAUTHENTICATED, detail=detail))
         return Operator(organisation)
 
--- a/packages/millforkd/millforkd/entry/attempts.py
+++ b/packages/millforkd/millforkd/entry/attempts.py
@@ -1,9 +1,9 @@
 """
 One attempt of a request at one endpoint, in two steps.
 
-The endpoint first reserves a place and runs nothing before `Start`. As long
-as this entry has not sent `Start`, the request can't have run, whatever
-becomes of the endpoint; that is what makes 'not run' true.
+The endpoint first reserves a slot and runs nothing before `Start`. As long
+as this entry has not sent `Start`, the request can't have run, even if the
+endpoint fails; the verdict NOT_RUN relies on this.
 
 """
 
@@ -51,8 +51,8 @@
 @dataclass(frozen=True, slots=True)
 class Call:
     """
-    One caller's request, as the entry understood it. `claim` is the attempt
-    that holds its idempotency key, once claimed.
+    One caller's request after parsing. `claim` identifies the claim on its
+    idempotency key, once claimed; `deadline` is in monotonic seconds.
 
     """
 
@@ -73,21 +73,21 @@
 @dataclass(frozen=True, slots=True)
 class InterruptedAttempt(Refusal):
     """
-    An attempt whose back end ended, or whose answer broke off so that it may have.
+    An attempt that was interrupted because its back end ended or may have ended.
 
     """
 
     request_id: RequestId = RequestId('')
     incarnation: IncarnationKey = NO_INCARNATION
-    # The endpoint, where the connection to it was lost: it tells nothing more of this attempt.
+    # The endpoint, if the connection to it was lost: it sends nothing more for this attempt.
     lost_endpoint: InstanceId = NO_INSTANCE
 
 
 @dataclass(frozen=True, slots=True)
 class TurnedAway(Refusal):
     """
-    An attempt whose back end answered that it takes nothing now; the answer is the caller's if
-    no other back end does better.
+    An attempt whose back end answered that it accepts no requests now (429 or 503). The caller
+    gets this answer if no other back end gives a better one.
 
     """
 
@@ -96,7 +96,7 @@
 
 def replicated_key(call: Call) -> str:
     """
-    The call's idempotency key, as the replicated state knows it.
+    Return the key under which the replicated state stores the call's idempotency key.
 
     """
     return f'{call.organisation}/{call.service}/{call.key}'
@@ -104,7 +104,7 @@
 
 def endpoint_incarnation(instance: InstanceId, start: int) -> IncarnationKey:
     """
-    One run of an endpoint's process.
+    Return the key of one run of an endpoint's process; `start` is when it started (ns).
 
     """
     return IncarnationKey(f'{instance}/{start}')
@@ -112,14 +112,14 @@
 
 class ConnectionLost(Message):
     """
-    Stands in the queue where the connection ended.
+    Marks the end of the connection in the queue of events.
 
     """
 
 
 class Attempt:
     """
-    One attempt; `events` brings what the endpoint sends.
+    One attempt; `events` holds the messages that the endpoint sent for it.
 
     """
 
@@ -140,12 +140,12 @@
         self.ended = False
         self.next_sequence = 0
         self.received_bytes = 0
-        # The back end's incarnation that had it when it was cancelled, if one had.
+        # The incarnation of the back end that was running the request when it was cancelled.
         self.cancelled_incarnation = NO_INCARNATION
 
     async def enqueue(self, message: Message) -> None:
         """
-        Take an event from the endpoint, in order.
+        Append an event from the endpoint; events are read in this order.
 
         """
         if isinstance(message, Part):
@@ -154,7 +154,7 @@
 
     async def reserve(self, call: Call, timeout: float) -> Refusal | None:
         """
-        Ask for a place; a refusal here is always NOT_RUN.
+        Reserve a slot. A refusal at this step always has the verdict NOT_RUN.
 
         """
         remaining_s = call.deadline - self.env.monotonic()
@@ -175,13 +175,13 @@
             reply = await self.connection.call(request, min(timeout, remaining_s))
         except PeerTimedOut:
             await self._cancel_without_reply()
-            return Refusal(Reason.TIMED_OUT, detail='an endpoint gave no answer')
+            return Refusal(Reason.TIMED_OUT, detail='the endpoint did not answer in time')
         except PeerRefused:
-            return Refusal(Reason.BACKEND_FAILED, detail='an endpoint failed')
+            return Refusal(Reason.BACKEND_FAILED, detail='the endpoint failed')
         except PeerError:
-            return Refusal(Reason.UNREACHABLE, detail='an endpoint went away')
+            return Refusal(Reason.UNREACHABLE, detail='the connection to the endpoint was lost')
         if not isinstance(reply, Reserved):
-            return Refusal(Reason.BACKEND_FAILED, detail='an endpoint gave a wrong answer')
+            return Refusal(Reason.BACKEND_FAILED, detail='the endpoint sent an unexpected answer')
         if reply.ok:
             return None
         return Refusal(Reason(reply.reason), Verdict.NOT_RUN, reply.detail, reply.retry_after_ms)
@@ -194,29 +194,29 @@
 
     async def start(self) -> Refusal | None:
         """
-        Let the endpoint run the request. From here it may have run.
+        Send `Start`. From here on the request may have run.
 
         """
         try:
             await self.connection.notify(Start(self.request_id))
         except PeerLost:
-            return Refusal(Reason.UNREACHABLE, detail='an endpoint went away')
+            return Refusal(Reason.UNREACHABLE, detail='the connection to the endpoint was lost')
         self.started = True
         return None
 
     async def receive_head(self, deadline: float) -> Head | Refusal:
         """
-        Wait for the answer's head.
+        Wait until `deadline` for the status and headers of the answer.
 
         """
         message = await self._next_event(deadline)
         if isinstance(message, (Head, Refusal)):
             return message
-        return Refusal(Reason.BACKEND_FAILED, Verdict.MAY_HAVE_RUN, 'an answer without a head')
+        return Refusal(Reason.BACKEND_FAILED, Verdict.MAY_HAVE_RUN, 'the answer has no head')
 
     async def receive_part(self, deadline: float) -> bytes | Refusal | None:
         """
-        The next piece of the answer; None once it is whole.
+        Return the next piece of the answer, or None once the answer is complete.
 
         """
         message = await self._next_event(deadline)
@@ -230,9 +230,9 @@
         if isinstance(message, Refusal):
             return message
         if not isinstance(message, End):
-            return Refusal(Reason.BACKEND_FAILED, Verdict.MAY_HAVE_RUN, 'out of order')
+            return Refusal(Reason.BACKEND_FAILED, Verdict.MAY_HAVE_RUN, 'a message is out of order')
         if (message.parts, message.bytes) != (self.next_sequence, self.received_bytes):
-            return Refusal(Reason.TRUNCATED, Verdict.MAY_HAVE_RUN, 'the answer is cut short')
+            return Refusal(Reason.TRUNCATED, Verdict.MAY_HAVE_RUN, 'the answer is truncated')
         return None
 
     async def _next_event(self, deadline: float) -> Message | Refusal:
@@ -253,7 +253,7 @@
         return message
 
     def _connection_lost_refusal(self) -> Refusal:
-        detail = 'the endpoint went away while it ran the request'
+        detail = 'the connection to the endpoint was lost during the request'
         if not self.backend.start:
             return Refusal(Reason.CONNECTION_LOST, Verdict.MAY_HAVE_RUN, detail)
         return InterruptedAttempt(
@@ -276,7 +276,7 @@
 
     async def _cancel_at_deadline(self) -> Refusal:
         """
-        Cancel at the endpoint; it may know that nothing ran.
+        Cancel at the endpoint, whose reply may say that nothing ran.
 
         """
         verdict = await self.cancel()
@@ -284,7 +284,7 @@
 
     async def cancel(self) -> Verdict:
         """
-        Cancel and return what is known of the request.
+        Cancel the request and return whether it may have run.
 
         """
         self.ended = True
--- a/packages/millforkd/millforkd/entry/caller_requests.py
+++ b/packages/millforkd/millforkd/entry/caller_requests.py
@@ -1,5 +1,5 @@
 """
-What callers ask: completions of models, and calls of plain services.
+Handles callers' requests: completions by models, and calls of plain services.
 
 """
 
@@ -56,7 +56,7 @@
 
 class CallerRequests:
     """
-    Answers callers.
+    Authenticates callers, parses their requests and answers them.
 
     """
 
@@ -79,7 +79,7 @@
 
     async def handle(self, exchange: Exchange) -> None:
         """
-        Answer one request: with a response, or a refusal at once.
+        Answer one request with a response, or refuse it at once.
 
         """
         try:
@@ -98,8 +98,8 @@
 
     async def _answer_until_caller_leaves(self, exchange: Exchange, call: Call) -> None:
         """
-        Run the call until it is answered or the caller is gone. A call that
-        is not repeatable goes on, so that its key learns the outcome.
+        Run the call until it is answered or the caller is gone. A call with an
+        idempotency key continues, so that the outcome is recorded for its key.
 
         """
         answering = await self.env.spawn(self._answer_call, exchange, call)
@@ -136,7 +136,7 @@
 
     async def _run_claimed(self, call: Call, delivery: Delivery) -> Refusal | None:
         """
-        Run a call whose key must be claimed first.
+        Claim the idempotency key of a call, then run the call and settle the key.
 
         """
         call = replace(call, claim=uuid.uuid4().hex)
@@ -161,7 +161,7 @@
         if not begun:
             await exchange.respond(problem(refusal))
 
-    # Understanding a request.
+    # Parsing a request.
 
     def _parse_call(self, request: Request, organisation: OrganisationId) -> Call:
         path = request.path.split('?', 1)[0]
@@ -199,7 +199,7 @@
 
     def _parse_deployment(self, request: Request, organisation: OrganisationId) -> tuple[str, str]:
         if request.method != 'POST':
-            raise _bad_request('a completion is asked for by POST')
+            raise _bad_request('completions require the method POST')
         body = _json_object(request)
         name = body.get('model')
         if not isinstance(name, str):
@@ -229,15 +229,15 @@
     try:
         body = request.json()
     except ValueError:
-        raise _bad_request('the body is no JSON') from None
+        raise _bad_request('the body is not JSON') from None
     if not isinstance(body, dict):
-        raise _bad_request('the body is no JSON object')
+        raise _bad_request('the body is not a JSON object')
     return body
 
 
 def _is_repeatable(request: Request) -> bool:
     """
-    By the caller's mark, else by the method's semantics (RFC 9110, 9.2.2).
+    Decide by the caller's header, or by the method (RFC 9110, section 9.2.2) without one.
 
     """
     mark = request.header(REPEATABLE_HEADER)
--- a/packages/millforkd/millforkd/entry/crash_tracking.py
+++ b/packages/millforkd/millforkd/entry/crash_tracking.py
@@ -1,8 +1,8 @@
 """
-Calls under which back ends ended, on a fleet with a list of instances.
+Tracks calls that end the back ends that run them, on a fleet with a list of instances.
 
-A caller that comes back makes a new call, so what ends each back end that runs it is known by
-what it says: who calls which service, how, and with what body.
+A caller that retries makes a new call, so calls are identified by a fingerprint of their content:
+organisation, service, method, path and body.
 
 """
 
@@ -26,14 +26,14 @@
 
 REFUSAL_DETAILS: Final = {
     SuspicionLevel.AT_FAULT: 'back ends end when they run this request',
-    SuspicionLevel.SUSPECTED: 'back ends broke off when they ran this request',
+    SuspicionLevel.SUSPECTED: 'connections to back ends were lost while they ran this request',
 }
 REFUSAL_REASONS: Final = {
     SuspicionLevel.AT_FAULT: Reason.QUARANTINED,
     SuspicionLevel.SUSPECTED: Reason.SUSPECTED,
 }
 
-# An endpoint watches its back end for 20 s; one that is gone tells nothing any more.
+# An endpoint watches its back end for 20 s; an endpoint that is gone sends no result.
 PENDING_RETENTION_S: Final = 30.0
 MAX_EARLY_FATES: Final = 256
 
@@ -43,23 +43,23 @@
 @dataclass(frozen=True, slots=True)
 class PendingAttempt:
     """
-    An attempt that broke off, at a moment in monotonic seconds, before its endpoint knows
-    whether the back end ended; `before` is what was known of the call when it was sent.
+    An interrupted attempt whose endpoint does not yet know whether the back end ended.
+    `interrupted_at` is in monotonic seconds; `before` is the suspicion when the call was sent.
 
     """
 
     before: Suspicion
     incarnation: IncarnationKey
     interrupted_at: float
-    # The endpoint, where it was lost itself.
+    # The endpoint, if the connection to it was lost.
     lost_endpoint: InstanceId = NO_INSTANCE
-    # Whether its caller left; it is not suspected before its back end is known to have ended.
+    # Whether the attempt was cancelled; it is suspected only once its back end has ended.
     is_cancelled: bool = False
 
 
 class CallFingerprints:
     """
-    The fingerprints of calls; all entries of a fleet make the same.
+    Computes the fingerprints of calls; all entries of a fleet compute the same ones.
 
     """
 
@@ -74,7 +74,7 @@
 
 class CrashTracker:
     """
-    Counts ends by what calls say. An answer that comes whole clears a call.
+    Counts the back ends that ended, by fingerprint. A complete answer clears a call.
 
     """
 
@@ -95,14 +95,14 @@
 
     def suspicion_of(self, call: Call) -> Suspicion:
         """
-        What is known of a call at this moment.
+        Return the present suspicion of a call.
 
         """
         return self.quarantine.suspicion_of(call)
 
     def block_refusal(self, call: Call) -> Refusal | None:
         """
-        A refusal if a call is, or may be, what ends back ends.
+        Return a refusal if a call ends back ends or is suspected to; None if it may run.
 
         """
         level = self.quarantine.blocking_standing(call)
@@ -112,7 +112,7 @@
 
     async def record_outcome(self, call: Call, before: Suspicion, outcome: Refusal | None) -> None:
         """
-        Take how an attempt ended; `before` is what was known of its call when it was sent.
+        Record how an attempt ended; `before` is the suspicion of its call when it was sent.
 
         """
         if outcome is None:
@@ -146,8 +146,8 @@
         self, call: Call, request_id: RequestId, incarnation: IncarnationKey
     ) -> None:
         """
-        An attempt was called off, as its caller left or its time was up; its back end may end
-        all the same.
+        Record an attempt that was cancelled because its caller left or its deadline passed.
+        Its back end may still end because of the request.
 
         """
         now = self.env.monotonic()
@@ -157,13 +157,13 @@
 
     async def apply_fate(self, message: BackEndFate) -> None:
         """
-        An endpoint found out whether its back end ended.
+        Apply an endpoint's report of whether its back end ended.
 
         """
         request_id = RequestId(message.request_id)
         pending = self.pending.pop(request_id, None)
         if pending is None:
-            # It may overtake the end of its attempt, which is taken by another task.
+            # The report may arrive before the `End` of its attempt, which another task handles.
             self.early_fates[request_id] = message.ended
             while len(self.early_fates) > MAX_EARLY_FATES:
                 del self.early_fates[next(iter(self.early_fates))]
@@ -172,9 +172,9 @@
 
     async def apply_endpoint_start(self, instance: InstanceId, start: int) -> None:
         """
-        An endpoint was reached again; its process started at a moment. What broke off as the
-        connection to it was lost broke off with another one of its processes, or with the
-        connection alone.
+        Settle attempts that lost their connection to an endpoint, once it is reached again.
+        A new `start` of its process means that the earlier process ended; with the same
+        `start`, only the connection was lost.
 
         """
         for request_id, pending in list(self.pending.items()):
@@ -205,13 +205,13 @@
 
     async def expire(self) -> None:
         """
-        Forget what is old, and tell others what did not prove to be nothing.
+        Remove expired suspicions, publish overdue ones and give up on old pending attempts.
 
         """
         self.suspicions.forget_expired()
         await self.suspicions.publish_overdue()
-        interrupted_at = self.env.monotonic() - PENDING_RETENTION_S
+        expired_before = self.env.monotonic() - PENDING_RETENTION_S
         for request_id, pending in list(self.pending.items()):
-            if pending.interrupted_at < interrupted_at:
+            if pending.interrupted_at < expired_before:
                 del self.pending[request_id]
                 await self._settle(pending, ended=False)
--- a/packages/millforkd/millforkd/entry/daemon.py
+++ b/packages/millforkd/millforkd/entry/daemon.py
@@ -1,5 +1,5 @@
 """
-The entry: callers on one side, endpoints on the other, operators above.
+The daemon of an entry: serves callers and operators, and connects to endpoints.
 
 """
 
@@ -39,7 +39,7 @@
 
 POLL_INTERVAL_S: Final = 1.5
 STATE_FOLDER: Final = 'state'
-# Time for the balancer to see that this entry is not ready any more.
+# Time for the load balancer to see that this entry is no longer ready.
 BALANCER_GRACE_S: Final = 1.0
 DRAIN_POLL_INTERVAL_S: Final = 0.05
 EXPIRY_INTERVAL_S: Final = 0.5
@@ -49,7 +49,7 @@
 
 class EntryDaemon:
     """
-    One entry instance.
+    Builds the parts of one entry instance and routes requests and messages to them.
 
     """
 
@@ -158,8 +158,9 @@
 
     async def drain(self) -> None:
         """
-        A planned stop: let the balancer look away, refuse what is new, wait
-        for what is in progress, at most the time the settings give.
+        Prepare for a planned stop: wait until the load balancer sends no more
+        requests, refuse new ones, and wait for those in progress, at most for
+        `routing.drain_ms`.
 
         """
         self.server.closing = True
--- a/packages/millforkd/millforkd/entry/delivery.py
+++ b/packages/millforkd/millforkd/entry/delivery.py
@@ -1,5 +1,5 @@
 """
-Handing an answer to the caller: streamed as it comes, or whole.
+Delivers an answer to the caller: event streams piece by piece, other answers complete.
 
 """
 
@@ -21,8 +21,9 @@
 
 class Delivery:
     """
-    The way back to one caller. A streamed answer is begun once; one that
-    can't be finished is broken off, so that nobody takes it for whole.
+    Delivers answers to one caller. A streamed answer is started only once. If
+    it can't be completed, the connection is aborted, so that the caller sees
+    that the answer is incomplete.
 
     """
 
@@ -33,7 +34,7 @@
 
     async def deliver(self, attempt: Attempt, deadline: float) -> Refusal | None:
         """
-        Pass on one attempt's answer, or say why there is none.
+        Relay one attempt's answer, or return the refusal if there is none.
 
         """
         head = await attempt.receive_head(deadline)
--- a/packages/millforkd/millforkd/entry/dispatcher.py
+++ b/packages/millforkd/millforkd/entry/dispatcher.py
@@ -1,5 +1,5 @@
 """
-From a call to an answer: choose, attempt, retry by verdict.
+Dispatches calls to endpoints: chooses a back end, makes attempts and retries by verdict.
 
 """
 
@@ -22,7 +22,7 @@
 from millforkd.entry.endpoint_connections import EndpointConnections
 
 SUSPICION_DURATION_S: Final = 3.0
-# Of the key of an entry that shares with no other what it knows of calls.
+# Length of the random key that is used where entries share no fingerprints.
 FINGERPRINT_KEY_BYTES: Final = 32
 BUSY_RETENTION_S: Final = 0.05
 SUSPICIOUS_REASONS: Final = frozenset(
@@ -32,7 +32,7 @@
 
 class Dispatcher:
     """
-    The attempts of this entry.
+    Runs calls and keeps their attempts in progress, by request id.
 
     """
 
@@ -56,8 +56,8 @@
 
     async def on_event(self, connection: Connection, message: Head | Part | End) -> None:
         """
-        Give an endpoint's event to the attempt it belongs to; a late one
-        belongs to none and is dropped.
+        Give an endpoint's event to its attempt. An event that arrives after
+        the attempt ended is dropped.
 
         """
         attempt = self.attempts.get(message.request_id)
@@ -73,8 +73,8 @@
 
     async def run(self, call: Call, delivery: Delivery) -> Refusal | None:
         """
-        Deliver an answer to the call; a refusal is final and says whether
-        any attempt may have run.
+        Deliver an answer to the call. A returned refusal is final; its verdict
+        says whether any attempt may have run.
 
         """
         refusal = await self._run_attempts(call, delivery)
@@ -124,7 +124,7 @@
 
     def _no_endpoint_refusal(self, call: Call) -> Refusal:
         """
-        Why none could be chosen, with the soonest moment one may be.
+        Return why no endpoint was chosen, with the shortest wait until one may be.
 
         """
         now = self.env.monotonic()
@@ -134,8 +134,8 @@
             if (busy := backend.busy_for(call.organisation, now)) is not None
         ]
         if waits:
-            return Refusal(Reason.BUSY, detail='all are busy', retry_after_ms=min(waits))
-        return Refusal(Reason.NO_ENDPOINT, detail='no endpoint serves this at the moment')
+            return Refusal(Reason.BUSY, detail='all endpoints are busy', retry_after_ms=min(waits))
+        return Refusal(Reason.NO_ENDPOINT, detail='no endpoint serves this at present')
 
     def _take_from_retry_budget(self, call: Call, last_refusal: Refusal) -> bool:
         if not self.budget.spend(call.organisation, call.service):
@@ -146,7 +146,7 @@
     async def _attempt(self, call: Call, backend: Backend, delivery: Delivery) -> Refusal | None:
         connection = self.endpoints.connections.get(backend.instance)
         if connection is None:
-            return Refusal(Reason.UNREACHABLE, detail='an endpoint went away')
+            return Refusal(Reason.UNREACHABLE, detail='the endpoint is no longer connected')
         request_id = RequestId(f'{self.env.instance}-{self.id_prefix}-{next(self.attempt_numbers)}')
         attempt = Attempt(self.env, request_id, backend, connection)
         self.attempts[request_id] = attempt
--- a/packages/millforkd/millforkd/entry/endpoint_connections.py
+++ b/packages/millforkd/millforkd/entry/endpoint_connections.py
@@ -1,5 +1,5 @@
 """
-The endpoints that an entry keeps up with.
+An entry's connections to endpoints and the load that they report.
 
 """
 
@@ -29,7 +29,7 @@
 
 class EndpointConnections:
     """
-    Connections to a subset of endpoints and what each reported last.
+    Keeps connections to a subset of endpoints, and the latest load report of each.
 
     """
 
@@ -50,7 +50,7 @@
         self.connections: dict[InstanceId, Connection] = {}
         self.dialling: set[InstanceId] = set()
         self.notified_leaving: set[InstanceId] = set()
-        # Told of each endpoint that was reached, and when its process started.
+        # Called with each endpoint that was reached and the start of its process (ns).
         self.endpoint_reached_hooks: list[Callable[[InstanceId, int], Awaitable[None]]] = []
         self.all_dialled = False
         self.targets_computed_from: tuple[object, int] | None = None
@@ -58,7 +58,7 @@
 
     async def run(self) -> None:
         """
-        The task that keeps the connections and passes on who is leaving.
+        Keep the connections open and notify endpoints that are listed as leaving.
 
         """
         while True:
@@ -78,7 +78,7 @@
 
     def _check_all_dialled(self) -> None:
         """
-        Once every endpoint was dialled, this entry knows whom it can ask.
+        Set `all_dialled` once the list of instances is known and no dial is in progress.
 
         """
         if self.roster.version >= 0 and not self.dialling:
@@ -86,8 +86,8 @@
 
     def _connection_targets(self) -> list[InstanceFacts]:
         """
-        The endpoints to keep up with, worked out anew only when the
-        configuration or the list has changed.
+        Return the endpoints to connect to, computed again only when the
+        configuration or the list of instances has changed.
 
         """
         targets_computed_from = (self.view.position, self.roster.version)
@@ -111,8 +111,8 @@
 
     def _subset(self, group: list[InstanceFacts]) -> list[InstanceFacts]:
         """
-        A stable choice of the group: this zone's first, then enough of the
-        others to spill over to.
+        Return a stable subset of the group: endpoints of this zone first, then
+        enough of other zones to take over when these are full.
 
         """
         ranked = sorted(group, key=lambda facts: self._rank(facts.instance))
@@ -144,7 +144,7 @@
 
     def apply_load(self, connection: Connection, load: Load) -> None:
         """
-        Take an endpoint's report.
+        Apply an endpoint's load report.
 
         """
         backend = self.backends.get(connection.peer)
@@ -166,9 +166,9 @@
 
     async def _notify_leaving_endpoints(self) -> None:
         """
-        Tell an endpoint that the platform lists it as leaving: it then
-        refuses new work from every entry, also from one that the notice
-        did not reach.
+        Notify endpoints that the platform lists as leaving. An endpoint then
+        refuses new requests of every entry, including entries whose list
+        does not show it as leaving yet.
 
         """
         for instance, connection in list(self.connections.items()):
@@ -188,7 +188,7 @@
 
     def serving(self, service: str) -> list[Backend]:
         """
-        The connected endpoints that serve a service or deployment.
+        Return the connected endpoints that serve a service or deployment.
 
         """
         return [backend for backend in self.backends.values() if service in backend.served]
--- a/packages/millforkd/millforkd/entry/key_claims.py
+++ b/packages/millforkd/millforkd/entry/key_claims.py
@@ -1,5 +1,5 @@
 """
-Idempotency keys: claimed by quorum before a request may run.
+Claims idempotency keys in the replicated state before a request may run.
 
 """
 
@@ -20,7 +20,7 @@
 
 class KeyClaims:
     """
-    Claims on keys, kept in the replicated state.
+    Claims and settles keys by a quorum of the replicated state.
 
     """
 
@@ -30,17 +30,17 @@
 
     async def claim(self, call: Call) -> Response | None:
         """
-        Claim the call's key for `call.claim`. None: it is this attempt's now.
-        A response: the first answer, to be given again.
+        Claim the call's key for `call.claim`. Return None if the claim is
+        granted, or the stored answer of the first request with this key.
 
-        :raises Refused: if the key is another's, or nobody can say.
+        :raises Refused: if another request holds the key, or no quorum answers.
 
         """
         command = ClaimKey(replicated_key(call), call.claim, _fingerprint(call))
         try:
             data = await self.proposals.propose(command, CLAIM_TIMEOUT_S)
         except Refused as error:
-            detail = 'no quorum can say whether this key is in use'
+            detail = 'no quorum can confirm whether this key is in use'
             raise Refused(Refusal(Reason.CLAIM_UNAVAILABLE, detail=detail)) from error
         result = decode_claim_result(data)
         if result.state is ClaimState.GRANTED:
@@ -49,7 +49,7 @@
 
     async def settle(self, call: Call, response: Response | None, verdict: Verdict) -> None:
         """
-        Record how the attempt ended. After MAY_HAVE_RUN the key stays taken.
+        Record how the attempt ended. After MAY_HAVE_RUN the key stays claimed.
 
         """
         if response is None and verdict is not Verdict.NOT_RUN:
@@ -63,13 +63,19 @@
         return Response(result.status, headers, result.body)
     refusals = {
         ClaimState.DONE: Refusal(
-            Reason.KEY_MAY_HAVE_RUN, Verdict.RAN, 'it ran; its answer is too large to be kept'
+            Reason.KEY_MAY_HAVE_RUN,
+            Verdict.RAN,
+            'the first request ran; its answer is too large to be stored',
         ),
         ClaimState.IN_PROGRESS: Refusal(
-            Reason.KEY_IN_PROGRESS, Verdict.MAY_HAVE_RUN, 'the first request with this key goes on'
+            Reason.KEY_IN_PROGRESS,
+            Verdict.MAY_HAVE_RUN,
+            'the first request with this key is still in progress',
         ),
         ClaimState.MAY_HAVE_RUN: Refusal(
-            Reason.KEY_MAY_HAVE_RUN, Verdict.MAY_HAVE_RUN, 'the outcome of the first is unknown'
+            Reason.KEY_MAY_HAVE_RUN,
+            Verdict.MAY_HAVE_RUN,
+            'the outcome of the first request with this key is unknown',
         ),
         ClaimState.REUSED: Refusal(
             Reason.KEY_REUSED, Verdict.NOT_RUN, 'this key belongs to another request'
--- a/packages/millforkd/millforkd/entry/operator_requests.py
+++ b/packages/millforkd/millforkd/entry/operator_requests.py
@@ -1,5 +1,5 @@
 """
-What operators ask: apply, get, status.
+Handles operators' requests: apply, state and status.
 
 """
 
@@ -47,7 +47,7 @@
 class ApplyRequest(msgspec.Struct, forbid_unknown_fields=True):
     """
     The body of an apply: a declaration as JSON, the command's id, and the
-    revision that the operator saw, if it should not have moved on.
+    revision that must still be current, if the operator gave one.
 
     """
 
@@ -59,7 +59,7 @@
 
 class OperatorRequests:
     """
-    Answers operators. Each sees and changes what is its own.
+    Answers operators. Operators see and change only what belongs to their organisation.
 
     """
 
@@ -120,7 +120,7 @@
         command = Apply(request.command_id or uuid.uuid4().hex, changes)
         result = decode_apply_result(await self.proposals.propose(command))
         if not result.ok:
-            detail = 'changed since: ' + ', '.join(result.conflicts)
+            detail = 'changed since the expected revision: ' + ', '.join(result.conflicts)
             raise Refused(Refusal(Reason.CONFLICT, detail=detail))
         return json_response({'revision': result.revision, 'command_id': command.command_id})
 
@@ -128,11 +128,13 @@
         self, declaration: Declaration, operator: Operator, request: ApplyRequest
     ) -> list[Change]:
         if not operator.is_admin and (declaration.organisations or declaration.drains):
-            detail = 'organisations and drains are for the administrator'
+            detail = 'only the administrator may change organisations and drains'
             raise Refused(Refusal(Reason.FORBIDDEN, detail=detail))
         organisation = declaration.organisation or operator.organisation
         if not operator.is_admin and organisation != operator.organisation:
-            raise Refused(Refusal(Reason.FORBIDDEN, detail='this is not your organisation'))
+            raise Refused(
+                Refusal(Reason.FORBIDDEN, detail='the declaration is for another organisation')
+            )
         needs_organisation = declaration.labels or declaration.deployments or request.remove
         if needs_organisation and not organisation:
             raise Refused(Refusal(Reason.INVALID, detail='organisation: a name expected'))
@@ -152,8 +154,8 @@
 
     async def _pin_deployment(self, spec: DeploymentSpec) -> Deployment:
         """
-        The deployment with the manifests that the origin has now: what is
-        accepted is exactly these weights.
+        Return the deployment with the digests of the manifests that the origin
+        has now, so that exactly these weights are accepted.
 
         """
         named = [(spec.model, spec.version)]
@@ -165,7 +167,7 @@
 
     async def _pin_weights(self, name: str, version: str) -> WeightPart:
         if self.origin is None:
-            detail = 'this entry knows no origin (weights.origin)'
+            detail = 'no origin is configured on this entry (weights.origin)'
             raise Refused(Refusal(Reason.NOT_READY, detail=detail))
         try:
             body = await self.origin.manifest(name, version)
@@ -212,7 +214,7 @@
         self, name: str, deployment: Deployment, reports: Mapping[str, Report]
     ) -> dict[str, Any]:
         """
-        One deployment's rollout, as far as reports tell.
+        Return the progress of one deployment's rollout according to the reports.
 
         """
         chosen = [
--- a/packages/millforkd/millforkd/entry/suspicion_gossip.py
+++ b/packages/millforkd/millforkd/entry/suspicion_gossip.py
@@ -1,8 +1,8 @@
 """
-How the entries of a fleet with a list of instances share what they know of requests under
-which back ends ended.
+Gossip between the entries of a fleet with a list of instances about requests that end back ends.
 
-Each tells a few others, who pass on what is new to them; an entry that starts asks some.
+Each entry sends new suspicions to a few others, which forward those that are new to them. An
+entry that starts asks some others for their suspicions.
 
 """
 
@@ -22,9 +22,9 @@
 
 # A report may cross two regions.
 REPORT_TIMEOUT_S: Final = 0.3
-# What was not taken is told again this much later.
+# Delay before a report that was not accepted is sent again.
 RESEND_INTERVAL_S: Final = 0.5
-# An entry that starts asks so many others, and serves after this time without an answer.
+# An entry that starts asks this many others, and serves after the timeout without an answer.
 MAX_ENTRIES_ASKED: Final = 3
 ASK_TIMEOUT_S: Final = 1.0
 ROSTER_POLL_INTERVAL_S: Final = 0.05
@@ -34,24 +34,24 @@
 
 def gossip_targets(order: list[InstanceId], instance: InstanceId) -> list[InstanceId]:
     """
-    Whom an entry tells: those that stand 1, 2, 4, ... places after it in an order that all
-    compute alike. Of N entries each tells log N, and hears within log N steps.
+    Return the entries that an entry reports to: those 1, 2, 4, ... places after it in an order
+    that all entries share. Each of N entries reports to log N, and is reached in log N steps.
 
     """
     if instance not in order:
         return order[:1]
-    place = order.index(instance)
-    found = []
+    position = order.index(instance)
+    targets = []
     step = 1
     while step < len(order):
-        found.append(order[(place + step) % len(order)])
+        targets.append(order[(position + step) % len(order)])
         step *= 2
-    return found
+    return targets
 
 
 class SuspicionGossip:
     """
-    One entry's part in that.
+    Sends suspicions of this entry to others and merges theirs.
 
     """
 
@@ -62,31 +62,31 @@
         self.peers = peers
         self.roster = roster
         self.suspicions = suspicions
-        # Whether others were asked what they know.
+        # Whether other entries were asked for their suspicions.
         self.has_asked_others = False
-        # What each of the others has not taken yet.
+        # The fingerprints that each target has not accepted yet.
         self.undelivered: dict[InstanceId, set[Fingerprint]] = {}
         self.sending_to: set[InstanceId] = set()
 
     async def run(self) -> None:
         """
-        The task that learns what others know, and tells what is new here.
+        Ask other entries for their suspicions, then send new suspicions as they appear.
 
         """
         await self._ask_others()
         while True:
             await self.suspicions.unsent_event.wait()
             self.suspicions.unsent_event.clear()
-            told = set(self.suspicions.unsent)
+            unsent = set(self.suspicions.unsent)
             self.suspicions.unsent.clear()
             order = [facts.instance for facts in self.roster.all_entries()]
             for name in gossip_targets(order, self.env.instance):
-                self.undelivered.setdefault(name, set()).update(told)
+                self.undelivered.setdefault(name, set()).update(unsent)
                 if name not in self.sending_to:
                     self.sending_to.add(name)
                     await self.env.spawn(self._send_until_accepted, name)
 
-    # Telling.
+    # Sending.
 
     async def _send_until_accepted(self, name: InstanceId) -> None:
         try:
@@ -101,40 +101,40 @@
             self.sending_to.discard(name)
 
     async def _send_report(self, address: PeerAddress) -> bool:
-        told = self.undelivered.pop(address.instance)
-        body = encode_suspicions([self.suspicions.get(fingerprint) for fingerprint in told])
+        fingerprints = self.undelivered.pop(address.instance)
+        body = encode_suspicions([self.suspicions.get(name) for name in fingerprints])
         try:
             reply = await self.peers.call(address, SuspicionReport(body), REPORT_TIMEOUT_S)
         except PeerError as error:
-            log.info('Suspicions not told to {}: {}.', address.instance, error)
+            log.info('Could not send suspicions to {}: {}.', address.instance, error)
             reply = None
         if isinstance(reply, Done) and reply.ok:
             return True
-        self.undelivered.setdefault(address.instance, set()).update(told)
+        self.undelivered.setdefault(address.instance, set()).update(fingerprints)
         return False
 
     async def apply_report(self, connection: Connection, message: SuspicionReport) -> Done:
         """
-        Take what another entry knows, and pass on what is new.
+        Merge another entry's suspicions and forward the new ones.
 
         """
         return Done(await self._merge_report(str(connection.peer), message))
 
     async def _merge_report(self, name: str, message: SuspicionReport) -> bool:
         try:
-            told = decode_suspicions(message.body)
+            received = decode_suspicions(message.body)
         except msgspec.DecodeError as error:
-            log.warning('Suspicions of {} can not be read: {}.', name, error)
+            log.warning('Could not decode the suspicions from {}: {}.', name, error)
             return False
-        for fingerprint in await self.suspicions.merge(told):
+        for fingerprint in await self.suspicions.merge(received):
             await self.suspicions.mark_unsent(fingerprint)
         return True
 
-    # Learning.
+    # Asking others at the start.
 
     def list_suspicions(self) -> SuspicionReport:
         """
-        Tell all to an entry that starts.
+        Return all published suspicions, for an entry that starts.
 
         """
         return SuspicionReport(encode_suspicions(self.suspicions.published()))
@@ -150,14 +150,14 @@
                     address = PeerAddress(facts.instance, facts.host, facts.port)
                     await group.spawn(self._ask, address)
         except curio.TaskTimeout:
-            log.info('Not all of those asked told what they suspect. asked={}', len(asked))
+            log.info('Not all entries sent their suspicions in time. asked={}', len(asked))
         self.has_asked_others = True
 
     async def _ask(self, address: PeerAddress) -> None:
         try:
             reply = await self.peers.call(address, AskSuspicions(), ASK_TIMEOUT_S)
         except PeerError as error:
-            log.info('{} does not tell what it suspects: {}.', address.instance, error)
+            log.info('Could not fetch suspicions from {}: {}.', address.instance, error)
             return
         if isinstance(reply, SuspicionReport):
             await self._merge_report(str(address.instance), reply)
--- a/tests/test_ends_at_endpoints.py
+++ b/tests/test_ends_at_endpoints.py
@@ -16,7 +16,7 @@
 
 ENDED = Refusal(Reason.BACKEND_FAILED, Verdict.MAY_HAVE_RUN, 'the back end ended')
 BROKE_OFF = Refusal(Reason.TRUNCATED, Verdict.MAY_HAVE_RUN, 'the connection broke off')
-UNSENT = Refusal(Reason.BACKEND_FAILED, Verdict.NOT_RUN, 'an endpoint failed')
+UNSENT = Refusal(Reason.BACKEND_FAILED, Verdict.NOT_RUN, 'the endpoint failed')
 
 
 class BreakingBackend:
