--- a/tests/mutations_listed.py
+++ b/tests/mutations_listed.py
@@ -49,7 +49,7 @@
     ),
     Mutation(
         'an endpoint tells an entry what it finds out later of its back end',
-        'tests/test_late_ends_at_endpoints.py::test_what_becomes_known_later_is_told_to_the_entry',
+        'tests/test_late_ends_at_endpoints.py::test_a_late_status_is_reported_to_the_entry',
         (
             Edit(
                 D + 'endpoint/incarnation_tracking.py',
@@ -61,7 +61,7 @@
     Mutation(
         'an entry suspects a call whose back ends may have ended',
         'tests/test_late_ends_at_endpoints.py::'
-        'test_a_call_is_suspected_until_the_fates_of_its_back_ends_are_told',
+        'test_a_call_is_suspected_until_the_status_of_its_back_ends_is_reported',
         (
             Edit(
                 D + 'entry/crash_tracking.py',
@@ -73,7 +73,7 @@
     Mutation(
         'a back end that turns requests away is asked after others',
         'tests/test_turned_away_on_listed_fleets.py::'
-        'test_where_all_turn_away_they_are_asked_all_the_same',
+        'test_back_ends_are_still_used_if_all_turn_away',
         (
             Edit(
                 'packages/millfork-routing/millfork_routing/balance.py',
@@ -90,7 +90,7 @@
     Mutation(
         'an end counts also after its call was called off',
         'tests/test_crashing_requests_on_listed_fleets.py::'
-        'test_ends_count_also_after_their_callers_left',
+        'test_ends_are_counted_after_their_callers_left',
         (Edit(D + 'entry/dispatcher.py', 'if attempt.cancelled_incarnation:', 'if False:'),),
     ),
     Mutation(
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -1,5 +1,5 @@
 """
-Each caller receives the whole answer to its own request and nobody else's.
+Attempts: an incomplete or late answer is never delivered, and verdicts are true.
 
 """
 
@@ -19,7 +19,7 @@
 
 class FakeConnection:
     """
-    Answers calls from a table, keeps what it was told.
+    Answers calls from a table and records notifications.
 
     """
 
@@ -51,20 +51,20 @@
     return Call('org', 'svc', 'POST', '/', [], b'', False, '', '', '', 0, env.monotonic() + 5)
 
 
-async def collect(made, messages):
+async def collect(attempt_under_test, messages):
     """
-    Feed messages, read the answer: its pieces, and the refusal or None.
+    Enqueue messages and read the answer: return its pieces, and the refusal or None.
 
     """
     for message in messages:
-        await made.enqueue(message)
-    deadline = made.env.monotonic() + 5
-    head = await made.receive_head(deadline)
+        await attempt_under_test.enqueue(message)
+    deadline = attempt_under_test.env.monotonic() + 5
+    head = await attempt_under_test.receive_head(deadline)
     if isinstance(head, Refusal):
         return [], head
     pieces = []
     while True:
-        piece = await made.receive_part(deadline)
+        piece = await attempt_under_test.receive_part(deadline)
         if not isinstance(piece, bytes):
             return pieces, piece
         pieces.append(piece)
@@ -98,34 +98,34 @@
 
 
 def test_a_reservation_that_times_out_is_cancelled_and_did_not_run():
-    made = attempt({Reserve: PeerTimedOut('frozen')})
-    refusal = curio.run(made.reserve, call(made.env), 0.1)
+    attempt_under_test = attempt({Reserve: PeerTimedOut('frozen')})
+    refusal = curio.run(attempt_under_test.reserve, call(attempt_under_test.env), 0.1)
     assert refusal.verdict is Verdict.NOT_RUN
-    assert made.connection.sent == [Cancel('r')]
-    assert not made.started
+    assert attempt_under_test.connection.sent == [Cancel('r')]
+    assert not attempt_under_test.started
 
 
 def test_a_lost_cancel_after_the_start_may_have_run():
-    made = attempt({Reserve: Reserved(True), Cancel: PeerLost('gone')})
-    assert curio.run(made.reserve, call(made.env), 0.1) is None
-    assert curio.run(made.start) is None
-    assert made.connection.sent == [Start('r')]
-    assert curio.run(made.cancel) is Verdict.MAY_HAVE_RUN
+    attempt_under_test = attempt({Reserve: Reserved(True), Cancel: PeerLost('gone')})
+    assert curio.run(attempt_under_test.reserve, call(attempt_under_test.env), 0.1) is None
+    assert curio.run(attempt_under_test.start) is None
+    assert attempt_under_test.connection.sent == [Start('r')]
+    assert curio.run(attempt_under_test.cancel) is Verdict.MAY_HAVE_RUN
 
 
 def test_a_confirmed_cancel_gives_the_endpoints_verdict():
-    made = attempt({Cancel: Cancelled('r', Verdict.NOT_RUN.value)})
-    assert curio.run(made.cancel) is Verdict.NOT_RUN
+    attempt_under_test = attempt({Cancel: Cancelled('r', Verdict.NOT_RUN.value)})
+    assert curio.run(attempt_under_test.cancel) is Verdict.NOT_RUN
 
 
 @pytest.mark.parametrize('other', ['request', 'connection'])
 def test_a_late_answer_is_dropped(other):
     async def late():
         dispatcher = Dispatcher(environment(), RoutingSettings(), None)
-        made = attempt()
-        dispatcher.attempts['r'] = made
-        connection = made.connection if other == 'request' else FakeConnection({})
+        attempt_under_test = attempt()
+        dispatcher.attempts['r'] = attempt_under_test
+        connection = attempt_under_test.connection if other == 'request' else FakeConnection({})
         await dispatcher.on_event(connection, Head('old' if other == 'request' else 'r', 200))
-        return made.events.empty()
+        return attempt_under_test.events.empty()
 
     assert curio.run(late)
--- a/tests/test_backend_gateway.py
+++ b/tests/test_backend_gateway.py
@@ -1,5 +1,5 @@
 """
-The endpoint's door: what it admits, runs, withholds and says.
+The endpoint's gateway to its back end: admission, runs, withheld answers and verdicts.
 
 """
 
@@ -26,7 +26,7 @@
 
 class FakeReply:
     """
-    An answer of the back end.
+    An answer of the back end, complete from the start.
 
     """
 
@@ -47,7 +47,7 @@
 
 class FakeBackend:
     """
-    A back end that notes what it ran; it answers once `gate` is set.
+    A back end that records the requests it ran; it answers once `gate` is set.
 
     """
 
@@ -65,7 +65,7 @@
 
 class FakeConnection:
     """
-    The entry's side.
+    The connection to an entry; records the messages sent to it.
 
     """
 
@@ -82,7 +82,7 @@
 
 class FakeProposals:
     """
-    Keeps the commands that the door proposes.
+    Records the commands that the gateway proposes.
 
     """
 
@@ -96,7 +96,7 @@
 
 class Scene:
     """
-    A door between a fake entry and a fake back end.
+    A gateway between a fake entry and a fake back end.
 
     """
 
@@ -128,7 +128,7 @@
 
     async def run_pending_tasks(self):
         """
-        Let everything run that can.
+        Let all tasks run that are ready.
 
         """
         for _ in range(50):
--- a/tests/test_crashing_requests_listed.py
+++ b/tests/test_crashing_requests_listed.py
@@ -1,9 +1,8 @@
 """
 A request that ends the back ends that run it, on a fleet with a list of instances.
 
-A caller that comes back makes a new call, and attempts were counted by call: the same request
-went to endpoint after endpoint again, 18 times in 8 calls, and each time the engine behind it
-ended. An endpoint now says which back end ended, and an entry counts that by what a call says.
+Attempts were counted by call, and a caller that retries makes a new call: in 8 calls one request
+was sent 18 times and ended an engine each time. Ends are now counted by the content of a call.
 
 """
 
@@ -20,7 +19,7 @@
 MAX_RUNS_AFTER_QUARANTINE = 3
 
 
-def test_a_request_that_ends_back_ends_is_sent_no_more():
+def test_a_request_that_ends_back_ends_is_quarantined():
     dispatcher = ScriptedDispatcher([BROKE_OFF] * CALLS * 3)
 
     async def run():
@@ -30,4 +29,4 @@
             await dispatcher.run(call, Delivery(None))
 
     curio.run(run)
-    assert len(dispatcher.asked) <= ENDS + MAX_RUNS_AFTER_QUARANTINE
+    assert len(dispatcher.tried_instances) <= ENDS + MAX_RUNS_AFTER_QUARANTINE
--- a/tests/test_crashing_requests_on_listed_fleets.py
+++ b/tests/test_crashing_requests_on_listed_fleets.py
@@ -1,11 +1,10 @@
 """
 A request that ends the engines that run it, on the daemons of a fleet with a list of instances.
 
-Each entry counted ends for itself, under a key of its own, and counted from nothing when it
-started: callers that came back to six entries in turn ended 18 engines, with streams that had
-begun as well, and 12 at one entry that was killed and started again three times. Where the
-engine's connections broke 50 ms before its address closed, no end was proved: 22 of 24 calls.
-Callers that came at once ended 7 and 8, as ends at the same moment counted as one.
+Each entry counted ends alone, with its own fingerprint key, and started again at zero. Callers
+that used six entries in turn ended 18 engines, also with streams, and 12 at one entry that was
+restarted three times. Where connections closed 50 ms before the engine's address did, no end was
+detected: 22 of 24 calls. Concurrent callers ended 7 and 8, as simultaneous ends counted as one.
 """
 
 from concurrent.futures import ThreadPoolExecutor
@@ -16,7 +15,7 @@
 from tests.utils.crashing import CrashingFleet
 
 CALLS = 24
-STARTED_AFTER = (4, 8, 12)
+RESTARTS_BEFORE_CALLS = (4, 8, 12)
 
 
 @pytest.fixture(scope='module', params=[0, 50], ids=['closes at once', 'closes 50 ms late'])
@@ -30,7 +29,7 @@
 
 
 @pytest.mark.parametrize('streams', [False, True])
-def test_ends_count_whichever_entry_its_callers_use(crashing, streams):
+def test_ends_are_counted_across_entries(crashing, streams):
     before = crashing.ended()
     for number in range(CALLS):
         entry = number % len(crashing.fleet.entries)
@@ -38,14 +37,14 @@
     assert crashing.ended() - before <= ENDS + MOST_AFTER
 
 
-def test_ends_count_at_one_entry(crashing):
+def test_ends_are_counted_at_one_entry(crashing):
     before = crashing.ended()
     for _ in range(CALLS):
         crashing.call(0, nonce='one entry')
     assert crashing.ended() - before <= ENDS + MOST_AFTER
 
 
-def test_ends_count_where_callers_come_at_once(crashing):
+def test_ends_under_concurrent_calls_are_counted(crashing):
     before = crashing.ended()
     entries = range(len(crashing.fleet.entries))
     for _ in range(CALLS // len(entries)):
@@ -54,11 +53,11 @@
     assert crashing.ended() - before <= ENDS + MOST_AFTER
 
 
-def test_ends_count_also_after_an_entry_started_again(crashing):
+def test_ends_are_counted_after_an_entry_restarted(crashing):
     before = crashing.ended()
     entry = crashing.fleet.entries[0]
     for number in range(CALLS):
-        if number in STARTED_AFTER:
+        if number in RESTARTS_BEFORE_CALLS:
             crashing.fleet.kill(entry.name)
             crashing.fleet.start_daemon(entry)
             crashing.fleet.wait_ready(entry)
@@ -66,7 +65,7 @@
     assert crashing.ended() - before <= ENDS + MOST_AFTER
 
 
-def test_the_quarantine_outlives_all_entries_at_once(crashing):
+def test_the_quarantine_survives_a_restart_of_all_entries(crashing):
     known = crashing.at_fault()
     for _ in range(ENDS + 1):
         crashing.call(0, nonce='outlives')
@@ -82,9 +81,9 @@
     assert crashing.ended() == before
 
 
-def test_ends_count_also_after_their_callers_left(crashing):
+def test_ends_are_counted_after_their_callers_left(crashing):
     """
-    Callers give up after 0.1 s, come back, and leave a request that ends its engine after 0.2 s.
+    Callers leave after 0.1 s and retry; their request ends its engine after 0.2 s.
 
     """
     before = crashing.ended()
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -1,5 +1,5 @@
 """
-From a call to an answer: attempts, retries, and the final word.
+Attempts of a call at several endpoints, retries, and the final refusal.
 
 """
 
@@ -22,7 +22,7 @@
 
 class FakeEndpointConnections:
     """
-    Three endpoints that serve everything.
+    Three endpoints that serve every service.
 
     """
 
@@ -44,10 +44,10 @@
         env = Environment(InstanceId('entry'), ZoneId('zone'))
         super().__init__(env, RoutingSettings(**settings), FakeEndpointConnections())
         self.outcomes = list(outcomes)
-        self.asked = []
+        self.tried_instances = []
 
     async def _attempt(self, call, backend, delivery):
-        self.asked.append(backend.instance)
+        self.tried_instances.append(backend.instance)
         refusal = self.outcomes.pop(0)
         if refusal is not None:
             self._apply_refusal(call, backend, refusal)
@@ -66,7 +66,7 @@
 def test_another_endpoint_is_tried_and_never_the_same_twice():
     dispatcher, refusal = run([UNREACHABLE, BUSY, None])
     assert refusal is None
-    assert sorted(dispatcher.asked) == ['a', 'b', 'c']
+    assert sorted(dispatcher.tried_instances) == ['a', 'b', 'c']
 
 
 def test_the_last_refusal_is_returned_when_all_endpoints_refuse():
@@ -80,9 +80,9 @@
 
 def test_a_request_that_may_have_run_is_retried_only_if_repeatable():
     dispatcher, refusal = run([LOST, None])
-    assert (len(dispatcher.asked), refusal) == (1, LOST)
+    assert (len(dispatcher.tried_instances), refusal) == (1, LOST)
     dispatcher, refusal = run([LOST, None], repeatable=True)
-    assert (len(dispatcher.asked), refusal) == (2, None)
+    assert (len(dispatcher.tried_instances), refusal) == (2, None)
 
 
 def test_a_call_may_have_run_if_any_attempt_may_have_run():
@@ -92,17 +92,17 @@
 
 def test_no_retry_after_the_answer_has_started():
     dispatcher, refusal = run([LOST, None], repeatable=True, begun=True)
-    assert (len(dispatcher.asked), refusal) == (1, LOST)
+    assert (len(dispatcher.tried_instances), refusal) == (1, LOST)
 
 
 @pytest.mark.parametrize('floor', [0, 1])
 def test_an_exhausted_retry_budget_keeps_the_retry_after_time(floor):
     dispatcher, refusal = run([BUSY, BUSY, BUSY], retry_floor=floor, retry_ratio=0)
-    assert len(dispatcher.asked) == 1 + floor
+    assert len(dispatcher.tried_instances) == 1 + floor
     assert (refusal.reason, refusal.wait_ms) == (Reason.RETRY_BUDGET, 700)
 
 
 def test_an_unreachable_endpoint_becomes_suspect():
     dispatcher, _ = run([UNREACHABLE, None])
-    first = dispatcher.asked[0]
+    first = dispatcher.tried_instances[0]
     assert dispatcher.endpoints.backends[first].suspect_until > dispatcher.env.monotonic()
--- a/tests/test_ends_after_their_callers_left.py
+++ b/tests/test_ends_after_their_callers_left.py
@@ -1,9 +1,8 @@
 """
-A request that ends the back ends that run it, of callers that leave before it does.
+A request that ends the back ends that run it, whose callers leave before the end.
 
-An end was counted where an answer broke off on the way to a caller. Callers that gave up after
-0.1 s, of a request that ends its back end after 0.2 s, and came back with it, ended one back end
-with each call: nobody was left to whom the answer could break off.
+An end was counted only if it interrupted an answer to a caller. Callers that left after 0.1 s
+and retried a request that ends its back end after 0.2 s ended one back end with each call.
 """
 
 import itertools
@@ -20,11 +19,11 @@
 BACK_ENDS = 24
 CALLS = 20
 ENTRIES = 2
-WORKS_S = 0.2
+CRASHES_AFTER_S = 0.2
 LEAVES_AFTER_S = 0.1
 OTHERS_PER_S = 100
 MAX_LOADS = 30
-# Of two entries, one may send before it hears of the other's third end.
+# One of two entries may send the request before the other's report of the third end arrives.
 MAX_CONCURRENT_ENDS = 1
 
 
@@ -34,7 +33,7 @@
     try:
         made.start()
         for number in range(BACK_ENDS):
-            made.add_back_end('plain', f'i-{number}').crashes_after_s = WORKS_S
+            made.add_back_end('plain', f'i-{number}').crashes_after_s = CRASHES_AFTER_S
         assert made.put(document(1, '/safe/')).status == 200
         for entry in range(ENTRIES):
             wait_until(lambda entry=entry: made.ask(request('/safe/x'), entry).status == 200)
@@ -45,7 +44,7 @@
 
 def call_and_leave(fleet, entry):
     """
-    One call whose caller leaves, unless it has its answer before.
+    Make one call whose caller leaves, unless the answer arrives earlier.
 
     """
     sent = request('/safe/x', 'POST', body=CRASHING_BODY)
@@ -60,39 +59,39 @@
             return
 
 
-def arrived(fleet):
+def count_crashing_requests(fleet):
     return sum(back_end.crashing for back_end in fleet.back_ends)
 
 
 @pytest.mark.parametrize('busy', [False, True])
-def test_ends_count_also_after_their_callers_left(fleet, busy):
+def test_ends_are_counted_after_their_callers_left(fleet, busy):
     """
-    Where back ends are busy they answer others between a caller's leaving and their end.
+    Busy back ends answer other requests after the caller left and before they end.
 
     """
-    over = threading.Event()
-    asking = threading.Thread(target=ask_others, args=(fleet, over))
+    stop_event = threading.Event()
+    asking = threading.Thread(target=load_with_other_requests, args=(fleet, stop_event))
     if busy:
         asking.start()
     try:
-        call_and_leave_often(fleet)
+        make_calls_that_leave(fleet)
     finally:
-        over.set()
+        stop_event.set()
     if busy:
         asking.join()
     assert ended(fleet) <= ENDS + MAX_CONCURRENT_ENDS + MOST_AFTER
 
 
-def ask_others(fleet, over):
+def load_with_other_requests(fleet, stop_event):
     for number in itertools.count():
         fleet.load(lambda: request('/safe/x'), OTHERS_PER_S, 1.0)
-        if over.is_set() or number > MAX_LOADS:
+        if stop_event.is_set() or number > MAX_LOADS:
             return
 
 
-def call_and_leave_often(fleet):
+def make_calls_that_leave(fleet):
     for number in range(CALLS):
-        before = ended(fleet), arrived(fleet)
+        before = ended(fleet), count_crashing_requests(fleet)
         call_and_leave(fleet, number % ENTRIES)
-        if arrived(fleet) > before[1]:
+        if count_crashing_requests(fleet) > before[1]:
             wait_until(lambda before=before: ended(fleet) > before[0])
--- a/tests/test_ends_at_endpoints.py
+++ b/tests/test_ends_at_endpoints.py
@@ -1,5 +1,5 @@
 """
-What an endpoint says of a back end that broke off, and what an entry takes from it.
+How an endpoint reports an interrupted answer, and how an entry counts these reports.
 
 """
 
@@ -24,7 +24,7 @@
         raise ExchangeFailed(Verdict.MAY_HAVE_RUN, 'reset')
 
 
-async def no_caller(sock, address):
+async def close_connection(sock, address):
     await sock.close()
 
 
@@ -57,7 +57,7 @@
 
 class Callers:
     """
-    Callers of one entry; each call is tried once, with the next outcome.
+    Callers of one entry; each call makes one attempt, with the next outcome of a list.
 
     """
 
@@ -70,7 +70,7 @@
         return curio.run(self.dispatcher.run, call, Delivery(None))
 
 
-def test_a_call_is_barred_once_three_back_ends_ended_under_it():
+def test_a_call_is_quarantined_after_it_ended_three_back_ends():
     callers = Callers([ENDED] * 3 + [None])
     assert [callers.call(b'crash').reason for _ in range(3)] == [Reason.BACKEND_FAILED] * 3
     block_reason = callers.call(b'crash')
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize('outcome', [BROKE_OFF, UNSENT, None])
-def test_what_tells_of_no_end_bars_no_call(outcome):
+def test_outcomes_without_an_end_do_not_count(outcome):
     callers = Callers([ENDED, ENDED, outcome, ENDED, None])
     for _ in range(3):
         callers.call(b'body')
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -1,5 +1,5 @@
 """
-Orders to the engine come from one process, under numbers that only grow.
+Orders to the engine come from one process, with increasing fencing numbers.
 
 """
 
@@ -40,7 +40,7 @@
 def test_a_successor_takes_a_higher_fencing_number(fleet):
     instance = fleet.engines[0]
 
-    async def take_over():
+    async def run_both_clients():
         first = make_engine_client(instance)
         await first.poll()
         await first.unload('x')
@@ -49,7 +49,7 @@
         await second.unload('x')
         return first, second
 
-    first, second = curio.run(take_over)
+    first, second = curio.run(run_both_clients)
     assert second.number > first.number
 
 
@@ -76,7 +76,7 @@
 
 def test_a_second_endpoint_cannot_start_beside_a_running_or_frozen_one(fleet):
     """
-    For engines that ignore numbers the order-giver itself must be singular.
+    Engines that ignore fencing numbers rely on there being only one endpoint.
 
     """
     instance = fleet.engines[0]
--- a/tests/test_late_ends_at_endpoints.py
+++ b/tests/test_late_ends_at_endpoints.py
@@ -1,5 +1,5 @@
 """
-What an endpoint finds out of its back end after answers broke off, and what an entry takes from it.
+How endpoints determine the status of a back end after interruptions, and entries apply it.
 
 """
 
@@ -32,7 +32,7 @@
 
 class FakeEntryConnection:
     """
-    The connection to an entry.
+    The connection to an entry; records notifications.
 
     """
 
@@ -48,37 +48,37 @@
 
 class FakeBackEnd:
     """
-    What an endpoint finds when it looks at its back end.
+    A back end with a scripted incarnation and result of probes.
 
     """
 
-    def __init__(self, monkeypatch, tells='a'):
-        self.tells = tells
-        self.found = ProbeResult.ANSWERS
+    def __init__(self, monkeypatch, reported_incarnation='a'):
+        self.reported_incarnation = reported_incarnation
+        self.probe_result = ProbeResult.ANSWERS
 
         async def probe_address(host, port):
-            return self.found
+            return self.probe_result
 
         monkeypatch.setattr(incarnation_tracking_module, 'probe_address', probe_address)
 
-    def ends(self, asks=True):
+    def tracker(self, asks=True):
         env = Environment(InstanceId('e-1'), ZoneId('z'))
-        made = IncarnationTracker(env, lambda: ADDRESS, self.ask if asks else None)
+        made = IncarnationTracker(env, lambda: ADDRESS, self.query_incarnation if asks else None)
         made.record_incarnation('a', env.monotonic())
         return made
 
-    async def ask(self):
-        return self.tells
+    async def query_incarnation(self):
+        return self.reported_incarnation
 
 
-async def wait_until(holds):
+async def wait_until(condition):
     async with curio.timeout_after(5):
-        while not holds():
+        while not condition():
             await curio.sleep(0.005)
 
 
 @pytest.mark.parametrize(
-    ('tells', 'found', 'fate'),
+    ('reported_incarnation', 'probe_result', 'fate'),
     [
         ('a', ProbeResult.ANSWERS, IncarnationStatus.LIVES),
         ('b', ProbeResult.ANSWERS, IncarnationStatus.ENDED),
@@ -87,13 +87,15 @@
         ('', ProbeResult.SILENT, IncarnationStatus.UNKNOWN),
     ],
 )
-def test_what_an_engine_tells_and_its_address_show(monkeypatch, tells, found, fate):
+def test_status_follows_from_reported_incarnation_and_probe(
+    monkeypatch, reported_incarnation, probe_result, fate
+):
     async def run():
-        back_end = FakeBackEnd(monkeypatch, tells)
-        back_end.found = found
-        ends = back_end.ends()
+        back_end = FakeBackEnd(monkeypatch, reported_incarnation)
+        back_end.probe_result = probe_result
+        tracker = back_end.tracker()
         assert (
-            await ends.record_interruption(RequestId('r'), FakeEntryConnection(), ends.number)
+            await tracker.record_interruption(RequestId('r'), FakeEntryConnection(), tracker.number)
             is fate
         )
 
@@ -101,51 +103,51 @@
 
 
 @pytest.mark.parametrize('ended', [True, False])
-def test_what_becomes_known_later_is_told_to_the_entry(monkeypatch, ended):
+def test_a_late_status_is_reported_to_the_entry(monkeypatch, ended):
     async def run():
-        back_end = FakeBackEnd(monkeypatch, tells='')
-        ends, entry, gone = back_end.ends(), FakeEntryConnection(), FakeEntryConnection()
+        back_end = FakeBackEnd(monkeypatch, reported_incarnation='')
+        tracker, entry, gone = back_end.tracker(), FakeEntryConnection(), FakeEntryConnection()
         gone.gone = True
-        await ends.record_interruption(RequestId('r'), entry, ends.number)
-        await ends.record_interruption(RequestId('s'), gone, ends.number)
-        back_end.tells = 'b' if ended else 'a'
+        await tracker.record_interruption(RequestId('r'), entry, tracker.number)
+        await tracker.record_interruption(RequestId('s'), gone, tracker.number)
+        back_end.reported_incarnation = 'b' if ended else 'a'
         await wait_until(lambda: entry.sent)
         assert entry.sent == [BackEndFate('r', ended)]
-        await wait_until(lambda: not ends.is_watching)
+        await wait_until(lambda: not tracker.is_watching)
 
     curio.run(run)
 
 
-def test_what_breaks_off_after_an_end_is_of_the_next_incarnation(monkeypatch):
+def test_interruptions_after_an_end_belong_to_the_next_incarnation(monkeypatch):
     async def run():
-        back_end = FakeBackEnd(monkeypatch, tells='')
-        back_end.found = ProbeResult.REFUSES
-        ends = back_end.ends()
-        first = ends.incarnation_key(ends.number)
+        back_end = FakeBackEnd(monkeypatch, reported_incarnation='')
+        back_end.probe_result = ProbeResult.REFUSES
+        tracker = back_end.tracker()
+        first = tracker.incarnation_key(tracker.number)
         assert (
-            await ends.record_interruption(RequestId('r'), FakeEntryConnection(), ends.number)
+            await tracker.record_interruption(RequestId('r'), FakeEntryConnection(), tracker.number)
             is IncarnationStatus.ENDED
         )
-        ends.record_incarnation('b', ends.env.monotonic())
-        back_end.tells = 'b'
-        assert ends.incarnation_key(ends.number) != first
+        tracker.record_incarnation('b', tracker.env.monotonic())
+        back_end.reported_incarnation = 'b'
+        assert tracker.incarnation_key(tracker.number) != first
         assert (
-            await ends.record_interruption(RequestId('s'), FakeEntryConnection(), ends.number)
+            await tracker.record_interruption(RequestId('s'), FakeEntryConnection(), tracker.number)
             is IncarnationStatus.LIVES
         )
 
     curio.run(run)
 
 
-def test_a_plain_service_lives_on_once_it_answers_what_was_sent_later(monkeypatch):
+def test_a_plain_service_lives_if_it_answers_a_later_request(monkeypatch):
     async def run():
-        ends = FakeBackEnd(monkeypatch).ends(asks=False)
+        tracker = FakeBackEnd(monkeypatch).ends(asks=False)
         entry = FakeEntryConnection()
         assert (
-            await ends.record_interruption(RequestId('r'), entry, ends.number)
+            await tracker.record_interruption(RequestId('r'), entry, tracker.number)
             is IncarnationStatus.UNKNOWN
         )
-        ends.record_answer(ends.env.monotonic())
+        tracker.record_answer(tracker.env.monotonic())
         await wait_until(lambda: entry.sent == [BackEndFate('r', False)])
 
     curio.run(run)
@@ -153,7 +155,7 @@
 
 class InterruptedCalls:
     """
-    An entry's calls that break off at one endpoint after another.
+    Calls of an entry that are interrupted at one endpoint after another.
 
     """
 
@@ -163,7 +165,7 @@
         deadline = self.env.monotonic() + 5
         self.call = Call('o', 's', 'POST', '/', [], b'body', True, '', '', '', 0, deadline)
 
-    async def break_off(self, number, reason=Reason.TRUNCATED):
+    async def interrupt_attempt(self, number, reason=Reason.TRUNCATED):
         known = self.crashes.suspicion_of(self.call)
         outcome = InterruptedAttempt(
             reason,
@@ -173,7 +175,7 @@
         )
         await self.crashes.record_outcome(self.call, known, outcome)
 
-    async def tell(self, number, ended):
+    async def report_status(self, number, ended):
         await self.crashes.apply_fate(BackEndFate(f'r-{number}', ended))
 
     @property
@@ -182,26 +184,26 @@
         return None if refusal is None else refusal.reason
 
 
-def test_a_call_is_suspected_until_the_fates_of_its_back_ends_are_told():
+def test_a_call_is_suspected_until_the_status_of_its_back_ends_is_reported():
     async def run():
         interrupted_calls = InterruptedCalls()
         for number in range(MIN_ENDS_AT_FAULT):
             assert interrupted_calls.block_reason is None
-            await interrupted_calls.break_off(number)
+            await interrupted_calls.interrupt_attempt(number)
         assert interrupted_calls.block_reason is Reason.SUSPECTED
         for number in range(MIN_ENDS_AT_FAULT):
-            await interrupted_calls.tell(number, ended=True)
+            await interrupted_calls.report_status(number, ended=True)
         assert interrupted_calls.block_reason is Reason.QUARANTINED
 
     curio.run(run)
 
 
-def test_a_fate_that_overtakes_the_end_of_its_attempt_counts():
+def test_a_report_that_arrives_before_the_end_of_its_attempt_counts():
     async def run():
         interrupted_calls = InterruptedCalls()
         for number in range(MIN_ENDS_AT_FAULT):
-            await interrupted_calls.tell(number, ended=number > 0)
-            await interrupted_calls.break_off(number)
+            await interrupted_calls.report_status(number, ended=number > 0)
+            await interrupted_calls.interrupt_attempt(number)
         assert (
             interrupted_calls.crashes.suspicion_of(interrupted_calls.call).ends
             == MIN_ENDS_AT_FAULT - 1
@@ -211,7 +213,7 @@
     curio.run(run)
 
 
-def test_ends_at_one_moment_are_suspected_together():
+def test_concurrent_ends_count_once_and_make_the_call_suspected():
     async def run():
         interrupted_calls = InterruptedCalls()
         known = interrupted_calls.crashes.suspicion_of(interrupted_calls.call)
@@ -230,7 +232,7 @@
 
 
 @pytest.mark.parametrize('ended', [True, False])
-def test_a_lost_endpoint_ended_if_another_process_has_its_place(ended):
+def test_a_lost_endpoint_has_ended_if_its_process_was_replaced(ended):
     async def run():
         interrupted_calls = InterruptedCalls()
         endpoints = [
@@ -255,13 +257,13 @@
     curio.run(run)
 
 
-def test_where_an_endpoint_is_gone_nothing_is_suspected_for_long(monkeypatch):
+def test_suspicion_expires_if_an_endpoint_is_gone(monkeypatch):
     monkeypatch.setattr(crash_tracking_module, 'PENDING_RETENTION_S', 0.0)
 
     async def run():
         interrupted_calls = InterruptedCalls()
         for number in range(MIN_ENDS_AT_FAULT):
-            await interrupted_calls.break_off(number)
+            await interrupted_calls.interrupt_attempt(number)
         await curio.sleep(0.001)
         await interrupted_calls.crashes.expire()
         assert interrupted_calls.block_reason is None
@@ -269,7 +271,7 @@
     curio.run(run)
 
 
-def test_an_end_names_the_incarnation_at_which_it_broke_off():
+def test_an_end_message_names_the_interrupted_incarnation():
     async def run():
         env = Environment(InstanceId('entry'), ZoneId('z'))
         attempt = Attempt(env, RequestId('r'), None, None)
@@ -285,7 +287,7 @@
 
 
 @pytest.mark.parametrize('ended', [True, False])
-def test_a_call_whose_time_was_up_counts_if_its_back_end_ends(ended):
+def test_a_timed_out_call_counts_if_its_back_end_ends(ended):
     async def run():
         interrupted_calls = InterruptedCalls()
         for number in range(MIN_ENDS_AT_FAULT):
@@ -295,7 +297,7 @@
                 interrupted_calls.call, request_id, incarnation
             )
             assert interrupted_calls.block_reason is None
-            await interrupted_calls.tell(number, ended)
+            await interrupted_calls.report_status(number, ended)
         assert interrupted_calls.block_reason is (Reason.QUARANTINED if ended else None)
 
     curio.run(run)
@@ -303,7 +305,7 @@
 
 class FakeTimedOutConnection:
     """
-    The connection to an endpoint that answers only to calls it off.
+    The connection to an endpoint that answers only reservations and cancellations.
 
     """
 
@@ -320,7 +322,7 @@
 
 
 @pytest.mark.parametrize('incarnation', ['e-1/1.0', ''])
-def test_an_attempt_whose_time_is_up_is_remembered_if_its_back_end_had_it(incarnation):
+def test_a_timed_out_attempt_is_pending_if_its_back_end_was_running_it(incarnation):
     async def run():
         backend = Backend(InstanceId('e-1'), ZoneId('z'), start=1)
         backend.served = {'s': 'v'}
--- a/tests/test_suspicion_gossip.py
+++ b/tests/test_suspicion_gossip.py
@@ -1,5 +1,5 @@
 """
-How entries of a fleet with a list of instances share what they suspect.
+Gossip about suspicions between the entries of a fleet with a list of instances.
 
 """
 
@@ -38,7 +38,7 @@
 
 class FakeNetwork:
     """
-    Entries that call each other directly.
+    Entries in one process that call each other directly.
 
     """
 
@@ -90,9 +90,9 @@
         return await asked.apply_report(Sender(), message)
 
 
-async def wait_until(holds):
+async def wait_until(condition):
     async with curio.timeout_after(5):
-        while not holds():
+        while not condition():
             await curio.sleep(0.01)
 
 
--- a/tests/test_turned_away_on_listed_fleets.py
+++ b/tests/test_turned_away_on_listed_fleets.py
@@ -1,7 +1,7 @@
 """
-A back end that answers 503 at once, without a word for how long, on a listed fleet.
+A back end that answers 503 at once without Retry-After, on a fleet with a list of instances.
 
-Its answers went on to callers, and as it had few requests in progress it looked the least loaded.
+Its answers were relayed to callers. As it had few requests in progress it seemed the least loaded.
 """
 
 import itertools
@@ -27,8 +27,8 @@
 from tests.utils.fleets import call_service, wait_until
 
 SERVICE = 'portal-assets'
-WORKS_MS = 300
-# The two others can carry all.
+ANSWER_MS = 300
+# The two other back ends can serve the whole load.
 LOAD_PER_S = 45
 LOAD_S = 6.0
 THREADS = 48
@@ -36,7 +36,7 @@
 
 @pytest.fixture(scope='module')
 def fleet(tmp_path_factory):
-    options = FleetOptions(service={'answer_ms': WORKS_MS}, backend={'slots': 16})
+    options = FleetOptions(service={'answer_ms': ANSWER_MS}, backend={'slots': 16})
     made = Fleet(LANTING, tmp_path_factory.mktemp('turned-away'), options)
     try:
         made.start()
@@ -71,7 +71,7 @@
     return sum(line['kind'] == TURNED_AWAY for line in lines)
 
 
-def test_a_back_end_that_turns_all_away_draws_no_more_than_its_share(fleet):
+def test_a_back_end_that_turns_all_away_gets_at_most_its_share(fleet):
     token = fleet.caller_tokens[LANTING.organisations[0]]
     for entry in range(len(fleet.entries)):
         wait_until(
@@ -102,20 +102,20 @@
     return dispatcher, curio.run(dispatcher.run, call, delivery), delivery.response
 
 
-def test_another_back_end_is_asked_for_a_repeatable_request():
+def test_a_repeatable_request_is_sent_to_another_back_end():
     dispatcher, refusal, response = run([turned_away_with(503), None])
-    assert (len(dispatcher.asked), refusal, response) == (2, None, None)
+    assert (len(dispatcher.tried_instances), refusal, response) == (2, None, None)
 
 
-@pytest.mark.parametrize(('repeatable', 'asked'), [(True, 3), (False, 1)])
-def test_where_none_does_better_the_back_end_s_own_answer_is_passed_on(repeatable, asked):
+@pytest.mark.parametrize(('repeatable', 'attempt_count'), [(True, 3), (False, 1)])
+def test_the_last_turning_away_answer_is_relayed_if_all_turn_away(repeatable, attempt_count):
     outcomes = [turned_away_with(503), turned_away_with(503), turned_away_with(429)]
     dispatcher, refusal, response = run(outcomes, repeatable)
-    assert (len(dispatcher.asked), refusal) == (asked, None)
+    assert (len(dispatcher.tried_instances), refusal) == (attempt_count, None)
     assert response.status == (429 if repeatable else 503)
 
 
-def test_one_that_turns_away_is_passed_over_for_longer_each_time_until_it_takes_one():
+def test_back_ends_that_turn_away_are_passed_over_for_increasing_times():
     backend = Backend(InstanceId('a'), ZoneId('z'))
     waits = []
     for sent_at in (10, 20, 30, 40, 50, 60, 70, 80):
@@ -133,7 +133,7 @@
     assert not backend.turned_away
 
 
-def test_where_all_turn_away_they_are_asked_all_the_same():
+def test_back_ends_are_still_used_if_all_turn_away():
     first, second = (Backend(InstanceId(name), ZoneId('z')) for name in 'ab')
     first.note_turned_away(1, 2)
     assert choose([first, second], ZoneId('z'), 'o', '', set(), 2) is second
--- a/tests/utils/crashing.py
+++ b/tests/utils/crashing.py
@@ -21,14 +21,14 @@
 
 class CrashingFleet:
     """
-    Engines end 0.2 s into a request, and are back a second later.
+    A fleet that restarts ended engines after a second; they end 0.2 s into a request.
 
     """
 
     def __init__(self, folder, **engine):
         self.fleet = Fleet(LANTING, folder, FleetOptions(engine=engine))
         self.token = self.fleet.caller_tokens[LANTING.organisations[0]]
-        self.over = threading.Event()
+        self.stop_event = threading.Event()
         self.restarter = threading.Thread(target=self._restart_ended_engines)
 
     def start(self):
@@ -37,14 +37,14 @@
         self.restarter.start()
 
     def close(self):
-        self.over.set()
+        self.stop_event.set()
         if self.restarter.is_alive():
             self.restarter.join()
         self.fleet.close()
 
     def _restart_ended_engines(self):
         ended_for = {}
-        while not self.over.wait(POLL_INTERVAL_S):
+        while not self.stop_event.wait(POLL_INTERVAL_S):
             for instance in self.fleet.engines:
                 process = self.fleet.processes[f'{instance.name}.backend']
                 if process.poll() is None:
@@ -56,20 +56,20 @@
 
     def call(self, entry=0, prompt=CRASHING_PROMPT, **fields):
         """
-        One call of the request, as soon as its entry has an engine that serves; None if its
-        answer broke off.
+        Make one call of the request, once its entry has an engine that serves; return None if
+        the answer is interrupted.
 
         """
         wait_until(lambda: complete(self.fleet, self.token, entry).status == 200)
         try:
             return complete(self.fleet, self.token, entry, prompt=prompt, **fields)
         except OSError:
-            # A stream that had begun broke off.
+            # A started stream was interrupted.
             return None
 
     def call_and_leave(self, entry, **fields):
         """
-        One call of the request, whose caller leaves; returns once the engine that had it ended.
+        Make one call whose caller leaves; return once the engine that ran it has ended.
 
         """
         wait_until(lambda: complete(self.fleet, self.token, entry).status == 200)
@@ -85,7 +85,7 @@
 
     def at_fault(self):
         """
-        The requests that the first entry found at fault, by fingerprint.
+        Return the fingerprints of the requests that the first entry found at fault.
 
         """
         return re.findall(
@@ -94,8 +94,8 @@
 
     def wait_for_quarantine(self, known):
         """
-        Wait until a leader wrote down that a request is sent no more which the first entry
-        found at fault after others.
+        Wait until the first entry finds a request at fault that is not in `known`, and a leader
+        has put it in quarantine.
 
         """
         wait_until(lambda: len(self.at_fault()) > len(known))
@@ -107,7 +107,7 @@
 
     def ended(self):
         """
-        How often an engine ended.
+        Return how often an engine ended.
 
         """
         count = 0
