--- a/packages/millforkd/millforkd/endpoint/backend_gateway.py
+++ b/packages/millforkd/millforkd/endpoint/backend_gateway.py
@@ -88,7 +88,7 @@
     def in_progress(self) -> int:
         return len(self.reservations)
 
-    def is_in_use(self, version: str) -> bool:
+    def is_version_in_use(self, version: str) -> bool:
         """
         Return whether a request in progress was admitted to this version.
 
--- a/packages/millforkd/millforkd/endpoint/daemon.py
+++ b/packages/millforkd/millforkd/endpoint/daemon.py
@@ -29,7 +29,7 @@
 from millforkd.report import EndpointReport
 
 POLL_INTERVAL_S: Final = 5.0
-WATCH_INTERVAL_S: Final = 0.25
+UPDATE_INTERVAL_S: Final = 0.25
 WEIGHTS_FOLDER: Final = 'weights'
 SHARE_STEPS: Final = 8
 
@@ -98,14 +98,14 @@
         """
         await self.member.start()
         await self.env.keep(self.gateway.report_load)
-        await self.env.keep(self._watch)
+        await self.env.keep(self._update_periodically)
         if self.rollout is not None:
             await self.env.keep(self._run_rollout)
 
     async def _run_rollout(self) -> None:
         assert self.rollout is not None
         while not self.member.ready_check():
-            await curio.sleep(WATCH_INTERVAL_S)
+            await curio.sleep(UPDATE_INTERVAL_S)
         await self.rollout.run()
 
     async def drain(self) -> None:
@@ -120,7 +120,7 @@
             self.env.metrics.count(self.env.metrics.requests, outcome='cut_off_by_deadline')
             log.warning('Drain deadline: {} requests are cut off.', self.gateway.in_progress)
 
-    async def _watch(self) -> None:
+    async def _update_periodically(self) -> None:
         """
         Apply drains and shares of the configuration, and report the state of this endpoint.
 
@@ -129,7 +129,7 @@
             await self.gateway.set_leaving(self._is_leaving())
             self._update_shares()
             await self._report()
-            await curio.sleep(WATCH_INTERVAL_S)
+            await curio.sleep(UPDATE_INTERVAL_S)
 
     def _is_leaving(self) -> bool:
         facts = self.member.roster.instances.get(self.env.instance)
--- a/packages/millforkd/millforkd/endpoint/rollout.py
+++ b/packages/millforkd/millforkd/endpoint/rollout.py
@@ -66,9 +66,9 @@
             settings.weights.origin_copies,
         )
         self.transfers: dict[Digest, curio.Task] = {}
-        self.retry_after: dict[Digest, float] = {}
+        self.transfer_retry_times: dict[Digest, float] = {}
         self.wanted_deployments: dict[str, Deployment] = {}
-        self.computed_from: tuple[object, int] | None = None
+        self.deployments_computed_from: tuple[object, int] | None = None
         self.wake_event = curio.Event()
 
     async def run(self) -> None:
@@ -112,11 +112,11 @@
         Return the deployments that select this instance, by `ORG/NAME`.
 
         """
-        computed_from = (self.view.position, self.roster.version)
+        deployments_computed_from = (self.view.position, self.roster.version)
         facts = self.roster.instances.get(self.env.instance)
-        if facts is None or computed_from == self.computed_from:
+        if facts is None or deployments_computed_from == self.deployments_computed_from:
             return self.wanted_deployments
-        self.computed_from = computed_from
+        self.deployments_computed_from = deployments_computed_from
         return {
             name: deployment
             for name, deployment in deployments(self.view).items()
@@ -128,13 +128,13 @@
         Return all instances that should hold a weight part.
 
         """
-        found: dict[str, Holder] = {}
+        holders: dict[str, Holder] = {}
         for name, deployment in deployments(self.view).items():
             if part.manifest not in {other.manifest for other in deployment.parts}:
                 continue
             for facts in select_endpoints(self.view, self.roster, name, deployment):
-                found[facts.instance] = Holder(facts.instance, facts.zone)
-        return list(found.values())
+                holders[facts.instance] = Holder(facts.instance, facts.zone)
+        return list(holders.values())
 
     # Transfers.
 
@@ -155,7 +155,7 @@
             holding = self.store.holdings.get(digest)
             if digest in self.transfers or (holding is not None and holding.whole):
                 continue
-            if self.retry_after.get(digest, 0.0) > self.env.monotonic():
+            if self.transfer_retry_times.get(digest, 0.0) > self.env.monotonic():
                 continue
             self.transfers[digest] = await self.env.spawn(self._transfer, part)
 
@@ -177,7 +177,7 @@
             log.error('Transfer of {} {} failed: {}.', part.name, part.version, error)
             if isinstance(error, WholeMismatch):
                 self.store.forget(part.manifest)
-            self.retry_after[part.manifest] = self.env.monotonic() + TRANSFER_RETRY_DELAY_S
+            self.transfer_retry_times[part.manifest] = self.env.monotonic() + TRANSFER_RETRY_DELAY_S
         else:
             duration_s = self.env.monotonic() - started_at
             log.info(
@@ -241,7 +241,7 @@
         wanted = {deployment.version for deployment in self.wanted_deployments.values()}
         kept_versions = wanted | set(self.gateway.served.values())
         for version in list(self.engine.status.loaded):
-            if version in kept_versions or self.gateway.is_in_use(version):
+            if version in kept_versions or self.gateway.is_version_in_use(version):
                 continue
             try:
                 await self.engine.unload(version)
--- a/packages/millforkd/millforkd/entry/access_control.py
+++ b/packages/millforkd/millforkd/entry/access_control.py
@@ -85,10 +85,10 @@
 
         """
         self._refresh()
-        found = _hash_of_bearer_token(request)
-        if self.admin_hash and hmac.compare_digest(found, self.admin_hash):
+        token_hash = _hash_of_bearer_token(request)
+        if self.admin_hash and hmac.compare_digest(token_hash, self.admin_hash):
             return Operator(None)
-        organisation = self.operators.get(found)
+        organisation = self.operators.get(token_hash)
         if organisation is None:
             detail = "a known operator's token is required"
             raise Refused(Refusal(Reason.UNAUTHENTICATED, detail=detail))
@@ -96,13 +96,13 @@
 
     def may_use(self, organisation: OrganisationId, service: str) -> bool:
         self._refresh()
-        found = self.organisations.get(organisation)
-        return found is not None and service in found.services
+        record = self.organisations.get(organisation)
+        return record is not None and service in record.services
 
     def share(self, organisation: OrganisationId) -> int:
         self._refresh()
-        found = self.organisations.get(organisation)
-        return found.share if found else 1
+        record = self.organisations.get(organisation)
+        return record.share if record else 1
 
 
 def _hash_of_bearer_token(request: Request) -> str:
--- a/packages/millforkd/millforkd/entry/dispatcher.py
+++ b/packages/millforkd/millforkd/entry/dispatcher.py
@@ -118,7 +118,7 @@
         return refusal
 
     def _choose_backend(self, call: Call, tried: set[InstanceId]) -> Backend | None:
-        backends = self.endpoints.serving(call.service)
+        backends = self.endpoints.backends_serving(call.service)
         now = self.env.monotonic()
         return choose(backends, self.env.zone, call.organisation, call.affinity, tried, now)
 
@@ -130,7 +130,7 @@
         now = self.env.monotonic()
         waits = [
             busy.retry_after_ms
-            for backend in self.endpoints.serving(call.service)
+            for backend in self.endpoints.backends_serving(call.service)
             if (busy := backend.busy_for(call.organisation, now)) is not None
         ]
         if waits:
--- a/packages/millforkd/millforkd/entry/endpoint_connections.py
+++ b/packages/millforkd/millforkd/entry/endpoint_connections.py
@@ -186,7 +186,7 @@
             except PeerLost:
                 continue
 
-    def serving(self, service: str) -> list[Backend]:
+    def backends_serving(self, service: str) -> list[Backend]:
         """
         Return the connected endpoints that serve a service or deployment.
 
--- a/tests/test_backend_gateway.py
+++ b/tests/test_backend_gateway.py
@@ -140,11 +140,11 @@
 
 def run_steps(scene, *steps):
     async def run():
-        found = None
+        last_result = None
         for step in steps:
-            found = await step()
+            last_result = await step()
             await scene.run_pending_tasks()
-        return found
+        return last_result
 
     return curio.run(run)
 
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -30,7 +30,7 @@
         names = ('a', 'b', 'c')
         self.backends = {n: Backend(InstanceId(n), ZoneId('zone')) for n in names}
 
-    def serving(self, service):
+    def backends_serving(self, service):
         return list(self.backends.values())
 
 
--- a/tests/test_late_ends_at_endpoints.py
+++ b/tests/test_late_ends_at_endpoints.py
@@ -141,7 +141,7 @@
 
 def test_a_plain_service_lives_if_it_answers_a_later_request(monkeypatch):
     async def run():
-        tracker = FakeBackEnd(monkeypatch).ends(asks=False)
+        tracker = FakeBackEnd(monkeypatch).tracker(asks=False)
         entry = FakeEntryConnection()
         assert (
             await tracker.record_interruption(RequestId('r'), entry, tracker.number)
@@ -166,14 +166,14 @@
         self.call = Call('o', 's', 'POST', '/', [], b'body', True, '', '', '', 0, deadline)
 
     async def interrupt_attempt(self, number, reason=Reason.TRUNCATED):
-        known = self.crashes.suspicion_of(self.call)
+        suspicion = self.crashes.suspicion_of(self.call)
         outcome = InterruptedAttempt(
             reason,
             Verdict.MAY_HAVE_RUN,
             request_id=RequestId(f'r-{number}'),
             incarnation=IncarnationKey(f'e-{number}/1.0'),
         )
-        await self.crashes.record_outcome(self.call, known, outcome)
+        await self.crashes.record_outcome(self.call, suspicion, outcome)
 
     async def report_status(self, number, ended):
         await self.crashes.apply_fate(BackEndFate(f'r-{number}', ended))
@@ -216,7 +216,7 @@
 def test_concurrent_ends_count_once_and_make_the_call_suspected():
     async def run():
         interrupted_calls = InterruptedCalls()
-        known = interrupted_calls.crashes.suspicion_of(interrupted_calls.call)
+        suspicion = interrupted_calls.crashes.suspicion_of(interrupted_calls.call)
         for number in range(MIN_ENDS_AT_FAULT):
             outcome = InterruptedAttempt(
                 Reason.BACKEND_FAILED,
@@ -224,7 +224,9 @@
                 request_id=RequestId(f'r-{number}'),
                 incarnation=IncarnationKey(f'e-{number}/1.0'),
             )
-            await interrupted_calls.crashes.record_outcome(interrupted_calls.call, known, outcome)
+            await interrupted_calls.crashes.record_outcome(
+                interrupted_calls.call, suspicion, outcome
+            )
         assert interrupted_calls.crashes.suspicion_of(interrupted_calls.call).ends == 1
         assert interrupted_calls.block_reason is Reason.SUSPECTED
 
@@ -243,10 +245,12 @@
                 interrupted_calls.env, RequestId(f'r-{endpoint.instance}'), endpoint, None
             )
             await attempt.enqueue(ConnectionLost())
-            known = interrupted_calls.crashes.suspicion_of(interrupted_calls.call)
+            suspicion = interrupted_calls.crashes.suspicion_of(interrupted_calls.call)
             outcome = await attempt.receive_head(interrupted_calls.env.monotonic() + 1)
             assert outcome.reason is Reason.CONNECTION_LOST
-            await interrupted_calls.crashes.record_outcome(interrupted_calls.call, known, outcome)
+            await interrupted_calls.crashes.record_outcome(
+                interrupted_calls.call, suspicion, outcome
+            )
         assert interrupted_calls.block_reason is Reason.SUSPECTED
         for endpoint in endpoints:
             await interrupted_calls.crashes.apply_endpoint_start(
@@ -327,7 +331,7 @@
         backend = Backend(InstanceId('e-1'), ZoneId('z'), start=1)
         backend.served = {'s': 'v'}
         endpoints = SimpleNamespace(
-            serving=lambda service: [backend],
+            backends_serving=lambda service: [backend],
             connections={backend.instance: FakeTimedOutConnection(incarnation)},
         )
         dispatcher = Dispatcher(
--- a/tests/test_suspicion_gossip.py
+++ b/tests/test_suspicion_gossip.py
@@ -25,7 +25,7 @@
     order = [InstanceId(f'entry-{number:03}') for number in range(count)]
     heard = {order[0]}
     for _ in range(count.bit_length()):
-        heard |= {told for name in heard for told in gossip_targets(order, name)}
+        heard |= {target for name in heard for target in gossip_targets(order, name)}
     assert heard == set(order)
     assert all(name not in gossip_targets(order, name) for name in order)
     assert max(len(gossip_targets(order, name)) for name in order) <= count.bit_length()
@@ -80,14 +80,14 @@
         await curio.sleep(0)
         if address.instance in self.network.unreachable:
             raise PeerUnreachable('cut off')
-        asked = self.network.entries[address.instance]
+        entry = self.network.entries[address.instance]
         if isinstance(message, AskSuspicions):
-            return asked.list_suspicions()
+            return entry.list_suspicions()
 
         class Sender:
             peer = 'other'
 
-        return await asked.apply_report(Sender(), message)
+        return await entry.apply_report(Sender(), message)
 
 
 async def wait_until(condition):
--- a/tests/test_turned_away_on_listed_fleets.py
+++ b/tests/test_turned_away_on_listed_fleets.py
@@ -53,12 +53,12 @@
     """
     token = fleet.caller_tokens[LANTING.organisations[0]]
     pause = threading.Event()
-    began = time.monotonic()
+    started_at = time.monotonic()
     with ThreadPoolExecutor(THREADS) as pool:
         calls = []
         for number in itertools.count():
-            due = began + number / LOAD_PER_S
-            if due > began + LOAD_S:
+            due = started_at + number / LOAD_PER_S
+            if due > started_at + LOAD_S:
                 break
             pause.wait(max(due - time.monotonic(), 0))
             entry = number % len(fleet.entries)
--- a/tests/utils/crashing.py
+++ b/tests/utils/crashing.py
@@ -92,13 +92,13 @@
             r'A back end ended under a request\. fingerprint=(\w+) ends=3', self.log(0)
         )
 
-    def wait_for_quarantine(self, known):
+    def wait_for_quarantine(self, known_fingerprints):
         """
-        Wait until the first entry finds a request at fault that is not in `known`, and a leader
-        has put it in quarantine.
+        Wait until the first entry finds another request at fault than `known_fingerprints`, and a
+        leader has put it in quarantine.
 
         """
-        wait_until(lambda: len(self.at_fault()) > len(known))
+        wait_until(lambda: len(self.at_fault()) > len(known_fingerprints))
         line = f'Request in quarantine. fingerprint={self.at_fault()[-1]}'
         wait_until(lambda: any(line in self.log(n) for n in range(len(self.fleet.entries))))
 
