--- a/tests/test_ends_at_endpoints.py
+++ b/tests/test_ends_at_endpoints.py
@@ -73,8 +73,8 @@
 def test_a_call_is_quarantined_after_it_ended_three_back_ends():
     callers = Callers([ENDED] * 3 + [None])
     assert [callers.call(b'crash').reason for _ in range(3)] == [Reason.BACKEND_FAILED] * 3
-    block_reason = callers.call(b'crash')
-    assert (block_reason.reason, block_reason.verdict) == (Reason.QUARANTINED, Verdict.NOT_RUN)
+    refusal = callers.call(b'crash')
+    assert (refusal.reason, refusal.verdict) == (Reason.QUARANTINED, Verdict.NOT_RUN)
     assert callers.call(b'another') is None
 
 
--- a/tests/test_suspicion_gossip.py
+++ b/tests/test_suspicion_gossip.py
@@ -23,10 +23,10 @@
 @given(st.integers(2, 200))
 def test_reports_reach_all_entries_within_logarithmic_steps(count):
     order = [InstanceId(f'entry-{number:03}') for number in range(count)]
-    heard = {order[0]}
+    informed = {order[0]}
     for _ in range(count.bit_length()):
-        heard |= {target for name in heard for target in gossip_targets(order, name)}
-    assert heard == set(order)
+        informed |= {target for name in informed for target in gossip_targets(order, name)}
+    assert informed == set(order)
     assert all(name not in gossip_targets(order, name) for name in order)
     assert max(len(gossip_targets(order, name)) for name in order) <= count.bit_length()
 
