--- /dev/null
+++ b/packages/millforkd/millforkd/endpoint/rest_tracking.py
@@ -0,0 +1,79 @@
+"""
+Tracks the rest period that the back end of an endpoint asks for with Retry-After.
+
+"""
+
+import math
+
+from millfork_core.environment import Environment
+from millfork_core.logs import Part, logger
+from millfork_core.verdicts import Reason, Refusal
+from millfork_scheduling.availability import RestPeriod
+from millfork_web.client import Reply
+from millfork_web.retry_after import TURNED_AWAY, read_retry_after
+
+log = logger(Part.ENDPOINT)
+
+
+class RestTracker:
+    """
+    Reads rest periods from answers. Requests are refused at once during a rest period; after
+    it one request is sent to find out whether the back end accepts requests again.
+
+    """
+
+    def __init__(self, env: Environment) -> None:
+        self.env = env
+        self.rest_period: RestPeriod | None = None
+
+    def current_refusal(self) -> Refusal | None:
+        """
+        Return a refusal while the back end rests, else None.
+
+        """
+        rest_s = (
+            self.rest_period.opens_in_s(self.env.monotonic())
+            if self.rest_period is not None
+            else 0.0
+        )
+        if not rest_s:
+            return None
+        detail = 'the back end asked for a rest period'
+        return Refusal(Reason.RESTING, detail=detail, retry_after_ms=math.ceil(rest_s * 1000))
+
+    def record_sent(self, now: float) -> None:
+        """
+        Record that a request is sent at `now` (monotonic seconds).
+
+        """
+        if self.rest_period is not None:
+            self.rest_period.note_sent(now)
+
+    def record_answer(self, reply: Reply, sent_at: float) -> None:
+        """
+        Record the head of the answer to a request sent at `sent_at` (monotonic seconds).
+
+        """
+        if reply.status not in TURNED_AWAY:
+            if self.rest_period is not None and self.rest_period.is_ended_by(sent_at):
+                log.info('The back end accepts requests again.')
+                self.rest_period = None
+            return
+        requested = read_retry_after(reply.headers)
+        if requested.unread:
+            log.warning(
+                'Could not parse the rest period that the back end asked for: {}', requested.unread
+            )
+        if not requested.seconds:
+            return
+        now = self.env.monotonic()
+        self.rest_period = self.rest_period or RestPeriod(now)
+        self.rest_period.extend(requested.seconds, now)
+        self.env.metrics.count(
+            self.env.metrics.backpressure, signal='rest', event='began', told_by='answer'
+        )
+        log.info(
+            'The back end asked for a rest period. rest_s={:g} status={}',
+            requested.seconds,
+            reply.status,
+        )
--- a/packages/millforkd/millforkd/entry/access.py
+++ b/packages/millforkd/millforkd/entry/access_control.py
@@ -1,5 +1,5 @@
 """
-Who a caller or operator is, by bearer token; tokens are kept hashed.
+Authenticates callers and operators by bearer token; only hashes of tokens are kept.
 
 """
 
@@ -19,7 +19,7 @@
 @dataclass(frozen=True, slots=True)
 class Operator:
     """
-    A proven operator: of one organisation, or of the fleet.
+    An authenticated operator: of one organisation, or of the fleet (None).
 
     """
 
@@ -34,9 +34,9 @@
     return hashlib.sha256(token).hexdigest()
 
 
-class Access:
+class AccessControl:
     """
-    Token hashes of the configuration in force.
+    The token hashes and organisations of the current configuration.
 
     """
 
@@ -62,48 +62,50 @@
             self.callers.update(dict.fromkeys(organisation.caller_tokens, name))
             self.operators.update(dict.fromkeys(organisation.operator_tokens, name))
 
-    def caller(self, request: Request) -> OrganisationId:
+    def authenticate_caller(self, request: Request) -> OrganisationId:
         """
-        The organisation of a caller.
+        Return the organisation of a caller.
 
-        :raises Refused: if the token is none of the fleet's.
+        :raises Refused: if the token is unknown.
 
         """
         self._refresh()
-        organisation = self.callers.get(_hash_in(request))
+        organisation = self.callers.get(_hash_of_bearer_token(request))
         if organisation is None:
-            raise Refused(Refusal(Reason.UNAUTHENTICATED, detail='a known bearer token is needed'))
+            raise Refused(
+                Refusal(Reason.UNAUTHENTICATED, detail='a known bearer token is required')
+            )
         return organisation
 
-    def operator(self, request: Request) -> Operator:
+    def authenticate_operator(self, request: Request) -> Operator:
         """
-        The operator who sent a control request.
+        Return the operator who sent a control request.
 
-        :raises Refused: if the token is none of the fleet's.
+        :raises Refused: if the token is unknown.
 
         """
         self._refresh()
-        found = _hash_in(request)
-        if self.admin_hash and hmac.compare_digest(found, self.admin_hash):
+        token_hash = _hash_of_bearer_token(request)
+        if self.admin_hash and hmac.compare_digest(token_hash, self.admin_hash):
             return Operator(None)
-        organisation = self.operators.get(found)
+        organisation = self.operators.get(token_hash)
         if organisation is None:
-            detail = "a known operator's token is needed"
+            detail = "a known operator's token is required"
             raise Refused(Refusal(Reason.UNAUTHENTICATED, detail=detail))
         return Operator(organisation)
 
     def may_use(self, organisation: OrganisationId, service: str) -> bool:
         self._refresh()
-        found = self.organisations.get(organisation)
-        return found is not None and service in found.services
+        record = self.organisations.get(organisation)
+        return record is not None and service in record.services
 
     def share(self, organisation: OrganisationId) -> int:
         self._refresh()
-        found = self.organisations.get(organisation)
-        return found.share if found else 1
+        record = self.organisations.get(organisation)
+        return record.share if record else 1
 
 
-def _hash_in(request: Request) -> str:
+def _hash_of_bearer_token(request: Request) -> str:
     value = request.header('authorization')
     if value[: len(BEARER)].lower() != BEARER:
         return ''
--- a/packages/millforkd/millforkd/entry/attempts.py
+++ b/packages/millforkd/millforkd/entry/attempts.py
@@ -1,9 +1,9 @@
 """
 One attempt of a request at one endpoint, in two steps.
 
-The endpoint first reserves a place and runs nothing before `Start`. As long
-as this entry has not sent `Start`, the request can't have run, whatever
-becomes of the endpoint; that is what makes 'not run' true.
+The endpoint first reserves a slot and runs nothing before `Start`. As long
+as this entry has not sent `Start`, the request can't have run, even if the
+endpoint fails; the verdict NOT_RUN relies on this.
 
 """
 
@@ -51,8 +51,8 @@
 @dataclass(frozen=True, slots=True)
 class Call:
     """
-    One caller's request, as the entry understood it. `claim` is the attempt
-    that holds its idempotency key, once claimed.
+    One caller's request after parsing. `claim` identifies the claim on its
+    idempotency key, once claimed; `deadline` is in monotonic seconds.
 
     """
 
@@ -71,55 +71,55 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BrokeOff(Refusal):
+class InterruptedAttempt(Refusal):
     """
-    An attempt whose back end ended, or whose answer broke off so that it may have.
+    An attempt that was interrupted because its back end ended or may have ended.
 
     """
 
     request_id: RequestId = RequestId('')
     incarnation: IncarnationKey = NO_INCARNATION
-    # The endpoint, where the connection to it was lost: it tells nothing more of this attempt.
-    lost: InstanceId = NO_INSTANCE
+    # The endpoint, if the connection to it was lost: it sends nothing more for this attempt.
+    lost_endpoint: InstanceId = NO_INSTANCE
 
 
 @dataclass(frozen=True, slots=True)
 class TurnedAway(Refusal):
     """
-    An attempt whose back end answered that it takes nothing now; the answer is the caller's if
-    no other back end does better.
+    An attempt whose back end answered that it accepts no requests now (429 or 503). The caller
+    gets this answer if no other back end gives a better one.
 
     """
 
     response: Response = field(default_factory=lambda: Response(0))
 
 
-def state_key(call: Call) -> str:
+def replicated_key(call: Call) -> str:
     """
-    The call's idempotency key, as the replicated state knows it.
+    Return the key under which the replicated state stores the call's idempotency key.
 
     """
     return f'{call.organisation}/{call.service}/{call.key}'
 
 
-def endpoint_key(instance: InstanceId, start: int) -> IncarnationKey:
+def endpoint_incarnation(instance: InstanceId, start: int) -> IncarnationKey:
     """
-    One run of an endpoint's process.
+    Return the key of one run of an endpoint's process; `start` is when it started (ns).
 
     """
     return IncarnationKey(f'{instance}/{start}')
 
 
-class Lost(Message):
+class ConnectionLost(Message):
     """
-    Stands in the queue where the connection ended.
+    Marks the end of the connection in the queue of events.
 
     """
 
 
 class Attempt:
     """
-    One attempt; `events` brings what the endpoint sends.
+    One attempt; `events` holds the messages that the endpoint sent for it.
 
     """
 
@@ -135,58 +135,58 @@
         self.backend = backend
         self.connection = connection
         self.events: curio.Queue = curio.Queue()
-        self.buffered = 0
+        self.buffered_bytes = 0
         self.started = False
         self.ended = False
         self.next_sequence = 0
-        self.received = 0
-        # The back end's incarnation that had it when it was cancelled, if one had.
-        self.called_off_at = NO_INCARNATION
+        self.received_bytes = 0
+        # The incarnation of the back end that was running the request when it was cancelled.
+        self.cancelled_incarnation = NO_INCARNATION
 
-    async def take(self, message: Message) -> None:
+    async def enqueue(self, message: Message) -> None:
         """
-        Take an event from the endpoint, in order.
+        Append an event from the endpoint; events are read in this order.
 
         """
         if isinstance(message, Part):
-            self.buffered += len(message.data)
+            self.buffered_bytes += len(message.data)
         await self.events.put(message)
 
     async def reserve(self, call: Call, timeout: float) -> Refusal | None:
         """
-        Ask for a place; a refusal here is always NOT_RUN.
+        Reserve a slot. A refusal at this step always has the verdict NOT_RUN.
 
         """
-        left = call.deadline - self.env.monotonic()
+        remaining_s = call.deadline - self.env.monotonic()
         request = Reserve(
             self.request_id,
             call.organisation,
             call.service,
-            max(int(left * 1000), 1),
+            max(int(remaining_s * 1000), 1),
             call.priority,
             call.method,
             call.path,
             [Header(name, value) for name, value in call.headers],
             call.body,
-            state_key(call) if call.claim else '',
+            replicated_key(call) if call.claim else '',
             call.claim,
         )
         try:
-            reply = await self.connection.call(request, min(timeout, left))
+            reply = await self.connection.call(request, min(timeout, remaining_s))
         except PeerTimedOut:
-            await self._forget()
-            return Refusal(Reason.TIMED_OUT, detail='an endpoint gave no answer')
+            await self._cancel_without_reply()
+            return Refusal(Reason.TIMED_OUT, detail='the endpoint did not answer in time')
         except PeerRefused:
-            return Refusal(Reason.BACKEND_FAILED, detail='an endpoint failed')
+            return Refusal(Reason.BACKEND_FAILED, detail='the endpoint failed')
         except PeerError:
-            return Refusal(Reason.UNREACHABLE, detail='an endpoint went away')
+            return Refusal(Reason.UNREACHABLE, detail='the connection to the endpoint was lost')
         if not isinstance(reply, Reserved):
-            return Refusal(Reason.BACKEND_FAILED, detail='an endpoint gave a wrong answer')
+            return Refusal(Reason.BACKEND_FAILED, detail='the endpoint sent an unexpected answer')
         if reply.ok:
             return None
         return Refusal(Reason(reply.reason), Verdict.NOT_RUN, reply.detail, reply.retry_after_ms)
 
-    async def _forget(self) -> None:
+    async def _cancel_without_reply(self) -> None:
         try:
             await self.connection.notify(Cancel(self.request_id))
         except PeerLost:
@@ -194,89 +194,89 @@
 
     async def start(self) -> Refusal | None:
         """
-        Let the endpoint run the request. From here it may have run.
+        Send `Start`. From here on the request may have run.
 
         """
         try:
             await self.connection.notify(Start(self.request_id))
         except PeerLost:
-            return Refusal(Reason.UNREACHABLE, detail='an endpoint went away')
+            return Refusal(Reason.UNREACHABLE, detail='the connection to the endpoint was lost')
         self.started = True
         return None
 
-    async def head(self, deadline: float) -> Head | Refusal:
+    async def receive_head(self, deadline: float) -> Head | Refusal:
         """
-        Wait for the answer's head.
+        Wait until `deadline` for the status and headers of the answer.
 
         """
-        message = await self._next(deadline)
+        message = await self._next_event(deadline)
         if isinstance(message, (Head, Refusal)):
             return message
-        return Refusal(Reason.BACKEND_FAILED, Verdict.MAY_HAVE_RUN, 'an answer without a head')
+        return Refusal(Reason.BACKEND_FAILED, Verdict.MAY_HAVE_RUN, 'the answer has no head')
 
-    async def part(self, deadline: float) -> bytes | Refusal | None:
+    async def receive_part(self, deadline: float) -> bytes | Refusal | None:
         """
-        The next piece of the answer; None once it is whole.
+        Return the next piece of the answer, or None once the answer is complete.
 
         """
-        message = await self._next(deadline)
+        message = await self._next_event(deadline)
         if isinstance(message, Part):
-            self.buffered -= len(message.data)
+            self.buffered_bytes -= len(message.data)
             if message.sequence != self.next_sequence:
                 return Refusal(Reason.TRUNCATED, Verdict.MAY_HAVE_RUN, 'a piece is missing')
             self.next_sequence += 1
-            self.received += len(message.data)
+            self.received_bytes += len(message.data)
             return message.data
         if isinstance(message, Refusal):
             return message
         if not isinstance(message, End):
-            return Refusal(Reason.BACKEND_FAILED, Verdict.MAY_HAVE_RUN, 'out of order')
-        if (message.parts, message.bytes) != (self.next_sequence, self.received):
-            return Refusal(Reason.TRUNCATED, Verdict.MAY_HAVE_RUN, 'the answer is cut short')
+            return Refusal(Reason.BACKEND_FAILED, Verdict.MAY_HAVE_RUN, 'a message is out of order')
+        if (message.parts, message.bytes) != (self.next_sequence, self.received_bytes):
+            return Refusal(Reason.TRUNCATED, Verdict.MAY_HAVE_RUN, 'the answer is truncated')
         return None
 
-    async def _next(self, deadline: float) -> Message | Refusal:
-        if self.buffered > MAX_BUFFERED_BYTES:
+    async def _next_event(self, deadline: float) -> Message | Refusal:
+        if self.buffered_bytes > MAX_BUFFERED_BYTES:
             return Refusal(Reason.TOO_LARGE, Verdict.MAY_HAVE_RUN, 'the caller reads too slowly')
         try:
             async with curio.timeout_after(max(deadline - self.env.monotonic(), 0.001)):
                 message: Message = await self.events.get()
         except curio.TaskTimeout:
-            return await self._give_up()
-        if isinstance(message, Lost):
+            return await self._cancel_at_deadline()
+        if isinstance(message, ConnectionLost):
             self.ended = True
-            return self._refusal_of_lost()
+            return self._connection_lost_refusal()
         if isinstance(message, End):
             self.ended = True
             if message.reason:
-                return self._refusal_in(message)
+                return self._refusal_from_end(message)
         return message
 
-    def _refusal_of_lost(self) -> Refusal:
-        detail = 'the endpoint went away while it ran the request'
+    def _connection_lost_refusal(self) -> Refusal:
+        detail = 'the connection to the endpoint was lost during the request'
         if not self.backend.start:
             return Refusal(Reason.CONNECTION_LOST, Verdict.MAY_HAVE_RUN, detail)
-        return BrokeOff(
+        return InterruptedAttempt(
             Reason.CONNECTION_LOST,
             Verdict.MAY_HAVE_RUN,
             detail,
             request_id=self.request_id,
-            incarnation=endpoint_key(self.backend.instance, self.backend.start),
-            lost=self.backend.instance,
+            incarnation=endpoint_incarnation(self.backend.instance, self.backend.start),
+            lost_endpoint=self.backend.instance,
         )
 
-    def _refusal_in(self, end: End) -> Refusal:
+    def _refusal_from_end(self, end: End) -> Refusal:
         reason, verdict = Reason(end.reason), Verdict(end.verdict)
         if not end.incarnation:
             return Refusal(reason, verdict, end.detail)
         incarnation = IncarnationKey(end.incarnation)
-        return BrokeOff(
+        return InterruptedAttempt(
             reason, verdict, end.detail, request_id=self.request_id, incarnation=incarnation
         )
 
-    async def _give_up(self) -> Refusal:
+    async def _cancel_at_deadline(self) -> Refusal:
         """
-        Cancel at the endpoint; it may know that nothing ran.
+        Cancel at the endpoint, whose reply may say that nothing ran.
 
         """
         verdict = await self.cancel()
@@ -284,7 +284,7 @@
 
     async def cancel(self) -> Verdict:
         """
-        Cancel and return what is known of the request.
+        Cancel the request and return whether it may have run.
 
         """
         self.ended = True
@@ -294,5 +294,5 @@
             return Verdict.MAY_HAVE_RUN
         if not isinstance(reply, Cancelled):
             return Verdict.MAY_HAVE_RUN
-        self.called_off_at = IncarnationKey(reply.incarnation)
+        self.cancelled_incarnation = IncarnationKey(reply.incarnation)
         return Verdict(reply.verdict)
--- /dev/null
+++ b/packages/millforkd/millforkd/entry/crash_tracking.py
@@ -0,0 +1,217 @@
+"""
+Tracks calls that end the back ends that run them, on a fleet with a list of instances.
+
+A caller that retries makes a new call, so calls are identified by a fingerprint of their content:
+organisation, service, method, path and body.
+
+"""
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from functools import singledispatchmethod
+from typing import Final
+
+from millfork_core.environment import Environment
+from millfork_core.ids import NO_INSTANCE, Fingerprint, IncarnationKey, InstanceId, RequestId
+from millfork_core.logs import Part, logger
+from millfork_core.verdicts import Reason, Refusal, Verdict
+from millfork_registry.suspicion_store import Suspicion, SuspicionStore
+from millfork_scheduling.quarantine import SuspicionLevel, TrialSchedule
+from millfork_state.view import View
+from millfork_wire.messages import BackEndFate
+from millforkd.entry.attempts import Call, InterruptedAttempt, endpoint_incarnation
+from millforkd.fingerprints import fingerprint_of
+from millforkd.quarantine import Quarantine
+from millforkd.suspicion_updates import SuspicionUpdater
+
+REFUSAL_DETAILS: Final = {
+    SuspicionLevel.AT_FAULT: 'back ends end when they run this request',
+    SuspicionLevel.SUSPECTED: 'connections to back ends were lost while they ran this request',
+}
+REFUSAL_REASONS: Final = {
+    SuspicionLevel.AT_FAULT: Reason.QUARANTINED,
+    SuspicionLevel.SUSPECTED: Reason.SUSPECTED,
+}
+
+# An endpoint watches its back end for 20 s; an endpoint that is gone sends no result.
+PENDING_RETENTION_S: Final = 30.0
+MAX_EARLY_FATES: Final = 256
+
+log = logger(Part.ENTRY)
+
+
+@dataclass(frozen=True, slots=True)
+class PendingAttempt:
+    """
+    An interrupted attempt whose endpoint does not yet know whether the back end ended.
+    `interrupted_at` is in monotonic seconds; `before` is the suspicion when the call was sent.
+
+    """
+
+    before: Suspicion
+    incarnation: IncarnationKey
+    interrupted_at: float
+    # The endpoint, if the connection to it was lost.
+    lost_endpoint: InstanceId = NO_INSTANCE
+    # Whether the attempt was cancelled; it is suspected only once its back end has ended.
+    is_cancelled: bool = False
+
+
+class CallFingerprints:
+    """
+    Computes the fingerprints of calls; all entries of a fleet compute the same ones.
+
+    """
+
+    def __init__(self, key: bytes, cluster: Callable[[], str]) -> None:
+        self.key = key
+        self.cluster = cluster
+
+    def of(self, call: Call) -> Fingerprint:
+        parts = (call.organisation, call.service, call.method, call.path)
+        return fingerprint_of(self.key, self.cluster(), parts, call.body)
+
+
+class CrashTracker:
+    """
+    Counts the back ends that ended, by fingerprint. A complete answer clears a call.
+
+    """
+
+    def __init__(
+        self, env: Environment, key: bytes, view: View, entries: Callable[[], int]
+    ) -> None:
+        self.env = env
+        self.suspicions = SuspicionStore(env.monotonic)
+        self.suspicion_updater = SuspicionUpdater(env, self.suspicions)
+        self.pending: dict[RequestId, PendingAttempt] = {}
+        self.early_fates: dict[RequestId, bool] = {}
+        self.quarantine = Quarantine(
+            self.suspicions,
+            view,
+            CallFingerprints(key, lambda: view.cluster),
+            TrialSchedule(env.random, env.monotonic, entries),
+        )
+
+    def suspicion_of(self, call: Call) -> Suspicion:
+        """
+        Return the present suspicion of a call.
+
+        """
+        return self.quarantine.suspicion_of(call)
+
+    def block_refusal(self, call: Call) -> Refusal | None:
+        """
+        Return a refusal if a call ends back ends or is suspected to; None if it may run.
+
+        """
+        level = self.quarantine.blocking_standing(call)
+        if level is None:
+            return None
+        return Refusal(REFUSAL_REASONS[level], detail=REFUSAL_DETAILS[level])
+
+    async def record_outcome(self, call: Call, before: Suspicion, outcome: Refusal | None) -> None:
+        """
+        Record how an attempt ended; `before` is the suspicion of its call when it was sent.
+
+        """
+        if outcome is None:
+            await self.quarantine.clear_suspicion(call)
+            return
+        await self._record_refusal(outcome, before)
+
+    @singledispatchmethod
+    async def _record_refusal(self, outcome: Refusal, before: Suspicion) -> None:
+        if outcome.reason is not Reason.BACKEND_FAILED or outcome.verdict is Verdict.NOT_RUN:
+            return
+        await self.suspicions.record(before.with_end())
+        self._log_end(before)
+
+    @_record_refusal.register
+    async def _(self, outcome: InterruptedAttempt, before: Suspicion) -> None:
+        await self.suspicion_updater.note_broken(before.fingerprint, outcome.incarnation)
+        pending = PendingAttempt(
+            before, outcome.incarnation, self.env.monotonic(), outcome.lost_endpoint
+        )
+        if outcome.reason is Reason.BACKEND_FAILED:
+            await self._settle(pending, ended=True)
+            return
+        ended = self.early_fates.pop(outcome.request_id, None)
+        if ended is None:
+            self.pending[outcome.request_id] = pending
+            return
+        await self._settle(pending, ended)
+
+    def record_cancellation(
+        self, call: Call, request_id: RequestId, incarnation: IncarnationKey
+    ) -> None:
+        """
+        Record an attempt that was cancelled because its caller left or its deadline passed.
+        Its back end may still end because of the request.
+
+        """
+        now = self.env.monotonic()
+        self.pending[request_id] = PendingAttempt(
+            self.suspicion_of(call), incarnation, now, is_cancelled=True
+        )
+
+    async def apply_fate(self, message: BackEndFate) -> None:
+        """
+        Apply an endpoint's report of whether its back end ended.
+
+        """
+        request_id = RequestId(message.request_id)
+        pending = self.pending.pop(request_id, None)
+        if pending is None:
+            # The report may arrive before the `End` of its attempt, which another task handles.
+            self.early_fates[request_id] = message.ended
+            while len(self.early_fates) > MAX_EARLY_FATES:
+                del self.early_fates[next(iter(self.early_fates))]
+            return
+        await self._settle(pending, message.ended)
+
+    async def apply_endpoint_start(self, instance: InstanceId, start: int) -> None:
+        """
+        Settle attempts that lost their connection to an endpoint, once it is reached again.
+        A new `start` of its process means that the earlier process ended; with the same
+        `start`, only the connection was lost.
+
+        """
+        for request_id, pending in list(self.pending.items()):
+            if pending.lost_endpoint != instance:
+                continue
+            del self.pending[request_id]
+            await self._settle(
+                pending, pending.incarnation != endpoint_incarnation(instance, start)
+            )
+
+    async def _settle(self, pending: PendingAttempt, ended: bool) -> None:
+        if ended and pending.is_cancelled:
+            await self.suspicion_updater.note_broken(
+                pending.before.fingerprint, pending.incarnation
+            )
+        if ended:
+            await self.suspicion_updater.note_end(pending.before, pending.incarnation)
+            self._log_end(pending.before)
+            return
+        await self.suspicion_updater.note_no_end(pending.before.fingerprint, pending.incarnation)
+
+    def _log_end(self, before: Suspicion) -> None:
+        log.info(
+            'A back end ended under a request. fingerprint={} ends={}',
+            before.fingerprint,
+            self.suspicions.get(before.fingerprint).ends,
+        )
+
+    async def expire(self) -> None:
+        """
+        Remove expired suspicions, publish overdue ones and give up on old pending attempts.
+
+        """
+        self.suspicions.forget_expired()
+        await self.suspicions.publish_overdue()
+        expired_before = self.env.monotonic() - PENDING_RETENTION_S
+        for request_id, pending in list(self.pending.items()):
+            if pending.interrupted_at < expired_before:
+                del self.pending[request_id]
+                await self._settle(pending, ended=False)
--- /dev/null
+++ b/packages/millforkd/millforkd/entry/suspicion_gossip.py
@@ -0,0 +1,163 @@
+"""
+Gossip between the entries of a fleet with a list of instances about requests that end back ends.
+
+Each entry sends new suspicions to a few others, which forward those that are new to them. An
+entry that starts asks some others for their suspicions.
+
+"""
+
+from typing import Final
+
+import curio
+import msgspec
+
+from millfork_core.environment import Environment
+from millfork_core.ids import Fingerprint, InstanceId
+from millfork_core.logs import Part, logger
+from millfork_registry.suspicion_store import SuspicionStore, decode_suspicions, encode_suspicions
+from millfork_state.roster import Roster
+from millfork_wire.connection import Connection, PeerError
+from millfork_wire.messages import AskSuspicions, Done, SuspicionReport
+from millfork_wire.peers import PeerAddress, Peers
+
+# A report may cross two regions.
+REPORT_TIMEOUT_S: Final = 0.3
+# Delay before a report that was not accepted is sent again.
+RESEND_INTERVAL_S: Final = 0.5
+# An entry that starts asks this many others, and serves after the timeout without an answer.
+MAX_ENTRIES_ASKED: Final = 3
+ASK_TIMEOUT_S: Final = 1.0
+ROSTER_POLL_INTERVAL_S: Final = 0.05
+
+log = logger(Part.ENTRY)
+
+
+def gossip_targets(order: list[InstanceId], instance: InstanceId) -> list[InstanceId]:
+    """
+    Return the entries that an entry reports to: those 1, 2, 4, ... places after it in an order
+    that all entries share. Each of N entries reports to log N, and is reached in log N steps.
+
+    """
+    if instance not in order:
+        return order[:1]
+    position = order.index(instance)
+    targets = []
+    step = 1
+    while step < len(order):
+        targets.append(order[(position + step) % len(order)])
+        step *= 2
+    return targets
+
+
+class SuspicionGossip:
+    """
+    Sends suspicions of this entry to others and merges theirs.
+
+    """
+
+    def __init__(
+        self, env: Environment, peers: Peers, roster: Roster, suspicions: SuspicionStore
+    ) -> None:
+        self.env = env
+        self.peers = peers
+        self.roster = roster
+        self.suspicions = suspicions
+        # Whether other entries were asked for their suspicions.
+        self.has_asked_others = False
+        # The fingerprints that each target has not accepted yet.
+        self.undelivered: dict[InstanceId, set[Fingerprint]] = {}
+        self.sending_to: set[InstanceId] = set()
+
+    async def run(self) -> None:
+        """
+        Ask other entries for their suspicions, then send new suspicions as they appear.
+
+        """
+        await self._ask_others()
+        while True:
+            await self.suspicions.unsent_event.wait()
+            self.suspicions.unsent_event.clear()
+            unsent = set(self.suspicions.unsent)
+            self.suspicions.unsent.clear()
+            order = [facts.instance for facts in self.roster.all_entries()]
+            for name in gossip_targets(order, self.env.instance):
+                self.undelivered.setdefault(name, set()).update(unsent)
+                if name not in self.sending_to:
+                    self.sending_to.add(name)
+                    await self.env.spawn(self._send_until_accepted, name)
+
+    # Sending.
+
+    async def _send_until_accepted(self, name: InstanceId) -> None:
+        try:
+            while self.undelivered.get(name):
+                address = self.roster.address(name)
+                if address is None:
+                    del self.undelivered[name]
+                    return
+                if not await self._send_report(address):
+                    await curio.sleep(RESEND_INTERVAL_S)
+        finally:
+            self.sending_to.discard(name)
+
+    async def _send_report(self, address: PeerAddress) -> bool:
+        fingerprints = self.undelivered.pop(address.instance)
+        body = encode_suspicions([self.suspicions.get(name) for name in fingerprints])
+        try:
+            reply = await self.peers.call(address, SuspicionReport(body), REPORT_TIMEOUT_S)
+        except PeerError as error:
+            log.info('Could not send suspicions to {}: {}.', address.instance, error)
+            reply = None
+        if isinstance(reply, Done) and reply.ok:
+            return True
+        self.undelivered.setdefault(address.instance, set()).update(fingerprints)
+        return False
+
+    async def apply_report(self, connection: Connection, message: SuspicionReport) -> Done:
+        """
+        Merge another entry's suspicions and forward the new ones.
+
+        """
+        return Done(await self._merge_report(str(connection.peer), message))
+
+    async def _merge_report(self, name: str, message: SuspicionReport) -> bool:
+        try:
+            received = decode_suspicions(message.body)
+        except msgspec.DecodeError as error:
+            log.warning('Could not decode the suspicions from {}: {}.', name, error)
+            return False
+        for fingerprint in await self.suspicions.merge(received):
+            await self.suspicions.mark_unsent(fingerprint)
+        return True
+
+    # Asking others at the start.
+
+    def list_suspicions(self) -> SuspicionReport:
+        """
+        Return all published suspicions, for an entry that starts.
+
+        """
+        return SuspicionReport(encode_suspicions(self.suspicions.published()))
+
+    async def _ask_others(self) -> None:
+        while self.roster.version < 0:
+            await curio.sleep(ROSTER_POLL_INTERVAL_S)
+        others = [f for f in self.roster.all_entries() if f.instance != self.env.instance]
+        asked = self.env.random.sample(others, min(MAX_ENTRIES_ASKED, len(others)))
+        try:
+            async with curio.timeout_after(ASK_TIMEOUT_S), curio.TaskGroup() as group:
+                for facts in asked:
+                    address = PeerAddress(facts.instance, facts.host, facts.port)
+                    await group.spawn(self._ask, address)
+        except curio.TaskTimeout:
+            log.info('Not all entries sent their suspicions in time. asked={}', len(asked))
+        self.has_asked_others = True
+
+    async def _ask(self, address: PeerAddress) -> None:
+        try:
+            reply = await self.peers.call(address, AskSuspicions(), ASK_TIMEOUT_S)
+        except PeerError as error:
+            log.info('Could not fetch suspicions from {}: {}.', address.instance, error)
+            return
+        if isinstance(reply, SuspicionReport):
+            await self._merge_report(str(address.instance), reply)
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -1,5 +1,5 @@
 """
-Each caller receives the whole answer to its own request and nobody else's.
+Attempts: an incomplete or late answer is never delivered, and verdicts are true.
 
 """
 
@@ -13,19 +13,19 @@
 from millfork_settings.models import RoutingSettings
 from millfork_wire.connection import PeerLost, PeerTimedOut
 from millfork_wire.messages import Cancel, Cancelled, End, Head, Part, Reserve, Reserved, Start
-from millforkd.entry.attempts import Attempt, Call, Lost
-from millforkd.entry.dispatch import Dispatch
+from millforkd.entry.attempts import Attempt, Call, ConnectionLost
+from millforkd.entry.dispatcher import Dispatcher
 
 
 class FakeConnection:
     """
-    Answers calls from a table, keeps what it was told.
+    Answers calls from a table and records notifications.
 
     """
 
     def __init__(self, answers):
         self.answers = answers
-        self.told = []
+        self.sent = []
 
     async def call(self, message, timeout):
         answer = self.answers[type(message)]
@@ -34,7 +34,7 @@
         return answer
 
     async def notify(self, message):
-        self.told.append(message)
+        self.sent.append(message)
 
 
 def environment():
@@ -51,20 +51,20 @@
     return Call('org', 'svc', 'POST', '/', [], b'', False, '', '', '', 0, env.monotonic() + 5)
 
 
-async def collect(made, messages):
+async def collect(attempt_under_test, messages):
     """
-    Feed messages, read the answer: its pieces, and the refusal or None.
+    Enqueue messages and read the answer: return its pieces, and the refusal or None.
 
     """
     for message in messages:
-        await made.take(message)
-    until = made.env.monotonic() + 5
-    head = await made.head(until)
+        await attempt_under_test.enqueue(message)
+    deadline = attempt_under_test.env.monotonic() + 5
+    head = await attempt_under_test.receive_head(deadline)
     if isinstance(head, Refusal):
         return [], head
     pieces = []
     while True:
-        piece = await made.part(until)
+        piece = await attempt_under_test.receive_part(deadline)
         if not isinstance(piece, bytes):
             return pieces, piece
         pieces.append(piece)
@@ -81,12 +81,12 @@
         ([Head('r', 200), Part('r', 1, b'b'), End('r', 1, 1)], Reason.TRUNCATED),
         ([Head('r', 200), Part('r', 0, b'a'), End('r', 2, 2)], Reason.TRUNCATED),
         ([Head('r', 200), Part('r', 0, b'a'), End('r', 1, 9)], Reason.TRUNCATED),
-        ([Head('r', 200), Part('r', 0, b'a'), Lost()], Reason.CONNECTION_LOST),
+        ([Head('r', 200), Part('r', 0, b'a'), ConnectionLost()], Reason.CONNECTION_LOST),
         ([Part('r', 0, b'a')], Reason.BACKEND_FAILED),
         ([Head('r', 200), Head('r', 200)], Reason.BACKEND_FAILED),
     ],
 )
-def test_what_is_cut_reordered_or_lost_is_never_whole(messages, reason):
+def test_truncated_reordered_or_lost_answers_are_refused(messages, reason):
     _, refusal = curio.run(collect, attempt(), messages)
     assert (refusal.reason, refusal.verdict) == (reason, Verdict.MAY_HAVE_RUN)
 
@@ -97,35 +97,35 @@
     assert (refusal.reason, refusal.verdict) == (Reason.EXPIRED, Verdict.NOT_RUN)
 
 
-def test_a_frozen_endpoint_is_told_to_forget_and_nothing_ran():
-    made = attempt({Reserve: PeerTimedOut('frozen')})
-    refusal = curio.run(made.reserve, call(made.env), 0.1)
+def test_a_reservation_that_times_out_is_cancelled_and_did_not_run():
+    attempt_under_test = attempt({Reserve: PeerTimedOut('frozen')})
+    refusal = curio.run(attempt_under_test.reserve, call(attempt_under_test.env), 0.1)
     assert refusal.verdict is Verdict.NOT_RUN
-    assert made.connection.told == [Cancel('r')]
-    assert not made.started
+    assert attempt_under_test.connection.sent == [Cancel('r')]
+    assert not attempt_under_test.started
 
 
-def test_after_the_start_a_lost_cancel_leaves_it_unknown():
-    made = attempt({Reserve: Reserved(True), Cancel: PeerLost('gone')})
-    assert curio.run(made.reserve, call(made.env), 0.1) is None
-    assert curio.run(made.start) is None
-    assert made.connection.told == [Start('r')]
-    assert curio.run(made.cancel) is Verdict.MAY_HAVE_RUN
+def test_a_lost_cancel_after_the_start_may_have_run():
+    attempt_under_test = attempt({Reserve: Reserved(True), Cancel: PeerLost('gone')})
+    assert curio.run(attempt_under_test.reserve, call(attempt_under_test.env), 0.1) is None
+    assert curio.run(attempt_under_test.start) is None
+    assert attempt_under_test.connection.sent == [Start('r')]
+    assert curio.run(attempt_under_test.cancel) is Verdict.MAY_HAVE_RUN
 
 
-def test_a_confirmed_cancel_binds_the_endpoint():
-    made = attempt({Cancel: Cancelled('r', Verdict.NOT_RUN.value)})
-    assert curio.run(made.cancel) is Verdict.NOT_RUN
+def test_a_confirmed_cancel_gives_the_endpoints_verdict():
+    attempt_under_test = attempt({Cancel: Cancelled('r', Verdict.NOT_RUN.value)})
+    assert curio.run(attempt_under_test.cancel) is Verdict.NOT_RUN
 
 
 @pytest.mark.parametrize('other', ['request', 'connection'])
-def test_a_late_answer_reaches_nobody(other):
+def test_a_late_answer_is_dropped(other):
     async def late():
-        dispatch = Dispatch(environment(), RoutingSettings(), None)
-        made = attempt()
-        dispatch.attempts['r'] = made
-        connection = made.connection if other == 'request' else FakeConnection({})
-        await dispatch.on_event(connection, Head('old' if other == 'request' else 'r', 200))
-        return made.events.empty()
+        dispatcher = Dispatcher(environment(), RoutingSettings(), None)
+        attempt_under_test = attempt()
+        dispatcher.attempts['r'] = attempt_under_test
+        connection = attempt_under_test.connection if other == 'request' else FakeConnection({})
+        await dispatcher.on_event(connection, Head('old' if other == 'request' else 'r', 200))
+        return attempt_under_test.events.empty()
 
     assert curio.run(late)
--- a/tests/test_ends_at_endpoints.py
+++ b/tests/test_ends_at_endpoints.py
@@ -1,5 +1,5 @@
 """
-What an endpoint says of a back end that broke off, and what an entry takes from it.
+How an endpoint reports an interrupted answer, and how an entry counts these reports.
 
 """
 
@@ -11,12 +11,12 @@
 from millfork_web.client import ExchangeFailed
 from millforkd.entry.attempts import Call
 from millforkd.entry.delivery import Delivery
-from tests.test_dispatch import ScriptedDispatch
-from tests.test_door import Scene
+from tests.test_backend_gateway import Scene
+from tests.test_dispatcher import ScriptedDispatcher
 
 ENDED = Refusal(Reason.BACKEND_FAILED, Verdict.MAY_HAVE_RUN, 'the back end ended')
 BROKE_OFF = Refusal(Reason.TRUNCATED, Verdict.MAY_HAVE_RUN, 'the connection broke off')
-UNSENT = Refusal(Reason.BACKEND_FAILED, Verdict.NOT_RUN, 'an endpoint failed')
+UNSENT = Refusal(Reason.BACKEND_FAILED, Verdict.NOT_RUN, 'the endpoint failed')
 
 
 class BreakingBackend:
@@ -24,7 +24,7 @@
         raise ExchangeFailed(Verdict.MAY_HAVE_RUN, 'reset')
 
 
-async def no_caller(sock, address):
+async def close_connection(sock, address):
     await sock.close()
 
 
@@ -33,12 +33,12 @@
 )
 def test_only_a_back_end_whose_address_refuses_has_ended(listens, reason):
     scene = Scene()
-    scene.door.client = BreakingBackend()
+    scene.gateway.client = BreakingBackend()
 
     async def run():
         sock = curio.tcp_server_socket('127.0.0.1', 0)
         host, port = sock.getsockname()
-        scene.door.settings = scene.door.settings.model_copy(
+        scene.gateway.settings = scene.gateway.settings.model_copy(
             update={'address': Address(host=host, port=port)}
         )
         if not listens:
@@ -57,29 +57,29 @@
 
 class Callers:
     """
-    Callers of one entry; each call is tried once, with the next outcome.
+    Callers of one entry; each call makes one attempt, with the next outcome of a list.
 
     """
 
     def __init__(self, outcomes):
-        self.dispatch = ScriptedDispatch(outcomes)
+        self.dispatcher = ScriptedDispatcher(outcomes)
 
     def call(self, body):
-        deadline = self.dispatch.env.monotonic() + 5
+        deadline = self.dispatcher.env.monotonic() + 5
         call = Call('o', 's', 'POST', '/', [], body, False, '', '', '', 0, deadline)
-        return curio.run(self.dispatch.run, call, Delivery(None))
+        return curio.run(self.dispatcher.run, call, Delivery(None))
 
 
-def test_a_call_is_barred_once_three_back_ends_ended_under_it():
+def test_a_call_is_quarantined_after_it_ended_three_back_ends():
     callers = Callers([ENDED] * 3 + [None])
     assert [callers.call(b'crash').reason for _ in range(3)] == [Reason.BACKEND_FAILED] * 3
-    barred = callers.call(b'crash')
-    assert (barred.reason, barred.verdict) == (Reason.QUARANTINED, Verdict.NOT_RUN)
+    refusal = callers.call(b'crash')
+    assert (refusal.reason, refusal.verdict) == (Reason.QUARANTINED, Verdict.NOT_RUN)
     assert callers.call(b'another') is None
 
 
 @pytest.mark.parametrize('outcome', [BROKE_OFF, UNSENT, None])
-def test_what_tells_of_no_end_bars_no_call(outcome):
+def test_outcomes_without_an_end_do_not_count(outcome):
     callers = Callers([ENDED, ENDED, outcome, ENDED, None])
     for _ in range(3):
         callers.call(b'body')
--- a/tests/test_late_ends_at_endpoints.py
+++ b/tests/test_late_ends_at_endpoints.py
@@ -1,5 +1,5 @@
 """
-What an endpoint finds out of its back end after answers broke off, and what an entry takes from it.
+How endpoints determine the status of a back end after interruptions, and entries apply it.
 
 """
 
@@ -19,66 +19,66 @@
 from millfork_wire.connection import PeerLost
 from millfork_wire.messages import BackEndFate, Cancelled, End, Reserve, Reserved
 from millforkd.end_watch import ProbeResult
-from millforkd.endpoint import ends as ends_module
-from millforkd.endpoint.ends import Ends
-from millforkd.entry import crashes as crashes_module
-from millforkd.entry.attempts import Attempt, BrokeOff, Call, Lost
-from millforkd.entry.crashes import Crashes
+from millforkd.endpoint import incarnation_tracking as incarnation_tracking_module
+from millforkd.endpoint.incarnation_tracking import IncarnationTracker
+from millforkd.entry import crash_tracking as crash_tracking_module
+from millforkd.entry.attempts import Attempt, Call, ConnectionLost, InterruptedAttempt
+from millforkd.entry.crash_tracking import CrashTracker
 from millforkd.entry.delivery import Delivery
-from millforkd.entry.dispatch import Dispatch
+from millforkd.entry.dispatcher import Dispatcher
 
 ADDRESS = ('127.0.0.1', 1)
 
 
-class Entry:
+class FakeEntryConnection:
     """
-    The connection to an entry.
+    The connection to an entry; records notifications.
 
     """
 
     def __init__(self):
-        self.told = []
+        self.sent = []
         self.gone = False
 
     async def notify(self, message):
         if self.gone:
             raise PeerLost('gone')
-        self.told.append(message)
+        self.sent.append(message)
 
 
-class BackEnd:
+class FakeBackEnd:
     """
-    What an endpoint finds when it looks at its back end.
+    A back end with a scripted incarnation and result of probes.
 
     """
 
-    def __init__(self, monkeypatch, tells='a'):
-        self.tells = tells
-        self.found = ProbeResult.ANSWERS
+    def __init__(self, monkeypatch, reported_incarnation='a'):
+        self.reported_incarnation = reported_incarnation
+        self.probe_result = ProbeResult.ANSWERS
 
         async def probe_address(host, port):
-            return self.found
+            return self.probe_result
 
-        monkeypatch.setattr(ends_module, 'probe_address', probe_address)
+        monkeypatch.setattr(incarnation_tracking_module, 'probe_address', probe_address)
 
-    def ends(self, asks=True):
+    def tracker(self, asks=True):
         env = Environment(InstanceId('e-1'), ZoneId('z'))
-        made = Ends(env, lambda: ADDRESS, self.ask if asks else None)
-        made.note_incarnation('a', env.monotonic())
+        made = IncarnationTracker(env, lambda: ADDRESS, self.query_incarnation if asks else None)
+        made.record_incarnation('a', env.monotonic())
         return made
 
-    async def ask(self):
-        return self.tells
+    async def query_incarnation(self):
+        return self.reported_incarnation
 
 
-async def until(holds):
+async def wait_until(condition):
     async with curio.timeout_after(5):
-        while not holds():
+        while not condition():
             await curio.sleep(0.005)
 
 
 @pytest.mark.parametrize(
-    ('tells', 'found', 'fate'),
+    ('reported_incarnation', 'probe_result', 'fate'),
     [
         ('a', ProbeResult.ANSWERS, IncarnationStatus.LIVES),
         ('b', ProbeResult.ANSWERS, IncarnationStatus.ENDED),
@@ -87,184 +87,203 @@
         ('', ProbeResult.SILENT, IncarnationStatus.UNKNOWN),
     ],
 )
-def test_what_an_engine_tells_and_its_address_show(monkeypatch, tells, found, fate):
+def test_status_follows_from_reported_incarnation_and_probe(
+    monkeypatch, reported_incarnation, probe_result, fate
+):
     async def run():
-        back_end = BackEnd(monkeypatch, tells)
-        back_end.found = found
-        ends = back_end.ends()
-        assert await ends.note_broken(RequestId('r'), Entry(), ends.number) is fate
+        back_end = FakeBackEnd(monkeypatch, reported_incarnation)
+        back_end.probe_result = probe_result
+        tracker = back_end.tracker()
+        assert (
+            await tracker.record_interruption(RequestId('r'), FakeEntryConnection(), tracker.number)
+            is fate
+        )
 
     curio.run(run)
 
 
 @pytest.mark.parametrize('ended', [True, False])
-def test_what_becomes_known_later_is_told_to_the_entry(monkeypatch, ended):
+def test_a_late_status_is_reported_to_the_entry(monkeypatch, ended):
     async def run():
-        back_end = BackEnd(monkeypatch, tells='')
-        ends, entry, gone = back_end.ends(), Entry(), Entry()
+        back_end = FakeBackEnd(monkeypatch, reported_incarnation='')
+        tracker, entry, gone = back_end.tracker(), FakeEntryConnection(), FakeEntryConnection()
         gone.gone = True
-        await ends.note_broken(RequestId('r'), entry, ends.number)
-        await ends.note_broken(RequestId('s'), gone, ends.number)
-        back_end.tells = 'b' if ended else 'a'
-        await until(lambda: entry.told)
-        assert entry.told == [BackEndFate('r', ended)]
-        await until(lambda: not ends.is_watching)
+        await tracker.record_interruption(RequestId('r'), entry, tracker.number)
+        await tracker.record_interruption(RequestId('s'), gone, tracker.number)
+        back_end.reported_incarnation = 'b' if ended else 'a'
+        await wait_until(lambda: entry.sent)
+        assert entry.sent == [BackEndFate('r', ended)]
+        await wait_until(lambda: not tracker.is_watching)
 
     curio.run(run)
 
 
-def test_what_breaks_off_after_an_end_is_of_the_next_incarnation(monkeypatch):
+def test_interruptions_after_an_end_belong_to_the_next_incarnation(monkeypatch):
     async def run():
-        back_end = BackEnd(monkeypatch, tells='')
-        back_end.found = ProbeResult.REFUSES
-        ends = back_end.ends()
-        first = ends.key_of(ends.number)
+        back_end = FakeBackEnd(monkeypatch, reported_incarnation='')
+        back_end.probe_result = ProbeResult.REFUSES
+        tracker = back_end.tracker()
+        first = tracker.incarnation_key(tracker.number)
         assert (
-            await ends.note_broken(RequestId('r'), Entry(), ends.number) is IncarnationStatus.ENDED
+            await tracker.record_interruption(RequestId('r'), FakeEntryConnection(), tracker.number)
+            is IncarnationStatus.ENDED
         )
-        ends.note_incarnation('b', ends.env.monotonic())
-        back_end.tells = 'b'
-        assert ends.key_of(ends.number) != first
+        tracker.record_incarnation('b', tracker.env.monotonic())
+        back_end.reported_incarnation = 'b'
+        assert tracker.incarnation_key(tracker.number) != first
         assert (
-            await ends.note_broken(RequestId('s'), Entry(), ends.number) is IncarnationStatus.LIVES
+            await tracker.record_interruption(RequestId('s'), FakeEntryConnection(), tracker.number)
+            is IncarnationStatus.LIVES
         )
 
     curio.run(run)
 
 
-def test_a_plain_service_lives_on_once_it_answers_what_was_sent_later(monkeypatch):
+def test_a_plain_service_lives_if_it_answers_a_later_request(monkeypatch):
     async def run():
-        ends = BackEnd(monkeypatch).ends(asks=False)
-        entry = Entry()
+        tracker = FakeBackEnd(monkeypatch).tracker(asks=False)
+        entry = FakeEntryConnection()
         assert (
-            await ends.note_broken(RequestId('r'), entry, ends.number) is IncarnationStatus.UNKNOWN
+            await tracker.record_interruption(RequestId('r'), entry, tracker.number)
+            is IncarnationStatus.UNKNOWN
         )
-        ends.note_answer(ends.env.monotonic())
-        await until(lambda: entry.told == [BackEndFate('r', False)])
+        tracker.record_answer(tracker.env.monotonic())
+        await wait_until(lambda: entry.sent == [BackEndFate('r', False)])
 
     curio.run(run)
 
 
-class Breaks:
+class InterruptedCalls:
     """
-    An entry's calls that break off at one endpoint after another.
+    Calls of an entry that are interrupted at one endpoint after another.
 
     """
 
     def __init__(self):
         self.env = Environment(InstanceId('entry'), ZoneId('z'))
-        self.crashes = Crashes(self.env, b'key', View(), lambda: 1)
+        self.crashes = CrashTracker(self.env, b'key', View(), lambda: 1)
         deadline = self.env.monotonic() + 5
         self.call = Call('o', 's', 'POST', '/', [], b'body', True, '', '', '', 0, deadline)
 
-    async def break_off(self, number, reason=Reason.TRUNCATED):
-        known = self.crashes.known(self.call)
-        outcome = BrokeOff(
+    async def interrupt_attempt(self, number, reason=Reason.TRUNCATED):
+        suspicion = self.crashes.suspicion_of(self.call)
+        outcome = InterruptedAttempt(
             reason,
             Verdict.MAY_HAVE_RUN,
             request_id=RequestId(f'r-{number}'),
             incarnation=IncarnationKey(f'e-{number}/1.0'),
         )
-        await self.crashes.note(self.call, known, outcome)
+        await self.crashes.record_outcome(self.call, suspicion, outcome)
 
-    async def tell(self, number, ended):
-        await self.crashes.on_fate(BackEndFate(f'r-{number}', ended))
+    async def report_status(self, number, ended):
+        await self.crashes.apply_fate(BackEndFate(f'r-{number}', ended))
 
     @property
-    def barred(self):
-        refusal = self.crashes.bars(self.call)
+    def block_reason(self):
+        refusal = self.crashes.block_refusal(self.call)
         return None if refusal is None else refusal.reason
 
 
-def test_a_call_is_suspected_until_the_fates_of_its_back_ends_are_told():
+def test_a_call_is_suspected_until_the_status_of_its_back_ends_is_reported():
     async def run():
-        breaks = Breaks()
+        interrupted_calls = InterruptedCalls()
         for number in range(MIN_ENDS_AT_FAULT):
-            assert breaks.barred is None
-            await breaks.break_off(number)
-        assert breaks.barred is Reason.SUSPECTED
+            assert interrupted_calls.block_reason is None
+            await interrupted_calls.interrupt_attempt(number)
+        assert interrupted_calls.block_reason is Reason.SUSPECTED
         for number in range(MIN_ENDS_AT_FAULT):
-            await breaks.tell(number, ended=True)
-        assert breaks.barred is Reason.QUARANTINED
+            await interrupted_calls.report_status(number, ended=True)
+        assert interrupted_calls.block_reason is Reason.QUARANTINED
 
     curio.run(run)
 
 
-def test_a_fate_that_overtakes_the_end_of_its_attempt_counts():
+def test_a_report_that_arrives_before_the_end_of_its_attempt_counts():
     async def run():
-        breaks = Breaks()
+        interrupted_calls = InterruptedCalls()
         for number in range(MIN_ENDS_AT_FAULT):
-            await breaks.tell(number, ended=number > 0)
-            await breaks.break_off(number)
-        assert breaks.crashes.known(breaks.call).ends == MIN_ENDS_AT_FAULT - 1
-        assert not breaks.crashes.early_fates and not breaks.crashes.pending
+            await interrupted_calls.report_status(number, ended=number > 0)
+            await interrupted_calls.interrupt_attempt(number)
+        assert (
+            interrupted_calls.crashes.suspicion_of(interrupted_calls.call).ends
+            == MIN_ENDS_AT_FAULT - 1
+        )
+        assert not interrupted_calls.crashes.early_fates and not interrupted_calls.crashes.pending
 
     curio.run(run)
 
 
-def test_ends_at_one_moment_are_suspected_together():
+def test_concurrent_ends_count_once_and_make_the_call_suspected():
     async def run():
-        breaks = Breaks()
-        known = breaks.crashes.known(breaks.call)
+        interrupted_calls = InterruptedCalls()
+        suspicion = interrupted_calls.crashes.suspicion_of(interrupted_calls.call)
         for number in range(MIN_ENDS_AT_FAULT):
-            outcome = BrokeOff(
+            outcome = InterruptedAttempt(
                 Reason.BACKEND_FAILED,
                 Verdict.MAY_HAVE_RUN,
                 request_id=RequestId(f'r-{number}'),
                 incarnation=IncarnationKey(f'e-{number}/1.0'),
             )
-            await breaks.crashes.note(breaks.call, known, outcome)
-        assert breaks.crashes.known(breaks.call).ends == 1
-        assert breaks.barred is Reason.SUSPECTED
+            await interrupted_calls.crashes.record_outcome(
+                interrupted_calls.call, suspicion, outcome
+            )
+        assert interrupted_calls.crashes.suspicion_of(interrupted_calls.call).ends == 1
+        assert interrupted_calls.block_reason is Reason.SUSPECTED
 
     curio.run(run)
 
 
 @pytest.mark.parametrize('ended', [True, False])
-def test_a_lost_endpoint_ended_if_another_process_has_its_place(ended):
+def test_a_lost_endpoint_has_ended_if_its_process_was_replaced(ended):
     async def run():
-        breaks = Breaks()
+        interrupted_calls = InterruptedCalls()
         endpoints = [
             Backend(InstanceId(f'e-{n}'), ZoneId('z'), start=1) for n in range(MIN_ENDS_AT_FAULT)
         ]
         for endpoint in endpoints:
-            attempt = Attempt(breaks.env, RequestId(f'r-{endpoint.instance}'), endpoint, None)
-            await attempt.take(Lost())
-            known = breaks.crashes.known(breaks.call)
-            outcome = await attempt.head(breaks.env.monotonic() + 1)
+            attempt = Attempt(
+                interrupted_calls.env, RequestId(f'r-{endpoint.instance}'), endpoint, None
+            )
+            await attempt.enqueue(ConnectionLost())
+            suspicion = interrupted_calls.crashes.suspicion_of(interrupted_calls.call)
+            outcome = await attempt.receive_head(interrupted_calls.env.monotonic() + 1)
             assert outcome.reason is Reason.CONNECTION_LOST
-            await breaks.crashes.note(breaks.call, known, outcome)
-        assert breaks.barred is Reason.SUSPECTED
+            await interrupted_calls.crashes.record_outcome(
+                interrupted_calls.call, suspicion, outcome
+            )
+        assert interrupted_calls.block_reason is Reason.SUSPECTED
         for endpoint in endpoints:
-            await breaks.crashes.on_endpoint(endpoint.instance, 2 if ended else 1)
-        assert breaks.barred is (Reason.QUARANTINED if ended else None)
+            await interrupted_calls.crashes.apply_endpoint_start(
+                endpoint.instance, 2 if ended else 1
+            )
+        assert interrupted_calls.block_reason is (Reason.QUARANTINED if ended else None)
 
     curio.run(run)
 
 
-def test_where_an_endpoint_is_gone_nothing_is_suspected_for_long(monkeypatch):
-    monkeypatch.setattr(crashes_module, 'PENDING_S', 0.0)
+def test_suspicion_expires_if_an_endpoint_is_gone(monkeypatch):
+    monkeypatch.setattr(crash_tracking_module, 'PENDING_RETENTION_S', 0.0)
 
     async def run():
-        breaks = Breaks()
+        interrupted_calls = InterruptedCalls()
         for number in range(MIN_ENDS_AT_FAULT):
-            await breaks.break_off(number)
+            await interrupted_calls.interrupt_attempt(number)
         await curio.sleep(0.001)
-        await breaks.crashes.keep_house()
-        assert breaks.barred is None
+        await interrupted_calls.crashes.expire()
+        assert interrupted_calls.block_reason is None
 
     curio.run(run)
 
 
-def test_an_end_names_the_incarnation_at_which_it_broke_off():
+def test_an_end_message_names_the_interrupted_incarnation():
     async def run():
         env = Environment(InstanceId('entry'), ZoneId('z'))
         attempt = Attempt(env, RequestId('r'), None, None)
         refused = ('r', 0, 0, Reason.TRUNCATED.value, Verdict.MAY_HAVE_RUN.value, 'why')
-        await attempt.take(End(*refused, 'e-1/1.0'))
-        await attempt.take(End(*refused))
-        first = await attempt.head(env.monotonic() + 1)
-        second = await attempt.head(env.monotonic() + 1)
+        await attempt.enqueue(End(*refused, 'e-1/1.0'))
+        await attempt.enqueue(End(*refused))
+        first = await attempt.receive_head(env.monotonic() + 1)
+        second = await attempt.receive_head(env.monotonic() + 1)
         assert (first.request_id, first.incarnation) == ('r', 'e-1/1.0')
         assert second == Refusal(Reason.TRUNCATED, Verdict.MAY_HAVE_RUN, 'why')
 
@@ -272,23 +291,25 @@
 
 
 @pytest.mark.parametrize('ended', [True, False])
-def test_a_call_whose_time_was_up_counts_if_its_back_end_ends(ended):
+def test_a_timed_out_call_counts_if_its_back_end_ends(ended):
     async def run():
-        breaks = Breaks()
+        interrupted_calls = InterruptedCalls()
         for number in range(MIN_ENDS_AT_FAULT):
             request_id = RequestId(f'r-{number}')
             incarnation = IncarnationKey(f'e-{number}/1.0')
-            breaks.crashes.note_left(breaks.call, request_id, incarnation)
-            assert breaks.barred is None
-            await breaks.tell(number, ended)
-        assert breaks.barred is (Reason.QUARANTINED if ended else None)
+            interrupted_calls.crashes.record_cancellation(
+                interrupted_calls.call, request_id, incarnation
+            )
+            assert interrupted_calls.block_reason is None
+            await interrupted_calls.report_status(number, ended)
+        assert interrupted_calls.block_reason is (Reason.QUARANTINED if ended else None)
 
     curio.run(run)
 
 
-class TimedOut:
+class FakeTimedOutConnection:
     """
-    The connection to an endpoint that answers only to calls it off.
+    The connection to an endpoint that answers only reservations and cancellations.
 
     """
 
@@ -305,20 +326,22 @@
 
 
 @pytest.mark.parametrize('incarnation', ['e-1/1.0', ''])
-def test_an_attempt_whose_time_is_up_is_remembered_if_its_back_end_had_it(incarnation):
+def test_a_timed_out_attempt_is_pending_if_its_back_end_was_running_it(incarnation):
     async def run():
         backend = Backend(InstanceId('e-1'), ZoneId('z'), start=1)
         backend.served = {'s': 'v'}
-        book = SimpleNamespace(
-            serving=lambda service: [backend],
-            connections={backend.instance: TimedOut(incarnation)},
+        endpoints = SimpleNamespace(
+            backends_serving=lambda service: [backend],
+            connections={backend.instance: FakeTimedOutConnection(incarnation)},
+        )
+        dispatcher = Dispatcher(
+            Environment(InstanceId('a'), ZoneId('z')), RoutingSettings(), endpoints
         )
-        dispatch = Dispatch(Environment(InstanceId('a'), ZoneId('z')), RoutingSettings(), book)
-        deadline = dispatch.env.monotonic() + 0.05
+        deadline = dispatcher.env.monotonic() + 0.05
         call = Call('o', 's', 'GET', '/', [], b'', False, '', '', '', 0, deadline)
-        refusal = await dispatch.run(call, Delivery(None))
+        refusal = await dispatcher.run(call, Delivery(None))
         assert refusal.reason is Reason.TIMED_OUT
-        assert [item.incarnation for item in dispatch.crashes.pending.values()] == (
+        assert [item.incarnation for item in dispatcher.crashes.pending.values()] == (
             [incarnation] if incarnation else []
         )
 
--- a/tests/utils/crashing.py
+++ b/tests/utils/crashing.py
@@ -14,62 +14,62 @@
 from millfork_standins.requests import fetch
 from tests.utils.fleets import complete, serve_version, wait_until
 
-BACK_AFTER_S = 1.0
-LOOK_S = 0.05
+RESTART_DELAY_S = 1.0
+POLL_INTERVAL_S = 0.05
 LEAVES_AFTER_S = 0.1
 
 
 class CrashingFleet:
     """
-    Engines end 0.2 s into a request, and are back a second later.
+    A fleet that restarts ended engines after a second; they end 0.2 s into a request.
 
     """
 
     def __init__(self, folder, **engine):
         self.fleet = Fleet(LANTING, folder, FleetOptions(engine=engine))
         self.token = self.fleet.caller_tokens[LANTING.organisations[0]]
-        self.over = threading.Event()
-        self.reviver = threading.Thread(target=self._revive)
+        self.stop_event = threading.Event()
+        self.restarter = threading.Thread(target=self._restart_ended_engines)
 
     def start(self):
         self.fleet.start()
         serve_version(self.fleet, 'v1')
-        self.reviver.start()
+        self.restarter.start()
 
     def close(self):
-        self.over.set()
-        if self.reviver.is_alive():
-            self.reviver.join()
+        self.stop_event.set()
+        if self.restarter.is_alive():
+            self.restarter.join()
         self.fleet.close()
 
-    def _revive(self):
+    def _restart_ended_engines(self):
         ended_for = {}
-        while not self.over.wait(LOOK_S):
+        while not self.stop_event.wait(POLL_INTERVAL_S):
             for instance in self.fleet.engines:
                 process = self.fleet.processes[f'{instance.name}.backend']
                 if process.poll() is None:
                     ended_for.pop(instance.name, None)
                     continue
-                ended_for[instance.name] = ended_for.get(instance.name, 0.0) + LOOK_S
-                if ended_for[instance.name] >= BACK_AFTER_S:
+                ended_for[instance.name] = ended_for.get(instance.name, 0.0) + POLL_INTERVAL_S
+                if ended_for[instance.name] >= RESTART_DELAY_S:
                     self.fleet.start_backend(instance)
 
     def call(self, entry=0, prompt=CRASHING_PROMPT, **fields):
         """
-        One call of the request, as soon as its entry has an engine that serves; None if its
-        answer broke off.
+        Make one call of the request, once its entry has an engine that serves; return None if
+        the answer is interrupted.
 
         """
         wait_until(lambda: complete(self.fleet, self.token, entry).status == 200)
         try:
             return complete(self.fleet, self.token, entry, prompt=prompt, **fields)
         except OSError:
-            # A stream that had begun broke off.
+            # A started stream was interrupted.
             return None
 
     def call_and_leave(self, entry, **fields):
         """
-        One call of the request, whose caller leaves; returns once the engine that had it ended.
+        Make one call whose caller leaves; return once the engine that ran it has ended.
 
         """
         wait_until(lambda: complete(self.fleet, self.token, entry).status == 200)
@@ -85,20 +85,20 @@
 
     def at_fault(self):
         """
-        The requests that the first entry found at fault, by fingerprint.
+        Return the fingerprints of the requests that the first entry found at fault.
 
         """
         return re.findall(
             r'A back end ended under a request\. fingerprint=(\w+) ends=3', self.log(0)
         )
 
-    def wait_for_quarantine(self, known):
+    def wait_for_quarantine(self, known_fingerprints):
         """
-        Wait until a leader wrote down that a request is sent no more which the first entry
-        found at fault after others.
+        Wait until the first entry finds another request at fault than `known_fingerprints`, and a
+        leader has put it in quarantine.
 
         """
-        wait_until(lambda: len(self.at_fault()) > len(known))
+        wait_until(lambda: len(self.at_fault()) > len(known_fingerprints))
         line = f'Request in quarantine. fingerprint={self.at_fault()[-1]}'
         wait_until(lambda: any(line in self.log(n) for n in range(len(self.fleet.entries))))
 
@@ -107,7 +107,7 @@
 
     def ended(self):
         """
-        How often an engine ended.
+        Return how often an engine ended.
 
         """
         count = 0
