--- a/packages/millfork-standins/millfork_standins/bench/baselines.py
+++ b/packages/millfork-standins/millfork_standins/bench/baselines.py
@@ -8,17 +8,17 @@
 from millfork_core.ids import Digest, InstanceId
 from millfork_core.ranks import rank
 from millfork_weights.transfer import Planner
-from millfork_weights.trees import Holder, Tree, plan_trees
+from millfork_weights.trees import Receiver, Tree, plan_trees
 
 
 def plan_from_origin(
-    digest: Digest, holders: list[Holder], stripes: int, origin_copies: int
+    digest: Digest, receivers: list[Receiver], stripes: int, origin_copies: int
 ) -> list[Tree]:
     """
     Every instance draws everything from the origin.
 
     """
-    names = [holder.instance for holder in holders]
+    names = [receiver.instance for receiver in receivers]
     return [FromOrigin(dict.fromkeys(names), names)]
 
 
@@ -33,13 +33,13 @@
 
 
 def plan_binary_tree(
-    digest: Digest, holders: list[Holder], stripes: int, origin_copies: int
+    digest: Digest, receivers: list[Receiver], stripes: int, origin_copies: int
 ) -> list[Tree]:
     """
     One plain binary tree for all chunks.
 
     """
-    names = sorted((h.instance for h in holders), key=lambda name: rank(digest, name))
+    names = sorted((h.instance for h in receivers), key=lambda name: rank(digest, name))
     parents: dict[InstanceId, InstanceId | None] = {
         name: names[(position - 1) // 2] if position else None
         for position, name in enumerate(names)
--- a/packages/millfork-standins/millfork_standins/bench/capacity.py
+++ b/packages/millfork-standins/millfork_standins/bench/capacity.py
@@ -15,7 +15,7 @@
 
 from millfork_core.ids import Digest, InstanceId, ZoneId
 from millfork_standins.bench.rows import BUILD
-from millfork_weights.trees import Holder, plan_trees
+from millfork_weights.trees import Receiver, plan_trees
 
 # The two-year size.
 DAEMONS: Final = 380
@@ -170,12 +170,12 @@
 
     """
     chance = random.Random(0)
-    holders = [
-        Holder(InstanceId(f'instance-{n}'), ZoneId(f'zone-{chance.randrange(ZONES)}'))
+    receivers = [
+        Receiver(InstanceId(f'instance-{n}'), ZoneId(f'zone-{chance.randrange(ZONES)}'))
         for n in range(ROLLOUT)
     ]
     began = time.process_time()
-    plan_trees(Digest('d'), holders, 4, 1)
+    plan_trees(Digest('d'), receivers, 4, 1)
     spent = time.process_time() - began
     return f'Trees over {ROLLOUT} instances in {ZONES} zones: {spent * 1000:.1f} ms of CPU.'
 
--- a/packages/millfork-standins/millfork_standins/bench/weight_node.py
+++ b/packages/millfork-standins/millfork_standins/bench/weight_node.py
@@ -19,12 +19,12 @@
 from millfork_core.environment import Environment
 from millfork_core.ids import Digest, InstanceId, ZoneId
 from millfork_standins.bench.baselines import PLANNERS
+from millfork_weights.chunk_server import ChunkServer
 from millfork_weights.links import Link
 from millfork_weights.origin import Origin
-from millfork_weights.sharing import Sharing
-from millfork_weights.store import Holding, WeightStore
+from millfork_weights.store import StoredVersion, WeightStore
 from millfork_weights.transfer import Transfer, TransferSettings
-from millfork_weights.trees import Holder
+from millfork_weights.trees import Receiver
 from millfork_wire.connection import Connection, PeerUnreachable
 from millfork_wire.messages import GetChunk, GetManifest, Message
 from millfork_wire.peers import PeerAddress, Peers
@@ -114,7 +114,7 @@
         self.peers.zones = {node.name: node.zone for node in plan.nodes}
         self.link = Link(plan.bytes_per_s, plan.share, plan.together, time.monotonic)
         self.store = WeightStore(Path(plan.folder) / spec.name)
-        self.sharing = Sharing(self.env, self.store, self.link)
+        self.chunk_server = ChunkServer(self.env, self.store, self.link)
         self.addresses = {
             node.name: PeerAddress(InstanceId(node.name), node.host, PORT) for node in plan.nodes
         }
@@ -125,9 +125,9 @@
         while self.stalled:
             await curio.sleep(0.1)
         if isinstance(message, GetManifest):
-            return await self.sharing.on_get_manifest(message)
+            return await self.chunk_server.on_get_manifest(message)
         if isinstance(message, GetChunk):
-            return await self.sharing.on_get_chunk(message)
+            return await self.chunk_server.on_get_chunk(message)
         return None
 
     async def run(self) -> dict[str, Any]:
@@ -170,17 +170,17 @@
         await first.cancel()
         await self._fetch(*self.plan.versions[1])
 
-    async def _fetch(self, name: str, version: str, digest: str) -> Holding:
+    async def _fetch(self, name: str, version: str, digest: str) -> StoredVersion:
         plan = self.plan
         settings = TransferSettings(
             plan.stripes, plan.window, plan.stall_s, plan.origin_copies, PLANNERS[plan.planner]
         )
         origin = Origin(*plan.origin, self.spec.host)
-        holders = [Holder(InstanceId(n.name), ZoneId(n.zone)) for n in plan.nodes]
+        receivers = [Receiver(InstanceId(n.name), ZoneId(n.zone)) for n in plan.nodes]
         transfer = Transfer(
             self.env, settings, self.store, self.link, origin, self.peers, self.addresses.get
         )
-        return await transfer.run(name, version, Digest(digest), holders)
+        return await transfer.run(name, version, Digest(digest), receivers)
 
     async def _live(self) -> None:
         """
@@ -192,7 +192,7 @@
         while True:
             began = time.monotonic()
             room = self.plan.bytes_per_s * (1 - self.plan.share)
-            await curio.sleep(size / room if room else self.link.outward.backlog_s)
+            await curio.sleep(size / room if room else self.link.outbound.backlog_s)
             self.live_waits.append(time.monotonic() - began)
             await curio.sleep(0.1)
 
--- a/packages/millfork-standins/millfork_standins/origin.py
+++ b/packages/millfork-standins/millfork_standins/origin.py
@@ -14,7 +14,7 @@
 from millfork_standins.weights import make_weights
 from millfork_web.models import Response, json_response
 from millfork_web.server import Exchange, Server
-from millfork_weights.links import Pace
+from millfork_weights.links import RateLimiter
 from millfork_weights.manifest import build_manifest, encode_manifest
 
 RANGE: Final = re.compile(r'bytes=(\d+)-(\d+)')
@@ -29,7 +29,7 @@
 
     def __init__(self, settings: OriginSettings) -> None:
         self.settings = settings
-        self.pace = Pace(settings.bytes_per_s, time.monotonic)
+        self.pace = RateLimiter(settings.bytes_per_s, time.monotonic)
         self.random = random.Random(0)
         self.corrupt_share = 0.0
         self.stalled = False
@@ -88,7 +88,7 @@
         self, exchange: Exchange, key: tuple[str, str], start: int, stop: int
     ) -> None:
         data = self.weights[key][start:stop]
-        await self.pace.take(len(data))
+        await self.pace.acquire(len(data))
         self.bytes_sent += len(data)
         name = '/'.join(key)
         self.draws[name] = self.draws.get(name, 0) + len(data)
--- a/packages/millfork-weights/millfork_weights/sharing.py
+++ b/packages/millfork-weights/millfork_weights/chunk_server.py
@@ -14,7 +14,7 @@
 UNKNOWN = 'unknown'
 
 
-class Sharing:
+class ChunkServer:
     """
     Answers peers who ask for manifests and chunks.
 
@@ -26,28 +26,28 @@
         self.link = link
 
     async def on_get_manifest(self, request: GetManifest) -> Manifest:
-        holding = self.store.holdings.get(Digest(request.digest))
-        if holding is None:
+        stored = self.store.stored_versions.get(Digest(request.digest))
+        if stored is None:
             return Manifest(False)
-        return Manifest(True, encode_manifest(holding.manifest), holding.whole)
+        return Manifest(True, encode_manifest(stored.manifest), stored.whole)
 
     async def on_get_chunk(self, request: GetChunk) -> Chunk:
         """
         A chunk, awaited and paced for at most the time the peer allows.
 
         """
-        began = self.env.monotonic()
-        limit = request.wait_ms / 1000
-        holding = await self.store.wait_for(Digest(request.manifest), limit)
-        if holding is None:
+        started_at = self.env.monotonic()
+        timeout = request.wait_ms / 1000
+        stored = await self.store.wait_for(Digest(request.manifest), timeout)
+        if stored is None:
             return Chunk(False, b'', NOT_YET)
-        if request.index >= len(holding.manifest.chunks):
+        if request.index >= len(stored.manifest.chunks):
             return Chunk(False, b'', UNKNOWN)
-        left = limit - (self.env.monotonic() - began)
-        if not await holding.wait_for(request.index, max(left, 0.001)):
+        remaining_s = timeout - (self.env.monotonic() - started_at)
+        if not await stored.wait_for(request.index, max(remaining_s, 0.001)):
             return Chunk(False, b'', NOT_YET)
-        if self.link.outward.backlog_s > limit:
+        if self.link.outbound.backlog_s > timeout:
             self.env.metrics.count(self.env.metrics.chunks, outcome='sender_busy', source='self')
             return Chunk(False, b'', BUSY)
-        await self.link.outward.take(holding.manifest.chunk_size(request.index))
-        return Chunk(True, holding.read(request.index))
+        await self.link.outbound.acquire(stored.manifest.chunk_size(request.index))
+        return Chunk(True, stored.read(request.index))
--- a/packages/millfork-weights/millfork_weights/links.py
+++ b/packages/millfork-weights/millfork_weights/links.py
@@ -11,7 +11,7 @@
 BURST_S: Final = 0.005
 
 
-class Pace:
+class RateLimiter:
     """
     Lets bytes through at a rate (bytes/s), in the order they came.
 
@@ -30,20 +30,20 @@
         """
         return max(self.free_at - self.monotonic(), 0.0)
 
-    def note(self, size: int) -> None:
+    def record_bytes(self, size: int) -> None:
         """
         Count bytes that passed without asking.
 
         """
         self.free_at = max(self.free_at, self.monotonic()) + size / self.rate
 
-    async def take(self, size: int) -> None:
+    async def acquire(self, size: int) -> None:
         """
         Wait until `size` bytes may pass.
 
         """
-        begin = max(self.free_at, self.monotonic())
-        self.free_at = begin + size / self.rate
+        starts_at = max(self.free_at, self.monotonic())
+        self.free_at = starts_at + size / self.rate
         wait = self.free_at - self.monotonic() - BURST_S
         if wait > 0:
             await curio.sleep(wait)
@@ -63,6 +63,6 @@
         monotonic: Callable[[], float],
     ) -> None:
         rate = bytes_per_s * transfer_share
-        self.inward = Pace(rate, monotonic)
-        self.outward = self.inward if both_directions_together else Pace(rate, monotonic)
+        self.inbound = RateLimiter(rate, monotonic)
+        self.outbound = self.inbound if both_directions_together else RateLimiter(rate, monotonic)
         self.rate = rate
--- a/packages/millfork-weights/millfork_weights/origin.py
+++ b/packages/millfork-weights/millfork_weights/origin.py
@@ -7,9 +7,9 @@
 
 from millfork_web.client import Client, ExchangeFailed
 
-TIMEOUT_S: Final = 60.0
-OK: Final = 200
-PARTIAL: Final = 206
+FETCH_TIMEOUT_S: Final = 60.0
+STATUS_OK: Final = 200
+STATUS_PARTIAL_CONTENT: Final = 206
 
 
 class OriginFailed(Exception):
@@ -35,7 +35,7 @@
         :raises OriginFailed: if it gives none.
 
         """
-        return await self._get(f'/models/{name}/{version}/manifest', [], OK)
+        return await self._get(f'/models/{name}/{version}/manifest', [], STATUS_OK)
 
     async def chunk(self, name: str, version: str, start: int, size: int) -> bytes:
         """
@@ -44,12 +44,14 @@
         :raises OriginFailed: if it gives none.
 
         """
-        span = [('range', f'bytes={start}-{start + size - 1}')]
-        return await self._get(f'/models/{name}/{version}/weights', span, PARTIAL)
+        range_header = [('range', f'bytes={start}-{start + size - 1}')]
+        return await self._get(
+            f'/models/{name}/{version}/weights', range_header, STATUS_PARTIAL_CONTENT
+        )
 
     async def _get(self, path: str, headers: list[tuple[str, str]], status: int) -> bytes:
         try:
-            response = await self.client.fetch('GET', path, headers, timeout=TIMEOUT_S)
+            response = await self.client.fetch('GET', path, headers, timeout=FETCH_TIMEOUT_S)
         except ExchangeFailed as error:
             raise OriginFailed(str(error)) from error
         if response.status != status:
--- a/packages/millfork-weights/millfork_weights/store.py
+++ b/packages/millfork-weights/millfork_weights/store.py
@@ -28,14 +28,14 @@
 log = logger(Part.WEIGHTS)
 
 
-class WholeMismatch(Exception):
+class VersionDigestMismatch(Exception):
     """
     All chunks are right, but the whole is not: the manifest lies.
 
     """
 
 
-class Holding:
+class StoredVersion:
     """
     One version on this instance.
 
@@ -45,11 +45,11 @@
         self.folder = folder
         self.digest = digest
         self.manifest = manifest
-        self.have = bytearray(len(manifest.chunks))
+        self.has_chunk = bytearray(len(manifest.chunks))
         self.index_of = {chunk: index for index, chunk in enumerate(manifest.chunks)}
         self.missing = len(manifest.chunks)
         self.whole = False
-        self.arrived = curio.Condition()
+        self.chunk_stored = curio.Condition()
         folder.mkdir(parents=True, exist_ok=True)
         (folder / MANIFEST_FILE).write_bytes(encode_manifest(manifest))
         self.fd = self._open()
@@ -78,7 +78,7 @@
     def read(self, index: int) -> bytes:
         return os.pread(self.fd, self.manifest.chunk_size(index), index * self.manifest.chunk_bytes)
 
-    def fits(self, index: int, data: bytes) -> bool:
+    def matches_digest(self, index: int, data: bytes) -> bool:
         """
         Whether `data` is exactly the chunk at `index`.
 
@@ -90,41 +90,41 @@
         Take a verified chunk and wake those who wait for it.
 
         """
-        if self.have[index]:
+        if self.has_chunk[index]:
             return
         os.pwrite(self.fd, data, index * self.manifest.chunk_bytes)
-        self.have[index] = 1
+        self.has_chunk[index] = 1
         self.missing -= 1
-        async with self.arrived:
-            await self.arrived.notify_all()
+        async with self.chunk_stored:
+            await self.chunk_stored.notify_all()
 
     async def wait_for(self, index: int, timeout: float) -> bool:
         """
         Wait until the chunk at `index` is here, `timeout` seconds at most.
 
         """
-        if self.have[index]:
+        if self.has_chunk[index]:
             return True
         try:
-            async with curio.timeout_after(timeout), self.arrived:
-                while not self.have[index]:
-                    await self.arrived.wait()
+            async with curio.timeout_after(timeout), self.chunk_stored:
+                while not self.has_chunk[index]:
+                    await self.chunk_stored.wait()
         except curio.TaskTimeout:
             return False
         return True
 
-    async def find_present(self) -> None:
+    async def load_present_chunks(self) -> None:
         """
         Take over chunks that an earlier run left in the file.
 
         """
         present = await curio.run_in_thread(self._verified_chunks)
         for index in present:
-            self.have[index] = 1
+            self.has_chunk[index] = 1
         self.missing -= len(present)
 
     def _verified_chunks(self) -> list[int]:
-        return [i for i in range(len(self.manifest.chunks)) if self.fits(i, self.read(i))]
+        return [i for i in range(len(self.manifest.chunks)) if self.matches_digest(i, self.read(i))]
 
     async def complete(self) -> None:
         """
@@ -135,7 +135,7 @@
         """
         found = await curio.run_in_thread(self._whole_digest)
         if found != self.manifest.whole:
-            raise WholeMismatch(f'{self.manifest.name} {self.manifest.version}')
+            raise VersionDigestMismatch(f'{self.manifest.name} {self.manifest.version}')
         (self.folder / PARTIAL_FILE).replace(self.path)
         self.whole = True
 
@@ -156,27 +156,27 @@
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self.holdings: dict[Digest, Holding] = {}
-        self.opened = curio.Condition()
+        self.stored_versions: dict[Digest, StoredVersion] = {}
+        self.version_opened = curio.Condition()
         folder.mkdir(parents=True, exist_ok=True)
 
-    async def open(self, digest: Digest, manifest: Manifest) -> Holding:
+    async def open(self, digest: Digest, manifest: Manifest) -> StoredVersion:
         """
         The holding of a version, made if there is none.
 
         """
-        holding = self.holdings.get(digest)
-        if holding is not None:
-            return holding
+        stored = self.stored_versions.get(digest)
+        if stored is not None:
+            return stored
         folder = self.folder / digest
-        left_over = (folder / MANIFEST_FILE).exists()
-        holding = Holding(folder, digest, manifest)
-        self.holdings[digest] = holding
-        if left_over:
-            await holding.find_present()
-        async with self.opened:
-            await self.opened.notify_all()
-        return holding
+        has_earlier_files = (folder / MANIFEST_FILE).exists()
+        stored = StoredVersion(folder, digest, manifest)
+        self.stored_versions[digest] = stored
+        if has_earlier_files:
+            await stored.load_present_chunks()
+        async with self.version_opened:
+            await self.version_opened.notify_all()
+        return stored
 
     def manifest_on_disk(self, digest: Digest) -> Manifest | None:
         """
@@ -188,51 +188,51 @@
         except (OSError, BadManifest):
             return None
 
-    async def wait_for(self, digest: Digest, timeout: float) -> Holding | None:
+    async def wait_for(self, digest: Digest, timeout: float) -> StoredVersion | None:
         """
         The holding of a version, awaited for `timeout` seconds at most.
 
         """
         try:
-            async with curio.timeout_after(timeout), self.opened:
-                while digest not in self.holdings:
-                    await self.opened.wait()
+            async with curio.timeout_after(timeout), self.version_opened:
+                while digest not in self.stored_versions:
+                    await self.version_opened.wait()
         except curio.TaskTimeout:
             return None
-        return self.holdings[digest]
+        return self.stored_versions[digest]
 
     def find_chunk(self, chunk: str, size: int) -> bytes | None:
         """
         A chunk that another version here holds already, verified anew.
 
         """
-        for holding in self.holdings.values():
-            index = holding.index_of.get(chunk)
-            if index is None or not holding.have[index]:
+        for stored in self.stored_versions.values():
+            index = stored.index_of.get(chunk)
+            if index is None or not stored.has_chunk[index]:
                 continue
-            data = holding.read(index)
+            data = stored.read(index)
             if len(data) == size and digest_of(data) == chunk:
                 return data
         return None
 
-    def forget(self, digest: Digest) -> None:
+    def remove_version(self, digest: Digest) -> None:
         """
         Remove a version from this instance.
 
         """
-        holding = self.holdings.pop(digest, None)
-        if holding is not None:
-            holding.close()
+        stored = self.stored_versions.pop(digest, None)
+        if stored is not None:
+            stored.close()
         shutil.rmtree(self.folder / digest, ignore_errors=True)
 
-    def forget_all_but(self, wanted: set[Digest]) -> list[Digest]:
+    def remove_all_except(self, required: set[Digest]) -> list[Digest]:
         """
         Remove every version, held or left over, that is not wanted.
 
         """
-        present = {Digest(path.name) for path in self.folder.iterdir()} | set(self.holdings)
-        unwanted = sorted(present - wanted)
-        for digest in unwanted:
-            self.forget(digest)
+        present = {Digest(path.name) for path in self.folder.iterdir()} | set(self.stored_versions)
+        not_required = sorted(present - required)
+        for digest in not_required:
+            self.remove_version(digest)
             log.info('Removed version {}.', digest[:16])
-        return unwanted
+        return not_required
--- a/packages/millfork-weights/millfork_weights/transfer.py
+++ b/packages/millfork-weights/millfork_weights/transfer.py
@@ -16,24 +16,24 @@
 from millfork_weights.links import Link
 from millfork_weights.manifest import BadManifest, Manifest, decode_manifest
 from millfork_weights.origin import Origin, OriginFailed
-from millfork_weights.store import Holding, WeightStore
-from millfork_weights.trees import Holder, Tree, plan_trees
+from millfork_weights.store import StoredVersion, WeightStore
+from millfork_weights.trees import Receiver, Tree, plan_trees
 from millfork_wire.connection import PeerError
 from millfork_wire.messages import Chunk, GetChunk, GetManifest
 from millfork_wire.messages import Manifest as ManifestMessage
 from millfork_wire.peers import PeerAddress, Peers
 
-FIRST_SUSPICION_S: Final = 1.0
-PAUSE_S: Final = 0.1
+INITIAL_BACKOFF_S: Final = 1.0
+RETRY_INTERVAL_S: Final = 0.1
 MANIFEST_TIMEOUT_S: Final = 0.5
-ORIGIN_AFTER_ROUNDS: Final = 10
-PATIENCE: Final = 3
+PEER_ROUNDS_BEFORE_ORIGIN: Final = 10
+MAX_REQUESTS_PER_SOURCE: Final = 3
 # Each instance plans the trees from the instances that it knows of, so where their views
 # differ for a moment each may take another for the root of a stripe. Of a stripe of which
 # nothing comes for so many stalls, whoever stands first in its tree becomes another root,
 # and the next one a stall later: an origin that stands still is not drawn from by all.
-ROOTLESS_STALLS: Final = 6
-WHOLE_PEERS_ASKED: Final = 3
+ROOTLESS_AFTER_STALLS: Final = 6
+RANDOM_MANIFEST_SOURCES: Final = 3
 BUSY: Final = 'busy'
 NOT_YET: Final = 'not_yet'
 LOCAL: Final = 'local'
@@ -50,20 +50,20 @@
     """
 
 
-class Found(Enum):
+class FetchResult(Enum):
     """
     What became of asking for a chunk: taken; somebody lives but has it not
     yet; nobody lives.
 
     """
 
-    TAKEN = 'taken'
-    NOT_THERE = 'not_there'
-    NOBODY = 'nobody'
+    STORED = 'taken'
+    NOT_YET_AVAILABLE = 'not_there'
+    NO_LIVE_SOURCE = 'nobody'
 
 
 @dataclass(frozen=True, slots=True)
-class Suspicion:
+class SourceBackoff:
     """
     Until when a source is passed over (monotonic), and for how long in all.
 
@@ -73,8 +73,8 @@
     pause_s: float
 
 
-NOT_SUSPECT: Final = Suspicion(0.0, FIRST_SUSPICION_S)
-Planner = Callable[[Digest, list[Holder], int, int], list[Tree]]
+NO_BACKOFF: Final = SourceBackoff(0.0, INITIAL_BACKOFF_S)
+Planner = Callable[[Digest, list[Receiver], int, int], list[Tree]]
 
 
 @dataclass(frozen=True, slots=True)
@@ -115,14 +115,16 @@
         self.origin = origin
         self.peers = peers
         self.locate = locate
-        self.suspects: dict[InstanceId, Suspicion] = {}
-        self.whole_peers: list[InstanceId] = []
+        self.backoffs: dict[InstanceId, SourceBackoff] = {}
+        self.complete_peers: list[InstanceId] = []
         self.trees: list[Tree] = []
         # By stripe: when something of it last came, and whether this instance became a root.
-        self.came_at: dict[int, float] = {}
-        self.adopted: set[int] = set()
+        self.last_chunk_at: dict[int, float] = {}
+        self.adopted_stripes: set[int] = set()
 
-    async def run(self, name: str, version: str, digest: Digest, holders: list[Holder]) -> Holding:
+    async def run(
+        self, name: str, version: str, digest: Digest, receivers: list[Receiver]
+    ) -> StoredVersion:
         """
         Return the holding once every chunk and the whole are verified.
 
@@ -131,85 +133,89 @@
 
         """
         settings = self.settings
-        self.trees = settings.planner(digest, holders, settings.stripes, settings.origin_copies)
-        manifest = await self._manifest(name, version, digest)
-        holding = await self.store.open(digest, manifest)
-        self.came_at = dict.fromkeys(range(len(self.trees)), self.env.monotonic())
+        self.trees = settings.planner(digest, receivers, settings.stripes, settings.origin_copies)
+        manifest = await self._find_manifest(name, version, digest)
+        stored = await self.store.open(digest, manifest)
+        self.last_chunk_at = dict.fromkeys(range(len(self.trees)), self.env.monotonic())
         async with curio.TaskGroup() as group:
             for stripe, tree in enumerate(self.trees):
                 indexes = iter(range(stripe, len(manifest.chunks), settings.stripes))
                 for _ in range(settings.window):
-                    await group.spawn(self._fetch_stripe, holding, tree, indexes)
+                    await group.spawn(self._fetch_stripe, stored, tree, indexes)
         # A group cancels its other tasks when one fails, and raises nothing.
         failures = [task.exception for task in group.tasks if task.exception]
         if failures:
             raise TransferFailed(str(failures[0])) from failures[0]
-        if not holding.whole:
-            await holding.complete()
-        return holding
+        if not stored.whole:
+            await stored.complete()
+        return stored
 
     # The manifest.
 
-    async def _manifest(self, name: str, version: str, digest: Digest) -> Manifest:
+    async def _find_manifest(self, name: str, version: str, digest: Digest) -> Manifest:
         """
         The manifest, from peers, an earlier run, or the origin. The roots of
         the trees ask the origin first; others only if peers have nothing for
         some rounds.
 
         """
-        me = self.env.instance
-        asked = self._manifest_sources()
-        rounds = 0 if any(tree.is_root(me) for tree in self.trees) else ORIGIN_AFTER_ROUNDS
+        own_instance = self.env.instance
+        sources = self._choose_manifest_sources()
+        rounds = (
+            0
+            if any(tree.is_root(own_instance) for tree in self.trees)
+            else PEER_ROUNDS_BEFORE_ORIGIN
+        )
         while True:
-            found = await self._manifest_from_peers(asked, digest)
+            found = await self._fetch_manifest_from_peers(sources, digest)
             found = found or self.store.manifest_on_disk(digest)
-            if found is None and (rounds <= 0 or not asked):
-                found = await self._manifest_from_origin(name, version, digest)
+            if found is None and (rounds <= 0 or not sources):
+                found = await self._fetch_manifest_from_origin(name, version, digest)
             if found is not None:
                 return found
             rounds -= 1
-            await curio.sleep(PAUSE_S)
+            await curio.sleep(RETRY_INTERVAL_S)
 
-    def _manifest_sources(self) -> list[InstanceId]:
+    def _choose_manifest_sources(self) -> list[InstanceId]:
         """
         The nearest ancestors, and a few at random, who may be whole already.
 
         """
-        me = self.env.instance
-        nearest = [source for tree in self.trees for source in tree.sources(me)[:1]]
-        others = [name for name in self.trees[0].order if name != me]
-        chosen = self.env.random.sample(others, min(WHOLE_PEERS_ASKED, len(others)))
+        own_instance = self.env.instance
+        nearest = [source for tree in self.trees for source in tree.sources(own_instance)[:1]]
+        others = [name for name in self.trees[0].order if name != own_instance]
+        chosen = self.env.random.sample(others, min(RANDOM_MANIFEST_SOURCES, len(others)))
         return list(dict.fromkeys([*nearest, *chosen]))
 
-    async def _manifest_from_peers(
+    async def _fetch_manifest_from_peers(
         self, sources: list[InstanceId], digest: Digest
     ) -> Manifest | None:
         async with curio.TaskGroup() as group:
             for source in sources:
-                await group.spawn(self._manifest_from, source, digest)
+                await group.spawn(self._fetch_manifest_from, source, digest)
         answers = [task.result for task in group.tasks if not task.exception]
         return next((answer for answer in answers if answer is not None), None)
 
-    async def _manifest_from(self, source: InstanceId, digest: Digest) -> Manifest | None:
+    async def _fetch_manifest_from(self, source: InstanceId, digest: Digest) -> Manifest | None:
         address = self.locate(source)
         if address is None:
             return None
         try:
             reply = await self.peers.call(address, GetManifest(digest), MANIFEST_TIMEOUT_S)
         except PeerError:
-            self._suspect(source)
+            self._back_off_from(source)
             return None
         if not isinstance(reply, ManifestMessage) or not reply.found:
             return None
-        if reply.whole and source not in self.whole_peers:
-            self.whole_peers.append(source)
+        if reply.whole and source not in self.complete_peers:
+            self.complete_peers.append(source)
         try:
             return decode_manifest(reply.body, digest)
         except BadManifest:
             self._count('bad_manifest', PEER)
             return None
 
-    async def _manifest_from_origin(
+    async def _fetch_manifest_from_origin(
         self, name: str, version: str, digest: Digest
     ) -> Manifest | None:
         try:
@@ -219,29 +225,31 @@
         except BadManifest:
             self._count('origin_changed', ORIGIN)
             log.warning('The origin changed {} {} after it was accepted.', name, version)
-            await curio.sleep(PAUSE_S)
+            await curio.sleep(RETRY_INTERVAL_S)
         return None
 
     # Chunks.
 
-    async def _fetch_stripe(self, holding: Holding, tree: Tree, indexes: Iterator[int]) -> None:
+    async def _fetch_stripe(
+        self, stored: StoredVersion, tree: Tree, indexes: Iterator[int]
+    ) -> None:
         for index in indexes:
-            if holding.have[index]:
+            if stored.has_chunk[index]:
                 continue
-            if await self._reuse(holding, index):
+            if await self._copy_from_other_version(stored, index):
                 continue
-            await self._fetch(holding, tree, index)
+            await self._fetch_chunk(stored, tree, index)
 
-    async def _reuse(self, holding: Holding, index: int) -> bool:
-        size = holding.manifest.chunk_size(index)
-        data = self.store.find_chunk(holding.manifest.chunks[index], size)
+    async def _copy_from_other_version(self, stored: StoredVersion, index: int) -> bool:
+        size = stored.manifest.chunk_size(index)
+        data = self.store.find_chunk(stored.manifest.chunks[index], size)
         if data is None:
             return False
-        await holding.put(index, data)
+        await stored.put(index, data)
         self._count('reused', LOCAL)
         return True
 
-    async def _fetch(self, holding: Holding, tree: Tree, index: int) -> None:
+    async def _fetch_chunk(self, stored: StoredVersion, tree: Tree, index: int) -> None:
         """
         Ask source after source until the chunk is here and right.
 
@@ -249,20 +257,22 @@
         rounds = 0
         while True:
             is_root = self._is_root(tree, index)
-            found = await self._fetch_from_any(holding, index, self._whole_first(index))
-            if found is Found.TAKEN:
+            found = await self._fetch_from_any(stored, index, self._complete_peers(index))
+            if found is FetchResult.STORED:
                 return
-            if is_root and await self._fetch_from_origin(holding, index):
+            if is_root and await self._fetch_from_origin(stored, index):
                 return
-            found = await self._fetch_from_any(holding, index, self._spread(tree))
-            if found is Found.TAKEN:
+            found = await self._fetch_from_any(stored, index, self._tree_sources(tree))
+            if found is FetchResult.STORED:
                 return
             rounds += 1
             # While any peer lives, others' draws reach it: origin bytes are dear.
-            may_draw = found is Found.NOBODY or rounds >= ORIGIN_AFTER_ROUNDS
-            if not is_root and may_draw and await self._fetch_from_origin(holding, index):
+            may_use_origin = (
+                found is FetchResult.NO_LIVE_SOURCE or rounds >= PEER_ROUNDS_BEFORE_ORIGIN
+            )
+            if not is_root and may_use_origin and await self._fetch_from_origin(stored, index):
                 return
-            await curio.sleep(PAUSE_S)
+            await curio.sleep(RETRY_INTERVAL_S)
 
     def _is_root(self, tree: Tree, index: int) -> bool:
         """
@@ -271,33 +281,33 @@
 
         """
         stripe = index % self.settings.stripes
-        if tree.is_root(self.env.instance) or stripe in self.adopted:
+        if tree.is_root(self.env.instance) or stripe in self.adopted_stripes:
             return True
-        if not self._is_rootless(index):
+        if not self._must_become_root(index):
             return False
         log.warning(
             'Nothing of stripe {} came for {:.1f} s; it is drawn from the origin here.',
             stripe,
-            self.env.monotonic() - self.came_at[stripe],
+            self.env.monotonic() - self.last_chunk_at[stripe],
         )
         self._count('rootless', ORIGIN)
-        self.adopted.add(stripe)
+        self.adopted_stripes.add(stripe)
         return True
 
-    def _is_rootless(self, index: int) -> bool:
+    def _must_become_root(self, index: int) -> bool:
         """
         Whether nobody seems to draw a chunk's stripe, and it is this instance's turn; it then
         asks no more peers before it draws.
 
         """
         stripe = index % self.settings.stripes
-        if stripe in self.adopted or self.trees[stripe].is_root(self.env.instance):
+        if stripe in self.adopted_stripes or self.trees[stripe].is_root(self.env.instance):
             return False
         turn = self.trees[stripe].order.index(self.env.instance)
-        silent_s = self.env.monotonic() - self.came_at[stripe]
-        return silent_s > (ROOTLESS_STALLS + turn) * self.settings.stall_s
+        without_chunk_s = self.env.monotonic() - self.last_chunk_at[stripe]
+        return without_chunk_s > (ROOTLESS_AFTER_STALLS + turn) * self.settings.stall_s
 
-    def _spread(self, tree: Tree) -> list[InstanceId]:
+    def _tree_sources(self, tree: Tree) -> list[InstanceId]:
         """
         The parent, then the other earlier nodes in random order: each node's
         link is full with its own children, so that what a lost parent gave
@@ -310,61 +320,63 @@
         return [*sources[:1], *others]
 
     async def _fetch_from_any(
-        self, holding: Holding, index: int, sources: list[InstanceId]
-    ) -> Found:
-        found = Found.NOBODY
+        self, stored: StoredVersion, index: int, sources: list[InstanceId]
+    ) -> FetchResult:
+        found = FetchResult.NO_LIVE_SOURCE
         for source in sources:
-            if self.suspects.get(source, NOT_SUSPECT).until > self.env.monotonic():
+            if self.backoffs.get(source, NO_BACKOFF).until > self.env.monotonic():
                 continue
-            if self._is_rootless(index):
+            if self._must_become_root(index):
                 return found
-            answer = await self._fetch_from_peer(holding, index, source)
-            if answer is Found.TAKEN:
+            answer = await self._fetch_from_peer(stored, index, source)
+            if answer is FetchResult.STORED:
                 return answer
-            if answer is Found.NOT_THERE:
+            if answer is FetchResult.NOT_YET_AVAILABLE:
                 found = answer
         return found
 
-    def _whole_first(self, index: int) -> list[InstanceId]:
+    def _complete_peers(self, index: int) -> list[InstanceId]:
         """
         Peers that have it all, in turns so that each gives a part.
 
         """
-        whole = self.whole_peers
+        whole = self.complete_peers
         if not whole:
             return []
         turn = index % len(whole)
         return [*whole[turn:], *whole[:turn]]
 
-    async def _fetch_from_peer(self, holding: Holding, index: int, source: InstanceId) -> Found:
+    async def _fetch_from_peer(
+        self, stored: StoredVersion, index: int, source: InstanceId
+    ) -> FetchResult:
         address = self.locate(source)
         if address is None:
-            return Found.NOBODY
-        size = holding.manifest.chunk_size(index)
+            return FetchResult.NO_LIVE_SOURCE
+        size = stored.manifest.chunk_size(index)
         stall_s = self.settings.stall_s
-        request = GetChunk(holding.digest, index, int(stall_s * 1000))
+        request = GetChunk(stored.digest, index, int(stall_s * 1000))
         timeout = 3 * stall_s + 2 * size / self.link.rate
-        patience = PATIENCE
-        while patience and not self._is_rootless(index):
-            patience -= 1
+        requests_left = MAX_REQUESTS_PER_SOURCE
+        while requests_left and not self._must_become_root(index):
+            requests_left -= 1
             try:
                 reply = await self.peers.call(address, request, timeout)
             except PeerError as error:
-                self._suspect(source)
+                self._back_off_from(source)
                 self._count(type(error).__name__, PEER)
-                return Found.NOBODY
+                return FetchResult.NO_LIVE_SOURCE
             if not isinstance(reply, Chunk):
-                return Found.NOBODY
+                return FetchResult.NO_LIVE_SOURCE
             if reply.found:
-                right = await self._take(holding, index, reply.data, PEER, source)
-                return Found.TAKEN if right else Found.NOT_THERE
+                is_valid = await self._store_if_valid(stored, index, reply.data, PEER, source)
+                return FetchResult.STORED if is_valid else FetchResult.NOT_YET_AVAILABLE
             self._count(reply.reason or 'not_found', PEER)
             if reply.reason not in (BUSY, NOT_YET):
-                return Found.NOBODY
-        return Found.NOT_THERE
+                return FetchResult.NO_LIVE_SOURCE
+        return FetchResult.NOT_YET_AVAILABLE
 
-    async def _fetch_from_origin(self, holding: Holding, index: int) -> bool:
-        manifest = holding.manifest
+    async def _fetch_from_origin(self, stored: StoredVersion, index: int) -> bool:
+        manifest = stored.manifest
         size = manifest.chunk_size(index)
         try:
             data = await self.origin.chunk(
@@ -373,34 +385,34 @@
         except OriginFailed:
             self._count('failed', ORIGIN)
             return False
-        return await self._take(holding, index, data, ORIGIN, None)
+        return await self._store_if_valid(stored, index, data, ORIGIN, None)
 
-    async def _take(
+    async def _store_if_valid(
         self,
-        holding: Holding,
+        stored: StoredVersion,
         index: int,
         data: bytes,
         kind: str,
         source: InstanceId | None,
     ) -> bool:
         self.env.metrics.count(self.env.metrics.chunk_bytes, len(data), source=kind)
-        await self.link.inward.take(len(data))
-        if not holding.fits(index, data):
+        await self.link.inbound.acquire(len(data))
+        if not stored.matches_digest(index, data):
             self._count('corrupt', kind)
             log.warning('Chunk {} from {} is corrupt.', index, source or kind)
             return False
-        await holding.put(index, data)
-        self.came_at[index % self.settings.stripes] = self.env.monotonic()
+        await stored.put(index, data)
+        self.last_chunk_at[index % self.settings.stripes] = self.env.monotonic()
         self._count('taken', kind)
         return True
 
-    def _suspect(self, source: InstanceId) -> None:
+    def _back_off_from(self, source: InstanceId) -> None:
         """
         Pass a source over for a while, twice as long each time.
 
         """
-        pause_s = self.suspects.get(source, NOT_SUSPECT).pause_s * 2
-        self.suspects[source] = Suspicion(self.env.monotonic() + pause_s, pause_s)
+        pause_s = self.backoffs.get(source, NO_BACKOFF).pause_s * 2
+        self.backoffs[source] = SourceBackoff(self.env.monotonic() + pause_s, pause_s)
 
     def _count(self, outcome: str, kind: str) -> None:
         self.env.metrics.count(self.env.metrics.chunks, outcome=outcome, source=kind)
--- a/packages/millfork-weights/millfork_weights/trees.py
+++ b/packages/millfork-weights/millfork_weights/trees.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Holder:
+class Receiver:
     """
     An instance that the weights should reach.
 
@@ -64,62 +64,68 @@
 
 
 def plan_trees(
-    digest: Digest, holders: list[Holder], stripes: int, origin_copies: int
+    digest: Digest, receivers: list[Receiver], stripes: int, origin_copies: int
 ) -> list[Tree]:
     """
-    The trees of all stripes over `holders`, each with at most
+    The trees of all stripes over `receivers`, each with at most
     `origin_copies` roots.
 
     """
-    ordered = sorted(holders, key=lambda h: (rank(digest, h.zone), rank(digest, h.instance)))
-    room = {holder.instance: stripes for holder in ordered}
+    ordered = sorted(receivers, key=lambda receiver: (rank(digest, receiver.zone), rank(digest, receiver.instance)))
+    free_child_slots = {receiver.instance: stripes for receiver in ordered}
     trees = []
     for stripe in range(stripes):
-        feeders = ordered[stripe::stripes]
-        feeding = {holder.instance for holder in feeders}
-        heads = _heads(feeders, stripe)
-        heading = {holder.instance for holder in heads}
-        rest = [holder for holder in feeders if holder.instance not in heading]
-        leaves = [holder for holder in ordered if holder.instance not in feeding]
-        trees.append(_place([*heads, *rest, *leaves], room, origin_copies))
+        inner_nodes = ordered[stripe::stripes]
+        inner_names = {receiver.instance for receiver in inner_nodes}
+        zone_heads = _first_node_per_zone(inner_nodes, stripe)
+        zone_head_names = {receiver.instance for receiver in zone_heads}
+        rest = [receiver for receiver in inner_nodes if receiver.instance not in zone_head_names]
+        leaves = [receiver for receiver in ordered if receiver.instance not in inner_names]
+        trees.append(_build_tree([*zone_heads, *rest, *leaves], free_child_slots, origin_copies))
     return trees
 
 
-def _heads(feeders: list[Holder], stripe: int) -> list[Holder]:
+def _first_node_per_zone(inner_nodes: list[Receiver], stripe: int) -> list[Receiver]:
     """
     The first feeder of each zone; another zone begins in each stripe.
 
     """
-    heads = list({holder.zone: holder for holder in reversed(feeders)}.values())
-    heads.reverse()
-    turn = stripe % len(heads) if heads else 0
-    return heads[turn:] + heads[:turn]
+    zone_heads = list({receiver.zone: receiver for receiver in reversed(inner_nodes)}.values())
+    zone_heads.reverse()
+    turn = stripe % len(zone_heads) if zone_heads else 0
+    return zone_heads[turn:] + zone_heads[:turn]
 
 
-def _place(sequence: Iterable[Holder], room: dict[InstanceId, int], origin_copies: int) -> Tree:
+def _build_tree(
+    sequence: Iterable[Receiver], free_child_slots: dict[InstanceId, int], origin_copies: int
+) -> Tree:
     """
     Hang each instance on the earliest placed one with room, in its own zone
     if there is one.
 
     """
     tree = Tree()
-    open_everywhere: deque[InstanceId] = deque()
-    open_in_zone: dict[ZoneId, deque[InstanceId]] = {}
-    for position, holder in enumerate(sequence):
-        in_zone = open_in_zone.setdefault(holder.zone, deque())
+    candidates: deque[InstanceId] = deque()
+    candidates_by_zone: dict[ZoneId, deque[InstanceId]] = {}
+    for position, receiver in enumerate(sequence):
+        zone_candidates = candidates_by_zone.setdefault(receiver.zone, deque())
         parent = None
         if position >= origin_copies:
-            parent = _first_open(in_zone, room) or _first_open(open_everywhere, room)
-            parent = parent or max(tree.order, key=lambda name: room[name])
-            room[parent] -= 1
-        tree.parents[holder.instance] = parent
-        tree.order.append(holder.instance)
-        open_everywhere.append(holder.instance)
-        in_zone.append(holder.instance)
+            parent = _first_with_free_slot(
+                zone_candidates, free_child_slots
+            ) or _first_with_free_slot(candidates, free_child_slots)
+            parent = parent or max(tree.order, key=lambda name: free_child_slots[name])
+            free_child_slots[parent] -= 1
+        tree.parents[receiver.instance] = parent
+        tree.order.append(receiver.instance)
+        candidates.append(receiver.instance)
+        zone_candidates.append(receiver.instance)
     return tree
 
 
-def _first_open(names: deque[InstanceId], room: dict[InstanceId, int]) -> InstanceId | None:
-    while names and room[names[0]] <= 0:
+def _first_with_free_slot(
+    names: deque[InstanceId], free_child_slots: dict[InstanceId, int]
+) -> InstanceId | None:
+    while names and free_child_slots[names[0]] <= 0:
         names.popleft()
     return names[0] if names else None
--- a/packages/millfork-wire/millfork_wire/messages/__init__.py
+++ b/packages/millfork-wire/millfork_wire/messages/__init__.py
@@ -42,11 +42,6 @@
     ServedVersion,
     Start,
 )
-from millfork_wire.messages.returns import (
-    AskTurnedAway,
-    NoteTurnedAway,
-    TurnedAwayBefore,
-)
 from millfork_wire.messages.state import (
     AppendReply,
     AppendRequest,
@@ -70,6 +65,11 @@
     VoteReply,
     VoteRequest,
 )
+from millfork_wire.messages.turned_away import (
+    AskTurnedAway,
+    NoteTurnedAway,
+    TurnedAwayBefore,
+)
 from millfork_wire.messages.weights import (
     Chunk,
     GetChunk,
--- a/packages/millforkd/millforkd/endpoint/daemon.py
+++ b/packages/millforkd/millforkd/endpoint/daemon.py
@@ -16,8 +16,8 @@
 from millfork_settings.models import BackendKind, Settings
 from millfork_state.config import DRAINS, ORGANISATIONS, Organisation, decode
 from millfork_state.leader_client import LeaderClient
+from millfork_weights.chunk_server import ChunkServer
 from millfork_weights.links import Link
-from millfork_weights.sharing import Sharing
 from millfork_weights.store import WeightStore
 from millfork_wire import messages
 from millfork_wire.connection import Connection
@@ -51,7 +51,7 @@
         proposals = LeaderClient(env, self.member.peers, self.member.replicas, None)
         self.door = Door(env, settings.backend, host, proposals)
         self.store: WeightStore | None = None
-        self.sharing: Sharing | None = None
+        self.chunk_server: ChunkServer | None = None
         self.rollout: Rollout | None = None
         if settings.backend.kind is BackendKind.ENGINE:
             self._build_weights(settings)
@@ -72,7 +72,7 @@
             self.env.monotonic,
         )
         self.store = WeightStore(settings.data_folder / WEIGHTS_FOLDER)
-        self.sharing = Sharing(self.env, self.store, link)
+        self.chunk_server = ChunkServer(self.env, self.store, link)
         engine = Engine(self.env, settings.backend, str(settings.address))
         self.door.ends.ask = engine.incarnation
         self.rollout = Rollout(
@@ -168,8 +168,8 @@
             return {}
         shares = {}
         for deployment in self.rollout.wanted.values():
-            held = [self.store.holdings.get(part.manifest) for part in deployment.parts]
-            share = min(holding.share if holding else 0.0 for holding in held)
+            held = [self.store.stored_versions.get(part.manifest) for part in deployment.parts]
+            share = min(stored.share if stored else 0.0 for stored in held)
             shares[deployment.version] = int(share * SHARE_STEPS) / SHARE_STEPS
         return shares
 
@@ -212,8 +212,8 @@
 
     @on.register
     async def _(self, message: messages.GetManifest, connection: Connection) -> Message | None:
-        return await self.sharing.on_get_manifest(message) if self.sharing else None
+        return await self.chunk_server.on_get_manifest(message) if self.chunk_server else None
 
     @on.register
     async def _(self, message: messages.GetChunk, connection: Connection) -> Message | None:
-        return await self.sharing.on_get_chunk(message) if self.sharing else None
+        return await self.chunk_server.on_get_chunk(message) if self.chunk_server else None
--- a/packages/millforkd/millforkd/endpoint/rollout.py
+++ b/packages/millforkd/millforkd/endpoint/rollout.py
@@ -17,9 +17,9 @@
 from millfork_state.view import View
 from millfork_weights.links import Link
 from millfork_weights.origin import Origin
-from millfork_weights.store import WeightStore, WholeMismatch
+from millfork_weights.store import VersionDigestMismatch, WeightStore
 from millfork_weights.transfer import Transfer, TransferFailed, TransferSettings
-from millfork_weights.trees import Holder
+from millfork_weights.trees import Receiver
 from millfork_wire.peers import Peers
 from millforkd.endpoint.door import Door
 from millforkd.endpoint.engine import Engine, OrderFailed
@@ -123,17 +123,17 @@
             if is_selected(self.view, name, deployment, facts)
         }
 
-    def _holders(self, part: WeightPart) -> list[Holder]:
+    def _receivers(self, part: WeightPart) -> list[Receiver]:
         """
         All instances that a weight part should reach.
 
         """
-        found: dict[str, Holder] = {}
+        found: dict[str, Receiver] = {}
         for name, deployment in deployments(self.view).items():
             if part.manifest not in {other.manifest for other in deployment.parts}:
                 continue
             for facts in select_endpoints(self.view, self.roster, name, deployment):
-                found[facts.instance] = Holder(facts.instance, facts.zone)
+                found[facts.instance] = Receiver(facts.instance, facts.zone)
         return list(found.values())
 
     # Transfers.
@@ -150,8 +150,8 @@
                 await self.transfers.pop(digest).cancel()
                 log.info('Transfer of {} is called off.', digest[:16])
         for digest, part in parts.items():
-            holding = self.store.holdings.get(digest)
-            if digest in self.transfers or (holding is not None and holding.whole):
+            stored = self.store.stored_versions.get(digest)
+            if digest in self.transfers or (stored is not None and stored.whole):
                 continue
             if self.failed_until.get(digest, 0.0) > self.env.monotonic():
                 continue
@@ -170,11 +170,11 @@
         )
         log.info('Transfer of {} {} begins.', part.name, part.version)
         try:
-            await transfer.run(part.name, part.version, part.manifest, self._holders(part))
-        except (TransferFailed, WholeMismatch, OSError) as error:
+            await transfer.run(part.name, part.version, part.manifest, self._receivers(part))
+        except (TransferFailed, VersionDigestMismatch, OSError) as error:
             log.error('Transfer of {} {} failed: {}.', part.name, part.version, error)
-            if isinstance(error, WholeMismatch):
-                self.store.forget(part.manifest)
+            if isinstance(error, VersionDigestMismatch):
+                self.store.remove_version(part.manifest)
             self.failed_until[part.manifest] = self.env.monotonic() + FAILED_PAUSE_S
         else:
             took = self.env.monotonic() - began
@@ -184,8 +184,8 @@
 
     def _is_whole(self, deployment: Deployment) -> bool:
         for part in deployment.parts:
-            holding = self.store.holdings.get(part.manifest)
-            if holding is None or not holding.whole:
+            stored = self.store.stored_versions.get(part.manifest)
+            if stored is None or not stored.whole:
                 return False
         return True
 
@@ -201,7 +201,7 @@
                     'name': part.name,
                     'version': part.version,
                     'manifest': part.manifest,
-                    'path': str(self.store.holdings[part.manifest].path.absolute()),
+                    'path': str(self.store.stored_versions[part.manifest].path.absolute()),
                 }
                 for part in deployment.parts
             ]
@@ -245,4 +245,4 @@
                 continue
             self.engine.status.loaded.remove(version)
         if set(self.engine.status.loaded) <= wanted and wanted == set(self.door.served.values()):
-            self.store.forget_all_but(set(self._wanted_parts()))
+            self.store.remove_all_except(set(self._wanted_parts()))
--- a/packages/millforkd/millforkd/sidecar/daemon.py
+++ b/packages/millforkd/millforkd/sidecar/daemon.py
@@ -84,7 +84,7 @@
         )
         self.store = PieceStore()
         self.fleet = Fleet(env, self.service, self.states, self._state, self._model_shape)
-        self.pusher = PiecePusher(env, self.peers, self.fleet.origin_fetchers, self.link.outward)
+        self.pusher = PiecePusher(env, self.peers, self.fleet.origin_fetchers, self.link.outbound)
         origin = Origin(env, adapter, str(settings.address), lambda: find_origin(self.document))
         self.gatherer = PieceGatherer(
             env, self.peers, self.fleet, origin, self.discovery.caches, self.pusher, self.link
@@ -317,7 +317,7 @@
         data = await self._find_piece(weights, message.index) if weights is not None else None
         if data is None:
             return Chunk(reason='not here')
-        await self.link.outward.take(len(data))
+        await self.link.outbound.acquire(len(data))
         self.env.metrics.count(self.env.metrics.chunk_bytes, len(data), source='sent')
         return Chunk(True, data)
 
@@ -330,7 +330,7 @@
         if message.index in held.pieces:
             self.env.metrics.count(self.env.metrics.chunks, source='pushed', outcome='again')
             return Done(True)
-        self.link.inward.note(len(message.data))
+        self.link.inbound.record_bytes(len(message.data))
         good = await held.put(message.index, message.data)
         outcome = 'good' if good else 'corrupt'
         self.env.metrics.count(self.env.metrics.chunks, source='pushed', outcome=outcome)
--- a/packages/millforkd/millforkd/sidecar/gathering.py
+++ b/packages/millforkd/millforkd/sidecar/gathering.py
@@ -209,7 +209,7 @@
         if data is None:
             await curio.sleep(RETRY_S)
             return
-        self.link.inward.note(len(data))
+        self.link.inbound.record_bytes(len(data))
         await self.pusher.add(held.weights, index, data)
 
     async def _in_parallel(
@@ -253,7 +253,7 @@
     ) -> bool:
         good = await store_if_valid(self.env, held, index, data, source, sender)
         if good:
-            self.link.inward.note(len(data))
+            self.link.inbound.record_bytes(len(data))
         return good
 
     async def _request_from_peer(self, peer: str, weights: WeightsId, index: int) -> bytes | None:
--- a/packages/millforkd/millforkd/sidecar/pushing.py
+++ b/packages/millforkd/millforkd/sidecar/pushing.py
@@ -15,7 +15,7 @@
 from millfork_core.environment import Environment
 from millfork_core.logs import Part, logger
 from millfork_registry.discovery import address_of
-from millfork_weights.links import Pace
+from millfork_weights.links import RateLimiter
 from millfork_wire.connection import PeerError
 from millfork_wire.messages import PushChunk
 from millfork_wire.peers import Peers
@@ -48,12 +48,12 @@
         env: Environment,
         peers: Peers,
         receivers: Callable[[WeightsId, int], list[str]],
-        outward: Pace,
+        outbound: RateLimiter,
     ) -> None:
         self.env = env
         self.peers = peers
         self.receivers = receivers
-        self.outward = outward
+        self.outbound = outbound
         self.queues: dict[str, curio.Queue] = {}
         # Until when each receiver that did not accept a piece is skipped (monotonic seconds).
         self.skipped_until: dict[str, float] = {}
@@ -76,7 +76,7 @@
             outgoing = await self.queues[name].get()
             if self.skipped_until.get(name, 0.0) > self.env.monotonic():
                 continue
-            await self.outward.take(len(outgoing.data))
+            await self.outbound.acquire(len(outgoing.data))
             await self._send(name, outgoing)
 
     async def _send(self, name: str, outgoing: _OutgoingPiece) -> None:
--- a/tests/mutations_listed.py
+++ b/tests/mutations_listed.py
@@ -14,8 +14,8 @@
         (
             Edit(
                 D + 'endpoint/rollout.py',
-                'if holding is None or not holding.whole:',
-                'if holding is None or not holding.share > 0.3:',
+                'if stored is None or not stored.whole:',
+                'if stored is None or not stored.share > 0.3:',
             ),
             Edit(
                 W + 'store.py',
--- a/tests/test_gathering.py
+++ b/tests/test_gathering.py
@@ -56,7 +56,7 @@
     own = EndpointState('10.0.0.7:1', 's', 'z1', '10.0.0.7', 80, 1)
     fleet = Fleet(env, 's', lambda: [], lambda: own, lambda: (2, len(PIECES)))
     link = Link(1_000_000, 0.94, True, env.monotonic)
-    pusher = PiecePusher(env, peers, fleet.origin_fetchers, link.outward)
+    pusher = PiecePusher(env, peers, fleet.origin_fetchers, link.outbound)
     return PieceGatherer(env, peers, fleet, origin or FakeOrigin(), lambda: caches, pusher, link)
 
 
--- a/tests/test_transfer.py
+++ b/tests/test_transfer.py
@@ -13,15 +13,15 @@
 from millfork_weights.links import Link
 from millfork_weights.manifest import build_manifest, digest_of, encode_manifest
 from millfork_weights.origin import OriginFailed
-from millfork_weights.store import Holding, WeightStore
+from millfork_weights.store import StoredVersion, WeightStore
 from millfork_weights.transfer import Transfer, TransferFailed, TransferSettings
-from millfork_weights.trees import Holder
+from millfork_weights.trees import Receiver
 
 CHUNK = 100
 DATA = random.Random(1).randbytes(20 * CHUNK)
 MANIFEST = build_manifest('model', 'v1', DATA, CHUNK)
 BODY = encode_manifest(MANIFEST)
-ME = Holder(InstanceId('me'), ZoneId('zone'))
+ME = Receiver(InstanceId('me'), ZoneId('zone'))
 
 
 class FakeOrigin:
@@ -66,29 +66,29 @@
 def test_a_corrupt_or_failed_chunk_costs_one_chunk(tmp_path):
     origin = FakeOrigin(corrupt=[3], failing=[7])
     _, made = transfer(tmp_path, origin)
-    holding = run(made)
-    assert holding.path.read_bytes() == DATA
+    stored = run(made)
+    assert stored.path.read_bytes() == DATA
     assert origin.drawn == len(MANIFEST.chunks) + 2
 
 
 def test_a_failed_write_ends_the_transfer_and_keeps_what_is_there(tmp_path, monkeypatch):
-    put = Holding.put
+    put = StoredVersion.put
 
-    async def failing_put(holding, index, data):
+    async def failing_put(stored, index, data):
         if index == 15:
             raise OSError('disk full')
-        await put(holding, index, data)
+        await put(stored, index, data)
 
-    monkeypatch.setattr(Holding, 'put', failing_put)
+    monkeypatch.setattr(StoredVersion, 'put', failing_put)
     origin = FakeOrigin()
     store, made = transfer(tmp_path, origin)
     with pytest.raises(TransferFailed, match='disk full'):
         run(made)
-    (holding,) = store.holdings.values()
-    kept = sum(holding.have)
+    (stored,) = store.stored_versions.values()
+    kept = sum(stored.has_chunk)
     assert kept > 5
-    assert not holding.whole
-    monkeypatch.setattr(Holding, 'put', put)
+    assert not stored.whole
+    monkeypatch.setattr(StoredVersion, 'put', put)
     made.origin = FakeOrigin()
     run(made)
     assert made.origin.drawn == len(MANIFEST.chunks) - kept
--- a/tests/test_transfer_without_root.py
+++ b/tests/test_transfer_without_root.py
@@ -18,7 +18,7 @@
 from millfork_weights.origin import OriginFailed
 from millfork_weights.store import WeightStore
 from millfork_weights.transfer import NOT_YET, Transfer, TransferSettings
-from millfork_weights.trees import Holder, plan_trees
+from millfork_weights.trees import Receiver, plan_trees
 from millfork_wire.messages import Chunk, GetChunk, Manifest
 from millfork_wire.peers import PeerAddress
 from tests.test_transfer import BODY, CHUNK, DATA, FakeOrigin
@@ -27,7 +27,7 @@
 # With the usual stall of 2 s these are 30 s.
 MOST_STALLS = 15
 STRIPES = 2
-HOLDERS = [Holder(InstanceId(f'i-{number}'), ZoneId('zone')) for number in range(6)]
+RECEIVERS = [Receiver(InstanceId(f'i-{number}'), ZoneId('zone')) for number in range(6)]
 # For the rest of the test's own work.
 SLACK_S = 2.0
 
@@ -50,11 +50,11 @@
     An instance that is root of no stripe by its own view.
 
     """
-    trees = plan_trees(digest_of(BODY), HOLDERS, STRIPES, 1)
+    trees = plan_trees(digest_of(BODY), RECEIVERS, STRIPES, 1)
     return next(
-        holder
-        for holder in HOLDERS
-        if not any(tree.is_root(holder.instance) for tree in trees)
+        receiver
+        for receiver in RECEIVERS
+        if not any(tree.is_root(receiver.instance) for tree in trees)
     )  # fmt: skip
 
 
@@ -86,7 +86,7 @@
         # The questions for the manifest come before.
         made.store.manifest_on_disk = lambda digest: None
         async with curio.timeout_after(MOST_STALLS * STALL_S + SLACK_S):
-            return await made.run('model', 'v1', digest_of(BODY), HOLDERS)
+            return await made.run('model', 'v1', digest_of(BODY), RECEIVERS)
 
     return curio.run(run).path.read_bytes()
 
@@ -124,4 +124,4 @@
     origin = DeadOrigin()
     made = rootless_transfer(tmp_path, origin, WholePeers(origin))
     assert brought(made) == DATA
-    assert made.adopted
+    assert made.adopted_stripes
--- a/tests/test_trees.py
+++ b/tests/test_trees.py
@@ -6,16 +6,18 @@
 from hypothesis import strategies as st
 
 from millfork_core.ids import Digest, InstanceId, ZoneId
-from millfork_weights.trees import Holder, plan_trees
+from millfork_weights.trees import Receiver, plan_trees
 
 STRIPES = 4
 
 
-def holders(count: int, zones: int) -> list[Holder]:
-    return [Holder(InstanceId(f'instance-{n}'), ZoneId(f'zone-{n % zones}')) for n in range(count)]
+def receivers(count: int, zones: int) -> list[Receiver]:
+    return [
+        Receiver(InstanceId(f'instance-{n}'), ZoneId(f'zone-{n % zones}')) for n in range(count)
+    ]
 
 
-def trees(group: list[Holder], copies: int = 1):
+def trees(group: list[Receiver], copies: int = 1):
     return plan_trees(Digest('d'), group, STRIPES, copies)
 
 
@@ -29,9 +31,9 @@
 
 @given(st.integers(1, 80), st.integers(1, 11), st.integers(1, 4))
 def test_every_instance_hangs_on_a_root_that_draws_from_the_origin(count, zones, copies):
-    group = holders(count, zones)
+    group = receivers(count, zones)
     for tree in trees(group, copies):
-        assert set(tree.parents) == {holder.instance for holder in group} == set(tree.order)
+        assert set(tree.parents) == {receiver.instance for receiver in group} == set(tree.order)
         roots = [name for name, parent in tree.parents.items() if parent is None]
         assert len(roots) == min(copies, count)
         for name in tree.order:
@@ -40,34 +42,34 @@
 
 @given(st.integers(1, 80), st.integers(1, 11))
 def test_nobody_waits_for_a_later_one(count, zones):
-    for tree in trees(holders(count, zones)):
+    for tree in trees(receivers(count, zones)):
         for position, name in enumerate(tree.order):
             assert set(tree.sources(name)) <= set(tree.order[:position])
 
 
 def test_all_instances_compute_the_same_tree_in_any_order_of_the_list():
-    group = holders(30, 3)
+    group = receivers(30, 3)
     assert trees(group) == trees(list(reversed(group)))
 
 
 @pytest.mark.parametrize('count', [8, 64, 310])
 def test_depth_grows_with_the_logarithm(count):
-    worst = max(depth(tree, name) for tree in trees(holders(count, 3)) for name in tree.order)
+    worst = max(depth(tree, name) for tree in trees(receivers(count, 3)) for name in tree.order)
     assert worst <= math.ceil(math.log(count, STRIPES)) + 3
 
 
 @pytest.mark.parametrize('count', [2, 3, 7, 8, 16, 64, 100, 310])
 def test_an_instance_sends_one_copy_at_most_in_all(count):
     sent = Counter(
-        parent for tree in trees(holders(count, 3)) for parent in tree.parents.values() if parent
+        parent for tree in trees(receivers(count, 3)) for parent in tree.parents.values() if parent
     )
     assert max(sent.values()) <= STRIPES
 
 
 @pytest.mark.parametrize(('count', 'zones'), [(60, 3), (310, 11)])
 def test_few_edges_cross_zones(count, zones):
-    group = holders(count, zones)
-    zone_of = {holder.instance: holder.zone for holder in group}
+    group = receivers(count, zones)
+    zone_of = {receiver.instance: receiver.zone for receiver in group}
     crossings = [
         name
         for tree in trees(group)
--- a/tests/test_weights.py
+++ b/tests/test_weights.py
@@ -14,7 +14,7 @@
     digest_of,
     encode_manifest,
 )
-from millfork_weights.store import WeightStore, WholeMismatch
+from millfork_weights.store import VersionDigestMismatch, WeightStore
 
 DATA = bytes(range(256)) * 40
 CHUNK = 1000
@@ -28,13 +28,13 @@
     return data[index * CHUNK : (index + 1) * CHUNK]
 
 
-async def fill(holding, data, indexes=None):
-    for index in indexes if indexes is not None else range(len(holding.manifest.chunks)):
-        assert holding.fits(index, chunk(data, index))
-        await holding.put(index, chunk(data, index))
+async def fill(stored, data, indexes=None):
+    for index in indexes if indexes is not None else range(len(stored.manifest.chunks)):
+        assert stored.matches_digest(index, chunk(data, index))
+        await stored.put(index, chunk(data, index))
 
 
-def open_holding(folder, manifest):
+def open_stored(folder, manifest):
     store = WeightStore(folder)
     digest = digest_of(encode_manifest(manifest))
     return store, curio.run(store.open, digest, manifest)
@@ -58,45 +58,45 @@
 
 
 def test_a_version_is_whole_only_after_the_last_chunk_and_the_whole(tmp_path):
-    _, holding = open_holding(tmp_path, manifest_of())
-    curio.run(fill, holding, DATA, range(5))
-    assert not holding.whole
-    assert not holding.path.exists()
-    curio.run(fill, holding, DATA)
-    curio.run(holding.complete)
-    assert holding.whole
-    assert holding.path.read_bytes() == DATA
+    _, stored = open_stored(tmp_path, manifest_of())
+    curio.run(fill, stored, DATA, range(5))
+    assert not stored.whole
+    assert not stored.path.exists()
+    curio.run(fill, stored, DATA)
+    curio.run(stored.complete)
+    assert stored.whole
+    assert stored.path.read_bytes() == DATA
 
 
 def test_a_chunk_of_other_bytes_does_not_fit(tmp_path):
-    _, holding = open_holding(tmp_path, manifest_of())
-    assert not holding.fits(0, chunk(DATA, 1)[::-1])
-    assert not holding.fits(0, b'')
+    _, stored = open_stored(tmp_path, manifest_of())
+    assert not stored.matches_digest(0, chunk(DATA, 1)[::-1])
+    assert not stored.matches_digest(0, b'')
 
 
 def test_right_chunks_of_a_lying_manifest_are_never_whole(tmp_path):
     lying = manifest_of()
     lying = type(lying)(lying.name, 'v', lying.size, CHUNK, lying.chunks, 'f' * 64)
-    _, holding = open_holding(tmp_path, lying)
-    curio.run(fill, holding, DATA)
-    with pytest.raises(WholeMismatch):
-        curio.run(holding.complete)
-    assert not holding.path.exists()
+    _, stored = open_stored(tmp_path, lying)
+    curio.run(fill, stored, DATA)
+    with pytest.raises(VersionDigestMismatch):
+        curio.run(stored.complete)
+    assert not stored.path.exists()
 
 
 def test_a_restart_takes_over_what_is_right_and_only_that(tmp_path):
-    _, holding = open_holding(tmp_path, manifest_of())
-    curio.run(fill, holding, DATA, [0, 1, 2])
-    with (holding.folder / 'weights.partial').open('r+b') as file:
+    _, stored = open_stored(tmp_path, manifest_of())
+    curio.run(fill, stored, DATA, [0, 1, 2])
+    with (stored.folder / 'weights.partial').open('r+b') as file:
         file.seek(CHUNK)
         file.write(b'\xff')
-    _, again = open_holding(tmp_path, manifest_of())
-    assert [index for index, have in enumerate(again.have) if have] == [0, 2]
+    _, again = open_stored(tmp_path, manifest_of())
+    assert [index for index, have in enumerate(again.has_chunk) if have] == [0, 2]
 
 
 def test_unchanged_chunks_of_another_version_are_found(tmp_path):
-    store, holding = open_holding(tmp_path, manifest_of())
-    curio.run(fill, holding, DATA)
+    store, stored = open_stored(tmp_path, manifest_of())
+    curio.run(fill, stored, DATA)
     newer = DATA[: 8 * CHUNK] + DATA[8 * CHUNK :][::-1]
     manifest = manifest_of(newer, 'v2')
     found = [
@@ -108,7 +108,7 @@
 
 
 def test_only_what_is_wanted_is_kept(tmp_path):
-    store, holding = open_holding(tmp_path, manifest_of())
+    store, stored = open_stored(tmp_path, manifest_of())
     (tmp_path / 'left-over').mkdir()
-    assert store.forget_all_but({Digest(holding.digest)}) == ['left-over']
-    assert [path.name for path in tmp_path.iterdir()] == [holding.digest]
+    assert store.remove_all_except({Digest(stored.digest)}) == ['left-over']
+    assert [path.name for path in tmp_path.iterdir()] == [stored.digest]
