--- a/packages/millfork-weights/millfork_weights/trees.py
+++ b/packages/millfork-weights/millfork_weights/trees.py
@@ -71,7 +71,10 @@
     `origin_copies` roots.
 
     """
-    ordered = sorted(receivers, key=lambda receiver: (rank(digest, receiver.zone), rank(digest, receiver.instance)))
+    ordered = sorted(
+        receivers,
+        key=lambda receiver: (rank(digest, receiver.zone), rank(digest, receiver.instance)),
+    )
     free_child_slots = {receiver.instance: stripes for receiver in ordered}
     trees = []
     for stripe in range(stripes):
--- a/packages/millfork-wire/millfork_wire/codec.py
+++ b/packages/millfork-wire/millfork_wire/codec.py
@@ -19,11 +19,11 @@
 MAX_FRAME_BYTES: Final = 48 * 1024 * 1024
 # The top bit of the length: the body is packed, which suits small messages
 # with many zeros and would only cost time on weights.
-PACKED: Final = 1 << 31
+PACKED_FLAG: Final = 1 << 31
 UNPACKED: Final = frozenset({messages.Chunk, messages.InstallRequest, messages.PushChunk})
 
 
-class Kind(IntEnum):
+class FrameKind(IntEnum):
     """
     What a frame is: a request awaits one reply, an event awaits none.
 
@@ -49,7 +49,7 @@
     """
 
     id: int
-    kind: Kind
+    kind: FrameKind
     message: Message
 
 
@@ -69,7 +69,7 @@
     """
 
 
-def _classes() -> dict[str, type[Message]]:
+def _message_classes() -> dict[str, type[Message]]:
     """
     The class of each member of the frame's union, by the struct it names.
 
@@ -84,55 +84,55 @@
     return found
 
 
-_CLASSES: Final = _classes()
+_CLASSES: Final = _message_classes()
 _NAMES: Final = {cls: name for name, cls in _CLASSES.items()}
 
 
-def _plan(cls: type[Message]) -> list[tuple[str, str, Any]]:
+def _field_plan(cls: type[Message]) -> list[tuple[str, str, Any]]:
     hints = get_type_hints(cls)
     plan = []
-    for item in fields(cls):  # type: ignore[arg-type]
-        hint = hints[item.name]
-        inner = get_args(hint)[0] if get_origin(hint) is list else None
-        plan.append((item.name, _camel(item.name), inner or hint))
+    for field in fields(cls):  # type: ignore[arg-type]
+        annotation = hints[field.name]
+        item_type = get_args(annotation)[0] if get_origin(annotation) is list else None
+        plan.append((field.name, _camel(field.name), item_type or annotation))
     return plan
 
 
 _PLANS: Final[dict[type[Message], list[tuple[str, str, Any]]]] = {}
 
 
-def _plan_of(cls: type[Message]) -> list[tuple[str, str, Any]]:
+def _cached_field_plan(cls: type[Message]) -> list[tuple[str, str, Any]]:
     plan = _PLANS.get(cls)
     if plan is None:
-        plan = _plan(cls)
+        plan = _field_plan(cls)
         _PLANS[cls] = plan
     return plan
 
 
 def _to_wire(message: Message) -> dict[str, Any]:
     wire = {}
-    for name, wire_name, _ in _plan_of(type(message)):
+    for name, wire_name, _ in _cached_field_plan(type(message)):
         value = getattr(message, name)
         if isinstance(value, list) and value and isinstance(value[0], Message):
-            value = [_to_wire(item) for item in value]
+            value = [_to_wire(element) for element in value]
         wire[wire_name] = value
     return wire
 
 
 def _from_wire(cls: type[Message], reader: Any) -> Message:
     values: dict[str, Any] = {}
-    for name, wire_name, inner in _plan_of(cls):
+    for name, wire_name, item_type in _cached_field_plan(cls):
         value = getattr(reader, wire_name)
         if isinstance(value, (str, int, bool)):
             values[name] = value
             continue
-        if inner is bytes:
+        if item_type is bytes:
             values[name] = bytes(value)
             continue
-        if inner is str:
-            values[name] = [str(item) for item in value]
+        if item_type is str:
+            values[name] = [str(element) for element in value]
             continue
-        values[name] = [_from_wire(inner, item) for item in value]
+        values[name] = [_from_wire(item_type, element) for element in value]
     return cls(**values)
 
 
@@ -151,16 +151,16 @@
     body: bytes = built.to_bytes_packed() if packed else built.to_bytes()
     if len(body) > MAX_FRAME_BYTES:
         raise BadFrame(f'a {name} message of {len(body)} bytes is over the limit')
-    return (len(body) | packed * PACKED).to_bytes(LENGTH_BYTES, 'big') + body
+    return (len(body) | packed * PACKED_FLAG).to_bytes(LENGTH_BYTES, 'big') + body
 
 
-def split_length(header: bytes) -> tuple[int, bool]:
+def parse_length(header: bytes) -> tuple[int, bool]:
     """
     A frame's length in bytes, and whether its body is packed.
 
     """
     number = int.from_bytes(header, 'big')
-    return number & ~PACKED, bool(number & PACKED)
+    return number & ~PACKED_FLAG, bool(number & PACKED_FLAG)
 
 
 def decode(body: bytes, packed: bool) -> Frame:
@@ -182,4 +182,4 @@
 def _read(reader: Any) -> Frame:
     name = str(reader.which())
     message = _from_wire(_CLASSES[name], getattr(reader, name))
-    return Frame(reader.id, Kind(reader.kind), message)
+    return Frame(reader.id, FrameKind(reader.kind), message)
--- a/packages/millfork-wire/millfork_wire/connection.py
+++ b/packages/millfork-wire/millfork_wire/connection.py
@@ -14,7 +14,7 @@
 from millfork_core.logs import Part as LogPart
 from millfork_core.logs import logger
 from millfork_wire import codec
-from millfork_wire.codec import BadFrame, Frame, Kind
+from millfork_wire.codec import BadFrame, Frame, FrameKind
 from millfork_wire.messages import (
     Chunk,
     End,
@@ -32,8 +32,8 @@
 from millfork_wire.transport import Transport
 
 MAX_QUEUED_FRAMES: Final = 4096
-MAX_BATCH_BYTES: Final = 256 * 1024
-NOT_CONTROL: Final = (Chunk, PushChunk, Reserve, Reserved, Start, Head, Part, End)
+MAX_SEND_BATCH_BYTES: Final = 256 * 1024
+DATA_MESSAGES: Final = (Chunk, PushChunk, Reserve, Reserved, Start, Head, Part, End)
 
 log = logger(LogPart.WIRE)
 
@@ -77,7 +77,7 @@
         self.failure = failure
 
 
-class _Call:
+class _PendingCall:
     __slots__ = ('answered', 'reply')
 
     def __init__(self) -> None:
@@ -112,9 +112,9 @@
         self.on_closed = on_closed
         self.dialled = dialled
         self.closed = False
-        self.last_heard = env.monotonic()
-        self.calls: dict[int, _Call] = {}
-        self.ids = count(1)
+        self.last_received_at = env.monotonic()
+        self.pending_calls: dict[int, _PendingCall] = {}
+        self.call_ids = count(1)
         self.outbox: curio.Queue = curio.Queue(MAX_QUEUED_FRAMES)
         self.tasks: set[curio.Task] = set()
         self.writer: curio.Task | None = None
@@ -128,22 +128,22 @@
         """
         if self.closed:
             raise PeerLost(f'{self.peer} is gone')
-        call_id = next(self.ids)
-        call = _Call()
-        self.calls[call_id] = call
+        call_id = next(self.call_ids)
+        pending_call = _PendingCall()
+        self.pending_calls[call_id] = pending_call
         try:
             async with curio.timeout_after(timeout):
-                await self._post(Frame(call_id, Kind.REQUEST, message))
-                await call.answered.wait()
+                await self._enqueue(Frame(call_id, FrameKind.REQUEST, message))
+                await pending_call.answered.wait()
         except curio.TaskTimeout:
             raise PeerTimedOut(f'{self.peer} gave no answer in {timeout:.1f} s') from None
         finally:
-            self.calls.pop(call_id, None)
-        if call.reply is None:
+            self.pending_calls.pop(call_id, None)
+        if pending_call.reply is None:
             raise PeerLost(f'{self.peer} went away')
-        if isinstance(call.reply, Failure):
-            raise PeerRefused(call.reply)
-        return call.reply
+        if isinstance(pending_call.reply, Failure):
+            raise PeerRefused(pending_call.reply)
+        return pending_call.reply
 
     async def notify(self, message: Message) -> None:
         """
@@ -154,20 +154,20 @@
         """
         if self.closed:
             raise PeerLost(f'{self.peer} is gone')
-        await self._post(Frame(0, Kind.EVENT, message))
+        await self._enqueue(Frame(0, FrameKind.EVENT, message))
 
-    async def _post(self, frame: Frame) -> None:
+    async def _enqueue(self, frame: Frame) -> None:
         data = codec.encode(frame)
         self._count_bytes(frame.message, len(data), 'out')
         await self.outbox.put(data)
 
-    def _count_bytes(self, message: Message, size: int, way: str) -> None:
+    def _count_bytes(self, message: Message, size: int, direction: str) -> None:
         """
         Count the bytes of control; requests and weights are counted as such.
 
         """
-        if not isinstance(message, NOT_CONTROL):
-            self.env.metrics.count(self.env.metrics.wire_bytes, size, way=way)
+        if not isinstance(message, DATA_MESSAGES):
+            self.env.metrics.count(self.env.metrics.wire_bytes, size, way=direction)
 
     async def write_frames(self) -> None:
         """
@@ -180,7 +180,7 @@
                 if self.closed:
                     return
                 size = len(batch[0])
-                while not self.outbox.empty() and size < MAX_BATCH_BYTES:
+                while not self.outbox.empty() and size < MAX_SEND_BATCH_BYTES:
                     batch.append(await self.outbox.get())
                     size += len(batch[-1])
                 await self.transport.send_bytes(b''.join(batch) if len(batch) > 1 else batch[0])
@@ -195,8 +195,8 @@
         try:
             while not self.closed:
                 frame = await self.transport.receive()
-                self.last_heard = self.env.monotonic()
-                self._count_bytes(frame.message, self.transport.last_size, 'in')
+                self.last_received_at = self.env.monotonic()
+                self._count_bytes(frame.message, self.transport.last_frame_bytes, 'in')
                 await self._dispatch(frame)
         except BadFrame as error:
             self.env.metrics.count(self.env.metrics.wire, event='bad_frame')
@@ -212,15 +212,15 @@
             await self.transport.close()
 
     async def _dispatch(self, frame: Frame) -> None:
-        if frame.kind is Kind.REPLY:
-            call = self.calls.get(frame.id)
-            if call is None:
+        if frame.kind is FrameKind.REPLY:
+            pending_call = self.pending_calls.get(frame.id)
+            if pending_call is None:
                 self.env.metrics.count(self.env.metrics.wire, event='late_reply')
                 return
-            call.reply = frame.message
-            await call.answered.set()
+            pending_call.reply = frame.message
+            await pending_call.answered.set()
             return
-        if frame.kind is Kind.EVENT:
+        if frame.kind is FrameKind.EVENT:
             await self.handler(self, frame.message)
             return
         task = await self.env.spawn(self._answer, frame)
@@ -230,7 +230,7 @@
         try:
             reply = await self._reply_to(frame.message)
             if not self.closed:
-                await self._post(Frame(frame.id, Kind.REPLY, reply))
+                await self._enqueue(Frame(frame.id, FrameKind.REPLY, reply))
         finally:
             self.tasks.discard(await curio.current_task())
 
@@ -254,9 +254,9 @@
         if self.closed:
             return
         self.closed = True
-        for call in list(self.calls.values()):
-            await call.answered.set()
-        await self.transport.shut()
+        for pending_call in list(self.pending_calls.values()):
+            await pending_call.answered.set()
+        await self.transport.shutdown()
         if self.outbox.empty():
             await self.outbox.put(b'')
         await self.on_closed(self)
--- a/packages/millfork-wire/millfork_wire/handshake.py
+++ b/packages/millfork-wire/millfork_wire/handshake.py
@@ -17,7 +17,7 @@
 from millfork_wire.transport import Transport
 
 NONCE_BYTES: Final = 16
-HASH: Final = 'sha256'
+HASH_NAME: Final = 'sha256'
 
 
 class HandshakeFailed(Exception):
@@ -28,13 +28,13 @@
 
 
 def _mac(fleet_key: bytes, prover: Hello, verifier: Hello) -> bytes:
-    instance_key = hmac.digest(fleet_key, prover.instance.encode(), HASH)
-    said = codec.encode(codec.Frame(0, codec.Kind.EVENT, prover))
-    heard = codec.encode(codec.Frame(0, codec.Kind.EVENT, verifier))
-    return hmac.digest(instance_key, said + heard, HASH)
+    instance_key = hmac.digest(fleet_key, prover.instance.encode(), HASH_NAME)
+    prover_bytes = codec.encode(codec.Frame(0, codec.FrameKind.EVENT, prover))
+    verifier_bytes = codec.encode(codec.Frame(0, codec.FrameKind.EVENT, verifier))
+    return hmac.digest(instance_key, prover_bytes + verifier_bytes, HASH_NAME)
 
 
-async def shake_hands(
+async def perform_handshake(
     transport: Transport,
     env: Environment,
     role: str,
@@ -49,7 +49,7 @@
     :raises HandshakeFailed: on a wrong version, instance or proof.
 
     """
-    mine = Hello(
+    own_hello = Hello(
         PROTOCOL_VERSION,
         env.instance,
         env.zone,
@@ -57,32 +57,34 @@
         secrets.token_bytes(NONCE_BYTES),
         target,
     )
-    await transport.send(codec.Frame(0, codec.Kind.EVENT, mine))
-    first = (await transport.receive(codec.MAX_HELLO_BYTES)).message
-    theirs = _checked(first, env, target)
-    await transport.send(codec.Frame(0, codec.Kind.EVENT, Proof(_mac(fleet_key, mine, theirs))))
+    await transport.send(codec.Frame(0, codec.FrameKind.EVENT, own_hello))
+    first_message = (await transport.receive(codec.MAX_HELLO_BYTES)).message
+    peer_hello = _validate_hello(first_message, env, target)
+    await transport.send(
+        codec.Frame(0, codec.FrameKind.EVENT, Proof(_mac(fleet_key, own_hello, peer_hello)))
+    )
     proof = (await transport.receive(codec.MAX_HELLO_BYTES)).message
     if not isinstance(proof, Proof):
         raise HandshakeFailed('the second message is no proof')
-    if not hmac.compare_digest(proof.mac, _mac(fleet_key, theirs, mine)):
-        raise HandshakeFailed(f'wrong proof from {theirs.instance}')
-    return theirs
+    if not hmac.compare_digest(proof.mac, _mac(fleet_key, peer_hello, own_hello)):
+        raise HandshakeFailed(f'wrong proof from {peer_hello.instance}')
+    return peer_hello
 
 
-def _checked(theirs: Message, env: Environment, target: InstanceId) -> Hello:
+def _validate_hello(peer_hello: Message, env: Environment, target: InstanceId) -> Hello:
     """
     The peer's hello, if this instance may talk to it at all.
 
     """
-    if not isinstance(theirs, Hello):
+    if not isinstance(peer_hello, Hello):
         raise HandshakeFailed('the first message is no hello')
-    if theirs.version != PROTOCOL_VERSION:
-        raise HandshakeFailed(f'protocol version {theirs.version} is not {PROTOCOL_VERSION}')
-    if theirs.instance == env.instance:
+    if peer_hello.version != PROTOCOL_VERSION:
+        raise HandshakeFailed(f'protocol version {peer_hello.version} is not {PROTOCOL_VERSION}')
+    if peer_hello.instance == env.instance:
         # Also what a mirror would send; its proof would be our own.
         raise HandshakeFailed('the peer claims to be this instance')
-    if target and theirs.instance != target:
-        raise HandshakeFailed(f'dialled {target}, got {theirs.instance}')
-    if theirs.target and theirs.target != env.instance:
-        raise HandshakeFailed(f'the peer wants {theirs.target}')
-    return theirs
+    if target and peer_hello.instance != target:
+        raise HandshakeFailed(f'dialled {target}, got {peer_hello.instance}')
+    if peer_hello.target and peer_hello.target != env.instance:
+        raise HandshakeFailed(f'the peer wants {peer_hello.target}')
+    return peer_hello
--- a/packages/millfork-wire/millfork_wire/peers.py
+++ b/packages/millfork-wire/millfork_wire/peers.py
@@ -20,15 +20,15 @@
     PeerTimedOut,
     PeerUnreachable,
 )
-from millfork_wire.handshake import HandshakeFailed, shake_hands
+from millfork_wire.handshake import HandshakeFailed, perform_handshake
 from millfork_wire.messages import Message, Ping
 from millfork_wire.transport import Transport, dial
 
 DIAL_TIMEOUT_S: Final = 1.0
 HANDSHAKE_TIMEOUT_S: Final = 2.0
-PING_AFTER_S: Final = 10.0
+PING_AFTER_IDLE_S: Final = 10.0
 PING_TIMEOUT_S: Final = 3.0
-REFUSE_AGAIN_S: Final = 0.3
+REDIAL_DELAY_S: Final = 0.3
 
 log = logger(Part.WIRE)
 
@@ -60,7 +60,7 @@
         fleet_key: bytes,
         handler: Handler,
         via: tuple[str, int] | None = None,
-        closes_silent: bool = False,
+        closes_unresponsive: bool = False,
     ) -> None:
         self.env = env
         self.role = role
@@ -71,10 +71,10 @@
         self.via = via
         # Whether a call without any answer in time ends the connection, so
         # that the next call dials a peer that may have come back.
-        self.closes_silent = closes_silent
+        self.closes_unresponsive = closes_unresponsive
         self.connections: dict[InstanceId, Connection] = {}
         self.locks: dict[InstanceId, curio.Lock] = {}
-        self.refused_until: dict[InstanceId, float] = {}
+        self.unreachable_until: dict[InstanceId, float] = {}
         self.closed_hooks: list[Callable[[Connection], Awaitable[None]]] = []
 
     async def listen(self) -> None:
@@ -87,16 +87,20 @@
 
     async def _accept(self, sock: Any, address: Any) -> None:
         transport = Transport(sock)
-        connection = await self._prove(transport, NO_INSTANCE)
+        connection = await self._establish_connection(transport, NO_INSTANCE)
         if connection is None:
             await transport.close()
             return
         await connection.read_frames()
 
-    async def _prove(self, transport: Transport, target: InstanceId) -> Connection | None:
+    async def _establish_connection(
+        self, transport: Transport, target: InstanceId
+    ) -> Connection | None:
         try:
             async with curio.timeout_after(HANDSHAKE_TIMEOUT_S):
-                hello = await shake_hands(transport, self.env, self.role, self.fleet_key, target)
+                hello = await perform_handshake(
+                    transport, self.env, self.role, self.fleet_key, target
+                )
         except (HandshakeFailed, BadFrame) as error:
             self.env.metrics.count(self.env.metrics.wire, event='handshake_failed')
             log.warning('Handshake failed: {}.', error)
@@ -105,12 +109,14 @@
             self.env.metrics.count(self.env.metrics.wire, event='handshake_cut')
             return None
         dialled = target != NO_INSTANCE
-        connection = Connection(self.env, transport, hello, self.handler, self._forget, dialled)
+        connection = Connection(
+            self.env, transport, hello, self.handler, self._remove_connection, dialled
+        )
         self.connections[connection.peer] = connection
         connection.writer = await self.env.spawn(connection.write_frames)
         return connection
 
-    async def _forget(self, connection: Connection) -> None:
+    async def _remove_connection(self, connection: Connection) -> None:
         if self.connections.get(connection.peer) is connection:
             del self.connections[connection.peer]
         for hook in self.closed_hooks:
@@ -132,19 +138,19 @@
 
     async def _dial(self, address: PeerAddress) -> Connection:
         now = self.env.monotonic()
-        if self.refused_until.get(address.instance, 0.0) > now:
+        if self.unreachable_until.get(address.instance, 0.0) > now:
             raise PeerUnreachable(f'{address.instance} was unreachable a moment ago')
         connection = None
         try:
             async with curio.timeout_after(DIAL_TIMEOUT_S):
                 transport = await dial(address.host, address.port, self.host, self.via)
-            connection = await self._prove(transport, address.instance)
+            connection = await self._establish_connection(transport, address.instance)
             if connection is None:
                 await transport.close()
         except (OSError, curio.TaskTimeout):
             pass
         if connection is None:
-            self.refused_until[address.instance] = self.env.monotonic() + REFUSE_AGAIN_S
+            self.unreachable_until[address.instance] = self.env.monotonic() + REDIAL_DELAY_S
             raise PeerUnreachable(f'{address.instance} at {address.host} is unreachable')
         await self.env.spawn(connection.read_frames)
         return connection
@@ -157,30 +163,30 @@
 
         """
         connection = await self.connect(address)
-        began = self.env.monotonic()
+        started_at = self.env.monotonic()
         try:
             return await connection.call(message, timeout)
         except PeerTimedOut:
-            if self.closes_silent and connection.last_heard < began:
+            if self.closes_unresponsive and connection.last_received_at < started_at:
                 self.env.metrics.count(self.env.metrics.wire, event='silent_peer')
                 await connection.close()
             raise
 
-    async def probe_idle(self) -> None:
+    async def ping_idle_connections(self) -> None:
         """
         The task that closes connections whose peer no longer answers. The
         side that dialled asks; one question for each pair is enough.
 
         """
         while True:
-            await curio.sleep(PING_AFTER_S / 2)
+            await curio.sleep(PING_AFTER_IDLE_S / 2)
             now = self.env.monotonic()
             for connection in list(self.connections.values()):
-                if not connection.dialled or now - connection.last_heard < PING_AFTER_S:
+                if not connection.dialled or now - connection.last_received_at < PING_AFTER_IDLE_S:
                     continue
-                await self.env.spawn(self._probe, connection)
+                await self.env.spawn(self._close_if_unresponsive, connection)
 
-    async def _probe(self, connection: Connection) -> None:
+    async def _close_if_unresponsive(self, connection: Connection) -> None:
         try:
             await connection.call(Ping(), PING_TIMEOUT_S)
         except PeerLost:
--- a/packages/millfork-wire/millfork_wire/transport.py
+++ b/packages/millfork-wire/millfork_wire/transport.py
@@ -11,9 +11,9 @@
 from millfork_wire import codec
 from millfork_wire.codec import BadFrame, Frame
 
-PROXY_REPLY_LIMIT: Final = 4096
+MAX_PROXY_REPLY_BYTES: Final = 4096
 # The system closes a connection whose bytes the peer leaves unacknowledged.
-UNACKNOWLEDGED_MS: Final = 30_000
+MAX_UNACKNOWLEDGED_MS: Final = 30_000
 
 
 class Transport:
@@ -24,10 +24,10 @@
 
     def __init__(self, sock: Any) -> None:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, MAX_UNACKNOWLEDGED_MS)
         self.sock = sock
         self.stream = sock.as_stream()
-        self.last_size = 0
+        self.last_frame_bytes = 0
 
     async def send(self, frame: Frame) -> None:
         await self.send_bytes(codec.encode(frame))
@@ -44,13 +44,13 @@
 
         """
         header = await self.stream.read_exactly(codec.LENGTH_BYTES)
-        length, packed = codec.split_length(header)
+        length, packed = codec.parse_length(header)
         if length > limit:
             raise BadFrame(f'a frame of {length} bytes is over the limit of {limit}')
-        self.last_size = codec.LENGTH_BYTES + length
+        self.last_frame_bytes = codec.LENGTH_BYTES + length
         return codec.decode(await self.stream.read_exactly(length), packed)
 
-    async def shut(self) -> None:
+    async def shutdown(self) -> None:
         """
         End both directions, which wakes the task that reads.
 
@@ -77,21 +77,21 @@
     if via is None:
         return Transport(sock)
     try:
-        await _pass_proxy(sock, host, port)
+        await _connect_through_proxy(sock, host, port)
     except BaseException:
         await sock.close()
         raise
     return Transport(sock)
 
 
-async def _pass_proxy(sock: Any, host: str, port: int) -> None:
+async def _connect_through_proxy(sock: Any, host: str, port: int) -> None:
     request = f'CONNECT {host}:{port} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n'
     await sock.sendall(request.encode())
     reply = b''
     while b'\r\n\r\n' not in reply:
         data = await sock.recv(1)
         reply += data
-        if not data or len(reply) > PROXY_REPLY_LIMIT:
+        if not data or len(reply) > MAX_PROXY_REPLY_BYTES:
             raise ConnectionRefusedError('the proxy gave no answer')
     if b' 200 ' not in reply.split(b'\r\n', 1)[0]:
         raise ConnectionRefusedError(f'the proxy refused {host}:{port}')
--- a/packages/millforkd/millforkd/member.py
+++ b/packages/millforkd/millforkd/member.py
@@ -77,7 +77,7 @@
 
         """
         await self.env.keep(self.peers.listen)
-        await self.env.keep(self.peers.probe_idle)
+        await self.env.keep(self.peers.ping_idle_connections)
         await self.env.keep(self.admin.run)
         await self.env.keep(self._join)
 
--- a/packages/millforkd/millforkd/proxy/daemon.py
+++ b/packages/millforkd/millforkd/proxy/daemon.py
@@ -159,7 +159,7 @@
 
         """
         await self.env.keep(self.peers.listen)
-        await self.env.keep(self.peers.probe_idle)
+        await self.env.keep(self.peers.ping_idle_connections)
         await self.env.keep(self.admin.run)
         await self.env.keep(self.feed_client.run)
         await self.env.keep(self.feed_relay.run)
--- a/packages/millforkd/millforkd/proxy/peer_queries.py
+++ b/packages/millforkd/millforkd/proxy/peer_queries.py
@@ -102,7 +102,7 @@
             return None
 
     async def _close_if_silent(self, connection: Connection) -> None:
-        silent_s = self.env.monotonic() - connection.last_heard
+        silent_s = self.env.monotonic() - connection.last_received_at
         if silent_s < MIN_SILENCE_S:
             return
         log.info(
--- a/packages/millforkd/millforkd/replica/daemon.py
+++ b/packages/millforkd/millforkd/replica/daemon.py
@@ -160,7 +160,7 @@
         """
         await self.replica.recover()
         await self.env.keep(self.peers.listen)
-        await self.env.keep(self.peers.probe_idle)
+        await self.env.keep(self.peers.ping_idle_connections)
         await self.env.keep(self.admin.run)
         await self.env.keep(self.replica_links.run)
         await self.env.keep(self.followers.wake_on_configuration)
--- a/packages/millforkd/millforkd/seeded.py
+++ b/packages/millforkd/millforkd/seeded.py
@@ -44,7 +44,7 @@
         settings.ports.wire,
         fleet_key(settings),
         handler,
-        closes_silent=True,
+        closes_unresponsive=True,
     )
 
 
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -3,19 +3,19 @@
 from hypothesis import strategies as st
 
 from millfork_wire import codec, messages
-from millfork_wire.codec import BadFrame, Frame, Kind
+from millfork_wire.codec import BadFrame, Frame, FrameKind
 
 
 def round_trip(frame: Frame) -> Frame:
     data = codec.encode(frame)
-    length, packed = codec.split_length(data[: codec.LENGTH_BYTES])
+    length, packed = codec.parse_length(data[: codec.LENGTH_BYTES])
     assert length == len(data) - codec.LENGTH_BYTES
     return codec.decode(data[codec.LENGTH_BYTES :], packed)
 
 
 @given(
     st.integers(0, 2**64 - 1),
-    st.sampled_from(Kind),
+    st.sampled_from(FrameKind),
     st.lists(st.tuples(st.text(), st.binary(), st.integers(0, 2**32)), max_size=4),
     st.lists(st.text(), max_size=4),
 )
@@ -28,7 +28,7 @@
 
 def test_every_message_of_the_union_round_trips():
     for cls in codec._CLASSES.values():
-        frame = Frame(1, Kind.REQUEST, cls())
+        frame = Frame(1, FrameKind.REQUEST, cls())
         assert round_trip(frame) == frame
 
 
@@ -43,4 +43,4 @@
 def test_an_oversized_message_is_not_sent():
     chunk = messages.Chunk(True, bytes(codec.MAX_FRAME_BYTES + 1))
     with pytest.raises(BadFrame, match='over the limit'):
-        codec.encode(Frame(0, Kind.REPLY, chunk))
+        codec.encode(Frame(0, FrameKind.REPLY, chunk))
--- a/tests/test_connection.py
+++ b/tests/test_connection.py
@@ -12,7 +12,7 @@
 from millfork_core.ids import InstanceId, ZoneId
 from millfork_web.server import Server
 from millfork_wire import codec
-from millfork_wire.codec import Frame, Kind
+from millfork_wire.codec import Frame, FrameKind
 from millfork_wire.connection import Connection
 from millfork_wire.messages import GetManifest, Hello, Ping, PushChunk
 from millfork_wire.transport import Transport
@@ -27,7 +27,7 @@
 
     """
 
-    async def shut(self):
+    async def shutdown(self):
         pass
 
 
@@ -96,8 +96,8 @@
         connection = Connection(env, transport, Hello(instance='b:1'), answer, ignore, True)
         reader = await env.spawn(connection.read_frames)
         env.ended = True
-        far.sendall(codec.encode(Frame(1, Kind.REQUEST, Ping())))
-        far.sendall(codec.encode(Frame(2, Kind.REQUEST, GetManifest('m@1'))))
+        far.sendall(codec.encode(Frame(1, FrameKind.REQUEST, Ping())))
+        far.sendall(codec.encode(Frame(2, FrameKind.REQUEST, GetManifest('m@1'))))
         far.shutdown(socket.SHUT_WR)
         async with curio.timeout_after(5):
             await reader.wait()
--- a/tests/test_handshake.py
+++ b/tests/test_handshake.py
@@ -10,8 +10,8 @@
 from millfork_core.environment import Environment
 from millfork_core.ids import InstanceId, ZoneId
 from millfork_wire import codec
-from millfork_wire.codec import BadFrame, Frame, Kind
-from millfork_wire.handshake import HandshakeFailed, shake_hands
+from millfork_wire.codec import BadFrame, Frame, FrameKind
+from millfork_wire.handshake import HandshakeFailed, perform_handshake
 from millfork_wire.messages import Hello, Ping
 from millfork_wire.transport import Transport
 
@@ -35,16 +35,16 @@
 
 async def meet(dialler_key=KEY, target='b'):
     one, two = await transports()
-    dialled = await curio.spawn(shake_hands, one, env('a'), 'entry', dialler_key, target)
-    accepted = await curio.spawn(shake_hands, two, env('b'), 'entry', KEY, '')
+    dialled = await curio.spawn(perform_handshake, one, env('a'), 'entry', dialler_key, target)
+    accepted = await curio.spawn(perform_handshake, two, env('b'), 'entry', KEY, '')
     results = []
     for task in (dialled, accepted):
         try:
             results.append((await task.join()).instance)
         except curio.TaskError as error:
             results.append(type(error.__cause__))
-            await one.shut()
-            await two.shut()
+            await one.shutdown()
+            await two.shutdown()
     return results
 
 
@@ -72,7 +72,7 @@
     """
     one, two = await transports()
     reflecting = await curio.spawn(mirror, one, daemon=True)
-    accepting = await curio.spawn(shake_hands, two, env('b'), 'entry', KEY, '')
+    accepting = await curio.spawn(perform_handshake, two, env('b'), 'entry', KEY, '')
     try:
         await accepting.join()
     except curio.TaskError as error:
@@ -89,16 +89,16 @@
 @pytest.mark.parametrize(
     ('data', 'error'),
     [
-        (codec.encode(Frame(0, Kind.EVENT, Ping())), HandshakeFailed),
-        (codec.encode(Frame(0, Kind.EVENT, Hello(99, 'a'))), HandshakeFailed),
-        (codec.encode(Frame(0, Kind.EVENT, Hello(1, 'a' * 5000))), BadFrame),
+        (codec.encode(Frame(0, FrameKind.EVENT, Ping())), HandshakeFailed),
+        (codec.encode(Frame(0, FrameKind.EVENT, Hello(99, 'a'))), HandshakeFailed),
+        (codec.encode(Frame(0, FrameKind.EVENT, Hello(1, 'a' * 5000))), BadFrame),
         (b'GET / HTTP/1.1\r\n\r\n', BadFrame),
     ],
 )
 def test_what_comes_first_must_be_a_small_hello(data, error):
     async def run():
         one, two = await transports()
-        accepting = await curio.spawn(shake_hands, two, env('b'), 'entry', KEY, '')
+        accepting = await curio.spawn(perform_handshake, two, env('b'), 'entry', KEY, '')
         await one.send_bytes(data)
         try:
             await accepting.join()
--- a/tests/test_load_queries.py
+++ b/tests/test_load_queries.py
@@ -79,7 +79,7 @@
                 raise PeerTimedOut('silent')
             return self.loads[name]
 
-        return SimpleNamespace(closed=False, call=call, last_heard=self.clock.now)
+        return SimpleNamespace(closed=False, call=call, last_received_at=self.clock.now)
 
     async def connect(self, address):
         self.dialled.append(address.instance)
@@ -171,7 +171,7 @@
         async def call(message, timeout):
             raise PeerTimedOut('silent')
 
-        connection = SimpleNamespace(call=call, last_heard=fleet.clock.now)
+        connection = SimpleNamespace(call=call, last_received_at=fleet.clock.now)
         await fleet.queries._ask(server, connection)
 
     curio.run(run)
--- a/tests/test_turned_away_directory.py
+++ b/tests/test_turned_away_directory.py
@@ -47,7 +47,7 @@
             raise PeerUnreachable('cut off')
         return SimpleNamespace(
             closed=False,
-            last_heard=self.clock.now,
+            last_received_at=self.clock.now,
             notify=self.notify_of(address.instance),
             call=self.call_of(address),
         )
@@ -101,7 +101,7 @@
             return None
         address = SimpleNamespace(instance=name)
         call = self.zone.call_of(address)
-        return SimpleNamespace(closed=False, last_heard=self.zone.clock.now, call=call)
+        return SimpleNamespace(closed=False, last_received_at=self.zone.clock.now, call=call)
 
 
 @pytest.fixture
