--- a/packages/millfork-weights/millfork_weights/chunk_server.py
+++ b/packages/millfork-weights/millfork_weights/chunk_server.py
@@ -1,5 +1,5 @@
 """
-Giving weights to peers, while they are still arriving here.
+Serving manifests and chunks to peers, also while this instance still receives them.
 
 """
 
@@ -16,7 +16,7 @@
 
 class ChunkServer:
     """
-    Answers peers who ask for manifests and chunks.
+    Handles peers' requests for manifests and chunks.
 
     """
 
@@ -33,7 +33,8 @@
 
     async def on_get_chunk(self, request: GetChunk) -> Chunk:
         """
-        A chunk, awaited and paced for at most the time the peer allows.
+        Wait for the chunk and for link capacity, up to the time that the peer allows. If the
+        link's backlog exceeds that time, answer `busy` at once.
 
         """
         started_at = self.env.monotonic()
--- a/packages/millfork-weights/millfork_weights/links.py
+++ b/packages/millfork-weights/millfork_weights/links.py
@@ -1,5 +1,5 @@
 """
-The instance's network link, shared between transfers and live requests.
+Rate limits for transfers, which share the instance's network link with live requests.
 
 """
 
@@ -13,7 +13,7 @@
 
 class RateLimiter:
     """
-    Lets bytes through at a rate (bytes/s), in the order they came.
+    Limits transfers to `rate` bytes/s, in the order of the requests.
 
     """
 
@@ -25,21 +25,21 @@
     @property
     def backlog_s(self) -> float:
         """
-        Seconds until the bytes already let in are through.
+        Seconds until the bytes that were already admitted have passed at this rate.
 
         """
         return max(self.free_at - self.monotonic(), 0.0)
 
     def record_bytes(self, size: int) -> None:
         """
-        Count bytes that passed without asking.
+        Count bytes that were transferred without `acquire`.
 
         """
         self.free_at = max(self.free_at, self.monotonic()) + size / self.rate
 
     async def acquire(self, size: int) -> None:
         """
-        Wait until `size` bytes may pass.
+        Wait until `size` bytes may be sent. The wait is `BURST_S` shorter than exact pacing.
 
         """
         starts_at = max(self.free_at, self.monotonic())
@@ -51,7 +51,8 @@
 
 class Link:
     """
-    The part of an instance's link that weight transfers may use.
+    The share of an instance's network link that weight transfers may use. Both directions
+    have one common limit if `both_directions_together`.
 
     """
 
--- a/packages/millfork-weights/millfork_weights/manifest.py
+++ b/packages/millfork-weights/millfork_weights/manifest.py
@@ -1,8 +1,8 @@
 """
-Manifests: what exactly the weights of one version are.
+Manifests: the exact content of one version's weights.
 
-A manifest is known by the digest of its bytes. The accepted configuration
-pins that digest, so nothing an origin does later can change a version.
+A manifest is identified by the digest of its bytes. The accepted configuration
+contains that digest, so the origin can't change a version afterwards.
 
 """
 
@@ -14,15 +14,15 @@
 
 class BadManifest(Exception):
     """
-    The bytes are not the manifest that was asked for.
+    The bytes are not the expected manifest, or not a consistent manifest at all.
 
     """
 
 
 class Manifest(msgspec.Struct, frozen=True):
     """
-    One version's size (bytes), its chunks' digests in order, and the digest
-    of the whole. Digests are BLAKE3, in hex.
+    One version's size (bytes), the digests of its chunks in order, and the digest
+    of the complete file (`whole`). Digests are BLAKE3, in hex.
 
     """
 
@@ -35,7 +35,7 @@
 
     def chunk_size(self, index: int) -> int:
         """
-        Bytes of one chunk; only the last may be shorter.
+        Bytes of the chunk at `index`; only the last one may be shorter than `chunk_bytes`.
 
         """
         return min(self.chunk_bytes, self.size - index * self.chunk_bytes)
@@ -51,9 +51,9 @@
 
 def decode_manifest(body: bytes, digest: Digest | None = None) -> Manifest:
     """
-    The manifest in `body`, which must have `digest` if one is given.
+    Decode the manifest in `body`, which must have `digest` if one is given.
 
-    :raises BadManifest: if it has not, or contradicts itself.
+    :raises BadManifest: if the digest differs or the manifest contradicts itself.
 
     """
     if digest is not None and digest_of(body) != digest:
@@ -72,7 +72,7 @@
 
 def build_manifest(name: str, version: str, data: bytes, chunk_bytes: int) -> Manifest:
     """
-    The manifest of `data`.
+    Build the manifest of `data`, split into chunks of `chunk_bytes`.
 
     """
     chunks: list[str] = []
--- a/packages/millfork-weights/millfork_weights/origin.py
+++ b/packages/millfork-weights/millfork_weights/origin.py
@@ -1,5 +1,5 @@
 """
-The origin of weights, met over HTTP.
+Client of the origin of weights, over HTTP.
 
 """
 
@@ -14,14 +14,14 @@
 
 class OriginFailed(Exception):
     """
-    The origin did not give what was asked for.
+    The origin did not return the requested bytes.
 
     """
 
 
 class Origin:
     """
-    Draws manifests and chunks from the origin.
+    Fetches manifests and chunks from the origin.
 
     """
 
@@ -30,18 +30,18 @@
 
     async def manifest(self, name: str, version: str) -> bytes:
         """
-        The manifest that the origin has for a version at this moment.
+        Fetch the manifest that the origin has for a version at this moment, unverified.
 
-        :raises OriginFailed: if it gives none.
+        :raises OriginFailed: if the origin does not return one.
 
         """
         return await self._get(f'/models/{name}/{version}/manifest', [], STATUS_OK)
 
     async def chunk(self, name: str, version: str, start: int, size: int) -> bytes:
         """
-        `size` bytes from `start` of a version, unverified.
+        Fetch `size` bytes of a version from offset `start`, unverified.
 
-        :raises OriginFailed: if it gives none.
+        :raises OriginFailed: if the origin does not return them.
 
         """
         range_header = [('range', f'bytes={start}-{start + size - 1}')]
--- a/packages/millfork-weights/millfork_weights/store.py
+++ b/packages/millfork-weights/millfork_weights/store.py
@@ -1,5 +1,5 @@
 """
-Weights on this instance: one file for each version, whole or growing.
+Weights stored on this instance: one file for each version, complete or partial.
 
 """
 
@@ -30,14 +30,14 @@
 
 class VersionDigestMismatch(Exception):
     """
-    All chunks are right, but the whole is not: the manifest lies.
+    All chunks match their digests but the complete file does not: the manifest is wrong.
 
     """
 
 
 class StoredVersion:
     """
-    One version on this instance.
+    The file of one version on this instance, and which chunks it contains.
 
     """
 
@@ -57,7 +57,7 @@
     def _open(self) -> int:
         whole = self.folder / WHOLE_FILE
         if whole.exists():
-            # A whole file proves itself again before it counts.
+            # After a restart, a complete file counts as partial until it is verified again.
             whole.replace(self.folder / PARTIAL_FILE)
         fd = os.open(self.folder / PARTIAL_FILE, os.O_RDWR | os.O_CREAT, 0o644)
         os.truncate(fd, self.manifest.size)
@@ -66,13 +66,17 @@
     @property
     def path(self) -> Path:
         """
-        The whole file, for the engine to load.
+        Path of the complete file, which the engine loads.
 
         """
         return self.folder / WHOLE_FILE
 
     @property
     def share(self) -> float:
+        """
+        Fraction of the chunks that are stored, from 0 to 1.
+
+        """
         return 1 - self.missing / len(self.manifest.chunks)
 
     def read(self, index: int) -> bytes:
@@ -80,14 +84,14 @@
 
     def matches_digest(self, index: int, data: bytes) -> bool:
         """
-        Whether `data` is exactly the chunk at `index`.
+        Whether `data` has the manifest's digest of the chunk at `index`.
 
         """
         return digest_of(data) == self.manifest.chunks[index]
 
     async def put(self, index: int, data: bytes) -> None:
         """
-        Take a verified chunk and wake those who wait for it.
+        Write a chunk that the caller has verified, and wake the tasks that wait for it.
 
         """
         if self.has_chunk[index]:
@@ -100,7 +104,7 @@
 
     async def wait_for(self, index: int, timeout: float) -> bool:
         """
-        Wait until the chunk at `index` is here, `timeout` seconds at most.
+        Wait up to `timeout` seconds for the chunk at `index`; return whether it is stored.
 
         """
         if self.has_chunk[index]:
@@ -115,7 +119,7 @@
 
     async def load_present_chunks(self) -> None:
         """
-        Take over chunks that an earlier run left in the file.
+        Mark the chunks of the file that match their digests as stored.
 
         """
         present = await curio.run_in_thread(self._verified_chunks)
@@ -128,9 +132,9 @@
 
     async def complete(self) -> None:
         """
-        Verify the whole and make the file the engine's to load.
+        Verify the complete file and move it to `path` for the engine.
 
-        :raises WholeMismatch: if the whole has another digest.
+        :raises VersionDigestMismatch: if the file has another digest.
 
         """
         found = await curio.run_in_thread(self._whole_digest)
@@ -150,7 +154,7 @@
 
 class WeightStore:
     """
-    All versions on this instance, by the digest of their manifests.
+    All versions on this instance, by the digest of their manifests. Each has its own folder.
 
     """
 
@@ -162,7 +166,7 @@
 
     async def open(self, digest: Digest, manifest: Manifest) -> StoredVersion:
         """
-        The holding of a version, made if there is none.
+        Return the stored version, created if there is none.
 
         """
         stored = self.stored_versions.get(digest)
@@ -180,7 +184,7 @@
 
     def manifest_on_disk(self, digest: Digest) -> Manifest | None:
         """
-        A manifest that an earlier run left here.
+        The manifest that an earlier run stored, or None if it is missing or invalid.
 
         """
         try:
@@ -190,7 +194,7 @@
 
     async def wait_for(self, digest: Digest, timeout: float) -> StoredVersion | None:
         """
-        The holding of a version, awaited for `timeout` seconds at most.
+        Wait up to `timeout` seconds until the version is opened; None if it is not.
 
         """
         try:
@@ -203,7 +207,7 @@
 
     def find_chunk(self, chunk: str, size: int) -> bytes | None:
         """
-        A chunk that another version here holds already, verified anew.
+        A chunk that any stored version contains, read and verified again; None if there is none.
 
         """
         for stored in self.stored_versions.values():
@@ -217,7 +221,7 @@
 
     def remove_version(self, digest: Digest) -> None:
         """
-        Remove a version from this instance.
+        Remove a version and its files from this instance.
 
         """
         stored = self.stored_versions.pop(digest, None)
@@ -227,7 +231,8 @@
 
     def remove_all_except(self, required: set[Digest]) -> list[Digest]:
         """
-        Remove every version, held or left over, that is not wanted.
+        Remove every version that is not in `required`, also folders of earlier runs. Return the
+        removed digests.
 
         """
         present = {Digest(path.name) for path in self.folder.iterdir()} | set(self.stored_versions)
--- a/packages/millfork-weights/millfork_weights/transfer.py
+++ b/packages/millfork-weights/millfork_weights/transfer.py
@@ -1,5 +1,5 @@
 """
-One version on its way to this instance: stripes, sources, verification.
+Transfer of one version of weights to this instance, from peers and the origin.
 
 """
 
@@ -23,15 +23,17 @@
 from millfork_wire.messages import Manifest as ManifestMessage
 from millfork_wire.peers import PeerAddress, Peers
 
+# Doubled before each use, so the first backoff from a source lasts 2 s.
 INITIAL_BACKOFF_S: Final = 1.0
 RETRY_INTERVAL_S: Final = 0.1
 MANIFEST_TIMEOUT_S: Final = 0.5
 PEER_ROUNDS_BEFORE_ORIGIN: Final = 10
 MAX_REQUESTS_PER_SOURCE: Final = 3
-# Each instance plans the trees from the instances that it knows of, so where their views
-# differ for a moment each may take another for the root of a stripe. Of a stripe of which
-# nothing comes for so many stalls, whoever stands first in its tree becomes another root,
-# and the next one a stall later: an origin that stands still is not drawn from by all.
+# Each instance plans the trees from the instances that it knows of. While these views differ,
+# every instance may consider another one the root of a stripe, and no instance fetches that
+# stripe from the origin. If no chunk of a stripe arrives for this many times `stall_s`, the
+# first instance of its tree becomes another root, and each further one `stall_s` later. The
+# delays keep all instances from fetching at once while the origin itself is stalled.
 ROOTLESS_AFTER_STALLS: Final = 6
 RANDOM_MANIFEST_SOURCES: Final = 3
 BUSY: Final = 'busy'
@@ -45,15 +47,15 @@
 
 class TransferFailed(Exception):
     """
-    A transfer came to an end before its version was whole.
+    A transfer ended before its version was complete.
 
     """
 
 
 class FetchResult(Enum):
     """
-    What became of asking for a chunk: taken; somebody lives but has it not
-    yet; nobody lives.
+    Result of requesting a chunk: received and stored; not available yet from a live source;
+    or no source could answer.
 
     """
 
@@ -65,7 +67,7 @@
 @dataclass(frozen=True, slots=True)
 class SourceBackoff:
     """
-    Until when a source is passed over (monotonic), and for how long in all.
+    Until when a source is skipped (monotonic time), and the duration of this backoff.
 
     """
 
@@ -80,8 +82,9 @@
 @dataclass(frozen=True, slots=True)
 class TransferSettings:
     """
-    How to draw: trees, requests in flight for each, patience in seconds. The
-    planner is replaced only by the baselines of the bench.
+    Number of stripes, requests in flight per stripe (`window`), seconds that a peer may wait
+    for a chunk (`stall_s`), and roots per stripe (`origin_copies`). Only the baselines of the
+    benchmark replace `planner`.
 
     """
 
@@ -94,7 +97,7 @@
 
 class Transfer:
     """
-    Brings one version here, from peers where possible.
+    Transfers one version to this instance, from peers where possible.
 
     """
 
@@ -118,7 +121,8 @@
         self.backoffs: dict[InstanceId, SourceBackoff] = {}
         self.complete_peers: list[InstanceId] = []
         self.trees: list[Tree] = []
-        # By stripe: when something of it last came, and whether this instance became a root.
+        # By stripe: when its last chunk arrived. Then the stripes that this instance fetches from
+        # the origin although the planned tree has another root.
         self.last_chunk_at: dict[int, float] = {}
         self.adopted_stripes: set[int] = set()
 
@@ -126,10 +130,10 @@
         self, name: str, version: str, digest: Digest, receivers: list[Receiver]
     ) -> StoredVersion:
         """
-        Return the holding once every chunk and the whole are verified.
+        Return the stored version once every chunk and the complete file are verified.
 
-        :raises WholeMismatch: if the manifest contradicts itself.
-        :raises TransferFailed: if it can't go on; what is here stays here.
+        :raises VersionDigestMismatch: if the chunks match the manifest but the file does not.
+        :raises TransferFailed: if the transfer can't continue; stored chunks are kept.
 
         """
         settings = self.settings
@@ -142,7 +146,7 @@
                 indexes = iter(range(stripe, len(manifest.chunks), settings.stripes))
                 for _ in range(settings.window):
                     await group.spawn(self._fetch_stripe, stored, tree, indexes)
-        # A group cancels its other tasks when one fails, and raises nothing.
+        # When one task fails, a TaskGroup cancels the others and raises nothing.
         failures = [task.exception for task in group.tasks if task.exception]
         if failures:
             raise TransferFailed(str(failures[0])) from failures[0]
@@ -150,13 +154,13 @@
             await stored.complete()
         return stored
 
-    # The manifest.
+    # Fetching the manifest.
 
     async def _find_manifest(self, name: str, version: str, digest: Digest) -> Manifest:
         """
-        The manifest, from peers, an earlier run, or the origin. The roots of
-        the trees ask the origin first; others only if peers have nothing for
-        some rounds.
+        Return the manifest from a peer, from the files of an earlier run, or from the origin.
+        If peers and files do not have it, roots request it from the origin in the first round,
+        other instances only after `PEER_ROUNDS_BEFORE_ORIGIN` rounds.
 
         """
         own_instance = self.env.instance
@@ -178,7 +182,7 @@
 
     def _choose_manifest_sources(self) -> list[InstanceId]:
         """
-        The nearest ancestors, and a few at random, who may be whole already.
+        The parents, and a few random peers, which may have the complete version already.
 
         """
         own_instance = self.env.instance
@@ -224,11 +228,13 @@
             self._count('failed', ORIGIN)
         except BadManifest:
             self._count('origin_changed', ORIGIN)
-            log.warning('The origin changed {} {} after it was accepted.', name, version)
+            log.warning(
+                'The manifest of {} {} at the origin differs from the accepted one.', name, version
+            )
             await curio.sleep(RETRY_INTERVAL_S)
         return None
 
-    # Chunks.
+    # Fetching chunks.
 
     async def _fetch_stripe(
         self, stored: StoredVersion, tree: Tree, indexes: Iterator[int]
@@ -251,7 +257,7 @@
 
     async def _fetch_chunk(self, stored: StoredVersion, tree: Tree, index: int) -> None:
         """
-        Ask source after source until the chunk is here and right.
+        Request the chunk from one source after another until a valid copy is stored.
 
         """
         rounds = 0
@@ -266,7 +272,7 @@
             if found is FetchResult.STORED:
                 return
             rounds += 1
-            # While any peer lives, others' draws reach it: origin bytes are dear.
+            # A live peer will receive the chunk from a root, which saves origin bandwidth.
             may_use_origin = (
                 found is FetchResult.NO_LIVE_SOURCE or rounds >= PEER_ROUNDS_BEFORE_ORIGIN
             )
@@ -276,8 +282,8 @@
 
     def _is_root(self, tree: Tree, index: int) -> bool:
         """
-        Whether this instance draws a chunk's stripe from the origin: by plan, or since
-        nobody else seems to.
+        Whether this instance fetches the chunk's stripe from the origin: as a planned root, or
+        because no other instance appears to fetch it.
 
         """
         stripe = index % self.settings.stripes
@@ -286,7 +292,7 @@
         if not self._must_become_root(index):
             return False
         log.warning(
-            'Nothing of stripe {} came for {:.1f} s; it is drawn from the origin here.',
+            'No chunk of stripe {} arrived for {:.1f} s; fetching it from the origin.',
             stripe,
             self.env.monotonic() - self.last_chunk_at[stripe],
         )
@@ -296,8 +302,8 @@
 
     def _must_become_root(self, index: int) -> bool:
         """
-        Whether nobody seems to draw a chunk's stripe, and it is this instance's turn; it then
-        asks no more peers before it draws.
+        Whether no other instance appears to fetch the chunk's stripe from the origin, and it is
+        this instance's turn to do so. Requests to peers then stop until it has become a root.
 
         """
         stripe = index % self.settings.stripes
@@ -309,9 +315,8 @@
 
     def _tree_sources(self, tree: Tree) -> list[InstanceId]:
         """
-        The parent, then the other earlier nodes in random order: each node's
-        link is full with its own children, so that what a lost parent gave
-        must come from all a little.
+        The parent, then the other earlier nodes in random order. The children of a node use
+        its whole link, so the load of a lost parent must be spread over many nodes.
 
         """
         sources = tree.sources(self.env.instance)
@@ -337,14 +342,14 @@
 
     def _complete_peers(self, index: int) -> list[InstanceId]:
         """
-        Peers that have it all, in turns so that each gives a part.
+        The peers with the complete version, rotated by chunk to spread the load.
 
         """
-        whole = self.complete_peers
-        if not whole:
+        peers = self.complete_peers
+        if not peers:
             return []
-        turn = index % len(whole)
-        return [*whole[turn:], *whole[:turn]]
+        turn = index % len(peers)
+        return [*peers[turn:], *peers[:turn]]
 
     async def _fetch_from_peer(
         self, stored: StoredVersion, index: int, source: InstanceId
@@ -399,7 +404,7 @@
         await self.link.inbound.acquire(len(data))
         if not stored.matches_digest(index, data):
             self._count('corrupt', kind)
-            log.warning('Chunk {} from {} is corrupt.', index, source or kind)
+            log.warning('Chunk {} from {} does not match its digest.', index, source or kind)
             return False
         await stored.put(index, data)
         self.last_chunk_at[index % self.settings.stripes] = self.env.monotonic()
@@ -408,7 +413,7 @@
 
     def _back_off_from(self, source: InstanceId) -> None:
         """
-        Pass a source over for a while, twice as long each time.
+        Skip a source for a time that doubles with each failure.
 
         """
         pause_s = self.backoffs.get(source, NO_BACKOFF).pause_s * 2
--- a/packages/millfork-weights/millfork_weights/trees.py
+++ b/packages/millfork-weights/millfork_weights/trees.py
@@ -1,12 +1,12 @@
 """
-The distribution trees: from whom each instance takes each stripe.
+Distribution trees: from which parent each instance fetches each stripe.
 
-Chunk i belongs to stripe i mod S, and each stripe has a tree of its own. An
-instance may feed S children over all trees, so that it sends one copy in all,
-and nearly all its children hang on it in one tree, so that trees are flat.
-Availability zones are subtrees where their size allows, so that weights enter
-a zone once. All instances compute the same trees from the accepted
-configuration; nothing is agreed on the way.
+Chunk i belongs to stripe i mod S, and each stripe has its own tree. An instance
+has at most S children over all trees, so it sends at most one copy of the
+weights in total. Nearly all its children are in one tree, which keeps the trees
+flat. Availability zones are subtrees where their size allows it, so that weights
+enter a zone once. All instances compute the same trees from the accepted
+configuration and exchange no messages about them.
 
 """
 
@@ -21,7 +21,7 @@
 @dataclass(frozen=True, slots=True)
 class Receiver:
     """
-    An instance that the weights should reach.
+    An instance that the weights are distributed to.
 
     """
 
@@ -32,8 +32,8 @@
 @dataclass(slots=True)
 class Tree:
     """
-    One stripe's tree: parents, and the order in which nodes were placed. A
-    root's parent is None: it draws from the origin.
+    The tree of one stripe: each node's parent, and the order in which nodes were
+    placed. The parent of a root is None, as it fetches from the origin.
 
     """
 
@@ -42,8 +42,9 @@
 
     def sources(self, instance: InstanceId) -> list[InstanceId]:
         """
-        Whom to ask, best first: the ancestors, then whoever else stands
-        earlier, nearest first. Earlier nodes never wait for later ones.
+        The nodes to request chunks from, best first: the ancestors, then all other
+        nodes that precede `instance` in `order`, latest first. As nodes request only
+        from preceding ones, they can't wait for each other in a cycle.
 
         """
         ancestors = self._ancestors(instance)
@@ -67,8 +68,8 @@
     digest: Digest, receivers: list[Receiver], stripes: int, origin_copies: int
 ) -> list[Tree]:
     """
-    The trees of all stripes over `receivers`, each with at most
-    `origin_copies` roots.
+    Plan the trees of all stripes over `receivers`, each with at most `origin_copies`
+    roots.
 
     """
     ordered = sorted(
@@ -90,7 +91,7 @@
 
 def _first_node_per_zone(inner_nodes: list[Receiver], stripe: int) -> list[Receiver]:
     """
-    The first feeder of each zone; another zone begins in each stripe.
+    The first inner node of each zone. Each stripe starts with another zone.
 
     """
     zone_heads = list({receiver.zone: receiver for receiver in reversed(inner_nodes)}.values())
@@ -103,8 +104,8 @@
     sequence: Iterable[Receiver], free_child_slots: dict[InstanceId, int], origin_copies: int
 ) -> Tree:
     """
-    Hang each instance on the earliest placed one with room, in its own zone
-    if there is one.
+    Give each instance the earliest placed parent with a free child slot, in its own
+    zone if there is one.
 
     """
     tree = Tree()
