--- a/packages/millfork-weights/millfork_weights/chunk_server.py
+++ b/packages/millfork-weights/millfork_weights/chunk_server.py
@@ -34,7 +34,7 @@
     async def on_get_chunk(self, request: GetChunk) -> Chunk:
         """
         Wait for the chunk and for link capacity, up to the time that the peer allows. If the
-        link's backlog exceeds that time, answer `busy` at once.
+        link's backlog exceeds that time, answer `busy`.
 
         """
         started_at = self.env.monotonic()
--- a/packages/millfork-wire/millfork_wire/codec.py
+++ b/packages/millfork-wire/millfork_wire/codec.py
@@ -1,5 +1,5 @@
 """
-Frames to bytes and back, by pycapnp; the schema is loaded at run time.
+Encoding and decoding of frames with pycapnp. The schema is loaded at run time.
 
 """
 
@@ -17,15 +17,15 @@
 LENGTH_BYTES: Final = 4
 MAX_HELLO_BYTES: Final = 1024
 MAX_FRAME_BYTES: Final = 48 * 1024 * 1024
-# The top bit of the length: the body is packed, which suits small messages
-# with many zeros and would only cost time on weights.
+# The top bit of the length: the body has Cap'n Proto's packed encoding, which shortens
+# messages with many zeros. For weights and snapshots it would only cost time.
 PACKED_FLAG: Final = 1 << 31
 UNPACKED: Final = frozenset({messages.Chunk, messages.InstallRequest, messages.PushChunk})
 
 
 class FrameKind(IntEnum):
     """
-    What a frame is: a request awaits one reply, an event awaits none.
+    Kind of a frame: a request is answered with one reply, an event with none.
 
     """
 
@@ -36,7 +36,7 @@
 
 class BadFrame(Exception):
     """
-    The bytes are not a frame of this protocol.
+    The bytes are not a frame of this protocol, or the frame is too large.
 
     """
 
@@ -44,7 +44,7 @@
 @dataclass(slots=True)
 class Frame:
     """
-    One decoded frame.
+    One decoded frame. A reply has the id of its request; the id of an event is 0.
 
     """
 
@@ -60,18 +60,19 @@
 _schema = capnp.load(str(files('millfork_wire') / 'millfork.capnp'))
 
 
-# Two frame members share one struct: a pre-vote is asked like a vote.
+# In the schema, the frame members `preVote` and `vote` share the struct `VoteRequest`.
 @dataclass(slots=True)
 class PreVote(messages.VoteRequest):
     """
-    A vote request that changes no term.
+    Asks whether a vote would be granted, without a change of term.
 
     """
 
 
 def _message_classes() -> dict[str, type[Message]]:
     """
-    The class of each member of the frame's union, by the struct it names.
+    The message class of each member of the frame's union, by member name. A class has the
+    name of the member's struct.
 
     """
     found: dict[str, type[Message]] = {}
@@ -89,6 +90,11 @@
 
 
 def _field_plan(cls: type[Message]) -> list[tuple[str, str, Any]]:
+    """
+    For each field of a message class: name, name in the schema, and type (of the elements
+    where the field is a list).
+
+    """
     hints = get_type_hints(cls)
     plan = []
     for field in fields(cls):  # type: ignore[arg-type]
@@ -138,7 +144,9 @@
 
 def encode(frame: Frame) -> bytes:
     """
-    A frame as length-prefixed bytes.
+    Encode a frame as length-prefixed bytes.
+
+    :raises BadFrame: if the frame is over `MAX_FRAME_BYTES`.
 
     """
     name = _NAMES[type(frame.message)]
@@ -156,7 +164,7 @@
 
 def parse_length(header: bytes) -> tuple[int, bool]:
     """
-    A frame's length in bytes, and whether its body is packed.
+    The length of a frame's body in bytes, and whether the body is packed.
 
     """
     number = int.from_bytes(header, 'big')
@@ -165,9 +173,9 @@
 
 def decode(body: bytes, packed: bool) -> Frame:
     """
-    The frame in `body` (without its length).
+    Decode the frame in `body` (without its length prefix).
 
-    :raises BadFrame: if the bytes are no frame or an unknown message.
+    :raises BadFrame: if the bytes are not a frame, or its message is unknown.
 
     """
     try:
--- a/packages/millfork-wire/millfork_wire/connection.py
+++ b/packages/millfork-wire/millfork_wire/connection.py
@@ -1,5 +1,5 @@
 """
-One connection to one peer: calls, events, and the task that reads them.
+One connection to one peer: calls, events, and the tasks that read and write frames.
 
 """
 
@@ -40,28 +40,28 @@
 
 class PeerError(Exception):
     """
-    A call to a peer has no answer.
+    A call to a peer failed.
 
     """
 
 
 class PeerLost(PeerError):
     """
-    The connection is gone; the peer may have acted on the call.
+    The connection was closed; the peer may have acted on the call.
 
     """
 
 
 class PeerUnreachable(PeerError):
     """
-    No connection could be made; the peer saw nothing of the call.
+    No connection could be opened; the peer did not receive the call.
 
     """
 
 
 class PeerTimedOut(PeerError):
     """
-    No answer in time; the peer may still act on the call.
+    The peer did not answer in time; it may still act on the call.
 
     """
 
@@ -91,7 +91,8 @@
 
 class Connection:
     """
-    A proven connection, used from both ends for calls and events.
+    An authenticated connection. Both ends use it for calls and events. The handler gets the
+    peer's messages; its result is the reply to a request.
 
     """
 
@@ -121,13 +122,13 @@
 
     async def call(self, message: Message, timeout: float) -> Message:
         """
-        Send a request and return its reply within `timeout` seconds.
+        Send a request and return its reply, which must arrive within `timeout` seconds.
 
-        :raises PeerLost, PeerTimedOut, PeerRefused: where there is none.
+        :raises PeerLost, PeerTimedOut, PeerRefused: if there is no reply.
 
         """
         if self.closed:
-            raise PeerLost(f'{self.peer} is gone')
+            raise PeerLost(f'the connection to {self.peer} is closed')
         call_id = next(self.call_ids)
         pending_call = _PendingCall()
         self.pending_calls[call_id] = pending_call
@@ -136,24 +137,24 @@
                 await self._enqueue(Frame(call_id, FrameKind.REQUEST, message))
                 await pending_call.answered.wait()
         except curio.TaskTimeout:
-            raise PeerTimedOut(f'{self.peer} gave no answer in {timeout:.1f} s') from None
+            raise PeerTimedOut(f'{self.peer} did not answer within {timeout:.1f} s') from None
         finally:
             self.pending_calls.pop(call_id, None)
         if pending_call.reply is None:
-            raise PeerLost(f'{self.peer} went away')
+            raise PeerLost(f'the connection to {self.peer} was closed during the call')
         if isinstance(pending_call.reply, Failure):
             raise PeerRefused(pending_call.reply)
         return pending_call.reply
 
     async def notify(self, message: Message) -> None:
         """
-        Send an event.
+        Queue an event for sending.
 
         :raises PeerLost: if the connection is already closed.
 
         """
         if self.closed:
-            raise PeerLost(f'{self.peer} is gone')
+            raise PeerLost(f'the connection to {self.peer} is closed')
         await self._enqueue(Frame(0, FrameKind.EVENT, message))
 
     async def _enqueue(self, frame: Frame) -> None:
@@ -163,7 +164,7 @@
 
     def _count_bytes(self, message: Message, size: int, direction: str) -> None:
         """
-        Count the bytes of control; requests and weights are counted as such.
+        Count the bytes of control messages. Callers' requests and weights have their own metrics.
 
         """
         if not isinstance(message, DATA_MESSAGES):
@@ -171,7 +172,7 @@
 
     async def write_frames(self) -> None:
         """
-        The writing task: frames queued together leave in one send.
+        The writing task: sends all frames that are queued together in one write.
 
         """
         try:
@@ -189,7 +190,7 @@
 
     async def read_frames(self) -> None:
         """
-        The reading task: lasts as long as the connection.
+        The reading task: dispatches frames until the connection ends, then closes it.
 
         """
         try:
@@ -205,8 +206,8 @@
             pass
         finally:
             await self.close()
-            # The event loop must not hold a closed socket for the writer: its
-            # number may be another connection's by then.
+            # Otherwise the event loop would still wait on the closed socket for the writer,
+            # and its file descriptor may already belong to another connection.
             if self.writer is not None:
                 await self.writer.cancel()
             await self.transport.close()
@@ -239,7 +240,7 @@
             return message
         try:
             reply = await self.handler(self, message)
-        except Exception as error:  # a fault in one handler must not end the process
+        except Exception as error:  # an error in one handler must not end the process
             log.exception('Handling {} from {} failed.', type(message).__name__, self.peer)
             return Failure('internal', str(error))
         if reply is None:
@@ -248,7 +249,7 @@
 
     async def close(self) -> None:
         """
-        Close once; every waiting call learns that the peer is lost.
+        Close the connection, if it is open. Pending calls raise `PeerLost`.
 
         """
         if self.closed:
--- a/packages/millfork-wire/millfork_wire/handshake.py
+++ b/packages/millfork-wire/millfork_wire/handshake.py
@@ -1,8 +1,9 @@
 """
-Peers prove who they are before anything else is read.
+Mutual authentication of peers, before any other message is read.
 
-Both sides send a nonce and then a keyed hash over both hellos. The key of an
-instance is derived from the fleet's key, so a proof names its instance.
+Both sides send a hello with a nonce, then a proof: a keyed hash (HMAC) over both
+hellos. The key of an instance is derived from the fleet's key and the instance's
+name, so a proof is valid for one instance only.
 
 """
 
@@ -22,7 +23,7 @@
 
 class HandshakeFailed(Exception):
     """
-    The other side did not prove to be the peer it claims to be.
+    The other side did not prove that it is the instance that it claims to be.
 
     """
 
@@ -42,9 +43,9 @@
     target: InstanceId,
 ) -> Hello:
     """
-    Exchange hellos and proofs; return the peer's proven hello.
+    Exchange hellos and proofs; return the peer's hello once its proof is verified.
 
-    `target` is the instance dialled, or empty on the accepting side.
+    `target` is the dialled instance, or empty on the accepting side.
 
     :raises HandshakeFailed: on a wrong version, instance or proof.
 
@@ -65,26 +66,30 @@
     )
     proof = (await transport.receive(codec.MAX_HELLO_BYTES)).message
     if not isinstance(proof, Proof):
-        raise HandshakeFailed('the second message is no proof')
+        raise HandshakeFailed('the second message is not a proof')
     if not hmac.compare_digest(proof.mac, _mac(fleet_key, peer_hello, own_hello)):
-        raise HandshakeFailed(f'wrong proof from {peer_hello.instance}')
+        raise HandshakeFailed(f'the proof of {peer_hello.instance} is wrong')
     return peer_hello
 
 
 def _validate_hello(peer_hello: Message, env: Environment, target: InstanceId) -> Hello:
     """
-    The peer's hello, if this instance may talk to it at all.
+    Return the peer's hello if its version, instance and target are acceptable.
+
+    :raises HandshakeFailed: if they are not.
 
     """
     if not isinstance(peer_hello, Hello):
-        raise HandshakeFailed('the first message is no hello')
+        raise HandshakeFailed('the first message is not a hello')
     if peer_hello.version != PROTOCOL_VERSION:
-        raise HandshakeFailed(f'protocol version {peer_hello.version} is not {PROTOCOL_VERSION}')
+        raise HandshakeFailed(
+            f'the peer has protocol version {peer_hello.version}, not {PROTOCOL_VERSION}'
+        )
     if peer_hello.instance == env.instance:
-        # Also what a mirror would send; its proof would be our own.
+        # Without this check a peer could reflect all messages, and so send back a valid proof.
         raise HandshakeFailed('the peer claims to be this instance')
     if target and peer_hello.instance != target:
-        raise HandshakeFailed(f'dialled {target}, got {peer_hello.instance}')
+        raise HandshakeFailed(f'dialled {target}, but {peer_hello.instance} answered')
     if peer_hello.target and peer_hello.target != env.instance:
-        raise HandshakeFailed(f'the peer wants {peer_hello.target}')
+        raise HandshakeFailed(f'the peer dialled {peer_hello.target}')
     return peer_hello
--- a/packages/millfork-wire/millfork_wire/messages/base.py
+++ b/packages/millfork-wire/millfork_wire/messages/base.py
@@ -1,12 +1,12 @@
 """
-The base of every message.
+Base class of the messages.
 
 """
 
 
 class Message:
     """
-    Base of every message that may stand in a frame.
+    Base class of every message, and of the structs that messages contain.
 
     """
 
--- a/packages/millfork-wire/millfork_wire/messages/basic.py
+++ b/packages/millfork-wire/millfork_wire/messages/basic.py
@@ -1,5 +1,5 @@
 """
-What every connection speaks: the handshake, and answers that say no more than yes or no.
+Messages of every connection: the handshake, pings, and answers without content.
 
 """
 
--- a/packages/millfork-wire/millfork_wire/messages/feed.py
+++ b/packages/millfork-wire/millfork_wire/messages/feed.py
@@ -1,5 +1,5 @@
 """
-What replicas of a seeded fleet tell each other and their followers.
+Messages between the replicas of a seeded fleet and their followers: discovery, leases, reports.
 
 """
 
@@ -11,8 +11,8 @@
 @dataclass(slots=True)
 class VersionSwitch(Message):
     """
-    A version of a model's weights that was named lately, and for how long requests may
-    still begin on an older one.
+    A recently named version of a model's weights, and for how many ms requests may still
+    begin on an older version.
 
     """
 
@@ -31,7 +31,7 @@
 @dataclass(slots=True)
 class CacheAddress(Message):
     """
-    An instance that keeps pieces of weights for the daemons of its zone.
+    An instance that caches pieces of weights for the daemons of its zone.
 
     """
 
@@ -49,7 +49,7 @@
     caches: list[CacheAddress] = field(default_factory=list)
     # The availability zone of the replica that answers.
     zone: str = ''
-    # The versions named lately, as far as it was told of them.
+    # The recently named versions that the replica knows of.
     switches: list[VersionSwitch] = field(default_factory=list)
 
 
@@ -63,8 +63,9 @@
 @dataclass(slots=True)
 class AskFeed(Message):
     """
-    Asked of another follower where no replica can be reached: configuration since a
-    revision, and what changed of leases and reports since those versions of its tables.
+    Asks another follower for the feed, where no replica can be reached: configuration since
+    `revision`, and changes of leases, reports and suspicions since the given versions of the
+    asked follower's tables.
 
     """
 
@@ -78,15 +79,15 @@
 @dataclass(slots=True)
 class FeedSent(Message):
     """
-    The feed was sent, up to these versions of the tables; not ok: the one asked hears
-    no replica itself.
+    The feed was sent, up to these versions of the tables. Not `ok`: the asked follower
+    receives nothing from replicas either.
 
     """
 
     ok: bool = False
     lease_version: int = 0
     report_version: int = 0
-    # The versions named lately, as far as it was told of them.
+    # The recently named versions that the asked follower knows of.
     switches: list[VersionSwitch] = field(default_factory=list)
     suspicion_version: int = 0
 
@@ -95,12 +96,12 @@
 class Leases(Message):
     full: bool = False
     settled: bool = False
-    # Entries known now, and the most known lately.
+    # The number of entries known now; `most_entries` is the highest number known recently.
     entries: int = 0
     leases: bytes = b''
     reports: bytes = b''
     most_entries: int = 0
-    # Requests under which back ends ended.
+    # Requests during which back ends ended.
     suspicions: bytes = b''
 
 
@@ -112,7 +113,7 @@
 @dataclass(slots=True)
 class SuspicionReport(Message):
     """
-    Requests under which back ends ended, as an entry knows them.
+    The requests known to an entry during which back ends ended.
 
     """
 
@@ -122,7 +123,7 @@
 @dataclass(slots=True)
 class AskSuspicions(Message):
     """
-    Asked by an entry that starts, on a fleet with a list of instances; the answer is a
-    report of all that the other one knows.
+    Sent to other entries by an entry that starts, on a fleet with a list of instances. The
+    answer is a `SuspicionReport` with all requests that the other entry knows.
 
     """
--- a/packages/millfork-wire/millfork_wire/messages/loads.py
+++ b/packages/millfork-wire/millfork_wire/messages/loads.py
@@ -1,5 +1,5 @@
 """
-The load of one engine, between an entry and the endpoint daemon beside it.
+The load of one engine, between an entry and the endpoint daemon next to the engine.
 
 """
 
@@ -16,8 +16,9 @@
 @dataclass(slots=True)
 class EngineLoad(Message):
     """
-    What runs and waits at the engine at this moment, its pace in percent of the usual time
-    of a step, and its incarnation; not known where the engine does not answer.
+    The numbers of requests that run and wait at the engine at this moment, the engine's pace
+    in percent of the usual time of a step, and its incarnation. Not `known` if the engine does
+    not answer.
 
     """
 
--- a/packages/millfork-wire/millfork_wire/messages/requests.py
+++ b/packages/millfork-wire/millfork_wire/messages/requests.py
@@ -1,5 +1,5 @@
 """
-A caller's request between an entry and an endpoint, in two steps.
+A caller's request between an entry and an endpoint: reserved first, then started.
 
 """
 
@@ -65,14 +65,14 @@
     reason: str = ''
     verdict: str = ''
     detail: str = ''
-    # Of the back end, where the answer broke off and it ended, or may have.
+    # Incarnation of the back end, if the answer broke off and the back end ended or may have.
     incarnation: str = ''
 
 
 @dataclass(slots=True)
 class BackEndFate(Message):
     """
-    What became of a back end under which a request broke off, once that is known.
+    Whether a back end ended when a request to it broke off, sent once that is known.
 
     """
 
@@ -89,7 +89,7 @@
 class Cancelled(Message):
     request_id: str = ''
     verdict: str = ''
-    # Of the back end, if it had the request.
+    # Incarnation of the back end, if the request had been sent to it.
     incarnation: str = ''
 
 
--- a/packages/millfork-wire/millfork_wire/messages/state.py
+++ b/packages/millfork-wire/millfork_wire/messages/state.py
@@ -1,5 +1,5 @@
 """
-The replicated state: elections, the log, proposals, and configuration on its way.
+The replicated state: elections, the log, proposals, and the distribution of configuration.
 
 """
 
--- a/packages/millfork-wire/millfork_wire/messages/turned_away.py
+++ b/packages/millfork-wire/millfork_wire/messages/turned_away.py
@@ -1,5 +1,5 @@
 """
-Requests that were turned away, between the entries of a zone.
+Messages between the entries of a zone about requests that were turned away.
 
 """
 
@@ -11,7 +11,7 @@
 @dataclass(slots=True)
 class NoteTurnedAway(Message):
     """
-    A request was turned away, so long after its first try.
+    A request was turned away, `elapsed_ms` after its first try.
 
     """
 
@@ -27,7 +27,7 @@
 @dataclass(slots=True)
 class TurnedAwayBefore(Message):
     """
-    Whether it was turned away lately, and when it was first tried.
+    Whether the request was turned away recently, and how long ago its first try was.
 
     """
 
--- a/packages/millfork-wire/millfork_wire/messages/weights.py
+++ b/packages/millfork-wire/millfork_wire/messages/weights.py
@@ -1,5 +1,5 @@
 """
-Pieces of weights, and the lists of them.
+Chunks of weights, and the manifests that list them.
 
 """
 
@@ -11,7 +11,7 @@
 @dataclass(slots=True)
 class GetManifest(Message):
     digest: str = ''
-    # Whether the one asked is to draw it from the origin, not to ask another.
+    # Whether the receiver must fetch it from the origin, without asking another instance.
     draw: bool = False
 
 
@@ -28,7 +28,7 @@
     manifest: str = ''
     index: int = 0
     wait_ms: int = 0
-    # Whether the one asked is to draw it from the origin, not to ask another.
+    # Whether the receiver must fetch it from the origin, without asking another instance.
     draw: bool = False
 
 
--- a/packages/millfork-wire/millfork_wire/millfork.capnp
+++ b/packages/millfork-wire/millfork_wire/millfork.capnp
@@ -1,9 +1,9 @@
 @0xe1b2c7a95d3f8042;
-# Messages between millfork's own processes. A frame is a 4-byte length and
-# one Frame message. Fields are only ever added, never renumbered.
+# Messages between millfork's own processes. On the wire, a frame is a 4-byte length
+# followed by one Frame message. Fields may be added, but never removed or renumbered.
 
 struct Frame {
-  id @0 :UInt64;        # pairs a reply with its request; 0 for events
+  id @0 :UInt64;        # a reply has the id of its request; 0 for events
   kind @1 :UInt8;       # 0 request, 1 reply, 2 event
   union {
     hello @2 :Hello;
--- a/packages/millfork-wire/millfork_wire/peers.py
+++ b/packages/millfork-wire/millfork_wire/peers.py
@@ -1,5 +1,5 @@
 """
-All of a process's connections: one for each peer, dialled when needed.
+The connections of a process: one for each peer, dialled when needed.
 
 """
 
@@ -36,7 +36,7 @@
 @dataclass(frozen=True, slots=True)
 class PeerAddress:
     """
-    Where a peer listens.
+    An instance, and the host and port that it listens on.
 
     """
 
@@ -47,7 +47,8 @@
 
 class Peers:
     """
-    The connections of this process, by peer.
+    Accepts and dials connections of this process; one for each peer. Hooks in `closed_hooks`
+    are called with each connection that ends.
 
     """
 
@@ -69,8 +70,8 @@
         self.fleet_key = fleet_key
         self.handler = handler
         self.via = via
-        # Whether a call without any answer in time ends the connection, so
-        # that the next call dials a peer that may have come back.
+        # Whether to close a connection if nothing at all is received on it during a call that
+        # times out. The next call then dials the peer again, which may have restarted.
         self.closes_unresponsive = closes_unresponsive
         self.connections: dict[InstanceId, Connection] = {}
         self.locks: dict[InstanceId, curio.Lock] = {}
@@ -79,8 +80,8 @@
 
     async def listen(self) -> None:
         """
-        Accept peers until cancelled. Binding the address also makes this
-        process the only one in its slot.
+        Accept peers until cancelled. Binding the address also prevents a second process at
+        this address.
 
         """
         await curio.tcp_server(self.host, self.port, self._accept, reuse_address=True)
@@ -124,9 +125,9 @@
 
     async def connect(self, address: PeerAddress) -> Connection:
         """
-        The open connection to a peer, dialled if there is none.
+        Return the open connection to a peer, dialled if there is none.
 
-        :raises PeerUnreachable: if none can be had.
+        :raises PeerUnreachable: if the peer can't be dialled now or could not be a moment ago.
 
         """
         lock = self.locks.setdefault(address.instance, curio.Lock())
@@ -157,9 +158,9 @@
 
     async def call(self, address: PeerAddress, message: Message, timeout: float) -> Message:
         """
-        Dial if needed, then call.
+        Dial the peer if needed, and call it.
 
-        :raises PeerError: of the kind that tells what the peer may have seen.
+        :raises PeerError: with the subclass that says whether the peer may have received the call.
 
         """
         connection = await self.connect(address)
@@ -174,8 +175,8 @@
 
     async def ping_idle_connections(self) -> None:
         """
-        The task that closes connections whose peer no longer answers. The
-        side that dialled asks; one question for each pair is enough.
+        Ping the peers of idle connections, and close connections without an answer. Only the
+        dialling side pings, as one ping for each pair is enough.
 
         """
         while True:
--- a/packages/millfork-wire/millfork_wire/transport.py
+++ b/packages/millfork-wire/millfork_wire/transport.py
@@ -12,7 +12,7 @@
 from millfork_wire.codec import BadFrame, Frame
 
 MAX_PROXY_REPLY_BYTES: Final = 4096
-# The system closes a connection whose bytes the peer leaves unacknowledged.
+# The kernel closes a connection whose bytes stay unacknowledged by the peer for this long.
 MAX_UNACKNOWLEDGED_MS: Final = 30_000
 
 
@@ -37,10 +37,10 @@
 
     async def receive(self, limit: int = codec.MAX_FRAME_BYTES) -> Frame:
         """
-        The next frame.
+        Read the next frame.
 
-        :raises EOFError: when the peer closed.
-        :raises BadFrame: on a frame over `limit` bytes, or no frame at all.
+        :raises EOFError: if the peer closed the connection.
+        :raises BadFrame: if the frame is over `limit` bytes, or the bytes are not a frame.
 
         """
         header = await self.stream.read_exactly(codec.LENGTH_BYTES)
@@ -52,7 +52,7 @@
 
     async def shutdown(self) -> None:
         """
-        End both directions, which wakes the task that reads.
+        Shut down both directions, which wakes the reading task.
 
         """
         try:
@@ -66,10 +66,10 @@
 
 async def dial(host: str, port: int, source: str, via: tuple[str, int] | None) -> Transport:
     """
-    Open a connection from address `source`, through the HTTP CONNECT proxy
-    `via` where one stands between the zones.
+    Open a connection from address `source`. `via` is the HTTP CONNECT proxy to use, if the
+    zones are connected by one.
 
-    :raises OSError: if there is no connection to be had.
+    :raises OSError: if the connection can't be opened.
 
     """
     first_hop = via or (host, port)
@@ -92,6 +92,6 @@
         data = await sock.recv(1)
         reply += data
         if not data or len(reply) > MAX_PROXY_REPLY_BYTES:
-            raise ConnectionRefusedError('the proxy gave no answer')
+            raise ConnectionRefusedError('the proxy sent no complete answer')
     if b' 200 ' not in reply.split(b'\r\n', 1)[0]:
         raise ConnectionRefusedError(f'the proxy refused {host}:{port}')
