--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -794,7 +794,7 @@
     Mutation(
         'a stripe of which nothing comes gets another root',
         'tests/test_transfer_without_root.py::'
-        'test_a_stripe_that_nobody_draws_comes_within_half_a_minute',
+        'test_a_stripe_without_a_root_arrives_within_half_a_minute',
         (Edit(W + 'transfer.py', 'if not self._must_become_root(index):', 'if True:'),),
     ),
     Mutation(
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -19,21 +19,21 @@
     st.lists(st.tuples(st.text(), st.binary(), st.integers(0, 2**32)), max_size=4),
     st.lists(st.text(), max_size=4),
 )
-def test_frames_come_back_as_they_went(number, kind, items, removed):
+def test_decoding_returns_the_encoded_frame(number, kind, items, removed):
     update = messages.Update(
         'cluster', 1, 2, True, [messages.Item(*item) for item in items], removed
     )
     assert round_trip(Frame(number, kind, update)) == Frame(number, kind, update)
 
 
-def test_every_message_of_the_union_round_trips():
+def test_every_message_of_the_union_is_decoded_as_encoded():
     for cls in codec._CLASSES.values():
         frame = Frame(1, FrameKind.REQUEST, cls())
         assert round_trip(frame) == frame
 
 
 @given(st.binary(max_size=200), st.booleans())
-def test_any_bytes_are_a_frame_or_a_bad_frame(data, packed):
+def test_decoding_any_bytes_raises_at_most_bad_frame(data, packed):
     try:
         codec.decode(data, packed)
     except BadFrame:
--- a/tests/test_connection.py
+++ b/tests/test_connection.py
@@ -1,5 +1,5 @@
 """
-What a peer connection leaves behind when it ends.
+Ends of peer connections, and requests that arrive while the process ends.
 
 """
 
@@ -20,10 +20,10 @@
 FRAME_BYTES = 512 * 1024
 
 
-class QuietTransport(Transport):
+class TransportWithoutWake(Transport):
     """
     A transport whose shutdown does not wake a task that waits to write, as
-    seen on a simulated network.
+    happened on a simulated network.
 
     """
 
@@ -38,12 +38,12 @@
     return near, far
 
 
-async def talk_over(numbers):
+async def exchange_over_new_sockets(pair_count):
     """
-    Use new sockets that get the numbers which came free.
+    Send bytes over new sockets, which get the file descriptors that became free.
 
     """
-    pairs = [socket.socketpair() for _ in range(numbers)]
+    pairs = [socket.socketpair() for _ in range(pair_count)]
     for pair in pairs:
         one, other = (Socket(end) for end in pair)
         for reader, writer in ((one, other), (other, one)):
@@ -55,14 +55,14 @@
         await other.close()
 
 
-def test_a_connection_that_ends_while_it_writes_leaves_nothing_to_the_event_loop():
+def test_a_connection_that_ends_while_writing_leaves_no_socket_in_the_event_loop():
     async def ignore(*arguments):
         return None
 
     async def run():
         near, far = tcp_pair()
         env = Environment(InstanceId('a:1'), ZoneId('zone'))
-        transport = QuietTransport(Socket(near))
+        transport = TransportWithoutWake(Socket(near))
         connection = Connection(env, transport, Hello(instance='b:1'), ignore, ignore, True)
         connection.writer = await env.spawn(connection.write_frames)
         reader = await env.spawn(connection.read_frames)
@@ -74,13 +74,13 @@
         far.shutdown(socket.SHUT_WR)
         async with curio.timeout_after(5):
             await reader.wait()
-        await talk_over(3)
+        await exchange_over_new_sockets(3)
         far.close()
 
     curio.run(run)
 
 
-def test_a_request_that_comes_while_the_process_ends_starts_nothing():
+def test_a_request_that_arrives_while_the_process_ends_is_not_handled():
     answered = []
 
     async def answer(connection, message):
@@ -108,7 +108,7 @@
     assert answered == []
 
 
-def test_a_caller_that_comes_while_the_process_ends_is_not_served():
+def test_a_caller_that_connects_while_the_process_ends_is_not_served():
     served = []
 
     async def serve(exchange):
--- a/tests/test_handshake.py
+++ b/tests/test_handshake.py
@@ -1,5 +1,5 @@
 """
-Peers prove who they are before anything else is read.
+Peers are authenticated before any other message is read.
 
 """
 
@@ -33,7 +33,7 @@
     return Transport(client), Transport(accepted)
 
 
-async def meet(dialler_key=KEY, target='b'):
+async def handshake_results(dialler_key=KEY, target='b'):
     one, two = await transports()
     dialled = await curio.spawn(perform_handshake, one, env('a'), 'entry', dialler_key, target)
     accepted = await curio.spawn(perform_handshake, two, env('b'), 'entry', KEY, '')
@@ -48,30 +48,30 @@
     return results
 
 
-def test_both_sides_learn_who_the_other_is():
-    assert curio.run(meet) == ['b', 'a']
+def test_both_sides_get_the_name_of_the_other():
+    assert curio.run(handshake_results) == ['b', 'a']
 
 
-def test_a_wrong_key_proves_nothing():
-    assert HandshakeFailed in curio.run(meet, b'another key')
+def test_a_proof_with_a_wrong_key_is_refused():
+    assert HandshakeFailed in curio.run(handshake_results, b'another key')
 
 
-def test_another_instance_than_the_one_dialled_is_refused():
-    assert HandshakeFailed in curio.run(meet, KEY, 'c')
+def test_an_instance_other_than_the_dialled_one_is_refused():
+    assert HandshakeFailed in curio.run(handshake_results, KEY, 'c')
 
 
-async def mirror(transport):
+async def send_back(transport):
     while True:
         await transport.send(await transport.receive())
 
 
-async def reflect():
+async def error_with_reflecting_peer():
     """
-    Send everything back that the accepting side says.
+    The error of an accepting side whose peer sends every message back to it.
 
     """
     one, two = await transports()
-    reflecting = await curio.spawn(mirror, one, daemon=True)
+    reflecting = await curio.spawn(send_back, one, daemon=True)
     accepting = await curio.spawn(perform_handshake, two, env('b'), 'entry', KEY, '')
     try:
         await accepting.join()
@@ -82,8 +82,8 @@
     return None
 
 
-def test_a_mirror_is_no_peer():
-    assert curio.run(reflect) is HandshakeFailed
+def test_a_peer_that_reflects_messages_is_refused():
+    assert curio.run(error_with_reflecting_peer) is HandshakeFailed
 
 
 @pytest.mark.parametrize(
@@ -95,7 +95,7 @@
         (b'GET / HTTP/1.1\r\n\r\n', BadFrame),
     ],
 )
-def test_what_comes_first_must_be_a_small_hello(data, error):
+def test_the_first_message_must_be_a_small_hello(data, error):
     async def run():
         one, two = await transports()
         accepting = await curio.spawn(perform_handshake, two, env('b'), 'entry', KEY, '')
--- a/tests/test_transfer.py
+++ b/tests/test_transfer.py
@@ -1,5 +1,5 @@
 """
-A transfer that fails keeps what it has, and says so.
+Failed chunks and failed writes during a transfer.
 
 """
 
@@ -26,20 +26,21 @@
 
 class FakeOrigin:
     """
-    Has one version; spoils or withholds chunks as told.
+    Has one version. Returns the chunks in `corrupt` reversed, and fails for those in `failing`,
+    each once.
 
     """
 
     def __init__(self, corrupt=(), failing=()):
         self.corrupt = list(corrupt)
         self.failing = list(failing)
-        self.drawn = 0
+        self.fetched_chunks = 0
 
     async def manifest(self, name, version):
         return BODY
 
     async def chunk(self, name, version, start, size):
-        self.drawn += 1
+        self.fetched_chunks += 1
         index = start // CHUNK
         if index in self.failing:
             self.failing.remove(index)
@@ -51,7 +52,7 @@
         return data
 
 
-def transfer(folder, origin):
+def create_transfer(folder, origin):
     env = Environment(ME.instance, ME.zone)
     settings = TransferSettings(stripes=2, window=2, stall_s=0.1, origin_copies=1)
     link = Link(10**9, 1.0, False, env.monotonic)
@@ -59,19 +60,19 @@
     return store, Transfer(env, settings, store, link, origin, None, lambda name: None)
 
 
-def run(made):
-    return curio.run(made.run, 'model', 'v1', digest_of(BODY), [ME])
+def run(transfer):
+    return curio.run(transfer.run, 'model', 'v1', digest_of(BODY), [ME])
 
 
-def test_a_corrupt_or_failed_chunk_costs_one_chunk(tmp_path):
+def test_a_corrupt_or_failed_chunk_is_fetched_once_more(tmp_path):
     origin = FakeOrigin(corrupt=[3], failing=[7])
-    _, made = transfer(tmp_path, origin)
-    stored = run(made)
+    _, transfer = create_transfer(tmp_path, origin)
+    stored = run(transfer)
     assert stored.path.read_bytes() == DATA
-    assert origin.drawn == len(MANIFEST.chunks) + 2
+    assert origin.fetched_chunks == len(MANIFEST.chunks) + 2
 
 
-def test_a_failed_write_ends_the_transfer_and_keeps_what_is_there(tmp_path, monkeypatch):
+def test_a_failed_write_ends_the_transfer_and_keeps_stored_chunks(tmp_path, monkeypatch):
     put = StoredVersion.put
 
     async def failing_put(stored, index, data):
@@ -81,14 +82,14 @@
 
     monkeypatch.setattr(StoredVersion, 'put', failing_put)
     origin = FakeOrigin()
-    store, made = transfer(tmp_path, origin)
+    store, transfer = create_transfer(tmp_path, origin)
     with pytest.raises(TransferFailed, match='disk full'):
-        run(made)
+        run(transfer)
     (stored,) = store.stored_versions.values()
     kept = sum(stored.has_chunk)
     assert kept > 5
     assert not stored.whole
     monkeypatch.setattr(StoredVersion, 'put', put)
-    made.origin = FakeOrigin()
-    run(made)
-    assert made.origin.drawn == len(MANIFEST.chunks) - kept
+    transfer.origin = FakeOrigin()
+    run(transfer)
+    assert transfer.origin.fetched_chunks == len(MANIFEST.chunks) - kept
--- a/tests/test_transfer_without_root.py
+++ b/tests/test_transfer_without_root.py
@@ -1,11 +1,11 @@
 """
-Six endpoints of a fleet began a transfer and had three quarters of it within a second; the
-last quarter had not come after 30 s (`Transfer of lecture-summariser v1 begins`, nothing
-after it; `millfork_chunks_total{outcome="taken",source="peer"} 96` of 128, `not_yet` rising,
-and no connection of the sixth to the origin). Each computes the trees from the instances that
-it knows of; their views differed while the last ones started, so that for one stripe each of
-them took another for the root. Whoever is no root draws only after ten rounds, each of which
-waits for every peer three times: five minutes at the usual 2 s.
+A stripe whose root differs between the views of the instances.
+
+Each instance computes the trees from the instances that it knows of. While the last of six
+endpoints started, their views differed, so that each considered another one the root of one
+stripe, and none fetched that stripe from the origin: 96 of 128 chunks arrived within a second,
+the others not within 30 s. An instance that is not a root uses the origin only after ten rounds,
+each of which waits for every peer three times: five minutes at the usual stall of 2 s.
 
 """
 
@@ -24,17 +24,17 @@
 from tests.test_transfer import BODY, CHUNK, DATA, FakeOrigin
 
 STALL_S = 0.05
-# With the usual stall of 2 s these are 30 s.
-MOST_STALLS = 15
+# 30 s at the usual stall of 2 s.
+MAX_STALLS = 15
 STRIPES = 2
 RECEIVERS = [Receiver(InstanceId(f'i-{number}'), ZoneId('zone')) for number in range(6)]
-# For the rest of the test's own work.
+# For the test's own work besides waiting.
 SLACK_S = 2.0
 
 
 class WaitingPeers:
     """
-    Peers that wait for the same stripe, too.
+    Peers that wait for the same stripe, as they consider another instance its root.
 
     """
 
@@ -45,9 +45,9 @@
         return Chunk(reason=NOT_YET)
 
 
-def nobodys_root():
+def instance_that_is_no_root():
     """
-    An instance that is root of no stripe by its own view.
+    An instance that is not the root of any stripe in its own view.
 
     """
     trees = plan_trees(digest_of(BODY), RECEIVERS, STRIPES, 1)
@@ -60,11 +60,11 @@
 
 def rootless_transfer(folder, origin, peers):
     """
-    The transfer of an instance that is root of no stripe by its own view.
+    The transfer of an instance that is not the root of any stripe in its own view.
 
     """
-    me = nobodys_root()
-    env = Environment(me.instance, me.zone)
+    own_receiver = instance_that_is_no_root()
+    env = Environment(own_receiver.instance, own_receiver.zone)
     return Transfer(
         env,
         TransferSettings(stripes=STRIPES, window=20, stall_s=STALL_S, origin_copies=1),
@@ -76,29 +76,29 @@
     )
 
 
-def brought(made):
+def transferred_data(transfer):
     """
-    What a transfer brings within half a minute at the usual stall.
+    The data that a transfer stores within half a minute, at the usual stall.
 
     """
 
     async def run():
-        # The questions for the manifest come before.
-        made.store.manifest_on_disk = lambda digest: None
-        async with curio.timeout_after(MOST_STALLS * STALL_S + SLACK_S):
-            return await made.run('model', 'v1', digest_of(BODY), RECEIVERS)
+        # No manifest of an earlier run.
+        transfer.store.manifest_on_disk = lambda digest: None
+        async with curio.timeout_after(MAX_STALLS * STALL_S + SLACK_S):
+            return await transfer.run('model', 'v1', digest_of(BODY), RECEIVERS)
 
     return curio.run(run).path.read_bytes()
 
 
-def test_a_stripe_that_nobody_draws_comes_within_half_a_minute(tmp_path):
-    made = rootless_transfer(tmp_path, FakeOrigin(), WaitingPeers())
-    assert brought(made) == DATA
+def test_a_stripe_without_a_root_arrives_within_half_a_minute(tmp_path):
+    transfer = rootless_transfer(tmp_path, FakeOrigin(), WaitingPeers())
+    assert transferred_data(transfer) == DATA
 
 
-class WholePeers(WaitingPeers):
+class CompletePeers(WaitingPeers):
     """
-    Peers of which one has every chunk at last; the origin is dead by then.
+    Peers that have every chunk once the origin was asked for one; the origin only fails.
 
     """
 
@@ -106,22 +106,22 @@
         self.origin = origin
 
     async def call(self, address, message, timeout):
-        if isinstance(message, GetChunk) and self.origin.asked:
+        if isinstance(message, GetChunk) and self.origin.was_asked:
             offset = message.index * CHUNK
             return Chunk(True, DATA[offset : offset + CHUNK])
         return await super().call(address, message, timeout)
 
 
-class DeadOrigin(FakeOrigin):
-    asked = False
+class FailingOrigin(FakeOrigin):
+    was_asked = False
 
     async def chunk(self, *args):
-        self.asked = True
+        self.was_asked = True
         raise OriginFailed('gone')
 
 
-def test_whoever_took_the_part_of_a_root_still_asks_its_peers(tmp_path):
-    origin = DeadOrigin()
-    made = rootless_transfer(tmp_path, origin, WholePeers(origin))
-    assert brought(made) == DATA
-    assert made.adopted_stripes
+def test_an_instance_that_became_a_root_still_asks_its_peers(tmp_path):
+    origin = FailingOrigin()
+    transfer = rootless_transfer(tmp_path, origin, CompletePeers(origin))
+    assert transferred_data(transfer) == DATA
+    assert transfer.adopted_stripes
--- a/tests/test_trees.py
+++ b/tests/test_trees.py
@@ -30,7 +30,7 @@
 
 
 @given(st.integers(1, 80), st.integers(1, 11), st.integers(1, 4))
-def test_every_instance_hangs_on_a_root_that_draws_from_the_origin(count, zones, copies):
+def test_every_instance_has_a_root_that_fetches_from_the_origin(count, zones, copies):
     group = receivers(count, zones)
     for tree in trees(group, copies):
         assert set(tree.parents) == {receiver.instance for receiver in group} == set(tree.order)
@@ -41,25 +41,25 @@
 
 
 @given(st.integers(1, 80), st.integers(1, 11))
-def test_nobody_waits_for_a_later_one(count, zones):
+def test_sources_precede_their_instance_in_the_order(count, zones):
     for tree in trees(receivers(count, zones)):
         for position, name in enumerate(tree.order):
             assert set(tree.sources(name)) <= set(tree.order[:position])
 
 
-def test_all_instances_compute_the_same_tree_in_any_order_of_the_list():
+def test_trees_do_not_depend_on_the_order_of_the_list():
     group = receivers(30, 3)
     assert trees(group) == trees(list(reversed(group)))
 
 
 @pytest.mark.parametrize('count', [8, 64, 310])
-def test_depth_grows_with_the_logarithm(count):
-    worst = max(depth(tree, name) for tree in trees(receivers(count, 3)) for name in tree.order)
-    assert worst <= math.ceil(math.log(count, STRIPES)) + 3
+def test_depth_grows_logarithmically(count):
+    max_depth = max(depth(tree, name) for tree in trees(receivers(count, 3)) for name in tree.order)
+    assert max_depth <= math.ceil(math.log(count, STRIPES)) + 3
 
 
 @pytest.mark.parametrize('count', [2, 3, 7, 8, 16, 64, 100, 310])
-def test_an_instance_sends_one_copy_at_most_in_all(count):
+def test_an_instance_sends_at_most_one_copy_in_total(count):
     sent = Counter(
         parent for tree in trees(receivers(count, 3)) for parent in tree.parents.values() if parent
     )
--- a/tests/test_weights.py
+++ b/tests/test_weights.py
@@ -1,5 +1,5 @@
 """
-Weights are whole, verified and pinned before they count.
+Verification of manifests, chunks and complete files.
 
 """
 
@@ -40,7 +40,7 @@
     return store, curio.run(store.open, digest, manifest)
 
 
-def test_a_manifest_is_only_what_was_accepted():
+def test_a_manifest_other_than_the_accepted_one_is_refused():
     body = encode_manifest(manifest_of())
     assert decode_manifest(body, digest_of(body)) == manifest_of()
     changed = encode_manifest(manifest_of(DATA[::-1]))
@@ -57,7 +57,7 @@
         decode_manifest(body)
 
 
-def test_a_version_is_whole_only_after_the_last_chunk_and_the_whole(tmp_path):
+def test_a_version_is_complete_only_after_the_last_chunk_and_the_verification(tmp_path):
     _, stored = open_stored(tmp_path, manifest_of())
     curio.run(fill, stored, DATA, range(5))
     assert not stored.whole
@@ -68,30 +68,30 @@
     assert stored.path.read_bytes() == DATA
 
 
-def test_a_chunk_of_other_bytes_does_not_fit(tmp_path):
+def test_other_bytes_do_not_match_the_digest_of_a_chunk(tmp_path):
     _, stored = open_stored(tmp_path, manifest_of())
     assert not stored.matches_digest(0, chunk(DATA, 1)[::-1])
     assert not stored.matches_digest(0, b'')
 
 
-def test_right_chunks_of_a_lying_manifest_are_never_whole(tmp_path):
-    lying = manifest_of()
-    lying = type(lying)(lying.name, 'v', lying.size, CHUNK, lying.chunks, 'f' * 64)
-    _, stored = open_stored(tmp_path, lying)
+def test_valid_chunks_of_a_wrong_manifest_are_never_complete(tmp_path):
+    wrong = manifest_of()
+    wrong = type(wrong)(wrong.name, 'v', wrong.size, CHUNK, wrong.chunks, 'f' * 64)
+    _, stored = open_stored(tmp_path, wrong)
     curio.run(fill, stored, DATA)
     with pytest.raises(VersionDigestMismatch):
         curio.run(stored.complete)
     assert not stored.path.exists()
 
 
-def test_a_restart_takes_over_what_is_right_and_only_that(tmp_path):
+def test_a_restart_keeps_exactly_the_valid_chunks(tmp_path):
     _, stored = open_stored(tmp_path, manifest_of())
     curio.run(fill, stored, DATA, [0, 1, 2])
     with (stored.folder / 'weights.partial').open('r+b') as file:
         file.seek(CHUNK)
         file.write(b'\xff')
-    _, again = open_stored(tmp_path, manifest_of())
-    assert [index for index, have in enumerate(again.has_chunk) if have] == [0, 2]
+    _, reopened = open_stored(tmp_path, manifest_of())
+    assert [index for index, have in enumerate(reopened.has_chunk) if have] == [0, 2]
 
 
 def test_unchanged_chunks_of_another_version_are_found(tmp_path):
@@ -107,7 +107,7 @@
     assert not any(found[8:])
 
 
-def test_only_what_is_wanted_is_kept(tmp_path):
+def test_only_required_versions_are_kept(tmp_path):
     store, stored = open_stored(tmp_path, manifest_of())
     (tmp_path / 'left-over').mkdir()
     assert store.remove_all_except({Digest(stored.digest)}) == ['left-over']
