--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -21,7 +21,7 @@
 
 from millfork_standins.seeded import CRASHING_BODY, SeededFleet
 from tests.test_seeded_fleet import document, request
-from tests.test_version_ends import pass_time
+from tests.test_version_ends import wait_for_seconds
 from tests.utils.fleets import wait_until
 
 TRIES = 8
@@ -70,7 +70,7 @@
 
 def test_a_request_that_ends_back_ends_is_sent_no_more_by_any_entry(fleet):
     ask_until(fleet, lambda: ended(fleet) >= ENDS)
-    pass_time(HEARD_S)
+    wait_for_seconds(HEARD_S)
     before = ended(fleet)
     replies = [fleet.ask(crashing(), number % 2) for number in range(TRIES)]
     assert ended(fleet) - before <= MOST_AFTER
--- a/tests/test_fail_first.py
+++ b/tests/test_fail_first.py
@@ -1,5 +1,5 @@
 """
-The list of mechanisms to take out still fits the code.
+The listed mutations match the code and the tests.
 
 """
 
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize('mutation', MUTATIONS, ids=lambda mutation: mutation.name)
-def test_each_edit_finds_its_place(mutation):
+def test_each_mutation_matches_code_and_test(mutation):
     for edit in mutation.edits:
         assert (ROOT / edit.path).read_text().count(edit.old) == 1
     assert (ROOT / mutation.test.split('::', maxsplit=1)[0]).exists()
--- a/tests/test_late_closing_back_ends.py
+++ b/tests/test_late_closing_back_ends.py
@@ -1,9 +1,9 @@
 """
 A request that ends the back ends that run it, where an address closes later than its
-connections, as while a large process is torn down.
+connections, as happens while the system tears down a large process.
 
-An entry looked at the address twice within some 20 ms, took one that still answered for a
-life that goes on, and never looked again: no end was counted, and the request was sent on.
+An entry probed the address twice within some 20 ms, concluded from an answer that the back end
+was still alive, and did not probe again. No end was counted, and the request was sent to others.
 """
 
 import pytest
@@ -15,8 +15,8 @@
 
 BACK_ENDS = 24
 CALLS = 20
-# Of two entries, one may send before it hears of the other's third end.
-MOST_CROSSING = 1
+# Of two entries, one may send before it learns of the third end at the other one.
+MAX_CROSSING_ENDS = 1
 
 
 @pytest.fixture
@@ -39,14 +39,14 @@
     for back_end in fleet.back_ends:
         back_end.closes_after_s = closes_after_s
     replies = [fleet.ask(crashing(), number % 2) for number in range(CALLS)]
-    assert ended(fleet) <= ENDS + MOST_CROSSING + MOST_AFTER
+    assert ended(fleet) <= ENDS + MAX_CROSSING_ENDS + MOST_AFTER
     assert all(reply.status in (502, 503) for reply in replies)
 
 
-def test_answers_that_break_off_while_their_back_end_lives_on_are_no_ends(fleet):
+def test_broken_off_answers_of_living_back_ends_do_not_count_as_ends(fleet):
     """
-    The same request breaks off wherever it is sent, in calls one after another, while its
-    back ends answer others; once they answer it as well, it is served.
+    The answers to one request break off at all back ends, in consecutive calls, while the back
+    ends answer other requests. Once they answer this request as well, it is served.
 
     """
     innocent = request('/safe/x', 'POST', body=b'innocent')
--- a/tests/test_leases_after_a_freeze.py
+++ b/tests/test_leases_after_a_freeze.py
@@ -11,7 +11,7 @@
 from millfork_platform import standins
 from millfork_standins.seeded import CONTROL_PORT, BackEnd, SeededFleet, call
 from tests.test_seeded_fleet import document, request
-from tests.test_version_ends import pass_time
+from tests.test_version_ends import wait_for_seconds
 from tests.utils.fleets import wait_until
 
 # Each freeze ends at another moment of the rounds in which replicas ask each other.
@@ -43,15 +43,15 @@
 
 
 def test_no_lease_ends_while_its_owner_hears_the_back_end(fleet):
-    pass_time(2.0)
+    wait_for_seconds(2.0)
     for number, frozen_s in enumerate(FREEZES_S):
         struck = fleet.replica_hosts[1 + number % 2]
         fleet.signal(struck, signal.SIGSTOP)
-        pass_time(frozen_s)
+        wait_for_seconds(frozen_s)
         fleet.signal(struck, signal.SIGCONT)
-        pass_time(1.3)
+        wait_for_seconds(1.3)
     # Long enough for anything to put it right.
-    pass_time(10.0)
+    wait_for_seconds(10.0)
     ended = [
         f'{host} {line}'
         for host in (*fleet.replica_hosts, *fleet.entry_hosts)
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -1,12 +1,11 @@
 """
-Configuration reaches the entries that follow a replica which is cut off.
+Configuration reaches entries that follow a replica which is cut off.
 
-In `control_cut_off_silently` entry-5 followed entry-1, as entry-2 of its own zone had
-started after it. Entry-1's links stood still. Where entry-1 led, the election took
-longer than entry-5 needed to leave it; where entry-3 led, the changes were accepted at
-once, and entry-5 had them 6.5 s later, of 5 s allowed. With only the link between
-entry-1 and the leader standing still, entry-4 had none within 30 s. Here the leader and
-whom an entry follows are given, not left to chance.
+In the scenario `control_cut_off_silently`, entry-5 follows entry-1, because entry-2 of its
+own zone started later, and the links of entry-1 stall. If entry-3 leads, changes are accepted
+at once, but entry-5 got them only after 6.5 s, of 5 s allowed. If entry-1 leads, the election
+hides this delay. If only the link between entry-1 and the leader stalled, entry-4 got no
+change within 30 s. These tests fix which replica leads and which one each entry follows.
 
 """
 
@@ -22,39 +21,39 @@
 from millfork_standins.requests import fetch
 from tests.utils.fleets import control, wait_until
 
-# Beside the 1500 ms of the one that is to lead: with the same for all, entry-2 won none
-# of 20 elections in one run.
+# Election timeout of the replicas that must not lead; it is 1500 ms at the intended leader. With
+# equal timeouts, entry-2 won none of 20 elections in one run.
 LATE_ELECTION_MS = 5000
-MOST_ELECTIONS = 20
+MAX_ELECTIONS = 20
 LEADER_LINE = re.compile(r' Leader of term (\d+)')
 # As in the scenario.
-IN_FORCE_S = 5.0
-# A replica's word counts as old after 3 s, is told every 2 s, and is then checked.
-STALE_IN_FORCE_S = 10.0
+APPLY_TIMEOUT_S = 5.0
+# A replica's age is reported every 2 s and counts as stale after 3 s; then it is verified.
+STALE_APPLY_TIMEOUT_S = 10.0
 
 
-class LedFleet:
+class FleetWithLeader:
     """
-    Five entries, of which a given one leads; entry-4 and entry-5 follow entry-1.
+    Five entries, of which `intended_leader` leads; entry-4 and entry-5 follow entry-1.
 
     """
 
     def __init__(self, folder, leader):
         self.fleet = Fleet(LANTING, folder, FleetOptions(relay=True))
-        self.wanted = leader
+        self.intended_leader = leader
 
     def start(self):
         fleet = self.fleet
         for replica in fleet.replicas:
-            if replica.name != self.wanted:
+            if replica.name != self.intended_leader:
                 replica.settings['state'] = {'election_ms': LATE_ELECTION_MS}
         fleet.start_standins()
         self._start('entry-1', 'entry-2', 'entry-3')
         wait_until(self.leader)
-        for _ in range(MOST_ELECTIONS):
-            if self.leader() != self.wanted:
+        for _ in range(MAX_ELECTIONS):
+            if self.leader() != self.intended_leader:
                 self._depose(self.leader())
-        # Entry-2 is not on the list yet, or entry-5 would follow it.
+        # Entry-2 is listed later, as entry-5 would otherwise follow it.
         for name in ('entry-1', 'entry-3', 'entry-4', 'entry-5'):
             fleet.list_instance(fleet.instances[name])
         self._start('entry-4', 'entry-5')
@@ -64,7 +63,7 @@
         revision = self.apply(0)
         for name in ('entry-4', 'entry-5'):
             wait_until(lambda name=name: self.revision(name) >= revision)
-        assert self.leader() == self.wanted
+        assert self.leader() == self.intended_leader
 
     def _start(self, *names):
         for name in names:
@@ -72,7 +71,7 @@
 
     def _depose(self, leader):
         """
-        Freeze a leader until another one leads.
+        Freeze the leader until another replica leads.
 
         """
         self.fleet.freeze(leader)
@@ -81,18 +80,18 @@
 
     def leader(self):
         """
-        Who won the latest term by the logs; empty while there is none.
+        The winner of the latest term by the logs; empty if there is none yet.
 
         """
-        won = [(0, '')]
+        elected = [(0, '')]
         for replica in self.fleet.replicas:
             text = (self.fleet.folder / replica.name / 'log').read_text()
-            won += [(int(term), replica.name) for term in LEADER_LINE.findall(text)]
-        return max(won)[1]
+            elected += [(int(term), replica.name) for term in LEADER_LINE.findall(text)]
+        return max(elected)[1]
 
     def apply(self, generation):
         """
-        Apply a change at entry-3, which is never cut off here; its revision.
+        Apply a change at entry-3, whose links never stall here, and return its revision.
 
         """
         labels = {'millfork-pool-1': {'generation': str(generation)}}
@@ -112,27 +111,27 @@
         return fetch('GET', host, ADMIN_PORT, '/readyz').json()['revision']
 
 
-@pytest.fixture(name='led')
-def start_led(request, tmp_path):
-    led = LedFleet(tmp_path, request.param)
+@pytest.fixture(name='entries')
+def start_entries(request, tmp_path):
+    entries = FleetWithLeader(tmp_path, request.param)
     try:
-        led.start()
-        yield led
+        entries.start()
+        yield entries
     finally:
-        led.fleet.close()
+        entries.fleet.close()
 
 
-@pytest.mark.parametrize('led', ['entry-1', 'entry-2', 'entry-3'], indirect=True)
-def test_changes_reach_who_followed_a_replica_whose_links_stand_still(led):
-    led.fleet.freeze_links((1, 2), (1, 3))
-    revision = led.apply(1)
-    until = time.monotonic() + IN_FORCE_S
+@pytest.mark.parametrize('entries', ['entry-1', 'entry-2', 'entry-3'], indirect=True)
+def test_changes_reach_followers_of_a_replica_whose_links_stall(entries):
+    entries.fleet.freeze_links((1, 2), (1, 3))
+    revision = entries.apply(1)
+    until = time.monotonic() + APPLY_TIMEOUT_S
     for name in ('entry-2', 'entry-3', 'entry-5'):
-        wait_until(lambda name=name: led.revision(name) >= revision, until - time.monotonic())
+        wait_until(lambda name=name: entries.revision(name) >= revision, until - time.monotonic())
 
 
-@pytest.mark.parametrize('led', ['entry-3'], indirect=True)
-def test_changes_reach_who_followed_a_replica_that_only_the_leader_lost(led):
-    led.fleet.freeze_links((1, 3))
-    revision = led.apply(1)
-    wait_until(lambda: led.revision('entry-4') >= revision, STALE_IN_FORCE_S)
+@pytest.mark.parametrize('entries', ['entry-3'], indirect=True)
+def test_changes_reach_followers_of_a_replica_that_only_the_leader_lost(entries):
+    entries.fleet.freeze_links((1, 3))
+    revision = entries.apply(1)
+    wait_until(lambda: entries.revision('entry-4') >= revision, STALE_APPLY_TIMEOUT_S)
--- a/tests/test_version_ends.py
+++ b/tests/test_version_ends.py
@@ -1,13 +1,14 @@
 """
-An entry that stood still for 3.4 s while a version was named went on sending requests to
-the version before it for as long after its end. The replica's word, how many ms are left,
-lay in the entry's socket meanwhile, and was taken as fresh when it was read:
-`Version named. version=2 due_s=7.1` stands at 18.04 s in the log of an entry that ran, and
-with the same 7.1 at 21.30 s in the log of the one that had stood still.
+Every process stops sending requests to an old version at the same time.
 
-An entry that started after two versions had been named knew of the second only, and took
-its end for the end of the first: `version=3 due_s=5.6` at 22.59 s, so that the version
-before both was in use until 28.1 s in place of 25.1 s, with 129 first tokens after its end.
+An entry was paused for 3.4 s while a version was named. Meanwhile the replica's message with
+the remaining ms was in the entry's socket, and the entry counted these ms from when it read
+the message. So it used the version before for 3.3 s too long: two entries logged
+`Version named. version=2 due_s=7.1`, one at 18.04 s and the paused one at 21.30 s.
+
+An entry that started after two versions had been named knew only the second, and used its end
+as the end of the first as well: `version=3 due_s=5.6` at 22.59 s. The version before both was
+in use until 28.1 s instead of 25.1 s, with 129 first tokens after its end.
 
 """
 
@@ -25,13 +26,13 @@
 
 MODEL = 'm'
 VERSION_MS = 8000
-LEARNED = re.compile(
+CUTOFF_LINE = re.compile(
     r'(\S+) \w+ proxy: Version (?:named|end corrected)\. '
     r'model=m version=(\d+) due_s=(-?[\d.]+)'
 )
-# For how long a process stands still, and how far apart two versions are named.
-APART_S = 2.0
-# Log lines give tenths of a second, and a name is in force everywhere within 0.3 s.
+# Duration of a pause, and time between the naming of two versions.
+GAP_S = 2.0
+# Log lines give tenths of a second, and a new version is known everywhere within 0.3 s.
 TOLERANCE_S = 0.5
 
 
@@ -49,59 +50,61 @@
         made.close()
 
 
-def learned(fleet, host, version):
+def logged_cutoff(fleet, host, version):
     """
-    When requests may no longer be sent to what came before a version, by the last word of
-    one process's log, in seconds of the time of day; None if it knows of no such version.
+    When requests may no longer be sent to the version before `version`, by the last line in
+    the log of one process, in seconds since 1970; None if no line names that version.
 
     """
-    found = [match for match in LEARNED.finditer(fleet.log(host)) if int(match[2]) == version]
-    if not found:
+    lines = [match for match in CUTOFF_LINE.finditer(fleet.log(host)) if int(match[2]) == version]
+    if not lines:
         return None
-    return datetime.fromisoformat(found[-1][1]).timestamp() + float(found[-1][3])
+    return datetime.fromisoformat(lines[-1][1]).timestamp() + float(lines[-1][3])
 
 
 def name_version(fleet, version, host):
     """
-    Name a version, and wait until one process knows of it.
+    Name a version, and wait until the process at `host` knows of it.
 
     """
     assert fleet.control(standins.name_version(MODEL, version)).status == 200
-    wait_until(lambda: learned(fleet, host, version) is not None)
+    wait_until(lambda: logged_cutoff(fleet, host, version) is not None)
 
 
-def pass_time(seconds):
+def wait_for_seconds(seconds):
     until = time.monotonic() + seconds
     wait_until(lambda: time.monotonic() >= until)
 
 
-def settled(fleet, host, version):
+def settled_cutoff(fleet, host, version):
     """
-    The end that a process goes by once it has heard from its replica for a while.
+    The cutoff that a process uses after some further messages of its replica.
 
     """
-    wait_until(lambda: learned(fleet, host, version) is not None)
-    pass_time(APART_S)
-    return learned(fleet, host, version)
-
-
-@pytest.mark.parametrize('trouble', ['stood still', 'started between'])
-def test_no_process_takes_a_version_to_end_later_than_the_others(fleet, trouble):
-    steady, struck = fleet.entry_hosts
-    name_version(fleet, 2, steady)
-    if trouble == 'stood still':
-        fleet.signal(struck, signal.SIGSTOP)
-        name_version(fleet, 3, steady)
-        pass_time(APART_S)
-        fleet.signal(struck, signal.SIGCONT)
-        assert settled(fleet, struck, 3) <= learned(fleet, steady, 3) + TOLERANCE_S
+    wait_until(lambda: logged_cutoff(fleet, host, version) is not None)
+    wait_for_seconds(GAP_S)
+    return logged_cutoff(fleet, host, version)
+
+
+@pytest.mark.parametrize('fault', ['paused', 'restarted'])
+def test_no_process_has_a_later_cutoff_than_the_others(fleet, fault):
+    undisturbed, disturbed = fleet.entry_hosts
+    name_version(fleet, 2, undisturbed)
+    if fault == 'paused':
+        fleet.signal(disturbed, signal.SIGSTOP)
+        name_version(fleet, 3, undisturbed)
+        wait_for_seconds(GAP_S)
+        fleet.signal(disturbed, signal.SIGCONT)
+        assert settled_cutoff(fleet, disturbed, 3) <= (
+            logged_cutoff(fleet, undisturbed, 3) + TOLERANCE_S
+        )
         return
-    pass_time(APART_S)
-    name_version(fleet, 3, steady)
-    fleet.kill(struck)
-    (fleet.folder / f'{struck}.log').unlink()
-    fleet.start_one(struck)
-    settled(fleet, struck, 3)
-    end_of_first = learned(fleet, struck, 2)
-    assert end_of_first is not None
-    assert end_of_first <= learned(fleet, steady, 2) + TOLERANCE_S
+    wait_for_seconds(GAP_S)
+    name_version(fleet, 3, undisturbed)
+    fleet.kill(disturbed)
+    (fleet.folder / f'{disturbed}.log').unlink()
+    fleet.start_one(disturbed)
+    settled_cutoff(fleet, disturbed, 3)
+    cutoff_of_first = logged_cutoff(fleet, disturbed, 2)
+    assert cutoff_of_first is not None
+    assert cutoff_of_first <= logged_cutoff(fleet, undisturbed, 2) + TOLERANCE_S
--- a/tests/test_version_ends_after_restart.py
+++ b/tests/test_version_ends_after_restart.py
@@ -22,7 +22,7 @@
 from millforkd.versions import CUT_S, UNTOLD_MS, Versions, never_leads
 from tests.test_seeded_fleet import document, request
 from tests.test_servers import Clock
-from tests.test_version_ends import LEARNED, name_version, pass_time
+from tests.test_version_ends import CUTOFF_LINE, name_version, wait_for_seconds
 from tests.test_versions import SWITCH_MS, SWITCH_S, set_version
 from tests.utils.fleets import wait_until
 
@@ -49,7 +49,7 @@
     The `due_s` of each line about version 2 in a process's log.
 
     """
-    return [float(found[3]) for found in LEARNED.finditer(fleet.log(host)) if found[2] == '2']
+    return [float(found[3]) for found in CUTOFF_LINE.finditer(fleet.log(host)) if found[2] == '2']
 
 
 @pytest.mark.parametrize('disk', ['kept', 'lost'])
@@ -59,7 +59,7 @@
     fleet.kill(away)
     (fleet.folder / f'{away}.log').unlink()
     name_version(fleet, 2, entry)
-    pass_time(VERSION_MS / 1000 + 1)
+    wait_for_seconds(VERSION_MS / 1000 + 1)
     if disk == 'lost':
         shutil.rmtree(fleet.folder / away)
     fleet.start_one(away)
@@ -103,13 +103,13 @@
     fleet.kill(first)
     wait_until(lambda: followed(fleet) != first)
     name_version(fleet, 2, entry)
-    pass_time(VERSION_MS / 1000 + 1)
+    wait_for_seconds(VERSION_MS / 1000 + 1)
     fleet.kill(entry)
     (fleet.folder / f'{entry}.log').unlink()
     fleet.start_one(first)
     fleet.start_one(entry)
     wait_until(lambda: due_s(fleet, entry))
-    pass_time(1.0)
+    wait_for_seconds(1.0)
     assert max(due_s(fleet, entry)) <= 0
 
 
@@ -117,7 +117,7 @@
     entry = fleet.entry_hosts[0]
     first = followed(fleet)
     name_version(fleet, 2, entry)
-    pass_time(VERSION_MS / 1000 + 1)
+    wait_for_seconds(VERSION_MS / 1000 + 1)
     lines_before = len(due_s(fleet, entry))
     fleet.kill(first)
     lose_commit_mark(fleet.folder / first)
@@ -130,7 +130,7 @@
     fleet.signal(other, signal.SIGSTOP)
     try:
         wait_until(lambda: followed(fleet) == first)
-        pass_time(1.0)
+        wait_for_seconds(1.0)
     finally:
         fleet.signal(other, signal.SIGCONT)
     assert due_s(fleet, entry)[lines_before:] == []
