--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -28,7 +28,7 @@
 LEADER_LINE = re.compile(r' Leader of term (\d+)')
 # As in the scenario.
 APPLY_TIMEOUT_S = 5.0
-# A replica's age is reported every 2 s and counts as stale after 3 s; then it is verified.
+# Followers learn the age of a replica every 2 s, and verify it once the age is over 3 s.
 STALE_APPLY_TIMEOUT_S = 10.0
 
 
--- a/tests/test_version_ends.py
+++ b/tests/test_version_ends.py
@@ -3,7 +3,7 @@
 
 An entry was paused for 3.4 s while a version was named. Meanwhile the replica's message with
 the remaining ms was in the entry's socket, and the entry counted these ms from when it read
-the message. So it used the version before for 3.3 s too long: two entries logged
+the message. So it used the version before for as long after its end: two entries logged
 `Version named. version=2 due_s=7.1`, one at 18.04 s and the paused one at 21.30 s.
 
 An entry that started after two versions had been named knew only the second, and used its end
