--- a/tests/mutations_listed.py
+++ b/tests/mutations_listed.py
@@ -1,5 +1,5 @@
 """
-Mechanisms of fleets with a list of instances, and of the state.
+Mutations of fleets with a list of instances, and of the replicated state.
 
 """
 
@@ -9,7 +9,7 @@
 
 LISTED_FLEETS: Final = (
     Mutation(
-        'weights are whole before they are loaded',
+        'an engine loads weights only once they are complete',
         scenario('rollout_under_load'),
         (
             Edit(
@@ -26,7 +26,7 @@
         ),
     ),
     Mutation(
-        'every chunk is verified',
+        'every chunk is verified against its digest',
         scenario('corrupt_and_stalled_origin'),
         (
             Edit(
@@ -37,7 +37,7 @@
         ),
     ),
     Mutation(
-        'entries tell each other of requests that end back ends',
+        'entries report requests that end back ends to each other',
         'tests/test_crashing_requests_on_listed_fleets.py',
         (
             Edit(
@@ -48,12 +48,12 @@
         ),
     ),
     Mutation(
-        'an endpoint tells an entry what it finds out later of its back end',
+        'an endpoint reports to the entry when it later finds out whether its back end ended',
         'tests/test_late_ends_at_endpoints.py::test_what_becomes_known_later_is_told_to_the_entry',
         (Edit(D + 'endpoint/ends.py', 'if not item.subject.is_awaited:', 'if False:'),),
     ),
     Mutation(
-        'an entry suspects a call whose back ends may have ended',
+        'an entry suspects a request while it is unknown whether its back ends ended',
         'tests/test_late_ends_at_endpoints.py::'
         'test_a_call_is_suspected_until_the_fates_of_its_back_ends_are_told',
         (
@@ -65,7 +65,7 @@
         ),
     ),
     Mutation(
-        'a back end that turns requests away is asked after others',
+        'back ends that turn requests away are tried after all others',
         'tests/test_turned_away_on_listed_fleets.py::'
         'test_where_all_turn_away_they_are_asked_all_the_same',
         (
@@ -77,23 +77,23 @@
         ),
     ),
     Mutation(
-        'an end counts also where its endpoint is lost with it',
+        'the end of a back end counts even if its endpoint is lost as well',
         'tests/test_requests_that_take_their_endpoints.py',
         (Edit(D + 'entry/attempts.py', 'if not self.backend.start:', 'if True:'),),
     ),
     Mutation(
-        'an end counts also after its call was called off',
+        'the end of a back end counts even if the attempt was cancelled before',
         'tests/test_crashing_requests_on_listed_fleets.py::'
         'test_ends_count_also_after_their_callers_left',
         (Edit(D + 'entry/dispatch.py', 'if attempt.called_off_at:', 'if False:'),),
     ),
     Mutation(
-        'an entry that starts learns which requests end back ends',
+        'an entry that starts asks other entries which requests end back ends',
         'tests/test_spreading_suspicions.py::test_an_entry_that_starts_learns_what_others_know',
         (Edit(D + 'entry/spreading.py', 'await self._learn()', 'self.learned = True'),),
     ),
     Mutation(
-        'pieces of an answer are counted',
+        'the parts and bytes of an answer are compared with the reported totals',
         'tests/test_attempts.py',
         (
             Edit(
@@ -104,12 +104,12 @@
         ),
     ),
     Mutation(
-        'nothing runs before its start',
+        'an endpoint runs no reserved request before the entry starts it',
         scenario('frozen_endpoint'),
         (Edit(D + 'endpoint/door.py', 'await reservation.started.wait()', 'pass'),),
     ),
     Mutation(
-        'keys are claimed by quorum',
+        'idempotency keys are claimed by a quorum of the replicas',
         scenario('entry_killed_under_filings'),
         (
             Edit(
@@ -120,7 +120,7 @@
         ),
     ),
     Mutation(
-        'a leaving endpoint refuses, told by any entry',
+        'an endpoint refuses requests once any entry or the list says that it leaves',
         scenario('leaving_endpoint'),
         (
             Edit(
@@ -136,7 +136,7 @@
         ),
     ),
     Mutation(
-        'a planned stop waits',
+        'a planned stop waits for requests in progress',
         scenario('planned_stops'),
         (
             Edit(D + 'entry/daemon.py', 'while self.server.active:', 'while False:'),
@@ -144,7 +144,7 @@
         ),
     ),
     Mutation(
-        'a voter is an instance with its disk',
+        'a voter is identified by its instance and its disk',
         scenario('lost_disk_does_not_vote'),
         (
             Edit(
@@ -176,7 +176,7 @@
         ),
     ),
     Mutation(
-        'what is accepted has a majority',
+        'a change is accepted only with a majority of the replicas',
         'tests/test_history_runs.py::test_a_leader_that_is_cut_off_accepts_nothing',
         (
             Edit(
@@ -197,7 +197,7 @@
         ),
     ),
     Mutation(
-        'a command sent again gets its first answer',
+        'a repeated command gets the result of its first execution',
         'tests/test_history_runs.py',
         (
             Edit(
@@ -208,7 +208,7 @@
         ),
     ),
     Mutation(
-        'operators who raced get a conflict',
+        'of two concurrent changes by operators, the later one gets a conflict',
         'tests/test_history_runs.py',
         (
             Edit(
@@ -219,7 +219,7 @@
         ),
     ),
     Mutation(
-        'a torn record is dropped by its checksum',
+        'an incompletely written record is detected by its checksum',
         'tests/test_storage.py',
         (
             Edit(
@@ -230,7 +230,7 @@
         ),
     ),
     Mutation(
-        'replicas learn from their log alone',
+        'replicas apply configuration from their log only, not from updates of peers',
         scenario('restart_after_many_changes'),
         (
             Edit(
@@ -241,7 +241,7 @@
         ),
     ),
     Mutation(
-        'a successor numbers its orders higher',
+        'an endpoint that replaces another uses a higher fencing number',
         'tests/test_fencing.py',
         (
             Edit(
@@ -252,12 +252,12 @@
         ),
     ),
     Mutation(
-        'an answer from other weights is withheld',
+        'an answer from another version than the reserved one is not delivered',
         'tests/test_door.py',
         (Edit(D + 'endpoint/door.py', 'if version != reservation.version:', 'if False:'),),
     ),
     Mutation(
-        'a manifest is only what was accepted',
+        'a manifest must have the digest that was accepted',
         'tests/test_weights.py',
         (
             Edit(
@@ -268,7 +268,7 @@
         ),
     ),
     Mutation(
-        'nothing is served from before what the zone has seen',
+        'a process that starts waits for the newest revision known in its zone',
         'tests/test_subscription.py',
         (
             Edit(
@@ -279,7 +279,7 @@
         ),
     ),
     Mutation(
-        'an append is acknowledged once it is durable',
+        'a replica acknowledges log entries only once they are durable',
         'tests/test_replica.py',
         (
             Edit(
@@ -290,7 +290,7 @@
         ),
     ),
     Mutation(
-        'operators see their own keys alone',
+        'operators see only the keys of their own organisation',
         'tests/test_isolation.py',
         (
             Edit(
@@ -301,7 +301,7 @@
         ),
     ),
     Mutation(
-        'a deployment is looked up within the caller organisation',
+        'a deployment is looked up only within the organisation of the caller',
         'tests/test_isolation.py',
         (
             Edit(
@@ -313,18 +313,18 @@
         ),
     ),
     Mutation(
-        'who started first comes back to its own zone',
+        'a process that started first switches to an upstream of its own zone later',
         'tests/test_subscription.py::test_a_process_that_started_first_returns_to_its_own_zone',
         (Edit(S + 'subscription.py', 'if await self._finds_nearer():', 'if False:'),),
     ),
     Mutation(
-        'a replica cut off from the leader is left for one that hears it',
+        'followers leave a replica that is cut off from the leader',
         'tests/test_subscription.py::'
         'test_an_upstream_cut_off_from_the_leader_is_left_for_a_current_replica',
         (Edit(S + 'subscription.py', 'if await self._is_stale():', 'if False:'),),
     ),
     Mutation(
-        'who was silent is asked last',
+        'an upstream that did not respond is tried last',
         'tests/test_subscription.py::test_an_upstream_that_was_silent_is_tried_last',
         (
             Edit(
--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -1,5 +1,5 @@
 """
-Mechanisms of seeded fleets.
+Mutations of seeded fleets.
 
 """
 
@@ -9,7 +9,7 @@
 
 SEEDED_FLEETS: Final = (
     Mutation(
-        'a back end that names a limit gets a share of it from each entry',
+        'each entry uses only its share of a limit that a back end names',
         'tests/test_limit_shares.py::test_requests_over_a_limit_go_to_other_back_ends',
         (
             Edit(
@@ -20,29 +20,29 @@
         ),
     ),
     Mutation(
-        'what many entries could save together is not saved',
+        'entries do not save up permissions that would together exceed a limit',
         'tests/test_limit_shares.py::test_the_sends_of_all_entries_keep_to_the_limit',
         (Edit(C + 'limit_share.py', 'return entries * each <= tolerated', 'return True'),),
     ),
     Mutation(
-        'an answer to what was sent before a limit was named does not end it',
+        'answers to requests sent before a limit was named do not end the limit',
         'tests/test_limit_shares.py::test_only_an_answer_to_a_later_request_ends_a_limit',
         (Edit(C + 'availability.py', 'if sent_at <= self.limit_named_at:', 'if False:'),),
     ),
     Mutation(
-        'nothing is sent to a back end that closed while a connection came up',
+        'no request is sent to a back end that became unavailable while connecting to it',
         'tests/test_forwarding.py::'
         'test_nothing_is_sent_to_a_back_end_that_names_a_limit_while_connecting',
         (Edit(D + 'proxy/request_sender.py', 'if closure is not None:', 'if False:'),),
     ),
     Mutation(
-        'a back end that said that it leaves is sent to no more',
+        'no requests are sent to a back end that announced its leave',
         'tests/test_closed_back_ends.py::'
         'test_neither_heartbeats_nor_answers_reopen_a_leaving_back_end',
         (Edit(C + 'availability.py', 'if self.leaving or self.reported_leaving:', 'if False:'),),
     ),
     Mutation(
-        'what an incarnation said outlives its lease',
+        'the availability of an incarnation is kept after its lease ends',
         'tests/test_closed_back_ends.py::test_a_rest_applies_to_one_incarnation_only',
         (
             Edit(
@@ -53,7 +53,7 @@
         ),
     ),
     Mutation(
-        'a rest is not shortened by an answer that was under way',
+        'the answer to an earlier request does not shorten the rest of a back end',
         'tests/test_closed_back_ends.py::test_answers_sent_earlier_do_not_shorten_a_rest',
         (
             Edit(
@@ -64,12 +64,12 @@
         ),
     ),
     Mutation(
-        'one request asks whether a rest is over',
+        'only one request at a time probes whether a rest is over',
         'tests/test_closed_back_ends.py::test_one_request_probes_whether_a_rest_is_over',
         (Edit(C + 'availability.py', 'self.probed_at + PROBE_TIMEOUT_S - now, 0.0', '0.0'),),
     ),
     Mutation(
-        'a back end that turns requests away is left to others for a while',
+        'a back end that turns requests away gets fewer requests for a while',
         'tests/test_turned_away_at_once.py::'
         'test_a_back_end_that_turns_all_requests_away_gets_no_more_than_its_share',
         (
@@ -81,7 +81,7 @@
         ),
     ),
     Mutation(
-        'what waits at an endpoint does not reach a back end that rests',
+        'requests that wait at an endpoint are not sent to a resting back end',
         'tests/test_door.py::test_what_waits_at_the_door_does_not_reach_a_back_end_that_rests',
         (
             Edit(
@@ -92,18 +92,18 @@
         ),
     ),
     Mutation(
-        'a slow engine gets nothing that its version would outlive',
+        'a slow engine gets no request that would begin after its version ends',
         'tests/test_servers.py::'
         'test_a_slow_engine_gets_no_request_that_would_begin_after_its_version_ends',
         (Edit(C + 'placement.py', 'requirements.ends_at(version) - margin_s', "float('inf')"),),
     ),
     Mutation(
-        'first tries are told from returns where callers begin with different times',
+        'with different deadlines, a short deadline alone does not mark a request as a retry',
         'tests/test_first_tries.py::test_with_different_deadlines_a_short_one_is_undecided',
         (Edit(C + 'first_tries.py', 'if deadline_ms >= shortest - margin_ms:', 'if False:'),),
     ),
     Mutation(
-        'a version counts from when its entry came into the log',
+        'the lifetime of a version counts from the arrival of its entry in the log',
         'tests/test_ends_after_an_election.py::'
         'test_a_leader_elected_later_counts_from_the_arrival_of_the_entry',
         (
@@ -115,7 +115,7 @@
         ),
     ),
     Mutation(
-        'a late heartbeat of an unknown back end ends no lease',
+        'a delayed heartbeat of an unknown back end does not end the lease of another one',
         'tests/test_delayed_heartbeats.py::'
         'test_a_delayed_heartbeat_of_an_unknown_back_end_ends_no_lease',
         (
@@ -127,7 +127,7 @@
         ),
     ),
     Mutation(
-        'an engine without its daemon is sent to for less long before a version ends',
+        'without daemon reports, requests to an engine stop earlier before its version ends',
         'tests/test_engines_without_daemon_reports.py::'
         'test_no_request_sent_over_a_slow_link_begins_after_the_end',
         (
@@ -139,13 +139,13 @@
         ),
     ),
     Mutation(
-        'a replica that is cut off does not say that it knows all leases',
+        'a replica that is cut off does not claim to know all leases',
         'tests/test_registry_completeness.py::'
         'test_a_replica_that_is_cut_off_does_not_claim_completeness',
         (Edit(D + 'replica/replica_links.py', 'if known > len(members) // 2:', 'if True:'),),
     ),
     Mutation(
-        'a back end that is silent is looked at again',
+        'a silent back end is probed until its end is detected',
         'tests/test_ends_of_silent_back_ends.py::test_a_silent_back_end_that_refuses_connections_later_has_ended',
         (
             Edit(
@@ -168,7 +168,7 @@
         ),
     ),
     Mutation(
-        'engines are drawn by some entry where entries are few',
+        'where entries are few, each engine is in the share of some entry',
         'tests/test_choice_in_large_fleets.py::test_every_engine_is_used_by_some_entry',
         (
             Edit(
@@ -179,12 +179,12 @@
         ),
     ),
     Mutation(
-        'a connection on which questions stay unanswered is closed',
+        'a peer connection without answers to queries is closed',
         'tests/test_load_queries.py::test_a_silent_connection_is_closed_and_dialled_again',
         (Edit(D + 'proxy/peer_queries.py', 'await self._close_if_silent(connection)', 'pass'),),
     ),
     Mutation(
-        'nobody is turned away for the few engines compared',
+        'no request is turned away only because the few compared engines are occupied',
         'tests/test_drawn_deployments.py::'
         'test_nobody_is_turned_away_while_half_of_the_slots_are_free',
         (
@@ -196,13 +196,13 @@
         ),
     ),
     Mutation(
-        'the daemons beside engines are asked for loads',
+        'entries use the current loads that they query from sidecar daemons',
         'tests/test_load_queries.py::'
         'test_the_engine_that_is_free_now_is_chosen_despite_old_reports',
         (Edit(D + 'proxy/load_queries.py', 'server.set_load(load, now)', 'pass'),),
     ),
     Mutation(
-        'two requests do not show that callers begin alike',
+        'a common deadline must occur in several requests before it marks first tries',
         'tests/test_first_tries.py::'
         'test_first_tries_with_different_deadlines_are_not_taken_for_retries',
         (
@@ -214,12 +214,12 @@
         ),
     ),
     Mutation(
-        'what was turned away is remembered by an entry of the zone',
+        'an entry of the zone stores the requests that were turned away',
         'tests/test_turned_away_directory.py::test_a_retry_is_recognised_at_any_entry_of_its_zone',
         (Edit(D + 'proxy/turned_away_directory.py', 'return reply.elapsed_ms', 'return 0'),),
     ),
     Mutation(
-        'a replica is up to date once it holds what was committed',
+        'a replica counts as up to date only once it has applied all committed entries',
         'tests/test_replica_age.py::test_a_replica_that_lacks_committed_entries_is_not_up_to_date',
         (
             Edit(
@@ -230,7 +230,7 @@
         ),
     ),
     Mutation(
-        'connections that rest make room for new ones',
+        'a server at its connection limit closes idle connections for new ones',
         'tests/test_accepting_at_limits.py::test_a_server_at_its_limits_goes_on_accepting',
         (
             Edit(
@@ -241,7 +241,7 @@
         ),
     ),
     Mutation(
-        'the origin is drawn once for all zones',
+        'a cache fetches a piece from the assigned cache before it uses the origin',
         'tests/test_caches.py::test_each_piece_is_fetched_from_the_origin_once_for_all_zones',
         (
             Edit(
@@ -252,7 +252,7 @@
         ),
     ),
     Mutation(
-        'a piece is left to a drawer that is at it',
+        'a cache waits while the assigned cache is fetching the piece',
         'tests/test_caches.py::test_a_piece_that_the_assigned_cache_fetches_is_not_fetched_twice',
         (
             Edit(
@@ -263,7 +263,7 @@
         ),
     ),
     Mutation(
-        'a drawer whose origin sends other pieces first is waited for',
+        'a cache waits for an assigned cache whose origin sends other pieces first',
         'tests/test_caches.py::test_an_assigned_cache_is_waited_for_while_its_origin_sends_other_pieces',
         (
             Edit(
@@ -274,12 +274,12 @@
         ),
     ),
     Mutation(
-        'a silent drawer is passed over',
+        'an assigned cache that does not answer is skipped for a while',
         'tests/test_caches.py::test_a_silent_assigned_cache_is_skipped_for_a_while',
         (Edit(D + 'sidecar/silent_peers.py', 'if until > self.monotonic():', 'if False:'),),
     ),
     Mutation(
-        'a connection that is silent beside others is left',
+        'a silent connection is given up if the back end answers on other connections',
         'tests/test_forwarding.py::test_a_silent_connection_to_a_working_back_end_is_given_up',
         (
             Edit(
@@ -290,7 +290,7 @@
         ),
     ),
     Mutation(
-        'a late heartbeat does not bring back a back end that was replaced',
+        'a delayed heartbeat does not renew the lease of a replaced back end',
         'tests/test_registry.py::'
         'test_a_new_back_end_ends_the_lease_of_its_predecessor_at_the_address',
         (
@@ -302,7 +302,7 @@
         ),
     ),
     Mutation(
-        'late requests leave slots to those who can be in time',
+        'late requests leave some slots to requests that can be in time',
         'tests/test_routing_model.py::test_under_lasting_load_slots_go_to_requests_that_can_be_in_time',
         (
             Edit(
@@ -313,7 +313,7 @@
         ),
     ),
     Mutation(
-        'entries that see the same loads choose differently',
+        'entries with the same load information choose among randomly sampled engines',
         'tests/test_routing_model.py::test_many_entries_do_not_choose_the_same_engine',
         (
             Edit(
@@ -326,7 +326,7 @@
         ),
     ),
     Mutation(
-        'who is cut off hears by way of another follower',
+        'a follower that is cut off gets the feed from another follower',
         'tests/test_feed_relay.py::'
         'test_a_follower_that_is_cut_off_gets_configuration_and_load_from_its_zone',
         (
@@ -338,7 +338,7 @@
         ),
     ),
     Mutation(
-        'an ended version is taken from its engine',
+        'a version that ended is removed from its engine',
         'tests/test_rollouts.py::'
         'test_a_version_that_ends_before_the_next_arrives_is_removed_from_the_engine',
         (
@@ -350,7 +350,7 @@
         ),
     ),
     Mutation(
-        'an ended version is taken where nothing of the next one is here',
+        'a version that ended is removed even without any piece of the next one',
         'tests/test_rollouts.py::test_an_ended_version_is_removed_without_any_piece_of_the_next',
         (
             Edit(
@@ -361,7 +361,7 @@
         ),
     ),
     Mutation(
-        'an engine is left a single layer once',
+        'an engine is reduced to a single layer only once',
         'tests/test_rollouts.py::test_an_engine_is_reduced_to_a_single_layer_once',
         (
             Edit(
@@ -372,7 +372,7 @@
         ),
     ),
     Mutation(
-        'a daemon looks first whose pieces lie at its engine',
+        'a started daemon checks which pieces are staged before it empties its engine',
         'tests/test_rollouts.py::'
         'test_a_started_daemon_checks_staged_pieces_before_it_empties_the_engine',
         (
@@ -384,7 +384,7 @@
         ),
     ),
     Mutation(
-        'an emptied engine has nothing to end',
+        'an engine that was emptied does not count as serving another version',
         'tests/test_rollouts.py::test_an_ended_version_is_removed_without_any_piece_of_the_next',
         (
             Edit(
@@ -395,7 +395,7 @@
         ),
     ),
     Mutation(
-        'nothing is sent to a version that ends while a connection comes up',
+        'no request is sent to a version that ends while connecting',
         'tests/test_forwarding.py::test_nothing_is_sent_to_a_version_that_ends_while_connecting',
         (
             Edit(
@@ -406,7 +406,7 @@
         ),
     ),
     Mutation(
-        'nothing is sent to an engine that has no whole version by then',
+        'no request is sent to an engine that has no complete version after connecting',
         'tests/test_forwarding.py::test_nothing_is_sent_to_an_engine_without_a_complete_version',
         (
             Edit(
@@ -417,7 +417,7 @@
         ),
     ),
     Mutation(
-        'a repeat that was not sent is paid for once',
+        'a repeat that was not sent spends the retry budget only once',
         'tests/test_forwarding.py::test_a_repeat_that_was_not_sent_spends_the_budget_once',
         (
             Edit(
@@ -428,7 +428,7 @@
         ),
     ),
     Mutation(
-        'engines change in turns',
+        'engines change their version in turns',
         'tests/test_rollouts.py::test_an_engine_changes_after_the_engines_of_earlier_turns',
         (
             Edit(
@@ -439,13 +439,13 @@
         ),
     ),
     Mutation(
-        'a version that does not come is not waited for',
+        'an intermediate version becomes the target if the newest one does not arrive',
         'tests/test_versions.py::'
         'test_an_intermediate_version_is_the_target_if_the_newest_does_not_arrive',
         (Edit(D + 'sidecar/target.py', 'if self._is_stuck(newest, now):', 'if False:'),),
     ),
     Mutation(
-        'the end of a version counts from the question',
+        'the remaining time of a version counts from when the query was sent',
         'tests/test_version_cutoffs.py::test_a_late_answer_never_gives_too_late_a_cutoff',
         (
             Edit(
@@ -456,7 +456,7 @@
         ),
     ),
     Mutation(
-        'what has ended does not come back',
+        'the cutoff of a version is not moved once it has passed',
         'tests/test_version_cutoffs.py::test_a_passed_cutoff_is_not_moved',
         (
             Edit(
@@ -467,7 +467,7 @@
         ),
     ),
     Mutation(
-        'every version told of has its own end',
+        'a superseded version keeps its own cutoff',
         'tests/test_version_cutoffs.py::test_the_cutoff_of_a_superseded_version_is_kept',
         (
             Edit(
@@ -478,7 +478,7 @@
         ),
     ),
     Mutation(
-        'only who led or was told tells of a version',
+        'only leaders and processes with a received cutoff report a version switch',
         'tests/test_version_cutoffs.py::test_only_a_leader_or_a_process_with_an_answer_reports_a_switch',
         (
             Edit(
@@ -489,7 +489,7 @@
         ),
     ),
     Mutation(
-        'who is cut off is told the ends by way of another follower',
+        'a follower that is cut off gets version cutoffs from another follower',
         'tests/test_feed_relay.py::test_a_follower_that_is_cut_off_gets_version_cutoffs',
         (
             Edit(
@@ -500,7 +500,7 @@
         ),
     ),
     Mutation(
-        'a process has no fixed allowance of repeats in its first window',
+        'a process has no fixed retry allowance in its first window',
         'tests/test_shared_budget.py',
         (
             Edit(
@@ -511,7 +511,7 @@
         ),
     ),
     Mutation(
-        'the fixed allowance is divided by the most entries known lately',
+        'the fixed retry allowance is divided by the highest recent number of entries',
         'tests/test_shared_budget.py',
         (
             Edit(
@@ -522,7 +522,7 @@
         ),
     ),
     Mutation(
-        'entries have none of the allowance before a majority of the replicas was heard',
+        'entries have no fixed retry allowance without contact to a majority of the replicas',
         'tests/test_repeat_budget_in_cuts.py',
         (
             Edit(
@@ -533,7 +533,7 @@
         ),
     ),
     Mutation(
-        'a replica tells of the most entries that it knew of lately',
+        'replicas report the highest recent number of entries',
         'tests/test_repeat_budget_in_cuts.py',
         (
             Edit(
@@ -544,7 +544,7 @@
         ),
     ),
     Mutation(
-        'an owner that hears its lease ended tells it again',
+        'the owner of a lease announces it again if it is reported as expired',
         'tests/test_leases_of_lost_owners.py',
         (
             Edit(
@@ -555,7 +555,7 @@
         ),
     ),
     Mutation(
-        'a new engine does not take over the report of the one before it',
+        'a new engine does not inherit the reported versions of its predecessor',
         'tests/test_reports_of_earlier_incarnations.py::'
         'test_a_new_engine_does_not_inherit_the_reported_versions_of_its_predecessor',
         (
@@ -567,7 +567,7 @@
         ),
     ),
     Mutation(
-        'the leader goes by the end of versions that its deployment gives',
+        'the leader uses the version lifetime that its deployment sets',
         'tests/test_promises.py::test_older_weights_end_when_the_deployment_says_at_every_role',
         (
             Edit(
@@ -578,7 +578,7 @@
         ),
     ),
     Mutation(
-        'a bound that is no whole number stops no daemon',
+        'a daemon starts even if a bound in its settings is not an integer',
         'tests/test_promises.py',
         (
             Edit(
@@ -589,7 +589,7 @@
         ),
     ),
     Mutation(
-        'records of a back end are ordered by incarnation first',
+        'records of a back end are ordered by incarnation before state',
         'tests/test_incarnations.py',
         (
             Edit(
@@ -600,7 +600,7 @@
         ),
     ),
     Mutation(
-        'an entry begins anew with each incarnation',
+        'an entry keeps no state of a back end across incarnations',
         'tests/test_incarnations.py',
         (
             Edit(
@@ -611,7 +611,7 @@
         ),
     ),
     Mutation(
-        'a report of another incarnation says nothing of the one known',
+        'reports of another incarnation are not applied to the known one',
         'tests/test_incarnations.py',
         (
             Edit(
@@ -622,7 +622,7 @@
         ),
     ),
     Mutation(
-        'a daemon forgets what it did to an earlier incarnation',
+        'a daemon does not consider an engine emptied if an earlier incarnation was emptied',
         'tests/test_incarnations.py',
         (
             Edit(
@@ -633,7 +633,7 @@
         ),
     ),
     Mutation(
-        'a later process ends the one before it at its address',
+        'a later process ends the lease of an earlier one at the same address',
         'tests/test_incarnations.py',
         (
             Edit(
@@ -644,7 +644,7 @@
         ),
     ),
     Mutation(
-        'a moved back end leaves its old address',
+        'a back end that moves releases its old address',
         'tests/test_incarnations.py',
         (
             Edit(
@@ -655,7 +655,7 @@
         ),
     ),
     Mutation(
-        'numbers from outside are believed within limits',
+        'numbers in messages from outside are limited in size',
         'tests/test_platform_foreign_messages.py',
         (
             Edit(
@@ -666,7 +666,7 @@
         ),
     ),
     Mutation(
-        'a heartbeat of a service that is not declared is refused',
+        'heartbeats of undeclared services are refused',
         'tests/test_platform_foreign_messages.py',
         (
             Edit(
@@ -677,7 +677,7 @@
         ),
     ),
     Mutation(
-        'the digests are drawn once for all caches',
+        'a cache fetches digests from another cache before it uses the origin',
         'tests/test_caches.py::test_digests_are_fetched_from_the_origin_once_for_all_caches',
         (
             Edit(
@@ -688,7 +688,7 @@
         ),
     ),
     Mutation(
-        'a daemon leaves the digests to its caches',
+        'a daemon requests digests from caches, not from the origin',
         'tests/test_gathering.py',
         (
             Edit(
@@ -699,7 +699,7 @@
         ),
     ),
     Mutation(
-        'of many engines a few are drawn, not all looked at',
+        'of many engines, only a sample is compared',
         'tests/test_choice_in_large_fleets.py',
         (
             Edit(
@@ -710,7 +710,7 @@
         ),
     ),
     Mutation(
-        'paths are found anew where an engine changed',
+        'paths are computed again if an engine changed',
         'tests/test_choice_in_large_fleets.py',
         (
             Edit(
@@ -721,7 +721,7 @@
         ),
     ),
     Mutation(
-        'how far a version has come wakes nobody',
+        'progress of a transfer is not announced to followers without delay',
         'tests/test_registry.py',
         (
             Edit(
@@ -732,7 +732,7 @@
         ),
     ),
     Mutation(
-        'a request that ends back ends is sent no more',
+        'a request that ended several back ends is not sent again',
         'tests/test_quarantine.py::'
         'test_a_request_is_blocked_after_its_third_end_and_by_the_list_alone',
         (
@@ -744,12 +744,12 @@
         ),
     ),
     Mutation(
-        'an end counts only where the address takes no connections',
+        'the end of a back end counts only if its address refuses connections',
         'tests/test_quarantine.py::test_a_broken_off_answer_counts_only_if_the_back_end_has_ended',
         (Edit(D + 'end_watch.py', 'return ProbeResult.ANSWERS\n', 'return ProbeResult.REFUSES\n'),),
     ),
     Mutation(
-        'a request stays under suspicion until the fate of its back end is known',
+        'a request stays suspected until it is known whether its back ends ended',
         'tests/test_late_closing_back_ends.py',
         (
             Edit(
@@ -760,7 +760,7 @@
         ),
     ),
     Mutation(
-        'an end counts also after its caller left',
+        'the end of a back end counts even after the caller left',
         'tests/test_ends_after_their_callers_left.py',
         (
             Edit(
@@ -771,7 +771,7 @@
         ),
     ),
     Mutation(
-        'a back end that answers later is known to live on',
+        'a back end that answers a later request counts as alive',
         'tests/test_incarnation_status.py',
         (
             Edit(
@@ -782,23 +782,23 @@
         ),
     ),
     Mutation(
-        'an answer that came whole clears a request',
+        'a complete answer removes the suspicion of a request',
         'tests/test_quarantine.py::test_a_complete_answer_removes_a_request_from_the_list',
         (Edit(D + 'quarantine.py', 'if not suspicion.is_clear:', 'if False:'),),
     ),
     Mutation(
-        'a request in quarantine is written down',
+        'quarantined requests are stored in the replicated state',
         'tests/test_crashing_requests.py::test_the_quarantine_outlives_all_processes_at_once',
         (Edit(D + 'replica/quarantine.py', 'if self.is_leader():', 'if False:'),),
     ),
     Mutation(
-        'a stripe of which nothing comes gets another root',
+        'a stripe without arriving chunks gets another root',
         'tests/test_transfer_without_root.py::'
         'test_a_stripe_without_a_root_arrives_within_half_a_minute',
         (Edit(W + 'transfer.py', 'if not self._must_become_root(index):', 'if True:'),),
     ),
     Mutation(
-        'time counts while a machine is suspended',
+        'the clock continues while the machine is suspended',
         'tests/test_machine_suspension.py',
         (
             Edit(
