--- a/packages/millfork-weights/millfork_weights/links.py
+++ b/packages/millfork-weights/millfork_weights/links.py
@@ -13,7 +13,7 @@
 
 class RateLimiter:
     """
-    Limits transfers to `rate` bytes/s, in the order of the requests.
+    Limits transfers to `rate` bytes/s, in the order of the calls.
 
     """
 
@@ -39,7 +39,7 @@
 
     async def acquire(self, size: int) -> None:
         """
-        Wait until `size` bytes may be sent. The wait is `BURST_S` shorter than exact pacing.
+        Wait until `size` bytes may be transferred. The wait is `BURST_S` shorter than exact pacing.
 
         """
         starts_at = max(self.free_at, self.monotonic())
--- a/packages/millfork-weights/millfork_weights/transfer.py
+++ b/packages/millfork-weights/millfork_weights/transfer.py
@@ -121,9 +121,9 @@
         self.backoffs: dict[InstanceId, SourceBackoff] = {}
         self.complete_peers: list[InstanceId] = []
         self.trees: list[Tree] = []
-        # By stripe: when its last chunk arrived. Then the stripes that this instance fetches from
-        # the origin although the planned tree has another root.
+        # By stripe: when its last chunk arrived.
         self.last_chunk_at: dict[int, float] = {}
+        # Stripes that this instance fetches from the origin although their planned root is another.
         self.adopted_stripes: set[int] = set()
 
     async def run(
@@ -163,20 +163,16 @@
         other instances only after `PEER_ROUNDS_BEFORE_ORIGIN` rounds.
 
         """
-        own_instance = self.env.instance
+        own = self.env.instance
         sources = self._choose_manifest_sources()
-        rounds = (
-            0
-            if any(tree.is_root(own_instance) for tree in self.trees)
-            else PEER_ROUNDS_BEFORE_ORIGIN
-        )
+        rounds = 0 if any(tree.is_root(own) for tree in self.trees) else PEER_ROUNDS_BEFORE_ORIGIN
         while True:
-            found = await self._fetch_manifest_from_peers(sources, digest)
-            found = found or self.store.manifest_on_disk(digest)
-            if found is None and (rounds <= 0 or not sources):
-                found = await self._fetch_manifest_from_origin(name, version, digest)
-            if found is not None:
-                return found
+            manifest = await self._fetch_manifest_from_peers(sources, digest)
+            manifest = manifest or self.store.manifest_on_disk(digest)
+            if manifest is None and (rounds <= 0 or not sources):
+                manifest = await self._fetch_manifest_from_origin(name, version, digest)
+            if manifest is not None:
+                return manifest
             rounds -= 1
             await curio.sleep(RETRY_INTERVAL_S)
 
@@ -263,18 +259,18 @@
         rounds = 0
         while True:
             is_root = self._is_root(tree, index)
-            found = await self._fetch_from_any(stored, index, self._complete_peers(index))
-            if found is FetchResult.STORED:
+            result = await self._fetch_from_any(stored, index, self._complete_peers(index))
+            if result is FetchResult.STORED:
                 return
             if is_root and await self._fetch_from_origin(stored, index):
                 return
-            found = await self._fetch_from_any(stored, index, self._tree_sources(tree))
-            if found is FetchResult.STORED:
+            result = await self._fetch_from_any(stored, index, self._tree_sources(tree))
+            if result is FetchResult.STORED:
                 return
             rounds += 1
             # A live peer will receive the chunk from a root, which saves origin bandwidth.
             may_use_origin = (
-                found is FetchResult.NO_LIVE_SOURCE or rounds >= PEER_ROUNDS_BEFORE_ORIGIN
+                result is FetchResult.NO_LIVE_SOURCE or rounds >= PEER_ROUNDS_BEFORE_ORIGIN
             )
             if not is_root and may_use_origin and await self._fetch_from_origin(stored, index):
                 return
@@ -327,18 +323,18 @@
     async def _fetch_from_any(
         self, stored: StoredVersion, index: int, sources: list[InstanceId]
     ) -> FetchResult:
-        found = FetchResult.NO_LIVE_SOURCE
+        result = FetchResult.NO_LIVE_SOURCE
         for source in sources:
             if self.backoffs.get(source, NO_BACKOFF).until > self.env.monotonic():
                 continue
             if self._must_become_root(index):
-                return found
+                return result
             answer = await self._fetch_from_peer(stored, index, source)
             if answer is FetchResult.STORED:
                 return answer
             if answer is FetchResult.NOT_YET_AVAILABLE:
-                found = answer
-        return found
+                result = answer
+        return result
 
     def _complete_peers(self, index: int) -> list[InstanceId]:
         """
