--- a/packages/millfork-weights/millfork_weights/links.py
+++ b/packages/millfork-weights/millfork_weights/links.py
@@ -1,5 +1,5 @@
 """
-The instance's network link, shared between transfers and live requests.
+Rate limits for transfers, which share the instance's network link with live requests.
 
 """
 
@@ -11,9 +11,9 @@
 BURST_S: Final = 0.005
 
 
-class Pace:
+class RateLimiter:
     """
-    Lets bytes through at a rate (bytes/s), in the order they came.
+    Limits transfers to `rate` bytes/s, in the order of the calls.
 
     """
 
@@ -25,25 +25,25 @@
     @property
     def backlog_s(self) -> float:
         """
-        Seconds until the bytes already let in are through.
+        Seconds until the bytes that were already admitted have passed at this rate.
 
         """
         return max(self.free_at - self.monotonic(), 0.0)
 
-    def note(self, size: int) -> None:
+    def record_bytes(self, size: int) -> None:
         """
-        Count bytes that passed without asking.
+        Count bytes that were transferred without `acquire`.
 
         """
         self.free_at = max(self.free_at, self.monotonic()) + size / self.rate
 
-    async def take(self, size: int) -> None:
+    async def acquire(self, size: int) -> None:
         """
-        Wait until `size` bytes may pass.
+        Wait until `size` bytes may be transferred. The wait is `BURST_S` shorter than exact pacing.
 
         """
-        begin = max(self.free_at, self.monotonic())
-        self.free_at = begin + size / self.rate
+        starts_at = max(self.free_at, self.monotonic())
+        self.free_at = starts_at + size / self.rate
         wait = self.free_at - self.monotonic() - BURST_S
         if wait > 0:
             await curio.sleep(wait)
@@ -51,7 +51,8 @@
 
 class Link:
     """
-    The part of an instance's link that weight transfers may use.
+    The share of an instance's network link that weight transfers may use. Both directions
+    have one common limit if `both_directions_together`.
 
     """
 
@@ -63,6 +64,6 @@
         monotonic: Callable[[], float],
     ) -> None:
         rate = bytes_per_s * transfer_share
-        self.inward = Pace(rate, monotonic)
-        self.outward = self.inward if both_directions_together else Pace(rate, monotonic)
+        self.inbound = RateLimiter(rate, monotonic)
+        self.outbound = self.inbound if both_directions_together else RateLimiter(rate, monotonic)
         self.rate = rate
--- a/packages/millfork-weights/millfork_weights/origin.py
+++ b/packages/millfork-weights/millfork_weights/origin.py
@@ -1,5 +1,5 @@
 """
-The origin of weights, met over HTTP.
+Client of the origin of weights, over HTTP.
 
 """
 
@@ -7,21 +7,21 @@
 
 from millfork_web.client import Client, ExchangeFailed
 
-TIMEOUT_S: Final = 60.0
-OK: Final = 200
-PARTIAL: Final = 206
+FETCH_TIMEOUT_S: Final = 60.0
+STATUS_OK: Final = 200
+STATUS_PARTIAL_CONTENT: Final = 206
 
 
 class OriginFailed(Exception):
     """
-    The origin did not give what was asked for.
+    The origin did not return the requested bytes.
 
     """
 
 
 class Origin:
     """
-    Draws manifests and chunks from the origin.
+    Fetches manifests and chunks from the origin.
 
     """
 
@@ -30,26 +30,28 @@
 
     async def manifest(self, name: str, version: str) -> bytes:
         """
-        The manifest that the origin has for a version at this moment.
+        Fetch the manifest that the origin has for a version at this moment, unverified.
 
-        :raises OriginFailed: if it gives none.
+        :raises OriginFailed: if the origin does not return one.
 
         """
-        return await self._get(f'/models/{name}/{version}/manifest', [], OK)
+        return await self._get(f'/models/{name}/{version}/manifest', [], STATUS_OK)
 
     async def chunk(self, name: str, version: str, start: int, size: int) -> bytes:
         """
-        `size` bytes from `start` of a version, unverified.
+        Fetch `size` bytes of a version from offset `start`, unverified.
 
-        :raises OriginFailed: if it gives none.
+        :raises OriginFailed: if the origin does not return them.
 
         """
-        span = [('range', f'bytes={start}-{start + size - 1}')]
-        return await self._get(f'/models/{name}/{version}/weights', span, PARTIAL)
+        range_header = [('range', f'bytes={start}-{start + size - 1}')]
+        return await self._get(
+            f'/models/{name}/{version}/weights', range_header, STATUS_PARTIAL_CONTENT
+        )
 
     async def _get(self, path: str, headers: list[tuple[str, str]], status: int) -> bytes:
         try:
-            response = await self.client.fetch('GET', path, headers, timeout=TIMEOUT_S)
+            response = await self.client.fetch('GET', path, headers, timeout=FETCH_TIMEOUT_S)
         except ExchangeFailed as error:
             raise OriginFailed(str(error)) from error
         if response.status != status:
--- a/packages/millfork-wire/millfork_wire/connection.py
+++ b/packages/millfork-wire/millfork_wire/connection.py
@@ -1,5 +1,5 @@
 """
-One connection to one peer: calls, events, and the task that reads them.
+One connection to one peer: calls, events, and the tasks that read and write frames.
 
 """
 
@@ -14,7 +14,7 @@
 from millfork_core.logs import Part as LogPart
 from millfork_core.logs import logger
 from millfork_wire import codec
-from millfork_wire.codec import BadFrame, Frame, Kind
+from millfork_wire.codec import BadFrame, Frame, FrameKind
 from millfork_wire.messages import (
     Chunk,
     End,
@@ -32,36 +32,36 @@
 from millfork_wire.transport import Transport
 
 MAX_QUEUED_FRAMES: Final = 4096
-MAX_BATCH_BYTES: Final = 256 * 1024
-NOT_CONTROL: Final = (Chunk, PushChunk, Reserve, Reserved, Start, Head, Part, End)
+MAX_SEND_BATCH_BYTES: Final = 256 * 1024
+DATA_MESSAGES: Final = (Chunk, PushChunk, Reserve, Reserved, Start, Head, Part, End)
 
 log = logger(LogPart.WIRE)
 
 
 class PeerError(Exception):
     """
-    A call to a peer has no answer.
+    A call to a peer failed.
 
     """
 
 
 class PeerLost(PeerError):
     """
-    The connection is gone; the peer may have acted on the call.
+    The connection was closed; the peer may have acted on the call.
 
     """
 
 
 class PeerUnreachable(PeerError):
     """
-    No connection could be made; the peer saw nothing of the call.
+    No connection could be opened; the peer did not receive the call.
 
     """
 
 
 class PeerTimedOut(PeerError):
     """
-    No answer in time; the peer may still act on the call.
+    The peer did not answer in time; it may still act on the call.
 
     """
 
@@ -77,7 +77,7 @@
         self.failure = failure
 
 
-class _Call:
+class _PendingCall:
     __slots__ = ('answered', 'reply')
 
     def __init__(self) -> None:
@@ -91,7 +91,8 @@
 
 class Connection:
     """
-    A proven connection, used from both ends for calls and events.
+    An authenticated connection. Both ends use it for calls and events. The handler gets the
+    peer's messages; its result is the reply to a request.
 
     """
 
@@ -112,66 +113,66 @@
         self.on_closed = on_closed
         self.dialled = dialled
         self.closed = False
-        self.last_heard = env.monotonic()
-        self.calls: dict[int, _Call] = {}
-        self.ids = count(1)
+        self.last_received_at = env.monotonic()
+        self.pending_calls: dict[int, _PendingCall] = {}
+        self.call_ids = count(1)
         self.outbox: curio.Queue = curio.Queue(MAX_QUEUED_FRAMES)
         self.tasks: set[curio.Task] = set()
         self.writer: curio.Task | None = None
 
     async def call(self, message: Message, timeout: float) -> Message:
         """
-        Send a request and return its reply within `timeout` seconds.
+        Send a request and return its reply, which must arrive within `timeout` seconds.
 
-        :raises PeerLost, PeerTimedOut, PeerRefused: where there is none.
+        :raises PeerLost, PeerTimedOut, PeerRefused: if there is no reply.
 
         """
         if self.closed:
-            raise PeerLost(f'{self.peer} is gone')
-        call_id = next(self.ids)
-        call = _Call()
-        self.calls[call_id] = call
+            raise PeerLost(f'the connection to {self.peer} is closed')
+        call_id = next(self.call_ids)
+        pending_call = _PendingCall()
+        self.pending_calls[call_id] = pending_call
         try:
             async with curio.timeout_after(timeout):
-                await self._post(Frame(call_id, Kind.REQUEST, message))
-                await call.answered.wait()
+                await self._enqueue(Frame(call_id, FrameKind.REQUEST, message))
+                await pending_call.answered.wait()
         except curio.TaskTimeout:
-            raise PeerTimedOut(f'{self.peer} gave no answer in {timeout:.1f} s') from None
+            raise PeerTimedOut(f'{self.peer} did not answer within {timeout:.1f} s') from None
         finally:
-            self.calls.pop(call_id, None)
-        if call.reply is None:
-            raise PeerLost(f'{self.peer} went away')
-        if isinstance(call.reply, Failure):
-            raise PeerRefused(call.reply)
-        return call.reply
+            self.pending_calls.pop(call_id, None)
+        if pending_call.reply is None:
+            raise PeerLost(f'the connection to {self.peer} was closed during the call')
+        if isinstance(pending_call.reply, Failure):
+            raise PeerRefused(pending_call.reply)
+        return pending_call.reply
 
     async def notify(self, message: Message) -> None:
         """
-        Send an event.
+        Queue an event for sending.
 
         :raises PeerLost: if the connection is already closed.
 
         """
         if self.closed:
-            raise PeerLost(f'{self.peer} is gone')
-        await self._post(Frame(0, Kind.EVENT, message))
+            raise PeerLost(f'the connection to {self.peer} is closed')
+        await self._enqueue(Frame(0, FrameKind.EVENT, message))
 
-    async def _post(self, frame: Frame) -> None:
+    async def _enqueue(self, frame: Frame) -> None:
         data = codec.encode(frame)
         self._count_bytes(frame.message, len(data), 'out')
         await self.outbox.put(data)
 
-    def _count_bytes(self, message: Message, size: int, way: str) -> None:
+    def _count_bytes(self, message: Message, size: int, direction: str) -> None:
         """
-        Count the bytes of control; requests and weights are counted as such.
+        Count the bytes of control messages. Callers' requests and weights have their own metrics.
 
         """
-        if not isinstance(message, NOT_CONTROL):
-            self.env.metrics.count(self.env.metrics.wire_bytes, size, way=way)
+        if not isinstance(message, DATA_MESSAGES):
+            self.env.metrics.count(self.env.metrics.wire_bytes, size, way=direction)
 
     async def write_frames(self) -> None:
         """
-        The writing task: frames queued together leave in one send.
+        The writing task: sends all frames that are queued together in one write.
 
         """
         try:
@@ -180,7 +181,7 @@
                 if self.closed:
                     return
                 size = len(batch[0])
-                while not self.outbox.empty() and size < MAX_BATCH_BYTES:
+                while not self.outbox.empty() and size < MAX_SEND_BATCH_BYTES:
                     batch.append(await self.outbox.get())
                     size += len(batch[-1])
                 await self.transport.send_bytes(b''.join(batch) if len(batch) > 1 else batch[0])
@@ -189,14 +190,14 @@
 
     async def read_frames(self) -> None:
         """
-        The reading task: lasts as long as the connection.
+        The reading task: dispatches frames until the connection ends, then closes it.
 
         """
         try:
             while not self.closed:
                 frame = await self.transport.receive()
-                self.last_heard = self.env.monotonic()
-                self._count_bytes(frame.message, self.transport.last_size, 'in')
+                self.last_received_at = self.env.monotonic()
+                self._count_bytes(frame.message, self.transport.last_frame_bytes, 'in')
                 await self._dispatch(frame)
         except BadFrame as error:
             self.env.metrics.count(self.env.metrics.wire, event='bad_frame')
@@ -205,22 +206,22 @@
             pass
         finally:
             await self.close()
-            # The event loop must not hold a closed socket for the writer: its
-            # number may be another connection's by then.
+            # Otherwise the event loop would still wait on the closed socket for the writer,
+            # and its file descriptor may already belong to another connection.
             if self.writer is not None:
                 await self.writer.cancel()
             await self.transport.close()
 
     async def _dispatch(self, frame: Frame) -> None:
-        if frame.kind is Kind.REPLY:
-            call = self.calls.get(frame.id)
-            if call is None:
+        if frame.kind is FrameKind.REPLY:
+            pending_call = self.pending_calls.get(frame.id)
+            if pending_call is None:
                 self.env.metrics.count(self.env.metrics.wire, event='late_reply')
                 return
-            call.reply = frame.message
-            await call.answered.set()
+            pending_call.reply = frame.message
+            await pending_call.answered.set()
             return
-        if frame.kind is Kind.EVENT:
+        if frame.kind is FrameKind.EVENT:
             await self.handler(self, frame.message)
             return
         task = await self.env.spawn(self._answer, frame)
@@ -230,7 +231,7 @@
         try:
             reply = await self._reply_to(frame.message)
             if not self.closed:
-                await self._post(Frame(frame.id, Kind.REPLY, reply))
+                await self._enqueue(Frame(frame.id, FrameKind.REPLY, reply))
         finally:
             self.tasks.discard(await curio.current_task())
 
@@ -239,7 +240,7 @@
             return message
         try:
             reply = await self.handler(self, message)
-        except Exception as error:  # a fault in one handler must not end the process
+        except Exception as error:  # an error in one handler must not end the process
             log.exception('Handling {} from {} failed.', type(message).__name__, self.peer)
             return Failure('internal', str(error))
         if reply is None:
@@ -248,15 +249,15 @@
 
     async def close(self) -> None:
         """
-        Close once; every waiting call learns that the peer is lost.
+        Close the connection, if it is open. Pending calls raise `PeerLost`.
 
         """
         if self.closed:
             return
         self.closed = True
-        for call in list(self.calls.values()):
-            await call.answered.set()
-        await self.transport.shut()
+        for pending_call in list(self.pending_calls.values()):
+            await pending_call.answered.set()
+        await self.transport.shutdown()
         if self.outbox.empty():
             await self.outbox.put(b'')
         await self.on_closed(self)
--- a/tests/test_handshake.py
+++ b/tests/test_handshake.py
@@ -1,5 +1,5 @@
 """
-Peers prove who they are before anything else is read.
+Peers are authenticated before any other message is read.
 
 """
 
@@ -10,8 +10,8 @@
 from millfork_core.environment import Environment
 from millfork_core.ids import InstanceId, ZoneId
 from millfork_wire import codec
-from millfork_wire.codec import BadFrame, Frame, Kind
-from millfork_wire.handshake import HandshakeFailed, shake_hands
+from millfork_wire.codec import BadFrame, Frame, FrameKind
+from millfork_wire.handshake import HandshakeFailed, perform_handshake
 from millfork_wire.messages import Hello, Ping
 from millfork_wire.transport import Transport
 
@@ -33,46 +33,46 @@
     return Transport(client), Transport(accepted)
 
 
-async def meet(dialler_key=KEY, target='b'):
+async def handshake_results(dialler_key=KEY, target='b'):
     one, two = await transports()
-    dialled = await curio.spawn(shake_hands, one, env('a'), 'entry', dialler_key, target)
-    accepted = await curio.spawn(shake_hands, two, env('b'), 'entry', KEY, '')
+    dialled = await curio.spawn(perform_handshake, one, env('a'), 'entry', dialler_key, target)
+    accepted = await curio.spawn(perform_handshake, two, env('b'), 'entry', KEY, '')
     results = []
     for task in (dialled, accepted):
         try:
             results.append((await task.join()).instance)
         except curio.TaskError as error:
             results.append(type(error.__cause__))
-            await one.shut()
-            await two.shut()
+            await one.shutdown()
+            await two.shutdown()
     return results
 
 
-def test_both_sides_learn_who_the_other_is():
-    assert curio.run(meet) == ['b', 'a']
+def test_both_sides_get_the_name_of_the_other():
+    assert curio.run(handshake_results) == ['b', 'a']
 
 
-def test_a_wrong_key_proves_nothing():
-    assert HandshakeFailed in curio.run(meet, b'another key')
+def test_a_proof_with_a_wrong_key_is_refused():
+    assert HandshakeFailed in curio.run(handshake_results, b'another key')
 
 
-def test_another_instance_than_the_one_dialled_is_refused():
-    assert HandshakeFailed in curio.run(meet, KEY, 'c')
+def test_an_instance_other_than_the_dialled_one_is_refused():
+    assert HandshakeFailed in curio.run(handshake_results, KEY, 'c')
 
 
-async def mirror(transport):
+async def send_back(transport):
     while True:
         await transport.send(await transport.receive())
 
 
-async def reflect():
+async def error_with_reflecting_peer():
     """
-    Send everything back that the accepting side says.
+    The error of an accepting side whose peer sends every message back to it.
 
     """
     one, two = await transports()
-    reflecting = await curio.spawn(mirror, one, daemon=True)
-    accepting = await curio.spawn(shake_hands, two, env('b'), 'entry', KEY, '')
+    reflecting = await curio.spawn(send_back, one, daemon=True)
+    accepting = await curio.spawn(perform_handshake, two, env('b'), 'entry', KEY, '')
     try:
         await accepting.join()
     except curio.TaskError as error:
@@ -82,23 +82,23 @@
     return None
 
 
-def test_a_mirror_is_no_peer():
-    assert curio.run(reflect) is HandshakeFailed
+def test_a_peer_that_reflects_messages_is_refused():
+    assert curio.run(error_with_reflecting_peer) is HandshakeFailed
 
 
 @pytest.mark.parametrize(
     ('data', 'error'),
     [
-        (codec.encode(Frame(0, Kind.EVENT, Ping())), HandshakeFailed),
-        (codec.encode(Frame(0, Kind.EVENT, Hello(99, 'a'))), HandshakeFailed),
-        (codec.encode(Frame(0, Kind.EVENT, Hello(1, 'a' * 5000))), BadFrame),
+        (codec.encode(Frame(0, FrameKind.EVENT, Ping())), HandshakeFailed),
+        (codec.encode(Frame(0, FrameKind.EVENT, Hello(99, 'a'))), HandshakeFailed),
+        (codec.encode(Frame(0, FrameKind.EVENT, Hello(1, 'a' * 5000))), BadFrame),
         (b'GET / HTTP/1.1\r\n\r\n', BadFrame),
     ],
 )
-def test_what_comes_first_must_be_a_small_hello(data, error):
+def test_the_first_message_must_be_a_small_hello(data, error):
     async def run():
         one, two = await transports()
-        accepting = await curio.spawn(shake_hands, two, env('b'), 'entry', KEY, '')
+        accepting = await curio.spawn(perform_handshake, two, env('b'), 'entry', KEY, '')
         await one.send_bytes(data)
         try:
             await accepting.join()
