--- a/packages/millfork-standins/millfork_standins/callers.py
+++ b/packages/millfork-standins/millfork_standins/callers.py
@@ -24,7 +24,7 @@
 PROMPTS: Final = ('summarise the lecture', 'outline the chapter', 'draft the quiz')
 
 
-class Kind(Enum):
+class RequestKind(Enum):
     """
     What a caller asks for.
 
@@ -36,7 +36,7 @@
     FILING = 'filing'
 
 
-class End(Enum):
+class CallOutcome(Enum):
     """
     How a request ended for its caller.
 
@@ -51,16 +51,16 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class CallRecord:
     """
     One request of a caller, from its first sending to its end. `cut_off`
     counts the sendings whose connection ended without a whole answer.
 
     """
 
-    kind: Kind
+    kind: RequestKind
     nonce: str
-    end: End
+    end: CallOutcome
     version: str = ''
     sendings: int = 1
     cut_off: int = 0
@@ -79,14 +79,19 @@
 
     fleet: Fleet
     keys: dict[str, str]
-    threads_wanted: int = 6
-    kinds: tuple[Kind, ...] = (Kind.WHOLE, Kind.STREAM, Kind.READ, Kind.FILING)
-    asked: list[Asked] = field(default_factory=list)
+    thread_count: int = 6
+    kinds: tuple[RequestKind, ...] = (
+        RequestKind.WHOLE,
+        RequestKind.STREAM,
+        RequestKind.READ,
+        RequestKind.FILING,
+    )
+    records: list[CallRecord] = field(default_factory=list)
     stopping: threading.Event = field(default_factory=threading.Event)
     threads: list[threading.Thread] = field(default_factory=list)
 
     def start(self) -> None:
-        for number in range(self.threads_wanted):
+        for number in range(self.thread_count):
             thread = threading.Thread(target=self._ask_on, args=(number,), daemon=True)
             thread.start()
             self.threads.append(thread)
@@ -101,83 +106,89 @@
         while not self.stopping.is_set():
             kind = chance.choice(self.kinds)
             began = time.monotonic()
-            asked = self.ask(kind, chance)
-            asked.seconds = time.monotonic() - began
-            self.asked.append(asked)
+            record = self.ask(kind, chance)
+            record.seconds = time.monotonic() - began
+            self.records.append(record)
             self.stopping.wait(PAUSE_S * chance.random())
 
-    def ask(self, kind: Kind, chance: random.Random) -> Asked:
+    def ask(self, kind: RequestKind, chance: random.Random) -> CallRecord:
         """
         One request, sent again as its caller may until it has an end.
 
         """
         nonce = uuid.uuid4().hex
-        asked = Asked(kind, nonce, End.LOST)
+        record = CallRecord(kind, nonce, CallOutcome.LOST)
         prompt = f'{chance.choice(PROMPTS)} {chance.randrange(20)}'
         for sending in range(RESENDS):
-            asked.sendings = sending + 1
+            record.sendings = sending + 1
             entry = chance.choice(self.fleet.entries)
             try:
                 answer = self.send(entry, kind, nonce, prompt)
             except OSError as error:
-                asked.cut_off += not isinstance(error, ConnectionRefusedError)
-                asked.detail = f'{entry.name}: {error}'
+                record.cut_off += not isinstance(error, ConnectionRefusedError)
+                record.detail = f'{entry.name}: {error}'
                 time.sleep(PAUSE_S)
                 continue
-            if self._judge(asked, kind, prompt, answer):
-                return asked
+            if self._judge(record, kind, prompt, answer):
+                return record
             wait = float(answer.headers.get('retry-after', PAUSE_S))
             time.sleep(min(wait, MAX_RETRY_AFTER_S))
-        return asked
+        return record
 
-    def send(self, entry: Instance, kind: Kind, nonce: str, prompt: str) -> Answer:
+    def send(self, entry: Instance, kind: RequestKind, nonce: str, prompt: str) -> Answer:
         fleet = self.fleet
         token = fleet.caller_tokens[fleet.shape.organisations[0]]
         headers = {'authorization': f'Bearer {token}', 'nonce': nonce}
         service = next(iter(fleet.shape.plain_services))
-        if kind is Kind.READ:
+        if kind is RequestKind.READ:
             path = f'/services/{service}/card/{nonce}'
             return fetch('GET', entry.host, CALLERS_PORT, path, headers=headers)
-        if kind is Kind.FILING:
+        if kind is RequestKind.FILING:
             headers['idempotency-key'] = nonce
             path = f'/services/{service}/renewals'
             return fetch('POST', entry.host, CALLERS_PORT, path, b'{}', headers)
         headers['millfork-repeatable'] = 'yes'
         body = {'model': 'main', 'prompt': prompt, 'max_tokens': TOKENS, 'nonce': nonce}
-        body['stream'] = kind is Kind.STREAM
+        body['stream'] = kind is RequestKind.STREAM
         data = json.dumps(body).encode()
         return fetch('POST', entry.host, CALLERS_PORT, '/v1/completions', data, headers)
 
-    def _judge(self, asked: Asked, kind: Kind, prompt: str, answer: Answer) -> bool:
+    def _judge(self, record: CallRecord, kind: RequestKind, prompt: str, answer: Answer) -> bool:
         """
         Whether the request has come to its end, and to which.
 
         """
         if answer.status != 200:
-            asked.detail = f'{answer.status} {answer.headers.get("millfork-reason")}'
+            record.detail = f'{answer.status} {answer.headers.get("millfork-reason")}'
             verdict = answer.headers.get('millfork-verdict')
-            asked.end = End.LOST
-            if kind is Kind.FILING:
-                asked.end = End.NOT_RUN if verdict == 'not_run' else End.TOLD_UNKNOWN
+            record.end = CallOutcome.LOST
+            if kind is RequestKind.FILING:
+                record.end = (
+                    CallOutcome.NOT_RUN if verdict == 'not_run' else CallOutcome.TOLD_UNKNOWN
+                )
             return False
-        if kind in (Kind.READ, Kind.FILING):
-            right = answer.json().get('nonce') == asked.nonce
-            asked.end = End.RIGHT if right else End.WRONG
+        if kind in (RequestKind.READ, RequestKind.FILING):
+            right = answer.json().get('nonce') == record.nonce
+            record.end = CallOutcome.RIGHT if right else CallOutcome.WRONG
             return True
-        asked.version = answer.headers.get('millfork-version', '')
-        asked.end = self._judge_tokens(asked, kind, prompt, answer)
+        record.version = answer.headers.get('millfork-version', '')
+        record.end = self._judge_tokens(record, kind, prompt, answer)
         return True
 
-    def _judge_tokens(self, asked: Asked, kind: Kind, prompt: str, answer: Answer) -> End:
-        text, nonces = _stream_text(answer.body) if kind is Kind.STREAM else _whole_text(answer)
-        if nonces != {asked.nonce}:
-            return End.WRONG
+    def _judge_tokens(
+        self, record: CallRecord, kind: RequestKind, prompt: str, answer: Answer
+    ) -> CallOutcome:
+        text, nonces = (
+            _stream_text(answer.body) if kind is RequestKind.STREAM else _whole_text(answer)
+        )
+        if nonces != {record.nonce}:
+            return CallOutcome.WRONG
         expected = {version: answer_text(key, prompt, TOKENS) for version, key in self.keys.items()}
-        if text == expected.get(asked.version):
-            return End.RIGHT
-        asked.detail = f'{text} is not {expected.get(asked.version)}'
+        if text == expected.get(record.version):
+            return CallOutcome.RIGHT
+        record.detail = f'{text} is not {expected.get(record.version)}'
         known = {word for words in expected.values() for word in words.split()}
-        return End.MIXED if set(text.split()) & known else End.WRONG
+        return CallOutcome.MIXED if set(text.split()) & known else CallOutcome.WRONG
 
 
 def _whole_text(answer: Answer) -> tuple[str, set[str]]:
--- a/packages/millfork-standins/millfork_standins/demo.py
+++ b/packages/millfork-standins/millfork_standins/demo.py
@@ -14,11 +14,11 @@
 from absl import app, flags
 
 from millfork_core.status import ExitStatus
-from millfork_standins.callers import Callers, End
+from millfork_standins.callers import Callers, CallOutcome
 from millfork_standins.deployments import SHAPES
 from millfork_standins.fleet import Fleet
-from millfork_standins.judging import judge_fleet
 from millfork_standins.layout import FleetError, FleetOptions
+from millfork_standins.run_summary import summarize_fleet_run
 from millfork_standins.versions import learn_version
 
 FLAGS: Final = flags.FLAGS
@@ -48,13 +48,13 @@
 
     def apply(self, name: str, declaration: dict[str, Any]) -> None:
         path = self.fleet.write_declaration(name, declaration)
-        done = self.fleet.operate('apply', str(path))
+        done = self.fleet.run_millfork('apply', str(path))
         if done.returncode != ExitStatus.SUCCESS:
             raise FleetError(f'millfork apply {name}: {done.stderr}')
         say(f'  millfork apply {name}: {done.stdout.strip()}')
 
     def rollout(self) -> list[dict[str, Any]]:
-        done = self.fleet.operate('status', '--json')
+        done = self.fleet.run_millfork('status', '--json')
         if done.returncode != ExitStatus.SUCCESS:
             return []
         rows: list[dict[str, Any]] = json.loads(done.stdout)['deployments']
@@ -116,9 +116,9 @@
         return float(stats['draws'].get(name, 0)) / self.fleet.options.model_bytes
 
     def _summary(self, replicas: int, first_s: float, second_s: float) -> dict[str, Any]:
-        asked = self.callers.asked
-        for item in asked:
-            if item.end not in (End.RIGHT, End.TOLD_UNKNOWN, End.NOT_RUN):
+        records = self.callers.records
+        for item in records:
+            if item.end not in (CallOutcome.RIGHT, CallOutcome.TOLD_UNKNOWN, CallOutcome.NOT_RUN):
                 say(f'  {item}')
         return {
             'deployment': self.fleet.shape.name,
@@ -127,7 +127,7 @@
             'origin_copies': round(self._copies('v1'), 3),
             'second_time_to_n_s': round(second_s, 3),
             'second_origin_copies': round(self._copies('v2'), 3),
-            **asdict(judge_fleet(self.fleet, asked)),
+            **asdict(summarize_fleet_run(self.fleet, records)),
         }
 
 
--- a/packages/millfork-standins/millfork_standins/fleet.py
+++ b/packages/millfork-standins/millfork_standins/fleet.py
@@ -128,7 +128,7 @@
         }
         fetch_json('PUT', self.platform['host'], STANDIN_PORT, '/instances', facts)
 
-    def deafen(self, instance: Instance) -> None:
+    def withhold_list_changes(self, instance: Instance) -> None:
         """
         Let an instance hear of no change of the platform's list any more.
 
@@ -257,7 +257,7 @@
         path.write_text(yaml.safe_dump(declaration, sort_keys=False))
         return path
 
-    def operate(self, *arguments: str) -> subprocess.CompletedProcess[str]:
+    def run_millfork(self, *arguments: str) -> subprocess.CompletedProcess[str]:
         """
         Run `millfork` as the fleet's administrator.
 
--- a/packages/millfork-standins/millfork_standins/history.py
+++ b/packages/millfork-standins/millfork_standins/history.py
@@ -87,7 +87,7 @@
     revision: int
 
 
-def check(history: History) -> list[str]:
+def find_violations(history: History) -> list[str]:
     """
     Everything in the history that no correct system could have done.
 
--- a/packages/millfork-standins/millfork_standins/recorder.py
+++ b/packages/millfork-standins/millfork_standins/recorder.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wish:
+class PlannedOperation:
     """
     One operation of a plan: change a key at the revision seen last, or at
     any; send it again to another entry afterwards, or not; or read.
@@ -31,8 +31,8 @@
     entry: int
     key: int = 0
     is_read: bool = False
-    expects: bool = False
-    resends: bool = False
+    is_conditional: bool = False
+    is_resent: bool = False
 
 
 @dataclass
@@ -48,7 +48,7 @@
     seen: int = 0
     stopping: threading.Event = field(default_factory=threading.Event)
 
-    def run(self, plans: list[list[Wish]]) -> list[threading.Thread]:
+    def start_plans(self, plans: list[list[PlannedOperation]]) -> list[threading.Thread]:
         """
         Start one thread for each plan.
 
@@ -58,7 +58,7 @@
             thread.start()
         return threads
 
-    def observe(self) -> list[threading.Thread]:
+    def start_observers(self) -> list[threading.Thread]:
         """
         Start one observer of each entry, until `stopping` is set.
 
@@ -83,16 +83,16 @@
                         Observation(entry.name, time.monotonic(), revision)
                     )
 
-    def _run_plan(self, plan: list[Wish]) -> None:
-        for wish in plan:
-            if wish.is_read:
-                self.read(wish.entry)
+    def _run_plan(self, plan: list[PlannedOperation]) -> None:
+        for operation in plan:
+            if operation.is_read:
+                self.read(operation.entry)
                 continue
             command = uuid.uuid4().hex
-            expect = self.seen if wish.expects else None
-            self.put(wish.entry, command, wish.key, expect)
-            if wish.resends:
-                self.put(wish.entry + 1, command, wish.key, expect)
+            expect = self.seen if operation.is_conditional else None
+            self.put(operation.entry, command, operation.key, expect)
+            if operation.is_resent:
+                self.put(operation.entry + 1, command, operation.key, expect)
 
     def _ask(self, entry: int, method: str, path: str, body: bytes = b'') -> Answer:
         host = self.fleet.entries[entry % len(self.fleet.entries)].host
--- a/packages/millfork-standins/millfork_standins/judging.py
+++ b/packages/millfork-standins/millfork_standins/run_summary.py
@@ -8,13 +8,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-from millfork_standins.callers import Asked, End, Kind
+from millfork_standins.callers import CallOutcome, CallRecord, RequestKind
 from millfork_standins.execution_log import read_executions
 from millfork_standins.fleet import Fleet
 
 
 @dataclass(frozen=True, slots=True)
-class Judgement:
+class RunSummary:
     """
     Counts of one run. `doubled`: filings executed more than once, or
     executed although their caller was told 'not run'. `missing`: answered
@@ -38,34 +38,34 @@
         return self.right > 0 and not bad
 
 
-def judge(asked: list[Asked], executions: Iterable[dict[str, Any]]) -> Judgement:
+def summarize_run(records: list[CallRecord], executions: Iterable[dict[str, Any]]) -> RunSummary:
     """
     Judge the callers' requests against the back ends' execution logs.
 
     """
-    ends = Counter(item.end for item in asked)
+    ends = Counter(item.end for item in records)
     runs: Counter[str] = Counter()
     for line in executions:
         if line['kind'] == 'begin' and line.get('method') == 'POST':
             runs[line['nonce']] += 1
-    filings = [item for item in asked if item.kind is Kind.FILING]
-    told_not_run = sum(item.end is End.NOT_RUN and item.nonce in runs for item in filings)
+    filings = [item for item in records if item.kind is RequestKind.FILING]
+    told_not_run = sum(item.end is CallOutcome.NOT_RUN and item.nonce in runs for item in filings)
     twice = sum(count > 1 for count in runs.values())
-    missing = sum(item.end is End.RIGHT and item.nonce not in runs for item in filings)
-    return Judgement(
-        len(asked),
-        ends[End.RIGHT],
-        ends[End.WRONG],
-        ends[End.MIXED],
-        ends[End.LOST],
+    missing = sum(item.end is CallOutcome.RIGHT and item.nonce not in runs for item in filings)
+    return RunSummary(
+        len(records),
+        ends[CallOutcome.RIGHT],
+        ends[CallOutcome.WRONG],
+        ends[CallOutcome.MIXED],
+        ends[CallOutcome.LOST],
         twice + told_not_run,
         missing,
-        ends[End.NOT_RUN],
-        ends[End.TOLD_UNKNOWN],
+        ends[CallOutcome.NOT_RUN],
+        ends[CallOutcome.TOLD_UNKNOWN],
     )
 
 
-def judge_fleet(fleet: Fleet, asked: list[Asked]) -> Judgement:
+def summarize_fleet_run(fleet: Fleet, records: list[CallRecord]) -> RunSummary:
     """
     Judge a run on a fleet by the logs of all its back ends.
 
@@ -73,4 +73,4 @@
     executions: list[dict[str, Any]] = []
     for instance in fleet.instances.values():
         executions += read_executions(fleet.executions(instance.name))
-    return judge(asked, executions)
+    return summarize_run(records, executions)
--- a/packages/millfork-standins/millfork_standins/scenario/__main__.py
+++ b/packages/millfork-standins/millfork_standins/scenario/__main__.py
@@ -8,8 +8,8 @@
 from pathlib import Path
 
 from millfork_core.status import ExitStatus
-from millfork_standins.scenario.parser import BadScenario, parse
-from millfork_standins.scenario.runner import Runner, Unmet
+from millfork_standins.scenario.parser import ScenarioSyntaxError, parse
+from millfork_standins.scenario.runner import Runner, ScenarioFailed
 
 
 def main() -> int:
@@ -24,7 +24,7 @@
         print(f'== {name}')
         try:
             Runner(Path(tempfile.mkdtemp(prefix='millfork-scenario-'))).run(parse(Path(name)))
-        except (BadScenario, Unmet) as error:
+        except (ScenarioSyntaxError, ScenarioFailed) as error:
             print(f'{name}: {error}', file=sys.stderr)
             return ExitStatus.ERROR
     return ExitStatus.SUCCESS
--- a/packages/millfork-standins/millfork_standins/scenario/probes.py
+++ b/packages/millfork-standins/millfork_standins/scenario/fleet_status.py
@@ -5,7 +5,7 @@
 
 from typing import Any, Final
 
-from millfork_standins.callers import Asked, End
+from millfork_standins.callers import CallOutcome, CallRecord
 from millfork_standins.fleet import Fleet
 from millfork_standins.layout import ADMIN_PORT, CALLERS_PORT, FleetOptions
 from millfork_standins.requests import fetch
@@ -14,8 +14,8 @@
 VOTER_LINE: Final = 'millfork_voter 1'
 
 
-def right(asked: list[Asked]) -> list[Asked]:
-    return [item for item in asked if item.end is End.RIGHT]
+def find_right_records(records: list[CallRecord]) -> list[CallRecord]:
+    return [item for item in records if item.end is CallOutcome.RIGHT]
 
 
 def set_option(options: FleetOptions, name: str, value: str) -> None:
@@ -33,7 +33,7 @@
     setattr(options, field, number)
 
 
-def rollouts(fleet: Fleet) -> list[dict[str, Any]]:
+def fetch_rollouts(fleet: Fleet) -> list[dict[str, Any]]:
     """
     The rollouts as the first entry that answers tells them.
 
--- a/packages/millfork-standins/millfork_standins/scenario/parser.py
+++ b/packages/millfork-standins/millfork_standins/scenario/parser.py
@@ -21,7 +21,7 @@
 )
 
 
-class BadScenario(Exception):
+class ScenarioSyntaxError(Exception):
     """
     A scenario that can't be read, with the place of the trouble.
 
@@ -38,7 +38,9 @@
     try:
         tree = _PARSER.parse(path.read_text())
     except UnexpectedInput as error:
-        raise BadScenario(f'{path}:{error.line}:{error.column}: no step of the language') from error
+        raise ScenarioSyntaxError(
+            f'{path}:{error.line}:{error.column}: no step of the language'
+        ) from error
     return [_step(child) for child in tree.children if isinstance(child, Tree)]
 
 
--- a/packages/millfork-standins/millfork_standins/scenario/runner.py
+++ b/packages/millfork-standins/millfork_standins/scenario/runner.py
@@ -11,15 +11,20 @@
 from typing import Any, Final
 
 from millfork_core.status import ExitStatus
-from millfork_standins.callers import Callers, End, Kind
+from millfork_standins.callers import Callers, CallOutcome, RequestKind
 from millfork_standins.deployments import SHAPES
 from millfork_standins.execution_log import read_executions
 from millfork_standins.fleet import Fleet
-from millfork_standins.judging import judge_fleet
 from millfork_standins.layout import ADMIN_PORT, CALLERS_PORT, FleetError, FleetOptions
 from millfork_standins.requests import Answer, fetch
+from millfork_standins.run_summary import summarize_fleet_run
 from millfork_standins.scenario import steps
-from millfork_standins.scenario.probes import count_voters, right, rollouts, set_option
+from millfork_standins.scenario.fleet_status import (
+    count_voters,
+    fetch_rollouts,
+    find_right_records,
+    set_option,
+)
 from millfork_standins.scenario.steps import Step
 from millfork_standins.versions import learn_version
 
@@ -29,7 +34,7 @@
 TORN_BYTES: Final = 7
 
 
-class Unmet(Exception):
+class ScenarioFailed(Exception):
     """
     An expectation or a wait of a scenario was not met.
 
@@ -51,7 +56,7 @@
         self.ids: dict[str, str] = {}
         self.accepted = 0
         self.answer: Answer | None = None
-        self.idle_marks: dict[str, int] = {}
+        self.started_when_idle: dict[str, int] = {}
         self.stopping: set[str] = set()
 
     def run(self, scenario: list[Step]) -> None:
@@ -75,12 +80,12 @@
         try:
             self.on(step)
         except FleetError as error:
-            raise Unmet(f'line {step.line}: {error}') from error
+            raise ScenarioFailed(f'line {step.line}: {error}') from error
 
     @property
     def running(self) -> Fleet:
         if self.fleet is None:
-            raise Unmet('a scenario begins with its fleet')
+            raise ScenarioFailed('a scenario begins with its fleet')
         return self.fleet
 
     def _wait(self, step: steps.Wait, what: str, holds: Callable[[], bool]) -> None:
@@ -89,13 +94,13 @@
             if holds():
                 return
             time.sleep(POLL_S)
-        raise Unmet(f'line {step.line}: {what} does not hold within {step.within} s')
+        raise ScenarioFailed(f'line {step.line}: {what} does not hold within {step.within} s')
 
     # Steps.
 
     @singledispatchmethod
     def on(self, step: Step) -> None:
-        raise Unmet(f'line {step.line}: no way to run this step')
+        raise ScenarioFailed(f'line {step.line}: no way to run this step')
 
     @on.register
     def _(self, step: steps.MakeFleet) -> None:
@@ -147,7 +152,7 @@
 
     @on.register
     def _(self, step: steps.Deafen) -> None:
-        self.running.deafen(self.running.instances[step.name])
+        self.running.withhold_list_changes(self.running.instances[step.name])
 
     @on.register
     def _(self, step: steps.Cut) -> None:
@@ -203,16 +208,16 @@
 
     def _apply(self, step: Step, name: str, declaration: dict[str, Any]) -> None:
         path = self.running.write_declaration(name, declaration)
-        done = self.running.operate('apply', str(path))
+        done = self.running.run_millfork('apply', str(path))
         if done.returncode != ExitStatus.SUCCESS:
-            raise Unmet(f'line {step.line}: apply: {done.stderr.strip()}')
+            raise ScenarioFailed(f'line {step.line}: apply: {done.stderr.strip()}')
         self.accepted = int(done.stdout.split()[-1])
 
     # Callers.
 
     @on.register
     def _(self, step: steps.StartCallers) -> None:
-        kinds = tuple(Kind(name) for name in step.kinds) or tuple(Kind)
+        kinds = tuple(RequestKind(name) for name in step.kinds) or tuple(RequestKind)
         self.callers = Callers(self.running, self.keys, step.count, kinds)
         self.callers.start()
 
@@ -226,12 +231,12 @@
         fleet = self.running
         callers = Callers(fleet, self.keys)
         entry = fleet.instances[step.entry]
-        self.answer = callers.send(entry, Kind(step.kind), f'call-{step.line}', 'one call')
+        self.answer = callers.send(entry, RequestKind(step.kind), f'call-{step.line}', 'one call')
 
     # Waits.
 
     def _serving(self, version: str) -> int:
-        rows = rollouts(self.running)
+        rows = fetch_rollouts(self.running)
         found = [row['serving'] for row in rows if row['version'] == self.ids[version]]
         return found[0] if found else 0
 
@@ -249,7 +254,7 @@
         process = self.running.processes[step.name]
         self._wait(step, f'exit of {step.name}', lambda: process.poll() is not None)
         if process.returncode != ExitStatus.SUCCESS:
-            raise Unmet(f'line {step.line}: {step.name} ended with {process.returncode}')
+            raise ScenarioFailed(f'line {step.line}: {step.name} ended with {process.returncode}')
         del self.running.processes[step.name]
 
     @on.register
@@ -272,8 +277,8 @@
     def _(self, step: steps.WaitAnswers) -> None:
         assert self.callers is not None
         callers = self.callers
-        target = len(right(callers.asked)) + step.count
-        self._wait(step, 'answers', lambda: len(right(callers.asked)) >= target)
+        target = len(find_right_records(callers.records)) + step.count
+        self._wait(step, 'answers', lambda: len(find_right_records(callers.records)) >= target)
 
     @on.register
     def _(self, step: steps.WaitIdle) -> None:
@@ -282,8 +287,8 @@
     def _is_idle(self, name: str) -> bool:
         before = self._begun(name)
         time.sleep(IDLE_S)
-        self.idle_marks[name] = self._begun(name)
-        return self.idle_marks[name] == before
+        self.started_when_idle[name] = self._begun(name)
+        return self.started_when_idle[name] == before
 
     def _begun(self, name: str) -> int:
         lines = read_executions(self.running.executions(name))
@@ -294,18 +299,18 @@
     @on.register
     def _(self, step: steps.ExpectClean) -> None:
         assert self.callers is not None
-        found = judge_fleet(self.running, self.callers.asked)
+        found = summarize_fleet_run(self.running, self.callers.records)
         self.say(f'   {found}')
         if not found.is_clean:
-            bad = [item for item in self.callers.asked if item.end is not End.RIGHT]
-            raise Unmet(f'line {step.line}: {found}: {bad[:5]}')
+            bad = [item for item in self.callers.records if item.end is not CallOutcome.RIGHT]
+            raise ScenarioFailed(f'line {step.line}: {found}: {bad[:5]}')
 
     @on.register
     def _(self, step: steps.ExpectUncut) -> None:
         assert self.callers is not None
-        cut = [item for item in self.callers.asked if item.cut_off]
+        cut = [item for item in self.callers.records if item.cut_off]
         if cut:
-            raise Unmet(f'line {step.line}: {len(cut)} requests were cut off: {cut[:3]}')
+            raise ScenarioFailed(f'line {step.line}: {len(cut)} requests were cut off: {cut[:3]}')
 
     @on.register
     def _(self, step: steps.ExpectNoLeader) -> None:
@@ -320,7 +325,7 @@
                 time.sleep(POLL_S)
                 continue
             if answer.status == 200:
-                raise Unmet(f'line {step.line}: {entry.name} read from a leader')
+                raise ScenarioFailed(f'line {step.line}: {entry.name} read from a leader')
 
     @on.register
     def _(self, step: steps.ExpectCopies) -> None:
@@ -329,17 +334,17 @@
         copies = sent / self.running.options.model_bytes
         holds = copies <= step.copies if step.operator == '<=' else copies >= step.copies
         if not holds:
-            raise Unmet(f'line {step.line}: the origin sent {copies:.3f} copies')
+            raise ScenarioFailed(f'line {step.line}: the origin sent {copies:.3f} copies')
 
     @on.register
     def _(self, step: steps.ExpectAnswer) -> None:
         assert self.answer is not None
         found = (str(self.answer.status), self.answer.headers.get('millfork-reason', ''))
         if step.answer not in found:
-            raise Unmet(f'line {step.line}: the answer was {found}')
+            raise ScenarioFailed(f'line {step.line}: the answer was {found}')
 
     @on.register
     def _(self, step: steps.ExpectNewWork) -> None:
-        new = self._begun(step.name) - self.idle_marks[step.name]
+        new = self._begun(step.name) - self.started_when_idle[step.name]
         if new > step.most:
-            raise Unmet(f'line {step.line}: {step.name} began {new} more requests')
+            raise ScenarioFailed(f'line {step.line}: {step.name} began {new} more requests')
--- a/packages/millfork-standins/millfork_standins/seeded.py
+++ b/packages/millfork-standins/millfork_standins/seeded.py
@@ -94,35 +94,35 @@
             self.server.executed.append(headers)
         if asked == CRASHING_BODY:
             self.close_connection = True
-            self.server.crashing += 1
-            time.sleep(self.server.crashes_after_s)
+            self.server.crash_request_count += 1
+            time.sleep(self.server.crash_delay_s)
             self.server.crash()
             return
         if turns_away:
             self.send_response(503)
             self.send_header(standins.REQUEST_ID, self.headers[standins.REQUEST_ID])
             self.send_header(standins.NOT_RUN, '1')
-            self._say()
+            self._send_extra_headers()
             self.send_header('content-length', '0')
             self.end_headers()
             return
-        if self.server.breaks_off:
+        if self.server.drops_requests:
             self.close_connection = True
             self.connection.shutdown(socket.SHUT_RDWR)
             return
         self.server.release.wait(BOUND_S)
         body = b'answer'
-        time.sleep(self.server.works_s)
+        time.sleep(self.server.service_time_s)
         self.send_response(200)
-        self._say()
+        self._send_extra_headers()
         self.send_header(standins.REQUEST_ID, self.headers[standins.REQUEST_ID])
         self.send_header(standins.SIGNATURE, self.server.instance)
         self.send_header('content-length', str(len(body)))
         self.end_headers()
         self.wfile.write(body)
 
-    def _say(self) -> None:
-        for name, value in self.server.says.items():
+    def _send_extra_headers(self) -> None:
+        for name, value in self.server.extra_headers.items():
             self.send_header(name, value)
 
     def log_message(self, format: str, *arguments: object) -> None:
@@ -151,14 +151,14 @@
         # Of each request, in monotonic seconds.
         self.arrived_at: list[float] = []
         # Requests that end it, and how long it works on one.
-        self.crashing = 0
-        self.crashes_after_s = 0.0
+        self.crash_request_count = 0
+        self.crash_delay_s = 0.0
         # What it says of itself in the heads of all answers.
-        self.says: dict[str, str] = {}
-        self.works_s = 0.0
-        self.breaks_off = False
+        self.extra_headers: dict[str, str] = {}
+        self.service_time_s = 0.0
+        self.drops_requests = False
         # How long after its connections its address closes when it crashes.
-        self.closes_after_s = 0.0
+        self.address_close_delay_s = 0.0
         # Answers at once that it does not run the request.
         self.turns_away = False
         self.release = threading.Event()
@@ -186,14 +186,14 @@
 
         """
         self.ended.set()
-        if not self.closes_after_s:
+        if not self.address_close_delay_s:
             self._close_address()
         self._close_connections()
         threading.Thread(target=self._finish_crash, daemon=True).start()
 
     def _finish_crash(self) -> None:
-        if self.closes_after_s:
-            time.sleep(self.closes_after_s)
+        if self.address_close_delay_s:
+            time.sleep(self.address_close_delay_s)
             self._close_address()
             self._close_connections()
         self.shutdown()
@@ -229,7 +229,7 @@
             call(host, CONTROL_PORT, request).status == 200 for host in self.fleet.replica_hosts
         )
 
-    def most_in(self, seconds: float, since: float) -> int:
+    def max_arrivals_within(self, seconds: float, since: float) -> int:
         """
         The most requests that came in any so many seconds, from a moment on.
 
@@ -292,7 +292,7 @@
         network = f'127.{100 + os.getpid() % 100}'
         self.replica_hosts = [f'{network}.1.{number}' for number in range(1, replicas + 1)]
         self.entry_hosts = [f'{network}.2.{number}' for number in range(1, entries + 1)]
-        self.back_host = f'{network}.3.1'
+        self.back_end_host = f'{network}.3.1'
         # Endpoint daemons; nothing answers as the engine beside them.
         self.endpoint_hosts = [f'{network}.4.{number}' for number in range(1, endpoints + 1)]
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
@@ -352,7 +352,7 @@
         process.wait()
 
     def add_back_end(self, service: str, instance: str) -> BackEnd:
-        made = BackEnd(self.back_host, service, instance, self)
+        made = BackEnd(self.back_end_host, service, instance, self)
         self.back_ends.append(made)
         return made
 
--- a/packages/millfork-standins/millfork_standins/soak/backpressure.py
+++ b/packages/millfork-standins/millfork_standins/soak/backpressure.py
@@ -82,11 +82,11 @@
 
     """
     if planned.kind is SignalKind.LIMIT:
-        back_end.says = {standins.LIMIT: f'{planned.value:.3f}'}
+        back_end.extra_headers = {standins.LIMIT: f'{planned.value:.3f}'}
         return
     back_end.turns_away = True
     if planned.kind is SignalKind.REST:
-        back_end.says = {standins.RETRY_AFTER: f'{planned.value:.3f}'}
+        back_end.extra_headers = {standins.RETRY_AFTER: f'{planned.value:.3f}'}
 
 
 def end(back_end: BackEnd) -> None:
@@ -95,7 +95,7 @@
 
     """
     back_end.turns_away = False
-    back_end.says = {}
+    back_end.extra_headers = {}
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/test_asked_for_rest.py
+++ b/tests/test_asked_for_rest.py
@@ -28,7 +28,7 @@
 
 def test_a_back_end_that_asked_for_rest_gets_it(fleet):
     resting = fleet.back_ends[0]
-    resting.says = {standins.RETRY_AFTER: str(REST_S)}
+    resting.extra_headers = {standins.RETRY_AFTER: str(REST_S)}
     resting.turns_away = True
     began = time.monotonic()
     replies = fleet.load(lambda: request('/safe/x'), LOAD_PER_S, LOAD_S)
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -161,7 +161,7 @@
     settings['ports']['wire'] = 70000
     path = tmp_path / 'settings.yaml'
     path.write_text(yaml.safe_dump(settings))
-    done = serving_fleet.operate('check', str(path))
+    done = serving_fleet.run_millfork('check', str(path))
     assert done.returncode == ExitStatus.BAD_SETTINGS
     for key in ('zone', 'surplus', 'ports.wire'):
         assert f'{path}: {key}: ' in done.stderr
@@ -169,14 +169,14 @@
 
 def test_a_good_declaration_file_passes_the_check(serving_fleet):
     path = serving_fleet.write_declaration('good.yaml', serving_fleet.deployment_declaration('v1'))
-    assert serving_fleet.operate('check', str(path)).returncode == ExitStatus.SUCCESS
+    assert serving_fleet.run_millfork('check', str(path)).returncode == ExitStatus.SUCCESS
 
 
 @pytest.mark.parametrize('text', ['{', '- a', 'deployments: 3', ''])
 def test_a_bad_declaration_file_has_its_own_exit_status(serving_fleet, tmp_path, text):
     path = tmp_path / 'bad.yaml'
     path.write_text(text)
-    done = serving_fleet.operate('apply', str(path))
+    done = serving_fleet.run_millfork('apply', str(path))
     assert done.returncode == ExitStatus.BAD_DECLARATION
     assert str(path) in done.stderr
 
@@ -185,8 +185,8 @@
     before = control(serving_fleet, serving_fleet.admin_token, 'GET', 'state').json()['revision']
     organisation = serving_fleet.shape.organisations[0]
     arguments = (f'--organisation={organisation}', f'--expect={before}')
-    first = serving_fleet.operate('label', 'spare', 'owner=left', *arguments)
-    second = serving_fleet.operate('label', 'spare', 'owner=right', *arguments)
+    first = serving_fleet.run_millfork('label', 'spare', 'owner=left', *arguments)
+    second = serving_fleet.run_millfork('label', 'spare', 'owner=right', *arguments)
     assert (first.returncode, second.returncode) == (ExitStatus.SUCCESS, ExitStatus.CONFLICT)
     state = control(serving_fleet, serving_fleet.admin_token, 'GET', 'state').json()
     assert state['items'][f'labels/{organisation}/spare']['value'] == {'owner': 'left'}
@@ -194,8 +194,8 @@
 
 @pytest.mark.parametrize('arguments', [('dance',), ('apply',), ('label', 'one', 'two')])
 def test_usage_errors(serving_fleet, arguments):
-    assert serving_fleet.operate(*arguments).returncode == ExitStatus.USAGE
+    assert serving_fleet.run_millfork(*arguments).returncode == ExitStatus.USAGE
 
 
 def test_json_output_is_json(serving_fleet):
-    assert json.loads(serving_fleet.operate('get', '--json').stdout)['revision'] > 0
+    assert json.loads(serving_fleet.run_millfork('get', '--json').stdout)['revision'] > 0
--- a/tests/test_ends_after_their_callers_left.py
+++ b/tests/test_ends_after_their_callers_left.py
@@ -34,7 +34,7 @@
     try:
         made.start()
         for number in range(BACK_ENDS):
-            made.add_back_end('plain', f'i-{number}').crashes_after_s = WORKS_S
+            made.add_back_end('plain', f'i-{number}').crash_delay_s = WORKS_S
         assert made.put(document(1, '/safe/')).status == 200
         for entry in range(ENTRIES):
             wait_until(lambda entry=entry: made.ask(request('/safe/x'), entry).status == 200)
@@ -61,7 +61,7 @@
 
 
 def arrived(fleet):
-    return sum(back_end.crashing for back_end in fleet.back_ends)
+    return sum(back_end.crash_request_count for back_end in fleet.back_ends)
 
 
 @pytest.mark.parametrize('busy', [False, True])
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from millfork_standins.history import History, Observation, Outcome, Put, Read, check
+from millfork_standins.history import History, Observation, Outcome, Put, Read, find_violations
 
 FIRST = Put('a', 'k', 'a', None, 0.0, 1.0, Outcome.ACCEPTED, 1)
 SECOND = Put('b', 'k', 'b', 1, 2.0, 3.0, Outcome.ACCEPTED, 2)
@@ -17,13 +17,13 @@
 def test_a_good_history_passes():
     resent = replace(SECOND, invoked=3.0, returned=4.0)
     seen = [Observation('x', 1.0, 1), Observation('x', 2.0, 2), Observation('y', 3.0, 1)]
-    assert check(History([FIRST, SECOND, resent], [READ], seen)) == []
+    assert find_violations(History([FIRST, SECOND, resent], [READ], seen)) == []
 
 
 def test_an_unknown_outcome_may_have_been_accepted_or_not():
     unknown = replace(SECOND, outcome=Outcome.UNKNOWN, revision=0)
-    assert check(History([FIRST, unknown], [READ])) == []
-    assert check(History([FIRST, unknown], [Read(4.0, 5.0, 1, {'k': ('a', 1)})])) == []
+    assert find_violations(History([FIRST, unknown], [READ])) == []
+    assert find_violations(History([FIRST, unknown], [Read(4.0, 5.0, 1, {'k': ('a', 1)})])) == []
 
 
 @pytest.mark.parametrize(
@@ -51,4 +51,4 @@
     ],
 )
 def test_what_must_be_rejected_is(history, complaint):
-    assert any(complaint in found for found in check(history))
+    assert any(complaint in found for found in find_violations(history))
--- a/tests/test_history_runs.py
+++ b/tests/test_history_runs.py
@@ -14,27 +14,27 @@
 
 from millfork_standins.deployments import LANTING
 from millfork_standins.fleet import Fleet
-from millfork_standins.history import check
+from millfork_standins.history import find_violations
 from millfork_standins.layout import ADMIN_PORT, FleetOptions
-from millfork_standins.recorder import Recorder, Wish
+from millfork_standins.recorder import PlannedOperation, Recorder
 from millfork_standins.requests import fetch
 from tests.utils.fleets import wait_until
 
 SHAPE = replace(LANTING, engines=0, plain_services={})
 THREADS = 4
 
-wishes = st.builds(
-    Wish,
+operations = st.builds(
+    PlannedOperation,
     entry=st.integers(0, 5),
     key=st.integers(0, 2),
     is_read=st.integers(0, 4).map(lambda chance: chance == 0),
-    expects=st.booleans(),
-    resends=st.booleans(),
+    is_conditional=st.booleans(),
+    is_resent=st.booleans(),
 )
 plan = st.builds(
     operator.add,
-    st.lists(wishes.filter(lambda wish: not wish.is_read), min_size=6, max_size=6),
-    st.lists(wishes, min_size=8, max_size=8),
+    st.lists(operations.filter(lambda operation: not operation.is_read), min_size=6, max_size=6),
+    st.lists(operations, min_size=8, max_size=8),
 )
 plans = st.lists(plan, min_size=THREADS, max_size=THREADS)
 turns = itertools.count()
@@ -45,7 +45,7 @@
     made = Fleet(SHAPE, tmp_path_factory.mktemp('fleet'), FleetOptions())
     made.start()
     path = made.write_declaration('organisations.yaml', made.organisations_declaration())
-    assert made.operate('apply', str(path)).returncode == 0
+    assert made.run_millfork('apply', str(path)).returncode == 0
     yield made
     made.close()
 
@@ -83,8 +83,8 @@
     turn = next(turns)
     recorder = Recorder(fleet)
     recorder.read(0)
-    observers = recorder.observe()
-    threads = recorder.run(plans)
+    observers = recorder.start_observers()
+    threads = recorder.start_plans(plans)
     victim = fleet.replicas[turn % len(fleet.replicas)].name
     TROUBLES[turn % len(TROUBLES)](fleet, victim)
     for thread in threads:
@@ -97,7 +97,7 @@
     accepted = [put for put in recorder.history.puts if put.revision]
     assert len(accepted) > THREADS
     assert recorder.history.observations
-    assert check(recorder.history) == []
+    assert find_violations(recorder.history) == []
 
 
 def leader_of(fleet):
@@ -133,4 +133,4 @@
         wait_until(lambda: recorder.read(outside[0]))
     finally:
         fleet.close()
-    assert check(recorder.history) == []
+    assert find_violations(recorder.history) == []
--- a/tests/test_late_closing_back_ends.py
+++ b/tests/test_late_closing_back_ends.py
@@ -34,10 +34,10 @@
         made.close()
 
 
-@pytest.mark.parametrize('closes_after_s', [0.03, 0.1, 1.0])
-def test_an_end_counts_however_late_the_address_closes(fleet, closes_after_s):
+@pytest.mark.parametrize('address_close_delay_s', [0.03, 0.1, 1.0])
+def test_an_end_counts_however_late_the_address_closes(fleet, address_close_delay_s):
     for back_end in fleet.back_ends:
-        back_end.closes_after_s = closes_after_s
+        back_end.address_close_delay_s = address_close_delay_s
     replies = [fleet.ask(crashing(), number % 2) for number in range(CALLS)]
     assert ended(fleet) <= ENDS + MOST_CROSSING + MOST_AFTER
     assert all(reply.status in (502, 503) for reply in replies)
@@ -51,11 +51,11 @@
     """
     innocent = request('/safe/x', 'POST', body=b'innocent')
     for back_end in fleet.back_ends:
-        back_end.breaks_off = True
+        back_end.drops_requests = True
     for number in range(ENDS + 1):
         assert fleet.ask(innocent, number % 2).status in (502, 503)
     for back_end in fleet.back_ends:
-        back_end.breaks_off = False
+        back_end.drops_requests = False
 
     def is_served():
         for number in range(2 * BACK_ENDS):
--- a/tests/test_leases_after_a_freeze.py
+++ b/tests/test_leases_after_a_freeze.py
@@ -34,7 +34,7 @@
     made = SeededFleet(tmp_path)
     try:
         made.start()
-        made.back_ends.append(FaithfulBackEnd(made.back_host, 'plain', 'i-1', made))
+        made.back_ends.append(FaithfulBackEnd(made.back_end_host, 'plain', 'i-1', made))
         assert made.put(document(1, '/safe/')).status == 200
         wait_until(lambda: made.ask(request('/safe/x')).status == 200)
         yield made
--- a/tests/test_named_limits.py
+++ b/tests/test_named_limits.py
@@ -39,18 +39,20 @@
 
 def test_a_back_end_that_names_a_limit_gets_no_more_than_it_takes(fleet):
     limited = fleet.back_ends[0]
-    limited.says = {standins.LIMIT: '1.8'}
+    limited.extra_headers = {standins.LIMIT: '1.8'}
     served, since = play(fleet)
-    assert limited.most_in(WINDOW_S, since) <= allowed(1.8)
+    assert limited.max_arrivals_within(WINDOW_S, since) <= allowed(1.8)
     # The two others can carry all.
     assert served == 1
 
 
 def test_what_no_back_end_takes_is_refused_at_once(fleet):
     for back_end in fleet.back_ends:
-        back_end.says = {standins.LIMIT: '2'}
+        back_end.extra_headers = {standins.LIMIT: '2'}
     served, since = play(fleet)
-    assert all(back_end.most_in(WINDOW_S, since) <= allowed(2) for back_end in fleet.back_ends)
+    assert all(
+        back_end.max_arrivals_within(WINDOW_S, since) <= allowed(2) for back_end in fleet.back_ends
+    )
     assert served < 0.5
     refused = next(
         reply for _ in range(LOAD_PER_S) if (reply := fleet.ask(request('/safe/x'))).status != 200
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -6,11 +6,11 @@
 import pytest
 
 from millfork_core.status import ExitStatus
-from millfork_standins.callers import Callers, Kind
+from millfork_standins.callers import Callers, RequestKind
 from millfork_standins.deployments import LANTING
 from millfork_standins.fleet import Fleet
-from millfork_standins.judging import judge_fleet
 from millfork_standins.layout import FleetOptions
+from millfork_standins.run_summary import summarize_fleet_run
 from millfork_standins.versions import learn_version
 from millfork_standins.weights import answer_text, weights_key
 from tests.utils.fleets import complete, control, serve_version, serving, wait_until
@@ -63,31 +63,31 @@
     assert answer.headers['millfork-version'] == f'{base.id}+{adapter.id}'
     key = weights_key([base.whole, adapter.whole])
     assert answer.json()['choices'][0]['text'] == answer_text(key, 'p', 3)
-    fleet.operate('remove', 'quizzes', f'--organisation={fleet.shape.organisations[0]}')
+    fleet.run_millfork('remove', 'quizzes', f'--organisation={fleet.shape.organisations[0]}')
     wait_until(lambda: complete(fleet, callers_token(fleet), model='quizzes').status == 404)
     assert complete(fleet, callers_token(fleet)).status == 200
 
 
 def test_a_drained_instance_gets_no_work_until_it_is_undone(fleet):
     name = fleet.engines[0].name
-    assert fleet.operate('drain', name).returncode == ExitStatus.SUCCESS
+    assert fleet.run_millfork('drain', name).returncode == ExitStatus.SUCCESS
     seen = learn_version(fleet, 'v1')
-    callers = Callers(fleet, {seen.id: seen.key}, 4, (Kind.WHOLE, Kind.STREAM))
+    callers = Callers(fleet, {seen.id: seen.key}, 4, (RequestKind.WHOLE, RequestKind.STREAM))
     callers.start()
 
     def begun():
         return fleet.executions(name).read_text().count('"begin"')
 
-    wait_until(lambda: f'drains/{name}' in fleet.operate('get', 'drains/').stdout)
-    wait_until(lambda: len(callers.asked) > 20)
+    wait_until(lambda: f'drains/{name}' in fleet.run_millfork('get', 'drains/').stdout)
+    wait_until(lambda: len(callers.records) > 20)
     marks = [begun()]
-    wait_until(lambda: len(callers.asked) > 80)
+    wait_until(lambda: len(callers.records) > 80)
     marks.append(begun())
     assert marks[0] == marks[1]
-    assert fleet.operate('drain', name, '--undo').returncode == ExitStatus.SUCCESS
+    assert fleet.run_millfork('drain', name, '--undo').returncode == ExitStatus.SUCCESS
     wait_until(lambda: begun() > marks[1])
     callers.stop()
-    assert judge_fleet(fleet, callers.asked).is_clean
+    assert summarize_fleet_run(fleet, callers.records).is_clean
 
 
 def test_a_selector_moves_a_deployment_under_load(fleet):
@@ -97,14 +97,14 @@
     apply(fleet, deployments={'main': spec})
     wait_until(lambda: serving(fleet) == 1 and rollout(fleet, 'main')['selected'] == 1)
     seen = learn_version(fleet, 'v1')
-    callers = Callers(fleet, {seen.id: seen.key}, 4, (Kind.WHOLE, Kind.STREAM))
+    callers = Callers(fleet, {seen.id: seen.key}, 4, (RequestKind.WHOLE, RequestKind.STREAM))
     callers.start()
-    wait_until(lambda: len(callers.asked) > 20)
+    wait_until(lambda: len(callers.records) > 20)
     apply(fleet, deployments={'main': {**spec, 'selector': {'set': 'right'}}})
     wait_until(lambda: [r['instance'] for r in rollout(fleet, 'main')['instances']] == [second])
     wait_until(lambda: rollout(fleet, 'main')['serving'] == 1)
-    asked = len(callers.asked)
-    wait_until(lambda: len(callers.asked) > asked + 40)
+    asked = len(callers.records)
+    wait_until(lambda: len(callers.records) > asked + 40)
     callers.stop()
-    judged = judge_fleet(fleet, callers.asked)
+    judged = summarize_fleet_run(fleet, callers.records)
     assert judged.is_clean, judged
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -3,8 +3,8 @@
 import pytest
 
 from millfork_standins.scenario import steps
-from millfork_standins.scenario.parser import BadScenario, parse
-from millfork_standins.scenario.runner import Runner, Unmet
+from millfork_standins.scenario.parser import ScenarioSyntaxError, parse
+from millfork_standins.scenario.runner import Runner, ScenarioFailed
 
 FOLDER = Path(__file__).parent.parent / 'scenarios'
 SCENARIOS = sorted(FOLDER.glob('*.txt'))
@@ -28,11 +28,11 @@
 def test_what_is_no_step_is_refused_with_its_place(tmp_path, text):
     path = tmp_path / 'bad.txt'
     path.write_text(f'fleet lanting\n{text}\n')
-    with pytest.raises(BadScenario, match='bad.txt:[23]:'):
+    with pytest.raises(ScenarioSyntaxError, match='bad.txt:[23]:'):
         parse(path)
 
 
 def test_a_wait_that_does_not_hold_fails_the_run(tmp_path):
     runner = Runner(tmp_path)
-    with pytest.raises(Unmet, match='line 7: never does not hold within 0.01 s'):
+    with pytest.raises(ScenarioFailed, match='line 7: never does not hold within 0.01 s'):
         runner._wait(steps.Wait(7, 0.01), 'never', lambda: False)
--- a/tests/test_seeded_fleet.py
+++ b/tests/test_seeded_fleet.py
@@ -96,7 +96,7 @@
 def test_what_is_not_repeatable_runs_once_when_its_answer_is_lost(fleet):
     fleet.add_back_end('plain', 'i-2')
     for back_end in fleet.back_ends:
-        back_end.breaks_off = True
+        back_end.drops_requests = True
         back_end.executed.clear()
     reply = fleet.ask(request('/unsafe/x', 'POST', body=b'filing'))
     assert reply.status == 502
@@ -105,7 +105,7 @@
 
 def test_a_safe_request_goes_to_another_back_end(fleet):
     second = fleet.add_back_end('plain', 'i-2')
-    fleet.back_end.breaks_off = True
+    fleet.back_end.drops_requests = True
     wait_until(lambda: second.executed or fleet.ask(request('/safe/x')).status == 0)
     assert all(fleet.ask(request('/safe/x')).status == 200 for _ in range(10))
 
--- a/tests/utils/loaded.py
+++ b/tests/utils/loaded.py
@@ -14,16 +14,16 @@
 
 
 @contextmanager
-def loaded_fleet(folder, works_s=0.02):
+def loaded_fleet(folder, service_time_s=0.02):
     """
-    Such a fleet, every entry and back end of which has served; answers take `works_s`.
+    Such a fleet, every entry and back end of which has served; answers take `service_time_s`.
 
     """
     fleet = SeededFleet(folder, entries=ENTRIES)
     try:
         fleet.start()
         for number in range(3):
-            fleet.add_back_end('plain', f'i-{number}').works_s = works_s
+            fleet.add_back_end('plain', f'i-{number}').service_time_s = service_time_s
         assert fleet.put(document(1, '/safe/')).status == 200
         for entry in range(ENTRIES):
             wait_until(lambda entry=entry: fleet.ask(request('/safe/x'), entry).status == 200)
