--- a/packages/millfork-standins/millfork_standins/__init__.py
+++ b/packages/millfork-standins/millfork_standins/__init__.py
@@ -1,4 +1,4 @@
 """
-Stand-ins at the interfaces, the demo fleet and the bench.
+Stand-ins for the systems around millfork, and fleets of processes for tests and demo.
 
 """
--- a/packages/millfork-standins/millfork_standins/__main__.py
+++ b/packages/millfork-standins/millfork_standins/__main__.py
@@ -1,5 +1,5 @@
 """
-Runs one stand-in: `python -m millfork_standins KIND SETTINGS`.
+Run one stand-in process: `python -m millfork_standins KIND SETTINGS`.
 
 """
 
@@ -44,7 +44,7 @@
 
 def main() -> int:
     """
-    Run the stand-in until it is told to stop.
+    Run the stand-in until a signal to stop arrives.
 
     """
     if len(sys.argv) != 3 or sys.argv[1] not in KINDS:
--- a/packages/millfork-standins/millfork_standins/bench/cost.py
+++ b/packages/millfork-standins/millfork_standins/bench/cost.py
@@ -62,7 +62,7 @@
 
 
 def _fleet(folder: Path, endpoints: int) -> Fleet:
-    shape = replace(LANTING, engines=0, plain_services={POOL: endpoints}, number=120)
+    shape = replace(LANTING, engines=0, plain_services={POOL: endpoints}, network_number=120)
     options = FleetOptions(log_level='WARNING', service={'answer_ms': 0})
     return Fleet(shape, folder, options)
 
@@ -228,7 +228,7 @@
 
     """
     with tempfile.TemporaryDirectory(prefix='millfork-bench-') as folder:
-        shape = replace(LANTING, engines=1, plain_services={POOL + '-plain': 1}, number=120)
+        shape = replace(LANTING, engines=1, plain_services={POOL + '-plain': 1}, network_number=120)
         shape = replace(shape, entries=3)
         options = FleetOptions(log_level='WARNING', service={'answer_ms': 0})
         options.engine = {'first_token_ms': 0, 'cached_first_token_ms': 0, 'token_ms': 1}
--- a/packages/millfork-standins/millfork_standins/bench/distribution.py
+++ b/packages/millfork-standins/millfork_standins/bench/distribution.py
@@ -117,7 +117,9 @@
                 },
             ],
         )
-        shape = replace(LANTING, engines=0, entries=0, disks=0, plain_services={}, number=80)
+        shape = replace(
+            LANTING, engines=0, entries=0, disks=0, plain_services={}, network_number=80
+        )
         fleet = Fleet(shape, Path(folder), options)
         try:
             fleet.start_standins()
@@ -131,7 +133,7 @@
     specs = []
     for number in range(case.nodes):
         zone = number % ZONES
-        host = f'127.{fleet.number}.{zone + 1}.{number // ZONES + 1}'
+        host = f'127.{fleet.network_number}.{zone + 1}.{number // ZONES + 1}'
         spec = NodeSpec(f'node-{number}', host, f'zone-{zone}', trouble_s=case.link_s / 3)
         if case.trouble == 'stall' and number == 1:
             spec.trouble = 'stall'
--- a/packages/millfork-standins/millfork_standins/callers.py
+++ b/packages/millfork-standins/millfork_standins/callers.py
@@ -1,5 +1,5 @@
 """
-Callers of a fleet, on threads, and the check of what they were answered.
+Callers that send requests to a fleet from threads and check the answers.
 
 """
 
@@ -17,8 +17,8 @@
 from millfork_standins.requests import Answer, fetch
 from millfork_standins.weights import answer_text
 
-TOKENS: Final = 6
-RESENDS: Final = 12
+MAX_TOKENS: Final = 6
+MAX_SENDINGS: Final = 12
 PAUSE_S: Final = 0.1
 MAX_RETRY_AFTER_S: Final = 1.0
 PROMPTS: Final = ('summarise the lecture', 'outline the chapter', 'draft the quiz')
@@ -26,7 +26,7 @@
 
 class RequestKind(Enum):
     """
-    What a caller asks for.
+    Kinds of requests; `FILING` is one that must not be executed twice.
 
     """
 
@@ -38,7 +38,9 @@
 
 class CallOutcome(Enum):
     """
-    How a request ended for its caller.
+    How a request ended for its caller. `MIXED`: the text contains tokens of a known version
+    but isn't the whole text of the version that the answer names. `NOT_RUN`: the filing was
+    refused with the verdict that it was not executed; `TOLD_UNKNOWN`: it may have been.
 
     """
 
@@ -53,8 +55,8 @@
 @dataclass(slots=True)
 class CallRecord:
     """
-    One request of a caller, from its first sending to its end. `cut_off`
-    counts the sendings whose connection ended without a whole answer.
+    One request of a caller with all its sendings. `cut_off` counts the sendings whose
+    connection ended without a whole answer.
 
     """
 
@@ -71,9 +73,9 @@
 @dataclass
 class Callers:
     """
-    Callers that keep asking through any ready entry, as behind a balancer.
+    Threads that send requests to random entries, as a load balancer would.
 
-    `keys` maps the version named in an answer to the key of its weights.
+    `keys` maps the version id named in an answer to the key of its weights.
 
     """
 
@@ -92,7 +94,7 @@
 
     def start(self) -> None:
         for number in range(self.thread_count):
-            thread = threading.Thread(target=self._ask_on, args=(number,), daemon=True)
+            thread = threading.Thread(target=self._run_thread, args=(number,), daemon=True)
             thread.start()
             self.threads.append(thread)
 
@@ -101,27 +103,27 @@
         for thread in self.threads:
             thread.join(60)
 
-    def _ask_on(self, number: int) -> None:
-        chance = random.Random(number)
+    def _run_thread(self, number: int) -> None:
+        rng = random.Random(number)
         while not self.stopping.is_set():
-            kind = chance.choice(self.kinds)
-            began = time.monotonic()
-            record = self.ask(kind, chance)
-            record.seconds = time.monotonic() - began
+            kind = rng.choice(self.kinds)
+            started_at = time.monotonic()
+            record = self.send_until_answered(kind, rng)
+            record.seconds = time.monotonic() - started_at
             self.records.append(record)
-            self.stopping.wait(PAUSE_S * chance.random())
+            self.stopping.wait(PAUSE_S * rng.random())
 
-    def ask(self, kind: RequestKind, chance: random.Random) -> CallRecord:
+    def send_until_answered(self, kind: RequestKind, rng: random.Random) -> CallRecord:
         """
-        One request, sent again as its caller may until it has an end.
+        Send a request until it is answered with 200, at most `MAX_SENDINGS` times.
 
         """
         nonce = uuid.uuid4().hex
         record = CallRecord(kind, nonce, CallOutcome.LOST)
-        prompt = f'{chance.choice(PROMPTS)} {chance.randrange(20)}'
-        for sending in range(RESENDS):
+        prompt = f'{rng.choice(PROMPTS)} {rng.randrange(20)}'
+        for sending in range(MAX_SENDINGS):
             record.sendings = sending + 1
-            entry = chance.choice(self.fleet.entries)
+            entry = rng.choice(self.fleet.entries)
             try:
                 answer = self.send(entry, kind, nonce, prompt)
             except OSError as error:
@@ -129,10 +131,10 @@
                 record.detail = f'{entry.name}: {error}'
                 time.sleep(PAUSE_S)
                 continue
-            if self._judge(record, kind, prompt, answer):
+            if self._record_answer(record, kind, prompt, answer):
                 return record
-            wait = float(answer.headers.get('retry-after', PAUSE_S))
-            time.sleep(min(wait, MAX_RETRY_AFTER_S))
+            wait_s = float(answer.headers.get('retry-after', PAUSE_S))
+            time.sleep(min(wait_s, MAX_RETRY_AFTER_S))
         return record
 
     def send(self, entry: Instance, kind: RequestKind, nonce: str, prompt: str) -> Answer:
@@ -148,14 +150,16 @@
             path = f'/services/{service}/renewals'
             return fetch('POST', entry.host, CALLERS_PORT, path, b'{}', headers)
         headers['millfork-repeatable'] = 'yes'
-        body = {'model': 'main', 'prompt': prompt, 'max_tokens': TOKENS, 'nonce': nonce}
+        body = {'model': 'main', 'prompt': prompt, 'max_tokens': MAX_TOKENS, 'nonce': nonce}
         body['stream'] = kind is RequestKind.STREAM
         data = json.dumps(body).encode()
         return fetch('POST', entry.host, CALLERS_PORT, '/v1/completions', data, headers)
 
-    def _judge(self, record: CallRecord, kind: RequestKind, prompt: str, answer: Answer) -> bool:
+    def _record_answer(
+        self, record: CallRecord, kind: RequestKind, prompt: str, answer: Answer
+    ) -> bool:
         """
-        Whether the request has come to its end, and to which.
+        Store the outcome in the record; True if the request need not be sent again.
 
         """
         if answer.status != 200:
@@ -172,10 +176,10 @@
             record.end = CallOutcome.RIGHT if right else CallOutcome.WRONG
             return True
         record.version = answer.headers.get('millfork-version', '')
-        record.end = self._judge_tokens(record, kind, prompt, answer)
+        record.end = self._check_tokens(record, kind, prompt, answer)
         return True
 
-    def _judge_tokens(
+    def _check_tokens(
         self, record: CallRecord, kind: RequestKind, prompt: str, answer: Answer
     ) -> CallOutcome:
         text, nonces = (
@@ -183,12 +187,14 @@
         )
         if nonces != {record.nonce}:
             return CallOutcome.WRONG
-        expected = {version: answer_text(key, prompt, TOKENS) for version, key in self.keys.items()}
+        expected = {
+            version: answer_text(key, prompt, MAX_TOKENS) for version, key in self.keys.items()
+        }
         if text == expected.get(record.version):
             return CallOutcome.RIGHT
         record.detail = f'{text} is not {expected.get(record.version)}'
-        known = {word for words in expected.values() for word in words.split()}
-        return CallOutcome.MIXED if set(text.split()) & known else CallOutcome.WRONG
+        known_tokens = {word for words in expected.values() for word in words.split()}
+        return CallOutcome.MIXED if set(text.split()) & known_tokens else CallOutcome.WRONG
 
 
 def _whole_text(answer: Answer) -> tuple[str, set[str]]:
@@ -198,11 +204,13 @@
 
 def _stream_text(body: bytes) -> tuple[str, set[str]]:
     """
-    The text of a stream and the nonces in it; an unfinished one is ''.
+    The text of a stream and the nonces in it; an empty text if the stream is unfinished.
 
     """
     events = [part.removeprefix('data: ') for part in body.decode().split('\n\n') if part]
     if not events or events[-1] != '[DONE]':
         return '', set()
-    pieces: list[dict[str, Any]] = [json.loads(event) for event in events[:-1]]
-    return ' '.join(piece['text'] for piece in pieces), {piece['nonce'] for piece in pieces}
+    token_events: list[dict[str, Any]] = [json.loads(event) for event in events[:-1]]
+    return ' '.join(event['text'] for event in token_events), {
+        event['nonce'] for event in token_events
+    }
--- a/packages/millfork-standins/millfork_standins/demo.py
+++ b/packages/millfork-standins/millfork_standins/demo.py
@@ -1,5 +1,5 @@
 """
-The demo: a fleet, two rollouts under load, and things going wrong.
+The demo: two rollouts on a fleet, the second under load and with killed processes.
 
 """
 
@@ -24,19 +24,19 @@
 FLAGS: Final = flags.FLAGS
 ROLLOUT_TIMEOUT_S: Final = 60
 POLL_S: Final = 0.05
-AFTER_S: Final = 2.0
+LOAD_AFTER_ROLLOUT_S: Final = 2.0
 
 flags.DEFINE_enum('deployment', 'lanting', sorted(SHAPES), 'The shape of the fleet.')
 flags.DEFINE_string('folder', '', 'Where the fleet keeps its files; a new folder by default.')
 
 
-def say(text: str) -> None:
+def report(text: str) -> None:
     print(text, flush=True)
 
 
 class Demo:
     """
-    One run of the demo.
+    One run of the demo on a started fleet.
 
     """
 
@@ -48,69 +48,72 @@
 
     def apply(self, name: str, declaration: dict[str, Any]) -> None:
         path = self.fleet.write_declaration(name, declaration)
-        done = self.fleet.run_millfork('apply', str(path))
-        if done.returncode != ExitStatus.SUCCESS:
-            raise FleetError(f'millfork apply {name}: {done.stderr}')
-        say(f'  millfork apply {name}: {done.stdout.strip()}')
-
-    def rollout(self) -> list[dict[str, Any]]:
-        done = self.fleet.run_millfork('status', '--json')
-        if done.returncode != ExitStatus.SUCCESS:
+        result = self.fleet.run_millfork('apply', str(path))
+        if result.returncode != ExitStatus.SUCCESS:
+            raise FleetError(f'millfork apply {name}: {result.stderr}')
+        report(f'  millfork apply {name}: {result.stdout.strip()}')
+
+    def fetch_rollouts(self) -> list[dict[str, Any]]:
+        result = self.fleet.run_millfork('status', '--json')
+        if result.returncode != ExitStatus.SUCCESS:
             return []
-        rows: list[dict[str, Any]] = json.loads(done.stdout)['deployments']
+        rows: list[dict[str, Any]] = json.loads(result.stdout)['deployments']
         return rows
 
-    def wait_rollout(self, version: str, replicas: int, began: float) -> float:
+    def wait_until_serving(self, version: str, replicas: int, started_at: float) -> float:
         """
-        Wait until a version serves on so many replicas; seconds it took.
+        Wait until `replicas` replicas serve a version; return the seconds since `started_at`.
 
         """
-        shown = -1
-        while time.monotonic() - began < ROLLOUT_TIMEOUT_S:
-            rows = [r for r in self.rollout() if r['version'] == self.versions[version].id]
+        last_reported = -1
+        while time.monotonic() - started_at < ROLLOUT_TIMEOUT_S:
+            rows = [r for r in self.fetch_rollouts() if r['version'] == self.versions[version].id]
             serving = rows[0]['serving'] if rows else 0
-            if serving != shown:
-                say(f'  {version} serves on {serving} of {replicas}')
-                shown = serving
+            if serving != last_reported:
+                report(f'  {version} serves on {serving} of {replicas}')
+                last_reported = serving
             if serving >= replicas:
-                return time.monotonic() - began
+                return time.monotonic() - started_at
             time.sleep(POLL_S)
-        raise FleetError(f'{version} serves on {shown} of {replicas} after {ROLLOUT_TIMEOUT_S} s')
+        raise FleetError(
+            f'{version} serves on {last_reported} of {replicas} after {ROLLOUT_TIMEOUT_S} s'
+        )
 
     def run(self) -> dict[str, Any]:
         """
-        The story: start, first version, load, second version, failures.
+        Roll out the first version, start the callers, roll out the second version while an
+        endpoint and an entry are killed and started again, and return the measurements.
 
         """
         fleet = self.fleet
         replicas = len(fleet.engines)
         self.apply('organisations.yaml', fleet.organisations_declaration())
-        say(f'Rollout of v1 to {replicas} replicas.')
-        began = time.monotonic()
+        report(f'Rollout of v1 to {replicas} replicas.')
+        started_at = time.monotonic()
         self.apply('v1.yaml', fleet.deployment_declaration('v1'))
-        first_s = self.wait_rollout('v1', replicas, began)
-        copies = self._copies('v1')
-        say(f'  v1 serves on all after {first_s:.2f} s; origin sent {copies:.2f} copies')
-        say('Callers begin. Rollout of v2 under their load.')
+        first_s = self.wait_until_serving('v1', replicas, started_at)
+        copies = self._count_copies('v1')
+        report(f'  v1 serves on all after {first_s:.2f} s; origin sent {copies:.2f} copies')
+        report('Starting the callers. Rollout of v2 under their load.')
         self.callers.start()
-        began = time.monotonic()
+        started_at = time.monotonic()
         self.apply('v2.yaml', fleet.deployment_declaration('v2'))
         victim = fleet.engines[1]
-        say(f'  killing endpoint {victim.name} and entry {fleet.replicas[1].name}')
+        report(f'  killing endpoint {victim.name} and entry {fleet.replicas[1].name}')
         fleet.kill(victim.name)
         fleet.kill(fleet.replicas[1].name)
-        self.wait_rollout('v2', replicas - 1, began)
-        say('  starting both again')
+        self.wait_until_serving('v2', replicas - 1, started_at)
+        report('  starting both again')
         fleet.start_daemon(victim)
         fleet.start_daemon(fleet.replicas[1])
-        second_s = self.wait_rollout('v2', replicas, began)
-        copies = self._copies('v2')
-        say(f'  v2 serves on all after {second_s:.2f} s; origin sent {copies:.2f} copies')
-        time.sleep(AFTER_S)
+        second_s = self.wait_until_serving('v2', replicas, started_at)
+        copies = self._count_copies('v2')
+        report(f'  v2 serves on all after {second_s:.2f} s; origin sent {copies:.2f} copies')
+        time.sleep(LOAD_AFTER_ROLLOUT_S)
         self.callers.stop()
         return self._summary(replicas, first_s, second_s)
 
-    def _copies(self, version: str) -> float:
+    def _count_copies(self, version: str) -> float:
         stats = self.fleet.origin_stats()
         name = f'{self.fleet.shape.model}/{version}'
         return float(stats['draws'].get(name, 0)) / self.fleet.options.model_bytes
@@ -119,14 +122,14 @@
         records = self.callers.records
         for item in records:
             if item.end not in (CallOutcome.RIGHT, CallOutcome.TOLD_UNKNOWN, CallOutcome.NOT_RUN):
-                say(f'  {item}')
+                report(f'  {item}')
         return {
             'deployment': self.fleet.shape.name,
             'replicas': replicas,
             'time_to_n_s': round(first_s, 3),
-            'origin_copies': round(self._copies('v1'), 3),
+            'origin_copies': round(self._count_copies('v1'), 3),
             'second_time_to_n_s': round(second_s, 3),
-            'second_origin_copies': round(self._copies('v2'), 3),
+            'second_origin_copies': round(self._count_copies('v2'), 3),
             **asdict(summarize_fleet_run(self.fleet, records)),
         }
 
@@ -134,19 +137,19 @@
 def main(argv: list[str]) -> int:
     folder = Path(FLAGS.folder or tempfile.mkdtemp(prefix='millfork-demo-'))
     fleet = Fleet(SHAPES[FLAGS.deployment], folder, FleetOptions())
-    say(f'Starting the {FLAGS.deployment} fleet: {len(fleet.instances)} instances.')
+    report(f'Starting the {FLAGS.deployment} fleet: {len(fleet.instances)} instances.')
     try:
         fleet.start()
         summary = Demo(fleet).run()
     except FleetError as error:
-        say(f'The demo failed: {error}')
+        report(f'The demo failed: {error}')
         return ExitStatus.ERROR
     finally:
         fleet.close()
     print(json.dumps(summary))
     bad = sum(summary[name] for name in ('wrong', 'mixed', 'lost', 'doubled', 'missing'))
     if not summary['requests']:
-        say('No caller asked anything.')
+        report('The callers sent no requests.')
         return ExitStatus.ERROR
     return ExitStatus.ERROR if bad else ExitStatus.SUCCESS
 
--- a/packages/millfork-standins/millfork_standins/deployments.py
+++ b/packages/millfork-standins/millfork_standins/deployments.py
@@ -1,5 +1,5 @@
 """
-The two deployments of today, as the fleet runner starts them.
+The shapes of the two known deployments, used to start fleets and to write examples.
 
 """
 
@@ -21,13 +21,13 @@
 @dataclass(frozen=True, slots=True)
 class Shape:
     """
-    Places, and how many servers each service has. `number` is the second
-    number of all its loopback addresses.
+    The zones of a deployment and the number of servers of each service. `network_number` is the
+    second number of its loopback addresses, `disks` the number of entries with a data folder.
 
     """
 
     name: str
-    number: int
+    network_number: int
     places: tuple[Place, ...]
     engine_service: str
     engines: int
--- a/packages/millfork-standins/millfork_standins/engine.py
+++ b/packages/millfork-standins/millfork_standins/engine.py
@@ -1,8 +1,8 @@
 """
-A model engine: continuous batching, prefix cache, priorities, orders.
+A stand-in of a model engine with continuous batching, a prefix cache, priorities and orders.
 
-Its answers are computed from the bytes it loaded, so an answer from partial
-or mixed weights can't look right.
+Its tokens are computed from the bytes that it loaded, so that a caller notices an answer from
+partial or mixed weights.
 
 """
 
@@ -25,16 +25,17 @@
 from millfork_web.server import Exchange, Server
 
 PREFIX_CHARS: Final = 64
-DEFAULT_TOKENS: Final = 8
-READ_BYTES: Final = 1024 * 1024
-# A request with this prompt ends each engine that runs it.
+DEFAULT_MAX_TOKENS: Final = 8
+READ_CHUNK_BYTES: Final = 1024 * 1024
+# A request with this prompt crashes the engine that runs it.
 CRASHING_PROMPT: Final = 'this ends the engine that runs it'
 CRASHED: Final = 'crash'
 
 
 class Engine:
     """
-    One engine process.
+    One engine process. `handle` answers completions, orders of the endpoint's daemon, status,
+    load, cache events and transfers of cached prefixes.
 
     """
 
@@ -42,18 +43,18 @@
         self.settings = settings
         self.log = ExecutionLog(settings.log)
         self.incarnation = uuid.uuid4().hex
-        self.number = 0
+        self.fencing_number = 0
         self.role = 'mixed'
         self.loaded: dict[str, str] = {}
-        self.running = 0
+        self.running_requests = 0
         self.waiting: list[tuple[int, int, curio.Event]] = []
         self.arrivals = 0
-        self.cache: OrderedDict[str, float] = OrderedDict()
+        self.prefix_times: OrderedDict[str, float] = OrderedDict()
         self.events: list[dict[str, Any]] = []
         self.reported_load = {'running': 0, 'waiting': 0}
-        self.ending = False
+        self.is_crashing = False
         self.exchanges: set[Exchange] = set()
-        self.server = Server(*settings.listen.pair, self.answer)
+        self.server = Server(*settings.listen.pair, self.handle)
 
     async def run(self) -> None:
         await curio.spawn(self._publish_load, daemon=True)
@@ -61,20 +62,20 @@
 
     async def _publish_load(self) -> None:
         while True:
-            self.reported_load = {'running': self.running, 'waiting': len(self.waiting)}
+            self.reported_load = {'running': self.running_requests, 'waiting': len(self.waiting)}
             await curio.sleep(self.settings.load_lag_ms / 1000)
 
-    async def answer(self, exchange: Exchange) -> None:
-        if self.ending:
+    async def handle(self, exchange: Exchange) -> None:
+        if self.is_crashing:
             await exchange.break_off()
             return
         self.exchanges.add(exchange)
         try:
-            await self._answer(exchange)
+            await self._handle(exchange)
         finally:
             self.exchanges.discard(exchange)
 
-    async def _answer(self, exchange: Exchange) -> None:
+    async def _handle(self, exchange: Exchange) -> None:
         path = exchange.request.path
         if path in ('/v1/completions', '/v1/chat/completions'):
             await self._complete(exchange)
@@ -85,7 +86,7 @@
         answers: dict[str, Any] = {
             '/status': {
                 'incarnation': self.incarnation,
-                'fencing_number': self.number,
+                'fencing_number': self.fencing_number,
                 'loaded': list(self.loaded),
             },
             '/load': self.reported_load,
@@ -100,21 +101,21 @@
         await exchange.respond(json_response({'error': 'no such path'}, 404))
 
     def _is_published(self, event: dict[str, Any]) -> bool:
-        late = self.settings.event_lag_ms / 1000
+        lag_s = self.settings.event_lag_ms / 1000
         number = int(event['number'])
         has_gap = (number * 0.618) % 1 < self.settings.event_gap_share
-        return not has_gap and _now() - float(event['at']) > late
+        return not has_gap and _now() - float(event['at']) > lag_s
 
     # Orders.
 
     async def _order(self, exchange: Exchange) -> None:
         order = exchange.request.json()
-        old = order['number'] < self.number
-        if old and self.settings.refuses_old_orders:
+        is_outdated = order['number'] < self.fencing_number
+        if is_outdated and self.settings.refuses_old_orders:
             await exchange.respond(json_response({'error': 'old fencing number'}, 409))
             return
-        self.number = max(self.number, order['number'])
-        self.log.write(kind='order', order=order['action'], number=order['number'], old=old)
+        self.fencing_number = max(self.fencing_number, order['number'])
+        self.log.write(kind='order', order=order['action'], number=order['number'], old=is_outdated)
         if order['action'] == 'load':
             await self._load(order['version'], order['parts'])
         if order['action'] == 'unload':
@@ -125,8 +126,8 @@
 
     async def _load(self, version: str, parts: list[dict[str, str]]) -> None:
         await curio.sleep(self.settings.load_s)
-        wholes = [await curio.run_in_thread(_digest_file, Path(part['path'])) for part in parts]
-        self.loaded[version] = weights_key(wholes)
+        digests = [await curio.run_in_thread(_digest_file, Path(part['path'])) for part in parts]
+        self.loaded[version] = weights_key(digests)
 
     # Completions.
 
@@ -141,13 +142,13 @@
         headers: Headers = [('millfork-version', body['model']), ('x-request-id', request_id)]
         prompt = body['prompt']
         self.log.write(kind='begin', id=request_id, nonce=body.get('nonce'), model=body['model'])
-        await self._take_slot(int(request.header('x-priority') or 0))
+        await self._acquire_slot(int(request.header('x-priority') or 0))
         try:
             if prompt == CRASHING_PROMPT:
                 await self._crash(exchange, headers, bool(body.get('stream')))
             await self._generate(exchange, headers, key, prompt, body)
         finally:
-            await self._free_slot()
+            await self._release_slot()
         self.log.write(kind='end', id=request_id, nonce=body.get('nonce'), model=body['model'])
 
     async def _generate(
@@ -159,7 +160,7 @@
         body: dict[str, Any],
     ) -> None:
         await curio.sleep(self._first_token_s(key, prompt))
-        positions = range(body.get('resume_from', 0), body.get('max_tokens', DEFAULT_TOKENS))
+        positions = range(body.get('resume_from', 0), body.get('max_tokens', DEFAULT_MAX_TOKENS))
         if not body.get('stream'):
             await curio.sleep(len(positions) * self.settings.token_ms / 1000)
             text = ' '.join(token(key, prompt, position) for position in positions)
@@ -178,61 +179,62 @@
 
     async def _crash(self, exchange: Exchange, headers: Headers, streams: bool) -> None:
         """
-        End as a process that is torn down: its connections first, its address later.
+        End the process after a delay; with `closes_after_ms` the listening address is closed
+        later than the connections.
 
         """
         if streams:
             await exchange.start(200, [('content-type', 'text/event-stream'), *headers])
             await exchange.write(b'data: {}\n\n')
         await curio.sleep(self.settings.crash_after_ms / 1000)
-        if not self.ending:
+        if not self.is_crashing:
             self.log.write(kind=CRASHED)
-        self.ending = True
+        self.is_crashing = True
         if self.settings.closes_after_ms:
-            for sock in [*self.server.resting, *(item.sock for item in self.exchanges)]:
+            for sock in [*self.server.resting, *(other.sock for other in self.exchanges)]:
                 await sock.shutdown(socket.SHUT_RDWR)
             await curio.sleep(self.settings.closes_after_ms / 1000)
         os._exit(1)
 
-    async def _take_slot(self, priority: int) -> None:
-        if self.running < self.settings.slots:
-            self.running += 1
+    async def _acquire_slot(self, priority: int) -> None:
+        if self.running_requests < self.settings.slots:
+            self.running_requests += 1
             return
         self.arrivals += 1
-        turn = curio.Event()
-        self.waiting.append((-priority, self.arrivals, turn))
+        slot_granted = curio.Event()
+        self.waiting.append((-priority, self.arrivals, slot_granted))
         self.waiting.sort(key=lambda waiter: waiter[:2])
         try:
-            await turn.wait()
+            await slot_granted.wait()
         except curio.CancelledError:
-            if turn.is_set():
-                await self._free_slot()
-            self.waiting = [waiter for waiter in self.waiting if waiter[2] is not turn]
+            if slot_granted.is_set():
+                await self._release_slot()
+            self.waiting = [waiter for waiter in self.waiting if waiter[2] is not slot_granted]
             raise
 
-    async def _free_slot(self) -> None:
+    async def _release_slot(self) -> None:
         if self.waiting:
             await self.waiting.pop(0)[2].set()
             return
-        self.running -= 1
+        self.running_requests -= 1
 
-    # The prefix cache.
+    # Prefix cache.
 
     def _first_token_s(self, key: str, prompt: str) -> float:
         prefix = f'{key}/{prompt[:PREFIX_CHARS]}'
-        hit = prefix in self.cache
-        self._remember(prefix)
+        hit = prefix in self.prefix_times
+        self._cache_prefix(prefix)
         wait_ms = self.settings.cached_first_token_ms if hit else self.settings.first_token_ms
         return wait_ms / 1000
 
-    def _remember(self, prefix: str) -> None:
-        if prefix not in self.cache:
+    def _cache_prefix(self, prefix: str) -> None:
+        if prefix not in self.prefix_times:
             self._publish('stored', prefix)
-        self.cache[prefix] = _now()
-        self.cache.move_to_end(prefix)
-        if len(self.cache) > self.settings.cached_prefixes:
-            gone, _ = self.cache.popitem(last=False)
-            self._publish('removed', gone)
+        self.prefix_times[prefix] = _now()
+        self.prefix_times.move_to_end(prefix)
+        if len(self.prefix_times) > self.settings.cached_prefixes:
+            evicted, _ = self.prefix_times.popitem(last=False)
+            self._publish('removed', evicted)
 
     def _publish(self, kind: str, prefix: str) -> None:
         number = len(self.events) + 1
@@ -240,11 +242,11 @@
 
     async def _transfer_cache(self, exchange: Exchange, prefix: str) -> None:
         if exchange.request.method == 'PUT':
-            self._remember(prefix)
+            self._cache_prefix(prefix)
             await exchange.respond(json_response({'imported': prefix}))
             return
-        found = prefix in self.cache
-        await exchange.respond(json_response({'prefix': prefix}, 200 if found else 404))
+        is_cached = prefix in self.prefix_times
+        await exchange.respond(json_response({'prefix': prefix}, 200 if is_cached else 404))
 
 
 def _now() -> float:
@@ -254,6 +256,6 @@
 def _digest_file(path: Path) -> str:
     hasher = blake3.blake3()
     with path.open('rb') as file:
-        while data := file.read(READ_BYTES):
+        while data := file.read(READ_CHUNK_BYTES):
             hasher.update(data)
     return hasher.hexdigest()
--- a/packages/millfork-standins/millfork_standins/examples.py
+++ b/packages/millfork-standins/millfork_standins/examples.py
@@ -1,5 +1,5 @@
 """
-The example settings of both deployments, made from their shapes.
+Example settings of both deployments, generated from their shapes.
 
 `python -m millfork_standins.examples` writes them to `examples/`.
 
@@ -13,18 +13,18 @@
 from millfork_standins.deployments import SHAPES, Shape
 
 FOLDER: Final = Path('examples')
-HOSTS: Final = {'lanting': '10.71', 'cedarline': '10.72'}
-SECRETS: Final = '/etc/millfork'
+NETWORKS: Final = {'lanting': '10.71', 'cedarline': '10.72'}
+SECRETS_FOLDER: Final = '/etc/millfork'
 
 
 def _common(shape: Shape, zone: int, number: int) -> dict[str, Any]:
     place = shape.places[zone]
-    host = HOSTS[shape.name]
+    host = NETWORKS[shape.name]
     return {
         'zone': place.zone,
         'region': place.region,
         'address': f'{host}.{zone + 1}.{number}',
-        'fleet_key_file': f'{SECRETS}/fleet_key',
+        'fleet_key_file': f'{SECRETS_FOLDER}/fleet_key',
         'replicas': [
             {'instance': f'entry-{n + 1}', 'host': f'{host}.{n + 1}.1'} for n in range(shape.disks)
         ],
@@ -38,11 +38,11 @@
 
 def examples(shape: Shape) -> dict[str, dict[str, Any]]:
     """
-    Settings by file name: an entry with a disk, one without, an endpoint of
-    an engine, one of a plain service; and a declaration.
+    Settings by file name: entries with and without a disk, endpoints of an engine and of a
+    plain service, and a declaration.
 
     """
-    entry = {'role': 'entry', 'admin_token_file': f'{SECRETS}/admin_token'}
+    entry = {'role': 'entry', 'admin_token_file': f'{SECRETS_FOLDER}/admin_token'}
     plain = next(iter(shape.plain_services))
     return {
         'entry-with-disk.yaml': {
@@ -60,7 +60,7 @@
             'backend': {
                 'kind': 'engine',
                 'service': shape.engine_service,
-                'address': {'host': f'{HOSTS[shape.name]}.1.100', 'port': 8000},
+                'address': {'host': f'{NETWORKS[shape.name]}.1.100', 'port': 8000},
             },
         },
         'endpoint-plain.yaml': {
@@ -70,7 +70,7 @@
             'backend': {
                 'kind': 'plain',
                 'service': plain,
-                'address': {'host': f'{HOSTS[shape.name]}.2.101', 'port': 8000},
+                'address': {'host': f'{NETWORKS[shape.name]}.2.101', 'port': 8000},
             },
         },
         'declaration.yaml': {
--- a/packages/millfork-standins/millfork_standins/execution_log.py
+++ b/packages/millfork-standins/millfork_standins/execution_log.py
@@ -1,5 +1,5 @@
 """
-What a back end really executed, one JSON object a line.
+Logs of the requests that a back end executed, one JSON object per line.
 
 """
 
@@ -10,7 +10,7 @@
 
 class ExecutionLog:
     """
-    Appends at once, so that a killed process leaves what it did.
+    Flushes each line, so that the log of a killed process is complete.
 
     """
 
@@ -25,7 +25,7 @@
 
 def read_executions(path: Path) -> list[dict[str, Any]]:
     """
-    The lines of one log; none if there is no file.
+    Parse the lines of a log; an empty list if the file does not exist.
 
     """
     if not path.exists():
--- a/packages/millfork-standins/millfork_standins/fleet.py
+++ b/packages/millfork-standins/millfork_standins/fleet.py
@@ -1,5 +1,5 @@
 """
-A fleet of plain processes on loopback addresses, for demo, tests and bench.
+A fleet of local processes on loopback addresses, for demo, tests and bench.
 
 """
 
@@ -40,7 +40,7 @@
 
 class Fleet(Layout):
     """
-    Starts, stops, kills and freezes the processes of one fleet.
+    Starts, stops, kills and freezes the processes of one fleet, and applies declarations.
 
     """
 
@@ -63,7 +63,7 @@
 
     def start_standins(self) -> None:
         """
-        Start platform, origin and, where asked for, the relay.
+        Start the platform, the origin and, with the option `relay`, the relay.
 
         """
         options = self.options
@@ -87,20 +87,20 @@
         self.wait_http('platform', self.platform['host'], STANDIN_PORT, '/instances?since=-1')
         self.wait_http('origin', self.origin['host'], STANDIN_PORT, '/stats')
 
-    def start_backend(self, instance: Instance, **changed: Any) -> None:
+    def start_backend(self, instance: Instance, **overrides: Any) -> None:
         """
-        Start the engine or plain service behind an endpoint; `changed` are settings of this
-        one alone.
+        Start the engine or plain service behind an endpoint; `overrides` are settings of this
+        back end only.
 
         """
         listen = {'host': instance.host, 'port': BACKEND_PORT}
         log = str(self.executions(instance.name))
         name = f'{instance.name}.backend'
         if instance.service == self.shape.engine_service:
-            settings = {'listen': listen, 'log': log, **self.options.engine, **changed}
+            settings = {'listen': listen, 'log': log, **self.options.engine, **overrides}
             self._start_standin(name, 'engine', settings)
         else:
-            settings = {'listen': listen, 'log': log, **self.options.service, **changed}
+            settings = {'listen': listen, 'log': log, **self.options.service, **overrides}
             self._start_standin(name, 'service', settings)
 
     def start_daemon(self, instance: Instance) -> None:
@@ -113,10 +113,10 @@
 
     def list_instance(self, instance: Instance, leaving: bool = False) -> None:
         """
-        Put an instance on the platform's list.
+        Add an instance to the platform's list, or replace its entry.
 
         """
-        facts = {
+        listing = {
             'instance': instance.name,
             'host': instance.host,
             'port': WIRE_PORT,
@@ -126,11 +126,11 @@
             'service': instance.service,
             'leaving': leaving,
         }
-        fetch_json('PUT', self.platform['host'], STANDIN_PORT, '/instances', facts)
+        fetch_json('PUT', self.platform['host'], STANDIN_PORT, '/instances', listing)
 
     def withhold_list_changes(self, instance: Instance) -> None:
         """
-        Let an instance hear of no change of the platform's list any more.
+        Make the platform show this instance no further changes of its list.
 
         """
         host = {'host': instance.host}
@@ -138,7 +138,7 @@
 
     def start(self, backends: bool = True, timeout: float = 30.0) -> None:
         """
-        Start everything; return when every daemon is ready.
+        Start all processes and wait until every daemon is ready.
 
         """
         self.start_standins()
@@ -153,7 +153,7 @@
 
     def kill(self, name: str) -> None:
         """
-        End a process at once.
+        Send SIGKILL to a process and wait for its end.
 
         """
         process = self.processes.pop(name)
@@ -162,7 +162,7 @@
 
     def stop(self, name: str, timeout: float = STOP_TIMEOUT_S) -> int:
         """
-        Ask a process to stop and wait until it has; its exit status.
+        Send SIGTERM to a process, wait for its end and return its exit status.
 
         """
         process = self.processes.pop(name)
@@ -177,7 +177,7 @@
 
     def close(self) -> None:
         """
-        End every process of the fleet.
+        Kill every process of the fleet and release its addresses.
 
         """
         for process in self.processes.values():
@@ -186,7 +186,7 @@
         for process in self.processes.values():
             process.wait()
         self.processes.clear()
-        self.guard.close()
+        self.address_guard.close()
 
     # Waiting.
 
@@ -194,11 +194,13 @@
         self, name: str, host: str, port: int, path: str, timeout: float = 30, status: int = 200
     ) -> None:
         """
-        Wait until a process answers a status at a path.
+        Wait until a GET of `path` is answered with `status`.
+
+        :raises FleetError: if the process ends or the timeout passes.
 
         """
-        until = time.monotonic() + timeout
-        while time.monotonic() < until:
+        deadline = time.monotonic() + timeout
+        while time.monotonic() < deadline:
             process = self.processes.get(name)
             if process is not None and process.poll() is not None:
                 raise FleetError(f'{name} ended: {self.tail(name)}')
@@ -221,7 +223,7 @@
 
     def organisations_declaration(self) -> dict[str, Any]:
         """
-        All organisations of the shape, with this fleet's tokens.
+        Declare all organisations of the shape with this fleet's tokens.
 
         """
         services = [self.shape.engine_service, *self.shape.plain_services]
@@ -238,7 +240,7 @@
 
     def deployment_declaration(self, version: str, name: str = 'main') -> dict[str, Any]:
         """
-        The first organisation's deployment of the model on all engines.
+        Declare a deployment of the model on all engines for the first organisation.
 
         """
         return {
@@ -259,7 +261,7 @@
 
     def run_millfork(self, *arguments: str) -> subprocess.CompletedProcess[str]:
         """
-        Run `millfork` as the fleet's administrator.
+        Run the command `millfork` with the administrator's token.
 
         """
         command = [
@@ -274,51 +276,53 @@
 
     def apply(self, declaration: dict[str, Any], timeout: float = APPLY_TIMEOUT_S) -> int:
         """
-        Apply without the command line, at whichever entry accepts; the
-        revision. One command id makes sending it again harmless.
+        Apply a declaration through any entry and return the revision. All sendings carry the
+        same command id, so that a resent declaration is applied once.
+
+        :raises FleetError: if no entry accepts it in time.
 
         """
         body = {'declaration': declaration, 'command_id': secrets.token_hex(16)}
         data = json.dumps(body).encode()
         headers = {'authorization': f'Bearer {self.admin_token}'}
-        until = time.monotonic() + timeout
-        last = ''
-        while time.monotonic() < until:
+        deadline = time.monotonic() + timeout
+        last_error = ''
+        while time.monotonic() < deadline:
             entry = random.choice([e for e in self.entries if e.name in self.processes])
             try:
                 answer = fetch(
                     'POST', entry.host, CALLERS_PORT, APPLY_PATH, data, headers, ENTRY_TIMEOUT_S
                 )
             except OSError as error:
-                last = str(error)
+                last_error = str(error)
                 continue
             if answer.status == 200:
                 return int(answer.json()['revision'])
-            last = answer.body.decode()
-        raise FleetError(f'not applied within {timeout} s: {last}')
+            last_error = answer.body.decode()
+        raise FleetError(f'not applied within {timeout} s: {last_error}')
 
     def origin_stats(self) -> dict[str, Any]:
         stats: dict[str, Any] = fetch_json('GET', self.origin['host'], STANDIN_PORT, '/stats')
         return stats
 
-    def control_origin(self, **wish: Any) -> None:
-        fetch_json('POST', self.origin['host'], STANDIN_PORT, '/control', wish)
+    def control_origin(self, **settings: Any) -> None:
+        fetch_json('POST', self.origin['host'], STANDIN_PORT, '/control', settings)
 
     def cut(self, *pairs: tuple[int, int]) -> None:
         """
-        Cut these pairs of zones (numbered from 1) and join all others.
+        Cut the links between these pairs of zones (numbered from 1) and restore all others.
 
         """
-        self._tell_relay('cut', pairs)
+        self._control_relay('cut', pairs)
 
     def freeze_links(self, *pairs: tuple[int, int]) -> None:
         """
-        Stop the bytes between these pairs of zones without closing.
+        Stop the traffic between these pairs of zones but leave the connections open.
 
         """
-        self._tell_relay('freeze', pairs)
+        self._control_relay('freeze', pairs)
 
-    def _tell_relay(self, kind: str, pairs: tuple[tuple[int, int], ...]) -> None:
+    def _control_relay(self, kind: str, pairs: tuple[tuple[int, int], ...]) -> None:
         text = ','.join(f'{first}-{second}' for first, second in pairs)
         fetch('POST', self.relay['host'], STANDIN_PORT, f'/{kind}/{text}')
 
--- a/packages/millfork-standins/millfork_standins/history.py
+++ b/packages/millfork-standins/millfork_standins/history.py
@@ -1,8 +1,8 @@
 """
-Histories of concurrent operations on the configuration, and their check.
+Histories of concurrent operations on the configuration, and a check of linearizability.
 
-The checker is sound by the revisions that the system names: they must give
-one order that fits real time, compare-and-set and every read.
+The check orders the changes by the revisions that the system reported. This order must agree
+with real time, with compare-and-set and with every read.
 
 """
 
@@ -13,7 +13,7 @@
 
 class Outcome(Enum):
     """
-    How an operation ended for who asked.
+    The result of an operation as its caller saw it.
 
     """
 
@@ -25,8 +25,8 @@
 @dataclass(frozen=True, slots=True)
 class Put:
     """
-    One sending of a change. Sendings of one command share its id. Times are
-    seconds on one clock; `returned` is meaningless if the outcome is unknown.
+    One sending of a change; all sendings of a command carry its id. Times are seconds on one
+    clock; `returned` is not used if the outcome is unknown.
 
     """
 
@@ -43,7 +43,7 @@
 @dataclass(frozen=True, slots=True)
 class Read:
     """
-    A linearizable read: the revision, and each key's value and revision.
+    A linearizable read: the revision, and the value and revision of each key.
 
     """
 
@@ -56,7 +56,7 @@
 @dataclass(frozen=True, slots=True)
 class Observation:
     """
-    What one observer saw in force at one moment.
+    The revision in force that an observer saw at one moment.
 
     """
 
@@ -68,7 +68,7 @@
 @dataclass(slots=True)
 class History:
     """
-    Everything recorded in one run.
+    All operations and observations of a run.
 
     """
 
@@ -89,100 +89,100 @@
 
 def find_violations(history: History) -> list[str]:
     """
-    Everything in the history that no correct system could have done.
+    Describe everything in the history that a linearizable system cannot produce.
 
     """
-    found = _check_resends(history)
-    commands = _commands(history)
-    found += _check_order(commands)
-    found += _check_compare_and_set(commands)
-    found += _check_conflicts(history, commands)
-    found += _check_reads(history, commands)
-    found += _check_observations(history)
-    return found
+    violations = _check_resends(history)
+    commands = _find_accepted_commands(history)
+    violations += _check_order(commands)
+    violations += _check_compare_and_set(commands)
+    violations += _check_conflicts(history, commands)
+    violations += _check_reads(history, commands)
+    violations += _check_observations(history)
+    return violations
 
 
 def _check_resends(history: History) -> list[str]:
     """
-    A resent command has one outcome and one revision.
+    Find commands whose sendings got different outcomes or revisions.
 
     """
-    answers: dict[str, set[tuple[Outcome, int]]] = defaultdict(set)
+    answers_by_command: dict[str, set[tuple[Outcome, int]]] = defaultdict(set)
     for put in history.puts:
         if put.outcome is not Outcome.UNKNOWN:
-            answers[put.command].add((put.outcome, put.revision))
+            answers_by_command[put.command].add((put.outcome, put.revision))
     return [
         f'command {command} was answered in {len(found)} ways'
-        for command, found in answers.items()
+        for command, found in answers_by_command.items()
         if len(found) > 1
     ]
 
 
-def _commands(history: History) -> list[_Command]:
+def _find_accepted_commands(history: History) -> list[_Command]:
     """
-    The accepted commands, also those known to be so only from a read.
+    The accepted commands by revision, including those known only from a read of their value.
 
     """
     revisions: dict[str, int] = {}
     for read in history.reads:
         revisions.update(dict(read.items.values()))
-    found: dict[str, _Command] = {}
+    accepted: dict[str, _Command] = {}
     for put in history.puts:
         revision = put.revision if put.outcome is Outcome.ACCEPTED else 0
         revision = revision or revisions.get(put.value, 0)
         if not revision:
             continue
-        ended = put.returned if put.outcome is Outcome.ACCEPTED else float('inf')
-        held = found.get(put.command)
-        if held is None:
-            found[put.command] = _Command(
-                put.key, put.value, put.expect, put.invoked, ended, revision
+        returned_at = put.returned if put.outcome is Outcome.ACCEPTED else float('inf')
+        known_command = accepted.get(put.command)
+        if known_command is None:
+            accepted[put.command] = _Command(
+                put.key, put.value, put.expect, put.invoked, returned_at, revision
             )
             continue
-        held.invoked = min(held.invoked, put.invoked)
-        held.returned = min(held.returned, ended)
-    return sorted(found.values(), key=lambda command: command.revision)
+        known_command.invoked = min(known_command.invoked, put.invoked)
+        known_command.returned = min(known_command.returned, returned_at)
+    return sorted(accepted.values(), key=lambda command: command.revision)
 
 
 def _check_order(commands: list[_Command]) -> list[str]:
     """
-    Revisions are unique and fit real time.
+    Find revisions that were given twice or contradict real time.
 
     """
-    found = []
+    violations = []
     for earlier, later in zip(commands, commands[1:], strict=False):
         if earlier.revision == later.revision:
-            found.append(f'revision {later.revision} was given twice')
+            violations.append(f'revision {later.revision} was given twice')
     latest_invoked = 0.0
     for command in commands:
         if command.returned < latest_invoked:
-            found.append(f'revision {command.revision} ended before an earlier one began')
+            violations.append(f'revision {command.revision} ended before an earlier one began')
         latest_invoked = max(latest_invoked, command.invoked)
-    return found
+    return violations
 
 
 def _check_compare_and_set(commands: list[_Command]) -> list[str]:
     """
-    Nobody changed the key between the revision expected and the one made.
+    Find conditional changes accepted although their key changed after the expected revision.
 
     """
-    found = []
+    violations = []
     for command in commands:
         if command.expect is None:
             continue
         for other in commands:
             between = command.expect < other.revision < command.revision
             if other.key == command.key and between:
-                found.append(f'revision {command.revision} overlooked {other.revision}')
-    return found
+                violations.append(f'revision {command.revision} overlooked {other.revision}')
+    return violations
 
 
 def _check_conflicts(history: History, commands: list[_Command]) -> list[str]:
     """
-    A conflict needs a change that could have come in between.
+    Find conflicts without another change of the key that can explain them.
 
     """
-    found = []
+    violations = []
     for put in history.puts:
         if put.outcome is not Outcome.CONFLICT or put.expect is None:
             continue
@@ -195,40 +195,40 @@
             and other.command != put.command
         ]
         if not others and not unknown:
-            found.append(f'command {put.command} met a conflict with nobody')
-    return found
+            violations.append(f'command {put.command} met a conflict with nobody')
+    return violations
 
 
 def _check_reads(history: History, commands: list[_Command]) -> list[str]:
     """
-    A read holds all that was accepted before it began, and nothing later.
+    Find reads that miss a change accepted before they began or contain a later one.
 
     """
-    found = []
+    violations = []
     for read in history.reads:
         newest: dict[str, _Command] = {}
         for command in commands:
             if command.revision <= read.revision:
                 newest[command.key] = command
             elif command.returned < read.invoked:
-                found.append(f'a read at {read.revision} misses revision {command.revision}')
+                violations.append(f'a read at {read.revision} misses revision {command.revision}')
             if command.revision <= read.revision and command.invoked > read.returned:
-                found.append(f'a read at {read.revision} saw the future')
+                violations.append(f'a read at {read.revision} saw the future')
         for key, command in newest.items():
             if read.items.get(key) != (command.value, command.revision):
-                found.append(f'a read at {read.revision} has {key} as {read.items.get(key)}')
-    return found
+                violations.append(f'a read at {read.revision} has {key} as {read.items.get(key)}')
+    return violations
 
 
 def _check_observations(history: History) -> list[str]:
     """
-    No observer sees the revision go back.
+    Find observers that saw the revision decrease.
 
     """
-    found = []
+    violations = []
     last: dict[str, int] = {}
     for seen in sorted(history.observations, key=lambda seen: seen.at):
         if seen.revision < last.get(seen.observer, 0):
-            found.append(f'{seen.observer} went back to revision {seen.revision}')
+            violations.append(f'{seen.observer} went back to revision {seen.revision}')
         last[seen.observer] = seen.revision
-    return found
+    return violations
--- a/packages/millfork-standins/millfork_standins/layout.py
+++ b/packages/millfork-standins/millfork_standins/layout.py
@@ -1,5 +1,5 @@
 """
-How a fleet is laid out: addresses, instances, the settings of each daemon.
+A fleet's addresses and instances, and the settings of each daemon.
 
 """
 
@@ -19,13 +19,13 @@
 BACKEND_PORT: Final = 8000
 STANDIN_PORT: Final = 8500
 STANDIN_ZONE: Final = 250
-LAST_NUMBER: Final = 250
-ENDPOINTS_FROM: Final = 100
+NETWORK_NUMBER_LIMIT: Final = 250
+FIRST_ENDPOINT_NUMBER: Final = 100
 
 
 class FleetError(Exception):
     """
-    A process of the fleet did not do what was awaited.
+    A process of the fleet ended unexpectedly, or an operation timed out.
 
     """
 
@@ -33,7 +33,7 @@
 @dataclass(slots=True)
 class Instance:
     """
-    One instance: its address, and the settings of what runs there.
+    One instance; `settings` override the generated settings of its daemon.
 
     """
 
@@ -50,7 +50,7 @@
 @dataclass(slots=True)
 class FleetOptions:
     """
-    What differs between fleets: sizes in bytes, rates in bytes/s.
+    Options that differ between fleets: sizes in bytes, rates in bytes/s.
 
     """
 
@@ -72,13 +72,13 @@
 
 class Layout:
     """
-    The instances of one fleet, its secrets and its settings files.
+    The instances of one fleet, its tokens and keys, and its settings files.
 
     """
 
     def __init__(self, shape: Shape, folder: Path, options: FleetOptions) -> None:
         self.shape = shape
-        self.number, self.guard = _take_number(shape.number)
+        self.network_number, self.address_guard = _reserve_network_number(shape.network_number)
         self.folder = folder
         self.options = options
         self.instances: dict[str, Instance] = {}
@@ -90,12 +90,12 @@
         (folder / 'admin_token').write_text(self.admin_token)
         for name, token in self.operator_tokens.items():
             (folder / f'operator_token.{name}').write_text(token)
-        self._lay_out()
+        self._add_instances()
 
-    # Layout.
+    # Addresses and instances.
 
     def _host(self, zone: int, number: int) -> str:
-        return f'127.{self.number}.{zone}.{number}'
+        return f'127.{self.network_number}.{zone}.{number}'
 
     def standin_host(self, number: int) -> str:
         return self._host(STANDIN_ZONE, number)
@@ -112,7 +112,7 @@
     def relay(self) -> dict[str, Any]:
         return {'host': self.standin_host(3), 'port': STANDIN_PORT}
 
-    def _lay_out(self) -> None:
+    def _add_instances(self) -> None:
         shape = self.shape
         for number in range(shape.entries):
             self._add(f'entry-{number + 1}', number, 'entry', '', has_disk=number < shape.disks)
@@ -128,7 +128,7 @@
     ) -> None:
         zones = len(self.shape.places)
         place = self.shape.places[position % zones]
-        first = 1 if role == 'entry' else ENDPOINTS_FROM
+        first = 1 if role == 'entry' else FIRST_ENDPOINT_NUMBER
         host = self._host(position % zones + 1, first + position // zones)
         instance = Instance(
             name, host, place.zone, place.region, role, service, {}, has_disk=has_disk
@@ -156,7 +156,7 @@
 
     def settings_of(self, instance: Instance) -> dict[str, Any]:
         """
-        The settings file of an instance's daemon, as plain data.
+        Build the settings of an instance's daemon.
 
         """
         options = self.options
@@ -210,18 +210,18 @@
         return path
 
 
-def _take_number(first: int) -> tuple[int, socket.socket]:
+def _reserve_network_number(first: int) -> tuple[int, socket.socket]:
     """
-    The second number of the fleet's addresses, and the socket that keeps it
-    from fleets beside this one.
+    Reserve the second number of the fleet's addresses. The returned socket stays bound while
+    the fleet exists, so that fleets running at the same time choose other numbers.
 
     """
-    for number in range(first, LAST_NUMBER):
-        guard = socket.socket()
+    for number in range(first, NETWORK_NUMBER_LIMIT):
+        address_guard = socket.socket()
         try:
-            guard.bind((f'127.{number}.{STANDIN_ZONE}.254', STANDIN_PORT))
+            address_guard.bind((f'127.{number}.{STANDIN_ZONE}.254', STANDIN_PORT))
         except OSError:
-            guard.close()
+            address_guard.close()
             continue
-        return number, guard
-    raise FleetError('all addresses for fleets are taken')
+        return number, address_guard
+    raise FleetError('all loopback networks for fleets are in use')
--- a/packages/millfork-standins/millfork_standins/origin.py
+++ b/packages/millfork-standins/millfork_standins/origin.py
@@ -1,5 +1,5 @@
 """
-The origin of weights: rate-limited, and able to go wrong on request.
+A stand-in of the origin of weights, with a limited rate and faults on request.
 
 """
 
@@ -17,13 +17,13 @@
 from millfork_weights.links import Pace
 from millfork_weights.manifest import build_manifest, encode_manifest
 
-RANGE: Final = re.compile(r'bytes=(\d+)-(\d+)')
+RANGE_HEADER: Final = re.compile(r'bytes=(\d+)-(\d+)')
 
 
 class Origin:
     """
-    One origin process. `POST /control` sets `corrupt_share`, `stalled`,
-    `bytes_per_s`, or replaces a version (`replace`: a version's settings).
+    One origin process. `POST /control` sets `corrupt_share` or `stalled`, or replaces a version
+    (`replace`: the settings of the version).
 
     """
 
@@ -34,14 +34,14 @@
         self.corrupt_share = 0.0
         self.stalled = False
         self.bytes_sent = 0
-        self.draws: dict[str, int] = {}
+        self.bytes_by_version: dict[str, int] = {}
         self.weights: dict[tuple[str, str], bytes] = {}
         self.manifests: dict[tuple[str, str], bytes] = {}
         for spec in settings.versions:
-            self._make(spec)
-        self.server = Server(*settings.listen.pair, self.answer)
+            self._add_version(spec)
+        self.server = Server(*settings.listen.pair, self.handle)
 
-    def _make(self, spec: VersionSettings) -> None:
+    def _add_version(self, spec: VersionSettings) -> None:
         base = self.weights.get((spec.name, spec.base), b'')
         data = make_weights(spec, base, self.settings.chunk_bytes)
         manifest = build_manifest(spec.name, spec.version, data, self.settings.chunk_bytes)
@@ -51,38 +51,42 @@
     async def run(self) -> None:
         await self.server.run()
 
-    async def answer(self, exchange: Exchange) -> None:
+    async def handle(self, exchange: Exchange) -> None:
         path = exchange.request.path
         if path == '/stats':
-            await exchange.respond(json_response({'bytes': self.bytes_sent, 'draws': self.draws}))
+            await exchange.respond(
+                json_response({'bytes': self.bytes_sent, 'draws': self.bytes_by_version})
+            )
             return
         if path == '/control':
             self._control(exchange.request.json())
             await exchange.respond(json_response({'ok': True}))
             return
-        await self._answer_model(exchange, path.split('/'))
+        await self._handle_model_request(exchange, path.split('/'))
 
-    def _control(self, wish: dict[str, Any]) -> None:
-        self.corrupt_share = wish.get('corrupt_share', self.corrupt_share)
-        self.stalled = wish.get('stalled', self.stalled)
-        if 'replace' in wish:
-            self._make(VersionSettings(**wish['replace']))
+    def _control(self, changes: dict[str, Any]) -> None:
+        self.corrupt_share = changes.get('corrupt_share', self.corrupt_share)
+        self.stalled = changes.get('stalled', self.stalled)
+        if 'replace' in changes:
+            self._add_version(VersionSettings(**changes['replace']))
 
-    async def _answer_model(self, exchange: Exchange, steps: list[str]) -> None:
-        key = (steps[2], steps[3]) if len(steps) == 5 else ('', '')
+    async def _handle_model_request(self, exchange: Exchange, segments: list[str]) -> None:
+        key = (segments[2], segments[3]) if len(segments) == 5 else ('', '')
         if key not in self.weights:
             await exchange.respond(json_response({'error': 'no such version'}, 404))
             return
         while self.stalled:
             await curio.sleep(0.05)
-        if steps[4] == 'manifest':
+        if segments[4] == 'manifest':
             await exchange.respond(Response(200, [], self.manifests[key]))
             return
-        found = RANGE.fullmatch(exchange.request.header('range'))
-        if found is None:
-            await exchange.respond(json_response({'error': 'a range is needed'}, 416))
+        range_match = RANGE_HEADER.fullmatch(exchange.request.header('range'))
+        if range_match is None:
+            await exchange.respond(
+                json_response({'error': 'the request needs a Range header'}, 416)
+            )
             return
-        await self._send_range(exchange, key, int(found[1]), int(found[2]) + 1)
+        await self._send_range(exchange, key, int(range_match[1]), int(range_match[2]) + 1)
 
     async def _send_range(
         self, exchange: Exchange, key: tuple[str, str], start: int, stop: int
@@ -91,7 +95,7 @@
         await self.pace.take(len(data))
         self.bytes_sent += len(data)
         name = '/'.join(key)
-        self.draws[name] = self.draws.get(name, 0) + len(data)
+        self.bytes_by_version[name] = self.bytes_by_version.get(name, 0) + len(data)
         if self.random.random() < self.corrupt_share:
             data = bytes([data[0] ^ 0xFF]) + data[1:]
         await exchange.respond(Response(206, [], data))
--- a/packages/millfork-standins/millfork_standins/platform.py
+++ b/packages/millfork-standins/millfork_standins/platform.py
@@ -1,5 +1,5 @@
 """
-The platform's instance list; it lags.
+A stand-in of the platform's instance list, which shows changes with a delay.
 
 """
 
@@ -13,9 +13,9 @@
 
 class Platform:
     """
-    One list process. `PUT /instances` sets an instance, `DELETE` removes
-    one; what readers see is `lag_ms` old. `POST /deaf` with a `host` lets
-    that reader see no change from now on.
+    One platform process. `PUT /instances` sets an instance, `DELETE` removes one; readers see
+    changes `lag_ms` late. After `POST /deaf` with a `host`, the reader at this address sees no
+    further changes.
 
     """
 
@@ -24,46 +24,46 @@
         self.version = 0
         self.instances: dict[str, dict[str, Any]] = {}
         self.changed: dict[str, tuple[int, float]] = {}
-        self.deaf: dict[str, int] = {}
-        self.server = Server(*settings.listen.pair, self.answer)
+        self.frozen_versions: dict[str, int] = {}
+        self.server = Server(*settings.listen.pair, self.handle)
 
     async def run(self) -> None:
         await self.server.run()
 
-    async def answer(self, exchange: Exchange) -> None:
+    async def handle(self, exchange: Exchange) -> None:
         request = exchange.request
         if request.method == 'PUT':
-            self._set(request.json())
+            self._set_instance(request.json())
         if request.method == 'DELETE':
-            self._remove(request.path.rsplit('/', 1)[1])
+            self._remove_instance(request.path.rsplit('/', 1)[1])
         if request.method == 'POST':
-            self.deaf[request.json()['host']] = self.version
+            self.frozen_versions[request.json()['host']] = self.version
         if request.method != 'GET':
             await exchange.respond(json_response({'version': self.version}))
             return
         since = int(request.path.partition('since=')[2] or -1)
         host = exchange.sock.getpeername()[0]
-        newest = self.deaf.get(host, self.version)
-        await exchange.respond(json_response(self._delta(since, newest)))
+        newest = self.frozen_versions.get(host, self.version)
+        await exchange.respond(json_response(self._list_changes(since, newest)))
 
-    def _set(self, facts: dict[str, Any]) -> None:
+    def _set_instance(self, listing: dict[str, Any]) -> None:
         self.version += 1
-        self.instances[facts['instance']] = facts
-        self.changed[facts['instance']] = (self.version, time.monotonic())
+        self.instances[listing['instance']] = listing
+        self.changed[listing['instance']] = (self.version, time.monotonic())
 
-    def _remove(self, name: str) -> None:
+    def _remove_instance(self, name: str) -> None:
         self.version += 1
         self.instances.pop(name, None)
         self.changed[name] = (self.version, time.monotonic())
 
-    def _delta(self, since: int, newest: int) -> dict[str, Any]:
+    def _list_changes(self, since: int, newest: int) -> dict[str, Any]:
         """
-        Changes after version `since`, up to `newest` and as far as the lag
-        lets them be seen.
+        The changes after version `since` up to `newest` that are older than the lag; the full
+        list if `since` is negative or newer than the visible version.
 
         """
-        seen_until = time.monotonic() - self.settings.lag_ms / 1000
-        hidden = [version for version, at in self.changed.values() if at > seen_until]
+        visible_until = time.monotonic() - self.settings.lag_ms / 1000
+        hidden = [version for version, at in self.changed.values() if at > visible_until]
         visible = min(min(hidden, default=self.version + 1) - 1, newest)
         full = since < 0 or since > visible
         names = [
--- a/packages/millfork-standins/millfork_standins/recorder.py
+++ b/packages/millfork-standins/millfork_standins/recorder.py
@@ -1,5 +1,5 @@
 """
-Records a history of configuration changes on a running fleet.
+Changes and reads the configuration of a running fleet and records the history.
 
 """
 
@@ -15,16 +15,16 @@
 from millfork_standins.layout import ADMIN_PORT, CALLERS_PORT, Instance
 from millfork_standins.requests import Answer, fetch
 
-TIMEOUT_S: Final = 4.0
-OBSERVE_S: Final = 0.02
-LABEL: Final = 'generation'
+REQUEST_TIMEOUT_S: Final = 4.0
+OBSERVE_INTERVAL_S: Final = 0.02
+LABEL_NAME: Final = 'generation'
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedOperation:
     """
-    One operation of a plan: change a key at the revision seen last, or at
-    any; send it again to another entry afterwards, or not; or read.
+    A read, or a change of a key. A conditional change expects the last revision that was seen;
+    a resent one is sent to another entry afterwards.
 
     """
 
@@ -38,14 +38,14 @@
 @dataclass
 class Recorder:
     """
-    Runs plans, one on each thread, and records what happened.
+    Runs each plan on a thread and records operations and observations.
 
     """
 
     fleet: Fleet
     history: History = field(default_factory=History)
     lock: threading.Lock = field(default_factory=threading.Lock)
-    seen: int = 0
+    last_revision: int = 0
     stopping: threading.Event = field(default_factory=threading.Event)
 
     def start_plans(self, plans: list[list[PlannedOperation]]) -> list[threading.Thread]:
@@ -60,7 +60,7 @@
 
     def start_observers(self) -> list[threading.Thread]:
         """
-        Start one observer of each entry, until `stopping` is set.
+        Start a thread per entry that records its revision until `stopping` is set.
 
         """
         threads = [
@@ -71,7 +71,7 @@
         return threads
 
     def _observe(self, entry: Instance) -> None:
-        while not self.stopping.wait(OBSERVE_S):
+        while not self.stopping.wait(OBSERVE_INTERVAL_S):
             try:
                 answer = fetch('GET', entry.host, ADMIN_PORT, '/readyz', timeout=1)
             except OSError:
@@ -89,32 +89,32 @@
                 self.read(operation.entry)
                 continue
             command = uuid.uuid4().hex
-            expect = self.seen if operation.is_conditional else None
+            expect = self.last_revision if operation.is_conditional else None
             self.put(operation.entry, command, operation.key, expect)
             if operation.is_resent:
                 self.put(operation.entry + 1, command, operation.key, expect)
 
-    def _ask(self, entry: int, method: str, path: str, body: bytes = b'') -> Answer:
+    def _fetch_from_entry(self, entry: int, method: str, path: str, body: bytes = b'') -> Answer:
         host = self.fleet.entries[entry % len(self.fleet.entries)].host
         headers = {'authorization': f'Bearer {self.fleet.admin_token}'}
-        return fetch(method, host, CALLERS_PORT, path, body, headers, TIMEOUT_S)
+        return fetch(method, host, CALLERS_PORT, path, body, headers, REQUEST_TIMEOUT_S)
 
     def put(self, entry: int, command: str, key: int, expect: int | None) -> bool:
         """
-        One sending of a change; whether it was accepted.
+        Send a change once; True if it was accepted.
 
         """
         organisation = self.fleet.shape.organisations[0]
         declaration = {
             'organisation': organisation,
-            'labels': {f'instance-{key}': {LABEL: command}},
+            'labels': {f'instance-{key}': {LABEL_NAME: command}},
         }
         body = {'declaration': declaration, 'command_id': command, 'expect': expect}
         invoked = time.monotonic()
         outcome, revision = Outcome.UNKNOWN, 0
         try:
             data = json.dumps(body).encode()
-            answer = self._ask(entry, 'POST', '/control/v1/apply', data)
+            answer = self._fetch_from_entry(entry, 'POST', '/control/v1/apply', data)
             outcome, revision = _outcome(answer)
         except OSError:
             pass
@@ -122,17 +122,17 @@
         put = Put(command, f'instance-{key}', command, expect, invoked, returned, outcome, revision)
         with self.lock:
             self.history.puts.append(put)
-            self.seen = max(self.seen, revision)
+            self.last_revision = max(self.last_revision, revision)
         return outcome is Outcome.ACCEPTED
 
     def read(self, entry: int) -> bool:
         """
-        One linearizable read; False if there was no answer.
+        Read all labels linearizably; False if the read failed.
 
         """
         invoked = time.monotonic()
         try:
-            answer = self._ask(entry, 'GET', '/control/v1/state')
+            answer = self._fetch_from_entry(entry, 'GET', '/control/v1/state')
         except OSError:
             return False
         if answer.status != 200:
@@ -141,7 +141,7 @@
         items = dict(_label(key, item) for key, item in state['items'].items() if 'labels' in key)
         with self.lock:
             self.history.reads.append(Read(invoked, time.monotonic(), state['revision'], items))
-            self.seen = max(self.seen, state['revision'])
+            self.last_revision = max(self.last_revision, state['revision'])
         return True
 
 
@@ -154,4 +154,4 @@
 
 
 def _label(key: str, item: dict[str, Any]) -> tuple[str, tuple[str, int]]:
-    return key.rsplit('/', 1)[1], (item['value'][LABEL], item['revision'])
+    return key.rsplit('/', 1)[1], (item['value'][LABEL_NAME], item['revision'])
--- a/packages/millfork-standins/millfork_standins/relay.py
+++ b/packages/millfork-standins/millfork_standins/relay.py
@@ -1,8 +1,9 @@
 """
-A CONNECT proxy between the zones, which can cut and heal them.
+A CONNECT proxy between the zones that can cut, freeze and restore their links.
 
-`POST /control` with `cut`: pairs of zone numbers, `freeze`: pairs on which
-bytes stop but connections stay.
+`POST /cut/1-2,1-3` closes the connections between these pairs of zones and refuses new ones.
+`POST /freeze/1-2` stops the bytes but leaves the connections open. Each call replaces the pairs
+of the call before.
 
 """
 
@@ -13,12 +14,12 @@
 
 from millfork_standins.settings import RelaySettings
 
-READ_BYTES = 256 * 1024
+READ_CHUNK_BYTES = 256 * 1024
 
 
 def zone_of(address: str) -> int:
     """
-    The zone's number in an address of the fleet.
+    The zone number in an address of the fleet.
 
     """
     return int(address.split('.')[2])
@@ -26,7 +27,7 @@
 
 class Relay:
     """
-    One relay process.
+    One relay process; `open_sockets` are kept by pair of zones.
 
     """
 
@@ -34,21 +35,21 @@
         self.settings = settings
         self.cut: set[tuple[int, int]] = set()
         self.frozen: set[tuple[int, int]] = set()
-        self.open: dict[tuple[int, int], set[Any]] = {}
-        self.thawed = curio.Event()
+        self.open_sockets: dict[tuple[int, int], set[Any]] = {}
+        self.unfrozen = curio.Event()
 
     async def run(self) -> None:
         await curio.tcp_server(*self.settings.listen.pair, self._serve, backlog=1024)
 
     async def _serve(self, sock: Any, address: Any) -> None:
-        head = b''
-        while b'\r\n\r\n' not in head:
+        request_head = b''
+        while b'\r\n\r\n' not in request_head:
             data = await sock.recv(4096)
             if not data:
                 return
-            head += data
-        line = head.split(b'\r\n', 1)[0].decode()
-        method, target = line.split(' ')[:2]
+            request_head += data
+        request_line = request_head.split(b'\r\n', 1)[0].decode()
+        method, target = request_line.split(' ')[:2]
         if method == 'CONNECT':
             await self._connect(sock, address[0], target)
             return
@@ -56,7 +57,7 @@
 
     async def _control(self, sock: Any, target: str) -> None:
         """
-        `/cut/1-2,1-3`, `/freeze/1-2`; the rest of the zones is joined.
+        Cut or freeze the pairs of zones in `target`, and restore all others.
 
         """
         kind, _, pairs_text = target.strip('/').partition('/')
@@ -69,12 +70,12 @@
             await self._close_cut()
         if kind == 'freeze':
             self.frozen = pairs
-            await self.thawed.set()
+            await self.unfrozen.set()
         await sock.sendall(b'HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n')
 
     async def _close_cut(self) -> None:
         for pair in self.cut:
-            for sock in list(self.open.get(pair, ())):
+            for sock in list(self.open_sockets.get(pair, ())):
                 try:
                     await sock.shutdown(socket.SHUT_RDWR)
                 except OSError:
@@ -92,22 +93,22 @@
             await sock.sendall(b'HTTP/1.1 502 Unreachable\r\n\r\n')
             return
         await sock.sendall(b'HTTP/1.1 200 OK\r\n\r\n')
-        held = self.open.setdefault(pair, set())
-        held |= {sock, peer}
+        sockets = self.open_sockets.setdefault(pair, set())
+        sockets |= {sock, peer}
         try:
             async with curio.TaskGroup(wait=any) as group:
                 await group.spawn(self._pump, sock, peer, pair)
                 await group.spawn(self._pump, peer, sock, pair)
         finally:
-            held -= {sock, peer}
+            sockets -= {sock, peer}
             await peer.close()
 
     async def _pump(self, source: Any, target: Any, pair: tuple[int, int]) -> None:
         try:
-            while data := await source.recv(READ_BYTES):
+            while data := await source.recv(READ_CHUNK_BYTES):
                 while pair in self.frozen:
-                    self.thawed.clear()
-                    await self.thawed.wait()
+                    self.unfrozen.clear()
+                    await self.unfrozen.wait()
                 await target.sendall(data)
         except OSError:
             pass
--- a/packages/millfork-standins/millfork_standins/requests.py
+++ b/packages/millfork-standins/millfork_standins/requests.py
@@ -1,5 +1,5 @@
 """
-Blocking HTTP for runners and tests, by the standard library.
+A blocking HTTP client for runners and tests, based on the standard library.
 
 """
 
@@ -14,7 +14,7 @@
 @dataclass(slots=True)
 class Answer:
     """
-    One whole answer.
+    A complete response; header names are in lower case.
 
     """
 
@@ -36,9 +36,9 @@
     timeout: float = TIMEOUT_S,
 ) -> Answer:
     """
-    One request on a connection of its own.
+    Send one request on a new connection.
 
-    :raises OSError: if there is no whole answer.
+    :raises OSError: if no complete response arrives.
 
     """
     connection = http.client.HTTPConnection(host, port, timeout=timeout)
@@ -56,9 +56,9 @@
 
 def fetch_json(method: str, host: str, port: int, path: str, body: Any = None) -> Any:
     """
-    One request with JSON both ways.
+    Send a JSON body and return the JSON of the response.
 
-    :raises OSError: if there is no whole answer, or it is an error.
+    :raises OSError: if no complete response arrives or its status is not 200.
 
     """
     data = b'' if body is None else json.dumps(body).encode()
--- a/packages/millfork-standins/millfork_standins/run_summary.py
+++ b/packages/millfork-standins/millfork_standins/run_summary.py
@@ -1,5 +1,5 @@
 """
-The check of a run: what callers were told against what was executed.
+Compares the callers' answers with the execution logs of the back ends.
 
 """
 
@@ -16,9 +16,8 @@
 @dataclass(frozen=True, slots=True)
 class RunSummary:
     """
-    Counts of one run. `doubled`: filings executed more than once, or
-    executed although their caller was told 'not run'. `missing`: answered
-    filings that nobody executed.
+    Counts of one run. `doubled`: filings executed more than once, or executed although their
+    caller got the verdict 'not run'. `missing`: answered filings that no back end executed.
 
     """
 
@@ -40,34 +39,38 @@
 
 def summarize_run(records: list[CallRecord], executions: Iterable[dict[str, Any]]) -> RunSummary:
     """
-    Judge the callers' requests against the back ends' execution logs.
+    Count the outcomes and compare the filings with the executions.
 
     """
-    ends = Counter(item.end for item in records)
-    runs: Counter[str] = Counter()
+    outcomes = Counter(item.end for item in records)
+    executions_by_nonce: Counter[str] = Counter()
     for line in executions:
         if line['kind'] == 'begin' and line.get('method') == 'POST':
-            runs[line['nonce']] += 1
+            executions_by_nonce[line['nonce']] += 1
     filings = [item for item in records if item.kind is RequestKind.FILING]
-    told_not_run = sum(item.end is CallOutcome.NOT_RUN and item.nonce in runs for item in filings)
-    twice = sum(count > 1 for count in runs.values())
-    missing = sum(item.end is CallOutcome.RIGHT and item.nonce not in runs for item in filings)
+    executed_after_not_run = sum(
+        item.end is CallOutcome.NOT_RUN and item.nonce in executions_by_nonce for item in filings
+    )
+    executed_twice = sum(count > 1 for count in executions_by_nonce.values())
+    missing = sum(
+        item.end is CallOutcome.RIGHT and item.nonce not in executions_by_nonce for item in filings
+    )
     return RunSummary(
         len(records),
-        ends[CallOutcome.RIGHT],
-        ends[CallOutcome.WRONG],
-        ends[CallOutcome.MIXED],
-        ends[CallOutcome.LOST],
-        twice + told_not_run,
+        outcomes[CallOutcome.RIGHT],
+        outcomes[CallOutcome.WRONG],
+        outcomes[CallOutcome.MIXED],
+        outcomes[CallOutcome.LOST],
+        executed_twice + executed_after_not_run,
         missing,
-        ends[CallOutcome.NOT_RUN],
-        ends[CallOutcome.TOLD_UNKNOWN],
+        outcomes[CallOutcome.NOT_RUN],
+        outcomes[CallOutcome.TOLD_UNKNOWN],
     )
 
 
 def summarize_fleet_run(fleet: Fleet, records: list[CallRecord]) -> RunSummary:
     """
-    Judge a run on a fleet by the logs of all its back ends.
+    Summarize a run on a fleet by the logs of all its back ends.
 
     """
     executions: list[dict[str, Any]] = []
--- a/packages/millfork-standins/millfork_standins/scenario/__init__.py
+++ b/packages/millfork-standins/millfork_standins/scenario/__init__.py
@@ -1,4 +1,4 @@
 """
-The scenario language: small scripts of what goes wrong.
+The scenario language: scripts that cause faults on a fleet and check the effects.
 
 """
--- a/packages/millfork-standins/millfork_standins/scenario/__main__.py
+++ b/packages/millfork-standins/millfork_standins/scenario/__main__.py
@@ -1,5 +1,5 @@
 """
-Runs scenario files by hand: `python -m millfork_standins.scenario FILE ...`.
+Run scenario files: `python -m millfork_standins.scenario FILE ...`.
 
 """
 
@@ -14,7 +14,7 @@
 
 def main() -> int:
     """
-    Run each file; the first that does not hold ends the run.
+    Run the files in order until one of them fails.
 
     """
     if len(sys.argv) < 2:
--- a/packages/millfork-standins/millfork_standins/scenario/fleet_status.py
+++ b/packages/millfork-standins/millfork_standins/scenario/fleet_status.py
@@ -1,5 +1,5 @@
 """
-What a scenario looks at on a running fleet.
+Reads the status of a running fleet and sets its options for scenarios.
 
 """
 
@@ -10,7 +10,7 @@
 from millfork_standins.layout import ADMIN_PORT, CALLERS_PORT, FleetOptions
 from millfork_standins.requests import fetch
 
-STATUS: Final = '/control/v1/status'
+STATUS_PATH: Final = '/control/v1/status'
 VOTER_LINE: Final = 'millfork_voter 1'
 
 
@@ -20,22 +20,24 @@
 
 def set_option(options: FleetOptions, name: str, value: str) -> None:
     """
-    `relay=yes`, `model_bytes=1000`, `engine.token_ms=20` and the like.
+    Set an option from text, such as `relay=yes`, `model_bytes=1000`, `engine.token_ms=20`.
 
     """
     field, _, key = name.partition('.')
-    number: Any = value in ('yes', 'on') if value in ('yes', 'no', 'on', 'off') else float(value)
-    if isinstance(number, float) and number.is_integer():
-        number = int(number)
+    parsed_value: Any = (
+        value in ('yes', 'on') if value in ('yes', 'no', 'on', 'off') else float(value)
+    )
+    if isinstance(parsed_value, float) and parsed_value.is_integer():
+        parsed_value = int(parsed_value)
     if key:
-        getattr(options, field)[key] = number
+        getattr(options, field)[key] = parsed_value
         return
-    setattr(options, field, number)
+    setattr(options, field, parsed_value)
 
 
 def fetch_rollouts(fleet: Fleet) -> list[dict[str, Any]]:
     """
-    The rollouts as the first entry that answers tells them.
+    The rollouts from the first entry that answers; an empty list if none does.
 
     """
     headers = {'authorization': f'Bearer {fleet.admin_token}'}
@@ -43,7 +45,7 @@
         if entry.name not in fleet.processes:
             continue
         try:
-            answer = fetch('GET', entry.host, CALLERS_PORT, STATUS, headers=headers, timeout=1)
+            answer = fetch('GET', entry.host, CALLERS_PORT, STATUS_PATH, headers=headers, timeout=1)
         except OSError:
             continue
         if answer.status == 200:
@@ -54,7 +56,7 @@
 
 def count_voters(fleet: Fleet) -> int:
     """
-    Running replicas that count themselves among the voters.
+    Count the running replicas whose metrics say that they are voters.
 
     """
     count = 0
--- a/packages/millfork-standins/millfork_standins/scenario/parser.py
+++ b/packages/millfork-standins/millfork_standins/scenario/parser.py
@@ -1,5 +1,5 @@
 """
-Scenario text to steps, by lark.
+Parses scenario files into steps with lark.
 
 """
 
@@ -23,23 +23,23 @@
 
 class ScenarioSyntaxError(Exception):
     """
-    A scenario that can't be read, with the place of the trouble.
+    A scenario file has a syntax error; the message names file, line and column.
 
     """
 
 
 def parse(path: Path) -> list[Step]:
     """
-    The steps of a scenario file.
+    Parse the steps of a scenario file.
 
-    :raises BadScenario: with file, line and column.
+    :raises ScenarioSyntaxError: if the file contains an invalid step.
 
     """
     try:
         tree = _PARSER.parse(path.read_text())
     except UnexpectedInput as error:
         raise ScenarioSyntaxError(
-            f'{path}:{error.line}:{error.column}: no step of the language'
+            f'{path}:{error.line}:{error.column}: not a valid step'
         ) from error
     return [_step(child) for child in tree.children if isinstance(child, Tree)]
 
@@ -47,10 +47,10 @@
 def _step(tree: Tree[Any]) -> Step:
     words = [str(child) for child in tree.children if isinstance(child, Token)]
     line = 0 if tree.meta.empty else tree.meta.line
-    return BUILDERS[str(tree.data)](line, words, tree)
+    return STEP_BUILDERS[str(tree.data)](line, words, tree)
 
 
-def _bound(tree: Tree[Any]) -> float:
+def _wait_timeout_s(tree: Tree[Any]) -> float:
     return float(next(tree.find_data('bound')).children[0])
 
 
@@ -74,11 +74,11 @@
 
 
 def _wait_named(cls: Callable[[int, float, str], Step]) -> Builder:
-    return lambda line, words, tree: cls(line, _bound(tree), words[0])
+    return lambda line, words, tree: cls(line, _wait_timeout_s(tree), words[0])
 
 
 def _wait_count(cls: Callable[[int, float, int], Step]) -> Builder:
-    return lambda line, words, tree: cls(line, _bound(tree), int(words[0]))
+    return lambda line, words, tree: cls(line, _wait_timeout_s(tree), int(words[0]))
 
 
 def _fleet(line: int, words: list[str], tree: Tree[Any]) -> Step:
@@ -87,18 +87,18 @@
 
 
 def _wait_serving(line: int, words: list[str], tree: Tree[Any]) -> Step:
-    return steps.WaitServing(line, _bound(tree), words[0], int(words[1]))
+    return steps.WaitServing(line, _wait_timeout_s(tree), words[0], int(words[1]))
 
 
 def _wait_in_force(line: int, words: list[str], tree: Tree[Any]) -> Step:
-    return steps.WaitInForce(line, _bound(tree), tuple(words))
+    return steps.WaitInForce(line, _wait_timeout_s(tree), tuple(words))
 
 
 def _expect_copies(line: int, words: list[str], tree: Tree[Any]) -> Step:
     return steps.ExpectCopies(line, words[0], words[1], float(words[2]))
 
 
-BUILDERS: Final[dict[str, Builder]] = {
+STEP_BUILDERS: Final[dict[str, Builder]] = {
     'fleet': _fleet,
     'start_all': _plain(steps.StartAll),
     'start_instance': _on_process(steps.StartInstance),
--- a/packages/millfork-standins/millfork_standins/scenario/runner.py
+++ b/packages/millfork-standins/millfork_standins/scenario/runner.py
@@ -1,5 +1,5 @@
 """
-Runs the steps of a scenario on a real fleet.
+Runs the steps of a scenario on a fleet of processes.
 
 """
 
@@ -29,155 +29,158 @@
 from millfork_standins.versions import learn_version
 
 POLL_S: Final = 0.05
-IDLE_S: Final = 0.5
-STATE: Final = '/control/v1/state'
+IDLE_CHECK_S: Final = 0.5
+STATE_PATH: Final = '/control/v1/state'
 TORN_BYTES: Final = 7
 
 
 class ScenarioFailed(Exception):
     """
-    An expectation or a wait of a scenario was not met.
+    A step of a scenario failed, or a wait or an expectation was not met.
 
     """
 
 
 class Runner:
     """
-    One run of one scenario.
+    One run of one scenario. `started_when_idle` counts the executions that an endpoint had
+    started when `wait idle` ended.
 
     """
 
-    def __init__(self, folder: Path, say: Callable[[str], None] = print) -> None:
+    def __init__(self, folder: Path, report: Callable[[str], None] = print) -> None:
         self.folder = folder
-        self.say = say
+        self.report = report
         self.fleet: Fleet | None = None
         self.callers: Callers | None = None
         self.keys: dict[str, str] = {}
-        self.ids: dict[str, str] = {}
-        self.accepted = 0
+        self.version_ids: dict[str, str] = {}
+        self.accepted_revision = 0
         self.answer: Answer | None = None
         self.started_when_idle: dict[str, int] = {}
         self.stopping: set[str] = set()
 
     def run(self, scenario: list[Step]) -> None:
         """
-        Run all steps; end every process at the end.
+        Run all steps, then end every process.
 
-        :raises Unmet: where the scenario does not hold.
+        :raises ScenarioFailed: at the first step that fails.
 
         """
         try:
             for step in scenario:
-                self.say(f'{step.line}: {step}')
-                self._run(step)
+                self.report(f'{step.line}: {step}')
+                self._run_reporting_line(step)
         finally:
             if self.callers is not None:
                 self.callers.stopping.set()
             if self.fleet is not None:
                 self.fleet.close()
 
-    def _run(self, step: Step) -> None:
+    def _run_reporting_line(self, step: Step) -> None:
         try:
-            self.on(step)
+            self.run_step(step)
         except FleetError as error:
             raise ScenarioFailed(f'line {step.line}: {error}') from error
 
     @property
-    def running(self) -> Fleet:
+    def active_fleet(self) -> Fleet:
         if self.fleet is None:
-            raise ScenarioFailed('a scenario begins with its fleet')
+            raise ScenarioFailed('the scenario has no fleet; its first step must be "fleet"')
         return self.fleet
 
-    def _wait(self, step: steps.Wait, what: str, holds: Callable[[], bool]) -> None:
-        until = time.monotonic() + step.within
-        while time.monotonic() < until:
-            if holds():
+    def _wait(self, step: steps.Wait, description: str, condition: Callable[[], bool]) -> None:
+        deadline = time.monotonic() + step.timeout_s
+        while time.monotonic() < deadline:
+            if condition():
                 return
             time.sleep(POLL_S)
-        raise ScenarioFailed(f'line {step.line}: {what} does not hold within {step.within} s')
+        raise ScenarioFailed(
+            f'line {step.line}: {description} does not hold within {step.timeout_s} s'
+        )
 
     # Steps.
 
     @singledispatchmethod
-    def on(self, step: Step) -> None:
-        raise ScenarioFailed(f'line {step.line}: no way to run this step')
+    def run_step(self, step: Step) -> None:
+        raise ScenarioFailed(f'line {step.line}: there is no implementation of this step')
 
-    @on.register
+    @run_step.register
     def _(self, step: steps.MakeFleet) -> None:
         options = FleetOptions()
         for name, value in step.options.items():
             set_option(options, name, value)
         self.fleet = Fleet(SHAPES[step.shape], self.folder, options)
 
-    @on.register
+    @run_step.register
     def _(self, step: steps.StartAll) -> None:
-        self.running.start()
+        self.active_fleet.start()
 
-    @on.register
+    @run_step.register
     def _(self, step: steps.StartInstance) -> None:
-        fleet = self.running
+        fleet = self.active_fleet
         if step.name.endswith('.backend'):
             fleet.start_backend(fleet.instances[step.name.removesuffix('.backend')])
             return
         fleet.start_daemon(fleet.instances[step.name])
 
-    @on.register
+    @run_step.register
     def _(self, step: steps.Stop) -> None:
-        self.running.processes[step.name].terminate()
+        self.active_fleet.processes[step.name].terminate()
 
-    @on.register
+    @run_step.register
     def _(self, step: steps.Kill) -> None:
-        self.running.kill(step.name)
+        self.active_fleet.kill(step.name)
 
-    @on.register
+    @run_step.register
     def _(self, step: steps.Freeze) -> None:
-        self.running.freeze(step.name)
+        self.active_fleet.freeze(step.name)
 
-    @on.register
+    @run_step.register
     def _(self, step: steps.Thaw) -> None:
-        self.running.thaw(step.name)
+        self.active_fleet.thaw(step.name)
 
-    @on.register
+    @run_step.register
     def _(self, step: steps.LoseDisk) -> None:
-        shutil.rmtree(self.running.data_folder(step.name))
+        shutil.rmtree(self.active_fleet.data_folder(step.name))
 
-    @on.register
+    @run_step.register
     def _(self, step: steps.TearLog) -> None:
-        path = self.running.data_folder(step.name) / 'state' / 'log'
+        path = self.active_fleet.data_folder(step.name) / 'state' / 'log'
         path.write_bytes(path.read_bytes()[:-TORN_BYTES])
 
-    @on.register
+    @run_step.register
     def _(self, step: steps.Leave) -> None:
-        self.running.list_instance(self.running.instances[step.name], leaving=True)
+        self.active_fleet.list_instance(self.active_fleet.instances[step.name], leaving=True)
 
-    @on.register
+    @run_step.register
     def _(self, step: steps.Deafen) -> None:
-        self.running.withhold_list_changes(self.running.instances[step.name])
+        self.active_fleet.withhold_list_changes(self.active_fleet.instances[step.name])
 
-    @on.register
+    @run_step.register
     def _(self, step: steps.Cut) -> None:
-        self.running.cut(*step.pairs)
+        self.active_fleet.cut(*step.pairs)
 
-    @on.register
+    @run_step.register
     def _(self, step: steps.StallLinks) -> None:
-        self.running.freeze_links(*step.pairs)
+        self.active_fleet.freeze_links(*step.pairs)
 
-    @on.register
+    @run_step.register
     def _(self, step: steps.Heal) -> None:
-        self.running.cut()
-        self.running.freeze_links()
+        self.active_fleet.cut()
+        self.active_fleet.freeze_links()
 
-    @on.register
+    @run_step.register
     def _(self, step: steps.Corrupt) -> None:
-        self.running.control_origin(corrupt_share=step.share)
+        self.active_fleet.control_origin(corrupt_share=step.share)
 
-    @on.register
+    @run_step.register
     def _(self, step: steps.StallOrigin) -> None:
-        self.running.control_origin(stalled=step.stalled)
+        self.active_fleet.control_origin(stalled=step.stalled)
 
-    @on.register
+    @run_step.register
     def _(self, step: steps.ChangeVersion) -> None:
-        fleet = self.running
+        fleet = self.active_fleet
         replacement = {
             'name': fleet.shape.model,
             'version': step.version,
@@ -186,49 +189,49 @@
         }
         fleet.control_origin(replace=replacement)
 
-    @on.register
+    @run_step.register
     def _(self, step: steps.Organisations) -> None:
-        self._apply(step, 'organisations.yaml', self.running.organisations_declaration())
+        self._apply(step, 'organisations.yaml', self.active_fleet.organisations_declaration())
 
-    @on.register
+    @run_step.register
     def _(self, step: steps.Apply) -> None:
-        known = learn_version(self.running, step.version)
+        known = learn_version(self.active_fleet, step.version)
         self.keys[known.id] = known.key
-        self.ids[step.version] = known.id
-        self._apply(step, 'deployment.yaml', self.running.deployment_declaration(step.version))
+        self.version_ids[step.version] = known.id
+        self._apply(step, 'deployment.yaml', self.active_fleet.deployment_declaration(step.version))
 
-    @on.register
+    @run_step.register
     def _(self, step: steps.ApplyMany) -> None:
-        name = self.running.engines[0].name
+        name = self.active_fleet.engines[0].name
         for number in range(step.count):
             labels = {name: {'generation': str(number)}}
-            organisation = self.running.shape.organisations[1]
+            organisation = self.active_fleet.shape.organisations[1]
             declaration = {'organisation': organisation, 'labels': labels}
-            self.accepted = self.running.apply(declaration)
+            self.accepted_revision = self.active_fleet.apply(declaration)
 
     def _apply(self, step: Step, name: str, declaration: dict[str, Any]) -> None:
-        path = self.running.write_declaration(name, declaration)
-        done = self.running.run_millfork('apply', str(path))
-        if done.returncode != ExitStatus.SUCCESS:
-            raise ScenarioFailed(f'line {step.line}: apply: {done.stderr.strip()}')
-        self.accepted = int(done.stdout.split()[-1])
+        path = self.active_fleet.write_declaration(name, declaration)
+        result = self.active_fleet.run_millfork('apply', str(path))
+        if result.returncode != ExitStatus.SUCCESS:
+            raise ScenarioFailed(f'line {step.line}: apply: {result.stderr.strip()}')
+        self.accepted_revision = int(result.stdout.split()[-1])
 
     # Callers.
 
-    @on.register
+    @run_step.register
     def _(self, step: steps.StartCallers) -> None:
         kinds = tuple(RequestKind(name) for name in step.kinds) or tuple(RequestKind)
-        self.callers = Callers(self.running, self.keys, step.count, kinds)
+        self.callers = Callers(self.active_fleet, self.keys, step.count, kinds)
         self.callers.start()
 
-    @on.register
+    @run_step.register
     def _(self, step: steps.HaltCallers) -> None:
         assert self.callers is not None
         self.callers.stop()
 
-    @on.register
+    @run_step.register
     def _(self, step: steps.Call) -> None:
-        fleet = self.running
+        fleet = self.active_fleet
         callers = Callers(fleet, self.keys)
         entry = fleet.instances[step.entry]
         self.answer = callers.send(entry, RequestKind(step.kind), f'call-{step.line}', 'one call')
@@ -236,115 +239,119 @@
     # Waits.
 
     def _serving(self, version: str) -> int:
-        rows = fetch_rollouts(self.running)
-        found = [row['serving'] for row in rows if row['version'] == self.ids[version]]
+        rows = fetch_rollouts(self.active_fleet)
+        found = [row['serving'] for row in rows if row['version'] == self.version_ids[version]]
         return found[0] if found else 0
 
-    @on.register
+    @run_step.register
     def _(self, step: steps.WaitServing) -> None:
-        what = f'{step.version} on {step.count}'
-        self._wait(step, what, lambda: self._serving(step.version) >= step.count)
+        description = f'{step.version} on {step.count}'
+        self._wait(step, description, lambda: self._serving(step.version) >= step.count)
 
-    @on.register
+    @run_step.register
     def _(self, step: steps.WaitReady) -> None:
-        self.running.wait_ready(self.running.instances[step.name], step.within)
+        self.active_fleet.wait_ready(self.active_fleet.instances[step.name], step.timeout_s)
 
-    @on.register
+    @run_step.register
     def _(self, step: steps.WaitExit) -> None:
-        process = self.running.processes[step.name]
+        process = self.active_fleet.processes[step.name]
         self._wait(step, f'exit of {step.name}', lambda: process.poll() is not None)
         if process.returncode != ExitStatus.SUCCESS:
             raise ScenarioFailed(f'line {step.line}: {step.name} ended with {process.returncode}')
-        del self.running.processes[step.name]
+        del self.active_fleet.processes[step.name]
 
-    @on.register
+    @run_step.register
     def _(self, step: steps.WaitInForce) -> None:
-        names = step.names or tuple(self.running.instances)
-        self._wait(step, 'in force', lambda: all(self._revision(n) >= self.accepted for n in names))
+        names = step.names or tuple(self.active_fleet.instances)
+        self._wait(
+            step,
+            'in force',
+            lambda: all(self._revision(n) >= self.accepted_revision for n in names),
+        )
 
     def _revision(self, name: str) -> int:
         try:
-            answer = fetch('GET', self.running.instances[name].host, ADMIN_PORT, '/readyz')
+            answer = fetch('GET', self.active_fleet.instances[name].host, ADMIN_PORT, '/readyz')
         except OSError:
             return -1
         return int(answer.json()['revision'])
 
-    @on.register
+    @run_step.register
     def _(self, step: steps.WaitVoters) -> None:
-        self._wait(step, 'voters', lambda: count_voters(self.running) >= step.count)
+        self._wait(step, 'voters', lambda: count_voters(self.active_fleet) >= step.count)
 
-    @on.register
+    @run_step.register
     def _(self, step: steps.WaitAnswers) -> None:
         assert self.callers is not None
         callers = self.callers
         target = len(find_right_records(callers.records)) + step.count
         self._wait(step, 'answers', lambda: len(find_right_records(callers.records)) >= target)
 
-    @on.register
+    @run_step.register
     def _(self, step: steps.WaitIdle) -> None:
         self._wait(step, f'{step.name} idle', lambda: self._is_idle(step.name))
 
     def _is_idle(self, name: str) -> bool:
-        before = self._begun(name)
-        time.sleep(IDLE_S)
-        self.started_when_idle[name] = self._begun(name)
+        before = self._count_started(name)
+        time.sleep(IDLE_CHECK_S)
+        self.started_when_idle[name] = self._count_started(name)
         return self.started_when_idle[name] == before
 
-    def _begun(self, name: str) -> int:
-        lines = read_executions(self.running.executions(name))
+    def _count_started(self, name: str) -> int:
+        lines = read_executions(self.active_fleet.executions(name))
         return sum(line['kind'] == 'begin' for line in lines)
 
     # Expectations.
 
-    @on.register
+    @run_step.register
     def _(self, step: steps.ExpectClean) -> None:
         assert self.callers is not None
-        found = summarize_fleet_run(self.running, self.callers.records)
-        self.say(f'   {found}')
+        found = summarize_fleet_run(self.active_fleet, self.callers.records)
+        self.report(f'   {found}')
         if not found.is_clean:
             bad = [item for item in self.callers.records if item.end is not CallOutcome.RIGHT]
             raise ScenarioFailed(f'line {step.line}: {found}: {bad[:5]}')
 
-    @on.register
+    @run_step.register
     def _(self, step: steps.ExpectUncut) -> None:
         assert self.callers is not None
         cut = [item for item in self.callers.records if item.cut_off]
         if cut:
             raise ScenarioFailed(f'line {step.line}: {len(cut)} requests were cut off: {cut[:3]}')
 
-    @on.register
+    @run_step.register
     def _(self, step: steps.ExpectNoLeader) -> None:
-        fleet = self.running
+        fleet = self.active_fleet
         headers = {'authorization': f'Bearer {fleet.admin_token}'}
         running = [entry for entry in fleet.entries if entry.name in fleet.processes]
-        for number in range(step.times):
+        for number in range(step.attempts):
             entry = running[number % len(running)]
             try:
-                answer = fetch('GET', entry.host, CALLERS_PORT, STATE, headers=headers)
+                answer = fetch('GET', entry.host, CALLERS_PORT, STATE_PATH, headers=headers)
             except ConnectionRefusedError:
                 time.sleep(POLL_S)
                 continue
             if answer.status == 200:
-                raise ScenarioFailed(f'line {step.line}: {entry.name} read from a leader')
+                raise ScenarioFailed(f'line {step.line}: {entry.name} answered a linearizable read')
 
-    @on.register
+    @run_step.register
     def _(self, step: steps.ExpectCopies) -> None:
-        stats = self.running.origin_stats()
-        sent = stats['draws'].get(f'{self.running.shape.model}/{step.version}', 0)
-        copies = sent / self.running.options.model_bytes
-        holds = copies <= step.copies if step.operator == '<=' else copies >= step.copies
-        if not holds:
+        stats = self.active_fleet.origin_stats()
+        sent = stats['draws'].get(f'{self.active_fleet.shape.model}/{step.version}', 0)
+        copies = sent / self.active_fleet.options.model_bytes
+        is_met = copies <= step.copies if step.operator == '<=' else copies >= step.copies
+        if not is_met:
             raise ScenarioFailed(f'line {step.line}: the origin sent {copies:.3f} copies')
 
-    @on.register
+    @run_step.register
     def _(self, step: steps.ExpectAnswer) -> None:
         assert self.answer is not None
         found = (str(self.answer.status), self.answer.headers.get('millfork-reason', ''))
         if step.answer not in found:
             raise ScenarioFailed(f'line {step.line}: the answer was {found}')
 
-    @on.register
+    @run_step.register
     def _(self, step: steps.ExpectNewWork) -> None:
-        new = self._begun(step.name) - self.started_when_idle[step.name]
-        if new > step.most:
-            raise ScenarioFailed(f'line {step.line}: {step.name} began {new} more requests')
+        new = self._count_started(step.name) - self.started_when_idle[step.name]
+        if new > step.max_requests:
+            raise ScenarioFailed(f'line {step.line}: {step.name} started {new} more requests')
--- a/packages/millfork-standins/millfork_standins/scenario/steps.py
+++ b/packages/millfork-standins/millfork_standins/scenario/steps.py
@@ -1,5 +1,5 @@
 """
-Steps of a scenario, typed.
+Types of the steps of a scenario.
 
 """
 
@@ -9,7 +9,7 @@
 @dataclass(frozen=True, slots=True)
 class Step:
     """
-    Base of all steps; `line` is where it stands in the file.
+    Base of all steps; `line` is its line number in the file.
 
     """
 
@@ -19,7 +19,7 @@
 @dataclass(frozen=True, slots=True)
 class MakeFleet(Step):
     """
-    Lay out a fleet of a deployment's shape with options.
+    Create a fleet with a deployment's shape and options.
 
     """
 
@@ -47,85 +47,85 @@
 
 @dataclass(frozen=True, slots=True)
 class StartInstance(OnProcess):
-    """Start a daemon again."""
+    """Start a daemon, or a back end (`NAME.backend`)."""
 
 
 @dataclass(frozen=True, slots=True)
 class Stop(OnProcess):
-    """Send the stop signal; go on at once."""
+    """Send SIGTERM to a process without waiting for its end."""
 
 
 @dataclass(frozen=True, slots=True)
 class Kill(OnProcess):
-    """End a process at once."""
+    """Send SIGKILL to a process."""
 
 
 @dataclass(frozen=True, slots=True)
 class Freeze(OnProcess):
-    """Halt a process without its knowing."""
+    """Send SIGSTOP to a process."""
 
 
 @dataclass(frozen=True, slots=True)
 class Thaw(OnProcess):
-    """Let a frozen process go on."""
+    """Send SIGCONT to a process."""
 
 
 @dataclass(frozen=True, slots=True)
 class LoseDisk(OnProcess):
-    """Remove all files of a stopped daemon."""
+    """Remove the data folder of a stopped daemon."""
 
 
 @dataclass(frozen=True, slots=True)
 class TearLog(OnProcess):
-    """Cut the end of a stopped replica's log."""
+    """Remove the last bytes of a stopped replica's log."""
 
 
 @dataclass(frozen=True, slots=True)
 class Leave(OnProcess):
-    """Put an instance on the platform's list as leaving."""
+    """Mark an instance as leaving in the platform's list."""
 
 
 @dataclass(frozen=True, slots=True)
 class Deafen(OnProcess):
-    """Let an instance hear of no change of the platform's list."""
+    """Show an instance no further changes of the platform's list."""
 
 
 @dataclass(frozen=True, slots=True)
 class Cut(Step):
-    """Cut these pairs of zones, join all others."""
+    """Cut the links between these pairs of zones and restore all others."""
 
     pairs: tuple[tuple[int, int], ...]
 
 
 @dataclass(frozen=True, slots=True)
 class StallLinks(Step):
-    """Let no bytes pass between these pairs of zones."""
+    """Stop the traffic between these pairs of zones; connections stay open."""
 
     pairs: tuple[tuple[int, int], ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Heal(Step):
-    """Join all zones."""
+    """Restore the links between all zones."""
 
 
 @dataclass(frozen=True, slots=True)
 class Corrupt(Step):
-    """Let this share of the origin's chunks be corrupt."""
+    """Corrupt this share of the chunks that the origin sends."""
 
     share: float
 
 
 @dataclass(frozen=True, slots=True)
 class StallOrigin(Step):
-    """Let the origin send nothing, or send again."""
+    """Stop the origin from sending, or let it send again."""
 
     stalled: bool
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeVersion(Step):
-    """Let the origin have other bytes under a version's name."""
+    """Replace the bytes of a version at the origin."""
 
     version: str
     seed: int
@@ -145,14 +145,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ApplyMany(Step):
-    """Apply so many small changes, one after the other."""
+    """Apply `count` changes of a label in sequence."""
 
     count: int
 
 
 @dataclass(frozen=True, slots=True)
 class StartCallers(Step):
-    """Start callers, of all kinds or of those named."""
+    """Start callers with requests of all kinds or of the named ones."""
 
     count: int
     kinds: tuple[str, ...]
@@ -165,7 +165,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Call(Step):
-    """Ask once, of one entry, and keep the answer."""
+    """Send one request to an entry and store the answer."""
 
     kind: str
     entry: str
@@ -173,14 +173,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Wait(Step):
-    """Base of all waits: `within` is the bound, in seconds."""
+    """Base of all waits."""
 
-    within: float
+    timeout_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class WaitServing(Wait):
-    """Until a version serves on so many endpoints."""
+    """Wait until `count` endpoints serve a version."""
 
     version: str
     count: int
@@ -188,66 +188,66 @@
 
 @dataclass(frozen=True, slots=True)
 class WaitReady(Wait):
-    """Until a daemon is ready."""
+    """Wait until a daemon is ready."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class WaitExit(Wait):
-    """Until a daemon that was told to stop has ended well."""
+    """Wait until a stopping daemon has ended; its exit status must be 0."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class WaitInForce(Wait):
-    """Until the last accepted revision is in force, on all or on those named."""
+    """Wait until the last accepted revision is in force on all or on the named instances."""
 
     names: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class WaitVoters(Wait):
-    """Until so many running replicas are voters."""
+    """Wait until `count` running replicas are voters."""
 
     count: int
 
 
 @dataclass(frozen=True, slots=True)
 class WaitAnswers(Wait):
-    """Until the callers have had so many more answers."""
+    """Wait until the callers have received `count` more right answers."""
 
     count: int
 
 
 @dataclass(frozen=True, slots=True)
 class WaitIdle(Wait):
-    """Until an endpoint begins nothing new for half a second."""
+    """Wait until an endpoint has started no request for half a second."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class ExpectClean(Step):
-    """No answer wrong, mixed, lost or doubled, and at least one right."""
+    """Expect at least one right answer, and none wrong, mixed, lost, doubled or missing."""
 
 
 @dataclass(frozen=True, slots=True)
 class ExpectUncut(Step):
-    """No caller's connection ended without a whole answer."""
+    """Expect that no connection of a caller ended without a whole answer."""
 
 
 @dataclass(frozen=True, slots=True)
 class ExpectNoLeader(Step):
-    """A linearizable read is refused, asked so many times in a row."""
+    """Expect that `attempts` linearizable reads in a row are refused."""
 
-    times: int
+    attempts: int
 
 
 @dataclass(frozen=True, slots=True)
 class ExpectCopies(Step):
-    """Copies of a version that the origin sent."""
+    """Compare the copies of a version that the origin sent with a number."""
 
     version: str
     operator: str
@@ -256,14 +256,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ExpectAnswer(Step):
-    """The kept answer's status or reason."""
+    """Expect this status or reason in the stored answer."""
 
     answer: str
 
 
 @dataclass(frozen=True, slots=True)
 class ExpectNewWork(Step):
-    """Most requests an endpoint began since it was last found idle."""
+    """Expect that an endpoint started at most `max_requests` requests since `wait idle`."""
 
     name: str
-    most: int
+    max_requests: int
--- a/packages/millfork-standins/millfork_standins/seeded.py
+++ b/packages/millfork-standins/millfork_standins/seeded.py
@@ -1,9 +1,8 @@
 """
-A seeded fleet of real processes on loopback addresses, for tests.
+A fleet of processes on loopback addresses that starts from configured replica addresses.
 
-Daemons are started with `deploy/millforkd.py` from settings as the platform writes
-them; the operator and the back ends are stand-ins
-that speak through the adapter's own names.
+The daemons are started with `deploy/millforkd.py` from settings as the platform writes them. The
+operator and the back ends are stand-ins that use the header names of the platform's adapter.
 
 """
 
@@ -38,17 +37,17 @@
 READY_PORT: Final = 8002
 ENGINE_PORT: Final = 8001
 HEARTBEAT_S: Final = 0.3
-BOUND_S: Final = 20.0
+WAIT_TIMEOUT_S: Final = 20.0
 CALL_TIMEOUT_S: Final = 5.0
 LOAD_THREADS: Final = 32
-# A request that says this ends each back end that runs it.
+# A request with this body crashes the back end that runs it.
 CRASHING_BODY: Final = b'this ends the back end that runs it'
 
 
 @dataclass(slots=True)
 class Reply:
     """
-    An answer as a caller sees it; status 0 where there is none.
+    An answer as a caller sees it; status 0 if none arrived.
 
     """
 
@@ -59,7 +58,7 @@
 
 def call(host: str, port: int, request: Request) -> Reply:
     """
-    Send one request on a connection of its own.
+    Send one request on a new connection.
 
     """
     connection = HTTPConnection(host, port, timeout=CALL_TIMEOUT_S)
@@ -80,19 +79,19 @@
     server: 'BackEnd'
 
     def do_GET(self) -> None:
-        self._answer()
+        self._handle_request()
 
     def do_POST(self) -> None:
-        self._answer()
+        self._handle_request()
 
-    def _answer(self) -> None:
-        asked = self.rfile.read(int(self.headers.get('content-length', 0)))
+    def _handle_request(self) -> None:
+        request_body = self.rfile.read(int(self.headers.get('content-length', 0)))
         self.server.arrived_at.append(time.monotonic())
         turns_away = self.server.turns_away
         if not turns_away:
             headers = {key.lower(): value for key, value in self.headers.items()}
             self.server.executed.append(headers)
-        if asked == CRASHING_BODY:
+        if request_body == CRASHING_BODY:
             self.close_connection = True
             self.server.crash_request_count += 1
             time.sleep(self.server.crash_delay_s)
@@ -110,7 +109,7 @@
             self.close_connection = True
             self.connection.shutdown(socket.SHUT_RDWR)
             return
-        self.server.release.wait(BOUND_S)
+        self.server.release.wait(WAIT_TIMEOUT_S)
         body = b'answer'
         time.sleep(self.server.service_time_s)
         self.send_response(200)
@@ -131,8 +130,8 @@
 
 class BackEnd(ThreadingHTTPServer):
     """
-    A plain service's server: it notes what it runs, and sends heartbeats to
-    whichever replica takes them.
+    A server of a plain service that records the requests it executes and sends heartbeats to
+    the first replica that accepts them.
 
     """
 
@@ -143,46 +142,46 @@
         self.service = service
         self.instance = instance
         self.fleet = fleet
-        # Where callers reach it, if not at its own address.
+        # Address in the leases, if it differs from the listening address.
         self.advertised: tuple[str, int] | None = None
         self.state = LeaseState.READY
         self.sequence = 0
         self.executed: list[dict[str, str]] = []
-        # Of each request, in monotonic seconds.
+        # Arrival time of each request, in monotonic seconds.
         self.arrived_at: list[float] = []
-        # Requests that end it, and how long it works on one.
+        # Number of requests that crash this back end, and time until the crash.
         self.crash_request_count = 0
         self.crash_delay_s = 0.0
-        # What it says of itself in the heads of all answers.
+        # Headers added to all answers.
         self.extra_headers: dict[str, str] = {}
         self.service_time_s = 0.0
         self.drops_requests = False
-        # How long after its connections its address closes when it crashes.
+        # Time between the close of the connections and of the listening address in a crash.
         self.address_close_delay_s = 0.0
-        # Answers at once that it does not run the request.
+        # Answers all requests with 503 and the header that they were not run.
         self.turns_away = False
         self.release = threading.Event()
         self.release.set()
         self.ended = threading.Event()
-        self.open: set[socket.socket] = set()
+        self.open_connections: set[socket.socket] = set()
         threading.Thread(target=self.serve_forever, daemon=True).start()
-        threading.Thread(target=self._beat, daemon=True).start()
+        threading.Thread(target=self._send_heartbeats, daemon=True).start()
 
     def get_request(self) -> tuple[socket.socket, Any]:
         """
-        Take a connection, and remember it. One that ends leaves it without an answer.
+        Accept a connection and store it; a crashed back end leaves it unanswered.
 
         """
         sock, address = super().get_request()
-        self.open.add(sock)
+        self.open_connections.add(sock)
         if self.ended.is_set():
-            raise OSError('nobody takes connections any more')
+            raise OSError('the back end has ended and accepts no connections')
         return sock, address
 
     def crash(self) -> None:
         """
-        End as a process does: all connections and the address at once, or the address some
-        time later, and no word to anyone.
+        End like a crashing process: all connections close without an answer, and the listening
+        address closes with them or `address_close_delay_s` later.
 
         """
         self.ended.set()
@@ -200,18 +199,18 @@
 
     def _close_address(self) -> None:
         if self.socket.fileno() < 0:
-            # The test is over.
+            # `end` closed it already.
             return
-        # Closed alone, it went on taking connections while another thread polls it.
+        # Without the shutdown it accepts connections as long as another thread polls it.
         self.socket.shutdown(socket.SHUT_RDWR)
         self.socket.close()
 
     def _close_connections(self) -> None:
-        for sock in list(self.open):
+        for sock in list(self.open_connections):
             try:
                 sock.shutdown(socket.SHUT_RDWR)
             except OSError:
-                # Its caller closed it before.
+                # The caller closed it already.
                 continue
 
     def _lease(self) -> Lease:
@@ -221,7 +220,7 @@
 
     def heartbeat(self) -> bool:
         """
-        Send one heartbeat; True once a replica acknowledged it.
+        Send one heartbeat; True if a replica acknowledged it.
 
         """
         request = standins.heartbeat(self._lease())
@@ -231,7 +230,7 @@
 
     def max_arrivals_within(self, seconds: float, since: float) -> int:
         """
-        The most requests that came in any so many seconds, from a moment on.
+        The highest number of requests that arrived in any interval of `seconds` after `since`.
 
         """
         times = [at for at in list(self.arrived_at) if at >= since]
@@ -239,26 +238,26 @@
             (bisect_left(times, at + seconds) - first for first, at in enumerate(times)), default=0
         )
 
-    def _beat(self) -> None:
+    def _send_heartbeats(self) -> None:
         while not self.ended.wait(HEARTBEAT_S):
             self.heartbeat()
 
     def handle_error(self, request: object, client_address: object) -> None:
         """
-        Entries reset what they gave up; that is no fault of the stand-in.
+        Ignore errors: entries reset the connections of requests that they cancel.
 
         """
 
     def executed_ids(self) -> list[str]:
         """
-        The ids of the requests that it ran.
+        The ids of the executed requests.
 
         """
         return [headers[standins.REQUEST_ID] for headers in list(self.executed)]
 
     def drain(self) -> bool:
         """
-        Say 'draining'; True once that is acknowledged.
+        Send a heartbeat with the state 'draining'; True if a replica acknowledged it.
 
         """
         self.state = LeaseState.DRAINING
@@ -273,7 +272,7 @@
 
 class SeededFleet:
     """
-    Replicas and entries, by host.
+    The replicas, entries, endpoint daemons and back ends of one fleet.
 
     """
 
@@ -286,14 +285,14 @@
         endpoints: int = 0,
     ) -> None:
         self.folder = folder
-        # For how long an older version of weights may be begun on.
+        # Time during which requests may still be started on an older version of weights.
         self.version_ms = version_ms
-        # Fleets of tests that run at the same time need addresses of their own.
+        # Tests that run at the same time need different addresses.
         network = f'127.{100 + os.getpid() % 100}'
         self.replica_hosts = [f'{network}.1.{number}' for number in range(1, replicas + 1)]
         self.entry_hosts = [f'{network}.2.{number}' for number in range(1, entries + 1)]
         self.back_end_host = f'{network}.3.1'
-        # Endpoint daemons; nothing answers as the engine beside them.
+        # Endpoint daemons; no engine runs beside them.
         self.endpoint_hosts = [f'{network}.4.{number}' for number in range(1, endpoints + 1)]
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         self.back_ends: list[BackEnd] = []
@@ -304,7 +303,7 @@
 
     def start_one(self, host: str, first_start: bool = False) -> None:
         """
-        Start the process of one host with settings written anew.
+        Write the settings of one host and start its process.
 
         """
         path = self.folder / f'{host}.yaml'
@@ -343,8 +342,8 @@
     def log(self, host: str) -> str:
         return (self.folder / f'{host}.log').read_text()
 
-    def signal(self, host: str, number: signal.Signals) -> None:
-        self.processes[host].send_signal(number)
+    def signal(self, host: str, signal_number: signal.Signals) -> None:
+        self.processes[host].send_signal(signal_number)
 
     def kill(self, host: str) -> None:
         process = self.processes.pop(host)
@@ -352,19 +351,19 @@
         process.wait()
 
     def add_back_end(self, service: str, instance: str) -> BackEnd:
-        made = BackEnd(self.back_end_host, service, instance, self)
-        self.back_ends.append(made)
-        return made
+        back_end = BackEnd(self.back_end_host, service, instance, self)
+        self.back_ends.append(back_end)
+        return back_end
 
     def control(self, request: Request) -> Reply:
         """
-        Send an operator's call to one replica after another until one takes
-        it, as operators do.
+        Send an operator's request to the replicas in turn until one answers with a status
+        between 200 and 499; return the last reply at a timeout.
 
         """
-        until = time.monotonic() + BOUND_S
+        deadline = time.monotonic() + WAIT_TIMEOUT_S
         reply = Reply(0)
-        while time.monotonic() < until:
+        while time.monotonic() < deadline:
             for host in self.replica_hosts:
                 reply = call(host, CONTROL_PORT, request)
                 if 200 <= reply.status < 500:
@@ -377,25 +376,25 @@
 
     def ask(self, request: Request, entry: int = 0) -> Reply:
         """
-        A caller's request to one entry.
+        Send a caller's request to one entry.
 
         """
         return call(self.entry_hosts[entry], CALLERS_PORT, request)
 
     def load(self, make: Callable[[], Request], per_s: float, seconds: float) -> list[Reply]:
         """
-        Callers' requests at an even pace, spread over the entries; their answers.
+        Send requests at a constant rate to the entries in turn and return the replies.
 
         """
-        began = time.monotonic()
+        started_at = time.monotonic()
         pause = threading.Event()
         with ThreadPoolExecutor(LOAD_THREADS) as pool:
             replies = []
             for number in itertools.count():
-                due = began + number / per_s
-                if due > began + seconds:
+                due_at = started_at + number / per_s
+                if due_at > started_at + seconds:
                     break
-                pause.wait(max(due - time.monotonic(), 0))
+                pause.wait(max(due_at - time.monotonic(), 0))
                 replies.append(pool.submit(self.ask, make(), number % len(self.entry_hosts)))
             return [reply.result() for reply in replies]
 
--- a/packages/millfork-standins/millfork_standins/service.py
+++ b/packages/millfork-standins/millfork_standins/service.py
@@ -1,5 +1,5 @@
 """
-A plain service: answers with what it was asked, and logs what it ran.
+A stand-in of a plain service that echoes requests and logs their execution.
 
 """
 
@@ -17,19 +17,19 @@
 
 class Service:
     """
-    One plain service process.
+    One plain service process; with `turns_away` it answers all requests with 503.
 
     """
 
     def __init__(self, settings: ServiceSettings) -> None:
         self.settings = settings
         self.log = ExecutionLog(settings.log)
-        self.server = Server(*settings.listen.pair, self.answer)
+        self.server = Server(*settings.listen.pair, self.handle)
 
     async def run(self) -> None:
         await self.server.run()
 
-    async def answer(self, exchange: Exchange) -> None:
+    async def handle(self, exchange: Exchange) -> None:
         request = exchange.request
         request_id = request.header('x-request-id')
         nonce = request.header('nonce')
--- a/packages/millfork-standins/millfork_standins/settings.py
+++ b/packages/millfork-standins/millfork_standins/settings.py
@@ -13,7 +13,7 @@
 
 class EngineSettings(Strict):
     """
-    A model engine.
+    Settings of a model engine.
 
     """
 
@@ -29,29 +29,29 @@
     load_lag_ms: float = 200
     event_lag_ms: float = 500
     event_gap_share: float = 0.1
-    # How long it works on a request that ends it, and how long after its connections its
-    # address closes then.
+    # Time that the engine works on a request that crashes it, and time between the close of its
+    # connections and the close of its listening address.
     crash_after_ms: float = 200
     closes_after_ms: float = 0
 
 
 class ServiceSettings(Strict):
     """
-    A plain service.
+    Settings of a plain service.
 
     """
 
     listen: Address
     log: Path
     answer_ms: float = 5
-    # Answers at once that it takes nothing, without a word for how long.
+    # Answers all requests with 503 immediately, without a retry-after time.
     turns_away: bool = False
 
 
 class VersionSettings(Strict):
     """
-    One version that the origin has; `kept` is the share of its bytes that
-    are those of `base`, another version of the same model.
+    One version at the origin; `kept` is the share of its bytes taken from `base`, another
+    version of the same model.
 
     """
 
@@ -65,7 +65,7 @@
 
 class OriginSettings(Strict):
     """
-    The origin of weights.
+    Settings of the origin of weights.
 
     """
 
@@ -77,7 +77,7 @@
 
 class PlatformSettings(Strict):
     """
-    The platform's instance list.
+    Settings of the platform's instance list.
 
     """
 
@@ -87,8 +87,7 @@
 
 class RelaySettings(Strict):
     """
-    A proxy between zones that can cut them; it knows an address's zone by
-    its third number.
+    Settings of the proxy between zones. The third number of an address is its zone.
 
     """
 
--- a/packages/millfork-standins/millfork_standins/versions.py
+++ b/packages/millfork-standins/millfork_standins/versions.py
@@ -1,5 +1,5 @@
 """
-What the answers of a version must look like, learned from the origin.
+Ids and keys of versions, by which callers check answers, read from the origin.
 
 """
 
@@ -17,8 +17,8 @@
 @dataclass(frozen=True, slots=True)
 class KnownVersion:
     """
-    A version's id in answers, the digest of its weights, and the key of an
-    engine that loaded them alone.
+    The id of a version in answers, the digest of its weights, and the key of an engine that
+    loaded no other weights.
 
     """
 
@@ -29,7 +29,7 @@
 
 def learn_version(fleet: Fleet, version: str, model: str = '') -> KnownVersion:
     """
-    The version as the origin has it at this moment.
+    Read the version's current manifest from the origin.
 
     """
     path = f'/models/{model or fleet.shape.model}/{version}/manifest'
--- a/packages/millfork-standins/millfork_standins/weights.py
+++ b/packages/millfork-standins/millfork_standins/weights.py
@@ -1,5 +1,5 @@
 """
-Made-up weights, the same for the same seed.
+Generated weights, determined by their seed, and the tokens computed from them.
 
 """
 
@@ -11,22 +11,22 @@
 
 def make_weights(spec: VersionSettings, base: bytes = b'', chunk_bytes: int = 1) -> bytes:
     """
-    The bytes of a version; its first chunks are those of `base`.
+    Generate the bytes of a version; its first chunks are copied from `base`.
 
     """
-    fresh = random.Random(f'{spec.name}/{spec.version}/{spec.seed}').randbytes(spec.size)
+    generated = random.Random(f'{spec.name}/{spec.version}/{spec.seed}').randbytes(spec.size)
     if not base:
-        return fresh
-    kept = int(len(base) * spec.kept) // chunk_bytes * chunk_bytes
-    return base[:kept] + fresh[kept:]
+        return generated
+    base_bytes = int(len(base) * spec.kept) // chunk_bytes * chunk_bytes
+    return base[:base_bytes] + generated[base_bytes:]
 
 
-def weights_key(wholes: list[str]) -> str:
+def weights_key(part_digests: list[str]) -> str:
     """
-    One key for a set of weights, made of the digests of its parts.
+    Derive the key of a set of weights from the digests of its parts.
 
     """
-    return digest_of('+'.join(wholes).encode())
+    return digest_of('+'.join(part_digests).encode())
 
 
 def token(key: str, prompt: str, position: int) -> str:
