--- a/packages/millfork-standins/millfork_standins/callers.py
+++ b/packages/millfork-standins/millfork_standins/callers.py
@@ -62,7 +62,7 @@
 
     kind: RequestKind
     nonce: str
-    end: CallOutcome
+    outcome: CallOutcome
     version: str = ''
     sendings: int = 1
     cut_off: int = 0
@@ -165,18 +165,18 @@
         if answer.status != 200:
             record.detail = f'{answer.status} {answer.headers.get("millfork-reason")}'
             verdict = answer.headers.get('millfork-verdict')
-            record.end = CallOutcome.LOST
+            record.outcome = CallOutcome.LOST
             if kind is RequestKind.FILING:
-                record.end = (
+                record.outcome = (
                     CallOutcome.NOT_RUN if verdict == 'not_run' else CallOutcome.TOLD_UNKNOWN
                 )
             return False
         if kind in (RequestKind.READ, RequestKind.FILING):
             right = answer.json().get('nonce') == record.nonce
-            record.end = CallOutcome.RIGHT if right else CallOutcome.WRONG
+            record.outcome = CallOutcome.RIGHT if right else CallOutcome.WRONG
             return True
         record.version = answer.headers.get('millfork-version', '')
-        record.end = self._check_tokens(record, kind, prompt, answer)
+        record.outcome = self._check_tokens(record, kind, prompt, answer)
         return True
 
     def _check_tokens(
--- a/packages/millfork-standins/millfork_standins/demo.py
+++ b/packages/millfork-standins/millfork_standins/demo.py
@@ -19,7 +19,7 @@
 from millfork_standins.fleet import Fleet
 from millfork_standins.layout import FleetError, FleetOptions
 from millfork_standins.run_summary import summarize_fleet_run
-from millfork_standins.versions import learn_version
+from millfork_standins.versions import fetch_version
 
 FLAGS: Final = flags.FLAGS
 ROLLOUT_TIMEOUT_S: Final = 60
@@ -42,7 +42,7 @@
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
-        self.versions = {name: learn_version(fleet, name) for name in ('v1', 'v2')}
+        self.versions = {name: fetch_version(fleet, name) for name in ('v1', 'v2')}
         keys = {version.id: version.key for version in self.versions.values()}
         self.callers = Callers(fleet, keys)
 
@@ -120,9 +120,13 @@
 
     def _summary(self, replicas: int, first_s: float, second_s: float) -> dict[str, Any]:
         records = self.callers.records
-        for item in records:
-            if item.end not in (CallOutcome.RIGHT, CallOutcome.TOLD_UNKNOWN, CallOutcome.NOT_RUN):
-                report(f'  {item}')
+        for record in records:
+            if record.outcome not in (
+                CallOutcome.RIGHT,
+                CallOutcome.TOLD_UNKNOWN,
+                CallOutcome.NOT_RUN,
+            ):
+                report(f'  {record}')
         return {
             'deployment': self.fleet.shape.name,
             'replicas': replicas,
--- a/packages/millfork-standins/millfork_standins/examples.py
+++ b/packages/millfork-standins/millfork_standins/examples.py
@@ -36,7 +36,7 @@
     }
 
 
-def examples(shape: Shape) -> dict[str, dict[str, Any]]:
+def build_examples(shape: Shape) -> dict[str, dict[str, Any]]:
     """
     Settings by file name: entries with and without a disk, endpoints of an engine and of a
     plain service, and a declaration.
@@ -96,13 +96,13 @@
     }
 
 
-def write(folder: Path) -> None:
+def write_examples(folder: Path) -> None:
     for shape in SHAPES.values():
         target = folder / shape.name
         target.mkdir(parents=True, exist_ok=True)
-        for name, content in examples(shape).items():
+        for name, content in build_examples(shape).items():
             (target / name).write_text(yaml.safe_dump(content, sort_keys=False))
 
 
 if __name__ == '__main__':
-    write(FOLDER)
+    write_examples(FOLDER)
--- a/packages/millfork-standins/millfork_standins/run_summary.py
+++ b/packages/millfork-standins/millfork_standins/run_summary.py
@@ -42,18 +42,20 @@
     Count the outcomes and compare the filings with the executions.
 
     """
-    outcomes = Counter(item.end for item in records)
+    outcomes = Counter(record.outcome for record in records)
     executions_by_nonce: Counter[str] = Counter()
     for line in executions:
         if line['kind'] == 'begin' and line.get('method') == 'POST':
             executions_by_nonce[line['nonce']] += 1
-    filings = [item for item in records if item.kind is RequestKind.FILING]
+    filings = [record for record in records if record.kind is RequestKind.FILING]
     executed_after_not_run = sum(
-        item.end is CallOutcome.NOT_RUN and item.nonce in executions_by_nonce for item in filings
+        record.outcome is CallOutcome.NOT_RUN and record.nonce in executions_by_nonce
+        for record in filings
     )
     executed_twice = sum(count > 1 for count in executions_by_nonce.values())
     missing = sum(
-        item.end is CallOutcome.RIGHT and item.nonce not in executions_by_nonce for item in filings
+        record.outcome is CallOutcome.RIGHT and record.nonce not in executions_by_nonce
+        for record in filings
     )
     return RunSummary(
         len(records),
--- a/packages/millfork-standins/millfork_standins/scenario/fleet_status.py
+++ b/packages/millfork-standins/millfork_standins/scenario/fleet_status.py
@@ -15,7 +15,7 @@
 
 
 def find_right_records(records: list[CallRecord]) -> list[CallRecord]:
-    return [item for item in records if item.end is CallOutcome.RIGHT]
+    return [record for record in records if record.outcome is CallOutcome.RIGHT]
 
 
 def set_option(options: FleetOptions, name: str, value: str) -> None:
--- a/packages/millfork-standins/millfork_standins/scenario/runner.py
+++ b/packages/millfork-standins/millfork_standins/scenario/runner.py
@@ -26,7 +26,7 @@
     set_option,
 )
 from millfork_standins.scenario.steps import Step
-from millfork_standins.versions import learn_version
+from millfork_standins.versions import fetch_version
 
 POLL_S: Final = 0.05
 IDLE_CHECK_S: Final = 0.5
@@ -56,7 +56,7 @@
         self.keys: dict[str, str] = {}
         self.version_ids: dict[str, str] = {}
         self.accepted_revision = 0
-        self.answer: Answer | None = None
+        self.last_answer: Answer | None = None
         self.started_when_idle: dict[str, int] = {}
         self.stopping: set[str] = set()
 
@@ -195,9 +195,9 @@
 
     @run_step.register
     def _(self, step: steps.Apply) -> None:
-        known = learn_version(self.active_fleet, step.version)
-        self.keys[known.id] = known.key
-        self.version_ids[step.version] = known.id
+        known_version = fetch_version(self.active_fleet, step.version)
+        self.keys[known_version.id] = known_version.key
+        self.version_ids[step.version] = known_version.id
         self._apply(step, 'deployment.yaml', self.active_fleet.deployment_declaration(step.version))
 
     @run_step.register
@@ -234,14 +234,16 @@
         fleet = self.active_fleet
         callers = Callers(fleet, self.keys)
         entry = fleet.instances[step.entry]
-        self.answer = callers.send(entry, RequestKind(step.kind), f'call-{step.line}', 'one call')
+        self.last_answer = callers.send(
+            entry, RequestKind(step.kind), f'call-{step.line}', 'one call'
+        )
 
     # Waits.
 
     def _serving(self, version: str) -> int:
         rows = fetch_rollouts(self.active_fleet)
-        found = [row['serving'] for row in rows if row['version'] == self.version_ids[version]]
-        return found[0] if found else 0
+        counts = [row['serving'] for row in rows if row['version'] == self.version_ids[version]]
+        return counts[0] if counts else 0
 
     @run_step.register
     def _(self, step: steps.WaitServing) -> None:
@@ -306,16 +308,18 @@
     @run_step.register
     def _(self, step: steps.ExpectClean) -> None:
         assert self.callers is not None
-        found = summarize_fleet_run(self.active_fleet, self.callers.records)
-        self.report(f'   {found}')
-        if not found.is_clean:
-            bad = [item for item in self.callers.records if item.end is not CallOutcome.RIGHT]
-            raise ScenarioFailed(f'line {step.line}: {found}: {bad[:5]}')
+        summary = summarize_fleet_run(self.active_fleet, self.callers.records)
+        self.report(f'   {summary}')
+        if not summary.is_clean:
+            bad = [
+                record for record in self.callers.records if record.outcome is not CallOutcome.RIGHT
+            ]
+            raise ScenarioFailed(f'line {step.line}: {summary}: {bad[:5]}')
 
     @run_step.register
     def _(self, step: steps.ExpectUncut) -> None:
         assert self.callers is not None
-        cut = [item for item in self.callers.records if item.cut_off]
+        cut = [record for record in self.callers.records if record.cut_off]
         if cut:
             raise ScenarioFailed(f'line {step.line}: {len(cut)} requests were cut off: {cut[:3]}')
 
@@ -345,10 +349,13 @@
 
     @run_step.register
     def _(self, step: steps.ExpectAnswer) -> None:
-        assert self.answer is not None
-        found = (str(self.answer.status), self.answer.headers.get('millfork-reason', ''))
-        if step.answer not in found:
-            raise ScenarioFailed(f'line {step.line}: the answer was {found}')
+        assert self.last_answer is not None
+        actual = (
+            str(self.last_answer.status),
+            self.last_answer.headers.get('millfork-reason', ''),
+        )
+        if step.answer not in actual:
+            raise ScenarioFailed(f'line {step.line}: the answer was {actual}')
 
     @run_step.register
     def _(self, step: steps.ExpectNewWork) -> None:
--- a/packages/millfork-standins/millfork_standins/seeded.py
+++ b/packages/millfork-standins/millfork_standins/seeded.py
@@ -299,9 +299,9 @@
 
     def start(self) -> None:
         for host in (*self.replica_hosts, *self.entry_hosts, *self.endpoint_hosts):
-            self.start_one(host, first_start=True)
+            self.start_process(host, first_start=True)
 
-    def start_one(self, host: str, first_start: bool = False) -> None:
+    def start_process(self, host: str, first_start: bool = False) -> None:
         """
         Write the settings of one host and start its process.
 
@@ -371,17 +371,17 @@
             time.sleep(HEARTBEAT_S)
         return reply
 
-    def put(self, document: Document) -> Reply:
+    def put_document(self, document: Document) -> Reply:
         return self.control(standins.put_document(document))
 
-    def ask(self, request: Request, entry: int = 0) -> Reply:
+    def send_request(self, request: Request, entry: int = 0) -> Reply:
         """
         Send a caller's request to one entry.
 
         """
         return call(self.entry_hosts[entry], CALLERS_PORT, request)
 
-    def load(self, make: Callable[[], Request], per_s: float, seconds: float) -> list[Reply]:
+    def send_load(self, make: Callable[[], Request], per_s: float, seconds: float) -> list[Reply]:
         """
         Send requests at a constant rate to the entries in turn and return the replies.
 
@@ -395,7 +395,9 @@
                 if due_at > started_at + seconds:
                     break
                 pause.wait(max(due_at - time.monotonic(), 0))
-                replies.append(pool.submit(self.ask, make(), number % len(self.entry_hosts)))
+                replies.append(
+                    pool.submit(self.send_request, make(), number % len(self.entry_hosts))
+                )
             return [reply.result() for reply in replies]
 
     def close(self) -> None:
--- a/packages/millfork-standins/millfork_standins/soak/callers.py
+++ b/packages/millfork-standins/millfork_standins/soak/callers.py
@@ -121,7 +121,7 @@
 
         """
         self.version += 1
-        if self.fleet.put(document(self.version)).status != 200:
+        if self.fleet.put_document(document(self.version)).status != 200:
             return False
         self.acknowledged = self.version
         return True
--- a/packages/millfork-standins/millfork_standins/soak/run.py
+++ b/packages/millfork-standins/millfork_standins/soak/run.py
@@ -216,7 +216,7 @@
         if fault.kind is FaultKind.LOSE_DISK:
             shutil.rmtree(self.fleet.folder / host, ignore_errors=True)
         time.sleep(fault.for_s)
-        self.fleet.start_one(host)
+        self.fleet.start_process(host)
 
     def _stop_planned(self, host: str) -> None:
         process = self.fleet.processes.pop(host)
@@ -249,7 +249,7 @@
         for host, process in list(self.fleet.processes.items()):
             if host not in self.struck and process.poll() is not None:
                 self.broken.append(f'{host} ended by itself with {process.returncode}')
-                self.fleet.start_one(host)
+                self.fleet.start_process(host)
 
     def _holds(self, condition: Callable[[], bool], within_s: float) -> bool:
         until = time.monotonic() + within_s
--- a/packages/millfork-standins/millfork_standins/versions.py
+++ b/packages/millfork-standins/millfork_standins/versions.py
@@ -27,7 +27,7 @@
     key: str
 
 
-def learn_version(fleet: Fleet, version: str, model: str = '') -> KnownVersion:
+def fetch_version(fleet: Fleet, version: str, model: str = '') -> KnownVersion:
     """
     Read the version's current manifest from the origin.
 
--- a/tests/test_asked_for_rest.py
+++ b/tests/test_asked_for_rest.py
@@ -31,7 +31,7 @@
     resting.extra_headers = {standins.RETRY_AFTER: str(REST_S)}
     resting.turns_away = True
     began = time.monotonic()
-    replies = fleet.load(lambda: request('/safe/x'), LOAD_PER_S, LOAD_S)
+    replies = fleet.send_load(lambda: request('/safe/x'), LOAD_PER_S, LOAD_S)
     since, until = began + ALL_TOLD_S + HEEDED_S, began + REST_S
     assert sum(since < at < until for at in resting.arrived_at) <= TOLERATED * ENTRIES
     assert sum(reply.status == 200 for reply in replies) >= 0.98 * len(replies)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -38,9 +38,11 @@
         made.start()
         for number in range(2 * TRIES + 4):
             made.add_back_end('plain', f'i-{number}')
-        assert made.put(document(1, '/safe/')).status == 200
+        assert made.put_document(document(1, '/safe/')).status == 200
         for entry in (0, 1):
-            wait_until(lambda entry=entry: made.ask(request('/safe/x'), entry).status == 200)
+            wait_until(
+                lambda entry=entry: made.send_request(request('/safe/x'), entry).status == 200
+            )
         yield made
     finally:
         made.close()
@@ -57,7 +59,7 @@
 
     """
     entries = itertools.cycle((0, 1))
-    wait_until(lambda: holds() or fleet.ask(crashing(), next(entries)) is None)
+    wait_until(lambda: holds() or fleet.send_request(crashing(), next(entries)) is None)
 
 
 def in_quarantine(fleet):
@@ -72,11 +74,11 @@
     ask_until(fleet, lambda: ended(fleet) >= ENDS)
     pass_time(HEARD_S)
     before = ended(fleet)
-    replies = [fleet.ask(crashing(), number % 2) for number in range(TRIES)]
+    replies = [fleet.send_request(crashing(), number % 2) for number in range(TRIES)]
     assert ended(fleet) - before <= MOST_AFTER
     assert {reply.status for reply in replies} == {502}
     for entry in (0, 1):
-        assert fleet.ask(request('/safe/x', 'POST', body=b'another'), entry).status == 200
+        assert fleet.send_request(request('/safe/x', 'POST', body=b'another'), entry).status == 200
 
 
 def test_the_quarantine_outlives_all_processes_at_once(fleet):
@@ -86,10 +88,10 @@
     for host in hosts:
         fleet.kill(host)
     for host in hosts:
-        fleet.start_one(host)
+        fleet.start_process(host)
     for entry in (0, 1):
-        wait_until(lambda entry=entry: fleet.ask(request('/safe/x'), entry).status == 200)
-    replies = [fleet.ask(crashing(), number % 2) for number in range(TRIES)]
+        wait_until(lambda entry=entry: fleet.send_request(request('/safe/x'), entry).status == 200)
+    replies = [fleet.send_request(crashing(), number % 2) for number in range(TRIES)]
     assert ended(fleet) == before
     assert {reply.headers['millfork-reason'] for reply in replies} == {'quarantined'}
 
@@ -104,7 +106,7 @@
         back_end.release.clear()
     replies = []
     slow = request('/safe/x', 'POST', body=b'innocent')
-    asking = threading.Thread(target=lambda: replies.append(fleet.ask(slow)))
+    asking = threading.Thread(target=lambda: replies.append(fleet.send_request(slow)))
     asking.start()
     wait_until(lambda: any(back_end.executed_ids() for back_end in fleet.back_ends))
     running = next(back_end for back_end in fleet.back_ends if back_end.executed_ids())
@@ -120,19 +122,19 @@
     One end is known to one entry as all replicas lose what they keep in memory.
 
     """
-    assert fleet.ask(crashing()).status in (502, 503)
+    assert fleet.send_request(crashing()).status in (502, 503)
     known = ended(fleet)
     for host in fleet.replica_hosts:
         fleet.kill(host)
     for host in fleet.replica_hosts:
-        fleet.start_one(host)
+        fleet.start_process(host)
     second = fleet.entry_hosts[1]
     fleet.kill(second)
-    fleet.start_one(second)
-    wait_until(lambda: fleet.ask(request('/safe/x'), 1).status == 200)
+    fleet.start_process(second)
+    wait_until(lambda: fleet.send_request(request('/safe/x'), 1).status == 200)
     wait_until(lambda: told_again(fleet, known))
     for _ in range(TRIES):
-        fleet.ask(crashing(), 1)
+        fleet.send_request(crashing(), 1)
     assert ended(fleet) <= ENDS
 
 
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -15,7 +15,7 @@
 from millfork_settings.loading import load
 from millfork_settings.models import Settings
 from millfork_standins.deployments import SHAPES
-from millfork_standins.examples import examples, write
+from millfork_standins.examples import build_examples, write_examples
 
 ROOT = Path(__file__).parent.parent
 DOCS = ROOT / 'docs'
@@ -32,9 +32,9 @@
 
 
 def test_examples_are_those_of_both_deployments(tmp_path):
-    write(tmp_path)
+    write_examples(tmp_path)
     for name, shape in SHAPES.items():
-        for file in examples(shape):
+        for file in build_examples(shape):
             wanted = (tmp_path / name / file).read_text()
             assert (ROOT / 'examples' / name / file).read_text() == wanted
 
--- a/tests/test_ends_after_their_callers_left.py
+++ b/tests/test_ends_after_their_callers_left.py
@@ -35,9 +35,11 @@
         made.start()
         for number in range(BACK_ENDS):
             made.add_back_end('plain', f'i-{number}').crash_delay_s = WORKS_S
-        assert made.put(document(1, '/safe/')).status == 200
+        assert made.put_document(document(1, '/safe/')).status == 200
         for entry in range(ENTRIES):
-            wait_until(lambda entry=entry: made.ask(request('/safe/x'), entry).status == 200)
+            wait_until(
+                lambda entry=entry: made.send_request(request('/safe/x'), entry).status == 200
+            )
         yield made
     finally:
         made.close()
@@ -85,7 +87,7 @@
 
 def ask_others(fleet, over):
     for number in itertools.count():
-        fleet.load(lambda: request('/safe/x'), OTHERS_PER_S, 1.0)
+        fleet.send_load(lambda: request('/safe/x'), OTHERS_PER_S, 1.0)
         if over.is_set() or number > MOST_LOADS:
             return
 
--- a/tests/test_late_closing_back_ends.py
+++ b/tests/test_late_closing_back_ends.py
@@ -26,9 +26,11 @@
         made.start()
         for number in range(BACK_ENDS):
             made.add_back_end('plain', f'i-{number}')
-        assert made.put(document(1, '/safe/')).status == 200
+        assert made.put_document(document(1, '/safe/')).status == 200
         for entry in (0, 1):
-            wait_until(lambda entry=entry: made.ask(request('/safe/x'), entry).status == 200)
+            wait_until(
+                lambda entry=entry: made.send_request(request('/safe/x'), entry).status == 200
+            )
         yield made
     finally:
         made.close()
@@ -38,7 +40,7 @@
 def test_an_end_counts_however_late_the_address_closes(fleet, address_close_delay_s):
     for back_end in fleet.back_ends:
         back_end.address_close_delay_s = address_close_delay_s
-    replies = [fleet.ask(crashing(), number % 2) for number in range(CALLS)]
+    replies = [fleet.send_request(crashing(), number % 2) for number in range(CALLS)]
     assert ended(fleet) <= ENDS + MOST_CROSSING + MOST_AFTER
     assert all(reply.status in (502, 503) for reply in replies)
 
@@ -53,14 +55,17 @@
     for back_end in fleet.back_ends:
         back_end.drops_requests = True
     for number in range(ENDS + 1):
-        assert fleet.ask(innocent, number % 2).status in (502, 503)
+        assert fleet.send_request(innocent, number % 2).status in (502, 503)
     for back_end in fleet.back_ends:
         back_end.drops_requests = False
 
     def is_served():
         for number in range(2 * BACK_ENDS):
-            assert fleet.ask(request('/safe/x'), number % 2).status in (200, 503)
-        return fleet.ask(innocent).status == 200 and fleet.ask(innocent, 1).status == 200
+            assert fleet.send_request(request('/safe/x'), number % 2).status in (200, 503)
+        return (
+            fleet.send_request(innocent).status == 200
+            and fleet.send_request(innocent, 1).status == 200
+        )
 
     wait_until(is_served)
     assert not any('Back end ended' in fleet.log(host) for host in fleet.entry_hosts)
--- a/tests/test_leases_after_a_freeze.py
+++ b/tests/test_leases_after_a_freeze.py
@@ -35,8 +35,8 @@
     try:
         made.start()
         made.back_ends.append(FaithfulBackEnd(made.back_end_host, 'plain', 'i-1', made))
-        assert made.put(document(1, '/safe/')).status == 200
-        wait_until(lambda: made.ask(request('/safe/x')).status == 200)
+        assert made.put_document(document(1, '/safe/')).status == 200
+        wait_until(lambda: made.send_request(request('/safe/x')).status == 200)
         yield made
     finally:
         made.close()
@@ -58,7 +58,7 @@
         for line in fleet.log(host).splitlines()
         if 'Lease ' in line
     ]
-    served = fleet.ask(request('/safe/x')).status
+    served = fleet.send_request(request('/safe/x')).status
     assert (served, [line for line in ended if 'Lease expired' in line]) == (200, []), '\n'.join(
         ended
     )
--- a/tests/test_named_limits.py
+++ b/tests/test_named_limits.py
@@ -32,7 +32,7 @@
 
     """
     named_at = time.monotonic()
-    replies = fleet.load(lambda: request('/safe/x'), LOAD_PER_S, HEEDED_S + WINDOW_S + 0.5)
+    replies = fleet.send_load(lambda: request('/safe/x'), LOAD_PER_S, HEEDED_S + WINDOW_S + 0.5)
     served = sum(reply.status == 200 for reply in replies) / len(replies)
     return served, named_at + HEEDED_S
 
@@ -55,7 +55,9 @@
     )
     assert served < 0.5
     refused = next(
-        reply for _ in range(LOAD_PER_S) if (reply := fleet.ask(request('/safe/x'))).status != 200
+        reply
+        for _ in range(LOAD_PER_S)
+        if (reply := fleet.send_request(request('/safe/x'))).status != 200
     )
     assert refused.status == 503
     assert float(refused.headers['retry-after']) > 0
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -11,7 +11,7 @@
 from millfork_standins.fleet import Fleet
 from millfork_standins.layout import FleetOptions
 from millfork_standins.run_summary import summarize_fleet_run
-from millfork_standins.versions import learn_version
+from millfork_standins.versions import fetch_version
 from millfork_standins.weights import answer_text, weights_key
 from tests.utils.fleets import complete, control, serve_version, serving, wait_until
 
@@ -58,8 +58,8 @@
     apply(fleet, deployments={'quizzes': spec})
     wait_until(lambda: rollout(fleet, 'quizzes')['serving'] == 6)
     answer = complete(fleet, callers_token(fleet), model='quizzes', prompt='p', max_tokens=3)
-    base = learn_version(fleet, 'v1')
-    adapter = learn_version(fleet, 'a1', 'quiz-style')
+    base = fetch_version(fleet, 'v1')
+    adapter = fetch_version(fleet, 'a1', 'quiz-style')
     assert answer.headers['millfork-version'] == f'{base.id}+{adapter.id}'
     key = weights_key([base.whole, adapter.whole])
     assert answer.json()['choices'][0]['text'] == answer_text(key, 'p', 3)
@@ -71,7 +71,7 @@
 def test_a_drained_instance_gets_no_work_until_it_is_undone(fleet):
     name = fleet.engines[0].name
     assert fleet.run_millfork('drain', name).returncode == ExitStatus.SUCCESS
-    seen = learn_version(fleet, 'v1')
+    seen = fetch_version(fleet, 'v1')
     callers = Callers(fleet, {seen.id: seen.key}, 4, (RequestKind.WHOLE, RequestKind.STREAM))
     callers.start()
 
@@ -96,7 +96,7 @@
     spec = {'model': MODEL, 'version': 'v1', 'selector': {'set': 'left'}}
     apply(fleet, deployments={'main': spec})
     wait_until(lambda: serving(fleet) == 1 and rollout(fleet, 'main')['selected'] == 1)
-    seen = learn_version(fleet, 'v1')
+    seen = fetch_version(fleet, 'v1')
     callers = Callers(fleet, {seen.id: seen.key}, 4, (RequestKind.WHOLE, RequestKind.STREAM))
     callers.start()
     wait_until(lambda: len(callers.records) > 20)
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -122,7 +122,7 @@
     try:
         fleet.start()
         engines = Service(ServiceName('engines'), 64, ENGINE)
-        assert fleet.put(Document(1, services=(engines,))).status == 200
+        assert fleet.put_document(Document(1, services=(engines,))).status == 200
         assert fleet.control(standins.name_version('m', 2)).status == 200
         named = datetime.now().timestamp()
         hosts = (*fleet.replica_hosts, *fleet.entry_hosts, *fleet.endpoint_hosts)
--- a/tests/test_said_to_leave.py
+++ b/tests/test_said_to_leave.py
@@ -26,6 +26,6 @@
     leaving = fleet.back_ends[0]
     leaving.extra_headers = {standins.LEAVING: '1'}
     began = time.monotonic()
-    replies = fleet.load(lambda: request('/safe/x'), LOAD_PER_S, LOAD_S)
+    replies = fleet.send_load(lambda: request('/safe/x'), LOAD_PER_S, LOAD_S)
     assert all(reply.status == 200 for reply in replies)
     assert leaving.max_arrivals_within(LOAD_S, began + DRAIN_S) == 0
--- a/tests/test_seeded_fleet.py
+++ b/tests/test_seeded_fleet.py
@@ -58,8 +58,8 @@
     try:
         made.start()
         made.back_end = made.add_back_end('plain', 'i-1')
-        assert made.put(document(1, '/safe/', '/unsafe/')).status == 200
-        wait_until(lambda: made.ask(request('/safe/x')).status == 200)
+        assert made.put_document(document(1, '/safe/', '/unsafe/')).status == 200
+        wait_until(lambda: made.send_request(request('/safe/x')).status == 200)
         yield made
     finally:
         made.close()
@@ -80,7 +80,7 @@
 
 def test_a_request_reaches_its_back_end_and_the_answer_its_caller(fleet):
     asked = request('/safe/y')
-    reply = fleet.ask(asked)
+    reply = fleet.send_request(asked)
     assert (reply.status, reply.body) == (200, b'answer')
     assert reply.headers[standins.SIGNATURE] == 'i-1'
     seen = fleet.back_end.executed[-1]
@@ -89,8 +89,8 @@
     assert seen[standins.ORGANISATION] == 'org'
     assert 0 < int(seen[standins.DEADLINE_MS]) <= 4000
     assert 'authorization' not in seen
-    assert fleet.ask(request('/safe/y', key='unknown')).status == 401
-    assert fleet.ask(request('/nowhere/')).status == 404
+    assert fleet.send_request(request('/safe/y', key='unknown')).status == 401
+    assert fleet.send_request(request('/nowhere/')).status == 404
 
 
 def test_what_is_not_repeatable_runs_once_when_its_answer_is_lost(fleet):
@@ -98,7 +98,7 @@
     for back_end in fleet.back_ends:
         back_end.drops_requests = True
         back_end.executed.clear()
-    reply = fleet.ask(request('/unsafe/x', 'POST', body=b'filing'))
+    reply = fleet.send_request(request('/unsafe/x', 'POST', body=b'filing'))
     assert reply.status == 502
     assert sum(len(back_end.executed) for back_end in fleet.back_ends) == 1
 
@@ -106,43 +106,43 @@
 def test_a_safe_request_goes_to_another_back_end(fleet):
     second = fleet.add_back_end('plain', 'i-2')
     fleet.back_end.drops_requests = True
-    wait_until(lambda: second.executed or fleet.ask(request('/safe/x')).status == 0)
-    assert all(fleet.ask(request('/safe/x')).status == 200 for _ in range(10))
+    wait_until(lambda: second.executed or fleet.send_request(request('/safe/x')).status == 0)
+    assert all(fleet.send_request(request('/safe/x')).status == 200 for _ in range(10))
 
 
 def test_after_its_word_a_leaving_back_end_gets_nothing(fleet):
     second = fleet.add_back_end('plain', 'i-2')
-    wait_until(lambda: fleet.ask(request('/safe/x')).status == 200 and second.executed)
+    wait_until(lambda: fleet.send_request(request('/safe/x')).status == 200 and second.executed)
     assert second.drain()
     wait_until(lambda: 'Lease draining. instance=i-2' in fleet.log(fleet.entry_hosts[0]))
     before = len(second.executed)
-    assert all(fleet.ask(request('/safe/x')).status == 200 for _ in range(20))
+    assert all(fleet.send_request(request('/safe/x')).status == 200 for _ in range(20))
     assert len(second.executed) == before
 
 
 def test_configuration_outlives_the_leader_and_all_replicas(fleet):
     fleet.kill(leader(fleet))
-    assert fleet.put(document(5, '/safe/', '/new/')).status == 200
-    wait_until(lambda: fleet.ask(request('/new/x')).status == 200)
+    assert fleet.put_document(document(5, '/safe/', '/new/')).status == 200
+    wait_until(lambda: fleet.send_request(request('/new/x')).status == 200)
     for host in list(fleet.processes):
         if host in fleet.replica_hosts:
             fleet.kill(host)
     for host in fleet.replica_hosts:
-        fleet.start_one(host)
+        fleet.start_process(host)
     reply = fleet.control(standins.read_document())
     assert reply.status == 200
     assert reply.body == standins.put_document(document(5, '/safe/', '/new/')).body
-    assert fleet.ask(request('/new/x')).status == 200
+    assert fleet.send_request(request('/new/x')).status == 200
 
 
 def test_the_higher_version_prevails_and_a_bad_document_changes_nothing(fleet):
-    assert fleet.put(document(9, '/safe/', '/nine/')).status == 200
-    assert fleet.put(document(4, '/safe/')).status == 200
-    assert fleet.put(document(9, '/other/')).status == 200
-    assert fleet.put(document(12, '/safe/', service='unknown')).status == 422
+    assert fleet.put_document(document(9, '/safe/', '/nine/')).status == 200
+    assert fleet.put_document(document(4, '/safe/')).status == 200
+    assert fleet.put_document(document(9, '/other/')).status == 200
+    assert fleet.put_document(document(12, '/safe/', service='unknown')).status == 422
     reply = fleet.control(standins.read_document())
     assert reply.body == standins.put_document(document(9, '/safe/', '/nine/')).body
-    wait_until(lambda: fleet.ask(request('/nine/x')).status == 200)
+    wait_until(lambda: fleet.send_request(request('/nine/x')).status == 200)
 
 
 def test_a_replica_that_lost_its_disk_is_taken_in_again(fleet):
@@ -150,11 +150,11 @@
     fleet.kill(lost)
     for path in sorted((fleet.folder / lost).rglob('*'), reverse=True):
         path.rmdir() if path.is_dir() else path.unlink()
-    fleet.start_one(lost)
+    fleet.start_process(lost)
     rest = [host for host in fleet.replica_hosts if host != lost]
     wait_until(lambda: any(fleet.log(host).count('Voters are now') >= 2 for host in rest))
     fleet.kill(rest[0])
-    assert fleet.put(document(7, '/safe/', '/seven/')).status == 200
+    assert fleet.put_document(document(7, '/safe/', '/seven/')).status == 200
 
 
 def test_a_planned_stop_takes_the_entry_out_and_ends_what_runs(fleet):
@@ -163,7 +163,9 @@
     assert call(host, READY_PORT, ready).status == 200
     fleet.back_end.release.clear()
     replies = []
-    asking = threading.Thread(target=lambda: replies.append(fleet.ask(request('/safe/slow'))))
+    asking = threading.Thread(
+        target=lambda: replies.append(fleet.send_request(request('/safe/slow')))
+    )
     begun = len(fleet.back_end.executed)
     asking.start()
     wait_until(lambda: len(fleet.back_end.executed) > begun)
@@ -179,19 +181,19 @@
     host = fleet.entry_hosts[0]
     fleet.kill(host)
     begun = fleet.log(host).count('Starting.')
-    fleet.start_one(host)
+    fleet.start_process(host)
     pid = fleet.processes[host].pid
     wait_until(lambda: handles_signal(pid, signal.SIGHUP))
     assert fleet.log(host).count('Starting.') == begun
     fleet.signal(host, signal.SIGHUP)
-    wait_until(lambda: fleet.ask(request('/safe/x')).status == 200)
+    wait_until(lambda: fleet.send_request(request('/safe/x')).status == 200)
     assert fleet.processes[host].poll() is None
 
 
 def test_a_stop_while_a_daemon_starts_ends_it_well(fleet):
     host = fleet.entry_hosts[0]
     fleet.kill(host)
-    fleet.start_one(host)
+    fleet.start_process(host)
     process = fleet.processes[host]
     wait_until(lambda: handles_signal(process.pid, signal.SIGTERM))
     process.terminate()
--- a/tests/test_turned_away_at_once.py
+++ b/tests/test_turned_away_at_once.py
@@ -23,7 +23,7 @@
     refusing = fleet.back_ends[0]
     refusing.turns_away = True
     before = [len(back_end.arrived_at) for back_end in fleet.back_ends]
-    replies = fleet.load(lambda: request('/safe/x'), LOAD_PER_S, LOAD_S)
+    replies = fleet.send_load(lambda: request('/safe/x'), LOAD_PER_S, LOAD_S)
     sent_counts = [
         len(back_end.arrived_at) - count
         for back_end, count in zip(fleet.back_ends, before, strict=True)
--- a/tests/test_version_ends.py
+++ b/tests/test_version_ends.py
@@ -41,9 +41,11 @@
     try:
         made.start()
         made.add_back_end('plain', 'i-1')
-        assert made.put(document(1, '/safe/')).status == 200
+        assert made.put_document(document(1, '/safe/')).status == 200
         for entry in range(2):
-            wait_until(lambda entry=entry: made.ask(request('/safe/x'), entry).status == 200)
+            wait_until(
+                lambda entry=entry: made.send_request(request('/safe/x'), entry).status == 200
+            )
         yield made
     finally:
         made.close()
@@ -100,7 +102,7 @@
     name_version(fleet, 3, steady)
     fleet.kill(struck)
     (fleet.folder / f'{struck}.log').unlink()
-    fleet.start_one(struck)
+    fleet.start_process(struck)
     settled(fleet, struck, 3)
     end_of_first = learned(fleet, struck, 2)
     assert end_of_first is not None
--- a/tests/test_version_ends_after_restart.py
+++ b/tests/test_version_ends_after_restart.py
@@ -37,8 +37,8 @@
     try:
         made.start()
         made.add_back_end('plain', 'i-1')
-        assert made.put(document(1, '/safe/')).status == 200
-        wait_until(lambda: made.ask(request('/safe/x')).status == 200)
+        assert made.put_document(document(1, '/safe/')).status == 200
+        wait_until(lambda: made.send_request(request('/safe/x')).status == 200)
         yield made
     finally:
         made.close()
@@ -62,7 +62,7 @@
     pass_time(VERSION_MS / 1000 + 1)
     if disk == 'lost':
         shutil.rmtree(fleet.folder / away)
-    fleet.start_one(away)
+    fleet.start_process(away)
     wait_until(lambda: due_s(fleet, away))
     # The cutoff passed before the replica's present process started.
     assert max(due_s(fleet, away)) <= 0
@@ -106,8 +106,8 @@
     pass_time(VERSION_MS / 1000 + 1)
     fleet.kill(entry)
     (fleet.folder / f'{entry}.log').unlink()
-    fleet.start_one(first)
-    fleet.start_one(entry)
+    fleet.start_process(first)
+    fleet.start_process(entry)
     wait_until(lambda: due_s(fleet, entry))
     pass_time(1.0)
     assert max(due_s(fleet, entry)) <= 0
@@ -124,7 +124,7 @@
     wait_until(lambda: followed(fleet) != first)
     other = followed(fleet)
     (fleet.folder / f'{first}.log').unlink()
-    fleet.start_one(first)
+    fleet.start_process(first)
     wait_until(lambda: due_s(fleet, first))
     # The entry returns to the replica that it prefers.
     fleet.signal(other, signal.SIGSTOP)
--- a/tests/utils/loaded.py
+++ b/tests/utils/loaded.py
@@ -24,9 +24,11 @@
         fleet.start()
         for number in range(3):
             fleet.add_back_end('plain', f'i-{number}').service_time_s = service_time_s
-        assert fleet.put(document(1, '/safe/')).status == 200
+        assert fleet.put_document(document(1, '/safe/')).status == 200
         for entry in range(ENTRIES):
-            wait_until(lambda entry=entry: fleet.ask(request('/safe/x'), entry).status == 200)
+            wait_until(
+                lambda entry=entry: fleet.send_request(request('/safe/x'), entry).status == 200
+            )
         wait_until(lambda: all(back_end.executed for back_end in warmed(fleet)))
         yield fleet
     finally:
@@ -39,5 +41,5 @@
 
     """
     for entry in range(ENTRIES):
-        fleet.ask(request('/safe/x'), entry)
+        fleet.send_request(request('/safe/x'), entry)
     return fleet.back_ends
