--- a/tests/fail_first.py
+++ b/tests/fail_first.py
@@ -1,9 +1,8 @@
 """
-Takes mechanisms out, one at a time, and shows that their proofs then fail.
+Removes mechanisms, one at a time, and checks that the test of each then fails.
 
-`python -m tests.fail_first [NAME ...]` works on a scratch copy of the tree; it
-prints a line for each mechanism and ends with 1 if a proof passed without its
-mechanism.
+`python -m tests.fail_first [NAME ...]` edits a temporary copy of the tree. It prints a line for
+each mechanism and exits with 1 if a test passed without its mechanism.
 
 """
 
@@ -26,14 +25,16 @@
 
 def apply(mutation: Mutation, tree: Path) -> None:
     """
-    Edit a tree; each old text must stand there exactly once.
+    Edit a tree.
+
+    :raises ValueError: if an old text does not occur exactly once in its file.
 
     """
     for edit in mutation.edits:
         path = tree / edit.path
         text = path.read_text()
         if text.count(edit.old) != 1:
-            raise ValueError(f'{edit.path}: {edit.old!r} stands {text.count(edit.old)} times')
+            raise ValueError(f'{edit.path}: {edit.old!r} occurs {text.count(edit.old)} times')
         path.write_text(text.replace(edit.old, edit.new))
 
 
@@ -46,7 +47,7 @@
 
 def fails_without(mutation: Mutation) -> bool:
     """
-    Whether the proof fails on a copy without the mechanism.
+    Whether the test fails on a copy of the tree without the mechanism.
 
     """
     with tempfile.TemporaryDirectory(prefix='millfork-fail-first-') as folder:
--- a/tests/mutation.py
+++ b/tests/mutation.py
@@ -1,5 +1,5 @@
 """
-A mechanism to take out, with the proof that must then fail.
+Types of the mutations that `tests.fail_first` applies.
 
 """
 
@@ -9,7 +9,7 @@
 @dataclass(frozen=True, slots=True)
 class Edit:
     """
-    A text that stands once in a file, and what replaces it.
+    A text that occurs once in a file, and its replacement.
 
     """
 
@@ -21,7 +21,7 @@
 @dataclass(frozen=True, slots=True)
 class Mutation:
     """
-    A mechanism taken out by edits, and the test that must then fail.
+    Edits that remove a mechanism, and the test that must fail without it.
 
     """
 
