--- a/packages/millfork-standins/millfork_standins/callers.py
+++ b/packages/millfork-standins/millfork_standins/callers.py
@@ -26,7 +26,8 @@
 
 class RequestKind(Enum):
     """
-    Kinds of requests; `FILING` is one that must not be executed twice.
+    Kinds of requests: a completion as a whole answer or as a stream, a read from a plain
+    service, and a filing at a plain service, which must not be executed twice.
 
     """
 
@@ -115,7 +116,7 @@
 
     def send_until_answered(self, kind: RequestKind, rng: random.Random) -> CallRecord:
         """
-        Send a request until it is answered with 200, at most `MAX_SENDINGS` times.
+        Send a request until it is answered with status 200, at most `MAX_SENDINGS` times.
 
         """
         nonce = uuid.uuid4().hex
--- a/packages/millfork-standins/millfork_standins/demo.py
+++ b/packages/millfork-standins/millfork_standins/demo.py
@@ -27,7 +27,9 @@
 LOAD_AFTER_ROLLOUT_S: Final = 2.0
 
 flags.DEFINE_enum('deployment', 'lanting', sorted(SHAPES), 'The shape of the fleet.')
-flags.DEFINE_string('folder', '', 'Where the fleet keeps its files; a new folder by default.')
+flags.DEFINE_string(
+    'folder', '', 'Folder for the files of the fleet; a new temporary one by default.'
+)
 
 
 def report(text: str) -> None:
--- a/packages/millfork-standins/millfork_standins/fleet.py
+++ b/packages/millfork-standins/millfork_standins/fleet.py
@@ -94,7 +94,7 @@
 
         """
         listen = {'host': instance.host, 'port': BACKEND_PORT}
-        log = str(self.executions(instance.name))
+        log = str(self.execution_log_path(instance.name))
         name = f'{instance.name}.backend'
         if instance.service == self.shape.engine_service:
             settings = {'listen': listen, 'log': log, **self.options.engine, **overrides}
@@ -108,7 +108,7 @@
         Start `millforkd` on an instance.
 
         """
-        path = self.write_settings(instance.name, self.settings_of(instance))
+        path = self.write_settings(instance.name, self.build_settings(instance))
         self._spawn(instance.name, ['-m', 'millforkd', f'--settings={path}'])
 
     def list_instance(self, instance: Instance, leaving: bool = False) -> None:
@@ -203,19 +203,19 @@
         while time.monotonic() < deadline:
             process = self.processes.get(name)
             if process is not None and process.poll() is not None:
-                raise FleetError(f'{name} ended: {self.tail(name)}')
+                raise FleetError(f'{name} ended: {self.read_log_tail(name)}')
             try:
                 if fetch('GET', host, port, path).status == status:
                     return
             except OSError:
                 pass
             time.sleep(POLL_S)
-        raise FleetError(f'{name} is not ready after {timeout} s: {self.tail(name)}')
+        raise FleetError(f'{name} is not ready after {timeout} s: {self.read_log_tail(name)}')
 
     def wait_ready(self, instance: Instance, timeout: float = 30) -> None:
         self.wait_http(instance.name, instance.host, ADMIN_PORT, '/readyz', timeout)
 
-    def tail(self, name: str) -> str:
+    def read_log_tail(self, name: str) -> str:
         path = self.folder / name / 'log'
         return path.read_text()[-2000:] if path.exists() else ''
 
--- a/packages/millfork-standins/millfork_standins/layout.py
+++ b/packages/millfork-standins/millfork_standins/layout.py
@@ -154,7 +154,7 @@
 
     # Settings.
 
-    def settings_of(self, instance: Instance) -> dict[str, Any]:
+    def build_settings(self, instance: Instance) -> dict[str, Any]:
         """
         Build the settings of an instance's daemon.
 
@@ -199,7 +199,7 @@
     def data_folder(self, name: str) -> Path:
         return self.folder / name / 'data'
 
-    def executions(self, name: str) -> Path:
+    def execution_log_path(self, name: str) -> Path:
         return self.folder / name / 'executions.jsonl'
 
     def write_settings(self, name: str, settings: dict[str, Any]) -> Path:
--- a/packages/millfork-standins/millfork_standins/run_summary.py
+++ b/packages/millfork-standins/millfork_standins/run_summary.py
@@ -77,5 +77,5 @@
     """
     executions: list[dict[str, Any]] = []
     for instance in fleet.instances.values():
-        executions += read_executions(fleet.executions(instance.name))
+        executions += read_executions(fleet.execution_log_path(instance.name))
     return summarize_run(records, executions)
--- a/packages/millfork-standins/millfork_standins/scenario/runner.py
+++ b/packages/millfork-standins/millfork_standins/scenario/runner.py
@@ -300,7 +300,7 @@
         return self.started_when_idle[name] == before
 
     def _count_started(self, name: str) -> int:
-        lines = read_executions(self.active_fleet.executions(name))
+        lines = read_executions(self.active_fleet.execution_log_path(name))
         return sum(line['kind'] == 'begin' for line in lines)
 
     # Expectations.
--- a/packages/millfork-standins/millfork_standins/seeded.py
+++ b/packages/millfork-standins/millfork_standins/seeded.py
@@ -36,7 +36,7 @@
 CALLERS_PORT: Final = 8005
 READY_PORT: Final = 8002
 ENGINE_PORT: Final = 8001
-HEARTBEAT_S: Final = 0.3
+HEARTBEAT_INTERVAL_S: Final = 0.3
 WAIT_TIMEOUT_S: Final = 20.0
 CALL_TIMEOUT_S: Final = 5.0
 LOAD_THREADS: Final = 32
@@ -239,7 +239,7 @@
         )
 
     def _send_heartbeats(self) -> None:
-        while not self.ended.wait(HEARTBEAT_S):
+        while not self.ended.wait(HEARTBEAT_INTERVAL_S):
             self.heartbeat()
 
     def handle_error(self, request: object, client_address: object) -> None:
@@ -325,7 +325,7 @@
             READY_PORT,
             [f'{replica}:{CONTROL_PORT}' for replica in self.replica_hosts[:3]],
             first_start,
-            int(HEARTBEAT_S * 1000),
+            int(HEARTBEAT_INTERVAL_S * 1000),
             data_folder=self.folder / host,
             engine=f'{host}:{ENGINE_PORT}',
             service='engines',
@@ -368,7 +368,7 @@
                 reply = call(host, CONTROL_PORT, request)
                 if 200 <= reply.status < 500:
                     return reply
-            time.sleep(HEARTBEAT_S)
+            time.sleep(HEARTBEAT_INTERVAL_S)
         return reply
 
     def put_document(self, document: Document) -> Reply:
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -108,7 +108,7 @@
 
 def test_a_peer_with_the_wrong_key_never_joins(serving_fleet, tmp_path):
     stranger = serving_fleet.instances['register-api-1']
-    settings = serving_fleet.settings_of(stranger)
+    settings = serving_fleet.build_settings(stranger)
     wrong = tmp_path / 'key'
     wrong.write_text('not the key of this fleet')
     host = f'{stranger.host[: stranger.host.rindex(".")]}.240'
@@ -155,7 +155,7 @@
 
 
 def test_all_problems_of_a_settings_file_at_once(serving_fleet, tmp_path):
-    settings = serving_fleet.settings_of(serving_fleet.entries[0])
+    settings = serving_fleet.build_settings(serving_fleet.entries[0])
     settings['zone'] = 7
     settings['surplus'] = True
     settings['ports']['wire'] = 70000
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -87,7 +87,7 @@
     runs = [
         line
         for instance in serving_fleet.instances.values()
-        for line in read_executions(serving_fleet.executions(instance.name))
+        for line in read_executions(serving_fleet.execution_log_path(instance.name))
         if line['kind'] == 'begin' and line.get('nonce') == 'again'
     ]
     assert len(runs) == 1
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -76,7 +76,7 @@
     callers.start()
 
     def begun():
-        return fleet.executions(name).read_text().count('"begin"')
+        return fleet.execution_log_path(name).read_text().count('"begin"')
 
     wait_until(lambda: f'drains/{name}' in fleet.run_millfork('get', 'drains/').stdout)
     wait_until(lambda: len(callers.records) > 20)
--- a/tests/test_requests_that_take_their_endpoints.py
+++ b/tests/test_requests_that_take_their_endpoints.py
@@ -35,7 +35,7 @@
 
     """
     for instance in crashing.fleet.engines:
-        lines = read_executions(crashing.fleet.executions(instance.name))
+        lines = read_executions(crashing.fleet.execution_log_path(instance.name))
         if lines and lines[-1].get('nonce') == nonce and lines[-1]['kind'] == 'begin':
             return instance
     return None
@@ -63,7 +63,7 @@
 
 
 def restart(crashing, instance):
-    crashing.fleet.executions(instance.name).open('a').write('{"kind": "over"}\n')
+    crashing.fleet.execution_log_path(instance.name).open('a').write('{"kind": "over"}\n')
     crashing.fleet.start_daemon(instance)
     return True
 
--- a/tests/test_stops.py
+++ b/tests/test_stops.py
@@ -52,9 +52,9 @@
             answers.append(error)
 
     threading.Thread(target=ask, daemon=True).start()
-    log = fleet.executions('billing-misc-1')
+    log = fleet.execution_log_path('billing-misc-1')
     wait_until(lambda: answers or (log.exists() and 'begin' in log.read_text()))
-    assert not answers, (answers, fleet.tail(entry.name))
+    assert not answers, (answers, fleet.read_log_tail(entry.name))
 
 
 @pytest.mark.parametrize(
@@ -66,8 +66,8 @@
     begin_long_call(fleet, entry)
     process = fleet.processes.pop(entry.name)
     process.terminate()
-    wait_until(lambda: 'Stopping; requests in progress go on' in fleet.tail(entry.name))
+    wait_until(lambda: 'Stopping; requests in progress go on' in fleet.read_log_tail(entry.name))
     if signals == 2:
         process.terminate()
     assert process.wait(30) == ExitStatus.SUCCESS
-    assert word in fleet.tail(entry.name)
+    assert word in fleet.read_log_tail(entry.name)
--- a/tests/test_turned_away_on_listed_fleets.py
+++ b/tests/test_turned_away_on_listed_fleets.py
@@ -67,7 +67,7 @@
 
 
 def turned_away(fleet, instance):
-    lines = read_executions(fleet.executions(instance.name))
+    lines = read_executions(fleet.execution_log_path(instance.name))
     return sum(line['kind'] == TURNED_AWAY for line in lines)
 
 
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -59,7 +59,7 @@
             fleet.list_instance(fleet.instances[name])
         self._start('entry-4', 'entry-5')
         for name in ('entry-4', 'entry-5'):
-            wait_until(lambda name=name: 'Following entry-1 ' in fleet.tail(name))
+            wait_until(lambda name=name: 'Following entry-1 ' in fleet.read_log_tail(name))
         fleet.list_instance(fleet.instances['entry-2'])
         revision = self.apply(0)
         for name in ('entry-4', 'entry-5'):
--- a/tests/utils/crashing.py
+++ b/tests/utils/crashing.py
@@ -112,7 +112,7 @@
         """
         count = 0
         for instance in self.fleet.engines:
-            path = self.fleet.executions(instance.name)
+            path = self.fleet.execution_log_path(instance.name)
             lines = path.read_text().splitlines() if path.exists() else []
             count += sum(json.loads(line)['kind'] == CRASHED for line in lines)
         return count
