--- a/packages/millfork-standins/millfork_standins/callers.py
+++ b/packages/millfork-standins/millfork_standins/callers.py
@@ -1,5 +1,5 @@
 """
-Callers of a fleet, on threads, and the check of what they were answered.
+Callers that send requests to a fleet from threads and check the answers.
 
 """
 
@@ -17,16 +17,17 @@
 from millfork_standins.requests import Answer, fetch
 from millfork_standins.weights import answer_text
 
-TOKENS: Final = 6
-RESENDS: Final = 12
+MAX_TOKENS: Final = 6
+MAX_SENDINGS: Final = 12
 PAUSE_S: Final = 0.1
 MAX_RETRY_AFTER_S: Final = 1.0
 PROMPTS: Final = ('summarise the lecture', 'outline the chapter', 'draft the quiz')
 
 
-class Kind(Enum):
+class RequestKind(Enum):
     """
-    What a caller asks for.
+    Kinds of requests: a completion as a whole answer or as a stream, a read from a plain
+    service, and a filing at a plain service, which must not be executed twice.
 
     """
 
@@ -36,9 +37,11 @@
     FILING = 'filing'
 
 
-class End(Enum):
+class CallOutcome(Enum):
     """
-    How a request ended for its caller.
+    How a request ended for its caller. `MIXED`: the text contains tokens of a known version
+    but isn't the whole text of the version that the answer names. `NOT_RUN`: the filing was
+    refused with the verdict that it was not executed; `TOLD_UNKNOWN`: it may have been.
 
     """
 
@@ -51,16 +54,16 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class CallRecord:
     """
-    One request of a caller, from its first sending to its end. `cut_off`
-    counts the sendings whose connection ended without a whole answer.
+    One request of a caller with all its sendings. `cut_off` counts the sendings whose
+    connection ended without a whole answer.
 
     """
 
-    kind: Kind
+    kind: RequestKind
     nonce: str
-    end: End
+    outcome: CallOutcome
     version: str = ''
     sendings: int = 1
     cut_off: int = 0
@@ -71,23 +74,28 @@
 @dataclass
 class Callers:
     """
-    Callers that keep asking through any ready entry, as behind a balancer.
+    Threads that send requests to random entries, as a load balancer would.
 
-    `keys` maps the version named in an answer to the key of its weights.
+    `keys` maps the version id named in an answer to the key of its weights.
 
     """
 
     fleet: Fleet
     keys: dict[str, str]
-    threads_wanted: int = 6
-    kinds: tuple[Kind, ...] = (Kind.WHOLE, Kind.STREAM, Kind.READ, Kind.FILING)
-    asked: list[Asked] = field(default_factory=list)
+    thread_count: int = 6
+    kinds: tuple[RequestKind, ...] = (
+        RequestKind.WHOLE,
+        RequestKind.STREAM,
+        RequestKind.READ,
+        RequestKind.FILING,
+    )
+    records: list[CallRecord] = field(default_factory=list)
     stopping: threading.Event = field(default_factory=threading.Event)
     threads: list[threading.Thread] = field(default_factory=list)
 
     def start(self) -> None:
-        for number in range(self.threads_wanted):
-            thread = threading.Thread(target=self._ask_on, args=(number,), daemon=True)
+        for number in range(self.thread_count):
+            thread = threading.Thread(target=self._run_thread, args=(number,), daemon=True)
             thread.start()
             self.threads.append(thread)
 
@@ -96,88 +104,98 @@
         for thread in self.threads:
             thread.join(60)
 
-    def _ask_on(self, number: int) -> None:
-        chance = random.Random(number)
+    def _run_thread(self, number: int) -> None:
+        rng = random.Random(number)
         while not self.stopping.is_set():
-            kind = chance.choice(self.kinds)
-            began = time.monotonic()
-            asked = self.ask(kind, chance)
-            asked.seconds = time.monotonic() - began
-            self.asked.append(asked)
-            self.stopping.wait(PAUSE_S * chance.random())
-
-    def ask(self, kind: Kind, chance: random.Random) -> Asked:
+            kind = rng.choice(self.kinds)
+            started_at = time.monotonic()
+            record = self.send_until_answered(kind, rng)
+            record.seconds = time.monotonic() - started_at
+            self.records.append(record)
+            self.stopping.wait(PAUSE_S * rng.random())
+
+    def send_until_answered(self, kind: RequestKind, rng: random.Random) -> CallRecord:
         """
-        One request, sent again as its caller may until it has an end.
+        Send a request until it is answered with status 200, at most `MAX_SENDINGS` times.
 
         """
         nonce = uuid.uuid4().hex
-        asked = Asked(kind, nonce, End.LOST)
-        prompt = f'{chance.choice(PROMPTS)} {chance.randrange(20)}'
-        for sending in range(RESENDS):
-            asked.sendings = sending + 1
-            entry = chance.choice(self.fleet.entries)
+        record = CallRecord(kind, nonce, CallOutcome.LOST)
+        prompt = f'{rng.choice(PROMPTS)} {rng.randrange(20)}'
+        for sending in range(MAX_SENDINGS):
+            record.sendings = sending + 1
+            entry = rng.choice(self.fleet.entries)
             try:
                 answer = self.send(entry, kind, nonce, prompt)
             except OSError as error:
-                asked.cut_off += not isinstance(error, ConnectionRefusedError)
-                asked.detail = f'{entry.name}: {error}'
+                record.cut_off += not isinstance(error, ConnectionRefusedError)
+                record.detail = f'{entry.name}: {error}'
                 time.sleep(PAUSE_S)
                 continue
-            if self._judge(asked, kind, prompt, answer):
-                return asked
-            wait = float(answer.headers.get('retry-after', PAUSE_S))
-            time.sleep(min(wait, MAX_RETRY_AFTER_S))
-        return asked
+            if self._record_answer(record, kind, prompt, answer):
+                return record
+            wait_s = float(answer.headers.get('retry-after', PAUSE_S))
+            time.sleep(min(wait_s, MAX_RETRY_AFTER_S))
+        return record
 
-    def send(self, entry: Instance, kind: Kind, nonce: str, prompt: str) -> Answer:
+    def send(self, entry: Instance, kind: RequestKind, nonce: str, prompt: str) -> Answer:
         fleet = self.fleet
         token = fleet.caller_tokens[fleet.shape.organisations[0]]
         headers = {'authorization': f'Bearer {token}', 'nonce': nonce}
         service = next(iter(fleet.shape.plain_services))
-        if kind is Kind.READ:
+        if kind is RequestKind.READ:
             path = f'/services/{service}/card/{nonce}'
             return fetch('GET', entry.host, CALLERS_PORT, path, headers=headers)
-        if kind is Kind.FILING:
+        if kind is RequestKind.FILING:
             headers['idempotency-key'] = nonce
             path = f'/services/{service}/renewals'
             return fetch('POST', entry.host, CALLERS_PORT, path, b'{}', headers)
         headers['millfork-repeatable'] = 'yes'
-        body = {'model': 'main', 'prompt': prompt, 'max_tokens': TOKENS, 'nonce': nonce}
-        body['stream'] = kind is Kind.STREAM
+        body = {'model': 'main', 'prompt': prompt, 'max_tokens': MAX_TOKENS, 'nonce': nonce}
+        body['stream'] = kind is RequestKind.STREAM
         data = json.dumps(body).encode()
         return fetch('POST', entry.host, CALLERS_PORT, '/v1/completions', data, headers)
 
-    def _judge(self, asked: Asked, kind: Kind, prompt: str, answer: Answer) -> bool:
+    def _record_answer(
+        self, record: CallRecord, kind: RequestKind, prompt: str, answer: Answer
+    ) -> bool:
         """
-        Whether the request has come to its end, and to which.
+        Store the outcome in the record; True if the request need not be sent again.
 
         """
         if answer.status != 200:
-            asked.detail = f'{answer.status} {answer.headers.get("millfork-reason")}'
+            record.detail = f'{answer.status} {answer.headers.get("millfork-reason")}'
             verdict = answer.headers.get('millfork-verdict')
-            asked.end = End.LOST
-            if kind is Kind.FILING:
-                asked.end = End.NOT_RUN if verdict == 'not_run' else End.TOLD_UNKNOWN
+            record.outcome = CallOutcome.LOST
+            if kind is RequestKind.FILING:
+                record.outcome = (
+                    CallOutcome.NOT_RUN if verdict == 'not_run' else CallOutcome.TOLD_UNKNOWN
+                )
             return False
-        if kind in (Kind.READ, Kind.FILING):
-            right = answer.json().get('nonce') == asked.nonce
-            asked.end = End.RIGHT if right else End.WRONG
+        if kind in (RequestKind.READ, RequestKind.FILING):
+            right = answer.json().get('nonce') == record.nonce
+            record.outcome = CallOutcome.RIGHT if right else CallOutcome.WRONG
             return True
-        asked.version = answer.headers.get('millfork-version', '')
-        asked.end = self._judge_tokens(asked, kind, prompt, answer)
+        record.version = answer.headers.get('millfork-version', '')
+        record.outcome = self._check_tokens(record, kind, prompt, answer)
         return True
 
-    def _judge_tokens(self, asked: Asked, kind: Kind, prompt: str, answer: Answer) -> End:
-        text, nonces = _stream_text(answer.body) if kind is Kind.STREAM else _whole_text(answer)
-        if nonces != {asked.nonce}:
-            return End.WRONG
-        expected = {version: answer_text(key, prompt, TOKENS) for version, key in self.keys.items()}
-        if text == expected.get(asked.version):
-            return End.RIGHT
-        asked.detail = f'{text} is not {expected.get(asked.version)}'
-        known = {word for words in expected.values() for word in words.split()}
-        return End.MIXED if set(text.split()) & known else End.WRONG
+    def _check_tokens(
+        self, record: CallRecord, kind: RequestKind, prompt: str, answer: Answer
+    ) -> CallOutcome:
+        text, nonces = (
+            _stream_text(answer.body) if kind is RequestKind.STREAM else _whole_text(answer)
+        )
+        if nonces != {record.nonce}:
+            return CallOutcome.WRONG
+        expected = {
+            version: answer_text(key, prompt, MAX_TOKENS) for version, key in self.keys.items()
+        }
+        if text == expected.get(record.version):
+            return CallOutcome.RIGHT
+        record.detail = f'{text} is not {expected.get(record.version)}'
+        known_tokens = {word for words in expected.values() for word in words.split()}
+        return CallOutcome.MIXED if set(text.split()) & known_tokens else CallOutcome.WRONG
 
 
 def _whole_text(answer: Answer) -> tuple[str, set[str]]:
@@ -187,11 +205,13 @@
 
 def _stream_text(body: bytes) -> tuple[str, set[str]]:
     """
-    The text of a stream and the nonces in it; an unfinished one is ''.
+    The text of a stream and the nonces in it; an empty text if the stream is unfinished.
 
     """
     events = [part.removeprefix('data: ') for part in body.decode().split('\n\n') if part]
     if not events or events[-1] != '[DONE]':
         return '', set()
-    pieces: list[dict[str, Any]] = [json.loads(event) for event in events[:-1]]
-    return ' '.join(piece['text'] for piece in pieces), {piece['nonce'] for piece in pieces}
+    token_events: list[dict[str, Any]] = [json.loads(event) for event in events[:-1]]
+    return ' '.join(event['text'] for event in token_events), {
+        event['nonce'] for event in token_events
+    }
--- a/tests/test_ends_after_their_callers_left.py
+++ b/tests/test_ends_after_their_callers_left.py
@@ -33,10 +33,10 @@
     try:
         made.start()
         for number in range(BACK_ENDS):
-            made.add_back_end('plain', f'i-{number}').crashes_after_s = CRASHES_AFTER_S
-        assert made.put(document(1, '/safe/')).status == 200
+            made.add_back_end('plain', f'i-{number}').crash_delay_s = CRASHES_AFTER_S
+        assert made.put_document(document(1, '/safe/')).status == 200
         for entry in range(ENTRIES):
-            wait_until(lambda entry=entry: made.ask(request('/safe/x'), entry).status == 200)
+            wait_until(lambda entry=entry: made.send_request(request('/safe/x'), entry).status == 200)
         yield made
     finally:
         made.close()
@@ -60,7 +60,7 @@
 
 
 def count_crashing_requests(fleet):
-    return sum(back_end.crashing for back_end in fleet.back_ends)
+    return sum(back_end.crash_request_count for back_end in fleet.back_ends)
 
 
 @pytest.mark.parametrize('busy', [False, True])
@@ -84,7 +84,7 @@
 
 def load_with_other_requests(fleet, stop_event):
     for number in itertools.count():
-        fleet.load(lambda: request('/safe/x'), OTHERS_PER_S, 1.0)
+        fleet.send_load(lambda: request('/safe/x'), OTHERS_PER_S, 1.0)
         if stop_event.is_set() or number > MAX_LOADS:
             return
 
--- a/tests/test_version_ends.py
+++ b/tests/test_version_ends.py
@@ -42,9 +42,9 @@
     try:
         made.start()
         made.add_back_end('plain', 'i-1')
-        assert made.put(document(1, '/safe/')).status == 200
+        assert made.put_document(document(1, '/safe/')).status == 200
         for entry in range(2):
-            wait_until(lambda entry=entry: made.ask(request('/safe/x'), entry).status == 200)
+            wait_until(lambda entry=entry: made.send_request(request('/safe/x'), entry).status == 200)
         yield made
     finally:
         made.close()
@@ -103,7 +103,7 @@
     name_version(fleet, 3, undisturbed)
     fleet.kill(disturbed)
     (fleet.folder / f'{disturbed}.log').unlink()
-    fleet.start_one(disturbed)
+    fleet.start_process(disturbed)
     settled_cutoff(fleet, disturbed, 3)
     cutoff_of_first = logged_cutoff(fleet, disturbed, 2)
     assert cutoff_of_first is not None
--- a/tests/utils/loaded.py
+++ b/tests/utils/loaded.py
@@ -1,5 +1,5 @@
 """
-Three entries before three back ends, one of which would do for most of the load.
+Three entries in front of three back ends, one of which could serve most of the load.
 
 """
 
@@ -14,19 +14,21 @@
 
 
 @contextmanager
-def loaded_fleet(folder, works_s=0.02):
+def loaded_fleet(folder, service_time_s=0.02):
     """
-    Such a fleet, every entry and back end of which has served; answers take `works_s`.
+    Start the fleet and wait until each entry and back end has served a request.
 
     """
     fleet = SeededFleet(folder, entries=ENTRIES)
     try:
         fleet.start()
         for number in range(3):
-            fleet.add_back_end('plain', f'i-{number}').works_s = works_s
-        assert fleet.put(document(1, '/safe/')).status == 200
+            fleet.add_back_end('plain', f'i-{number}').service_time_s = service_time_s
+        assert fleet.put_document(document(1, '/safe/')).status == 200
         for entry in range(ENTRIES):
-            wait_until(lambda entry=entry: fleet.ask(request('/safe/x'), entry).status == 200)
+            wait_until(
+                lambda entry=entry: fleet.send_request(request('/safe/x'), entry).status == 200
+            )
         wait_until(lambda: all(back_end.executed for back_end in warmed(fleet)))
         yield fleet
     finally:
@@ -35,9 +37,9 @@
 
 def warmed(fleet):
     """
-    The back ends, after one more request to each entry.
+    Send one more request to each entry and return the back ends.
 
     """
     for entry in range(ENTRIES):
-        fleet.ask(request('/safe/x'), entry)
+        fleet.send_request(request('/safe/x'), entry)
     return fleet.back_ends
