--- a/packages/millfork-adapter/millfork_adapter/exchange.py
+++ b/packages/millfork-adapter/millfork_adapter/exchange.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from millfork_core.ids import UNTOLD_INCARNATION, Incarnation
+from millfork_core.ids import UNKNOWN_INCARNATION, Incarnation
 
 
 @dataclass(frozen=True, slots=True)
@@ -120,7 +120,7 @@
     pace: float
     busy: bool
     served: tuple[tuple[str, int, int, int | None], ...]
-    incarnation: Incarnation = UNTOLD_INCARNATION
+    incarnation: Incarnation = UNKNOWN_INCARNATION
     backpressure: Backpressure = NO_BACKPRESSURE
 
 
--- a/packages/millfork-core/millfork_core/environment.py
+++ b/packages/millfork-core/millfork_core/environment.py
@@ -42,15 +42,15 @@
             raise curio.TaskCancelled('the process ends')
         return await curio.spawn(task, *args, daemon=True)
 
-    async def keep(self, task: Callable[..., Awaitable[object]], *args: object) -> None:
+    async def spawn_essential(self, task: Callable[..., Awaitable[object]], *args: object) -> None:
         """
         Start a task that the process can't do without: should it fail, the
         process ends, as half a daemon is worse than none.
 
         """
-        await self.spawn(self._run_kept, task, *args)
+        await self.spawn(self._run_essential, task, *args)
 
-    async def _run_kept(self, task: Callable[..., Awaitable[object]], *args: object) -> None:
+    async def _run_essential(self, task: Callable[..., Awaitable[object]], *args: object) -> None:
         try:
             await task(*args)
         except Exception:
--- a/packages/millfork-core/millfork_core/ids.py
+++ b/packages/millfork-core/millfork_core/ids.py
@@ -26,4 +26,4 @@
 
 NO_INSTANCE = InstanceId('')
 NO_INCARNATION = IncarnationKey('')
-UNTOLD_INCARNATION = Incarnation(0)
+UNKNOWN_INCARNATION = Incarnation(0)
--- a/packages/millfork-core/millfork_core/logs.py
+++ b/packages/millfork-core/millfork_core/logs.py
@@ -21,8 +21,8 @@
 
 # Lines that a process may write in a second, and at once; above the requests
 # that one entry serves in a second, below what would cost it noticeable time.
-LINES_PER_S: Final = 150
-MOST_LINES_AT_ONCE: Final = 300
+MAX_LINES_PER_S: Final = 150
+MAX_BURST_LINES: Final = 300
 
 
 class Part(Enum):
@@ -67,7 +67,7 @@
         self.fd = fd
         self.on_line = on_line
         self.formatter = StringFormatter(FORMAT)
-        self.room = float(MOST_LINES_AT_ONCE)
+        self.room = float(MAX_BURST_LINES)
         self.filled_at = time.monotonic()
         self.dropped = 0
         os.set_blocking(fd, False)
@@ -93,8 +93,8 @@
 
     def _has_room(self) -> bool:
         now = time.monotonic()
-        self.room += (now - self.filled_at) * LINES_PER_S
-        self.room = min(self.room, float(MOST_LINES_AT_ONCE))
+        self.room += (now - self.filled_at) * MAX_LINES_PER_S
+        self.room = min(self.room, float(MAX_BURST_LINES))
         self.filled_at = now
         if self.room < 1:
             return False
@@ -112,7 +112,7 @@
 
     """
     BoundedHandler(sys.stdout.fileno(), level.upper(), on_line).push_application()
-    _lead_in_event_loop()
+    _redirect_event_loop_logs()
 
 
 def set_up(level: str) -> None:
@@ -121,10 +121,10 @@
 
     """
     StreamHandler(sys.stderr, level=level.upper(), format_string=FORMAT).push_application()
-    _lead_in_event_loop()
+    _redirect_event_loop_logs()
 
 
-def _lead_in_event_loop() -> None:
+def _redirect_event_loop_logs() -> None:
     # The event loop logs by the standard library; its warnings are of late
     # time-outs and tasks that nobody joins, which are meant.
     logging.getLogger('curio').addHandler(RedirectLoggingHandler())
--- a/packages/millfork-core/millfork_core/signals.py
+++ b/packages/millfork-core/millfork_core/signals.py
@@ -11,7 +11,7 @@
 from curio.io import Socket
 
 
-def _noted(number: int, frame: object) -> None:
+def _ignore_signal(number: int, frame: object) -> None:
     """
     The wake-up descriptor carries the signal; there is nothing more to do.
 
@@ -35,7 +35,7 @@
 
     async def __aenter__(self) -> Self:
         for number in self.numbers:
-            signal.signal(number, _noted)
+            signal.signal(number, _ignore_signal)
         signal.set_wakeup_fd(self.writer.fileno(), warn_on_full_buffer=False)
         return self
 
--- a/packages/millfork-core/millfork_core/windows.py
+++ b/packages/millfork-core/millfork_core/windows.py
@@ -12,26 +12,26 @@
 ENTRIES_REMEMBERED_S: Final = 600.0
 
 
-class MostLately:
+class WindowMax:
     """
     The highest of the numbers seen within a time, in seconds.
 
     """
 
-    def __init__(self, within_s: float) -> None:
-        self.within_s = within_s
+    def __init__(self, window_s: float) -> None:
+        self.window_s = window_s
         # Falling numbers, and when each was last seen.
         self.seen: deque[tuple[float, int]] = deque()
 
     @property
-    def most(self) -> int:
+    def maximum(self) -> int:
         """
         The highest as of the last `note`; 0 if there was none.
 
         """
         return self.seen[0][1] if self.seen else 0
 
-    def note(self, number: int, now: float) -> int:
+    def add(self, number: int, now: float) -> int:
         """
         Take the number as it is now; returns the highest.
 
@@ -39,30 +39,30 @@
         while self.seen and self.seen[-1][1] <= number:
             self.seen.pop()
         self.seen.append((now, number))
-        while now - self.seen[0][0] > self.within_s:
+        while now - self.seen[0][0] > self.window_s:
             self.seen.popleft()
-        return self.most
+        return self.maximum
 
 
-class Allowance:
+class RateLimit:
     """
     So many of something within any time, in seconds, and no more.
 
     """
 
-    def __init__(self, most: int, within_s: float) -> None:
-        self.most = most
-        self.within_s = within_s
-        self.spent_at: deque[float] = deque()
+    def __init__(self, limit: int, window_s: float) -> None:
+        self.limit = limit
+        self.window_s = window_s
+        self.acquired_at: deque[float] = deque()
 
-    def spend(self, now: float) -> bool:
+    def try_acquire(self, now: float) -> bool:
         """
         Take one, if one is left.
 
         """
-        while self.spent_at and now - self.spent_at[0] > self.within_s:
-            self.spent_at.popleft()
-        if len(self.spent_at) >= self.most:
+        while self.acquired_at and now - self.acquired_at[0] > self.window_s:
+            self.acquired_at.popleft()
+        if len(self.acquired_at) >= self.limit:
             return False
-        self.spent_at.append(now)
+        self.acquired_at.append(now)
         return True
--- a/packages/millfork-registry/millfork_registry/records.py
+++ b/packages/millfork-registry/millfork_registry/records.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from millfork_core.ids import UNTOLD_INCARNATION, Incarnation
+from millfork_core.ids import UNKNOWN_INCARNATION, Incarnation
 
 
 class LeaseState(Enum):
@@ -62,7 +62,7 @@
     sequence: int
     owner: str = ''
     served: tuple[ServedVersion, ...] = ()
-    incarnation: Incarnation = UNTOLD_INCARNATION
+    incarnation: Incarnation = UNKNOWN_INCARNATION
 
     @property
     def order(self) -> tuple[Incarnation, bool, int, bool]:
@@ -153,7 +153,7 @@
     # The part of a version in transfer that the daemon brings to its engine first.
     goal: ServedVersion | None = None
     # The engine's incarnation.
-    incarnation: Incarnation = UNTOLD_INCARNATION
+    incarnation: Incarnation = UNKNOWN_INCARNATION
     # Requests per second that the engine accepts from all entries together, if it has a limit.
     limit_per_s: float | None = None
     # Whether the engine announced that it leaves.
--- a/packages/millfork-registry/millfork_registry/registry.py
+++ b/packages/millfork-registry/millfork_registry/registry.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from millfork_core.environment import Environment
-from millfork_core.ids import UNTOLD_INCARNATION, Incarnation
+from millfork_core.ids import UNKNOWN_INCARNATION, Incarnation
 from millfork_core.logs import Part, logger
 from millfork_registry.records import EndpointState, Lease, LeaseState
 from millfork_registry.suspicion_store import SuspicionStore
@@ -146,7 +146,7 @@
         owner = str(self.env.instance)
         if held is None:
             # Other replicas may know the back end, so the goodbye is recorded all the same.
-            leaving = incarnation or UNTOLD_INCARNATION
+            leaving = incarnation or UNKNOWN_INCARNATION
             gone = Lease(instance, '', '', 0, '', 0, LeaseState.GONE, 0, owner, incarnation=leaving)
             return self.merge_lease(gone)
         leaving = held.incarnation if incarnation is None else incarnation
--- a/packages/millfork-routing/millfork_routing/shared_budget.py
+++ b/packages/millfork-routing/millfork_routing/shared_budget.py
@@ -25,7 +25,7 @@
 from typing import Final
 
 from millfork_core.ids import ServiceName
-from millfork_core.windows import ENTRIES_REMEMBERED_S, MostLately
+from millfork_core.windows import ENTRIES_REMEMBERED_S, WindowMax
 
 # The share of the whole budget that is used. The rest covers entries that were just added, and
 # sends that reach their back end later than others within one window.
@@ -92,7 +92,7 @@
         # Since when there has been contact with a majority. Once that has lasted a whole window,
         # a loss of contact no longer resets it.
         self.quorum_since: float | None = None
-        self.most_entries = MostLately(ENTRIES_REMEMBERED_S)
+        self.most_entries = WindowMax(ENTRIES_REMEMBERED_S)
         self.windows: dict[ServiceName, _Window] = {}
 
     def note_request(self, service: ServiceName) -> None:
@@ -145,10 +145,10 @@
             if not self._knows_all_entries():
                 self.quorum_since = None
             # Entries behind the partition use the allowance for as long as it lasts.
-            return max(self.most_entries.most, entries)
+            return max(self.most_entries.maximum, entries)
         if self.quorum_since is None:
             self.quorum_since = now
-        return self.most_entries.note(entries, now)
+        return self.most_entries.add(entries, now)
 
     def _knows_all_entries(self) -> bool:
         """
--- a/packages/millfork-scheduling/millfork_scheduling/server.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server.py
@@ -8,7 +8,7 @@
 from typing import Final
 
 from millfork_core.ids import (
-    UNTOLD_INCARNATION,
+    UNKNOWN_INCARNATION,
     Incarnation,
     InstanceId,
     ServiceName,
@@ -100,7 +100,7 @@
     zone: ZoneId
     slots: int
     served: tuple[ServedVersion, ...] = ()
-    incarnation: Incarnation = UNTOLD_INCARNATION
+    incarnation: Incarnation = UNKNOWN_INCARNATION
     # Whether another incarnation has replaced this one; requests sent to this one are lost.
     replaced: bool = False
     # The backpressure signals that it sent.
--- a/packages/millfork-settings/millfork_settings/common.py
+++ b/packages/millfork-settings/millfork_settings/common.py
@@ -14,7 +14,7 @@
 Name = Annotated[str, Field(pattern=r'^[a-z0-9][a-z0-9.-]{0,62}$')]
 
 
-def rounded_down(value: object) -> object:
+def round_down(value: object) -> object:
     """
     A count that is given as a fraction, as the count below it; anything else as it is.
 
@@ -24,7 +24,7 @@
     return value
 
 
-class Strict(BaseModel):
+class StrictModel(BaseModel):
     """
     Base of all settings: unknown keys are errors.
 
@@ -33,7 +33,7 @@
     model_config = ConfigDict(extra='forbid')
 
 
-class StateSettings(Strict):
+class StateSettings(StrictModel):
     """
     How the replicated state is kept.
 
@@ -44,7 +44,7 @@
         1500, ge=100, le=30000, description='Silence after which a replica seeks election, in ms.'
     )
     snapshot_entries: int = Field(1000, ge=10, description='Log entries between two snapshots.')
-    losses: Annotated[int | None, BeforeValidator(rounded_down)] = Field(
+    losses: Annotated[int | None, BeforeValidator(round_down)] = Field(
         None,
         ge=0,
         description='Disks that may be lost at once, a fraction rounded down; a silent voter '
--- a/packages/millfork-settings/millfork_settings/declarations.py
+++ b/packages/millfork-settings/millfork_settings/declarations.py
@@ -7,14 +7,14 @@
 
 from pydantic import Field
 
-from millfork_settings.common import Name, Strict
+from millfork_settings.common import Name, StrictModel
 
 LabelValue = Annotated[str, Field(pattern=r'^[A-Za-z0-9._-]{1,63}$')]
 TokenHash = Annotated[str, Field(pattern=r'^[0-9a-f]{64}$')]
 Selector = dict[str, LabelValue | list[LabelValue]]
 
 
-class OrganisationSpec(Strict):
+class OrganisationSpec(StrictModel):
     """
     An organisation and what it may use. Only the administrator applies it.
 
@@ -26,7 +26,7 @@
     share: int = Field(1, ge=1, le=1000)
 
 
-class VersionSpec(Strict):
+class VersionSpec(StrictModel):
     """
     One model or adapter at one version.
 
@@ -36,7 +36,7 @@
     version: Name
 
 
-class DeploymentSpec(Strict):
+class DeploymentSpec(StrictModel):
     """
     Which weights should be servable on which instances.
 
@@ -48,7 +48,7 @@
     selector: Selector = Field(min_length=1)
 
 
-class Declaration(Strict):
+class Declaration(StrictModel):
     """
     One declaration file.
 
--- a/packages/millfork-settings/millfork_settings/models.py
+++ b/packages/millfork-settings/millfork_settings/models.py
@@ -10,7 +10,7 @@
 
 from pydantic import Field, model_validator
 
-from millfork_settings.common import Name, Port, StateSettings, Strict
+from millfork_settings.common import Name, Port, StateSettings, StrictModel
 
 
 class Role(Enum):
@@ -33,7 +33,7 @@
     PLAIN = 'plain'
 
 
-class Address(Strict):
+class Address(StrictModel):
     """
     An IP address and port.
 
@@ -47,7 +47,7 @@
         return str(self.host), self.port
 
 
-class Ports(Strict):
+class Ports(StrictModel):
     """
     The ports that a daemon listens on, at its own address.
 
@@ -58,7 +58,7 @@
     admin: Port = Field(9400, description='Port for metrics, liveness and readiness.')
 
 
-class ReplicaAddress(Strict):
+class ReplicaAddress(StrictModel):
     """
     An instance with a disk that keeps a replica of the state.
 
@@ -69,7 +69,7 @@
     port: Port = Field(7400, description='Its wire port.')
 
 
-class LinkSettings(Strict):
+class LinkSettings(StrictModel):
     """
     The instance's network link.
 
@@ -84,7 +84,7 @@
     )
 
 
-class WeightSettings(Strict):
+class WeightSettings(StrictModel):
     """
     How weights are fetched and passed on.
 
@@ -101,7 +101,7 @@
     )
 
 
-class BackendSettings(Strict):
+class BackendSettings(StrictModel):
     """
     The engine or plain service behind an endpoint.
 
@@ -120,7 +120,7 @@
     )
 
 
-class RoutingSettings(Strict):
+class RoutingSettings(StrictModel):
     """
     Decisions on the path of a request.
 
@@ -143,7 +143,7 @@
     )
 
 
-class Settings(Strict):
+class Settings(StrictModel):
     """
     The settings file of `millforkd`.
 
--- a/packages/millfork-settings/millfork_settings/seeded.py
+++ b/packages/millfork-settings/millfork_settings/seeded.py
@@ -17,11 +17,11 @@
 from pydantic import BaseModel, ConfigDict, Field, PrivateAttr, model_validator
 from pydantic.fields import FieldInfo
 
-from millfork_settings.common import Port, StateSettings, Strict
+from millfork_settings.common import Port, StateSettings, StrictModel
 
 # A day: no bound of a fleet is longer, and in ms it fits the messages' 32 bits.
-MOST_S: Final = 86_400
-MOST_MS: Final = 1000 * MOST_S
+MAX_DURATION_S: Final = 86_400
+MAX_DURATION_MS: Final = 1000 * MAX_DURATION_S
 
 Socket = Annotated[str, Field(pattern=r'^[0-9.]+:[0-9]+$')]
 
@@ -46,7 +46,7 @@
     return host, int(port)
 
 
-class SeededPorts(Strict):
+class SeededPorts(StrictModel):
     """
     Ports at the daemon's own address.
 
@@ -56,7 +56,7 @@
     admin: Port = Field(9400, description='Port for metrics, liveness and readiness.')
 
 
-class Listen(Strict):
+class Listen(StrictModel):
     """
     Where others than millfork's own processes reach the daemon.
 
@@ -67,7 +67,7 @@
     control: Socket | None = Field(None, description='For back ends and operators (replica).')
 
 
-class BesideSettings(Strict):
+class BesideSettings(StrictModel):
     """
     The engine beside an endpoint daemon.
 
@@ -78,7 +78,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Replaced:
+class ReplacedValue:
     """
     A figure that could not be used as it was given, and what serves instead.
 
@@ -89,7 +89,7 @@
     used: float
 
 
-class PromiseSettings(Strict):
+class PromiseSettings(StrictModel):
     """
     Bounds that the platform holds the fleet to.
 
@@ -100,10 +100,10 @@
     """
 
     heartbeat_ms: float = Field(
-        1200, ge=10, le=MOST_MS, description='Time between heartbeats of a back end.'
+        1200, ge=10, le=MAX_DURATION_MS, description='Time between heartbeats of a back end.'
     )
     grace_s: float = Field(
-        8, ge=0, le=MOST_S, description='Time from SIGTERM to the end, in seconds.'
+        8, ge=0, le=MAX_DURATION_S, description='Time from SIGTERM to the end, in seconds.'
     )
     retry_ratio: float = Field(
         0.2, ge=0, le=1000, description='Repeats per request that all may send.'
@@ -117,21 +117,21 @@
     version_ms: float = Field(
         8000,
         ge=0,
-        le=MOST_MS,
+        le=MAX_DURATION_MS,
         description='Nothing begins on older weights this long after a new version.',
     )
     transfer_mbps: float = Field(
         0, ge=0, le=1e9, description="The link's rate in Mbit/s; 0: not limited."
     )
-    _replaced: tuple[Replaced, ...] = PrivateAttr(())
+    _replaced: tuple[ReplacedValue, ...] = PrivateAttr(())
 
     @property
-    def replaced(self) -> tuple[Replaced, ...]:
+    def replaced(self) -> tuple[ReplacedValue, ...]:
         return self._replaced
 
     @model_validator(mode='wrap')
     @classmethod
-    def use_what_can_be(cls, values: Any, handler: Callable[[Any], Self]) -> Self:
+    def replace_unusable_values(cls, values: Any, handler: Callable[[Any], Self]) -> Self:
         if not isinstance(values, dict):
             return handler(values)
         used = {**values}
@@ -139,15 +139,15 @@
         for name, info in cls.model_fields.items():
             if name not in values:
                 continue
-            used[name] = _usable(values[name], info)
+            used[name] = _usable_value(values[name], info)
             if used[name] != _number(values[name]):
-                replaced.append(Replaced(f'promises.{name}', str(values[name]), used[name]))
+                replaced.append(ReplacedValue(f'promises.{name}', str(values[name]), used[name]))
         made = handler(used)
         made._replaced = tuple(replaced)
         return made
 
 
-def _usable(value: object, info: FieldInfo) -> float:
+def _usable_value(value: object, info: FieldInfo) -> float:
     """
     The number given, brought within the limits of its setting; its default if none is.
 
@@ -155,10 +155,10 @@
     number = _number(value)
     if number is None:
         return float(info.default)
-    return min(max(number, limit_of(info, 'ge')), limit_of(info, 'le'))
+    return min(max(number, bound_of(info, 'ge')), bound_of(info, 'le'))
 
 
-def limit_of(info: FieldInfo, side: str) -> float:
+def bound_of(info: FieldInfo, side: str) -> float:
     """
     The least (`ge`) or the most (`le`) that a promise may be.
 
@@ -183,7 +183,7 @@
 
 # The promises that the code of each role reads; a default that stood in for one of them
 # ended versions 2 s before their time on a whole fleet.
-PROMISES_OF: Final = {
+REQUIRED_PROMISES: Final = {
     SeededRole.ENTRY: (
         'heartbeat_ms',
         'grace_s',
@@ -254,7 +254,7 @@
             raise ValueError('role endpoint needs beside')
         missing = [
             f'promises.{name}'
-            for name in PROMISES_OF[self.role]
+            for name in REQUIRED_PROMISES[self.role]
             if name not in self.promises.model_fields_set
         ]
         if missing:
--- a/packages/millfork-standins/millfork_standins/bench/routing.py
+++ b/packages/millfork-standins/millfork_standins/bench/routing.py
@@ -32,7 +32,7 @@
 from millfork_web.server import Exchange
 from millforkd.proxy.admission import Admission
 from millforkd.proxy.job import Attempt, Job
-from millforkd.versions import Versions
+from millforkd.versions import VersionTracker
 
 SERVICE: Final = ServiceName('engines')
 # Until then the engines fill up; requests of this time are not counted.
@@ -200,7 +200,7 @@
             InstanceId('entry'), ZoneId('z0'), monotonic=self.agenda.monotonic, random=self.random
         )
         self.admissions = {
-            book: Admission(env, Versions(env, View(), 0), lambda: shape.entries)
+            book: Admission(env, VersionTracker(env, View(), 0), lambda: shape.entries)
             for book in self.books
         }
         self.route = _route(shape)
--- a/packages/millfork-standins/millfork_standins/engine.py
+++ b/packages/millfork-standins/millfork_standins/engine.py
@@ -66,7 +66,7 @@
 
     async def answer(self, exchange: Exchange) -> None:
         if self.ending:
-            await exchange.break_off()
+            await exchange.abort()
             return
         self.exchanges.add(exchange)
         try:
@@ -189,7 +189,7 @@
             self.log.write(kind=CRASHED)
         self.ending = True
         if self.settings.closes_after_ms:
-            for sock in [*self.server.resting, *(item.sock for item in self.exchanges)]:
+            for sock in [*self.server.idle_sockets, *(item.sock for item in self.exchanges)]:
                 await sock.shutdown(socket.SHUT_RDWR)
             await curio.sleep(self.settings.closes_after_ms / 1000)
         os._exit(1)
--- a/packages/millfork-standins/millfork_standins/settings.py
+++ b/packages/millfork-standins/millfork_standins/settings.py
@@ -7,11 +7,11 @@
 
 from pydantic import Field
 
-from millfork_settings.common import Strict
+from millfork_settings.common import StrictModel
 from millfork_settings.models import Address
 
 
-class EngineSettings(Strict):
+class EngineSettings(StrictModel):
     """
     A model engine.
 
@@ -35,7 +35,7 @@
     closes_after_ms: float = 0
 
 
-class ServiceSettings(Strict):
+class ServiceSettings(StrictModel):
     """
     A plain service.
 
@@ -48,7 +48,7 @@
     turns_away: bool = False
 
 
-class VersionSettings(Strict):
+class VersionSettings(StrictModel):
     """
     One version that the origin has; `kept` is the share of its bytes that
     are those of `base`, another version of the same model.
@@ -63,7 +63,7 @@
     kept: float = 0.0
 
 
-class OriginSettings(Strict):
+class OriginSettings(StrictModel):
     """
     The origin of weights.
 
@@ -75,7 +75,7 @@
     versions: list[VersionSettings]
 
 
-class PlatformSettings(Strict):
+class PlatformSettings(StrictModel):
     """
     The platform's instance list.
 
@@ -85,7 +85,7 @@
     lag_ms: float = 0
 
 
-class RelaySettings(Strict):
+class RelaySettings(StrictModel):
     """
     A proxy between zones that can cut them; it knows an address's zone by
     its third number.
--- a/packages/millfork-web/millfork_web/client.py
+++ b/packages/millfork-web/millfork_web/client.py
@@ -41,7 +41,7 @@
         self.conn = conn
         self.status = 0
         self.headers: Headers = []
-        self.whole = False
+        self.complete = False
 
     def header(self, name: str) -> str:
         return find_header(self.headers, name)
@@ -65,7 +65,7 @@
         while True:
             event = await self._next()
             if isinstance(event, h11.EndOfMessage):
-                self.whole = True
+                self.complete = True
                 return
             if not isinstance(event, h11.Data):
                 raise ExchangeFailed(Verdict.MAY_HAVE_RUN, 'the body broke off')
@@ -76,7 +76,7 @@
                 more = self.conn.next_event()
             yield data
             if isinstance(more, h11.EndOfMessage):
-                self.whole = True
+                self.complete = True
                 return
 
     async def body(self) -> bytes:
@@ -102,9 +102,9 @@
         Keep the connection if the response was read whole, else close it.
 
         """
-        if self.whole and self.conn.our_state is h11.DONE and self.conn.their_state is h11.DONE:
+        if self.complete and self.conn.our_state is h11.DONE and self.conn.their_state is h11.DONE:
             self.conn.start_next_cycle()
-            await self.client.keep(self.sock, self.conn)
+            await self.client.return_connection(self.sock, self.conn)
             return
         await self.sock.close()
 
@@ -122,7 +122,7 @@
         self.idle: list[tuple[Any, h11.Connection]] = []
         self.bytes_moved = 0
 
-    async def keep(self, sock: Any, conn: h11.Connection) -> None:
+    async def return_connection(self, sock: Any, conn: h11.Connection) -> None:
         if len(self.idle) < MAX_IDLE:
             self.idle.append((sock, conn))
             return
--- a/packages/millfork-web/millfork_web/models.py
+++ b/packages/millfork-web/millfork_web/models.py
@@ -21,7 +21,7 @@
     return ''
 
 
-def without(headers: Headers, name: str) -> Headers:
+def without_header(headers: Headers, name: str) -> Headers:
     """
     The headers but those of one name (in lower case).
 
--- a/packages/millfork-web/millfork_web/retry_after.py
+++ b/packages/millfork-web/millfork_web/retry_after.py
@@ -16,7 +16,7 @@
 # Answers by which a server turns a request away, and may say for how long.
 TURNED_AWAY: Final = frozenset({429, 503})
 # Every whole number up to here is a float as well.
-MOST_AMOUNT: Final = 2.0**53
+MAX_AMOUNT: Final = 2.0**53
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,8 +37,8 @@
     """
     found: list[float] = []
     unread: list[str] = []
-    for text in values(headers, RETRY_AFTER):
-        seconds = amount(text)
+    for text in header_values(headers, RETRY_AFTER):
+        seconds = parse_amount(text)
         if seconds is None:
             seconds = _seconds_until(text, headers)
         if seconds is None:
@@ -48,7 +48,7 @@
     return RetryAfter(max(found, default=None), tuple(unread))
 
 
-def values(headers: Headers, name: str) -> list[str]:
+def header_values(headers: Headers, name: str) -> list[str]:
     """
     All values of a header (`name` in lower case).
 
@@ -56,7 +56,7 @@
     return [value.strip() for key, value in headers if key == name]
 
 
-def amount(text: str) -> float | None:
+def parse_amount(text: str) -> float | None:
     """
     A decimal number from 0 on; None if it is none.
 
@@ -65,14 +65,14 @@
         number = float(text)
     except ValueError:
         return None
-    return number if math.isfinite(number) and 0 <= number <= MOST_AMOUNT else None
+    return number if math.isfinite(number) and 0 <= number <= MAX_AMOUNT else None
 
 
 def _seconds_until(text: str, headers: Headers) -> float | None:
     until = _date(text)
     if until is None:
         return None
-    dates = [_date(value) for value in values(headers, DATE)]
+    dates = [_date(value) for value in header_values(headers, DATE)]
     now = dates[0] if dates and dates[0] is not None else datetime.now(UTC)
     return max((until - now).total_seconds(), 0.0)
 
--- a/packages/millfork-web/millfork_web/server.py
+++ b/packages/millfork-web/millfork_web/server.py
@@ -25,7 +25,7 @@
 ACCEPT_PAUSE_S: Final = 0.05
 # Connections closed at once to make room: few enough to be noticed by few callers, more
 # than come in a pause on a fleet in use.
-MAKES_ROOM_FOR: Final = 8
+IDLE_CLOSED_PER_SHORTAGE: Final = 8
 DEFAULT_MAX_BODY_BYTES: Final = 4 * 1024 * 1024
 
 log = logger(Part.DAEMON)
@@ -75,7 +75,7 @@
     async def finish(self) -> None:
         await self._send(self.conn.send(h11.EndOfMessage()) or b'')
 
-    async def break_off(self) -> None:
+    async def abort(self) -> None:
         """
         End a streamed response so that it can't be taken for a whole one.
 
@@ -98,7 +98,7 @@
         except OSError as error:
             raise CallerGone(str(error)) from error
 
-    async def until_caller_gone(self) -> None:
+    async def wait_for_disconnect(self) -> None:
         """
         Return when the caller has closed its side. Bytes it sends early
         stay unread.
@@ -112,7 +112,7 @@
 
 
 ExchangeHandler = Callable[[Exchange], Awaitable[None]]
-Refuser = Callable[[Reason], None]
+RefusalCallback = Callable[[Reason], None]
 Spawn = Callable[..., Awaitable[curio.Task]]
 
 
@@ -136,7 +136,7 @@
         port: int,
         handler: ExchangeHandler,
         max_body: int = DEFAULT_MAX_BODY_BYTES,
-        on_refusal: Refuser = lambda reason: None,
+        on_refusal: RefusalCallback = lambda reason: None,
         spawn: Spawn = spawn_daemon,
     ) -> None:
         self.host = host
@@ -150,7 +150,7 @@
         self.active = 0
         self.acceptor: curio.Task | None = None
         # Connections between two requests, the one that rests longest first.
-        self.resting: dict[Any, None] = {}
+        self.idle_sockets: dict[Any, None] = {}
 
     async def run(self) -> None:
         """
@@ -169,7 +169,7 @@
                 except OSError as error:
                     log.warning('No connection accepted on port {}: {}.', self.port, error)
                     if error.errno in OUT_OF_DESCRIPTORS:
-                        await self._make_room()
+                        await self._free_descriptors()
                     await curio.sleep(ACCEPT_PAUSE_S)
                     continue
                 await self.spawn(self._serve, sock, address)
@@ -183,21 +183,21 @@
         self.closing = True
         if self.acceptor is not None:
             await self.acceptor.cancel()
-        await self._close_resting(len(self.resting))
+        await self._close_idle(len(self.idle_sockets))
 
-    async def _make_room(self) -> None:
+    async def _free_descriptors(self) -> None:
         """
         Close the connections that rest longest. Callers that keep them all would else keep
         others out for as long as connections may rest, 30 s by the usual document.
 
         """
-        count = await self._close_resting(MAKES_ROOM_FOR)
+        count = await self._close_idle(IDLE_CLOSED_PER_SHORTAGE)
         log.warning('Closed {} resting connections for want of descriptors.', count)
 
-    async def _close_resting(self, most: int) -> int:
-        closed = list(self.resting)[:most]
+    async def _close_idle(self, most: int) -> int:
+        closed = list(self.idle_sockets)[:most]
         for sock in closed:
-            self.resting.pop(sock, None)
+            self.idle_sockets.pop(sock, None)
             try:
                 await sock.shutdown(socket_.SHUT_RDWR)
             except OSError:
@@ -248,12 +248,12 @@
         await exchange.respond(problem(refusal))
 
     async def _read_request(self, sock: Any, conn: h11.Connection) -> Request | None:
-        self.resting[sock] = None
+        self.idle_sockets[sock] = None
         try:
             async with curio.timeout_after(self.idle_timeout_s):
                 head = await _next_event(sock, conn)
         finally:
-            self.resting.pop(sock, None)
+            self.idle_sockets.pop(sock, None)
         if not isinstance(head, h11.Request):
             return None
         body = bytearray()
--- a/packages/millforkd/millforkd/document.py
+++ b/packages/millforkd/millforkd/document.py
@@ -16,14 +16,16 @@
 log = logger(Part.DAEMON)
 
 
-def document_in(view: View, adapter: Adapter, known: int) -> tuple[Document, int] | None:
+def find_new_document(
+    view: View, adapter: Adapter, known_revision: int
+) -> tuple[Document, int] | None:
     """
     The document and the revision that set it; None if it is the one of
-    revision `known`, or if there is none.
+    revision `known_revision`, or if there is none.
 
     """
     held = view.items.get(DOCUMENT_KEY)
-    if held is None or held.revision == known:
+    if held is None or held.revision == known_revision:
         return None
     versioned = decode_versioned(held.value)
     try:
--- a/packages/millforkd/millforkd/endpoint/daemon.py
+++ b/packages/millforkd/millforkd/endpoint/daemon.py
@@ -97,10 +97,10 @@
 
         """
         await self.member.start()
-        await self.env.keep(self.door.report_load)
-        await self.env.keep(self._watch)
+        await self.env.spawn_essential(self.door.report_load)
+        await self.env.spawn_essential(self._watch)
         if self.rollout is not None:
-            await self.env.keep(self._keep_rollout)
+            await self.env.spawn_essential(self._keep_rollout)
 
     async def _keep_rollout(self) -> None:
         assert self.rollout is not None
--- a/packages/millforkd/millforkd/endpoint/rollout.py
+++ b/packages/millforkd/millforkd/endpoint/rollout.py
@@ -76,7 +76,7 @@
         The task that reconciles, on each change and now and then.
 
         """
-        await self.env.keep(self._wake_on_change)
+        await self.env.spawn_essential(self._wake_on_change)
         while True:
             # Serving stops short of configuration older than the zone's.
             if self.view.cluster:
--- a/packages/millforkd/millforkd/entry/callers.py
+++ b/packages/millforkd/millforkd/entry/callers.py
@@ -113,7 +113,7 @@
             await watching.cancel()
 
     async def _watch_caller(self, exchange: Exchange, call: Call, answering: curio.Task) -> None:
-        await exchange.until_caller_gone()
+        await exchange.wait_for_disconnect()
         self.env.metrics.count(self.env.metrics.requests, outcome='caller_gone')
         if not call.key:
             await answering.cancel()
--- a/packages/millforkd/millforkd/entry/daemon.py
+++ b/packages/millforkd/millforkd/entry/daemon.py
@@ -145,14 +145,14 @@
             self.member.subscription.replica = self.node.replica
         await self.member.start()
         if self.node is not None:
-            await self.env.keep(self.node.run)
-            await self.env.keep(self.node.take_snapshots)
+            await self.env.spawn_essential(self.node.run)
+            await self.env.spawn_essential(self.node.take_snapshots)
         if self.quarantine is not None:
-            await self.env.keep(self.quarantine.run)
-        await self.env.keep(self.spreading.keep)
-        await self.env.keep(self._keep_house)
-        await self.env.keep(self.book.keep)
-        await self.env.keep(self.server.run)
+            await self.env.spawn_essential(self.quarantine.run)
+        await self.env.spawn_essential(self.spreading.keep)
+        await self.env.spawn_essential(self._keep_house)
+        await self.env.spawn_essential(self.book.keep)
+        await self.env.spawn_essential(self.server.run)
 
     async def drain(self) -> None:
         """
--- a/packages/millforkd/millforkd/entry/delivery.py
+++ b/packages/millforkd/millforkd/entry/delivery.py
@@ -62,7 +62,7 @@
             await self.exchange.write(piece)
             next_piece = await attempt.part(deadline)
             if isinstance(next_piece, Refusal):
-                await self.exchange.break_off()
+                await self.exchange.abort()
                 return next_piece
             piece = next_piece
         await self.exchange.finish()
--- a/packages/millforkd/millforkd/member.py
+++ b/packages/millforkd/millforkd/member.py
@@ -67,7 +67,7 @@
             env, self.view, self.roster, self.peers, self.replicas, self.reports
         )
         self.admin = Server(host, settings.ports.admin, self._answer_admin, spawn=env.spawn)
-        self.floor_known = False
+        self.min_revision_known = False
         self.ready_check = self.is_ready
 
     async def start(self) -> None:
@@ -76,10 +76,10 @@
         follow the tree.
 
         """
-        await self.env.keep(self.peers.listen)
-        await self.env.keep(self.peers.probe_idle)
-        await self.env.keep(self.admin.run)
-        await self.env.keep(self._join)
+        await self.env.spawn_essential(self.peers.listen)
+        await self.env.spawn_essential(self.peers.probe_idle)
+        await self.env.spawn_essential(self.admin.run)
+        await self.env.spawn_essential(self._join)
 
     async def _join(self) -> None:
         for _ in range(FIRST_POLLS):
@@ -87,8 +87,8 @@
                 break
             await curio.sleep(FIRST_POLL_PAUSE_S)
         await self.subscription.query_min_revision()
-        self.floor_known = True
-        await self.env.keep(self.roster.poll_periodically, self.poll_interval_s)
+        self.min_revision_known = True
+        await self.env.spawn_essential(self.roster.poll_periodically, self.poll_interval_s)
         await self.subscription.follow()
 
     async def handle(self, connection: Connection, message: Message) -> Message | None:
@@ -109,7 +109,11 @@
         return await self.role_handler(connection, message)
 
     def is_ready(self) -> bool:
-        return bool(self.view.cluster) and self.floor_known and self.subscription.has_min_revision
+        return (
+            bool(self.view.cluster)
+            and self.min_revision_known
+            and self.subscription.has_min_revision
+        )
 
     async def _answer_admin(self, exchange: Exchange) -> None:
         details = {'revision': self.view.revision, 'cluster': self.view.cluster}
--- a/packages/millforkd/millforkd/proxy/admission.py
+++ b/packages/millforkd/millforkd/proxy/admission.py
@@ -26,7 +26,7 @@
 from millfork_scheduling.retry_after import full_engines_wait_ms
 from millfork_web.server import Exchange
 from millforkd.proxy.job import Job
-from millforkd.versions import Versions
+from millforkd.versions import VersionTracker
 
 # The least remaining time for sending a request: its answer has to travel back in time.
 MIN_REMAINING_MS: Final = 20
@@ -47,7 +47,7 @@
     """
 
     def __init__(
-        self, env: Environment, versions: Versions, entries: Callable[[], int] = lambda: 1
+        self, env: Environment, versions: VersionTracker, entries: Callable[[], int] = lambda: 1
     ) -> None:
         self.env = env
         self.versions = versions
@@ -124,10 +124,10 @@
         model = requirements.engine.model
         return replace(
             requirements,
-            least_version=self.versions.least(model),
+            least_version=self.versions.oldest_usable(model),
             newest_version=self.versions.newest(model),
             last_send=last_send,
-            endings=self.versions.endings(model),
+            endings=self.versions.upcoming_ends(model),
         )
 
     def _estimate_first_try(self, route: Route, caller: CallerRequest) -> Judgement:
--- a/packages/millforkd/millforkd/proxy/daemon.py
+++ b/packages/millforkd/millforkd/proxy/daemon.py
@@ -31,7 +31,7 @@
 from millfork_wire.connection import Connection, PeerError
 from millfork_wire.messages import Message
 from millforkd.admin import Admin
-from millforkd.document import document_in
+from millforkd.document import find_new_document
 from millforkd.proxy.admission import Admission
 from millforkd.proxy.cache import PieceCache
 from millforkd.proxy.connections import Pools
@@ -41,7 +41,7 @@
 from millforkd.proxy.suspicion_reporter import SuspicionReporter
 from millforkd.proxy.turned_away_directory import TurnedAwayDirectory
 from millforkd.quarantine import Quarantine
-from millforkd.seeded import feed_for, fleet_key
+from millforkd.seeded import build_feed, fleet_key
 from millforkd.sidecar.origin import Origin, find_origin
 
 # The load balancer polls each second and removes an entry after two failed polls.
@@ -70,7 +70,7 @@
         self.settings = settings
         self.adapter = adapter
         promises = settings.promises
-        feed = feed_for(env, settings, ENTRY_ROLE, self.handle)
+        feed = build_feed(env, settings, ENTRY_ROLE, self.handle)
         self.peers = feed.peers
         self.discovery = feed.discovery
         self.view = feed.view
@@ -158,17 +158,17 @@
         Start all tasks of the entry.
 
         """
-        await self.env.keep(self.peers.listen)
-        await self.env.keep(self.peers.probe_idle)
-        await self.env.keep(self.admin.run)
-        await self.env.keep(self.feed_client.run)
-        await self.env.keep(self.feed_relay.run)
-        await self.env.keep(self._apply_changes)
-        await self.env.keep(self.suspicion_reporter.run)
-        await self.env.keep(self._run_housekeeping)
+        await self.env.spawn_essential(self.peers.listen)
+        await self.env.spawn_essential(self.peers.probe_idle)
+        await self.env.spawn_essential(self.admin.run)
+        await self.env.spawn_essential(self.feed_client.run)
+        await self.env.spawn_essential(self.feed_relay.run)
+        await self.env.spawn_essential(self._apply_changes)
+        await self.env.spawn_essential(self.suspicion_reporter.run)
+        await self.env.spawn_essential(self._run_housekeeping)
         if self.ready_server is not None:
-            await self.env.keep(self.ready_server.run)
-        await self.env.keep(self.server.run)
+            await self.env.spawn_essential(self.ready_server.run)
+        await self.env.spawn_essential(self.server.run)
 
     async def reload(self, settings: SeededSettings) -> None:
         """
@@ -224,7 +224,7 @@
                 await self.admission.ready_event.set()
 
     def _apply_document(self) -> None:
-        found = document_in(self.view, self.adapter, self.document_revision)
+        found = find_new_document(self.view, self.adapter, self.document_revision)
         if found is None:
             return
         document, self.document_revision = found
--- a/packages/millforkd/millforkd/proxy/forwarding.py
+++ b/packages/millforkd/millforkd/proxy/forwarding.py
@@ -126,7 +126,7 @@
 
     async def _watch_caller(self, job: Job, task: curio.Task) -> None:
         try:
-            await job.exchange.until_caller_gone()
+            await job.exchange.wait_for_disconnect()
         except OSError:
             pass
         job.caller_gone = True
@@ -139,7 +139,7 @@
             return
         await self._note_turned_away(job)
         if job.answer_started:
-            await job.exchange.break_off()
+            await job.exchange.abort()
             self.outcomes.record(job, 'broken_off', refusal)
             return
         if job.held_answer is not None:
--- a/packages/millforkd/millforkd/proxy/outcomes.py
+++ b/packages/millforkd/millforkd/proxy/outcomes.py
@@ -9,7 +9,7 @@
 from millfork_core.environment import Environment
 from millfork_core.logs import Part, logger
 from millfork_core.verdicts import Reason, Refusal, Verdict
-from millfork_web.models import without
+from millfork_web.models import without_header
 from millfork_web.problem import problem
 from millfork_web.server import Exchange
 from millforkd.proxy.job import Job
@@ -43,7 +43,7 @@
         response = problem(refusal)
         response.status = status_of(refusal)
         wait_ms = refusal.wait_ms if response.status == NOT_RUN_STATUS else 0
-        headers = without(response.headers, 'retry-after')
+        headers = without_header(response.headers, 'retry-after')
         response.headers = headers + self.adapter.refusal_headers(request_id, wait_ms)
         await exchange.respond(response)
 
--- a/packages/millforkd/millforkd/proxy/request_sender.py
+++ b/packages/millforkd/millforkd/proxy/request_sender.py
@@ -137,7 +137,7 @@
             longer has a complete version).
 
         """
-        least = self.admission.versions.least(engine.model)
+        least = self.admission.versions.oldest_usable(engine.model)
         if version is None or version < least:
             detail = f'the engine has version {version}, but requests need at least version {least}'
             raise NotSent(Reason.VERSION_MISMATCH, detail)
--- a/packages/millforkd/millforkd/proxy/response_relay.py
+++ b/packages/millforkd/millforkd/proxy/response_relay.py
@@ -11,7 +11,7 @@
 from millfork_core.environment import Environment
 from millfork_core.verdicts import Reason, Verdict
 from millfork_scheduling.server_table import ServerTable
-from millfork_web.models import Response, without
+from millfork_web.models import Response, without_header
 from millforkd.proxy.connections import SendFailed, ServerConnection
 from millforkd.proxy.event_stream import EventSplitter, InvalidEventStream
 from millforkd.proxy.job import Attempt, HeldAnswer, Job
@@ -51,7 +51,7 @@
 
         """
         job.status = held.status
-        headers = without(held.headers, 'content-length')
+        headers = without_header(held.headers, 'content-length')
         await job.exchange.respond(Response(held.status, headers, held.body))
 
     async def relay(self, job: Job, connection: ServerConnection) -> None:
@@ -66,7 +66,7 @@
                 await self._respond_large(job, connection, bytes(body))
                 return
         job.first_byte_at = self.env.monotonic()
-        headers = without(self.adapter.relayed(connection.headers), 'content-length')
+        headers = without_header(self.adapter.relayed(connection.headers), 'content-length')
         await job.exchange.respond(Response(connection.status, headers, bytes(body)))
 
     async def _respond_large(self, job: Job, connection: ServerConnection, received: bytes) -> None:
--- a/packages/millforkd/millforkd/replica/control.py
+++ b/packages/millforkd/millforkd/replica/control.py
@@ -36,7 +36,7 @@
 from millfork_web.models import Response
 from millfork_web.problem import problem
 from millfork_web.server import Exchange
-from millforkd.document import document_in
+from millforkd.document import find_new_document
 from millforkd.replica.replica_links import ReplicaLinks
 
 # An operator's client changes to another replica after one second.
@@ -132,7 +132,7 @@
         :raises Refused: if the document doesn't declare the service.
 
         """
-        found = document_in(self.view, self.adapter, self.services_revision)
+        found = find_new_document(self.view, self.adapter, self.services_revision)
         if found is not None:
             document, self.services_revision = found
             self.services = frozenset(item.name for item in document.services)
--- a/packages/millforkd/millforkd/replica/daemon.py
+++ b/packages/millforkd/millforkd/replica/daemon.py
@@ -35,8 +35,8 @@
 from millforkd.replica.control import Control
 from millforkd.replica.quarantine import QuarantineList
 from millforkd.replica.replica_links import ReplicaLinks
-from millforkd.seeded import peers_for
-from millforkd.versions import Versions
+from millforkd.seeded import build_peers
+from millforkd.versions import VersionTracker
 
 STATE_FOLDER: Final = 'state'
 # Interval of checks for calls in progress during a stop.
@@ -61,7 +61,7 @@
         self.env = env
         self.settings = settings
         heartbeat_s = settings.promises.heartbeat_ms / 1000
-        self.peers = peers_for(env, settings, self.handle)
+        self.peers = build_peers(env, settings, self.handle)
         self.discovery = Discovery(env, self.peers, settings.seed_instances)
         self.replica = Replica(
             env,
@@ -91,14 +91,14 @@
             heartbeat_s,
             self._switches,
         )
-        self.versions = Versions(
+        self.versions = VersionTracker(
             env,
             self.replica.view,
             settings.promises.version_ms,
             self.replica_links.version_cutoffs,
-            untold_ms=0,
+            unknown_cutoff_ms=0,
             leads=self._leads,
-            arrived=self.replica.arrival_times.find,
+            arrived_at=self.replica.arrival_times.find,
         )
         self.proposals = LeaderClient(
             env, self.peers, self.replica.others, self.node, LEADER_TIMEOUT_S
@@ -159,16 +159,16 @@
 
         """
         await self.replica.recover()
-        await self.env.keep(self.peers.listen)
-        await self.env.keep(self.peers.probe_idle)
-        await self.env.keep(self.admin.run)
-        await self.env.keep(self.replica_links.run)
-        await self.env.keep(self.followers.wake_on_configuration)
-        await self.env.keep(self._record_new_versions)
-        await self.env.keep(self.quarantine.run)
-        await self.env.keep(self.node.run)
-        await self.env.keep(self.node.take_snapshots)
-        await self.env.keep(self.server.run)
+        await self.env.spawn_essential(self.peers.listen)
+        await self.env.spawn_essential(self.peers.probe_idle)
+        await self.env.spawn_essential(self.admin.run)
+        await self.env.spawn_essential(self.replica_links.run)
+        await self.env.spawn_essential(self.followers.wake_on_configuration)
+        await self.env.spawn_essential(self._record_new_versions)
+        await self.env.spawn_essential(self.quarantine.run)
+        await self.env.spawn_essential(self.node.run)
+        await self.env.spawn_essential(self.node.take_snapshots)
+        await self.env.spawn_essential(self.server.run)
 
     async def reload(self, settings: SeededSettings) -> None:
         """
--- a/packages/millforkd/millforkd/running.py
+++ b/packages/millforkd/millforkd/running.py
@@ -18,7 +18,7 @@
 from millfork_settings.loading import load
 from millfork_settings.seeded import SeededSettings
 from millfork_state.storage import CorruptStorage
-from millforkd.stopping import Drains, drain_or_end
+from millforkd.stopping import Drainable, drain_until_second_signal
 
 # The settings file may change without a signal.
 SETTINGS_POLL_S: Final = 2.0
@@ -26,7 +26,7 @@
 log = logger(Part.DAEMON)
 
 
-class Daemon(Drains, Protocol):
+class Daemon(Drainable, Protocol):
     """
     What every role is.
 
@@ -36,7 +36,7 @@
 
 
 @runtime_checkable
-class Reloads(Protocol):
+class Reloadable(Protocol):
     """
     A daemon that takes changed settings while it runs.
 
@@ -58,13 +58,13 @@
         async with StopSignals(reloads=reloads_from is not None) as signals:
             await daemon.start()
             reloads = None
-            if reloads_from is not None and isinstance(daemon, Reloads):
-                reloads = Reloading(reloads_from, daemon)
-                await env.keep(reloads.watch)
+            if reloads_from is not None and isinstance(daemon, Reloadable):
+                reloads = SettingsReloader(reloads_from, daemon)
+                await env.spawn_essential(reloads.watch)
             if not await _wait_for_stop(env, signals, reloads):
                 return ExitStatus.ERROR
             log.notice('Stopping; requests in progress go on. count={}', daemon.in_progress)
-            await drain_or_end(env, daemon, signals)
+            await drain_until_second_signal(env, daemon, signals)
     except BadFile as error:
         log.error('{}', error)
         return ExitStatus.BAD_SETTINGS
@@ -82,7 +82,7 @@
 
 
 async def _wait_for_stop(
-    env: Environment, signals: StopSignals, reloads: 'Reloading | None'
+    env: Environment, signals: StopSignals, reloads: 'SettingsReloader | None'
 ) -> bool:
     """
     Wait for a stop signal; False if a task failed that can't be done without.
@@ -101,13 +101,13 @@
         await reloads.reload()
 
 
-class Reloading:
+class SettingsReloader:
     """
     Brings changes of a settings file to a daemon.
 
     """
 
-    def __init__(self, path: Path, daemon: Reloads) -> None:
+    def __init__(self, path: Path, daemon: Reloadable) -> None:
         self.path = path
         self.daemon = daemon
 
--- a/packages/millforkd/millforkd/seeded.py
+++ b/packages/millforkd/millforkd/seeded.py
@@ -16,7 +16,7 @@
 from millfork_state.view import View
 from millfork_wire.connection import Handler
 from millfork_wire.peers import Peers
-from millforkd.versions import UNTOLD_MS, Versions, never_leads
+from millforkd.versions import UNKNOWN_CUTOFF_MS, VersionTracker, never_leads
 
 # Without a key file the handshake proves only that a peer is a millforkd:
 # the network between the instances must then be private.
@@ -32,7 +32,7 @@
     return read_secret(key_file) if key_file is not None else PRIVATE_NETWORK_KEY
 
 
-def peers_for(env: Environment, settings: SeededSettings, handler: Handler) -> Peers:
+def build_peers(env: Environment, settings: SeededSettings, handler: Handler) -> Peers:
     """
     The connections of a seeded daemon.
 
@@ -62,26 +62,26 @@
     registry: Registry
     feed_client: FeedClient
     feed_relay: FeedRelay
-    versions: Versions
+    versions: VersionTracker
 
 
-def feed_for(env: Environment, settings: SeededSettings, role: str, handler: Handler) -> Feed:
+def build_feed(env: Environment, settings: SeededSettings, role: str, handler: Handler) -> Feed:
     """
     The feed of a seeded daemon of a follower's role.
 
     """
-    peers = peers_for(env, settings, handler)
+    peers = build_peers(env, settings, handler)
     discovery = Discovery(env, peers, settings.seed_instances)
     view = View()
     registry = Registry(env, settings.promises.heartbeat_ms / 1000)
     feed_client = FeedClient(env, role, view, registry, peers, discovery)
     feed_relay = FeedRelay(env, feed_client)
-    versions = Versions(
+    versions = VersionTracker(
         env,
         view,
         settings.promises.version_ms,
         feed_client.version_cutoffs,
-        untold_ms=UNTOLD_MS,
+        unknown_cutoff_ms=UNKNOWN_CUTOFF_MS,
         leads=never_leads,
         is_current=lambda: feed_client.connected,
     )
--- a/packages/millforkd/millforkd/settling.py
+++ b/packages/millforkd/millforkd/settling.py
@@ -14,7 +14,7 @@
 from millfork_state.leader_client import LeaderClient
 from millfork_web.models import Response
 
-SETTLE_PATIENCE_S: Final = 30.0
+SETTLE_TIMEOUT_S: Final = 30.0
 # A longer first answer is not kept; the caller then learns only that it ran.
 MAX_KEPT_BODY_BYTES: Final = 16 * 1024
 
@@ -34,6 +34,6 @@
     if response is not None and len(response.body) <= MAX_KEPT_BODY_BYTES:
         command = SettleKey(key, claim, False, response.status, response.headers, response.body)
     try:
-        await proposals.propose(command, SETTLE_PATIENCE_S)
+        await proposals.propose(command, SETTLE_TIMEOUT_S)
     except Refused:
         env.metrics.count(env.metrics.state, event='claim_unsettled')
--- a/packages/millforkd/millforkd/sidecar/daemon.py
+++ b/packages/millforkd/millforkd/sidecar/daemon.py
@@ -24,8 +24,8 @@
 from millfork_wire.connection import Connection, PeerError
 from millfork_wire.messages import Chunk, Done, EndpointReport, Manifest, Message
 from millforkd.admin import Admin
-from millforkd.document import document_in
-from millforkd.seeded import feed_for
+from millforkd.document import find_new_document
+from millforkd.seeded import build_feed
 from millforkd.sidecar.engine import LocalEngine
 from millforkd.sidecar.expiry import ExpiryWatcher
 from millforkd.sidecar.fleet import Fleet
@@ -71,7 +71,7 @@
         self.adapter = adapter
         self.service = settings.beside.service
         self.engine_address = socket_pair(settings.beside.address)
-        feed = feed_for(env, settings, ENDPOINT_ROLE, self.handle)
+        feed = build_feed(env, settings, ENDPOINT_ROLE, self.handle)
         self.peers = feed.peers
         self.discovery = feed.discovery
         self.view = feed.view
@@ -120,14 +120,14 @@
         Start all tasks of the endpoint daemon.
 
         """
-        await self.env.keep(self.peers.listen)
-        await self.env.keep(self.peers.probe_idle)
-        await self.env.keep(self.admin.run)
-        await self.env.keep(self.feed_client.run)
-        await self.env.keep(self.feed_relay.run)
-        await self.env.keep(self._report_periodically)
-        await self.env.keep(self.rollout.run)
-        await self.env.keep(self.expiry.run)
+        await self.env.spawn_essential(self.peers.listen)
+        await self.env.spawn_essential(self.peers.probe_idle)
+        await self.env.spawn_essential(self.admin.run)
+        await self.env.spawn_essential(self.feed_client.run)
+        await self.env.spawn_essential(self.feed_relay.run)
+        await self.env.spawn_essential(self._report_periodically)
+        await self.env.spawn_essential(self.rollout.run)
+        await self.env.spawn_essential(self.expiry.run)
 
     async def reload(self, settings: SeededSettings) -> None:
         """
@@ -152,7 +152,7 @@
     # The version to be served.
 
     def _engine_figures(self) -> EngineSpec | None:
-        found = document_in(self.view, self.adapter, self.document_revision)
+        found = find_new_document(self.view, self.adapter, self.document_revision)
         if found is not None:
             self.document, self.document_revision = found
         if self.document is None:
--- a/packages/millforkd/millforkd/sidecar/expiry.py
+++ b/packages/millforkd/millforkd/sidecar/expiry.py
@@ -19,7 +19,7 @@
 import curio
 
 from millfork_core.environment import Environment
-from millfork_core.ids import UNTOLD_INCARNATION
+from millfork_core.ids import UNKNOWN_INCARNATION
 from millfork_core.logs import Part, logger
 from millfork_registry.records import ServedVersion
 from millforkd.sidecar.engine import LocalEngine
@@ -57,7 +57,7 @@
         self.store = store
         self.rollout = rollout
         # The engine's incarnation when it was last emptied, and the target version then.
-        self.emptied_for = (UNTOLD_INCARNATION, 0)
+        self.emptied_for = (UNKNOWN_INCARNATION, 0)
         # Samples of the last second: a time, and the number of target pieces held then.
         self.arrivals: deque[tuple[float, int]] = deque()
 
--- a/packages/millforkd/millforkd/sidecar/rollout.py
+++ b/packages/millforkd/millforkd/sidecar/rollout.py
@@ -15,7 +15,7 @@
 
 from millfork_adapter.exchange import EngineReport
 from millfork_core.environment import Environment
-from millfork_core.ids import UNTOLD_INCARNATION
+from millfork_core.ids import UNKNOWN_INCARNATION
 from millfork_core.logs import Part, logger
 from millfork_registry.records import ServedVersion
 from millforkd.sidecar.engine import LocalEngine
@@ -73,7 +73,7 @@
         self.announce = announce
         self.report: EngineReport | None = None
         # The engine's incarnation in its last report.
-        self.incarnation = UNTOLD_INCARNATION
+        self.incarnation = UNKNOWN_INCARNATION
         self.changing_to = 0
         # Held while pieces are staged for an order and the order is given.
         self.order_lock = curio.Lock()
--- a/packages/millforkd/millforkd/sidecar/target.py
+++ b/packages/millforkd/millforkd/sidecar/target.py
@@ -16,7 +16,7 @@
 from millfork_routing.documents import EngineSpec
 from millforkd.sidecar.pieces import PieceStore, WeightsId
 from millforkd.version_switching import LAST_SEND_BEFORE_END_S
-from millforkd.versions import Versions
+from millforkd.versions import VersionTracker
 
 # The first version of every model.
 FIRST_VERSION: Final = 1
@@ -57,7 +57,7 @@
     def __init__(
         self,
         env: Environment,
-        versions: Versions,
+        versions: VersionTracker,
         store: PieceStore,
         served: Callable[[], int],
         bytes_per_s: float,
--- a/packages/millforkd/millforkd/stopping.py
+++ b/packages/millforkd/millforkd/stopping.py
@@ -15,7 +15,7 @@
 log = logger(Part.DAEMON)
 
 
-class Drains(Protocol):
+class Drainable(Protocol):
     """
     A daemon that can be stopped.
 
@@ -27,7 +27,9 @@
     async def drain(self) -> None: ...
 
 
-async def drain_or_end(env: Environment, daemon: Drains, signals: StopSignals) -> None:
+async def drain_until_second_signal(
+    env: Environment, daemon: Drainable, signals: StopSignals
+) -> None:
     """
     Let a daemon drain; a second stop signal ends the drain.
 
--- a/packages/millforkd/millforkd/suspicion_updates.py
+++ b/packages/millforkd/millforkd/suspicion_updates.py
@@ -7,7 +7,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import Fingerprint, IncarnationKey
-from millfork_core.windows import Allowance
+from millfork_core.windows import RateLimit
 from millfork_registry.suspicion_store import Suspicion, SuspicionStore
 from millfork_scheduling.quarantine import count_ends
 
@@ -27,7 +27,7 @@
     def __init__(self, env: Environment, suspects: SuspicionStore) -> None:
         self.env = env
         self.suspects = suspects
-        self.immediate_reports = Allowance(IMMEDIATE_REPORTS, IMMEDIATE_REPORTS_WINDOW_S)
+        self.immediate_reports = RateLimit(IMMEDIATE_REPORTS, IMMEDIATE_REPORTS_WINDOW_S)
 
     async def note_broken(self, fingerprint: Fingerprint, incarnation: IncarnationKey) -> None:
         """
@@ -36,7 +36,7 @@
         """
         known = self.suspects.get(fingerprint)
         self.suspects.record_privately(known.with_broken_answer(incarnation))
-        if not known.is_clear or self.immediate_reports.spend(self.env.monotonic()):
+        if not known.is_clear or self.immediate_reports.try_acquire(self.env.monotonic()):
             await self.suspects.publish(fingerprint)
 
     async def note_end(self, before: Suspicion, incarnation: IncarnationKey) -> None:
--- a/packages/millforkd/millforkd/versions.py
+++ b/packages/millforkd/millforkd/versions.py
@@ -1,8 +1,8 @@
 """
-Which version of a model's weights a request may begin on.
+Which versions of a model's weights a request may begin on.
 
-A new version is named at one moment and must be everywhere a while later;
-until then either will do, from then on only the new one.
+When the leader names a new version, requests may still begin on older versions until the
+cutoff, `version_ms` later. From then on only the new version may be used.
 
 """
 
@@ -18,21 +18,20 @@
 from millfork_wire.messages import VersionSwitch
 from millforkd.version_switching import LAST_SEND_BEFORE_END_S
 
-# A request that has not begun on the old version is taken back this long
-# before it no longer may.
-CUT_S: Final = 0.15
-# A process that heard of a version, but not yet when it was named, goes on with the one
-# before it for so long: an answer comes within 0.8 s, over a squeezed link within 1.5 s.
-UNTOLD_MS: Final = 2000
-# A correction of an end is logged from here on; answers differ by the time they take.
-LOGGED_S: Final = 0.1
+# A request that has not begun on an old version is cancelled this long before the cutoff.
+CANCEL_MARGIN_S: Final = 0.15
+# A process that knows a new version, but not yet its cutoff, uses older versions for this
+# long. Peers answer the query for the cutoff within 0.8 s, over a slow link within 1.5 s.
+UNKNOWN_CUTOFF_MS: Final = 2000
+# Smaller corrections of a cutoff aren't logged: the peers' answers differ by their delays.
+MIN_LOGGED_CHANGE_S: Final = 0.1
 
 log = logger(Part.PROXY)
 
 
 def always_leads() -> bool:
     """
-    The case of a process that is told of versions by nobody.
+    For a process that gets no cutoffs from others.
 
     """
     return True
@@ -40,7 +39,7 @@
 
 def always_current() -> bool:
     """
-    The case of a process whose view is never behind when it is read.
+    For a process whose view is up to date whenever it is read.
 
     """
     return True
@@ -48,23 +47,23 @@
 
 def never_leads() -> bool:
     """
-    The case of a follower.
+    For a process that follows the replicas.
 
     """
     return False
 
 
-def never_arrived(key: str, version: int) -> float | None:
+def no_arrival_time(key: str, version: int) -> float | None:
     """
-    The case of a process that keeps no log.
+    For a process without a replicated log.
 
     """
     return None
 
 
-class Versions:
+class VersionTracker:
     """
-    The versions named, as this process learned of them.
+    The named versions of all models, and until when requests may begin on older ones.
 
     """
 
@@ -73,33 +72,33 @@
         env: Environment,
         view: View,
         switch_ms: float,
-        told: VersionCutoffs | None = None,
-        untold_ms: int = 0,
+        cutoffs: VersionCutoffs | None = None,
+        unknown_cutoff_ms: int = 0,
         leads: Callable[[], bool] = always_leads,
         is_current: Callable[[], bool] = always_current,
-        arrived: Callable[[str, int], float | None] = never_arrived,
+        arrived_at: Callable[[str, int], float | None] = no_arrival_time,
     ) -> None:
         self.env = env
         self.view = view
         self.switch_s = switch_ms / MS_PER_S
-        # What others answered.
-        self.told = told if told is not None else VersionCutoffs()
-        self.untold_s = min(untold_ms, switch_ms) / MS_PER_S
-        # Whether this process names versions itself, and so knows when that was.
+        # Cutoffs that other processes reported.
+        self.cutoffs = cutoffs if cutoffs is not None else VersionCutoffs()
+        self.unknown_cutoff_s = min(unknown_cutoff_ms, switch_ms) / MS_PER_S
+        # Whether this process leads: the leader names versions and knows when it did.
         self.leads = leads
         # Whether the view is up to date, as far as this process knows.
         self.is_current = is_current
-        # When the entry that named a version came into this process's log.
-        self.arrived = arrived
+        # When the entry that named a version arrived in this process's log.
+        self.arrived_at = arrived_at
         self.started = False
-        # When this process learned of each version, by model; what it heard of before its
-        # view was up to date was named nobody here knows when, and is taken for long ago.
+        # When this process learned of each version, by model. Versions that it found before
+        # its view was up to date may be old, so they count as named infinitely long ago.
         self.learned: dict[str, dict[int, float]] = {}
-        self.logged: dict[tuple[str, int], float] = {}
+        self.logged_ends: dict[tuple[str, int], float] = {}
 
     def refresh(self) -> None:
         """
-        Take what the configuration in force names.
+        Record the versions that the configuration in force names.
 
         """
         now = self.env.monotonic()
@@ -114,22 +113,22 @@
 
     def _named_at(self, key: str, version: int, now: float) -> float:
         """
-        When a version was named, as far as this process can tell; never earlier than that by
-        more than the time to commit it.
+        When a version was named, as far as this process can tell. The result precedes the
+        real time by at most the time to commit the entry.
 
         """
         if not self.started:
             return float('-inf')
-        arrived = self.arrived(key, version)
-        return now if arrived is None else arrived
+        arrived_at = self.arrived_at(key, version)
+        return now if arrived_at is None else arrived_at
 
     def _log_ends(self, model: str) -> None:
         now = self.env.monotonic()
-        for version, ends in self._ends(model).items():
-            before = self.logged.get((model, version))
-            if before is not None and (before == ends or abs(before - ends) < LOGGED_S):
+        for version, ends in self._end_times(model).items():
+            before = self.logged_ends.get((model, version))
+            if before is not None and (before == ends or abs(before - ends) < MIN_LOGGED_CHANGE_S):
                 continue
-            self.logged[(model, version)] = ends
+            self.logged_ends[(model, version)] = ends
             log.info(
                 'Version {}. model={} version={} due_s={:.1f}',
                 'named' if before is None else 'end corrected',
@@ -138,88 +137,93 @@
                 max(ends - now, 0) - LAST_SEND_BEFORE_END_S,
             )
 
-    def _ends(self, model: str) -> dict[int, float]:
+    def _end_times(self, model: str) -> dict[int, float]:
         """
-        For each version of a model, oldest first, when requests may no longer begin on
-        what came before it.
+        The cutoff of each version of a model, oldest first: when requests may no longer begin
+        on the versions before it.
 
         """
         learned = self.learned.get(model, {})
         return {
-            version: self._end(model, version, learned.get(version, float('-inf')))
-            for version in sorted({*learned, *self.told.known_versions(model)})
+            version: self._end_time(model, version, learned.get(version, float('-inf')))
+            for version in sorted({*learned, *self.cutoffs.known_versions(model)})
         }
 
-    def _end(self, model: str, version: int, learned_at: float) -> float:
-        told = self.told.cutoff_of(model, version)
+    def _end_time(self, model: str, version: int, learned_at: float) -> float:
+        reported = self.cutoffs.cutoff_of(model, version)
         if self.leads():
             own = learned_at + self.switch_s
-            return own if told is None else max(told, own)
-        return told if told is not None else learned_at + self.untold_s
+            return own if reported is None else max(reported, own)
+        return reported if reported is not None else learned_at + self.unknown_cutoff_s
 
     def switches(self) -> list[VersionSwitch]:
         """
-        The versions named lately, for processes that ask: those of which this one was
-        told, or which it named itself. The newest is among them also when all before it
-        has ended, as one that was away doesn't know that.
+        The recent versions whose cutoff this process knows, for processes that ask. The
+        newest is included even when its cutoff has passed, as a process that was cut off
+        doesn't know that.
 
         """
         now = self.env.monotonic()
-        found = []
+        switches = []
         for model in self.learned:
             newest = self.newest(model)
-            for version, ends in self._ends(model).items():
-                if not self.leads() and self.told.cutoff_of(model, version) is None:
+            for version, ends in self._end_times(model).items():
+                if not self.leads() and self.cutoffs.cutoff_of(model, version) is None:
                     continue
                 if ends <= now and version != newest:
                     continue
-                found.append(VersionSwitch(model, version, int(max(ends - now, 0) * MS_PER_S)))
-        return found
+                switches.append(VersionSwitch(model, version, int(max(ends - now, 0) * MS_PER_S)))
+        return switches
 
-    def least(self, model: str) -> int:
+    def oldest_usable(self, model: str) -> int:
         """
-        The oldest version on which a request may begin now.
+        The oldest version on which a request may begin now; 0 if any will do.
 
         """
         now = self.env.monotonic()
         due = [
             version
-            for version, ends in self._ends(model).items()
+            for version, ends in self._end_times(model).items()
             if ends - LAST_SEND_BEFORE_END_S <= now
         ]
         return max(due, default=0)
 
     def newest(self, model: str) -> int:
         """
-        The newest version named.
+        The newest version named; 0 if there is none.
 
         """
-        return max(self._ends(model), default=0)
+        return max(self._end_times(model), default=0)
 
     def newer_than(self, model: str, version: int) -> list[int]:
         """
-        The versions named after one, oldest first.
+        The versions named after `version`, oldest first.
 
         """
-        return [newer for newer in self._ends(model) if newer > version]
+        return [newer for newer in self._end_times(model) if newer > version]
 
     def ends_at(self, model: str, version: int) -> float | None:
         """
-        When requests may no longer begin on a version; None: never.
+        When requests that have not begun on `version` are cancelled (monotonic seconds);
+        None if there is no newer version.
 
         """
-        ends = [ends - CUT_S for newer, ends in self._ends(model).items() if newer > version]
+        ends = [
+            ends - CANCEL_MARGIN_S
+            for newer, ends in self._end_times(model).items()
+            if newer > version
+        ]
         return min(ends, default=None)
 
-    def endings(self, model: str) -> tuple[tuple[int, float], ...]:
+    def upcoming_ends(self, model: str) -> tuple[tuple[int, float], ...]:
         """
-        For each version named, when requests may no longer begin on an older
-        one, as far as that is to come.
+        For each version whose cutoff is still to come, when requests that have not begun on
+        an older version are cancelled (monotonic seconds).
 
         """
         now = self.env.monotonic()
         return tuple(
-            (version, ends - CUT_S)
-            for version, ends in self._ends(model).items()
-            if ends - CUT_S > now
+            (version, ends - CANCEL_MARGIN_S)
+            for version, ends in self._end_times(model).items()
+            if ends - CANCEL_MARGIN_S > now
         )
--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -109,7 +109,7 @@
         (
             Edit(
                 D + 'versions.py',
-                'return now if arrived is None else arrived',
+                'return now if arrived_at is None else arrived_at',
                 'return now',
             ),
         ),
@@ -235,7 +235,7 @@
         (
             Edit(
                 'packages/millfork-web/millfork_web/server.py',
-                'await self._make_room()',
+                'await self._free_descriptors()',
                 'await curio.sleep(0)',
             ),
         ),
@@ -472,7 +472,7 @@
         (
             Edit(
                 D + 'versions.py',
-                'sorted({*learned, *self.told.known_versions(model)})',
+                'sorted({*learned, *self.cutoffs.known_versions(model)})',
                 'sorted(learned)',
             ),
         ),
@@ -483,7 +483,7 @@
         (
             Edit(
                 D + 'versions.py',
-                'if not self.leads() and self.told.cutoff_of(model, version) is None:',
+                'if not self.leads() and self.cutoffs.cutoff_of(model, version) is None:',
                 'if False:',
             ),
         ),
@@ -516,7 +516,7 @@
         (
             Edit(
                 R + 'shared_budget.py',
-                'return self.most_entries.note(entries, now)',
+                'return self.most_entries.add(entries, now)',
                 'return entries',
             ),
         ),
@@ -538,7 +538,7 @@
         (
             Edit(
                 G + 'followers.py',
-                'self.most_entries.note(self.entries, self.env.monotonic())',
+                'self.most_entries.add(self.entries, self.env.monotonic())',
                 'self.entries',
             ),
         ),
@@ -583,7 +583,7 @@
         (
             Edit(
                 'packages/millfork-settings/millfork_settings/seeded.py',
-                'used[name] = _usable(values[name], info)',
+                'used[name] = _usable_value(values[name], info)',
                 'used[name] = int(values[name])',
             ),
         ),
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -14,7 +14,7 @@
 from millfork_scheduling.server import Server
 from millfork_state.view import View
 from millforkd.proxy.admission import Admission
-from millforkd.versions import Versions
+from millforkd.versions import VersionTracker
 from tests.test_servers import ENGINE
 
 TARGET_MS = 400
@@ -22,7 +22,7 @@
 
 def admission():
     env = Environment(InstanceId('a:1'), ZoneId('z1'))
-    return Admission(env, Versions(env, View(), 8000))
+    return Admission(env, VersionTracker(env, View(), 8000))
 
 
 def job_of(made, elapsed_ms=0, engine=ENGINE):
--- a/tests/test_closed_back_ends.py
+++ b/tests/test_closed_back_ends.py
@@ -9,7 +9,7 @@
 import pytest
 
 from millfork_adapter.exchange import NO_BACKPRESSURE, Backpressure
-from millfork_core.ids import UNTOLD_INCARNATION, Incarnation, ServiceName, ZoneId
+from millfork_core.ids import UNKNOWN_INCARNATION, Incarnation, ServiceName, ZoneId
 from millfork_platform import standins
 from millfork_platform.adapter import PlatformAdapter
 from millfork_scheduling.availability import (
@@ -100,10 +100,10 @@
     If engines have no incarnation, a report may describe the previous engine at the address.
 
     """
-    table.apply_leases([lease(1, UNTOLD_INCARNATION), lease(2)])
-    table.apply_reports([report(1, 1, leaving=True, incarnation=UNTOLD_INCARNATION)])
+    table.apply_leases([lease(1, UNKNOWN_INCARNATION), lease(2)])
+    table.apply_reports([report(1, 1, leaving=True, incarnation=UNKNOWN_INCARNATION)])
     assert closed_for(table, 1) is ClosureReason.LEAVING
-    table.apply_reports([report(1, 2, incarnation=UNTOLD_INCARNATION)])
+    table.apply_reports([report(1, 2, incarnation=UNKNOWN_INCARNATION)])
     assert closed_for(table, 1) is None
 
 
--- a/tests/test_ends_after_an_election.py
+++ b/tests/test_ends_after_an_election.py
@@ -20,7 +20,7 @@
 from millfork_state.replica import Replica, ReplicaState
 from millfork_state.storage import LogEntry, Storage
 from millfork_state.view import View
-from millforkd.versions import CUT_S, Versions
+from millforkd.versions import CANCEL_MARGIN_S, VersionTracker
 from tests.test_replica import append, entry, genesis
 from tests.test_servers import Clock
 from tests.test_versions import SWITCH_MS, SWITCH_S
@@ -41,8 +41,12 @@
 
 
 def versions_of(replica):
-    versions = Versions(
-        replica.env, replica.view, SWITCH_MS, leads=lambda: True, arrived=replica.arrival_times.find
+    versions = VersionTracker(
+        replica.env,
+        replica.view,
+        SWITCH_MS,
+        leads=lambda: True,
+        arrived_at=replica.arrival_times.find,
     )
     versions.refresh()
     return versions
@@ -73,7 +77,7 @@
     clock.now += ELECTION_S
     win_election(replica)
     versions.refresh()
-    assert versions.ends_at('m', 1) == pytest.approx(arrived_at + SWITCH_S - CUT_S)
+    assert versions.ends_at('m', 1) == pytest.approx(arrived_at + SWITCH_S - CANCEL_MARGIN_S)
 
 
 def test_a_replica_that_restarts_meanwhile_counts_from_its_start_at_the_latest(tmp_path, clock):
@@ -86,7 +90,7 @@
     clock.now += ELECTION_S
     win_election(replica)
     versions.refresh()
-    assert versions.ends_at('m', 1) == pytest.approx(started_at + SWITCH_S - CUT_S)
+    assert versions.ends_at('m', 1) == pytest.approx(started_at + SWITCH_S - CANCEL_MARGIN_S)
 
 
 def test_an_entry_that_another_leader_replaced_is_ignored(tmp_path, clock):
@@ -98,7 +102,7 @@
     clock.now += 1.0
     append(replica, [version_entry(3, term=2)], prev=(2, 2), commit=3, term=2)
     versions.refresh()
-    assert versions.ends_at('m', 1) == pytest.approx(clock.now + SWITCH_S - CUT_S)
+    assert versions.ends_at('m', 1) == pytest.approx(clock.now + SWITCH_S - CANCEL_MARGIN_S)
 
 
 def test_the_number_of_arrival_times_is_bounded(clock):
--- a/tests/test_engines_without_daemon_reports.py
+++ b/tests/test_engines_without_daemon_reports.py
@@ -16,7 +16,7 @@
 from millfork_registry.records import EndpointState, Lease, LeaseState, ServedVersion
 from millfork_scheduling.placement import Requirements
 from millfork_scheduling.server_table import ServerTable
-from millforkd.versions import CUT_S
+from millforkd.versions import CANCEL_MARGIN_S
 from tests.test_servers import ENGINE, Clock
 
 SERVICE = ServiceName('s')
@@ -50,7 +50,7 @@
             )  # fmt: skip
             table.apply_reports([state])
         requirements = Requirements(
-            SERVICE, ENGINE, 0, 2, 900, endings=((2, began + end_s - CUT_S),)
+            SERVICE, ENGINE, 0, 2, 900, endings=((2, began + end_s - CANCEL_MARGIN_S),)
         )
         if table.choose(requirements, set()) is not None:
             last = clock.now
@@ -75,7 +75,9 @@
     ends_at = clock.now + 10.0
     last = None
     while clock.now < ends_at:
-        requirements = Requirements(SERVICE, ENGINE, 0, 2, 900, endings=((2, ends_at - CUT_S),))
+        requirements = Requirements(
+            SERVICE, ENGINE, 0, 2, 900, endings=((2, ends_at - CANCEL_MARGIN_S),)
+        )
         if table.choose(requirements, set()) is not None:
             last = clock.now
         clock.now += 0.01
--- a/tests/test_faults_left_open.py
+++ b/tests/test_faults_left_open.py
@@ -13,7 +13,7 @@
 from millfork_scheduling.quarantine import MIN_ENDS_AT_FAULT
 from millfork_standins.bench.limit_shares import SECONDS, Shares, play
 from millfork_standins.bench.returning import Way
-from millforkd.versions import CUT_S
+from millforkd.versions import CANCEL_MARGIN_S
 from tests import test_delayed_heartbeats as heartbeats
 from tests import test_drawn_deployments as drawn
 from tests.test_ends_after_an_election import (
@@ -71,7 +71,7 @@
     versions = versions_of(replica)
     win_election(replica)
     versions.refresh()
-    assert versions.ends_at('m', 1) <= acknowledged_at + SWITCH_S - CUT_S
+    assert versions.ends_at('m', 1) <= acknowledged_at + SWITCH_S - CANCEL_MARGIN_S
 
 
 replica = heartbeats.replica
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -120,7 +120,9 @@
         self.budget.count_entries()
         self.clock.now += 11.0
         env = Environment(InstanceId('a:1'), ZoneId('z1'), monotonic=self.clock)
-        versions = SimpleNamespace(least=lambda model: self.least, ends_at=lambda *args: None)
+        versions = SimpleNamespace(
+            oldest_usable=lambda model: self.least, ends_at=lambda *args: None
+        )
         admission = SimpleNamespace(
             versions=versions,
             table=None,
--- a/tests/test_limit_shares.py
+++ b/tests/test_limit_shares.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from millfork_adapter.exchange import NO_BACKPRESSURE, Backpressure
-from millfork_core.ids import UNTOLD_INCARNATION, Incarnation, InstanceId, ServiceName, ZoneId
+from millfork_core.ids import UNKNOWN_INCARNATION, Incarnation, InstanceId, ServiceName, ZoneId
 from millfork_registry.records import EndpointState, Lease, LeaseState, ServedVersion
 from millfork_scheduling.availability import REPORT_LAG_S, ClosureReason, Signal, SignalEvent
 from millfork_scheduling.limit_share import MIN_PER_S, LimitShare
@@ -151,8 +151,8 @@
 
 
 def test_daemon_reports_apply_to_engines_without_incarnation(table, clock):
-    table.apply_leases([lease(1, UNTOLD_INCARNATION), lease(2)])
-    table.apply_reports([report(1, 1, 0.5, UNTOLD_INCARNATION)])
+    table.apply_leases([lease(1, UNKNOWN_INCARNATION), lease(2)])
+    table.apply_reports([report(1, 1, 0.5, UNKNOWN_INCARNATION)])
     assert table.closure(server(table, 1)) is not None
 
 
--- a/tests/test_machine_suspension.py
+++ b/tests/test_machine_suspension.py
@@ -11,7 +11,7 @@
 from millfork_registry.version_cutoffs import VersionCutoffs
 from millfork_state.view import View
 from millfork_wire.messages import VersionSwitch
-from millforkd.versions import Versions, never_leads
+from millforkd.versions import VersionTracker, never_leads
 from tests.test_versions import set_version
 
 SLEPT_S = 5.0
@@ -24,10 +24,10 @@
     view = View()
     view.replace(ClusterId('c'), Revision(1), {})
     cutoffs = VersionCutoffs()
-    versions = Versions(env, view, 8000, cutoffs, leads=never_leads)
+    versions = VersionTracker(env, view, 8000, cutoffs, leads=never_leads)
     set_version(view, versions, 1)
     set_version(view, versions, 2)
     cutoffs.record_answer(env.monotonic(), [VersionSwitch('m', 2, int(SLEPT_S * 1000) - 1000)])
-    assert versions.least('m') < 2
+    assert versions.oldest_usable('m') < 2
     now[time.CLOCK_BOOTTIME] += SLEPT_S
-    assert versions.least('m') == 2
+    assert versions.oldest_usable('m') == 2
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -26,11 +26,11 @@
 from millfork_settings.errors import BadFile
 from millfork_settings.loading import load
 from millfork_settings.seeded import (
-    PROMISES_OF,
+    REQUIRED_PROMISES,
     PromiseSettings,
     SeededRole,
     SeededSettings,
-    limit_of,
+    bound_of,
 )
 from millfork_standins.seeded import SeededFleet
 from millforkd.versions import LAST_SEND_BEFORE_END_S
@@ -74,12 +74,12 @@
 def test_each_template_names_the_promises_that_its_role_reads(role):
     text = (ROOT / 'deploy' / 'settings' / f'{role.value}.yaml').read_text()
     named = set(re.findall(r'^  ([a-z_]+): \{\{', text.partition('promises:')[2], re.M))
-    assert set(PROMISES_OF[role]) == reads(role) == named
+    assert set(REQUIRED_PROMISES[role]) == reads(role) == named
 
 
 @pytest.mark.parametrize('role', SeededRole, ids=lambda role: role.value)
 def test_settings_without_a_promise_of_their_role_are_refused(role, tmp_path):
-    for name in PROMISES_OF[role]:
+    for name in REQUIRED_PROMISES[role]:
         head, mark, promises = filled_template(f'{role.value}.yaml').partition('promises:')
         path = tmp_path / 'settings.yaml'
         path.write_text(head + mark + re.sub(f'  {name}: .*\n', '', promises))
@@ -94,7 +94,7 @@
         settings = SeededSettings.model_validate(yaml.safe_load(text))
         for name, info in PromiseSettings.model_fields.items():
             value = getattr(settings.promises, name)
-            assert limit_of(info, 'ge') <= value <= limit_of(info, 'le')
+            assert bound_of(info, 'ge') <= value <= bound_of(info, 'le')
 
 
 @pytest.mark.parametrize(
--- a/tests/test_replica_age.py
+++ b/tests/test_replica_age.py
@@ -17,7 +17,7 @@
 from millfork_state.replica import MAX_AGE_MS, Replica, ReplicaState
 from millfork_state.storage import LogEntry, Storage
 from millfork_state.view import View
-from millforkd.versions import Versions, never_leads
+from millforkd.versions import VersionTracker, never_leads
 from tests.test_replica import append, entry, genesis
 from tests.test_servers import Clock
 from tests.test_versions import SWITCH_MS, set_version
@@ -75,13 +75,13 @@
 def test_a_version_received_before_the_feed_is_current_is_due_at_once(clock):
     view, current = View(), False
     env = Environment(InstanceId('a:1'), ZoneId('zone'), monotonic=clock)
-    entry = Versions(
-        env, view, SWITCH_MS, untold_ms=2000, leads=never_leads, is_current=lambda: current
+    entry = VersionTracker(
+        env, view, SWITCH_MS, unknown_cutoff_ms=2000, leads=never_leads, is_current=lambda: current
     )
     entry.refresh()
     set_version(view, entry, 2)
-    assert entry.least('m') == 2
+    assert entry.oldest_usable('m') == 2
     current = True
     entry.refresh()
     set_version(view, entry, 3)
-    assert entry.least('m') == 2
+    assert entry.oldest_usable('m') == 2
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -13,7 +13,7 @@
 OTHERS = {
     'proxy': (*LISTED, 'millforkd.replica', 'millfork_state.replica', 'millforkd.sidecar.daemon'),
     'replica': (*LISTED, 'millforkd.proxy', 'millforkd.sidecar', 'millfork_weights'),
-    'beside': (*LISTED, 'millforkd.proxy', 'millforkd.replica', 'millfork_state.replica'),
+    'sidecar': (*LISTED, 'millforkd.proxy', 'millforkd.replica', 'millfork_state.replica'),
 }
 
 
--- a/tests/test_suspicions.py
+++ b/tests/test_suspicions.py
@@ -20,7 +20,7 @@
     ServiceName,
     ZoneId,
 )
-from millfork_core.windows import Allowance
+from millfork_core.windows import RateLimit
 from millfork_registry.suspicion_store import (
     MAX_BROKEN_INCARNATIONS,
     MAX_SUSPICIONS,
@@ -179,8 +179,8 @@
 
 
 def test_an_allowance_is_restored_after_its_window():
-    allowance = Allowance(2, 10)
-    assert [allowance.spend(now) for now in (0, 1, 2, 10.5, 10.6, 12)] == [
+    rate_limit = RateLimit(2, 10)
+    assert [rate_limit.try_acquire(now) for now in (0, 1, 2, 10.5, 10.6, 12)] == [
         True,
         True,
         False,
--- a/tests/test_version_cutoffs.py
+++ b/tests/test_version_cutoffs.py
@@ -12,7 +12,7 @@
 from millfork_registry.version_cutoffs import VersionCutoffs
 from millfork_state.view import View
 from millfork_wire.messages import VersionSwitch
-from millforkd.versions import CUT_S, UNTOLD_MS, Versions, never_leads
+from millforkd.versions import CANCEL_MARGIN_S, UNKNOWN_CUTOFF_MS, VersionTracker, never_leads
 from tests.test_servers import Clock
 from tests.test_versions import SWITCH_MS, SWITCH_S, set_version
 
@@ -36,16 +36,16 @@
     return VersionCutoffs()
 
 
-def versions(clock, view, cutoffs, untold_ms, leads):
+def versions(clock, view, cutoffs, unknown_cutoff_ms, leads):
     env = Environment(InstanceId('a:1'), ZoneId('zone'), monotonic=clock)
-    versions_tracker = Versions(env, view, SWITCH_MS, cutoffs, untold_ms, leads)
+    versions_tracker = VersionTracker(env, view, SWITCH_MS, cutoffs, unknown_cutoff_ms, leads)
     versions_tracker.refresh()
     return versions_tracker
 
 
 @pytest.fixture
 def follower(clock, view, cutoffs):
-    return versions(clock, view, cutoffs, UNTOLD_MS, never_leads)
+    return versions(clock, view, cutoffs, UNKNOWN_CUTOFF_MS, never_leads)
 
 
 @given(st.lists(st.tuples(st.floats(0, 7), st.floats(0, 3)), min_size=1, max_size=6))
@@ -77,26 +77,28 @@
 ):
     set_version(view, follower, 2)
     learned_at = clock.now
-    assert follower.ends_at('m', 1) == pytest.approx(learned_at + UNTOLD_MS / 1000 - CUT_S)
+    assert follower.ends_at('m', 1) == pytest.approx(
+        learned_at + UNKNOWN_CUTOFF_MS / 1000 - CANCEL_MARGIN_S
+    )
     cutoffs.record_answer(clock.now, switches_with(SWITCH_S - 0.5))
-    assert follower.ends_at('m', 1) == pytest.approx(learned_at + SWITCH_S - 0.5 - CUT_S)
+    assert follower.ends_at('m', 1) == pytest.approx(learned_at + SWITCH_S - 0.5 - CANCEL_MARGIN_S)
 
 
 def test_a_version_named_before_the_follower_started_is_due_without_an_answer(view, cutoffs, clock):
     env = Environment(InstanceId('a:1'), ZoneId('zone'), monotonic=clock)
-    follower = Versions(env, view, SWITCH_MS, cutoffs, UNTOLD_MS, never_leads)
+    follower = VersionTracker(env, view, SWITCH_MS, cutoffs, UNKNOWN_CUTOFF_MS, never_leads)
     set_version(view, follower, 2)
-    assert follower.least('m') == 2
+    assert follower.oldest_usable('m') == 2
     cutoffs.record_answer(clock.now, switches_with(3.0))
-    assert follower.least('m') == 0
-    assert follower.ends_at('m', 1) == pytest.approx(clock.now + 3.0 - CUT_S)
+    assert follower.oldest_usable('m') == 0
+    assert follower.ends_at('m', 1) == pytest.approx(clock.now + 3.0 - CANCEL_MARGIN_S)
 
 
 def test_the_cutoff_of_a_superseded_version_is_kept(view, cutoffs, clock, follower):
     cutoffs.record_answer(clock.now, switches_with(2.0, version=2) + switches_with(5.0, version=3))
     set_version(view, follower, 3)
-    assert follower.ends_at('m', 1) == pytest.approx(clock.now + 2.0 - CUT_S)
-    assert follower.ends_at('m', 2) == pytest.approx(clock.now + 5.0 - CUT_S)
+    assert follower.ends_at('m', 1) == pytest.approx(clock.now + 2.0 - CANCEL_MARGIN_S)
+    assert follower.ends_at('m', 2) == pytest.approx(clock.now + 5.0 - CANCEL_MARGIN_S)
     assert [item.version for item in follower.switches()] == [2, 3]
 
 
@@ -104,7 +106,7 @@
     replica = versions(clock, view, cutoffs, 0, never_leads)
     set_version(view, replica, 2)
     assert replica.switches() == []
-    assert replica.least('m') == 2
+    assert replica.oldest_usable('m') == 2
     cutoffs.record_answer(clock.now, switches_with(3.0))
     assert [item.left_ms for item in replica.switches()] == [3000]
 
--- a/tests/test_version_ends_after_restart.py
+++ b/tests/test_version_ends_after_restart.py
@@ -19,7 +19,7 @@
 from millfork_state.view import View
 from millfork_wire.messages import VersionSwitch
 from millforkd.replica.daemon import STATE_FOLDER
-from millforkd.versions import CUT_S, UNTOLD_MS, Versions, never_leads
+from millforkd.versions import CANCEL_MARGIN_S, UNKNOWN_CUTOFF_MS, VersionTracker, never_leads
 from tests.test_seeded_fleet import document, request
 from tests.test_servers import Clock
 from tests.test_version_ends import LEARNED, name_version, pass_time
@@ -139,15 +139,15 @@
 def test_a_version_stays_ended_when_the_same_replica_restarts():
     clock, view, cutoffs = Clock(), View(), VersionCutoffs()
     env = Environment(InstanceId('a:1'), ZoneId('zone'), monotonic=clock)
-    entry = Versions(env, view, SWITCH_MS, cutoffs, UNTOLD_MS, never_leads)
+    entry = VersionTracker(env, view, SWITCH_MS, cutoffs, UNKNOWN_CUTOFF_MS, never_leads)
     named = VersionSwitch('m', 2, SWITCH_MS)
     cutoffs.record_answer(clock.now, [named])
     set_version(view, entry, 2)
     clock.now += SWITCH_S + 60
-    assert entry.least('m') == 2
+    assert entry.oldest_usable('m') == 2
     # The restarted replica reports the version as newly named.
     cutoffs.record_answer(clock.now, [named])
-    assert entry.least('m') == 2
+    assert entry.oldest_usable('m') == 2
 
 
 def test_one_slow_answer_does_not_leave_too_early_a_cutoff():
@@ -157,7 +157,7 @@
     replicas = []
     for number in range(2):
         env = Environment(InstanceId(f'r{number}:1'), ZoneId('zone'), monotonic=clock)
-        made = Versions(env, views[number], SWITCH_MS, cutoffs[number])
+        made = VersionTracker(env, views[number], SWITCH_MS, cutoffs[number])
         made.refresh()
         replicas.append(made)
     for number in range(2):
@@ -175,4 +175,4 @@
         ask(1, 0, 0.002)
         ask(0, 1, 0.002)
         clock.now += 0.5
-    assert replicas[0].ends_at('m', 1) == pytest.approx(true_end - CUT_S, abs=AGREE_S)
+    assert replicas[0].ends_at('m', 1) == pytest.approx(true_end - CANCEL_MARGIN_S, abs=AGREE_S)
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -19,7 +19,7 @@
 from millforkd.sidecar.pieces import PieceStore, WeightsId
 from millforkd.sidecar.target import STUCK_AFTER_S, TargetChooser
 from millforkd.version_switching import LAST_SEND_BEFORE_END_S
-from millforkd.versions import Versions
+from millforkd.versions import VersionTracker
 from tests.test_servers import ENGINE, Clock
 
 SWITCH_MS = 8000
@@ -39,7 +39,7 @@
 @pytest.fixture
 def versions(clock, view):
     env = Environment(InstanceId('a:1'), ZoneId('zone'), monotonic=clock)
-    versions = Versions(env, view, SWITCH_MS)
+    versions = VersionTracker(env, view, SWITCH_MS)
     versions.refresh()
     return versions
 
@@ -53,9 +53,9 @@
 
 def test_an_older_version_is_allowed_until_the_new_one_is_due(view, versions, clock):
     set_version(view, versions, 2)
-    assert (versions.least('m'), versions.newest('m')) == (0, 2)
+    assert (versions.oldest_usable('m'), versions.newest('m')) == (0, 2)
     clock.now += SWITCH_S - LAST_SEND_BEFORE_END_S + 0.01
-    assert versions.least('m') == 2
+    assert versions.oldest_usable('m') == 2
 
 
 def test_the_due_time_of_each_version_counts_from_its_own_setting(view, versions, clock):
@@ -63,18 +63,18 @@
     clock.now += 3
     set_version(view, versions, 3)
     clock.now += SWITCH_S - LAST_SEND_BEFORE_END_S - 2.9
-    assert versions.least('m') == 2
+    assert versions.oldest_usable('m') == 2
     clock.now += 3
-    assert versions.least('m') == 3
+    assert versions.oldest_usable('m') == 3
     assert versions.ends_at('m', 3) is None
     assert versions.ends_at('m', 1) < versions.ends_at('m', 2)
 
 
 def test_a_version_present_at_the_start_is_due_at_once(view, clock):
     env = Environment(InstanceId('a:1'), ZoneId('zone'), monotonic=clock)
-    versions = Versions(env, view, SWITCH_MS)
+    versions = VersionTracker(env, view, SWITCH_MS)
     set_version(view, versions, 4)
-    assert versions.least('m') == 4
+    assert versions.oldest_usable('m') == 4
 
 
 def test_a_retried_request_uses_the_versions_allowed_at_the_retry(view, versions, clock):
@@ -210,7 +210,7 @@
     def __init__(self):
         self.clock, self.view, self.store = Clock(), View(), PieceStore()
         env = Environment(InstanceId('a:1'), ZoneId('zone'), monotonic=self.clock)
-        self.versions = Versions(env, self.view, SWITCH_MS)
+        self.versions = VersionTracker(env, self.view, SWITCH_MS)
         self.served = 1
         self.newest = 1
         self.targets = TargetChooser(env, self.versions, self.store, lambda: self.served, RATE)
--- a/tests/test_wait_for_first_document.py
+++ b/tests/test_wait_for_first_document.py
@@ -15,12 +15,12 @@
 from millfork_state.view import View
 from millforkd.proxy import admission as admissions
 from millforkd.proxy.admission import Admission
-from millforkd.versions import Versions
+from millforkd.versions import VersionTracker
 
 
 def admission():
     env = Environment(InstanceId('a:1'), ZoneId('z1'))
-    return Admission(env, Versions(env, View(), 8000))
+    return Admission(env, VersionTracker(env, View(), 8000))
 
 
 def caller(deadline_ms):
