--- a/packages/millfork-core/millfork_core/environment.py
+++ b/packages/millfork-core/millfork_core/environment.py
@@ -11,10 +11,10 @@
 
 from millfork_core.clocks import elapsed_s
 from millfork_core.ids import InstanceId, ZoneId
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_core.metrics import Metrics
 
-log = logger(Part.DAEMON)
+log = logger(Component.DAEMON)
 
 
 @dataclass
--- a/packages/millfork-core/millfork_core/logs.py
+++ b/packages/millfork-core/millfork_core/logs.py
@@ -25,7 +25,7 @@
 MAX_BURST_LINES: Final = 300
 
 
-class Part(Enum):
+class Component(Enum):
     """
     The parts of the product; the value is the prefix of each log line.
 
@@ -45,12 +45,12 @@
     PROXY = 'proxy'
 
 
-def logger(part: Part) -> Logger:
+def logger(component: Component) -> Logger:
     """
     The logger of one part.
 
     """
-    return Logger(part.value)
+    return Logger(component.value)
 
 
 class BoundedHandler(Handler):  # type: ignore[misc]
--- a/packages/millfork-registry/millfork_registry/discovery.py
+++ b/packages/millfork-registry/millfork_registry/discovery.py
@@ -10,7 +10,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import InstanceId
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_core.ranks import rank
 from millfork_wire.connection import PeerError
 from millfork_wire.messages import CacheAddress, FindReplicas, Replicas
@@ -21,7 +21,7 @@
 # been replaced. Seeds are never forgotten.
 FORGET_AFTER_S: Final = 30.0
 
-log = logger(Part.REGISTRY)
+log = logger(Component.REGISTRY)
 
 
 def address_of(instance: str) -> PeerAddress:
--- a/packages/millfork-registry/millfork_registry/feed_client.py
+++ b/packages/millfork-registry/millfork_registry/feed_client.py
@@ -13,7 +13,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import NO_INSTANCE, InstanceId
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_registry.discovery import Discovery
 from millfork_registry.records import decode_leases, decode_states
 from millfork_registry.registry import Registry
@@ -46,7 +46,7 @@
 # Elections are shorter.
 STALE_MS: Final = 1500
 
-log = logger(Part.REGISTRY)
+log = logger(Component.REGISTRY)
 
 
 class FeedClient:
--- a/packages/millfork-registry/millfork_registry/feed_relay.py
+++ b/packages/millfork-registry/millfork_registry/feed_relay.py
@@ -14,7 +14,7 @@
 import curio
 
 from millfork_core.environment import Environment
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_registry.discovery import address_of
 from millfork_registry.feed_client import FeedClient
 from millfork_registry.records import encode_records
@@ -30,7 +30,7 @@
 # Additional pause before the next round of requests if no follower answered.
 NO_RELAY_PAUSE_S: Final = 0.5
 
-log = logger(Part.REGISTRY)
+log = logger(Component.REGISTRY)
 
 
 class FeedRelay:
--- a/packages/millfork-registry/millfork_registry/followers.py
+++ b/packages/millfork-registry/millfork_registry/followers.py
@@ -11,7 +11,7 @@
 import curio
 
 from millfork_core.environment import Environment
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_core.windows import ENTRIES_REMEMBERED_S, WindowMax
 from millfork_registry.records import encode_records
 from millfork_registry.registry import Registry
@@ -29,7 +29,7 @@
 ROLES_SENT_SUSPICIONS: Final = (ENTRY_ROLE, REPLICA_ROLE)
 
 
-log = logger(Part.REGISTRY)
+log = logger(Component.REGISTRY)
 
 
 class Follower:
--- a/packages/millfork-registry/millfork_registry/registry.py
+++ b/packages/millfork-registry/millfork_registry/registry.py
@@ -16,7 +16,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import UNKNOWN_INCARNATION, Incarnation
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_registry.records import EndpointState, Lease, LeaseState
 from millfork_registry.suspicion_store import SuspicionStore
 from millfork_registry.versioned_table import VersionedTable
@@ -35,7 +35,7 @@
 REPORT_LIFETIME_S: Final = 3.5
 ENDED_STATES: Final = (LeaseState.GONE, LeaseState.EXPIRED)
 
-log = logger(Part.REGISTRY)
+log = logger(Component.REGISTRY)
 
 
 class RecordChange(Enum):
--- a/packages/millfork-registry/millfork_registry/suspicion_store.py
+++ b/packages/millfork-registry/millfork_registry/suspicion_store.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from millfork_core.ids import Fingerprint, IncarnationKey
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_registry.versioned_table import VersionedTable
 
 # An hourly job may end one back end with each of its attempts, so records must outlive an hour.
@@ -29,7 +29,7 @@
 MAX_PRIVATE_S: Final = 1.5
 EPOCH_BYTES: Final = 8
 
-log = logger(Part.REGISTRY)
+log = logger(Component.REGISTRY)
 
 
 class Suspicion(msgspec.Struct, frozen=True, array_like=True):
--- a/packages/millfork-state/millfork_state/election.py
+++ b/packages/millfork-state/millfork_state/election.py
@@ -8,7 +8,7 @@
 
 import curio
 
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_state.replica import ELECTION_SPREAD_FRACTION, Replica, ReplicaState
 from millfork_wire.codec import PreVote
 from millfork_wire.connection import PeerError
@@ -17,7 +17,7 @@
 
 VOTE_TIMEOUT_FRACTION: Final = 0.5
 
-log = logger(Part.STATE)
+log = logger(Component.STATE)
 
 
 async def wait_for_election_timeout(replica: Replica) -> None:
--- a/packages/millfork-state/millfork_state/formation.py
+++ b/packages/millfork-state/millfork_state/formation.py
@@ -14,7 +14,7 @@
 import curio
 
 from millfork_core.ids import ClusterId, InstanceId
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_state.commands import SetMembers, decode_command, encode_command
 from millfork_state.replica import Replica
 from millfork_state.storage import LogEntry
@@ -26,7 +26,7 @@
 IDENTIFY_TIMEOUT_S: Final = 1.0
 FIRST_TERM: Final = 1
 
-log = logger(Part.STATE)
+log = logger(Component.STATE)
 
 
 def identity_of(replica: Replica) -> Identity:
--- a/packages/millfork-state/millfork_state/leadership.py
+++ b/packages/millfork-state/millfork_state/leadership.py
@@ -8,7 +8,7 @@
 
 import curio
 
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_state.commands import SetMembers, encode_command
 from millfork_state.pending import PendingProposal, noop_entry
 from millfork_state.replica import Replica, ReplicaState
@@ -24,7 +24,7 @@
 # Longer than two elections, so that a restarting voter is not removed.
 SILENT_VOTER_TIMEOUT_S: Final = 4.0
 
-log = logger(Part.STATE)
+log = logger(Component.STATE)
 
 
 @dataclass(slots=True)
--- a/packages/millfork-state/millfork_state/replica.py
+++ b/packages/millfork-state/millfork_state/replica.py
@@ -14,7 +14,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import NO_INSTANCE, ClusterId, InstanceId
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_settings.common import StateSettings
 from millfork_state.arrival_times import ArrivalTimes
 from millfork_state.commands import (
@@ -42,7 +42,7 @@
 # The age of a state that was never up to date: the largest that a message can carry.
 MAX_AGE_MS: Final = 2**32 - 1
 
-log = logger(Part.STATE)
+log = logger(Component.STATE)
 
 
 class ReplicaState(Enum):
--- a/packages/millfork-state/millfork_state/roster.py
+++ b/packages/millfork-state/millfork_state/roster.py
@@ -10,7 +10,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import InstanceId, ZoneId
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_state.config import InstanceFacts
 from millfork_web.client import Client, ExchangeFailed
 from millfork_wire.peers import PeerAddress
@@ -19,7 +19,7 @@
 ENTRY_ROLE: Final = 'entry'
 ENDPOINT_ROLE: Final = 'endpoint'
 
-log = logger(Part.PLATFORM)
+log = logger(Component.PLATFORM)
 
 
 class PlatformDelta(msgspec.Struct):
--- a/packages/millfork-state/millfork_state/storage.py
+++ b/packages/millfork-state/millfork_state/storage.py
@@ -20,7 +20,7 @@
 import msgspec
 
 from millfork_core.ids import ClusterId, DiskId, LogIndex, Term
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 
 RECORD_HEADER: Final = struct.Struct('>II')
 MAX_RECORD_BYTES: Final = 64 * 1024 * 1024
@@ -33,7 +33,7 @@
 OPEN_RETRY_DELAY_S: Final = 0.5
 OPEN_TIMEOUT_S: Final = 60.0
 
-log = logger(Part.STATE)
+log = logger(Component.STATE)
 
 
 class CorruptStorage(Exception):
--- a/packages/millfork-state/millfork_state/subscription.py
+++ b/packages/millfork-state/millfork_state/subscription.py
@@ -11,7 +11,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import NO_INSTANCE, ClusterId, InstanceId, Revision
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_state.distribution_tree import candidates
 from millfork_state.replica import MAX_AGE_MS, Replica
 from millfork_state.reports import Reports
@@ -43,7 +43,7 @@
 # may be cut off from the leader while the own zone is not.
 NEARER_CHECK_INTERVAL_S: Final = 10.0
 
-log = logger(Part.SUBSCRIPTION)
+log = logger(Component.SUBSCRIPTION)
 
 
 class LeaveReason(Enum):
--- a/packages/millfork-web/millfork_web/server.py
+++ b/packages/millfork-web/millfork_web/server.py
@@ -11,7 +11,7 @@
 import curio
 import h11
 
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_core.verdicts import Reason, Refusal
 from millfork_web.models import Headers, Request, Response
 from millfork_web.problem import problem
@@ -28,7 +28,7 @@
 IDLE_CLOSED_PER_SHORTAGE: Final = 8
 DEFAULT_MAX_BODY_BYTES: Final = 4 * 1024 * 1024
 
-log = logger(Part.DAEMON)
+log = logger(Component.DAEMON)
 
 
 class CallerGone(Exception):
--- a/packages/millfork-weights/millfork_weights/store.py
+++ b/packages/millfork-weights/millfork_weights/store.py
@@ -12,7 +12,7 @@
 import curio
 
 from millfork_core.ids import Digest
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_weights.manifest import (
     BadManifest,
     Manifest,
@@ -25,7 +25,7 @@
 PARTIAL_FILE: Final = 'weights.partial'
 WHOLE_FILE: Final = 'weights'
 
-log = logger(Part.WEIGHTS)
+log = logger(Component.WEIGHTS)
 
 
 class WholeMismatch(Exception):
--- a/packages/millfork-weights/millfork_weights/transfer.py
+++ b/packages/millfork-weights/millfork_weights/transfer.py
@@ -12,7 +12,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import Digest, InstanceId
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_weights.links import Link
 from millfork_weights.manifest import BadManifest, Manifest, decode_manifest
 from millfork_weights.origin import Origin, OriginFailed
@@ -40,7 +40,7 @@
 ORIGIN: Final = 'origin'
 PEER: Final = 'peer'
 
-log = logger(Part.WEIGHTS)
+log = logger(Component.WEIGHTS)
 
 
 class TransferFailed(Exception):
--- a/packages/millfork-wire/millfork_wire/connection.py
+++ b/packages/millfork-wire/millfork_wire/connection.py
@@ -11,7 +11,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import InstanceId
-from millfork_core.logs import Part as LogPart
+from millfork_core.logs import Component as LogPart
 from millfork_core.logs import logger
 from millfork_wire import codec
 from millfork_wire.codec import BadFrame, Frame, Kind
--- a/packages/millfork-wire/millfork_wire/peers.py
+++ b/packages/millfork-wire/millfork_wire/peers.py
@@ -11,7 +11,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import NO_INSTANCE, InstanceId
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_wire.codec import BadFrame
 from millfork_wire.connection import (
     Connection,
@@ -30,7 +30,7 @@
 PING_TIMEOUT_S: Final = 3.0
 REFUSE_AGAIN_S: Final = 0.3
 
-log = logger(Part.WIRE)
+log = logger(Component.WIRE)
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/millforkd/millforkd/document.py
+++ b/packages/millforkd/millforkd/document.py
@@ -7,13 +7,13 @@
 
 from millfork_adapter.adapter import Adapter
 from millfork_adapter.calls import BadCall
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_routing.documents import Document
 from millfork_state.commands import decode_versioned
 from millfork_state.keys import DOCUMENT_KEY
 from millfork_state.view import View
 
-log = logger(Part.DAEMON)
+log = logger(Component.DAEMON)
 
 
 def find_new_document(
--- a/packages/millforkd/millforkd/end_watch.py
+++ b/packages/millforkd/millforkd/end_watch.py
@@ -11,7 +11,7 @@
 import curio
 
 from millfork_core.environment import Environment
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_core.sockets import connect
 from millfork_scheduling.incarnation_status import IncarnationStatus
 
@@ -37,7 +37,7 @@
 # that continues with the request has finished it by then, or has ended.
 CALLER_LEFT_WATCH_S: Final = 2.0
 
-log = logger(Part.DAEMON)
+log = logger(Component.DAEMON)
 
 Subject = TypeVar('Subject')
 
--- a/packages/millforkd/millforkd/endpoint/daemon.py
+++ b/packages/millforkd/millforkd/endpoint/daemon.py
@@ -12,7 +12,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import OrganisationId
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_settings.models import BackendKind, Settings
 from millfork_state.config import DRAINS, ORGANISATIONS, Organisation, decode
 from millfork_state.leader_client import LeaderClient
@@ -33,7 +33,7 @@
 WEIGHTS_FOLDER: Final = 'weights'
 SHARE_STEPS: Final = 8
 
-log = logger(Part.ENDPOINT)
+log = logger(Component.ENDPOINT)
 
 
 class EndpointDaemon:
--- a/packages/millforkd/millforkd/endpoint/door.py
+++ b/packages/millforkd/millforkd/endpoint/door.py
@@ -9,7 +9,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import OrganisationId, RequestId
-from millfork_core.logs import Part as LogPart
+from millfork_core.logs import Component as LogPart
 from millfork_core.logs import logger
 from millfork_core.verdicts import Reason, Refusal, Verdict
 from millfork_routing.limits import FairQueue
--- a/packages/millforkd/millforkd/endpoint/ends.py
+++ b/packages/millforkd/millforkd/endpoint/ends.py
@@ -10,7 +10,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import IncarnationKey, RequestId
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_scheduling.incarnation_status import IncarnationStatus
 from millfork_wire.connection import Connection, PeerLost
 from millfork_wire.messages import BackEndFate
@@ -24,7 +24,7 @@
 
 NO_ANSWER = ''
 
-log = logger(Part.ENDPOINT)
+log = logger(Component.ENDPOINT)
 
 
 @dataclass(slots=True)
--- a/packages/millforkd/millforkd/endpoint/engine.py
+++ b/packages/millforkd/millforkd/endpoint/engine.py
@@ -16,7 +16,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import FencingNumber
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_settings.models import BackendSettings
 from millfork_web.client import Client, ExchangeFailed
 
@@ -27,7 +27,7 @@
 OK: Final = 200
 REFUSED_ORDER: Final = 409
 
-log = logger(Part.ENGINE)
+log = logger(Component.ENGINE)
 
 
 @dataclass(slots=True)
--- a/packages/millforkd/millforkd/endpoint/resting.py
+++ b/packages/millforkd/millforkd/endpoint/resting.py
@@ -6,13 +6,13 @@
 import math
 
 from millfork_core.environment import Environment
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_core.verdicts import Reason, Refusal
 from millfork_scheduling.availability import RestPeriod
 from millfork_web.client import Reply
 from millfork_web.retry_after import TURNED_AWAY, read_retry_after
 
-log = logger(Part.ENDPOINT)
+log = logger(Component.ENDPOINT)
 
 
 class Resting:
--- a/packages/millforkd/millforkd/endpoint/rollout.py
+++ b/packages/millforkd/millforkd/endpoint/rollout.py
@@ -9,7 +9,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import Digest
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_settings.models import Settings
 from millfork_state.config import Deployment, WeightPart
 from millfork_state.roster import Roster
@@ -27,7 +27,7 @@
 RECONCILE_S: Final = 0.5
 FAILED_PAUSE_S: Final = 5.0
 
-log = logger(Part.WEIGHTS)
+log = logger(Component.WEIGHTS)
 
 
 class Rollout:
--- a/packages/millforkd/millforkd/entry/book.py
+++ b/packages/millforkd/millforkd/entry/book.py
@@ -10,7 +10,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import InstanceId
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_core.ranks import rank
 from millfork_routing.balance import Backend
 from millfork_state.config import InstanceFacts
@@ -24,7 +24,7 @@
 UPKEEP_S: Final = 0.5
 REMOTE_SHARE: Final = 4
 
-log = logger(Part.ENTRY)
+log = logger(Component.ENTRY)
 
 
 class EndpointBook:
--- a/packages/millforkd/millforkd/entry/callers.py
+++ b/packages/millforkd/millforkd/entry/callers.py
@@ -12,7 +12,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import OrganisationId
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_core.verdicts import Reason, Refusal, Refused, Verdict
 from millfork_routing.limits import InFlightCounter
 from millfork_settings.models import RoutingSettings
@@ -51,7 +51,7 @@
 )
 PART: Final = 'entry'
 
-log = logger(Part.ENTRY)
+log = logger(Component.ENTRY)
 
 
 class Callers:
--- a/packages/millforkd/millforkd/entry/crashes.py
+++ b/packages/millforkd/millforkd/entry/crashes.py
@@ -13,7 +13,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import NO_INSTANCE, Fingerprint, IncarnationKey, InstanceId, RequestId
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_core.verdicts import Reason, Refusal, Verdict
 from millfork_registry.suspicion_store import Suspicion, SuspicionStore
 from millfork_scheduling.quarantine import SuspicionLevel, TrialSchedule
@@ -37,7 +37,7 @@
 PENDING_S: Final = 30.0
 MOST_EARLY_FATES: Final = 256
 
-log = logger(Part.ENTRY)
+log = logger(Component.ENTRY)
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/millforkd/millforkd/entry/spreading.py
+++ b/packages/millforkd/millforkd/entry/spreading.py
@@ -13,7 +13,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import Fingerprint, InstanceId
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_registry.suspicion_store import SuspicionStore, decode_suspicions, encode_suspicions
 from millfork_state.roster import Roster
 from millfork_wire.connection import Connection, PeerError
@@ -29,7 +29,7 @@
 LEARN_WITHIN_S: Final = 1.0
 ROSTER_POLL_S: Final = 0.05
 
-log = logger(Part.ENTRY)
+log = logger(Component.ENTRY)
 
 
 def told_by(order: list[InstanceId], instance: InstanceId) -> list[InstanceId]:
--- a/packages/millforkd/millforkd/member.py
+++ b/packages/millforkd/millforkd/member.py
@@ -9,7 +9,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import InstanceId
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_settings.loading import read_secret
 from millfork_settings.models import Settings
 from millfork_state.reports import Reports
@@ -26,7 +26,7 @@
 FIRST_POLL_PAUSE_S: Final = 0.2
 FIRST_POLLS: Final = 10
 
-log = logger(Part.DAEMON)
+log = logger(Component.DAEMON)
 
 
 class Member:
--- a/packages/millforkd/millforkd/proxy/admission.py
+++ b/packages/millforkd/millforkd/proxy/admission.py
@@ -11,7 +11,7 @@
 
 from millfork_adapter.exchange import CallerRequest
 from millfork_core.environment import Environment
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_core.verdicts import Reason, Refusal, Refused
 from millfork_routing.documents import Organisation, Route
 from millfork_routing.routes import RouteTable, pick_service, priority_of
@@ -37,7 +37,7 @@
 # The largest share of a caller's deadline that a request waits for that.
 STARTUP_WAIT_SHARE: Final = 0.25
 
-log = logger(Part.PROXY)
+log = logger(Component.PROXY)
 
 
 class Admission:
--- a/packages/millforkd/millforkd/proxy/backpressure.py
+++ b/packages/millforkd/millforkd/proxy/backpressure.py
@@ -7,12 +7,12 @@
 
 from millfork_adapter.exchange import AnswerHead
 from millfork_core.environment import Environment
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_scheduling.availability import SignalChange, SignalSource
 from millfork_scheduling.server import Server
 from millforkd.proxy.job import Job
 
-log = logger(Part.PROXY)
+log = logger(Component.PROXY)
 
 
 class BackpressureRecorder:
--- a/packages/millforkd/millforkd/proxy/cache.py
+++ b/packages/millforkd/millforkd/proxy/cache.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from millfork_core.environment import Environment
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_registry.caches import MAX_ADVERTISED_PER_OTHER_ZONE, caches_near_origin
 from millfork_registry.discovery import address_of
 from millfork_wire.connection import PeerError
@@ -61,7 +61,7 @@
 # counts as too slow: a slowed instance needs five times as long as others.
 MAX_NOT_YET_ANSWERS: Final = 6
 
-log = logger(Part.WEIGHTS)
+log = logger(Component.WEIGHTS)
 
 
 class PieceCache:
--- a/packages/millforkd/millforkd/proxy/connections.py
+++ b/packages/millforkd/millforkd/proxy/connections.py
@@ -12,7 +12,7 @@
 import h11
 
 from millfork_core.environment import Environment
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_core.sockets import connect, is_quiet
 from millfork_core.verdicts import Reason, Verdict
 from millfork_scheduling.server import Server
@@ -32,7 +32,7 @@
 # time: the server may be closing an older one.
 RECENT_USE_S: Final = 0.3
 
-log = logger(Part.PROXY)
+log = logger(Component.PROXY)
 
 
 class SendFailed(Exception):
--- a/packages/millforkd/millforkd/proxy/daemon.py
+++ b/packages/millforkd/millforkd/proxy/daemon.py
@@ -12,7 +12,7 @@
 from millfork_adapter.adapter import Adapter
 from millfork_core.environment import Environment
 from millfork_core.ids import ServiceName
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_core.verdicts import Reason, Refusal
 from millfork_registry.discovery import address_of
 from millfork_registry.roles import ENTRY_ROLE
@@ -55,7 +55,7 @@
 # The number of entries assumed while it is unknown: that of a large fleet.
 DEFAULT_ENTRY_COUNT: Final = 380
 
-log = logger(Part.PROXY)
+log = logger(Component.PROXY)
 
 
 class ProxyDaemon:
--- a/packages/millforkd/millforkd/proxy/end_detection.py
+++ b/packages/millforkd/millforkd/proxy/end_detection.py
@@ -15,7 +15,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import Fingerprint, IncarnationKey
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_registry.suspicion_store import Suspicion, SuspicionStore
 from millfork_scheduling.incarnation_status import IncarnationStatus, determine_status
 from millfork_scheduling.server import Server
@@ -30,7 +30,7 @@
 )
 from millforkd.suspicion_updates import SuspicionUpdater
 
-log = logger(Part.PROXY)
+log = logger(Component.PROXY)
 
 
 # How long requests whose callers left are remembered, and how many of them.
--- a/packages/millforkd/millforkd/proxy/forwarding.py
+++ b/packages/millforkd/millforkd/proxy/forwarding.py
@@ -10,7 +10,7 @@
 from millfork_adapter.adapter import Adapter
 from millfork_adapter.calls import BadCall
 from millfork_core.environment import Environment
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_core.verdicts import Reason, Refusal, Refused, Verdict
 from millfork_registry.suspicion_store import Suspicion
 from millfork_routing.shared_budget import SharedBudget
@@ -31,7 +31,7 @@
 from millforkd.proxy.turned_away_directory import TurnedAwayDirectory
 from millforkd.quarantine import Quarantine
 
-log = logger(Part.PROXY)
+log = logger(Component.PROXY)
 
 
 class Forwarding:
--- a/packages/millforkd/millforkd/proxy/load_queries.py
+++ b/packages/millforkd/millforkd/proxy/load_queries.py
@@ -13,7 +13,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import Incarnation
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_scheduling.load_queries import needs_fresh_loads
 from millfork_scheduling.server import Load, Server
 from millfork_scheduling.server_table import ServerTable
@@ -29,7 +29,7 @@
 # How long a daemon that didn't answer in time isn't queried.
 PASSED_OVER_S: Final = 0.5
 
-log = logger(Part.PROXY)
+log = logger(Component.PROXY)
 
 
 class LoadQueries:
--- a/packages/millforkd/millforkd/proxy/outcomes.py
+++ b/packages/millforkd/millforkd/proxy/outcomes.py
@@ -7,7 +7,7 @@
 
 from millfork_adapter.adapter import Adapter
 from millfork_core.environment import Environment
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_core.verdicts import Reason, Refusal, Verdict
 from millfork_web.models import without_header
 from millfork_web.problem import problem
@@ -21,7 +21,7 @@
     {Reason.BAD_REQUEST, Reason.UNAUTHENTICATED, Reason.NOT_FOUND, Reason.TOO_LARGE}
 )
 
-log = logger(Part.PROXY)
+log = logger(Component.PROXY)
 
 
 class RequestOutcomes:
--- a/packages/millforkd/millforkd/proxy/peer_queries.py
+++ b/packages/millforkd/millforkd/proxy/peer_queries.py
@@ -12,7 +12,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import InstanceId
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_registry.discovery import address_of
 from millfork_wire.connection import Connection, PeerError, PeerTimedOut
 from millfork_wire.messages import Message
@@ -22,7 +22,7 @@
 # A connection that received data within this time is kept: a single answer may be late.
 MIN_SILENCE_S: Final = 1.0
 
-log = logger(Part.PROXY)
+log = logger(Component.PROXY)
 
 
 class PeerQueries:
--- a/packages/millforkd/millforkd/proxy/suspicion_reporter.py
+++ b/packages/millforkd/millforkd/proxy/suspicion_reporter.py
@@ -8,7 +8,7 @@
 import curio
 
 from millfork_core.environment import Environment
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_registry.discovery import address_of
 from millfork_registry.feed_client import FeedClient
 from millfork_registry.suspicion_store import SuspicionStore, encode_suspicions
@@ -21,7 +21,7 @@
 # The pause before a report that wasn't accepted is repeated.
 RETRY_S: Final = 0.15
 
-log = logger(Part.PROXY)
+log = logger(Component.PROXY)
 
 
 class SuspicionReporter:
--- a/packages/millforkd/millforkd/proxy/turned_away_directory.py
+++ b/packages/millforkd/millforkd/proxy/turned_away_directory.py
@@ -12,7 +12,7 @@
 from typing import Final
 
 from millfork_core.environment import Environment
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_core.ranks import rank
 from millfork_scheduling.turned_away import TurnedAwayRequests
 from millfork_wire.connection import PeerLost
@@ -32,7 +32,7 @@
 # Enough bytes of a fingerprint to distinguish the requests of some seconds.
 FINGERPRINT_PREFIX_BYTES: Final = 8
 
-log = logger(Part.PROXY)
+log = logger(Component.PROXY)
 
 
 class TurnedAwayDirectory:
--- a/packages/millforkd/millforkd/quarantine.py
+++ b/packages/millforkd/millforkd/quarantine.py
@@ -6,7 +6,7 @@
 from typing import Generic, Protocol, TypeVar
 
 from millfork_core.ids import Fingerprint, Revision
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_registry.suspicion_store import Suspicion, SuspicionStore, decode_epoch
 from millfork_scheduling.quarantine import SuspicionLevel, TrialSchedule, suspicion_level_of
 from millfork_state.commands import decode_versioned
@@ -16,7 +16,7 @@
 RequestT = TypeVar('RequestT')
 RequestContraT = TypeVar('RequestContraT', contravariant=True)
 
-log = logger(Part.PROXY)
+log = logger(Component.PROXY)
 
 
 class FingerprintSource(Protocol[RequestContraT]):
--- a/packages/millforkd/millforkd/replica/control.py
+++ b/packages/millforkd/millforkd/replica/control.py
@@ -23,7 +23,7 @@
 )
 from millfork_core.environment import Environment
 from millfork_core.ids import Incarnation, ServiceName
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_core.verdicts import Reason, Refusal, Refused
 from millfork_registry.followers import Followers
 from millfork_registry.records import LeaseState
@@ -47,7 +47,7 @@
 REFUSAL_LOG_PERIOD_S: Final = 1.0
 MAX_LOGGED_CHARS: Final = 100
 
-log = logger(Part.CONTROL)
+log = logger(Component.CONTROL)
 
 
 class Control:
--- a/packages/millforkd/millforkd/replica/daemon.py
+++ b/packages/millforkd/millforkd/replica/daemon.py
@@ -12,7 +12,7 @@
 
 from millfork_adapter.adapter import Adapter
 from millfork_core.environment import Environment
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_registry.discovery import Discovery
 from millfork_registry.followers import Followers
 from millfork_registry.records import decode_state
@@ -46,7 +46,7 @@
 # Timeout of one call to the leader.
 LEADER_TIMEOUT_S: Final = 0.8
 
-log = logger(Part.STATE)
+log = logger(Component.STATE)
 
 
 class ReplicaDaemon:
--- a/packages/millforkd/millforkd/replica/quarantine.py
+++ b/packages/millforkd/millforkd/replica/quarantine.py
@@ -14,7 +14,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import Fingerprint
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_core.verdicts import Refused
 from millfork_registry.suspicion_store import Suspicion, SuspicionStore, decode_epoch, encode_epoch
 from millfork_scheduling.quarantine import is_at_fault
@@ -31,7 +31,7 @@
 MAX_LISTED: Final = 1000
 ID_BITS: Final = 128
 
-log = logger(Part.CONTROL)
+log = logger(Component.CONTROL)
 
 
 class QuarantineList:
--- a/packages/millforkd/millforkd/replica/replica_links.py
+++ b/packages/millforkd/millforkd/replica/replica_links.py
@@ -11,7 +11,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import InstanceId
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_registry.caches import advertised_caches
 from millfork_registry.discovery import Discovery, address_of
 from millfork_registry.followers import Followers
@@ -41,7 +41,7 @@
 # end that reaches it.
 COMPLETE_AFTER_HEARTBEATS: Final = 2.5
 
-log = logger(Part.REGISTRY)
+log = logger(Component.REGISTRY)
 
 
 class _MajorityCount:
--- a/packages/millforkd/millforkd/running.py
+++ b/packages/millforkd/millforkd/running.py
@@ -11,7 +11,7 @@
 import curio
 
 from millfork_core.environment import Environment
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_core.signals import StopSignals
 from millfork_core.status import ExitStatus
 from millfork_settings.errors import BadFile
@@ -23,7 +23,7 @@
 # The settings file may change without a signal.
 SETTINGS_POLL_S: Final = 2.0
 
-log = logger(Part.DAEMON)
+log = logger(Component.DAEMON)
 
 
 class Daemon(Drainable, Protocol):
--- a/packages/millforkd/millforkd/seeded_fleet.py
+++ b/packages/millforkd/millforkd/seeded_fleet.py
@@ -11,13 +11,13 @@
 from millfork_core import logs
 from millfork_core.environment import Environment
 from millfork_core.ids import InstanceId, ZoneId
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_core.status import ExitStatus
 from millfork_settings.loading import load
 from millfork_settings.seeded import SeededRole, SeededSettings
 from millforkd.running import Daemon, run_daemon
 
-log = logger(Part.DAEMON)
+log = logger(Component.DAEMON)
 
 
 def run_seeded(path: Path, check_only: bool, adapter: Adapter) -> ExitStatus:
--- a/packages/millforkd/millforkd/sidecar/daemon.py
+++ b/packages/millforkd/millforkd/sidecar/daemon.py
@@ -12,7 +12,7 @@
 from millfork_adapter.adapter import Adapter
 from millfork_adapter.exchange import NO_BACKPRESSURE, EngineReport
 from millfork_core.environment import Environment
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_registry.discovery import address_of
 from millfork_registry.records import EndpointState, HeldVersion, ServedVersion
 from millfork_registry.roles import ENDPOINT_ROLE
@@ -55,7 +55,7 @@
 BITS_PER_MBIT: Final = 1_000_000
 UNLIMITED_BYTES_PER_S: Final = 1_250_000_000
 
-log = logger(Part.ENDPOINT)
+log = logger(Component.ENDPOINT)
 
 
 class SidecarDaemon:
--- a/packages/millforkd/millforkd/sidecar/engine.py
+++ b/packages/millforkd/millforkd/sidecar/engine.py
@@ -11,14 +11,14 @@
 from millfork_adapter.adapter import Adapter
 from millfork_adapter.calls import BadCall
 from millfork_adapter.exchange import EngineReport
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_web.client import Client, ExchangeFailed
 from millfork_web.models import Request, Response
 
 # The engine is on the same instance, so a longer silence means that the engine has failed.
 CALL_TIMEOUT_S: Final = 1.0
 
-log = logger(Part.ENGINE)
+log = logger(Component.ENGINE)
 
 
 class LocalEngine:
--- a/packages/millforkd/millforkd/sidecar/expiry.py
+++ b/packages/millforkd/millforkd/sidecar/expiry.py
@@ -20,7 +20,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import UNKNOWN_INCARNATION
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_registry.records import ServedVersion
 from millforkd.sidecar.engine import LocalEngine
 from millforkd.sidecar.layer_assignment import Layers
@@ -40,7 +40,7 @@
 NEARLY_COMPLETE_S: Final = 0.5
 RATE_WINDOW_S: Final = 1.0
 
-log = logger(Part.WEIGHTS)
+log = logger(Component.WEIGHTS)
 
 
 class ExpiryWatcher:
--- a/packages/millforkd/millforkd/sidecar/gathering.py
+++ b/packages/millforkd/millforkd/sidecar/gathering.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from millfork_core.environment import Environment
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_registry.discovery import address_of
 from millfork_weights.links import Link
 from millfork_wire.connection import PeerError
@@ -53,7 +53,7 @@
 
 FetchPiece = Callable[[PieceSet, int], Awaitable[None]]
 
-log = logger(Part.WEIGHTS)
+log = logger(Component.WEIGHTS)
 
 
 class PieceGatherer:
--- a/packages/millforkd/millforkd/sidecar/origin.py
+++ b/packages/millforkd/millforkd/sidecar/origin.py
@@ -9,7 +9,7 @@
 from millfork_adapter.adapter import Adapter
 from millfork_adapter.calls import BadCall
 from millfork_core.environment import Environment
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_routing.documents import Document, OriginSpec
 from millfork_web.client import Client, ExchangeFailed
 from millfork_web.models import Request
@@ -23,7 +23,7 @@
 # back, and short compared with the second for which it may be up before it fails again.
 PAUSE_AFTER_FAILURE_S: Final = 0.1
 
-log = logger(Part.WEIGHTS)
+log = logger(Component.WEIGHTS)
 
 
 def find_origin(document: Document | None) -> OriginSpec | None:
--- a/packages/millforkd/millforkd/sidecar/pushing.py
+++ b/packages/millforkd/millforkd/sidecar/pushing.py
@@ -13,7 +13,7 @@
 import curio
 
 from millfork_core.environment import Environment
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_registry.discovery import address_of
 from millfork_weights.links import Pace
 from millfork_wire.connection import PeerError
@@ -27,7 +27,7 @@
 # A receiver that timed out is sent no pieces for this long.
 SKIP_SLOW_PEER_S: Final = 4.0
 
-log = logger(Part.WEIGHTS)
+log = logger(Component.WEIGHTS)
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/millforkd/millforkd/sidecar/rollout.py
+++ b/packages/millforkd/millforkd/sidecar/rollout.py
@@ -16,7 +16,7 @@
 from millfork_adapter.exchange import EngineReport
 from millfork_core.environment import Environment
 from millfork_core.ids import UNKNOWN_INCARNATION
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_registry.records import ServedVersion
 from millforkd.sidecar.engine import LocalEngine
 from millforkd.sidecar.fleet import Fleet
@@ -45,7 +45,7 @@
 # Time from the order until the engine serves, which includes the end of running requests.
 START_TIMEOUT_S: Final = 6.0
 
-log = logger(Part.WEIGHTS)
+log = logger(Component.WEIGHTS)
 
 
 class Rollout:
--- a/packages/millforkd/millforkd/sidecar/target.py
+++ b/packages/millforkd/millforkd/sidecar/target.py
@@ -12,7 +12,7 @@
 from typing import Final
 
 from millfork_core.environment import Environment
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_routing.documents import EngineSpec
 from millforkd.sidecar.pieces import PieceStore, WeightsId
 from millforkd.version_switching import LAST_SEND_BEFORE_END_S
@@ -29,7 +29,7 @@
 # A version counts as stuck for this long.
 STUCK_FOR_S: Final = 1.5
 
-log = logger(Part.WEIGHTS)
+log = logger(Component.WEIGHTS)
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/millforkd/millforkd/sidecar/verification.py
+++ b/packages/millforkd/millforkd/sidecar/verification.py
@@ -4,10 +4,10 @@
 """
 
 from millfork_core.environment import Environment
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millforkd.sidecar.pieces import PieceSet
 
-log = logger(Part.WEIGHTS)
+log = logger(Component.WEIGHTS)
 
 
 async def store_if_valid(
--- a/packages/millforkd/millforkd/stopping.py
+++ b/packages/millforkd/millforkd/stopping.py
@@ -9,10 +9,10 @@
 import curio
 
 from millfork_core.environment import Environment
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_core.signals import StopSignals
 
-log = logger(Part.DAEMON)
+log = logger(Component.DAEMON)
 
 
 class Drainable(Protocol):
--- a/packages/millforkd/millforkd/versions.py
+++ b/packages/millforkd/millforkd/versions.py
@@ -10,7 +10,7 @@
 from typing import Final
 
 from millfork_core.environment import Environment
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_registry.version_cutoffs import MS_PER_S, VersionCutoffs
 from millfork_state.commands import decode_versioned
 from millfork_state.keys import VERSION_PREFIX
@@ -26,7 +26,7 @@
 # Smaller corrections of a cutoff aren't logged: the peers' answers differ by their delays.
 MIN_LOGGED_CHANGE_S: Final = 0.1
 
-log = logger(Part.PROXY)
+log = logger(Component.PROXY)
 
 
 def always_leads() -> bool:
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from millfork_core.logs import Part
+from millfork_core.logs import Component
 from millfork_core.verdicts import Reason
 from millfork_settings.declarations import Declaration
 from millfork_settings.document import document
@@ -44,7 +44,7 @@
     assert f'| `{reason.value}` |' in (DOCS / 'OPERATIONS.md').read_text()
 
 
-@pytest.mark.parametrize('part', Part, ids=lambda part: part.value)
+@pytest.mark.parametrize('part', Component, ids=lambda part: part.value)
 def test_each_log_prefix_is_explained_to_operators(part):
     assert f'| `{part.value}` |' in (DOCS / 'OPERATIONS.md').read_text()
 
