--- a/deploy/millforkd.py
+++ b/deploy/millforkd.py
@@ -1,8 +1,8 @@
 """
 Starts `millforkd` from this checkout, with the platform's adapter.
 
-The packages come from the sources beside this file, never from an installed
-copy; only the libraries are installed.
+The project's packages are imported from this checkout, never from an installed copy. Only
+third-party libraries are installed.
 
 """
 
@@ -11,9 +11,10 @@
 import sys
 from pathlib import Path
 
-# Until the daemon listens for signals (0.3 s): a reload has nothing to do, as the
-# settings are not read yet, and a stop has nothing to end. It raises nothing, as libraries
-# in C that are being imported did not survive that (2 of 60 stops ended by signal 11).
+# In force until the daemon installs its own handlers (0.3 s). A reload is ignored, as the
+# settings are not read yet. A stop exits at once, as nothing is in progress. The handler must
+# not raise: C libraries crashed when an exception interrupted their import (2 of 60 stops
+# ended by signal 11).
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 signal.signal(signal.SIGTERM, lambda number, frame: os._exit(0))
 
--- a/packages/millforkd/millforkd/admin.py
+++ b/packages/millforkd/millforkd/admin.py
@@ -13,7 +13,7 @@
 
 class Admin:
     """
-    Serves a daemon's own figures.
+    The HTTP server on the admin port.
 
     """
 
@@ -41,7 +41,7 @@
     exchange: Exchange, env: Environment, ready: bool, details: dict[str, object]
 ) -> None:
     """
-    Answer one question to an admin port; `details` go with the readiness.
+    Answer one request to an admin port. `details` are added to the body of `/readyz`.
 
     """
     path = exchange.request.path
--- a/packages/millforkd/millforkd/cli/definition.py
+++ b/packages/millforkd/millforkd/cli/definition.py
@@ -12,8 +12,8 @@
 
 usage: millforkd --settings=FILE [--check]
 
-SIGTERM stops it once what is in progress has ended; a second one ends it at
-once. Exit statuses: 0 stopped, 1 error, 2 usage, 3 bad settings.
+SIGTERM stops it once the requests in progress have ended; a second SIGTERM
+stops it at once. Exit statuses: 0 stopped, 1 error, 2 usage, 3 bad settings.
 
 flags:
 """
--- a/packages/millforkd/millforkd/core.py
+++ b/packages/millforkd/millforkd/core.py
@@ -1,8 +1,8 @@
 """
-The story of a run: settings, environment, role, stop.
+Runs `millforkd`: chooses the kind of fleet and maps errors to exit statuses.
 
-The two kinds of fleet, and within a seeded one the roles, are imported only where they run:
-half of a daemon's start is imports, and until it is over nothing is served.
+The code of each kind of fleet, and of each role in a seeded one, is imported only where it
+runs: imports take half of a daemon's start, during which it serves nothing.
 
 """
 
@@ -20,12 +20,12 @@
     adapter: Adapter | None = None,
 ) -> ExitStatus:
     """
-    Run a daemon until it is told to stop; with an adapter, one that finds
-    the others from seeds.
+    Run a daemon until a stop signal comes. With an adapter, the daemon belongs to a seeded
+    fleet, else to a listed one.
 
     """
     if settings_path is None:
-        print('millforkd: --settings is needed; see --help', file=sys.stderr)
+        print('millforkd: --settings is required; see --help', file=sys.stderr)
         return ExitStatus.USAGE
     path = Path(settings_path)
     try:
--- a/packages/millforkd/millforkd/document.py
+++ b/packages/millforkd/millforkd/document.py
@@ -1,5 +1,5 @@
 """
-The operator's document, out of the configuration in force.
+Reads the operator's document from the configuration in force.
 
 """
 
@@ -20,8 +20,8 @@
     view: View, adapter: Adapter, known_revision: int
 ) -> tuple[Document, int] | None:
     """
-    The document and the revision that set it; None if it is the one of
-    revision `known_revision`, or if there is none.
+    The document and the revision that set it. None if there is no document, if
+    `known_revision` set it, or if it can't be read.
 
     """
     held = view.items.get(DOCUMENT_KEY)
@@ -31,8 +31,8 @@
     try:
         document = adapter.read_document(zlib.decompress(versioned.body))
     except (BadCall, zlib.error) as error:
-        # It was checked before it was accepted; the one in force stays.
-        log.error('Document {} can not be read: {}.', versioned.version, error)
+        # Documents are checked before they are accepted. The document in force stays.
+        log.error('Document {} cannot be read: {}.', versioned.version, error)
         return None
     log.notice('Document in force. version={} routes={}', document.version, len(document.routes))
     return document, held.revision
--- a/packages/millforkd/millforkd/listed_fleet.py
+++ b/packages/millforkd/millforkd/listed_fleet.py
@@ -1,5 +1,5 @@
 """
-The roles of a fleet whose instances the platform lists.
+Runs a daemon of a listed fleet: one whose instances the platform lists.
 
 """
 
@@ -20,7 +20,7 @@
 
 def run_listed(path: Path, check_only: bool) -> ExitStatus:
     """
-    Run a daemon of a listed fleet until it is told to stop.
+    Run a daemon of a listed fleet until a stop signal comes.
 
     :raises BadFile: if its settings can't be used.
 
@@ -41,7 +41,7 @@
 
 def build(env: Environment, settings: Settings) -> EntryDaemon | EndpointDaemon:
     """
-    The daemon of the role that the settings name.
+    Create the daemon for the role in the settings.
 
     """
     if settings.role is Role.ENTRY:
--- a/packages/millforkd/millforkd/member.py
+++ b/packages/millforkd/millforkd/member.py
@@ -1,5 +1,5 @@
 """
-What every daemon is, whatever its role: a peer, a subscriber, an admin port.
+The base of every daemon of a listed fleet: peer, subscriber and admin port.
 
 """
 
@@ -31,7 +31,7 @@
 
 class Member:
     """
-    The parts that both roles share.
+    The components that entries and endpoints of a listed fleet share.
 
     """
 
@@ -72,8 +72,8 @@
 
     async def start(self) -> None:
         """
-        Listen, learn the instance list and what the zone has seen, then
-        follow the tree.
+        Listen, then load the instance list, query the zone for its newest revision, and
+        subscribe to configuration updates.
 
         """
         await self.env.spawn_essential(self.peers.listen)
@@ -93,7 +93,7 @@
 
     async def handle(self, connection: Connection, message: Message) -> Message | None:
         """
-        Answer what concerns every daemon; pass the rest to the role.
+        Handle the messages that every daemon gets, and pass others to the role's handler.
 
         """
         if isinstance(message, Update):
--- a/packages/millforkd/millforkd/report.py
+++ b/packages/millforkd/millforkd/report.py
@@ -1,5 +1,5 @@
 """
-What an endpoint reports up the tree.
+The report that an endpoint sends up the tree of subscribers.
 
 """
 
@@ -10,8 +10,8 @@
 
 class EndpointReport(msgspec.Struct):
     """
-    Versions arriving (share of chunks held, in eighths), deployments served
-    (by version), whether the endpoint leaves.
+    `shares`: the share of chunks held of each version in transfer, in eighths. `served`: the
+    version served of each deployment. `leaving`: whether the endpoint is shutting down.
 
     """
 
@@ -22,7 +22,7 @@
     @classmethod
     def of(cls, report: Report | None) -> 'EndpointReport':
         """
-        The content of a report; an empty one where there is none.
+        Decode a report; an empty one if there is none or it can't be decoded.
 
         """
         if report is None:
--- a/packages/millforkd/millforkd/running.py
+++ b/packages/millforkd/millforkd/running.py
@@ -1,5 +1,5 @@
 """
-A daemon from its start to its end: signals, reloads, the stop.
+Runs a daemon from start to stop: signals, reloads of the settings, draining.
 
 """
 
@@ -20,7 +20,7 @@
 from millfork_state.storage import CorruptStorage
 from millforkd.stopping import Drainable, drain_until_second_signal
 
-# The settings file may change without a signal.
+# The settings file may change without a SIGHUP, so it is polled as well.
 SETTINGS_POLL_S: Final = 2.0
 
 log = logger(Component.DAEMON)
@@ -28,7 +28,7 @@
 
 class Daemon(Drainable, Protocol):
     """
-    What every role is.
+    A daemon of any role.
 
     """
 
@@ -38,7 +38,7 @@
 @runtime_checkable
 class Reloadable(Protocol):
     """
-    A daemon that takes changed settings while it runs.
+    A daemon that can apply changed settings while it runs.
 
     """
 
@@ -49,8 +49,7 @@
     env: Environment, build: Callable[[], Daemon], reloads_from: Path | None = None
 ) -> ExitStatus:
     """
-    Run a daemon until SIGTERM or SIGINT, then drain; a second one ends the
-    drain.
+    Run a daemon until SIGTERM or SIGINT, then drain it. A second signal ends the drain.
 
     """
     try:
@@ -75,7 +74,7 @@
         log.error('Cannot start: {}.', error)
         return ExitStatus.ERROR
     finally:
-        # Tasks are cancelled next, one by one; those that still run start nothing.
+        # Tasks are cancelled next, one by one. Those still running must start no new tasks.
         env.ended = True
     log.notice('Stopped.')
     return ExitStatus.SUCCESS
@@ -85,7 +84,7 @@
     env: Environment, signals: StopSignals, reloads: 'SettingsReloader | None'
 ) -> bool:
     """
-    Wait for a stop signal; False if a task failed that can't be done without.
+    Wait for a stop signal. False if an essential task failed first.
 
     """
     failed = await curio.spawn(env.failed.wait)
@@ -103,7 +102,7 @@
 
 class SettingsReloader:
     """
-    Brings changes of a settings file to a daemon.
+    Applies changes of the settings file to a running daemon.
 
     """
 
@@ -113,7 +112,7 @@
 
     async def watch(self) -> None:
         """
-        The task that notices a change of the file that no signal told of.
+        Poll the file, and reload it when its content has changed.
 
         """
         seen = self._content()
@@ -126,7 +125,7 @@
 
     async def reload(self) -> None:
         """
-        Take the settings as the file has them now.
+        Apply the current content of the file; a bad file is logged and ignored.
 
         """
         try:
@@ -141,5 +140,5 @@
         try:
             return self.path.read_bytes()
         except OSError as error:
-            log.warning('The settings file can not be read: {}.', error)
+            log.warning('The settings file cannot be read: {}.', error)
             return b''
--- a/packages/millforkd/millforkd/seeded.py
+++ b/packages/millforkd/millforkd/seeded.py
@@ -1,5 +1,5 @@
 """
-What all seeded daemons share.
+Setup that all daemons of a seeded fleet share.
 
 """
 
@@ -18,14 +18,14 @@
 from millfork_wire.peers import Peers
 from millforkd.versions import UNKNOWN_CUTOFF_MS, VersionTracker, never_leads
 
-# Without a key file the handshake proves only that a peer is a millforkd:
-# the network between the instances must then be private.
+# Without a key file, the handshake only proves that a peer is a millforkd. The network
+# between the instances must then be private.
 PRIVATE_NETWORK_KEY: Final = b'millfork private network'
 
 
 def fleet_key(settings: SeededSettings) -> bytes:
     """
-    The secret that the daemons of a fleet share.
+    The key that the daemons of a fleet authenticate each other with.
 
     """
     key_file = settings.fleet_key_file
@@ -34,7 +34,7 @@
 
 def build_peers(env: Environment, settings: SeededSettings, handler: Handler) -> Peers:
     """
-    The connections of a seeded daemon.
+    Create the peer connections of a seeded daemon.
 
     """
     return Peers(
@@ -51,8 +51,8 @@
 @dataclass(frozen=True, slots=True)
 class Feed:
     """
-    What a daemon that keeps no state itself hears of configuration and leases, and
-    by which ways.
+    The components by which an entry or endpoint daemon, which holds no replica of the state,
+    receives configuration and leases.
 
     """
 
@@ -67,7 +67,7 @@
 
 def build_feed(env: Environment, settings: SeededSettings, role: str, handler: Handler) -> Feed:
     """
-    The feed of a seeded daemon of a follower's role.
+    Create the feed of an entry or endpoint daemon.
 
     """
     peers = build_peers(env, settings, handler)
--- a/packages/millforkd/millforkd/seeded_fleet.py
+++ b/packages/millforkd/millforkd/seeded_fleet.py
@@ -1,5 +1,5 @@
 """
-The roles of a fleet whose daemons find each other from seeds.
+Runs a daemon of a seeded fleet: one whose daemons find each other from seeds.
 
 """
 
@@ -22,7 +22,7 @@
 
 def run_seeded(path: Path, check_only: bool, adapter: Adapter) -> ExitStatus:
     """
-    Run a daemon of a seeded fleet until it is told to stop.
+    Run a daemon of a seeded fleet until a stop signal comes.
 
     :raises BadFile: if its settings can't be used.
 
@@ -37,7 +37,7 @@
 
 async def _serve(path: Path, settings: SeededSettings, adapter: Adapter) -> ExitStatus:
     """
-    Run a role. SIGHUP, or a change of the file, reloads the settings.
+    Set up logs and run the daemon. SIGHUP or a change of the file reloads the settings.
 
     """
     env = Environment(InstanceId(settings.instance), ZoneId(settings.zone))
@@ -55,7 +55,7 @@
     )
     for figure in settings.promises.replaced:
         log.warning(
-            'Setting {} can not be used as given: {!r}. {:g} serves instead.',
+            'Setting {} cannot be used as given: {!r}. Using {:g} instead.',
             figure.key,
             figure.given,
             figure.used,
@@ -65,7 +65,7 @@
 
 def build(env: Environment, settings: SeededSettings, adapter: Adapter) -> Daemon:
     """
-    The daemon of the role that the settings name; others are not imported.
+    Create the daemon for the role in the settings. Other roles are not imported.
 
     """
     if settings.role is SeededRole.ENTRY:
--- a/packages/millforkd/millforkd/settling.py
+++ b/packages/millforkd/millforkd/settling.py
@@ -1,8 +1,8 @@
 """
-Recording how a request with an idempotency key ended.
+Records the outcome of a request that has an idempotency key.
 
-The entry does so; where the entry is lost, the endpoint that knows the outcome
-does, so that the caller's next try finds it.
+The entry records it. If the entry is lost, the endpoint that knows the outcome records it, so
+that the caller's next attempt finds it.
 
 """
 
@@ -15,7 +15,8 @@
 from millfork_web.models import Response
 
 SETTLE_TIMEOUT_S: Final = 30.0
-# A longer first answer is not kept; the caller then learns only that it ran.
+# The response is stored up to this length. The caller of a longer one, when it tries again,
+# is only told that its request ran.
 MAX_KEPT_BODY_BYTES: Final = 16 * 1024
 
 
@@ -27,7 +28,7 @@
     response: Response | None,
 ) -> None:
     """
-    Keep the response under the key; without one, release the key.
+    Store the response under the key; without a response, release the key.
 
     """
     command = SettleKey(key, claim, released=response is None)
--- a/packages/millforkd/millforkd/stopping.py
+++ b/packages/millforkd/millforkd/stopping.py
@@ -1,5 +1,5 @@
 """
-A planned stop: what is in progress ends, unless a second signal comes.
+Planned stops: requests in progress finish, unless a second signal comes.
 
 """
 
@@ -17,7 +17,7 @@
 
 class Drainable(Protocol):
     """
-    A daemon that can be stopped.
+    A daemon that can finish the requests in progress and stop.
 
     """
 
@@ -31,18 +31,18 @@
     env: Environment, daemon: Drainable, signals: StopSignals
 ) -> None:
     """
-    Let a daemon drain; a second stop signal ends the drain.
+    Drain a daemon; a second stop signal ends the drain and cuts requests off.
 
     """
     drain = await curio.spawn(daemon.drain)
-    second = await curio.spawn(_second_stop, signals)
-    async with curio.TaskGroup([drain, second], wait=any) as group:
+    second_signal = await curio.spawn(_wait_for_stop_signal, signals)
+    async with curio.TaskGroup([drain, second_signal], wait=any) as group:
         pass
-    if group.completed is second:
+    if group.completed is second_signal:
         log.warning('Second signal: {} requests are cut off.', daemon.in_progress)
         env.metrics.count(env.metrics.requests, outcome='cut_off_by_signal')
 
 
-async def _second_stop(signals: StopSignals) -> None:
+async def _wait_for_stop_signal(signals: StopSignals) -> None:
     while await signals.get() is signal.SIGHUP:
         continue
