--- a/packages/millfork-core/millfork_core/__init__.py
+++ b/packages/millfork-core/millfork_core/__init__.py
@@ -1,4 +1,4 @@
 """
-Ids, verdicts, reasons, logs and metrics shared by every part of millfork.
+Ids, verdicts, reasons, logs and metrics that all packages of millfork share.
 
 """
--- a/packages/millfork-core/millfork_core/clocks.py
+++ b/packages/millfork-core/millfork_core/clocks.py
@@ -1,5 +1,5 @@
 """
-The clock that intervals are measured by.
+The clock for measuring intervals.
 
 """
 
@@ -8,9 +8,10 @@
 
 def elapsed_s() -> float:
     """
-    Seconds since the machine started, also those in which it was suspended: an entry that
-    slept for 5 s would else send on weights that have ended, and take loads and leases
-    from before for new. Time of day may jump; this does not.
+    Seconds since the machine started, including time in which it was suspended. With a clock
+    that stops in suspension, an entry that was suspended for 5 s would send to weights past
+    their cutoff and treat old loads and leases as new. Unlike the time of day, this clock
+    doesn't jump.
 
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/packages/millfork-core/millfork_core/environment.py
+++ b/packages/millfork-core/millfork_core/environment.py
@@ -1,5 +1,5 @@
 """
-What a running process needs, passed in so that tests need no globals.
+The context of a running process, passed in so that tests need no globals.
 
 """
 
@@ -30,7 +30,7 @@
     monotonic: Callable[[], float] = elapsed_s
     random: Random = field(default_factory=Random)
     failed: curio.Event = field(default_factory=curio.Event)
-    # Set at the end: what is cancelled then must start nothing in its place.
+    # Set when the process ends: a cancelled task must not start another in its place.
     ended: bool = False
 
     async def spawn(self, task: Callable[..., Awaitable[object]], *args: object) -> curio.Task:
@@ -39,13 +39,13 @@
 
         """
         if self.ended:
-            raise curio.TaskCancelled('the process ends')
+            raise curio.TaskCancelled('the process is ending')
         return await curio.spawn(task, *args, daemon=True)
 
     async def spawn_essential(self, task: Callable[..., Awaitable[object]], *args: object) -> None:
         """
-        Start a task that the process can't do without: should it fail, the
-        process ends, as half a daemon is worse than none.
+        Start a task that the process needs. If it fails, the whole process ends, as a daemon
+        that only partly works does more harm than one that is down.
 
         """
         await self.spawn(self._run_essential, task, *args)
@@ -54,5 +54,5 @@
         try:
             await task(*args)
         except Exception:
-            log.exception('A task failed that the process can not do without.')
+            log.exception('An essential task failed; the process ends.')
             await self.failed.set()
--- a/packages/millfork-core/millfork_core/ids.py
+++ b/packages/millfork-core/millfork_core/ids.py
@@ -1,5 +1,5 @@
 """
-Ids that must not be confused with one another or with plain text.
+Distinct types for ids, so that the type checker finds confused ones.
 
 """
 
@@ -13,15 +13,15 @@
 ClusterId = NewType('ClusterId', str)
 DiskId = NewType('DiskId', str)
 Digest = NewType('Digest', str)
-# What a request says and who says it, as a keyed hash in hex: the same for each try of it.
+# A keyed hash, in hex, of a request's content and caller: equal for all attempts of a request.
 Fingerprint = NewType('Fingerprint', str)
 Revision = NewType('Revision', int)
 Term = NewType('Term', int)
 LogIndex = NewType('LogIndex', int)
 FencingNumber = NewType('FencingNumber', int)
-# One run of a back end's process: when it started, in ms since 1970; 0 where not told.
+# One run of a back end's process: its start in ms since 1970; 0 if the back end doesn't say.
 Incarnation = NewType('Incarnation', int)
-# One run of one back end's process, unlike that of any other back end.
+# One run of one back end's process, unique among all back ends.
 IncarnationKey = NewType('IncarnationKey', str)
 
 NO_INSTANCE = InstanceId('')
--- a/packages/millfork-core/millfork_core/logs.py
+++ b/packages/millfork-core/millfork_core/logs.py
@@ -1,5 +1,5 @@
 """
-Logs: one logger for each part, with the part's fixed prefix.
+Logs: one logger for each component, with the component's fixed prefix.
 
 """
 
@@ -19,15 +19,15 @@
 )
 
 
-# Lines that a process may write in a second, and at once; above the requests
-# that one entry serves in a second, below what would cost it noticeable time.
+# Rate and burst of log lines of a process: more lines than one entry serves requests in a
+# second, few enough to cost no noticeable time.
 MAX_LINES_PER_S: Final = 150
 MAX_BURST_LINES: Final = 300
 
 
 class Component(Enum):
     """
-    The parts of the product; the value is the prefix of each log line.
+    The components that write logs. The value is the prefix of each of their lines.
 
     """
 
@@ -47,7 +47,7 @@
 
 def logger(component: Component) -> Logger:
     """
-    The logger of one part.
+    The logger of one component.
 
     """
     return Logger(component.value)
@@ -55,10 +55,10 @@
 
 class BoundedHandler(Handler):  # type: ignore[misc]
     """
-    Writes lines to a descriptor without ever waiting for it, up to a rate.
+    Writes lines to a descriptor without ever blocking, up to a rate (token bucket).
 
-    A line that the rate or a full pipe leaves no room for is dropped and
-    counted; the next one that gets through says how many were.
+    A line beyond the rate, or one that a full pipe doesn't take, is dropped and counted. The
+    next line that is written says how many lines were dropped before it.
 
     """
 
@@ -67,8 +67,8 @@
         self.fd = fd
         self.on_line = on_line
         self.formatter = StringFormatter(FORMAT)
-        self.room = float(MAX_BURST_LINES)
-        self.filled_at = time.monotonic()
+        self.tokens = float(MAX_BURST_LINES)
+        self.refilled_at = time.monotonic()
         self.dropped = 0
         os.set_blocking(fd, False)
 
@@ -77,8 +77,8 @@
         Write one record, or count it as dropped.
 
         """
-        if not self._has_room():
-            self._drop()
+        if not self._take_token():
+            self._count_dropped()
             return
         line = self.format(record)
         if self.dropped:
@@ -86,29 +86,29 @@
         try:
             os.write(self.fd, f'{line}\n'.encode())
         except OSError:
-            self._drop()
+            self._count_dropped()
             return
         self.dropped = 0
         self.on_line('written')
 
-    def _has_room(self) -> bool:
+    def _take_token(self) -> bool:
         now = time.monotonic()
-        self.room += (now - self.filled_at) * MAX_LINES_PER_S
-        self.room = min(self.room, float(MAX_BURST_LINES))
-        self.filled_at = now
-        if self.room < 1:
+        self.tokens += (now - self.refilled_at) * MAX_LINES_PER_S
+        self.tokens = min(self.tokens, float(MAX_BURST_LINES))
+        self.refilled_at = now
+        if self.tokens < 1:
             return False
-        self.room -= 1
+        self.tokens -= 1
         return True
 
-    def _drop(self) -> None:
+    def _count_dropped(self) -> None:
         self.dropped += 1
         self.on_line('dropped')
 
 
 def set_up_bounded(level: str, on_line: Callable[[str], None]) -> None:
     """
-    Send log lines at or above `level` to standard output, bounded.
+    Send log lines at or above `level` to standard output, by a `BoundedHandler`.
 
     """
     BoundedHandler(sys.stdout.fileno(), level.upper(), on_line).push_application()
@@ -125,8 +125,8 @@
 
 
 def _redirect_event_loop_logs() -> None:
-    # The event loop logs by the standard library; its warnings are of late
-    # time-outs and tasks that nobody joins, which are meant.
+    # Curio logs by the standard library. Its warnings are left out: they report late time-outs
+    # and tasks that are never joined, both of which are intended here.
     logging.getLogger('curio').addHandler(RedirectLoggingHandler())
     logging.getLogger('curio').setLevel(logging.ERROR)
     logging.getLogger('curio').propagate = False
--- a/packages/millfork-core/millfork_core/metrics.py
+++ b/packages/millfork-core/millfork_core/metrics.py
@@ -10,13 +10,13 @@
 from millfork_core.verdicts import Reason
 
 TEXT_ACCEPT: Final = ['text/plain']
-# Around the aims of 0.4 to 0.9 s and the deadlines of some seconds.
+# Fine around the target latencies of 0.4 to 0.9 s, coarse up to the deadlines of some seconds.
 LATENCY_BUCKETS_S: Final = (0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.7, 1.0, 2.0, 4.0, 8.0, float('inf'))
 
 
 class Metrics:
     """
-    The process's metrics, made once and passed in by the environment.
+    The metrics of one process, created once and passed in by the environment.
 
     """
 
@@ -38,7 +38,7 @@
         )
         self.backpressure = self._counter(
             'millfork_backpressure_total',
-            'What back ends said of themselves, by signal, event and way of telling.',
+            'Backpressure signals of back ends by signal, event and way of reporting.',
         )
         self.log_lines = self._counter('millfork_log_lines_total', 'Log lines by fate.')
         self.request_seconds = Histogram(
@@ -74,7 +74,7 @@
 
     def render(self) -> tuple[bytes, str]:
         """
-        The registry as Prometheus text: body and content type.
+        All metrics as Prometheus text: body and content type.
 
         """
         body, headers = render(self.registry, TEXT_ACCEPT)
--- a/packages/millfork-core/millfork_core/signals.py
+++ b/packages/millfork-core/millfork_core/signals.py
@@ -1,5 +1,5 @@
 """
-Stop signals, awaited by a task.
+Stop signals that a task can wait for.
 
 """
 
@@ -13,15 +13,14 @@
 
 def _ignore_signal(number: int, frame: object) -> None:
     """
-    The wake-up descriptor carries the signal; there is nothing more to do.
+    Replace the default action; the signal's number arrives by the wake-up descriptor.
 
     """
 
 
 class StopSignals:
     """
-    Turns SIGTERM and SIGINT into something a task can wait for; with
-    `reloads`, SIGHUP as well.
+    Catches SIGTERM and SIGINT, with `reloads` also SIGHUP, and lets a task wait for them.
 
     """
 
--- a/packages/millfork-core/millfork_core/sockets.py
+++ b/packages/millfork-core/millfork_core/sockets.py
@@ -11,10 +11,10 @@
 
 async def connect(host: str, port: int, source: str = '') -> Any:
     """
-    A connection to an IPv4 address, without the look-up in a thread that the
-    event loop's own call makes for every one; from address `source` if given.
+    Connect to an IPv4 address, from address `source` if given. Unlike curio's own function,
+    this one doesn't start a thread for a name look-up.
 
-    :raises OSError: if there is none to be had.
+    :raises OSError: if the connection fails.
 
     """
     sock = socket.socket(socket_.AF_INET, socket_.SOCK_STREAM)
@@ -31,8 +31,8 @@
 
 def is_quiet(sock: Any) -> bool:
     """
-    Whether an idle connection is open and has sent nothing: a closed one
-    reads as ended, and bytes here belong to no request.
+    Whether an idle connection is open and has no unread bytes, which would belong to no
+    request.
 
     """
     try:
--- a/packages/millfork-core/millfork_core/status.py
+++ b/packages/millfork-core/millfork_core/status.py
@@ -1,5 +1,5 @@
 """
-Exit statuses of both programs.
+Exit statuses of the programs.
 
 """
 
@@ -9,7 +9,7 @@
 @unique
 class ExitStatus(IntEnum):
     """
-    What a program's exit status means.
+    Exit statuses of `millforkd` and `millfork`.
 
     """
 
--- a/packages/millfork-core/millfork_core/verdicts.py
+++ b/packages/millfork-core/millfork_core/verdicts.py
@@ -1,5 +1,5 @@
 """
-Verdicts and reasons: what is known about a request that got no answer.
+Verdicts and reasons: whether an unanswered request may have run, and why it failed.
 
 """
 
@@ -80,8 +80,8 @@
 }
 DEFAULT_HTTP_STATUS: Final = 503
 
-# Refusals that mend by waiting, with the wait in milliseconds when the
-# refusing part knows nothing better.
+# Reasons that go away with time, and the wait in milliseconds if the refusing component
+# doesn't give one.
 DEFAULT_RETRY_AFTER_MS: Final[dict[Reason, int]] = {
     Reason.NOT_READY: 1000,
     Reason.NO_ENDPOINT: 2000,
@@ -107,8 +107,8 @@
 @dataclass(frozen=True, slots=True)
 class Refusal:
     """
-    A final 'no': the reason, whether the request may have run, and when to
-    come back (milliseconds; 0 means that waiting does not help).
+    The final refusal of a request: the reason, whether the request may have run, and when to
+    try again (milliseconds; 0: the default for the reason).
 
     """
 
@@ -120,7 +120,7 @@
     @property
     def wait_ms(self) -> int:
         """
-        The wait told to the caller, in milliseconds.
+        When the caller may try again, in milliseconds; 0 if waiting doesn't help.
 
         """
         return self.retry_after_ms or DEFAULT_RETRY_AFTER_MS.get(self.reason, 0)
@@ -132,7 +132,7 @@
 
 class Refused(Exception):
     """
-    Carries a refusal through code that has no better way to return it.
+    Raised where a refusal can't be returned as a value.
 
     """
 
--- a/packages/millfork-core/millfork_core/windows.py
+++ b/packages/millfork-core/millfork_core/windows.py
@@ -1,52 +1,52 @@
 """
-Figures over a window of time.
+Figures over a sliding window of time.
 
 """
 
 from collections import deque
 from typing import Final
 
-# Entries count for so long after they were last seen, in seconds, at replicas and at each
-# other (there: of touch with a majority of the replicas): a zone's machines come back within
-# minutes of a loss of power, and regions lose each other for as long.
+# Replicas count an entry for this long after they last saw it, and so do other entries (there
+# in time with contact to a majority of the replicas). After a loss of power a zone's machines
+# return within minutes, and regions lose contact with each other for about as long.
 ENTRIES_REMEMBERED_S: Final = 600.0
 
 
 class WindowMax:
     """
-    The highest of the numbers seen within a time, in seconds.
+    The maximum of the values added within the last `window_s` seconds.
 
     """
 
     def __init__(self, window_s: float) -> None:
         self.window_s = window_s
-        # Falling numbers, and when each was last seen.
-        self.seen: deque[tuple[float, int]] = deque()
+        # When each value was added, and the value; the values fall from left to right.
+        self.candidates: deque[tuple[float, int]] = deque()
 
     @property
     def maximum(self) -> int:
         """
-        The highest as of the last `note`; 0 if there was none.
+        The maximum as of the last `add`; 0 if there was none.
 
         """
-        return self.seen[0][1] if self.seen else 0
+        return self.candidates[0][1] if self.candidates else 0
 
-    def add(self, number: int, now: float) -> int:
+    def add(self, value: int, now: float) -> int:
         """
-        Take the number as it is now; returns the highest.
+        Add the current value and return the maximum.
 
         """
-        while self.seen and self.seen[-1][1] <= number:
-            self.seen.pop()
-        self.seen.append((now, number))
-        while now - self.seen[0][0] > self.window_s:
-            self.seen.popleft()
+        while self.candidates and self.candidates[-1][1] <= value:
+            self.candidates.pop()
+        self.candidates.append((now, value))
+        while now - self.candidates[0][0] > self.window_s:
+            self.candidates.popleft()
         return self.maximum
 
 
 class RateLimit:
     """
-    So many of something within any time, in seconds, and no more.
+    Allows at most `limit` events within any `window_s` seconds.
 
     """
 
@@ -57,7 +57,7 @@
 
     def try_acquire(self, now: float) -> bool:
         """
-        Take one, if one is left.
+        Count an event if the limit allows it; returns whether it does.
 
         """
         while self.acquired_at and now - self.acquired_at[0] > self.window_s:
--- a/packages/millfork-state/millfork_state/roster.py
+++ b/packages/millfork-state/millfork_state/roster.py
@@ -61,7 +61,7 @@
         Fetch the changes from the platform. False if it gave no valid answer.
 
         """
-        bytes_before = self.client.bytes_moved
+        bytes_before = self.client.bytes_transferred
         try:
             path = f'/instances?since={self.version}'
             response = await self.client.fetch('GET', path, [], timeout=POLL_TIMEOUT_S)
@@ -70,7 +70,7 @@
             log.debug('Could not fetch the instance list: {}.', error)
             self.env.metrics.count(self.env.metrics.state, event='platform_silent')
             return False
-        moved = self.client.bytes_moved - bytes_before
+        moved = self.client.bytes_transferred - bytes_before
         self.env.metrics.count(self.env.metrics.wire_bytes, moved, way='platform')
         version_before = self.version
         self.apply_delta(delta)
--- a/packages/millfork-web/millfork_web/client.py
+++ b/packages/millfork-web/millfork_web/client.py
@@ -1,5 +1,5 @@
 """
-An HTTP/1.1 client: h11 on curio, with kept connections for each address.
+An HTTP/1.1 client: h11 on curio, with a pool of idle connections for each address.
 
 """
 
@@ -20,7 +20,7 @@
 
 class ExchangeFailed(Exception):
     """
-    No whole response came; the verdict says what the server may have done.
+    No complete response came. The verdict says whether the server may have run the request.
 
     """
 
@@ -31,7 +31,7 @@
 
 class Reply:
     """
-    A response being read.
+    A response that is being received.
 
     """
 
@@ -57,9 +57,9 @@
 
     async def parts(self) -> AsyncIterator[bytes]:
         """
-        The body as it comes; everything already received is one part.
+        The body in parts as they arrive; all that has been received by then is one part.
 
-        :raises ExchangeFailed: if the body breaks off.
+        :raises ExchangeFailed: if the body is incomplete.
 
         """
         while True:
@@ -68,7 +68,7 @@
                 self.complete = True
                 return
             if not isinstance(event, h11.Data):
-                raise ExchangeFailed(Verdict.MAY_HAVE_RUN, 'the body broke off')
+                raise ExchangeFailed(Verdict.MAY_HAVE_RUN, 'the body is incomplete')
             data = bytes(event.data)
             more = self.conn.next_event() if self.conn.their_state is h11.SEND_BODY else None
             while isinstance(more, h11.Data):
@@ -92,14 +92,14 @@
                 if event is not h11.NEED_DATA:
                     return event
                 data = await self.sock.recv(READ_BYTES)
-                self.client.bytes_moved += len(data)
+                self.client.bytes_transferred += len(data)
                 self.conn.receive_data(data)
         except (OSError, h11.RemoteProtocolError) as error:
             raise ExchangeFailed(Verdict.MAY_HAVE_RUN, str(error)) from error
 
     async def close(self) -> None:
         """
-        Keep the connection if the response was read whole, else close it.
+        Return the connection to the pool if the response was read completely, else close it.
 
         """
         if self.complete and self.conn.our_state is h11.DONE and self.conn.their_state is h11.DONE:
@@ -120,7 +120,7 @@
         self.port = port
         self.source = source
         self.idle: list[tuple[Any, h11.Connection]] = []
-        self.bytes_moved = 0
+        self.bytes_transferred = 0
 
     async def return_connection(self, sock: Any, conn: h11.Connection) -> None:
         if len(self.idle) < MAX_IDLE:
@@ -132,7 +132,7 @@
         """
         Send a request and return once the response's head is read.
 
-        :raises ExchangeFailed: with the verdict on what the server may have done.
+        :raises ExchangeFailed: with the verdict on whether the server may have run it.
 
         """
         sock, conn = await self._connection()
@@ -156,7 +156,7 @@
         """
         Send a request and read the whole response within `timeout` seconds.
 
-        :raises ExchangeFailed: if there is no whole response in time.
+        :raises ExchangeFailed: if no complete response arrives in time.
 
         """
         try:
@@ -197,7 +197,7 @@
         data = conn.send(h11.Request(method=method, target=path, headers=sent)) or b''
         data += conn.send(h11.Data(data=body)) or b''
         data += conn.send(h11.EndOfMessage()) or b''
-        self.bytes_moved += len(data)
+        self.bytes_transferred += len(data)
         try:
             await sock.sendall(data)
         except OSError as error:
--- a/packages/millfork-web/millfork_web/models.py
+++ b/packages/millfork-web/millfork_web/models.py
@@ -1,5 +1,5 @@
 """
-Requests and responses as the server and client pass them.
+Requests and responses of the server and the client.
 
 """
 
@@ -23,7 +23,7 @@
 
 def without_header(headers: Headers, name: str) -> Headers:
     """
-    The headers but those of one name (in lower case).
+    The headers except those called `name` (in lower case).
 
     """
     return [item for item in headers if item[0] != name]
@@ -32,7 +32,7 @@
 @dataclass(slots=True)
 class Request:
     """
-    One whole request; header names are in lower case.
+    A complete request; header names are in lower case.
 
     """
 
@@ -48,7 +48,7 @@
         """
         The body as JSON.
 
-        :raises ValueError: if it is none.
+        :raises ValueError: if it is not valid JSON.
 
         """
         return json.loads(self.body)
@@ -57,7 +57,7 @@
 @dataclass(slots=True)
 class Response:
     """
-    One whole response.
+    A complete response; header names are in lower case.
 
     """
 
--- a/packages/millfork-web/millfork_web/problem.py
+++ b/packages/millfork-web/millfork_web/problem.py
@@ -15,7 +15,7 @@
 
 def problem(refusal: Refusal) -> Response:
     """
-    The refusal as a response with verdict, reason and `Retry-After`.
+    The refusal as a response with verdict and reason, and `Retry-After` if waiting helps.
 
     """
     body = {
--- a/packages/millfork-web/millfork_web/retry_after.py
+++ b/packages/millfork-web/millfork_web/retry_after.py
@@ -1,5 +1,5 @@
 """
-`Retry-After` as RFC 9110 has it: seconds or a date; fractions of a second are read as well.
+Parses `Retry-After` (RFC 9110): seconds or a date. Fractions of a second are accepted too.
 
 """
 
@@ -13,39 +13,40 @@
 
 RETRY_AFTER: Final = 'retry-after'
 DATE: Final = 'date'
-# Answers by which a server turns a request away, and may say for how long.
-TURNED_AWAY: Final = frozenset({429, 503})
-# Every whole number up to here is a float as well.
+# Statuses by which a server rejects a request and may ask for a wait.
+REJECTION_STATUSES: Final = frozenset({429, 503})
+# A float represents every integer up to this one exactly.
 MAX_AMOUNT: Final = 2.0**53
 
 
 @dataclass(frozen=True, slots=True)
 class RetryAfter:
     """
-    The seconds asked for (None: nothing is), and the values that make no sense.
+    The wait that the server asks for (None: no wait), and the values that can't be parsed.
 
     """
 
     seconds: float | None = None
-    unread: tuple[str, ...] = ()
+    invalid_values: tuple[str, ...] = ()
 
 
 def read_retry_after(headers: Headers) -> RetryAfter:
     """
-    Of several values the longest holds; a date counts from the answer's own, if it has one.
+    Read the longest wait of all values. A date is relative to the response's `Date`, if it
+    has one, else to the current time.
 
     """
-    found: list[float] = []
-    unread: list[str] = []
+    waits_s: list[float] = []
+    invalid_values: list[str] = []
     for text in header_values(headers, RETRY_AFTER):
         seconds = parse_amount(text)
         if seconds is None:
-            seconds = _seconds_until(text, headers)
+            seconds = _seconds_until_date(text, headers)
         if seconds is None:
-            unread.append(text)
+            invalid_values.append(text)
             continue
-        found.append(seconds)
-    return RetryAfter(max(found, default=None), tuple(unread))
+        waits_s.append(seconds)
+    return RetryAfter(max(waits_s, default=None), tuple(invalid_values))
 
 
 def header_values(headers: Headers, name: str) -> list[str]:
@@ -58,7 +59,7 @@
 
 def parse_amount(text: str) -> float | None:
     """
-    A decimal number from 0 on; None if it is none.
+    A number from 0 to `MAX_AMOUNT`; None if the text is anything else.
 
     """
     try:
@@ -68,18 +69,18 @@
     return number if math.isfinite(number) and 0 <= number <= MAX_AMOUNT else None
 
 
-def _seconds_until(text: str, headers: Headers) -> float | None:
-    until = _date(text)
-    if until is None:
+def _seconds_until_date(text: str, headers: Headers) -> float | None:
+    retry_at = _parse_date(text)
+    if retry_at is None:
         return None
-    dates = [_date(value) for value in header_values(headers, DATE)]
+    dates = [_parse_date(value) for value in header_values(headers, DATE)]
     now = dates[0] if dates and dates[0] is not None else datetime.now(UTC)
-    return max((until - now).total_seconds(), 0.0)
+    return max((retry_at - now).total_seconds(), 0.0)
 
 
-def _date(text: str) -> datetime | None:
+def _parse_date(text: str) -> datetime | None:
     """
-    A date as in RFC 9110, which is always of UTC.
+    A date as in RFC 9110, which is always in UTC.
 
     """
     try:
--- a/packages/millfork-web/millfork_web/server.py
+++ b/packages/millfork-web/millfork_web/server.py
@@ -21,10 +21,10 @@
 REQUEST_TIMEOUT_S: Final = 30.0
 BACKLOG: Final = 1024
 OUT_OF_DESCRIPTORS: Final = frozenset({errno.EMFILE, errno.ENFILE})
-# After a failure to accept.
+# Pause after a failed accept.
 ACCEPT_PAUSE_S: Final = 0.05
-# Connections closed at once to make room: few enough to be noticed by few callers, more
-# than come in a pause on a fleet in use.
+# Idle connections closed at once when descriptors run out: few enough to affect few callers,
+# more than arrive during one `ACCEPT_PAUSE_S` in a busy fleet.
 IDLE_CLOSED_PER_SHORTAGE: Final = 8
 DEFAULT_MAX_BODY_BYTES: Final = 4 * 1024 * 1024
 
@@ -33,14 +33,14 @@
 
 class CallerGone(Exception):
     """
-    The caller closed its connection before the answer was whole.
+    The caller closed its connection before the response was complete.
 
     """
 
 
 class Exchange:
     """
-    One request on one connection, and the means to answer it.
+    One request on one connection, and the methods to respond to it.
 
     """
 
@@ -53,7 +53,7 @@
 
     async def respond(self, response: Response) -> None:
         """
-        Send one whole response.
+        Send one complete response.
 
         """
         headers = [*response.headers, ('content-length', str(len(response.body)))]
@@ -77,7 +77,7 @@
 
     async def abort(self) -> None:
         """
-        End a streamed response so that it can't be taken for a whole one.
+        End a streamed response early, so that the caller can't take it for a complete one.
 
         """
         self.conn.send_failed()
@@ -100,8 +100,7 @@
 
     async def wait_for_disconnect(self) -> None:
         """
-        Return when the caller has closed its side. Bytes it sends early
-        stay unread.
+        Return once the caller has closed its side. Bytes of a next request stay unread.
 
         """
         while True:
@@ -118,7 +117,7 @@
 
 async def spawn_daemon(task: Callable[..., Awaitable[object]], *args: object) -> curio.Task:
     """
-    Start a task that nobody joins.
+    Start a task that is never joined.
 
     """
     return await curio.spawn(task, *args, daemon=True)
@@ -149,12 +148,12 @@
         self.closing = False
         self.active = 0
         self.acceptor: curio.Task | None = None
-        # Connections between two requests, the one that rests longest first.
+        # Connections between two requests, the longest idle first.
         self.idle_sockets: dict[Any, None] = {}
 
     async def run(self) -> None:
         """
-        Serve until cancelled or told to stop accepting.
+        Serve until cancelled or until `stop_accepting`.
 
         """
         listener = curio.tcp_server_socket(self.host, self.port, backlog=BACKLOG)
@@ -167,7 +166,7 @@
                 try:
                     sock, address = await listener.accept()
                 except OSError as error:
-                    log.warning('No connection accepted on port {}: {}.', self.port, error)
+                    log.warning('Accepting a connection on port {} failed: {}.', self.port, error)
                     if error.errno in OUT_OF_DESCRIPTORS:
                         await self._free_descriptors()
                     await curio.sleep(ACCEPT_PAUSE_S)
@@ -176,8 +175,7 @@
 
     async def stop_accepting(self) -> None:
         """
-        Take no new connection, and close those between two requests. What is
-        in progress goes on.
+        Accept no new connections and close the idle ones. Requests in progress go on.
 
         """
         self.closing = True
@@ -187,15 +185,16 @@
 
     async def _free_descriptors(self) -> None:
         """
-        Close the connections that rest longest. Callers that keep them all would else keep
-        others out for as long as connections may rest, 30 s by the usual document.
+        Close the connections that have been idle longest. Otherwise callers whose idle
+        connections use all descriptors would keep others out until the idle timeout (30 s in
+        the usual document).
 
         """
         count = await self._close_idle(IDLE_CLOSED_PER_SHORTAGE)
-        log.warning('Closed {} resting connections for want of descriptors.', count)
+        log.warning('Closed {} idle connections, as file descriptors ran out.', count)
 
-    async def _close_idle(self, most: int) -> int:
-        closed = list(self.idle_sockets)[:most]
+    async def _close_idle(self, max_count: int) -> int:
+        closed = list(self.idle_sockets)[:max_count]
         for sock in closed:
             self.idle_sockets.pop(sock, None)
             try:
@@ -234,7 +233,7 @@
         except CallerGone:
             return False
         except Exception:
-            log.exception('Answering {} {} failed.', request.method, request.path)
+            log.exception('Handling {} {} failed.', request.method, request.path)
             return False
         finally:
             self.active -= 1
--- a/packages/millforkd/millforkd/endpoint/resting.py
+++ b/packages/millforkd/millforkd/endpoint/resting.py
@@ -10,7 +10,7 @@
 from millfork_core.verdicts import Reason, Refusal
 from millfork_scheduling.availability import RestPeriod
 from millfork_web.client import Reply
-from millfork_web.retry_after import TURNED_AWAY, read_retry_after
+from millfork_web.retry_after import REJECTION_STATUSES, read_retry_after
 
 log = logger(Component.ENDPOINT)
 
@@ -50,15 +50,15 @@
         The answer to a request begins that was sent at a moment (monotonic seconds).
 
         """
-        if reply.status not in TURNED_AWAY:
+        if reply.status not in REJECTION_STATUSES:
             if self.rest is not None and self.rest.is_ended_by(sent_at):
                 log.info('The back end takes requests again.')
                 self.rest = None
             return
         asked = read_retry_after(reply.headers)
-        if asked.unread:
+        if asked.invalid_values:
             log.warning(
-                'The back end asks for rest in a way that can not be read: {}', asked.unread
+                'The back end asks for rest in a way that can not be read: {}', asked.invalid_values
             )
         if not asked.seconds:
             return
--- a/packages/millforkd/millforkd/entry/delivery.py
+++ b/packages/millforkd/millforkd/entry/delivery.py
@@ -7,7 +7,7 @@
 
 from millfork_core.verdicts import Reason, Refusal, Verdict
 from millfork_web.models import Headers, Response, find_header
-from millfork_web.retry_after import TURNED_AWAY
+from millfork_web.retry_after import REJECTION_STATUSES
 from millfork_web.server import Exchange
 from millfork_wire.messages import Head
 from millforkd.entry.attempts import Attempt, TurnedAway
@@ -43,7 +43,7 @@
         if find_header(headers, 'content-type').startswith(STREAM_TYPE):
             return await self._stream(attempt, head.status, headers, deadline)
         refusal = await self._whole(attempt, head.status, headers, deadline)
-        if refusal is not None or self.response is None or head.status not in TURNED_AWAY:
+        if refusal is not None or self.response is None or head.status not in REJECTION_STATUSES:
             return refusal
         response, self.response = self.response, None
         detail = f'the back end answered {head.status}'
