--- a/packages/millfork-settings/millfork_settings/__init__.py
+++ b/packages/millfork-settings/millfork_settings/__init__.py
@@ -1,4 +1,4 @@
 """
-Settings and declarations: YAML in, validated models out.
+Settings and declarations: YAML files, read into validated models.
 
 """
--- a/packages/millfork-settings/millfork_settings/common.py
+++ b/packages/millfork-settings/millfork_settings/common.py
@@ -1,7 +1,8 @@
 """
-What the settings of all fleets are made of. Apart from the rest, as a daemon of a seeded
-fleet needs no more: the models of the listed fleets took 0.04 s of each start (the
-interpreter's import times, one run).
+Settings that listed and seeded fleets share.
+
+They have a module of their own so that a daemon of a seeded fleet doesn't import the models of
+listed fleets, which took 0.04 s of each start.
 
 """
 
@@ -16,7 +17,7 @@
 
 def round_down(value: object) -> object:
     """
-    A count that is given as a fraction, as the count below it; anything else as it is.
+    Round a finite float down to an integer; return other values unchanged.
 
     """
     if isinstance(value, float) and math.isfinite(value):
@@ -35,20 +36,23 @@
 
 class StateSettings(StrictModel):
     """
-    How the replicated state is kept.
+    Settings of the replicated state.
 
     """
 
     heartbeat_ms: int = Field(500, ge=20, le=5000, description='Leader heartbeat, in ms.')
     election_ms: int = Field(
-        1500, ge=100, le=30000, description='Silence after which a replica seeks election, in ms.'
+        1500,
+        ge=100,
+        le=30000,
+        description='Silence after which a replica starts an election, in ms.',
     )
     snapshot_entries: int = Field(1000, ge=10, description='Log entries between two snapshots.')
     losses: Annotated[int | None, BeforeValidator(round_down)] = Field(
         None,
         ge=0,
-        description='Disks that may be lost at once, a fraction rounded down; a silent voter '
-        'leaves while enough are left.',
+        description='Number of disks that may be lost at once; fractions are rounded down. '
+        'A silent voter is removed as long as enough voters remain.',
     )
 
     @model_validator(mode='after')
--- a/packages/millfork-settings/millfork_settings/declarations.py
+++ b/packages/millfork-settings/millfork_settings/declarations.py
@@ -1,5 +1,5 @@
 """
-Declarations: what operators keep in version control and apply.
+Declarations: files that operators keep in version control and apply to a fleet.
 
 """
 
@@ -16,7 +16,7 @@
 
 class OrganisationSpec(StrictModel):
     """
-    An organisation and what it may use. Only the administrator applies it.
+    The tokens, services and share of an organisation. Only the administrator may apply it.
 
     """
 
@@ -28,7 +28,7 @@
 
 class VersionSpec(StrictModel):
     """
-    One model or adapter at one version.
+    One version of a model or adapter.
 
     """
 
@@ -38,7 +38,7 @@
 
 class DeploymentSpec(StrictModel):
     """
-    Which weights should be servable on which instances.
+    The weights that the instances matching the selector should serve.
 
     """
 
@@ -50,7 +50,7 @@
 
 class Declaration(StrictModel):
     """
-    One declaration file.
+    The content of a declaration file.
 
     """
 
--- a/packages/millfork-settings/millfork_settings/document.py
+++ b/packages/millfork-settings/millfork_settings/document.py
@@ -1,7 +1,7 @@
 """
-`docs/SETTINGS.md`, made from the settings' own definitions.
+Generates `docs/SETTINGS.md` from the definitions of the settings.
 
-`python -m millfork_settings.document > docs/SETTINGS.md` writes it anew.
+Run `python -m millfork_settings.document > docs/SETTINGS.md` after changing a setting.
 
 """
 
@@ -16,8 +16,8 @@
 
 HEAD = """# Settings of millforkd
 
-Made from the definitions in `millfork_settings.models`; do not edit by hand.
-Write it anew with `python -m millfork_settings.document > docs/SETTINGS.md`.
+Generated from the definitions in `millfork_settings.models`; do not edit by hand.
+Generate it again with `python -m millfork_settings.document > docs/SETTINGS.md`.
 `millfork check FILE` checks a settings file without a fleet.
 
 | key | type | default | meaning |
@@ -28,7 +28,7 @@
 SEEDED_HEAD = """
 ## Daemons that find the others from seeds
 
-Made from `millfork_settings.seeded`. Unknown keys are passed over there.
+Generated from `millfork_settings.seeded`. Unknown keys are ignored there.
 
 | key | type | default | meaning |
 |---|---|---|---|
@@ -37,7 +37,7 @@
 
 def document() -> str:
     """
-    The whole page.
+    The text of the page.
 
     """
     listed = '\n'.join(_rows(Settings, ''))
--- a/packages/millfork-settings/millfork_settings/errors.py
+++ b/packages/millfork-settings/millfork_settings/errors.py
@@ -1,5 +1,5 @@
 """
-Errors in settings and declarations: every problem at once.
+Errors in settings and declarations; all problems of a file are reported at once.
 
 """
 
@@ -12,7 +12,7 @@
 @dataclass(frozen=True, slots=True)
 class Problem:
     """
-    One problem: the path of the key in the file and what was expected.
+    One problem: the path of the key in the file, and the expected value.
 
     """
 
@@ -22,7 +22,7 @@
 
 class BadFile(Exception):
     """
-    A file that can't be used, with all its problems.
+    A file is missing, unreadable or invalid; `problems` has everything that is wrong.
 
     """
 
@@ -35,7 +35,7 @@
 
 def find_problems(error: ValidationError) -> list[Problem]:
     """
-    The validator's findings as problems.
+    Convert the errors of pydantic to problems.
 
     """
     problems = []
--- a/packages/millfork-settings/millfork_settings/loading.py
+++ b/packages/millfork-settings/millfork_settings/loading.py
@@ -1,5 +1,5 @@
 """
-YAML files into validated models.
+Reads YAML files into validated models, and secrets from files.
 
 """
 
@@ -18,7 +18,7 @@
     """
     The content of a YAML file.
 
-    :raises BadFile: if it can't be read or is no YAML.
+    :raises BadFile: if it can't be read or isn't YAML.
 
     """
     try:
@@ -32,7 +32,7 @@
 
 def load(path: Path, model: type[Model]) -> Model:
     """
-    The file as a validated model.
+    Read a file into a validated model.
 
     :raises BadFile: with every problem found.
 
@@ -46,9 +46,9 @@
 
 def read_secret(path: Path) -> bytes:
     """
-    A secret from its file, without surrounding white space.
+    Read a secret from its file, without surrounding white space.
 
-    :raises BadFile: if there is none.
+    :raises BadFile: if the file can't be read or is empty.
 
     """
     try:
--- a/packages/millfork-settings/millfork_settings/models.py
+++ b/packages/millfork-settings/millfork_settings/models.py
@@ -1,5 +1,5 @@
 """
-The settings of a daemon. `docs/SETTINGS.md` is made from these definitions.
+The settings of a daemon of a listed fleet. `docs/SETTINGS.md` is generated from them.
 
 """
 
@@ -15,7 +15,7 @@
 
 class Role(Enum):
     """
-    What a daemon does.
+    The role of a daemon.
 
     """
 
@@ -25,7 +25,7 @@
 
 class BackendKind(Enum):
     """
-    What stands behind an endpoint.
+    The kind of back end of an endpoint.
 
     """
 
@@ -49,7 +49,7 @@
 
 class Ports(StrictModel):
     """
-    The ports that a daemon listens on, at its own address.
+    The ports that a daemon listens on at its address.
 
     """
 
@@ -60,7 +60,7 @@
 
 class ReplicaAddress(StrictModel):
     """
-    An instance with a disk that keeps a replica of the state.
+    The address of an instance that holds a replica of the state.
 
     """
 
@@ -71,7 +71,7 @@
 
 class LinkSettings(StrictModel):
     """
-    The instance's network link.
+    Settings of the instance's network link.
 
     """
 
@@ -86,18 +86,20 @@
 
 class WeightSettings(StrictModel):
     """
-    How weights are fetched and passed on.
+    How weights are fetched and distributed.
 
     """
 
     origin: Address | None = Field(None, description='The origin of weights.')
     origin_copies: int = Field(
-        1, ge=1, le=4, description='Copies a fleet may draw from the origin at once.'
+        1, ge=1, le=4, description='Copies that a fleet may fetch from the origin at once.'
     )
     stripes: int = Field(4, ge=1, le=16, description='Distribution trees per version.')
     window: int = Field(4, ge=1, le=64, description='Chunk requests in flight per stripe.')
     stall_ms: int = Field(
-        2000, ge=50, description='Silence after which a chunk is asked elsewhere, in ms.'
+        2000,
+        ge=50,
+        description='Silence after which a chunk is requested from another source, in ms.',
     )
 
 
@@ -109,11 +111,14 @@
 
     kind: BackendKind = Field(description='`engine` or `plain`.')
     service: Name = Field(description='The service this endpoint belongs to.')
-    address: Address = Field(description='Where it listens.')
-    slots: int = Field(8, ge=1, description='Requests it runs at once.')
+    address: Address = Field(description='Address that it listens on.')
+    slots: int = Field(8, ge=1, description='Requests that it runs at once.')
     queue: int = Field(64, ge=0, description='Requests that may wait for a slot.')
     coalesce_ms: int = Field(
-        20, ge=0, le=60, description='Tokens of a stream passed on together, in ms.'
+        20,
+        ge=0,
+        le=60,
+        description='Time for which tokens of a stream are collected before they are sent, in ms.',
     )
     refuses_old_orders: bool = Field(
         True, description='Whether the engine refuses an order with an old fencing number.'
@@ -122,30 +127,32 @@
 
 class RoutingSettings(StrictModel):
     """
-    Decisions on the path of a request.
+    Settings of deadlines, retries and limits of requests.
 
     """
 
     request_timeout_ms: int = Field(30_000, ge=100, description='Deadline of a request, in ms.')
     reserve_timeout_ms: int = Field(
-        1000, ge=10, description='Wait for an endpoint to take a request, in ms.'
+        1000, ge=10, description='Wait for an endpoint to accept a request, in ms.'
     )
     retry_ratio: float = Field(
         0.1, ge=0, le=1, description='Retries per request that the budget allows.'
     )
-    retry_floor: int = Field(10, ge=0, description='Retries always allowed in ten seconds.')
-    subset: int = Field(32, ge=1, description='Endpoints of a service an entry keeps up with.')
+    retry_floor: int = Field(
+        10, ge=0, description='Retries allowed in ten seconds whatever the ratio.'
+    )
+    subset: int = Field(32, ge=1, description='Endpoints of a service that one entry uses.')
     organisation_slots: int = Field(
         256, ge=1, description='Requests in progress for one organisation on one entry.'
     )
     drain_ms: int = Field(
-        30_000, ge=0, description='Time a planned stop gives requests in progress, in ms.'
+        30_000, ge=0, description='Time for requests in progress to end in a planned stop, in ms.'
     )
 
 
 class Settings(StrictModel):
     """
-    The settings file of `millforkd`.
+    The settings file of a `millforkd` of a listed fleet.
 
     """
 
@@ -155,7 +162,7 @@
     role: Role = Field(description='`entry` or `endpoint`.')
     address: IPv4Address = Field(description='Its own address.')
     ports: Ports = Field(default_factory=Ports, description='Its ports.')
-    fleet_key_file: Path = Field(description='File with the key that proves peers.')
+    fleet_key_file: Path = Field(description='File with the key that authenticates peers.')
     admin_token_file: Path | None = Field(
         None, description="File with the fleet administrator's token (entry only)."
     )
@@ -163,9 +170,9 @@
         None, description='Folder for all files; needed for a replica and for an engine endpoint.'
     )
     replicas: list[ReplicaAddress] = Field(
-        min_length=1, description='The instances that keep the replicated state.'
+        min_length=1, description='The instances that hold the replicated state.'
     )
-    platform: Address = Field(description="Where the platform's instance list is served.")
+    platform: Address = Field(description="Address of the platform's instance list.")
     via: Address | None = Field(None, description='HTTP CONNECT proxy to reach peers through.')
     log_level: str = Field(
         'INFO', pattern='^(DEBUG|INFO|NOTICE|WARNING|ERROR)$', description='Lowest level logged.'
@@ -174,7 +181,7 @@
     link: LinkSettings = Field(default_factory=LinkSettings, description='Network link.')
     weights: WeightSettings = Field(default_factory=WeightSettings, description='Weights.')
     routing: RoutingSettings = Field(default_factory=RoutingSettings, description='Routing.')
-    backend: BackendSettings | None = Field(None, description='What stands behind an endpoint.')
+    backend: BackendSettings | None = Field(None, description='The back end of an endpoint.')
 
     @property
     def is_replica(self) -> bool:
--- a/packages/millfork-settings/millfork_settings/seeded.py
+++ b/packages/millfork-settings/millfork_settings/seeded.py
@@ -1,8 +1,8 @@
 """
-The settings of a daemon that finds the others from seeds.
+The settings of a daemon of a seeded fleet.
 
-Nothing lists the instances of such a fleet: a daemon is given the addresses
-of up to three replicas and learns the rest from them.
+No platform lists the instances of such a fleet. A daemon gets the addresses of up to three
+replicas (the seeds) and learns all others from them.
 
 """
 
@@ -19,7 +19,7 @@
 
 from millfork_settings.common import Port, StateSettings, StrictModel
 
-# A day: no bound of a fleet is longer, and in ms it fits the messages' 32 bits.
+# One day: no promise is longer, and in ms it fits the messages' 32 bits.
 MAX_DURATION_S: Final = 86_400
 MAX_DURATION_MS: Final = 1000 * MAX_DURATION_S
 
@@ -28,7 +28,7 @@
 
 class SeededRole(Enum):
     """
-    What a seeded daemon does.
+    The role of a seeded daemon.
 
     """
 
@@ -48,7 +48,7 @@
 
 class SeededPorts(StrictModel):
     """
-    Ports at the daemon's own address.
+    The ports that a daemon listens on at its address.
 
     """
 
@@ -58,29 +58,31 @@
 
 class Listen(StrictModel):
     """
-    Where others than millfork's own processes reach the daemon.
+    Sockets for processes that aren't part of millfork.
 
     """
 
     callers: Socket | None = Field(None, description='For callers (entry).')
-    ready: Socket | None = Field(None, description="For the balancer's question (entry).")
+    ready: Socket | None = Field(
+        None, description="For the load balancer's readiness check (entry)."
+    )
     control: Socket | None = Field(None, description='For back ends and operators (replica).')
 
 
 class BesideSettings(StrictModel):
     """
-    The engine beside an endpoint daemon.
+    The engine on the same instance as an endpoint daemon.
 
     """
 
-    address: Socket = Field(description='Where it listens.')
+    address: Socket = Field(description='Socket that it listens on.')
     service: str = Field(description='The service it belongs to.')
 
 
 @dataclass(frozen=True, slots=True)
 class ReplacedValue:
     """
-    A figure that could not be used as it was given, and what serves instead.
+    A number that could not be used as given, and the number used instead.
 
     """
 
@@ -91,11 +93,11 @@
 
 class PromiseSettings(StrictModel):
     """
-    Bounds that the platform holds the fleet to.
+    Bounds that the fleet promises to the platform.
 
-    The platform fills them in, so none that it gives stops a daemon: what is beyond the
-    limits is brought within them, and where no number is given the default serves; `replaced`
-    tells of both. Left out of the file, a figure that the role needs is an error.
+    The platform fills them in, so no value may keep a daemon from starting: a value beyond its
+    limits is clamped, and the default replaces a value that isn't a number; `replaced` lists
+    both. A promise that the role needs and that the file lacks is an error.
 
     """
 
@@ -103,25 +105,31 @@
         1200, ge=10, le=MAX_DURATION_MS, description='Time between heartbeats of a back end.'
     )
     grace_s: float = Field(
-        8, ge=0, le=MAX_DURATION_S, description='Time from SIGTERM to the end, in seconds.'
+        8,
+        ge=0,
+        le=MAX_DURATION_S,
+        description='Time from SIGTERM to the end of the daemon, in seconds.',
     )
     retry_ratio: float = Field(
-        0.2, ge=0, le=1000, description='Repeats per request that all may send.'
+        0.2, ge=0, le=1000, description='Repeats per request that all entries together may send.'
     )
     retry_window_s: float = Field(
-        10, ge=0.01, le=3600, description='The window of that ratio, in seconds.'
+        10, ge=0.01, le=3600, description='Window that `retry_ratio` is measured over, in seconds.'
     )
     retry_slack: float = Field(
-        100, ge=0, le=1e9, description='Repeats always allowed in a window, for all.'
+        100,
+        ge=0,
+        le=1e9,
+        description='Repeats that all entries together may send in a window, beyond the ratio.',
     )
     version_ms: float = Field(
         8000,
         ge=0,
         le=MAX_DURATION_MS,
-        description='Nothing begins on older weights this long after a new version.',
+        description='Time after a new version from which no request begins on older weights.',
     )
     transfer_mbps: float = Field(
-        0, ge=0, le=1e9, description="The link's rate in Mbit/s; 0: not limited."
+        0, ge=0, le=1e9, description='Rate of the link, in Mbit/s; 0: unlimited.'
     )
     _replaced: tuple[ReplacedValue, ...] = PrivateAttr(())
 
@@ -131,25 +139,25 @@
 
     @model_validator(mode='wrap')
     @classmethod
-    def replace_unusable_values(cls, values: Any, handler: Callable[[Any], Self]) -> Self:
-        if not isinstance(values, dict):
-            return handler(values)
-        used = {**values}
+    def replace_unusable_values(cls, given: Any, handler: Callable[[Any], Self]) -> Self:
+        if not isinstance(given, dict):
+            return handler(given)
+        usable = {**given}
         replaced = []
         for name, info in cls.model_fields.items():
-            if name not in values:
+            if name not in given:
                 continue
-            used[name] = _usable_value(values[name], info)
-            if used[name] != _number(values[name]):
-                replaced.append(ReplacedValue(f'promises.{name}', str(values[name]), used[name]))
-        made = handler(used)
-        made._replaced = tuple(replaced)
-        return made
+            usable[name] = _usable_value(given[name], info)
+            if usable[name] != _number(given[name]):
+                replaced.append(ReplacedValue(f'promises.{name}', str(given[name]), usable[name]))
+        settings = handler(usable)
+        settings._replaced = tuple(replaced)
+        return settings
 
 
 def _usable_value(value: object, info: FieldInfo) -> float:
     """
-    The number given, brought within the limits of its setting; its default if none is.
+    The number clamped to the limits of its setting, or the default if it isn't a number.
 
     """
     number = _number(value)
@@ -160,7 +168,7 @@
 
 def bound_of(info: FieldInfo, side: str) -> float:
     """
-    The least (`ge`) or the most (`le`) that a promise may be.
+    The lower (`ge`) or upper (`le`) bound of a promise.
 
     """
     return next(float(getattr(item, side)) for item in info.metadata if hasattr(item, side))
@@ -168,21 +176,21 @@
 
 def _number(value: object) -> float | None:
     """
-    A number as YAML gives it; it takes `1e+22` for a text.
+    The value as a number, or None. Strings count as well, as YAML reads `1e+22` as a string.
 
     """
     if isinstance(value, bool) or not isinstance(value, int | float | str):
         return None
     try:
-        # By way of a text, as an integer may be beyond all floats.
+        # By way of a string: an integer beyond the range of floats becomes infinity.
         number = float(str(value))
     except ValueError:
         return None
     return None if math.isnan(number) else number
 
 
-# The promises that the code of each role reads; a default that stood in for one of them
-# ended versions 2 s before their time on a whole fleet.
+# The promises that the code of each role reads; the settings file must contain them. Where the
+# default stood in for a missing one, a whole fleet stopped using old versions 2 s too early.
 REQUIRED_PROMISES: Final = {
     SeededRole.ENTRY: (
         'heartbeat_ms',
@@ -199,8 +207,8 @@
 
 class SeededSettings(BaseModel):
     """
-    The settings file of a seeded `millforkd`. Unknown keys are passed over,
-    as the platform that writes it may know more than this version.
+    The settings file of a `millforkd` of a seeded fleet. Unknown keys are ignored, as the
+    platform that writes the file may be newer than the daemon.
 
     """
 
@@ -213,15 +221,18 @@
     role: SeededRole = Field(description='`entry`, `replica` or `endpoint`.')
     address: IPv4Address = Field(description='Its own address.')
     ports: SeededPorts = Field(description='Its ports.')
-    listen: Listen = Field(default_factory=Listen, description='Sockets for others.')
+    listen: Listen = Field(
+        default_factory=Listen, description='Sockets for other processes than millfork.'
+    )
     seeds: list[Socket] = Field(
-        description='Up to three replicas; their host counts, the port is the wire port.'
+        description='Up to three replicas. Only the host is used; the port is the wire port.'
     )
     first_start: bool = Field(
         False, description='Whether this is the first start of the fleet, on empty disks.'
     )
     fleet_key_file: Path | None = Field(
-        None, description='File with the key that proves peers; none: the network is private.'
+        None,
+        description='File with the key that authenticates peers; none: the network is private.',
     )
     data_folder: Path | None = Field(None, description='Folder for all files (replica).')
     log_level: str = Field(
@@ -230,9 +241,9 @@
     state: StateSettings = Field(default_factory=StateSettings, description='Replicated state.')
     promises: PromiseSettings = Field(
         default_factory=PromiseSettings,
-        description='Bounds to be kept; those that the role reads are required.',
+        description='Bounds that the fleet keeps; those that the role uses are required.',
     )
-    beside: BesideSettings | None = Field(None, description='The engine beside an endpoint.')
+    beside: BesideSettings | None = Field(None, description='The engine of an endpoint.')
 
     @property
     def seed_instances(self) -> list[str]:
