--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -9,7 +9,7 @@
 @pytest.fixture(scope='session')
 def serving_fleet(tmp_path_factory):
     """
-    A whole fleet that serves its first version; tests leave it as it is.
+    A whole listed fleet that serves its first version. Tests must not change its state.
 
     """
     fleet = Fleet(CEDARLINE, tmp_path_factory.mktemp('fleet'), FleetOptions())
--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -568,7 +568,7 @@
     ),
     Mutation(
         'the leader goes by the end of versions that its deployment gives',
-        'tests/test_promises.py::test_older_weights_end_when_the_deployment_says_at_every_role',
+        'tests/test_promises.py::test_every_role_stops_using_older_weights_at_the_promised_time',
         (
             Edit(
                 'deploy/settings/replica.yaml',
@@ -583,8 +583,8 @@
         (
             Edit(
                 'packages/millfork-settings/millfork_settings/seeded.py',
-                'used[name] = _usable_value(values[name], info)',
-                'used[name] = int(values[name])',
+                'usable[name] = _usable_value(given[name], info)',
+                'usable[name] = int(given[name])',
             ),
         ),
     ),
--- a/tests/test_accepting_at_limits.py
+++ b/tests/test_accepting_at_limits.py
@@ -1,9 +1,8 @@
 """
-A server whose callers hold all descriptors that its process may have.
+A server whose callers' idle connections use all file descriptors of its process.
 
-Callers keep connections open between requests. With all descriptors taken by such ones the
-server accepted nobody for as long as they rested, 30 s by the usual document, while it said
-that it was ready.
+The server accepted no connection until the idle timeout (30 s in the usual document), while it
+reported that it was ready.
 
 """
 
@@ -15,21 +14,21 @@
 from millfork_web.models import Response
 from millfork_web.server import Server
 
-MOST = 20
+MAX_OPEN_CONNECTIONS = 20
 CALLERS = 50
-BOUND_S = 10.0
+TIMEOUT_S = 10.0
 
 
-class Listener:
+class FakeListener:
     """
-    Accepts callers as long as fewer than `MOST` of their connections are open.
+    A listening socket that accepts only while fewer than `MAX_OPEN_CONNECTIONS` are open.
 
     """
 
     def __init__(self):
         self.accepted = []
-        self.waiting = curio.Queue()
-        self.failed = 0
+        self.pending = curio.Queue()
+        self.failed_accepts = 0
 
     async def __aenter__(self):
         return self
@@ -38,61 +37,61 @@
         return None
 
     async def accept(self):
-        if sum(sock.fileno() >= 0 for sock in self.accepted) >= MOST:
-            self.failed += 1
+        if sum(sock.fileno() >= 0 for sock in self.accepted) >= MAX_OPEN_CONNECTIONS:
+            self.failed_accepts += 1
             raise OSError(errno.EMFILE, 'too many open files')
-        sock = curio.io.Socket(await self.waiting.get())
-        # A pair of local sockets has no delay to turn off.
+        sock = curio.io.Socket(await self.pending.get())
+        # TCP_NODELAY does not exist on a pair of local sockets.
         sock.setsockopt = lambda *args: None
         self.accepted.append(sock)
         return sock, ''
 
     async def connect(self):
-        near, far = socket.socketpair()
-        await self.waiting.put(far)
-        near.setblocking(False)
-        return curio.io.Socket(near)
+        caller_sock, server_sock = socket.socketpair()
+        await self.pending.put(server_sock)
+        caller_sock.setblocking(False)
+        return curio.io.Socket(caller_sock)
 
 
-async def answer(exchange):
+async def handle(exchange):
     if exchange.request.path == '/slow':
         await curio.sleep(0.5)
     await exchange.respond(Response(200, [], b'here'))
 
 
-async def ask(sock, path='/'):
+async def send_request(sock, path='/'):
     await sock.sendall(f'GET {path} HTTP/1.1\r\nhost: h\r\n\r\n'.encode())
     return await sock.recv(1000)
 
 
-async def play(path):
+async def serve_callers(path):
     """
-    How many of many callers that keep their connections are answered, and what the one is
-    that came first and asked for something slow.
+    Connect `CALLERS` callers that keep their connections open, after a first one that requests
+    `path`. Returns the number of answered callers, the first answer, and the failed accepts.
 
     """
-    listener, kept = Listener(), []
-    server = Server('127.0.0.1', 0, answer)
+    listener, open_connections = FakeListener(), []
+    server = Server('127.0.0.1', 0, handle)
     accepting = await curio.spawn(server._accept, listener)
-    slow = await curio.spawn(ask, await listener.connect(), path)
+    slow = await curio.spawn(send_request, await listener.connect(), path)
     served = 0
-    async with curio.ignore_after(BOUND_S):
+    async with curio.ignore_after(TIMEOUT_S):
         for _ in range(CALLERS):
             sock = await listener.connect()
-            kept.append(sock)
-            served += b'here' in await ask(sock)
-    first = await slow.join()
+            open_connections.append(sock)
+            served += b'here' in await send_request(sock)
+    slow_answer = await slow.join()
     await accepting.cancel()
-    return served, first, listener.failed
+    return served, slow_answer, listener.failed_accepts
 
 
 def test_a_server_at_its_limits_goes_on_accepting():
-    served, _, failed = curio.run(play, '/')
+    served, _, failed_accepts = curio.run(serve_callers, '/')
     assert served == CALLERS
-    assert failed > 0
+    assert failed_accepts > 0
 
 
-def test_who_waits_for_an_answer_keeps_its_connection():
-    served, slow, _ = curio.run(play, '/slow')
+def test_a_caller_that_waits_for_its_answer_keeps_its_connection():
+    served, slow, _ = curio.run(serve_callers, '/slow')
     assert served == CALLERS
     assert b'here' in slow
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,5 +1,5 @@
 """
-Bad input is refused with its own reason; the process lives on.
+Bad input is refused with a specific reason, and the process keeps running.
 
 """
 
@@ -20,26 +20,26 @@
     return serving_fleet.entries[0]
 
 
-def metric(instance, line):
+def metric_value(instance, line):
     text = fetch('GET', instance.host, ADMIN_PORT, '/metrics').body.decode()
     found = [row for row in text.splitlines() if row.startswith(line)]
     return float(found[0].rsplit(' ', 1)[1]) if found else 0.0
 
 
-def raw(host, port, data):
+def send_raw(host, port, data):
     """
-    Send bytes, return what comes back until the other side closes.
+    Send bytes and return the bytes received until the peer closes the connection.
 
     """
     with socket.create_connection((host, port), timeout=10) as sock:
         sock.sendall(data)
-        found = b''
+        received = b''
         try:
             while piece := sock.recv(65536):
-                found += piece
+                received += piece
         except ConnectionResetError:
             pass
-        return found
+        return received
 
 
 @pytest.mark.parametrize(
@@ -56,13 +56,13 @@
         ),
     ],
 )
-def test_malformed_and_oversized_requests(entry, data, status, reason):
+def test_malformed_and_oversized_requests_are_refused(entry, data, status, reason):
     line = f'millfork_refusals_total{{part="http",reason="{reason}"}}'
-    before = metric(entry, line)
-    answer = raw(entry.host, CALLERS_PORT, data)
+    before = metric_value(entry, line)
+    answer = send_raw(entry.host, CALLERS_PORT, data)
     assert answer.startswith(b'HTTP/1.1 %d' % status)
     assert f'"reason": "{reason}"'.encode() in answer
-    assert metric(entry, line) == before + 1
+    assert metric_value(entry, line) == before + 1
 
 
 @pytest.mark.parametrize(
@@ -76,7 +76,7 @@
         ({}, {'idempotency-key': 'k' * 300}, 400, 'bad_request'),
     ],
 )
-def test_requests_that_make_no_sense(serving_fleet, fields, headers, status, reason):
+def test_invalid_requests_are_refused(serving_fleet, fields, headers, status, reason):
     token = serving_fleet.caller_tokens[serving_fleet.shape.organisations[0]]
     answer = complete(serving_fleet, token, headers=headers, **fields)
     assert (answer.status, answer.headers['millfork-reason']) == (status, reason)
@@ -84,7 +84,7 @@
     assert answer.headers['content-type'] == 'application/problem+json'
 
 
-def test_a_body_that_is_no_json(serving_fleet, entry):
+def test_a_body_that_is_not_json_is_refused(serving_fleet, entry):
     token = serving_fleet.caller_tokens[serving_fleet.shape.organisations[0]]
     headers = {'authorization': f'Bearer {token}'}
     answer = fetch('POST', entry.host, CALLERS_PORT, '/v1/completions', b'{', headers)
@@ -100,25 +100,25 @@
         b'\x00\x00\x00\x00',
     ],
 )
-def test_what_is_no_peer_is_turned_away(entry, data):
-    raw(entry.host, WIRE_PORT, data)
-    wait_until(lambda: metric(entry, 'millfork_wire_total{event="handshake_failed"}') > 0)
+def test_connections_that_fail_the_handshake_are_closed(entry, data):
+    send_raw(entry.host, WIRE_PORT, data)
+    wait_until(lambda: metric_value(entry, 'millfork_wire_total{event="handshake_failed"}') > 0)
     assert fetch('GET', entry.host, ADMIN_PORT, '/readyz').status == 200
 
 
 def test_a_peer_with_the_wrong_key_never_joins(serving_fleet, tmp_path):
-    stranger = serving_fleet.instances['register-api-1']
-    settings = serving_fleet.settings_of(stranger)
+    outsider = serving_fleet.instances['register-api-1']
+    settings = serving_fleet.settings_of(outsider)
     wrong = tmp_path / 'key'
     wrong.write_text('not the key of this fleet')
-    host = f'{stranger.host[: stranger.host.rindex(".")]}.240'
+    host = f'{outsider.host[: outsider.host.rindex(".")]}.240'
     settings.update(instance='stranger', address=host, fleet_key_file=str(wrong))
     (tmp_path / 'settings.yaml').write_text(yaml.safe_dump(settings))
     (serving_fleet.folder / 'stranger').mkdir()
 
     def handshakes_failed():
         line = 'millfork_wire_total{event="handshake_failed"}'
-        return sum(metric(entry, line) for entry in serving_fleet.entries)
+        return sum(metric_value(entry, line) for entry in serving_fleet.entries)
 
     before = handshakes_failed()
     serving_fleet._spawn('stranger', ['-m', 'millforkd', f'--settings={tmp_path}/settings.yaml'])
@@ -154,7 +154,7 @@
     assert 'v99' in answer.json()['detail']
 
 
-def test_all_problems_of_a_settings_file_at_once(serving_fleet, tmp_path):
+def test_all_problems_of_a_settings_file_are_reported_at_once(serving_fleet, tmp_path):
     settings = serving_fleet.settings_of(serving_fleet.entries[0])
     settings['zone'] = 7
     settings['surplus'] = True
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,5 +1,5 @@
 """
-Pages and examples agree with the code.
+The pages and examples match the code.
 
 """
 
@@ -22,12 +22,12 @@
 EXAMPLES = sorted((ROOT / 'examples').glob('*/*.yaml'))
 
 
-def test_the_settings_page_is_made_from_the_definitions():
+def test_the_settings_page_matches_the_definitions():
     assert (DOCS / 'SETTINGS.md').read_text() == document()
 
 
 @pytest.mark.parametrize('path', EXAMPLES, ids=lambda path: f'{path.parent.name}-{path.stem}')
-def test_examples_are_good(path):
+def test_examples_are_valid(path):
     load(path, Declaration if path.stem == 'declaration' else Settings)
 
 
@@ -58,6 +58,6 @@
 
 
 @pytest.mark.parametrize('page', sorted(DOCS.glob('*.md')), ids=lambda page: page.stem)
-def test_links_between_pages_lead_somewhere(page):
+def test_links_between_pages_are_valid(page):
     for target in re.findall(r'\]\(([^)#:]+)\)', page.read_text()):
         assert (page.parent / target).exists(), target
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -1,5 +1,5 @@
 """
-No organisation sees or disturbs another.
+No organisation sees or changes the state of another.
 
 """
 
@@ -19,7 +19,7 @@
     return serving_fleet.shape.organisations[1]
 
 
-def test_anothers_deployment_is_as_absent_as_one_that_never_was(serving_fleet, other):
+def test_the_deployment_of_another_organisation_looks_nonexistent(serving_fleet, other):
     token = serving_fleet.caller_tokens[other]
     private = complete(serving_fleet, token)
     absent = complete(serving_fleet, token, model='never-was')
@@ -31,16 +31,16 @@
     assert complete(serving_fleet, serving_fleet.caller_tokens[owner]).status == 200
 
 
-def test_a_callers_token_is_no_operators_token(serving_fleet, owner):
+def test_operators_cannot_use_a_callers_token(serving_fleet, owner):
     token = serving_fleet.caller_tokens[owner]
     assert control(serving_fleet, token, 'GET', 'state').status == 401
 
 
-def test_an_operators_token_is_no_callers_token(serving_fleet, owner):
+def test_callers_cannot_use_an_operators_token(serving_fleet, owner):
     assert complete(serving_fleet, serving_fleet.operator_tokens[owner]).status == 401
 
 
-def test_operators_see_their_own_keys_alone(serving_fleet, owner, other):
+def test_operators_see_only_their_own_keys(serving_fleet, owner, other):
     state = control(serving_fleet, serving_fleet.operator_tokens[other], 'GET', 'state').json()
     assert set(state['items']) <= {f'organisations/{other}'}
     status = control(serving_fleet, serving_fleet.operator_tokens[other], 'GET', 'status').json()
@@ -57,7 +57,7 @@
         {'drains': {'register-api-1': True}},
     ],
 )
-def test_operators_change_nothing_of_others(serving_fleet, owner, other, declaration):
+def test_operators_cannot_change_other_organisations(serving_fleet, owner, other, declaration):
     if 'organisation' in declaration:
         declaration = {**declaration, 'organisation': owner}
     token = serving_fleet.operator_tokens[other]
@@ -65,7 +65,7 @@
     assert (answer.status, answer.headers['millfork-reason']) == (403, 'forbidden')
 
 
-def test_one_key_used_by_two_organisations_is_two_keys(serving_fleet, owner, other):
+def test_idempotency_keys_of_two_organisations_are_separate(serving_fleet, owner, other):
     headers = {'idempotency-key': 'shared', 'nonce': 'from-owner'}
     mine = call_service(
         serving_fleet, serving_fleet.caller_tokens[owner], 'POST', 'register-api/r', headers=headers
@@ -77,7 +77,7 @@
     assert (mine.json()['nonce'], theirs.json()['nonce']) == ('from-owner', 'from-other')
 
 
-def test_a_key_sent_again_is_answered_and_runs_once(serving_fleet, owner):
+def test_a_repeated_idempotency_key_is_answered_and_runs_once(serving_fleet, owner):
     token = serving_fleet.caller_tokens[owner]
     headers = {'idempotency-key': 'again', 'nonce': 'again'}
     first = call_service(serving_fleet, token, 'POST', 'register-api/r', 0, headers)
@@ -93,7 +93,7 @@
     assert len(runs) == 1
 
 
-def test_a_key_with_another_body_is_refused(serving_fleet, owner):
+def test_an_idempotency_key_with_another_body_is_refused(serving_fleet, owner):
     token = serving_fleet.caller_tokens[owner]
     headers = {'idempotency-key': 'reused'}
     call_service(serving_fleet, token, 'POST', 'register-api/r', 0, headers)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -1,5 +1,5 @@
 """
-What operators do beside rollouts: adapters, drains, moved selectors, removal.
+Operations other than rollouts: adapters, drains, changed selectors, removal.
 
 """
 
@@ -26,13 +26,13 @@
         {'name': 'quiz-style', 'version': 'a1', 'size': MIB},
     ]
     options = FleetOptions(versions=versions)
-    made = Fleet(LANTING, tmp_path_factory.mktemp('fleet'), options)
+    new_fleet = Fleet(LANTING, tmp_path_factory.mktemp('fleet'), options)
     try:
-        made.start()
-        serve_version(made, 'v1')
-        yield made
+        new_fleet.start()
+        serve_version(new_fleet, 'v1')
+        yield new_fleet
     finally:
-        made.close()
+        new_fleet.close()
 
 
 def rollout(fleet, name):
@@ -40,7 +40,7 @@
     return next(row for row in rows if row['deployment'].endswith(f'/{name}'))
 
 
-def callers_token(fleet):
+def caller_token(fleet):
     return fleet.caller_tokens[fleet.shape.organisations[0]]
 
 
@@ -57,15 +57,15 @@
     }
     apply(fleet, deployments={'quizzes': spec})
     wait_until(lambda: rollout(fleet, 'quizzes')['serving'] == 6)
-    answer = complete(fleet, callers_token(fleet), model='quizzes', prompt='p', max_tokens=3)
+    answer = complete(fleet, caller_token(fleet), model='quizzes', prompt='p', max_tokens=3)
     base = learn_version(fleet, 'v1')
     adapter = learn_version(fleet, 'a1', 'quiz-style')
     assert answer.headers['millfork-version'] == f'{base.id}+{adapter.id}'
     key = weights_key([base.whole, adapter.whole])
     assert answer.json()['choices'][0]['text'] == answer_text(key, 'p', 3)
     fleet.operate('remove', 'quizzes', f'--organisation={fleet.shape.organisations[0]}')
-    wait_until(lambda: complete(fleet, callers_token(fleet), model='quizzes').status == 404)
-    assert complete(fleet, callers_token(fleet)).status == 200
+    wait_until(lambda: complete(fleet, caller_token(fleet), model='quizzes').status == 404)
+    assert complete(fleet, caller_token(fleet)).status == 200
 
 
 def test_a_drained_instance_gets_no_work_until_it_is_undone(fleet):
@@ -75,17 +75,17 @@
     callers = Callers(fleet, {seen.id: seen.key}, 4, (Kind.WHOLE, Kind.STREAM))
     callers.start()
 
-    def begun():
+    def count_started():
         return fleet.executions(name).read_text().count('"begin"')
 
     wait_until(lambda: f'drains/{name}' in fleet.operate('get', 'drains/').stdout)
     wait_until(lambda: len(callers.asked) > 20)
-    marks = [begun()]
+    counts = [count_started()]
     wait_until(lambda: len(callers.asked) > 80)
-    marks.append(begun())
-    assert marks[0] == marks[1]
+    counts.append(count_started())
+    assert counts[0] == counts[1]
     assert fleet.operate('drain', name, '--undo').returncode == ExitStatus.SUCCESS
-    wait_until(lambda: begun() > marks[1])
+    wait_until(lambda: count_started() > counts[1])
     callers.stop()
     assert judge_fleet(fleet, callers.asked).is_clean
 
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -1,13 +1,11 @@
 """
-On a whole fleet nothing was served for five seconds after new weights were named: the
-replicas' settings lacked the time for which older weights may be used, so the leader, whose
-word counts, went by a default of 8 s in place of 10 s. `Version named. due_s=7.1` stood in
-its log, `Version end corrected. due_s=7.0` in those of all others, and 94 daemons took the
-old weights from their engines 2.5 s before the new ones were there; 3,208 requests were
-refused.
+Every role uses the promises that the deployment gives, and starts whatever they are.
 
-Where a bound was a fraction, as `retry_slack` of 45.4, no entry started at all: `Input should
-be a valid integer, got a number with a fractional part`.
+- The settings of the replicas lacked `version_ms`, so the leader used the default of 8 s instead
+  of 10 s. 94 daemons took the old weights from their engines 2.5 s before the new ones arrived,
+  and a whole fleet served nothing for five seconds (3,208 requests refused).
+- No entry started where a promise was a fraction, such as a `retry_slack` of 45.4: `Input should
+  be a valid integer, got a number with a fractional part`.
 
 """
 
@@ -40,16 +38,16 @@
 
 ROOT = Path(__file__).parent.parent
 PACKAGE = ROOT / 'packages' / 'millforkd' / 'millforkd'
-# Where the code of each role reads promises.
-READERS = {
+# The files in which each role reads promises.
+SOURCES_BY_ROLE = {
     SeededRole.ENTRY: ('proxy/*.py', 'seeded.py'),
     SeededRole.REPLICA: ('replica/*.py',),
     SeededRole.ENDPOINT: ('sidecar/*.py', 'seeded.py'),
 }
-LEARNED = re.compile(
+VERSION_LINE = re.compile(
     r'(\S+) \w+ proxy: Version (?:named|end corrected)\. model=m version=2 due_s=(-?[\d.]+)'
 )
-# A name is in force everywhere within this time; log lines give tenths of a second.
+# A new version is known everywhere within this time; log lines give tenths of a second.
 TOLERANCE_S = 0.8
 
 NUMBERS = st.one_of(
@@ -61,12 +59,12 @@
 )
 
 
-def reads(role):
+def promises_read_by(role):
     """
     The promises that a role's code reads.
 
     """
-    texts = [path.read_text() for glob in READERS[role] for path in PACKAGE.glob(glob)]
+    texts = [path.read_text() for glob in SOURCES_BY_ROLE[role] for path in PACKAGE.glob(glob)]
     return {name for text in texts for name in re.findall(r'promises\.([a-z_]+)', text)}
 
 
@@ -74,7 +72,7 @@
 def test_each_template_names_the_promises_that_its_role_reads(role):
     text = (ROOT / 'deploy' / 'settings' / f'{role.value}.yaml').read_text()
     named = set(re.findall(r'^  ([a-z_]+): \{\{', text.partition('promises:')[2], re.M))
-    assert set(REQUIRED_PROMISES[role]) == reads(role) == named
+    assert set(REQUIRED_PROMISES[role]) == promises_read_by(role) == named
 
 
 @pytest.mark.parametrize('role', SeededRole, ids=lambda role: role.value)
@@ -88,7 +86,7 @@
 
 
 @given(st.dictionaries(st.sampled_from(sorted(PromiseSettings.model_fields)), NUMBERS))
-def test_whatever_a_deployment_bounds_every_role_starts(bounds):
+def test_every_role_starts_whatever_promises_a_deployment_gives(bounds):
     for role in SeededRole:
         text = filled_template(f'{role.value}.yaml', **bounds)
         settings = SeededSettings.model_validate(yaml.safe_load(text))
@@ -110,14 +108,14 @@
         (float('nan'), 100.0, True),
     ],
 )
-def test_a_figure_that_can_not_be_used_is_replaced_and_told(given_value, used, replaced):
+def test_an_unusable_value_is_replaced_and_reported(given_value, used, replaced):
     promises = PromiseSettings(retry_slack=given_value)
     assert promises.retry_slack == used
-    assert [figure.key for figure in promises.replaced] == ['promises.retry_slack'] * replaced
+    assert [value.key for value in promises.replaced] == ['promises.retry_slack'] * replaced
 
 
 @pytest.mark.parametrize('version_ms', [4000, 12000])
-def test_older_weights_end_when_the_deployment_says_at_every_role(tmp_path, version_ms):
+def test_every_role_stops_using_older_weights_at_the_promised_time(tmp_path, version_ms):
     fleet = SeededFleet(tmp_path, entries=1, endpoints=1, version_ms=version_ms)
     try:
         fleet.start()
@@ -127,20 +125,22 @@
         named = datetime.now().timestamp()
         hosts = (*fleet.replica_hosts, *fleet.entry_hosts, *fleet.endpoint_hosts)
         for host in hosts:
-            wait_until(lambda host=host: end_at(fleet, host) is not None)
+            wait_until(lambda host=host: logged_cutoff(fleet, host) is not None)
             wait_until(
-                lambda host=host: abs(end_at(fleet, host) - named - version_ms / 1000) < TOLERANCE_S
+                lambda host=host: (
+                    abs(logged_cutoff(fleet, host) - named - version_ms / 1000) < TOLERANCE_S
+                )
             )
     finally:
         fleet.close()
 
 
-def end_at(fleet, host):
+def logged_cutoff(fleet, host):
     """
-    When requests may no longer begin on older weights, by the last word of a log.
+    When requests may no longer begin on older weights, by the last line of a host's log.
 
     """
-    found = LEARNED.findall(fleet.log(host))
+    found = VERSION_LINE.findall(fleet.log(host))
     if not found:
         return None
     moment, due_s = found[-1]
--- a/tests/test_asked_for_rest.py
+++ b/tests/test_retry_after_is_kept.py
@@ -1,5 +1,5 @@
 """
-Back ends that turn requests away and say for how long they want nothing.
+A back end that rejects requests with `Retry-After` gets none until that time is over.
 
 """
 
@@ -12,11 +12,12 @@
 from tests.utils.loaded import ENTRIES, LOAD_PER_S, loaded_fleet
 
 REST_S = 3
-# Sends of one entry from half a second after it was told until the rest is over.
-TOLERATED = 2
-HEEDED_S = 0.5
-# By then each entry has sent there and was told.
-ALL_TOLD_S = 0.5
+# Requests that one entry may still send, from `TOLERANCE_S` after it was rejected until the rest
+# is over.
+MAX_SENDS_PER_ENTRY = 2
+TOLERANCE_S = 0.5
+# Time until each entry has sent a request to the back end and was rejected.
+ALL_REJECTED_S = 0.5
 LOAD_S = 4.0
 
 
@@ -26,12 +27,12 @@
         yield made
 
 
-def test_a_back_end_that_asked_for_rest_gets_it(fleet):
+def test_a_back_end_gets_the_rest_that_it_asked_for(fleet):
     resting = fleet.back_ends[0]
     resting.says = {standins.RETRY_AFTER: str(REST_S)}
     resting.turns_away = True
-    began = time.monotonic()
+    started_at = time.monotonic()
     replies = fleet.load(lambda: request('/safe/x'), LOAD_PER_S, LOAD_S)
-    since, until = began + ALL_TOLD_S + HEEDED_S, began + REST_S
-    assert sum(since < at < until for at in resting.arrived_at) <= TOLERATED * ENTRIES
+    since, until = started_at + ALL_REJECTED_S + TOLERANCE_S, started_at + REST_S
+    assert sum(since < at < until for at in resting.arrived_at) <= MAX_SENDS_PER_ENTRY * ENTRIES
     assert sum(reply.status == 200 for reply in replies) >= 0.98 * len(replies)
--- a/tests/test_early_stop.py
+++ b/tests/test_stop_during_import.py
@@ -1,9 +1,9 @@
 """
-A stop that comes while a daemon's modules are being imported.
+A stop signal that arrives while a daemon's modules are being imported.
 
-A daemon that was told to stop then ended by a segmentation fault (2 of 60 stops, the
-traceback ended in `msgspec.msgpack.Decoder(list[Lease])`): the handler raised SystemExit,
-which unwound whatever was being imported, a library in C in the middle of its work too.
+The daemon ended with a segmentation fault (2 of 60 stops, in
+`msgspec.msgpack.Decoder(list[Lease])`): the handler raised SystemExit, which interrupted a C
+library in the middle of its work.
 
 """
 
@@ -12,11 +12,11 @@
 
 from tests.fail_first import ROOT
 
-# Sends the signal at the moment at which it did the harm.
-STOPPED_IN_THE_MIDDLE = """
+# Sends the signal at the point of the import that crashed.
+STOP_DURING_IMPORT = """
 import os, runpy, signal, sys, types
 import msgspec._utils as utils
-# The library keeps the function that it calls, so its code is replaced.
+# msgspec holds a reference to the function, so the function's code is replaced.
 found = utils.get_class_annotations
 utils.before = types.FunctionType(found.__code__, utils.__dict__)
 utils.stop = lambda: os.kill(os.getpid(), signal.SIGTERM)
@@ -34,9 +34,9 @@
 """
 
 
-def test_a_stop_in_the_middle_of_an_import_ends_a_daemon_well():
+def test_a_stop_during_an_import_exits_cleanly():
     done = subprocess.run(
-        [sys.executable, '-c', STOPPED_IN_THE_MIDDLE],
+        [sys.executable, '-c', STOP_DURING_IMPORT],
         cwd=ROOT,
         capture_output=True,
         text=True,
--- a/tests/test_stops.py
+++ b/tests/test_stops.py
@@ -1,5 +1,5 @@
 """
-Planned stops: the deadline and the second signal are choices of their own.
+Planned stops: the deadline or a second signal ends a drain, and the log says which.
 
 """
 
@@ -14,60 +14,60 @@
 from millfork_standins.layout import FleetOptions
 from tests.utils.fleets import call_service, wait_until
 
-LONG_MS = 60_000
-ASK_AGAIN_S = 0.1
+ANSWER_MS = 60_000
+RETRY_INTERVAL_S = 0.1
 
 
 @pytest.fixture
 def fleet(tmp_path):
     shape = LANTING
-    options = FleetOptions(service={'answer_ms': LONG_MS}, routing={'drain_ms': 1500})
-    made = Fleet(shape, tmp_path, options)
-    made.start()
-    made.apply(made.organisations_declaration())
-    yield made
-    made.close()
+    options = FleetOptions(service={'answer_ms': ANSWER_MS}, routing={'drain_ms': 1500})
+    new_fleet = Fleet(shape, tmp_path, options)
+    new_fleet.start()
+    new_fleet.apply(new_fleet.organisations_declaration())
+    yield new_fleet
+    new_fleet.close()
 
 
-def begin_long_call(fleet, entry):
+def start_long_request(fleet, entry):
     """
-    Ask for something that takes longer than any drain.
+    Start a request that takes longer than the drain.
 
     """
     token = fleet.caller_tokens[fleet.shape.organisations[0]]
     position = fleet.entries.index(entry)
     answers = []
-    # What was applied is in force at this entry once it knows the token.
+    # The entry knows the token once it has applied the declaration.
     wait_until(lambda: call_service(fleet, token, 'GET', 'no-such/x', position).status != 401)
 
-    def ask():
+    def send_until_accepted():
         try:
             answer = call_service(fleet, token, 'GET', 'billing-misc/x', position)
             while answer.headers.get('millfork-reason') == 'no_endpoint':
-                # Its endpoint daemon has just started; the entry has no connection yet.
-                time.sleep(ASK_AGAIN_S)
+                # The endpoint daemon has just started; the entry isn't connected to it yet.
+                time.sleep(RETRY_INTERVAL_S)
                 answer = call_service(fleet, token, 'GET', 'billing-misc/x', position)
             answers.append(answer)
         except OSError as error:
             answers.append(error)
 
-    threading.Thread(target=ask, daemon=True).start()
+    threading.Thread(target=send_until_accepted, daemon=True).start()
     log = fleet.executions('billing-misc-1')
     wait_until(lambda: answers or (log.exists() and 'begin' in log.read_text()))
     assert not answers, (answers, fleet.tail(entry.name))
 
 
 @pytest.mark.parametrize(
-    ('signals', 'word'),
+    ('signals', 'expected_line'),
     [(1, 'Drain deadline: 1 requests are cut off'), (2, 'Second signal: 1 requests are cut off')],
 )
-def test_what_ends_a_drain_early_is_said(fleet, signals, word):
+def test_the_log_says_what_ended_a_drain_early(fleet, signals, expected_line):
     entry = fleet.entries[0]
-    begin_long_call(fleet, entry)
+    start_long_request(fleet, entry)
     process = fleet.processes.pop(entry.name)
     process.terminate()
     wait_until(lambda: 'Stopping; requests in progress go on' in fleet.tail(entry.name))
     if signals == 2:
         process.terminate()
     assert process.wait(30) == ExitStatus.SUCCESS
-    assert word in fleet.tail(entry.name)
+    assert expected_line in fleet.tail(entry.name)
--- a/tests/utils/fleets.py
+++ b/tests/utils/fleets.py
@@ -1,5 +1,5 @@
 """
-Steps that several tests take on a fleet.
+Helpers of tests that run a fleet.
 
 """
 
@@ -13,20 +13,20 @@
 BOUND_S = 30.0
 
 
-def wait_until(holds, bound_s=BOUND_S):
+def wait_until(is_true, bound_s=BOUND_S):
     """
-    Wait until a condition holds; fail after the bound.
+    Wait until `is_true` returns true; fail after `bound_s` seconds.
 
     """
-    until = time.monotonic() + bound_s
-    while not holds():
-        assert time.monotonic() < until, 'the condition does not hold in time'
+    deadline = time.monotonic() + bound_s
+    while not is_true():
+        assert time.monotonic() < deadline, 'the condition does not hold in time'
         time.sleep(0.05)
 
 
 def serve_version(fleet: Fleet, version: str) -> None:
     """
-    Apply organisations and a deployment, and wait until all serve it.
+    Apply organisations and a deployment, and wait until all engines serve it.
 
     """
     fleet.apply(fleet.organisations_declaration())
@@ -42,7 +42,7 @@
 
 def control(fleet: Fleet, token: str, method: str, action: str, body=None, entry=0) -> Answer:
     """
-    One control request to one entry.
+    Send one control request to one entry.
 
     """
     headers = {'authorization': f'Bearer {token}'}
@@ -53,7 +53,7 @@
 
 def complete(fleet: Fleet, token: str, entry=0, headers=None, **fields) -> Answer:
     """
-    One completion call.
+    Send one completion request to one entry.
 
     """
     body = {'model': 'main', 'prompt': 'draft it', 'max_tokens': 4, 'nonce': 'n', **fields}
@@ -65,7 +65,7 @@
 
 def call_service(fleet: Fleet, token: str, method: str, path: str, entry=0, headers=None) -> Answer:
     """
-    One call of a plain service.
+    Send one request to a plain service by one entry.
 
     """
     sent = {'authorization': f'Bearer {token}', **(headers or {})}
--- a/tests/utils/loaded.py
+++ b/tests/utils/loaded.py
@@ -1,5 +1,5 @@
 """
-Three entries before three back ends, one of which would do for most of the load.
+A fleet of three entries and three back ends; one back end could serve most of the load.
 
 """
 
@@ -16,7 +16,7 @@
 @contextmanager
 def loaded_fleet(folder, works_s=0.02):
     """
-    Such a fleet, every entry and back end of which has served; answers take `works_s`.
+    A started fleet in which every entry and back end has served; answers take `works_s`.
 
     """
     fleet = SeededFleet(folder, entries=ENTRIES)
@@ -27,13 +27,13 @@
         assert fleet.put(document(1, '/safe/')).status == 200
         for entry in range(ENTRIES):
             wait_until(lambda entry=entry: fleet.ask(request('/safe/x'), entry).status == 200)
-        wait_until(lambda: all(back_end.executed for back_end in warmed(fleet)))
+        wait_until(lambda: all(back_end.executed for back_end in back_ends_after_requests(fleet)))
         yield fleet
     finally:
         fleet.close()
 
 
-def warmed(fleet):
+def back_ends_after_requests(fleet):
     """
     The back ends, after one more request to each entry.
 
