--- a/packages/millfork-web/millfork_web/client.py
+++ b/packages/millfork-web/millfork_web/client.py
@@ -80,10 +80,10 @@
                 return
 
     async def body(self) -> bytes:
-        found = bytearray()
+        content = bytearray()
         async for part in self.parts():
-            found += part
-        return bytes(found)
+            content += part
+        return bytes(content)
 
     async def _next(self) -> Any:
         try:
--- a/packages/millforkd/millforkd/running.py
+++ b/packages/millforkd/millforkd/running.py
@@ -46,7 +46,7 @@
 
 
 async def run_daemon(
-    env: Environment, build: Callable[[], Daemon], reloads_from: Path | None = None
+    env: Environment, build: Callable[[], Daemon], settings_path: Path | None = None
 ) -> ExitStatus:
     """
     Run a daemon until SIGTERM or SIGINT, then drain it. A second signal ends the drain.
@@ -54,13 +54,13 @@
     """
     try:
         daemon = build()
-        async with StopSignals(reloads=reloads_from is not None) as signals:
+        async with StopSignals(reloads=settings_path is not None) as signals:
             await daemon.start()
-            reloads = None
-            if reloads_from is not None and isinstance(daemon, Reloadable):
-                reloads = SettingsReloader(reloads_from, daemon)
-                await env.spawn_essential(reloads.watch)
-            if not await _wait_for_stop(env, signals, reloads):
+            reloader = None
+            if settings_path is not None and isinstance(daemon, Reloadable):
+                reloader = SettingsReloader(settings_path, daemon)
+                await env.spawn_essential(reloader.watch)
+            if not await _wait_for_stop(env, signals, reloader):
                 return ExitStatus.ERROR
             log.notice('Stopping; requests in progress go on. count={}', daemon.in_progress)
             await drain_until_second_signal(env, daemon, signals)
@@ -81,23 +81,23 @@
 
 
 async def _wait_for_stop(
-    env: Environment, signals: StopSignals, reloads: 'SettingsReloader | None'
+    env: Environment, signals: StopSignals, reloader: 'SettingsReloader | None'
 ) -> bool:
     """
     Wait for a stop signal. False if an essential task failed first.
 
     """
-    failed = await curio.spawn(env.failed.wait)
+    failure_task = await curio.spawn(env.failed.wait)
     while True:
-        signalled = await curio.spawn(signals.get)
-        async with curio.TaskGroup([signalled], wait=any) as group:
-            await group.add_task(failed)
-        if group.completed is failed:
+        signal_task = await curio.spawn(signals.get)
+        async with curio.TaskGroup([signal_task], wait=any) as group:
+            await group.add_task(failure_task)
+        if group.completed is failure_task:
             return False
-        if reloads is None or signalled.result is not signal.SIGHUP:
+        if reloader is None or signal_task.result is not signal.SIGHUP:
             return True
-        failed = await curio.spawn(env.failed.wait)
-        await reloads.reload()
+        failure_task = await curio.spawn(env.failed.wait)
+        await reloader.reload()
 
 
 class SettingsReloader:
