--- a/packages/millfork-core/millfork_core/environment.py
+++ b/packages/millfork-core/millfork_core/environment.py
@@ -1,5 +1,5 @@
 """
-What a running process needs, passed in so that tests need no globals.
+The context of a running process, passed in so that tests need no globals.
 
 """
 
@@ -11,10 +11,10 @@
 
 from millfork_core.clocks import elapsed_s
 from millfork_core.ids import InstanceId, ZoneId
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_core.metrics import Metrics
 
-log = logger(Part.DAEMON)
+log = logger(Component.DAEMON)
 
 
 @dataclass
@@ -30,7 +30,7 @@
     monotonic: Callable[[], float] = elapsed_s
     random: Random = field(default_factory=Random)
     failed: curio.Event = field(default_factory=curio.Event)
-    # Set at the end: what is cancelled then must start nothing in its place.
+    # Set when the process ends: a cancelled task must not start another in its place.
     ended: bool = False
 
     async def spawn(self, task: Callable[..., Awaitable[object]], *args: object) -> curio.Task:
@@ -39,20 +39,20 @@
 
         """
         if self.ended:
-            raise curio.TaskCancelled('the process ends')
+            raise curio.TaskCancelled('the process is ending')
         return await curio.spawn(task, *args, daemon=True)
 
-    async def keep(self, task: Callable[..., Awaitable[object]], *args: object) -> None:
+    async def spawn_essential(self, task: Callable[..., Awaitable[object]], *args: object) -> None:
         """
-        Start a task that the process can't do without: should it fail, the
-        process ends, as half a daemon is worse than none.
+        Start a task that the process needs. If it fails, the whole process ends, as a daemon
+        that only partly works does more harm than one that is down.
 
         """
-        await self.spawn(self._run_kept, task, *args)
+        await self.spawn(self._run_essential, task, *args)
 
-    async def _run_kept(self, task: Callable[..., Awaitable[object]], *args: object) -> None:
+    async def _run_essential(self, task: Callable[..., Awaitable[object]], *args: object) -> None:
         try:
             await task(*args)
         except Exception:
-            log.exception('A task failed that the process can not do without.')
+            log.exception('An essential task failed; the process ends.')
             await self.failed.set()
--- a/packages/millfork-core/millfork_core/signals.py
+++ b/packages/millfork-core/millfork_core/signals.py
@@ -1,5 +1,5 @@
 """
-Stop signals, awaited by a task.
+Stop signals that a task can wait for.
 
 """
 
@@ -11,17 +11,16 @@
 from curio.io import Socket
 
 
-def _noted(number: int, frame: object) -> None:
+def _ignore_signal(number: int, frame: object) -> None:
     """
-    The wake-up descriptor carries the signal; there is nothing more to do.
+    Replace the default action; the signal's number arrives by the wake-up descriptor.
 
     """
 
 
 class StopSignals:
     """
-    Turns SIGTERM and SIGINT into something a task can wait for; with
-    `reloads`, SIGHUP as well.
+    Catches SIGTERM and SIGINT, with `reloads` also SIGHUP, and lets a task wait for them.
 
     """
 
@@ -35,7 +34,7 @@
 
     async def __aenter__(self) -> Self:
         for number in self.numbers:
-            signal.signal(number, _noted)
+            signal.signal(number, _ignore_signal)
         signal.set_wakeup_fd(self.writer.fileno(), warn_on_full_buffer=False)
         return self
 
--- a/packages/millfork-settings/millfork_settings/declarations.py
+++ b/packages/millfork-settings/millfork_settings/declarations.py
@@ -1,5 +1,5 @@
 """
-Declarations: what operators keep in version control and apply.
+Declarations: files that operators keep in version control and apply to a fleet.
 
 """
 
@@ -7,16 +7,16 @@
 
 from pydantic import Field
 
-from millfork_settings.common import Name, Strict
+from millfork_settings.common import Name, StrictModel
 
 LabelValue = Annotated[str, Field(pattern=r'^[A-Za-z0-9._-]{1,63}$')]
 TokenHash = Annotated[str, Field(pattern=r'^[0-9a-f]{64}$')]
 Selector = dict[str, LabelValue | list[LabelValue]]
 
 
-class OrganisationSpec(Strict):
+class OrganisationSpec(StrictModel):
     """
-    An organisation and what it may use. Only the administrator applies it.
+    The tokens, services and share of an organisation. Only the administrator may apply it.
 
     """
 
@@ -26,9 +26,9 @@
     share: int = Field(1, ge=1, le=1000)
 
 
-class VersionSpec(Strict):
+class VersionSpec(StrictModel):
     """
-    One model or adapter at one version.
+    One version of a model or adapter.
 
     """
 
@@ -36,9 +36,9 @@
     version: Name
 
 
-class DeploymentSpec(Strict):
+class DeploymentSpec(StrictModel):
     """
-    Which weights should be servable on which instances.
+    The weights that the instances matching the selector should serve.
 
     """
 
@@ -48,9 +48,9 @@
     selector: Selector = Field(min_length=1)
 
 
-class Declaration(Strict):
+class Declaration(StrictModel):
     """
-    One declaration file.
+    The content of a declaration file.
 
     """
 
--- a/packages/millfork-standins/millfork_standins/engine.py
+++ b/packages/millfork-standins/millfork_standins/engine.py
@@ -67,7 +67,7 @@
 
     async def handle(self, exchange: Exchange) -> None:
         if self.is_crashing:
-            await exchange.break_off()
+            await exchange.abort()
             return
         self.exchanges.add(exchange)
         try:
@@ -191,7 +191,7 @@
             self.log.write(kind=CRASHED)
         self.is_crashing = True
         if self.settings.closes_after_ms:
-            for sock in [*self.server.resting, *(other.sock for other in self.exchanges)]:
+            for sock in [*self.server.idle_sockets, *(other.sock for other in self.exchanges)]:
                 await sock.shutdown(socket.SHUT_RDWR)
             await curio.sleep(self.settings.closes_after_ms / 1000)
         os._exit(1)
--- a/packages/millfork-state/millfork_state/roster.py
+++ b/packages/millfork-state/millfork_state/roster.py
@@ -10,7 +10,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import InstanceId, ZoneId
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_state.config import InstanceFacts
 from millfork_web.client import Client, ExchangeFailed
 from millfork_wire.peers import PeerAddress
@@ -19,7 +19,7 @@
 ENTRY_ROLE: Final = 'entry'
 ENDPOINT_ROLE: Final = 'endpoint'
 
-log = logger(Part.PLATFORM)
+log = logger(Component.PLATFORM)
 
 
 class PlatformDelta(msgspec.Struct):
@@ -61,7 +61,7 @@
         Fetch the changes from the platform. False if it gave no valid answer.
 
         """
-        bytes_before = self.client.bytes_moved
+        bytes_before = self.client.bytes_transferred
         try:
             path = f'/instances?since={self.version}'
             response = await self.client.fetch('GET', path, [], timeout=POLL_TIMEOUT_S)
@@ -70,7 +70,7 @@
             log.debug('Could not fetch the instance list: {}.', error)
             self.env.metrics.count(self.env.metrics.state, event='platform_silent')
             return False
-        moved = self.client.bytes_moved - bytes_before
+        moved = self.client.bytes_transferred - bytes_before
         self.env.metrics.count(self.env.metrics.wire_bytes, moved, way='platform')
         version_before = self.version
         self.apply_delta(delta)
--- a/packages/millfork-web/millfork_web/server.py
+++ b/packages/millfork-web/millfork_web/server.py
@@ -11,7 +11,7 @@
 import curio
 import h11
 
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_core.verdicts import Reason, Refusal
 from millfork_web.models import Headers, Request, Response
 from millfork_web.problem import problem
@@ -21,26 +21,26 @@
 REQUEST_TIMEOUT_S: Final = 30.0
 BACKLOG: Final = 1024
 OUT_OF_DESCRIPTORS: Final = frozenset({errno.EMFILE, errno.ENFILE})
-# After a failure to accept.
+# Pause after a failed accept.
 ACCEPT_PAUSE_S: Final = 0.05
-# Connections closed at once to make room: few enough to be noticed by few callers, more
-# than come in a pause on a fleet in use.
-MAKES_ROOM_FOR: Final = 8
+# Idle connections closed at once when descriptors run out: few enough to affect few callers,
+# more than arrive during one `ACCEPT_PAUSE_S` in a busy fleet.
+IDLE_CLOSED_PER_SHORTAGE: Final = 8
 DEFAULT_MAX_BODY_BYTES: Final = 4 * 1024 * 1024
 
-log = logger(Part.DAEMON)
+log = logger(Component.DAEMON)
 
 
 class CallerGone(Exception):
     """
-    The caller closed its connection before the answer was whole.
+    The caller closed its connection before the response was complete.
 
     """
 
 
 class Exchange:
     """
-    One request on one connection, and the means to answer it.
+    One request on one connection, and the methods to respond to it.
 
     """
 
@@ -53,7 +53,7 @@
 
     async def respond(self, response: Response) -> None:
         """
-        Send one whole response.
+        Send one complete response.
 
         """
         headers = [*response.headers, ('content-length', str(len(response.body)))]
@@ -75,9 +75,9 @@
     async def finish(self) -> None:
         await self._send(self.conn.send(h11.EndOfMessage()) or b'')
 
-    async def break_off(self) -> None:
+    async def abort(self) -> None:
         """
-        End a streamed response so that it can't be taken for a whole one.
+        End a streamed response early, so that the caller can't take it for a complete one.
 
         """
         self.conn.send_failed()
@@ -98,10 +98,9 @@
         except OSError as error:
             raise CallerGone(str(error)) from error
 
-    async def until_caller_gone(self) -> None:
+    async def wait_for_disconnect(self) -> None:
         """
-        Return when the caller has closed its side. Bytes it sends early
-        stay unread.
+        Return once the caller has closed its side. Bytes of a next request stay unread.
 
         """
         while True:
@@ -112,13 +111,13 @@
 
 
 ExchangeHandler = Callable[[Exchange], Awaitable[None]]
-Refuser = Callable[[Reason], None]
+RefusalCallback = Callable[[Reason], None]
 Spawn = Callable[..., Awaitable[curio.Task]]
 
 
 async def spawn_daemon(task: Callable[..., Awaitable[object]], *args: object) -> curio.Task:
     """
-    Start a task that nobody joins.
+    Start a task that is never joined.
 
     """
     return await curio.spawn(task, *args, daemon=True)
@@ -136,7 +135,7 @@
         port: int,
         handler: ExchangeHandler,
         max_body: int = DEFAULT_MAX_BODY_BYTES,
-        on_refusal: Refuser = lambda reason: None,
+        on_refusal: RefusalCallback = lambda reason: None,
         spawn: Spawn = spawn_daemon,
     ) -> None:
         self.host = host
@@ -149,12 +148,12 @@
         self.closing = False
         self.active = 0
         self.acceptor: curio.Task | None = None
-        # Connections between two requests, the one that rests longest first.
-        self.resting: dict[Any, None] = {}
+        # Connections between two requests, the longest idle first.
+        self.idle_sockets: dict[Any, None] = {}
 
     async def run(self) -> None:
         """
-        Serve until cancelled or told to stop accepting.
+        Serve until cancelled or until `stop_accepting`.
 
         """
         listener = curio.tcp_server_socket(self.host, self.port, backlog=BACKLOG)
@@ -167,37 +166,37 @@
                 try:
                     sock, address = await listener.accept()
                 except OSError as error:
-                    log.warning('No connection accepted on port {}: {}.', self.port, error)
+                    log.warning('Accepting a connection on port {} failed: {}.', self.port, error)
                     if error.errno in OUT_OF_DESCRIPTORS:
-                        await self._make_room()
+                        await self._free_descriptors()
                     await curio.sleep(ACCEPT_PAUSE_S)
                     continue
                 await self.spawn(self._serve, sock, address)
 
     async def stop_accepting(self) -> None:
         """
-        Take no new connection, and close those between two requests. What is
-        in progress goes on.
+        Accept no new connections and close the idle ones. Requests in progress go on.
 
         """
         self.closing = True
         if self.acceptor is not None:
             await self.acceptor.cancel()
-        await self._close_resting(len(self.resting))
+        await self._close_idle(len(self.idle_sockets))
 
-    async def _make_room(self) -> None:
+    async def _free_descriptors(self) -> None:
         """
-        Close the connections that rest longest. Callers that keep them all would else keep
-        others out for as long as connections may rest, 30 s by the usual document.
+        Close the connections that have been idle longest. Otherwise callers whose idle
+        connections use all descriptors would keep others out until the idle timeout (30 s in
+        the usual document).
 
         """
-        count = await self._close_resting(MAKES_ROOM_FOR)
-        log.warning('Closed {} resting connections for want of descriptors.', count)
+        count = await self._close_idle(IDLE_CLOSED_PER_SHORTAGE)
+        log.warning('Closed {} idle connections, as file descriptors ran out.', count)
 
-    async def _close_resting(self, most: int) -> int:
-        closed = list(self.resting)[:most]
+    async def _close_idle(self, max_count: int) -> int:
+        closed = list(self.idle_sockets)[:max_count]
         for sock in closed:
-            self.resting.pop(sock, None)
+            self.idle_sockets.pop(sock, None)
             try:
                 await sock.shutdown(socket_.SHUT_RDWR)
             except OSError:
@@ -234,7 +233,7 @@
         except CallerGone:
             return False
         except Exception:
-            log.exception('Answering {} {} failed.', request.method, request.path)
+            log.exception('Handling {} {} failed.', request.method, request.path)
             return False
         finally:
             self.active -= 1
@@ -248,12 +247,12 @@
         await exchange.respond(problem(refusal))
 
     async def _read_request(self, sock: Any, conn: h11.Connection) -> Request | None:
-        self.resting[sock] = None
+        self.idle_sockets[sock] = None
         try:
             async with curio.timeout_after(self.idle_timeout_s):
                 head = await _next_event(sock, conn)
         finally:
-            self.resting.pop(sock, None)
+            self.idle_sockets.pop(sock, None)
         if not isinstance(head, h11.Request):
             return None
         body = bytearray()
--- a/packages/millforkd/millforkd/document.py
+++ b/packages/millforkd/millforkd/document.py
@@ -1,5 +1,5 @@
 """
-The operator's document, out of the configuration in force.
+Reads the operator's document from the configuration in force.
 
 """
 
@@ -7,30 +7,32 @@
 
 from millfork_adapter.adapter import Adapter
 from millfork_adapter.calls import BadCall
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_routing.documents import Document
 from millfork_state.commands import decode_versioned
 from millfork_state.keys import DOCUMENT_KEY
 from millfork_state.view import View
 
-log = logger(Part.DAEMON)
+log = logger(Component.DAEMON)
 
 
-def document_in(view: View, adapter: Adapter, known: int) -> tuple[Document, int] | None:
+def find_new_document(
+    view: View, adapter: Adapter, known_revision: int
+) -> tuple[Document, int] | None:
     """
-    The document and the revision that set it; None if it is the one of
-    revision `known`, or if there is none.
+    The document and the revision that set it. None if there is no document, if
+    `known_revision` set it, or if it can't be read.
 
     """
     held = view.items.get(DOCUMENT_KEY)
-    if held is None or held.revision == known:
+    if held is None or held.revision == known_revision:
         return None
     versioned = decode_versioned(held.value)
     try:
         document = adapter.read_document(zlib.decompress(versioned.body))
     except (BadCall, zlib.error) as error:
-        # It was checked before it was accepted; the one in force stays.
-        log.error('Document {} can not be read: {}.', versioned.version, error)
+        # Documents are checked before they are accepted. The document in force stays.
+        log.error('Document {} cannot be read: {}.', versioned.version, error)
         return None
     log.notice('Document in force. version={} routes={}', document.version, len(document.routes))
     return document, held.revision
--- a/packages/millforkd/millforkd/endpoint/daemon.py
+++ b/packages/millforkd/millforkd/endpoint/daemon.py
@@ -12,7 +12,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import OrganisationId
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_settings.models import BackendKind, Settings
 from millfork_state.config import DRAINS, ORGANISATIONS, Organisation, decode
 from millfork_state.leader_client import LeaderClient
@@ -33,7 +33,7 @@
 WEIGHTS_FOLDER: Final = 'weights'
 SHARE_STEPS: Final = 8
 
-log = logger(Part.ENDPOINT)
+log = logger(Component.ENDPOINT)
 
 
 class EndpointDaemon:
@@ -97,10 +97,10 @@
 
         """
         await self.member.start()
-        await self.env.keep(self.gateway.report_load)
-        await self.env.keep(self._update_periodically)
+        await self.env.spawn_essential(self.gateway.report_load)
+        await self.env.spawn_essential(self._update_periodically)
         if self.rollout is not None:
-            await self.env.keep(self._run_rollout)
+            await self.env.spawn_essential(self._run_rollout)
 
     async def _run_rollout(self) -> None:
         assert self.rollout is not None
--- a/packages/millforkd/millforkd/endpoint/engine_client.py
+++ b/packages/millforkd/millforkd/endpoint/engine_client.py
@@ -15,7 +15,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import FencingNumber
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_settings.models import BackendSettings
 from millfork_web.client import Client, ExchangeFailed
 
@@ -26,7 +26,7 @@
 OK_STATUS: Final = 200
 REFUSED_ORDER_STATUS: Final = 409
 
-log = logger(Part.ENGINE)
+log = logger(Component.ENGINE)
 
 
 @dataclass(slots=True)
--- a/packages/millforkd/millforkd/endpoint/rest_tracking.py
+++ b/packages/millforkd/millforkd/endpoint/rest_tracking.py
@@ -6,13 +6,13 @@
 import math
 
 from millfork_core.environment import Environment
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_core.verdicts import Reason, Refusal
 from millfork_scheduling.availability import RestPeriod
 from millfork_web.client import Reply
-from millfork_web.retry_after import TURNED_AWAY, read_retry_after
+from millfork_web.retry_after import REJECTION_STATUSES, read_retry_after
 
-log = logger(Part.ENDPOINT)
+log = logger(Component.ENDPOINT)
 
 
 class RestTracker:
@@ -54,15 +54,15 @@
         Record the head of the answer to a request sent at `sent_at` (monotonic seconds).
 
         """
-        if reply.status not in TURNED_AWAY:
+        if reply.status not in REJECTION_STATUSES:
             if self.rest_period is not None and self.rest_period.is_ended_by(sent_at):
                 log.info('The back end accepts requests again.')
                 self.rest_period = None
             return
         requested = read_retry_after(reply.headers)
-        if requested.unread:
+        if requested.invalid_values:
             log.warning(
-                'Could not parse the rest period that the back end asked for: {}', requested.unread
+                'Could not parse the rest period that the back end asked for: {}', requested.invalid_values
             )
         if not requested.seconds:
             return
--- a/packages/millforkd/millforkd/endpoint/rollout.py
+++ b/packages/millforkd/millforkd/endpoint/rollout.py
@@ -9,7 +9,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import Digest
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_settings.models import Settings
 from millfork_state.config import Deployment, WeightPart
 from millfork_state.roster import Roster
@@ -27,7 +27,7 @@
 RECONCILE_INTERVAL_S: Final = 0.5
 TRANSFER_RETRY_DELAY_S: Final = 5.0
 
-log = logger(Part.WEIGHTS)
+log = logger(Component.WEIGHTS)
 
 
 class Rollout:
@@ -76,7 +76,7 @@
         Reconcile on each change and at regular intervals.
 
         """
-        await self.env.keep(self._wake_after_changes)
+        await self.env.spawn_essential(self._wake_after_changes)
         while True:
             # Without a configuration as new as the zone's, nothing is loaded or served.
             if self.view.cluster:
--- a/packages/millforkd/millforkd/entry/caller_requests.py
+++ b/packages/millforkd/millforkd/entry/caller_requests.py
@@ -12,7 +12,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import OrganisationId
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_core.verdicts import Reason, Refusal, Refused, Verdict
 from millfork_routing.limits import InFlightCounter
 from millfork_settings.models import RoutingSettings
@@ -51,7 +51,7 @@
 )
 METRICS_PART: Final = 'entry'
 
-log = logger(Part.ENTRY)
+log = logger(Component.ENTRY)
 
 
 class CallerRequests:
@@ -113,7 +113,7 @@
             await watching.cancel()
 
     async def _watch_caller(self, exchange: Exchange, call: Call, answering: curio.Task) -> None:
-        await exchange.until_caller_gone()
+        await exchange.wait_for_disconnect()
         self.env.metrics.count(self.env.metrics.requests, outcome='caller_gone')
         if not call.key:
             await answering.cancel()
--- a/packages/millforkd/millforkd/entry/daemon.py
+++ b/packages/millforkd/millforkd/entry/daemon.py
@@ -44,7 +44,7 @@
 DRAIN_POLL_INTERVAL_S: Final = 0.05
 EXPIRY_INTERVAL_S: Final = 0.5
 
-log = logger(Part.ENTRY)
+log = logger(Component.ENTRY)
 
 
 class EntryDaemon:
@@ -147,14 +147,14 @@
             self.member.subscription.replica = self.node.replica
         await self.member.start()
         if self.node is not None:
-            await self.env.keep(self.node.run)
-            await self.env.keep(self.node.take_snapshots)
+            await self.env.spawn_essential(self.node.run)
+            await self.env.spawn_essential(self.node.take_snapshots)
         if self.quarantine is not None:
-            await self.env.keep(self.quarantine.run)
-        await self.env.keep(self.suspicion_gossip.run)
-        await self.env.keep(self._expire_crashes)
-        await self.env.keep(self.endpoints.run)
-        await self.env.keep(self.server.run)
+            await self.env.spawn_essential(self.quarantine.run)
+        await self.env.spawn_essential(self.suspicion_gossip.run)
+        await self.env.spawn_essential(self._expire_crashes)
+        await self.env.spawn_essential(self.endpoints.run)
+        await self.env.spawn_essential(self.server.run)
 
     async def drain(self) -> None:
         """
--- a/packages/millforkd/millforkd/member.py
+++ b/packages/millforkd/millforkd/member.py
@@ -1,5 +1,5 @@
 """
-What every daemon is, whatever its role: a peer, a subscriber, an admin port.
+The base of every daemon of a listed fleet: peer, subscriber and admin port.
 
 """
 
@@ -9,7 +9,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import InstanceId
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_settings.loading import read_secret
 from millfork_settings.models import Settings
 from millfork_state.reports import Reports
@@ -26,12 +26,12 @@
 FIRST_POLL_PAUSE_S: Final = 0.2
 FIRST_POLLS: Final = 10
 
-log = logger(Part.DAEMON)
+log = logger(Component.DAEMON)
 
 
 class Member:
     """
-    The parts that both roles share.
+    The components that entries and endpoints of a listed fleet share.
 
     """
 
@@ -67,19 +67,19 @@
             env, self.view, self.roster, self.peers, self.replicas, self.reports
         )
         self.admin = Server(host, settings.ports.admin, self._answer_admin, spawn=env.spawn)
-        self.floor_known = False
+        self.min_revision_known = False
         self.ready_check = self.is_ready
 
     async def start(self) -> None:
         """
-        Listen, learn the instance list and what the zone has seen, then
-        follow the tree.
+        Listen, then load the instance list, query the zone for its newest revision, and
+        subscribe to configuration updates.
 
         """
-        await self.env.keep(self.peers.listen)
-        await self.env.keep(self.peers.ping_idle_connections)
-        await self.env.keep(self.admin.run)
-        await self.env.keep(self._join)
+        await self.env.spawn_essential(self.peers.listen)
+        await self.env.spawn_essential(self.peers.ping_idle_connections)
+        await self.env.spawn_essential(self.admin.run)
+        await self.env.spawn_essential(self._join)
 
     async def _join(self) -> None:
         for _ in range(FIRST_POLLS):
@@ -87,13 +87,13 @@
                 break
             await curio.sleep(FIRST_POLL_PAUSE_S)
         await self.subscription.query_min_revision()
-        self.floor_known = True
-        await self.env.keep(self.roster.poll_periodically, self.poll_interval_s)
+        self.min_revision_known = True
+        await self.env.spawn_essential(self.roster.poll_periodically, self.poll_interval_s)
         await self.subscription.follow()
 
     async def handle(self, connection: Connection, message: Message) -> Message | None:
         """
-        Answer what concerns every daemon; pass the rest to the role.
+        Handle the messages that every daemon gets, and pass others to the role's handler.
 
         """
         if isinstance(message, Update):
@@ -109,7 +109,11 @@
         return await self.role_handler(connection, message)
 
     def is_ready(self) -> bool:
-        return bool(self.view.cluster) and self.floor_known and self.subscription.has_min_revision
+        return (
+            bool(self.view.cluster)
+            and self.min_revision_known
+            and self.subscription.has_min_revision
+        )
 
     async def _answer_admin(self, exchange: Exchange) -> None:
         details = {'revision': self.view.revision, 'cluster': self.view.cluster}
--- a/packages/millforkd/millforkd/replica/control.py
+++ b/packages/millforkd/millforkd/replica/control.py
@@ -23,7 +23,7 @@
 )
 from millfork_core.environment import Environment
 from millfork_core.ids import Incarnation, ServiceName
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_core.verdicts import Reason, Refusal, Refused
 from millfork_registry.followers import Followers
 from millfork_registry.records import LeaseState
@@ -36,7 +36,7 @@
 from millfork_web.models import Response
 from millfork_web.problem import problem
 from millfork_web.server import Exchange
-from millforkd.document import document_in
+from millforkd.document import find_new_document
 from millforkd.replica.replica_links import ReplicaLinks
 
 # An operator's client changes to another replica after one second.
@@ -47,7 +47,7 @@
 REFUSAL_LOG_PERIOD_S: Final = 1.0
 MAX_LOGGED_CHARS: Final = 100
 
-log = logger(Part.CONTROL)
+log = logger(Component.CONTROL)
 
 
 class Control:
@@ -132,7 +132,7 @@
         :raises Refused: if the document doesn't declare the service.
 
         """
-        found = document_in(self.view, self.adapter, self.services_revision)
+        found = find_new_document(self.view, self.adapter, self.services_revision)
         if found is not None:
             document, self.services_revision = found
             self.services = frozenset(item.name for item in document.services)
--- a/packages/millforkd/millforkd/running.py
+++ b/packages/millforkd/millforkd/running.py
@@ -1,5 +1,5 @@
 """
-A daemon from its start to its end: signals, reloads, the stop.
+Runs a daemon from start to stop: signals, reloads of the settings, draining.
 
 """
 
@@ -11,24 +11,24 @@
 import curio
 
 from millfork_core.environment import Environment
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_core.signals import StopSignals
 from millfork_core.status import ExitStatus
 from millfork_settings.errors import BadFile
 from millfork_settings.loading import load
 from millfork_settings.seeded import SeededSettings
 from millfork_state.storage import CorruptStorage
-from millforkd.stopping import Drains, drain_or_end
+from millforkd.stopping import Drainable, drain_until_second_signal
 
-# The settings file may change without a signal.
+# The settings file may change without a SIGHUP, so it is polled as well.
 SETTINGS_POLL_S: Final = 2.0
 
-log = logger(Part.DAEMON)
+log = logger(Component.DAEMON)
 
 
-class Daemon(Drains, Protocol):
+class Daemon(Drainable, Protocol):
     """
-    What every role is.
+    A daemon of any role.
 
     """
 
@@ -36,9 +36,9 @@
 
 
 @runtime_checkable
-class Reloads(Protocol):
+class Reloadable(Protocol):
     """
-    A daemon that takes changed settings while it runs.
+    A daemon that can apply changed settings while it runs.
 
     """
 
@@ -46,25 +46,24 @@
 
 
 async def run_daemon(
-    env: Environment, build: Callable[[], Daemon], reloads_from: Path | None = None
+    env: Environment, build: Callable[[], Daemon], settings_path: Path | None = None
 ) -> ExitStatus:
     """
-    Run a daemon until SIGTERM or SIGINT, then drain; a second one ends the
-    drain.
+    Run a daemon until SIGTERM or SIGINT, then drain it. A second signal ends the drain.
 
     """
     try:
         daemon = build()
-        async with StopSignals(reloads=reloads_from is not None) as signals:
+        async with StopSignals(reloads=settings_path is not None) as signals:
             await daemon.start()
-            reloads = None
-            if reloads_from is not None and isinstance(daemon, Reloads):
-                reloads = Reloading(reloads_from, daemon)
-                await env.keep(reloads.watch)
-            if not await _wait_for_stop(env, signals, reloads):
+            reloader = None
+            if settings_path is not None and isinstance(daemon, Reloadable):
+                reloader = SettingsReloader(settings_path, daemon)
+                await env.spawn_essential(reloader.watch)
+            if not await _wait_for_stop(env, signals, reloader):
                 return ExitStatus.ERROR
             log.notice('Stopping; requests in progress go on. count={}', daemon.in_progress)
-            await drain_or_end(env, daemon, signals)
+            await drain_until_second_signal(env, daemon, signals)
     except BadFile as error:
         log.error('{}', error)
         return ExitStatus.BAD_SETTINGS
@@ -75,45 +74,45 @@
         log.error('Cannot start: {}.', error)
         return ExitStatus.ERROR
     finally:
-        # Tasks are cancelled next, one by one; those that still run start nothing.
+        # Tasks are cancelled next, one by one. Those still running must start no new tasks.
         env.ended = True
     log.notice('Stopped.')
     return ExitStatus.SUCCESS
 
 
 async def _wait_for_stop(
-    env: Environment, signals: StopSignals, reloads: 'Reloading | None'
+    env: Environment, signals: StopSignals, reloader: 'SettingsReloader | None'
 ) -> bool:
     """
-    Wait for a stop signal; False if a task failed that can't be done without.
+    Wait for a stop signal. False if an essential task failed first.
 
     """
-    failed = await curio.spawn(env.failed.wait)
+    failure_task = await curio.spawn(env.failed.wait)
     while True:
-        signalled = await curio.spawn(signals.get)
-        async with curio.TaskGroup([signalled], wait=any) as group:
-            await group.add_task(failed)
-        if group.completed is failed:
+        signal_task = await curio.spawn(signals.get)
+        async with curio.TaskGroup([signal_task], wait=any) as group:
+            await group.add_task(failure_task)
+        if group.completed is failure_task:
             return False
-        if reloads is None or signalled.result is not signal.SIGHUP:
+        if reloader is None or signal_task.result is not signal.SIGHUP:
             return True
-        failed = await curio.spawn(env.failed.wait)
-        await reloads.reload()
+        failure_task = await curio.spawn(env.failed.wait)
+        await reloader.reload()
 
 
-class Reloading:
+class SettingsReloader:
     """
-    Brings changes of a settings file to a daemon.
+    Applies changes of the settings file to a running daemon.
 
     """
 
-    def __init__(self, path: Path, daemon: Reloads) -> None:
+    def __init__(self, path: Path, daemon: Reloadable) -> None:
         self.path = path
         self.daemon = daemon
 
     async def watch(self) -> None:
         """
-        The task that notices a change of the file that no signal told of.
+        Poll the file, and reload it when its content has changed.
 
         """
         seen = self._content()
@@ -126,7 +125,7 @@
 
     async def reload(self) -> None:
         """
-        Take the settings as the file has them now.
+        Apply the current content of the file; a bad file is logged and ignored.
 
         """
         try:
@@ -141,5 +140,5 @@
         try:
             return self.path.read_bytes()
         except OSError as error:
-            log.warning('The settings file can not be read: {}.', error)
+            log.warning('The settings file cannot be read: {}.', error)
             return b''
--- a/packages/millforkd/millforkd/stopping.py
+++ b/packages/millforkd/millforkd/stopping.py
@@ -1,5 +1,5 @@
 """
-A planned stop: what is in progress ends, unless a second signal comes.
+Planned stops: requests in progress finish, unless a second signal comes.
 
 """
 
@@ -9,15 +9,15 @@
 import curio
 
 from millfork_core.environment import Environment
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_core.signals import StopSignals
 
-log = logger(Part.DAEMON)
+log = logger(Component.DAEMON)
 
 
-class Drains(Protocol):
+class Drainable(Protocol):
     """
-    A daemon that can be stopped.
+    A daemon that can finish the requests in progress and stop.
 
     """
 
@@ -27,20 +27,22 @@
     async def drain(self) -> None: ...
 
 
-async def drain_or_end(env: Environment, daemon: Drains, signals: StopSignals) -> None:
+async def drain_until_second_signal(
+    env: Environment, daemon: Drainable, signals: StopSignals
+) -> None:
     """
-    Let a daemon drain; a second stop signal ends the drain.
+    Drain a daemon; a second stop signal ends the drain and cuts requests off.
 
     """
     drain = await curio.spawn(daemon.drain)
-    second = await curio.spawn(_second_stop, signals)
-    async with curio.TaskGroup([drain, second], wait=any) as group:
+    second_signal = await curio.spawn(_wait_for_stop_signal, signals)
+    async with curio.TaskGroup([drain, second_signal], wait=any) as group:
         pass
-    if group.completed is second:
+    if group.completed is second_signal:
         log.warning('Second signal: {} requests are cut off.', daemon.in_progress)
         env.metrics.count(env.metrics.requests, outcome='cut_off_by_signal')
 
 
-async def _second_stop(signals: StopSignals) -> None:
+async def _wait_for_stop_signal(signals: StopSignals) -> None:
     while await signals.get() is signal.SIGHUP:
         continue
--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -109,7 +109,7 @@
         (
             Edit(
                 D + 'versions.py',
-                'return now if arrived is None else arrived',
+                'return now if arrived_at is None else arrived_at',
                 'return now',
             ),
         ),
@@ -235,7 +235,7 @@
         (
             Edit(
                 'packages/millfork-web/millfork_web/server.py',
-                'await self._make_room()',
+                'await self._free_descriptors()',
                 'await curio.sleep(0)',
             ),
         ),
@@ -472,7 +472,7 @@
         (
             Edit(
                 D + 'versions.py',
-                'sorted({*learned, *self.told.known_versions(model)})',
+                'sorted({*learned, *self.cutoffs.known_versions(model)})',
                 'sorted(learned)',
             ),
         ),
@@ -483,7 +483,7 @@
         (
             Edit(
                 D + 'versions.py',
-                'if not self.leads() and self.told.cutoff_of(model, version) is None:',
+                'if not self.leads() and self.cutoffs.cutoff_of(model, version) is None:',
                 'if False:',
             ),
         ),
@@ -516,7 +516,7 @@
         (
             Edit(
                 R + 'shared_budget.py',
-                'return self.most_entries.note(entries, now)',
+                'return self.most_entries.add(entries, now)',
                 'return entries',
             ),
         ),
@@ -538,7 +538,7 @@
         (
             Edit(
                 G + 'followers.py',
-                'self.most_entries.note(self.entries, self.env.monotonic())',
+                'self.most_entries.add(self.entries, self.env.monotonic())',
                 'self.entries',
             ),
         ),
@@ -568,7 +568,7 @@
     ),
     Mutation(
         'the leader uses the version lifetime that its deployment sets',
-        'tests/test_promises.py::test_older_weights_end_when_the_deployment_says_at_every_role',
+        'tests/test_promises.py::test_every_role_stops_using_older_weights_at_the_promised_time',
         (
             Edit(
                 'deploy/settings/replica.yaml',
@@ -583,8 +583,8 @@
         (
             Edit(
                 'packages/millfork-settings/millfork_settings/seeded.py',
-                'used[name] = _usable(values[name], info)',
-                'used[name] = int(values[name])',
+                'usable[name] = _usable_value(given[name], info)',
+                'usable[name] = int(given[name])',
             ),
         ),
     ),
--- a/tests/utils/fleets.py
+++ b/tests/utils/fleets.py
@@ -13,14 +13,14 @@
 BOUND_S = 30.0
 
 
-def wait_until(holds, bound_s=BOUND_S):
+def wait_until(is_true, bound_s=BOUND_S):
     """
     Wait until a condition holds; fail after `bound_s` seconds.
 
     """
-    until = time.monotonic() + bound_s
-    while not holds():
-        assert time.monotonic() < until, 'the condition does not hold in time'
+    deadline = time.monotonic() + bound_s
+    while not is_true():
+        assert time.monotonic() < deadline, 'the condition does not hold in time'
         time.sleep(0.05)
 
 
--- a/tests/utils/loaded.py
+++ b/tests/utils/loaded.py
@@ -29,13 +29,13 @@
             wait_until(
                 lambda entry=entry: fleet.send_request(request('/safe/x'), entry).status == 200
             )
-        wait_until(lambda: all(back_end.executed for back_end in warmed(fleet)))
+        wait_until(lambda: all(back_end.executed for back_end in back_ends_after_requests(fleet)))
         yield fleet
     finally:
         fleet.close()
 
 
-def warmed(fleet):
+def back_ends_after_requests(fleet):
     """
     Send one more request to each entry and return the back ends.
 
