--- a/packages/millfork-adapter/millfork_adapter/adapter.py
+++ b/packages/millfork-adapter/millfork_adapter/adapter.py
@@ -13,8 +13,8 @@
     AnswerHead,
     CallerRequest,
     EngineReport,
+    ForwardOptions,
     PieceList,
-    SendOrders,
 )
 from millfork_routing.documents import Document
 from millfork_web.models import Headers, Request, Response
@@ -34,7 +34,7 @@
 
         """
 
-    def accepted(self) -> Response:
+    def accepted_response(self) -> Response:
         """
         The answer to a call that was carried out.
 
@@ -54,13 +54,13 @@
 
         """
 
-    def is_ready_call(self, request: Request) -> bool:
+    def is_readiness_check(self, request: Request) -> bool:
         """
         Whether a request asks an entry if it is ready.
 
         """
 
-    def read_caller(self, request: Request) -> CallerRequest:
+    def read_caller_request(self, request: Request) -> CallerRequest:
         """
         A caller's request.
 
@@ -68,19 +68,19 @@
 
         """
 
-    def forward(self, request: Request, orders: SendOrders) -> Headers:
+    def back_end_headers(self, request: Request, options: ForwardOptions) -> Headers:
         """
         The headers of a caller's request as a back end gets them.
 
         """
 
-    def read_answer(self, status: int, headers: Headers) -> AnswerHead:
+    def read_answer_head(self, status: int, headers: Headers) -> AnswerHead:
         """
         The head of a back end's answer.
 
         """
 
-    def relayed(self, headers: Headers) -> Headers:
+    def caller_headers(self, headers: Headers) -> Headers:
         """
         The headers of a back end's answer as the caller gets them.
 
@@ -126,20 +126,20 @@
 
         """
 
-    def stage_request(self, model: str, index: int, body: bytes) -> Request:
+    def stage_piece_request(self, model: str, index: int, body: bytes) -> Request:
         """
         Lays a piece where the engine takes it from.
 
         """
 
-    def staged_request(self, model: str, index: int) -> Request:
+    def read_staged_piece_request(self, model: str, index: int) -> Request:
         """
         Asks the engine for a piece that lies there.
 
         """
 
-    def start_request(
-        self, model: str, version: int, first: int, end: int, breaks_off: bool
+    def load_layers_request(
+        self, model: str, version: int, first: int, end: int, interrupts: bool
     ) -> Request:
         """
         Orders the engine to take the layers from `first` to before `end` of a
--- a/packages/millfork-adapter/millfork_adapter/calls.py
+++ b/packages/millfork-adapter/millfork_adapter/calls.py
@@ -10,7 +10,7 @@
 from millfork_routing.documents import Document
 
 
-class BadCall(Exception):
+class InvalidMessage(Exception):
     """
     A call, or a document in it, that makes no sense; the text says why.
 
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Goodbye:
+class LeaveNotice:
     """
     A back end gives its lease back; None where it does not say which incarnation of it.
 
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NameVersion:
+class SetModelVersion:
     """
     The operator names the version of a model's weights to serve.
 
@@ -76,4 +76,4 @@
     """
 
 
-Call = Heartbeat | Goodbye | PutDocument | ReadDocument | NameVersion | UnknownCall
+Call = Heartbeat | LeaveNotice | PutDocument | ReadDocument | SetModelVersion | UnknownCall
--- a/packages/millfork-adapter/millfork_adapter/exchange.py
+++ b/packages/millfork-adapter/millfork_adapter/exchange.py
@@ -15,7 +15,7 @@
     What a caller's head says. `deadline_ms` is how long it will wait;
     `last_event_id` is the event after which a stream is to go on (None: from
     its beginning); tokens are those of the prompt and the most to be written;
-    `parts` are the prompt's parts in order, each with its id and tokens.
+    `prefix_parts` are the prompt's parts in order, each with its id and tokens.
 
     """
 
@@ -27,12 +27,12 @@
     model: str = ''
     prompt_tokens: int = 0
     answer_tokens: int = 0
-    parts: tuple[tuple[str, int], ...] = ()
+    prefix_parts: tuple[tuple[str, int], ...] = ()
     last_event_id: int | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class PathPart:
+class PathSegment:
     """
     One back end of a path, and its layers from `first` to before `end`.
 
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SendOrders:
+class ForwardOptions:
     """
     What the entry adds to a request for one back end. Versions are those of
     weights; `resume_after` is the last event that the caller has. A caller's
@@ -57,27 +57,27 @@
     instance: str
     deadline_ms: int
     organisation: str = ''
-    withholds_key: bool = False
+    omits_api_key: bool = False
     version: int | None = None
     priority: int | None = None
     resume_after: int | None = None
-    path: tuple[PathPart, ...] = ()
+    path: tuple[PathSegment, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Backpressure:
     """
-    What a back end says of itself in the head of an answer: the requests a second that it
-    takes from all entries together (None: no limit), whether it leaves, and for how many
-    seconds it wants nothing of the one it answers (None: it asks for no rest). `unread` tells
-    what makes no sense.
+    What a back end states about itself in the headers of a response: the requests per second
+    that it accepts from all entries together (None: no limit), whether it is leaving, and for
+    how many seconds the sender must not send it requests (None: it asks for no such pause).
+    `invalid_headers` lists the headers that could not be parsed.
 
     """
 
     limit_per_s: float | None = None
     leaving: bool = False
     rest_s: float | None = None
-    unread: str = ''
+    invalid_headers: str = ''
 
 
 NO_BACKPRESSURE: Final = Backpressure()
@@ -90,17 +90,17 @@
 
     `not_run` is the back end's word that it did not run the request; it
     also holds for an answer by another back end at the same address.
-    `keep_s` is how long an idle connection lasts (None: not told).
+    `keep_alive_s` is how long an idle connection lasts (None: not told).
 
     """
 
     status: int
     request_id: str = ''
     not_run: bool = False
-    elsewhere: bool = False
-    signed: bool = False
-    closing: bool = False
-    keep_s: float | None = None
+    misdirected: bool = False
+    has_signature: bool = False
+    closes_connection: bool = False
+    keep_alive_s: float | None = None
     backpressure: Backpressure = NO_BACKPRESSURE
 
 
--- a/packages/millfork-standins/millfork_standins/seeded.py
+++ b/packages/millfork-standins/millfork_standins/seeded.py
@@ -24,8 +24,8 @@
 from pathlib import Path
 from typing import Any, Final
 
-from millfork_platform import standins
-from millfork_platform.templates import Place, settings_text
+from millfork_platform import client_requests
+from millfork_platform.settings_templates import TemplateValues, render_settings
 from millfork_registry.records import Lease, LeaseState
 from millfork_routing.documents import Document
 from millfork_settings.seeded import SeededRole
@@ -100,8 +100,8 @@
             return
         if turns_away:
             self.send_response(503)
-            self.send_header(standins.REQUEST_ID, self.headers[standins.REQUEST_ID])
-            self.send_header(standins.NOT_RUN, '1')
+            self.send_header(client_requests.REQUEST_ID, self.headers[client_requests.REQUEST_ID])
+            self.send_header(client_requests.NOT_RUN, '1')
             self._say()
             self.send_header('content-length', '0')
             self.end_headers()
@@ -115,8 +115,8 @@
         time.sleep(self.server.works_s)
         self.send_response(200)
         self._say()
-        self.send_header(standins.REQUEST_ID, self.headers[standins.REQUEST_ID])
-        self.send_header(standins.SIGNATURE, self.server.instance)
+        self.send_header(client_requests.REQUEST_ID, self.headers[client_requests.REQUEST_ID])
+        self.send_header(client_requests.SIGNATURE, self.server.instance)
         self.send_header('content-length', str(len(body)))
         self.end_headers()
         self.wfile.write(body)
@@ -224,7 +224,7 @@
         Send one heartbeat; True once a replica acknowledged it.
 
         """
-        request = standins.heartbeat(self._lease())
+        request = client_requests.heartbeat_request(self._lease())
         return any(
             call(host, CONTROL_PORT, request).status == 200 for host in self.fleet.replica_hosts
         )
@@ -254,7 +254,7 @@
         The ids of the requests that it ran.
 
         """
-        return [headers[standins.REQUEST_ID] for headers in list(self.executed)]
+        return [headers[client_requests.REQUEST_ID] for headers in list(self.executed)]
 
     def drain(self) -> bool:
         """
@@ -315,7 +315,7 @@
 
     def _settings(self, host: str, first_start: bool) -> str:
         role = self._role(host)
-        place = Place(
+        place = TemplateValues(
             host,
             host,
             'zone',
@@ -333,7 +333,7 @@
         )
         place.bounds['version_ms'] = self.version_ms
         template = ROOT / 'deploy' / 'settings' / f'{role.value}.yaml'
-        return settings_text(template.read_text(), place)
+        return render_settings(template.read_text(), place)
 
     def _role(self, host: str) -> SeededRole:
         if host in self.replica_hosts:
@@ -373,7 +373,7 @@
         return reply
 
     def put(self, document: Document) -> Reply:
-        return self.control(standins.put_document(document))
+        return self.control(client_requests.put_document_request(document))
 
     def ask(self, request: Request, entry: int = 0) -> Reply:
         """
--- a/packages/millfork-standins/millfork_standins/soak/backpressure.py
+++ b/packages/millfork-standins/millfork_standins/soak/backpressure.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import Final
 
-from millfork_platform import standins
+from millfork_platform import client_requests
 from millfork_standins.seeded import BackEnd
 
 MOST_GAP_S: Final = 4.0
@@ -82,11 +82,11 @@
 
     """
     if planned.kind is SignalKind.LIMIT:
-        back_end.says = {standins.LIMIT: f'{planned.value:.3f}'}
+        back_end.says = {client_requests.SERVER_LIMIT: f'{planned.value:.3f}'}
         return
     back_end.turns_away = True
     if planned.kind is SignalKind.REST:
-        back_end.says = {standins.RETRY_AFTER: f'{planned.value:.3f}'}
+        back_end.says = {client_requests.RETRY_AFTER: f'{planned.value:.3f}'}
 
 
 def end(back_end: BackEnd) -> None:
--- a/packages/millfork-standins/millfork_standins/soak/callers.py
+++ b/packages/millfork-standins/millfork_standins/soak/callers.py
@@ -11,7 +11,7 @@
 from typing import Final
 
 from millfork_core.ids import OrganisationId, ServiceName
-from millfork_platform import standins
+from millfork_platform import client_requests
 from millfork_routing.documents import (
     Document,
     Organisation,
@@ -74,8 +74,8 @@
         headers = {
             'host': HOST,
             'authorization': f'Bearer {KEY}',
-            standins.REQUEST_ID: request_id,
-            standins.DEADLINE_MS: str(DEADLINE_MS),
+            client_requests.REQUEST_ID: request_id,
+            client_requests.DEADLINE_MS: str(DEADLINE_MS),
         }
         method, path = ('GET', '/safe/x') if repeatable else ('POST', '/unsafe/x')
         if self.connection is None:
@@ -93,8 +93,8 @@
             request_id,
             repeatable,
             response.status,
-            response.headers.get(standins.REQUEST_ID, ''),
-            response.headers.get(standins.SIGNATURE, ''),
+            response.headers.get(client_requests.REQUEST_ID, ''),
+            response.headers.get(client_requests.SIGNATURE, ''),
             body,
         )
 
@@ -132,9 +132,9 @@
 
         """
         for host in self.fleet.replica_hosts:
-            reply = call(host, CONTROL_PORT, standins.read_document())
+            reply = call(host, CONTROL_PORT, client_requests.read_document_request())
             if reply.status == 200:
-                return standins.version_of(reply.body)
+                return client_requests.document_version(reply.body)
         return None
 
     def _run(self) -> None:
--- a/packages/millfork/millfork/client.py
+++ b/packages/millfork/millfork/client.py
@@ -29,7 +29,7 @@
     """
 
 
-class Control:
+class ControlClient:
     """
     Asks the entries in turn. Commands carry ids, so asking again is safe.
 
--- a/packages/millfork/millfork/core.py
+++ b/packages/millfork/millfork/core.py
@@ -13,7 +13,7 @@
 
 from millfork.cli.argtypes import BadArgument, parse_labels
 from millfork.cli.constants import USAGE
-from millfork.client import Control, Unreachable
+from millfork.client import ControlClient, Unreachable
 from millfork.explain import Ended, read, table
 from millfork.models import Arguments, Environment
 from millfork.status import line, refuse, watch
@@ -94,7 +94,7 @@
         'expect': arguments.expect,
         'remove': remove or [],
     }
-    response = await Control(arguments).ask('POST', 'apply', body)
+    response = await ControlClient(arguments).ask('POST', 'apply', body)
     if response.status != 200:
         return refuse(response, env)
     env.out(f'accepted as revision {response.json()["revision"]}')
@@ -102,7 +102,7 @@
 
 
 async def get(arguments: Arguments, env: Environment) -> ExitStatus:
-    response = await Control(arguments).ask('GET', 'state')
+    response = await ControlClient(arguments).ask('GET', 'state')
     if response.status != 200:
         return refuse(response, env)
     prefix = arguments.operands[0] if arguments.operands else ''
@@ -118,7 +118,7 @@
 
 
 async def status(arguments: Arguments, env: Environment) -> ExitStatus:
-    control = Control(arguments)
+    control = ControlClient(arguments)
     if arguments.watch:
         return await watch(control, arguments, env)
     response = await control.ask('GET', 'status')
--- a/packages/millfork/millfork/status.py
+++ b/packages/millfork/millfork/status.py
@@ -8,7 +8,7 @@
 import curio
 from rich.progress import BarColumn, Progress, TaskID, TextColumn, TimeElapsedColumn
 
-from millfork.client import Control
+from millfork.client import ControlClient
 from millfork.models import Arguments, Environment
 from millfork_core.status import ExitStatus
 from millfork_web.models import Response
@@ -32,7 +32,7 @@
     return bool(rows) and all(row['serving'] == row['selected'] > 0 for row in rows)
 
 
-async def watch(control: Control, arguments: Arguments, env: Environment) -> ExitStatus:
+async def watch(control: ControlClient, arguments: Arguments, env: Environment) -> ExitStatus:
     """
     Follow all rollouts until every selected instance serves.
 
--- a/packages/millforkd/millforkd/document.py
+++ b/packages/millforkd/millforkd/document.py
@@ -6,7 +6,7 @@
 import zlib
 
 from millfork_adapter.adapter import Adapter
-from millfork_adapter.calls import BadCall
+from millfork_adapter.calls import InvalidMessage
 from millfork_core.logs import Part, logger
 from millfork_routing.documents import Document
 from millfork_state.commands import decode_versioned
@@ -28,7 +28,7 @@
     versioned = decode_versioned(held.value)
     try:
         document = adapter.read_document(zlib.decompress(versioned.body))
-    except (BadCall, zlib.error) as error:
+    except (InvalidMessage, zlib.error) as error:
         # It was checked before it was accepted; the one in force stays.
         log.error('Document {} can not be read: {}.', versioned.version, error)
         return None
--- a/packages/millforkd/millforkd/proxy/backpressure.py
+++ b/packages/millforkd/millforkd/proxy/backpressure.py
@@ -31,7 +31,7 @@
 
         """
         signals = head.backpressure
-        if signals.unread:
+        if signals.invalid_headers:
             self.env.metrics.count(
                 self.env.metrics.backpressure, signal='unread', event='', told_by='answer'
             )
@@ -39,14 +39,14 @@
                 'A backpressure signal can not be read. server={} id={} {}',
                 server.instance,
                 job.caller.request_id,
-                signals.unread,
+                signals.invalid_headers,
             )
         now = self.env.monotonic()
         changes = server.availability.apply_answer(signals, sent_at, now, head.not_run)
         self.note(server, changes, SignalSource.ANSWER, job.caller.request_id)
         if not head.not_run:
             server.note_accepted(sent_at)
-        elif not head.elsewhere:
+        elif not head.misdirected:
             server.note_turned_away(sent_at, now)
 
     def note(
--- a/packages/millforkd/millforkd/proxy/daemon.py
+++ b/packages/millforkd/millforkd/proxy/daemon.py
@@ -258,7 +258,7 @@
             )
 
     async def _answer_ready(self, exchange: Exchange) -> None:
-        if not self.adapter.is_ready_call(exchange.request):
+        if not self.adapter.is_readiness_check(exchange.request):
             await exchange.respond(problem(Refusal(Reason.NOT_FOUND)))
             return
         if not self.is_ready():
--- a/packages/millforkd/millforkd/proxy/forwarding.py
+++ b/packages/millforkd/millforkd/proxy/forwarding.py
@@ -8,7 +8,7 @@
 import curio
 
 from millfork_adapter.adapter import Adapter
-from millfork_adapter.calls import BadCall
+from millfork_adapter.calls import InvalidMessage
 from millfork_core.environment import Environment
 from millfork_core.logs import Part, logger
 from millfork_core.verdicts import Reason, Refusal, Refused, Verdict
@@ -84,8 +84,8 @@
         """
         received_at = self.env.monotonic()
         try:
-            caller = self.adapter.read_caller(exchange.request)
-        except BadCall as error:
+            caller = self.adapter.read_caller_request(exchange.request)
+        except InvalidMessage as error:
             await self.outcomes.refuse(exchange, '', Refusal(Reason.BAD_REQUEST, detail=str(error)))
             return
         try:
--- a/packages/millforkd/millforkd/proxy/request_sender.py
+++ b/packages/millforkd/millforkd/proxy/request_sender.py
@@ -8,7 +8,7 @@
 import curio
 
 from millfork_adapter.adapter import Adapter
-from millfork_adapter.exchange import PathPart, SendOrders
+from millfork_adapter.exchange import ForwardOptions, PathSegment
 from millfork_core.environment import Environment
 from millfork_core.verdicts import Reason, Verdict
 from millfork_routing.documents import EngineSpec, RouteKind
@@ -173,7 +173,7 @@
             self._check_version(job.requirements.engine, version)
         self._check_open(attempt.choice)
         now = self.env.monotonic()
-        send_orders = SendOrders(
+        forward_options = ForwardOptions(
             str(server.instance),
             max(int(job.remaining_s(now) * 1000), 1),
             job.organisation.name if job.organisation is not None else '',
@@ -187,14 +187,14 @@
             self.budget.note_request(job.requirements.service)
         job.tried += [part.instance for part in attempt.choice.servers]
         self.book.note_sent(attempt.choice.servers)
-        headers = self.adapter.forward(request, send_orders)
+        headers = self.adapter.back_end_headers(request, forward_options)
         self._note_version(job, version)
         job.pending_servers = tuple(attempt.choice.servers)
         await connection.send(request.method, request.path, headers, request.body)
         await self.response_monitor.read_head(job, attempt, connection, version)
         server.last_received_at = self.env.monotonic()
         server.note_answered(job.urgency, attempt.started_at)
-        head = self.adapter.read_answer(connection.status, connection.headers)
+        head = self.adapter.read_answer_head(connection.status, connection.headers)
         if head.request_id and head.request_id != job.caller.request_id:
             raise SendFailed(
                 Reason.TRUNCATED, Verdict.MAY_HAVE_RUN, 'the answer belongs to another request'
@@ -203,7 +203,7 @@
         if head.not_run:
             await connection.discard_body()
             through_path = attempt.choice.path is not None
-            if version is not None and (head.elsewhere or through_path):
+            if version is not None and (head.misdirected or through_path):
                 server.refused[version] = self.env.monotonic() + REFUSED_VERSION_S
             raise SendFailed(Reason.BUSY, Verdict.NOT_RUN, f'the server answered {head.status}')
         if head.status >= 500 and job.route.repeatable and not job.answer_started:
@@ -218,10 +218,10 @@
         else:
             await self.response_relay.relay(job, connection)
         server.note_outcome(failed=head.status >= 500)
-        return 0.0 if head.closing else head.keep_s
+        return 0.0 if head.closes_connection else head.keep_alive_s
 
 
-def _path_parts(choice: Choice, engine: EngineSpec | None) -> tuple[PathPart, ...]:
+def _path_parts(choice: Choice, engine: EngineSpec | None) -> tuple[PathSegment, ...]:
     """
     The engines of a pipelined choice and their layer ranges, as sent to the back end.
 
@@ -230,6 +230,6 @@
     if path is None or engine is None:
         return ()
     return (
-        PathPart(path.first.host, path.first.port, 0, path.split),
-        PathPart(path.second.host, path.second.port, path.split, engine.layers),
+        PathSegment(path.first.host, path.first.port, 0, path.split),
+        PathSegment(path.second.host, path.second.port, path.split, engine.layers),
     )
--- a/packages/millforkd/millforkd/proxy/response_relay.py
+++ b/packages/millforkd/millforkd/proxy/response_relay.py
@@ -42,7 +42,7 @@
         body = bytearray()
         while data := await connection.read():
             body += data
-        headers = self.adapter.relayed(connection.headers)
+        headers = self.adapter.caller_headers(connection.headers)
         return HeldAnswer(connection.status, headers, bytes(body))
 
     async def relay_held(self, job: Job, held: HeldAnswer) -> None:
@@ -66,13 +66,13 @@
                 await self._respond_large(job, connection, bytes(body))
                 return
         job.first_byte_at = self.env.monotonic()
-        headers = without(self.adapter.relayed(connection.headers), 'content-length')
+        headers = without(self.adapter.caller_headers(connection.headers), 'content-length')
         await job.exchange.respond(Response(connection.status, headers, bytes(body)))
 
     async def _respond_large(self, job: Job, connection: ServerConnection, received: bytes) -> None:
         job.answer_started = True
         job.first_byte_at = self.env.monotonic()
-        headers = self.adapter.relayed(connection.headers)
+        headers = self.adapter.caller_headers(connection.headers)
         await job.exchange.start(connection.status, headers)
         await job.exchange.write(received)
         while data := await connection.read():
@@ -127,7 +127,7 @@
         if not job.answer_started:
             job.answer_started = True
             job.first_byte_at = self.env.monotonic()
-            headers = self.adapter.relayed(connection.headers)
+            headers = self.adapter.caller_headers(connection.headers)
             await job.exchange.start(connection.status, headers)
         if data:
             await job.exchange.write(data)
--- a/packages/millforkd/millforkd/replica/control.py
+++ b/packages/millforkd/millforkd/replica/control.py
@@ -12,13 +12,13 @@
 
 from millfork_adapter.adapter import Adapter
 from millfork_adapter.calls import (
-    BadCall,
     Call,
-    Goodbye,
     Heartbeat,
-    NameVersion,
+    InvalidMessage,
+    LeaveNotice,
     PutDocument,
     ReadDocument,
+    SetModelVersion,
     UnknownCall,
 )
 from millfork_core.environment import Environment
@@ -90,7 +90,7 @@
         try:
             call = self.adapter.read_call(exchange.request)
             response = await self.on(call)
-        except BadCall as error:
+        except InvalidMessage as error:
             response = self._refuse(Refusal(Reason.BAD_REQUEST, detail=str(error)))
         except Refused as error:
             response = self._refuse(error.refusal)
@@ -149,18 +149,18 @@
             await self.followers.wake()
         if lease.state is LeaseState.DRAINING:
             await self._send_ending_to_majority(lease.instance)
-        return self.adapter.accepted()
+        return self.adapter.accepted_response()
 
     @on.register
-    async def _(self, call: Goodbye) -> Response:
+    async def _(self, call: LeaveNotice) -> Response:
         if self._may_be_of_another_incarnation(call):
             raise Refused(Refusal(Reason.NOT_READY, detail='the back end is not known here yet'))
         if self.registry.record_goodbye(call.instance, call.incarnation) is RecordChange.CHANGED:
             await self.followers.wake()
         await self._send_ending_to_majority(call.instance)
-        return self.adapter.accepted()
+        return self.adapter.accepted_response()
 
-    def _may_be_of_another_incarnation(self, call: Goodbye) -> bool:
+    def _may_be_of_another_incarnation(self, call: LeaveNotice) -> bool:
         """
         Whether other replicas may know an incarnation that this goodbye doesn't end, as it
         names none and none is known here. Requests would reach that incarnation after the
@@ -204,10 +204,10 @@
             len(call.body),
             len(call.document.routes),
         )
-        return self.adapter.accepted()
+        return self.adapter.accepted_response()
 
     @on.register
-    async def _(self, call: NameVersion) -> Response:
+    async def _(self, call: SetModelVersion) -> Response:
         if call.version <= 0:
             raise Refused(Refusal(Reason.INVALID, detail='versions start at 1'))
         result = await self._raise(Raise(version_key(call.model), call.version, b''))
@@ -218,7 +218,7 @@
             call.version,
             result.version,
         )
-        return self.adapter.accepted()
+        return self.adapter.accepted_response()
 
     @on.register
     async def _(self, call: ReadDocument) -> Response:
--- a/packages/millforkd/millforkd/sidecar/engine.py
+++ b/packages/millforkd/millforkd/sidecar/engine.py
@@ -9,7 +9,7 @@
 import curio
 
 from millfork_adapter.adapter import Adapter
-from millfork_adapter.calls import BadCall
+from millfork_adapter.calls import InvalidMessage
 from millfork_adapter.exchange import EngineReport
 from millfork_core.logs import Part, logger
 from millfork_web.client import Client, ExchangeFailed
@@ -54,14 +54,14 @@
             return None
         try:
             report = self.adapter.read_report(response.body)
-        except BadCall as error:
+        except InvalidMessage as error:
             log.warning("The engine's report could not be parsed: {}.", error)
             return None
-        head = self.adapter.read_answer(response.status, response.headers)
-        if head.backpressure.unread:
+        head = self.adapter.read_answer_head(response.status, response.headers)
+        if head.backpressure.invalid_headers:
             log.warning(
                 'The backpressure headers of the engine could not be parsed. {}',
-                head.backpressure.unread,
+                head.backpressure.invalid_headers,
             )
         return replace(report, backpressure=head.backpressure)
 
@@ -71,7 +71,7 @@
 
         """
         try:
-            response = await self._fetch(self.adapter.stage_request(model, index, data))
+            response = await self._fetch(self.adapter.stage_piece_request(model, index, data))
         except ExchangeFailed as error:
             log.warning('Piece {} of {} was not staged: {}.', index, model, error)
             return False
@@ -83,7 +83,7 @@
 
         """
         try:
-            response = await self._fetch(self.adapter.staged_request(model, index))
+            response = await self._fetch(self.adapter.read_staged_piece_request(model, index))
         except ExchangeFailed as error:
             log.debug('Staged piece {} of {} could not be read: {}.', index, model, error)
             return None
@@ -97,7 +97,7 @@
         """
         try:
             response = await self._fetch(
-                self.adapter.start_request(model, version, first, end, interrupts)
+                self.adapter.load_layers_request(model, version, first, end, interrupts)
             )
         except ExchangeFailed as error:
             log.warning(
--- a/packages/millforkd/millforkd/sidecar/origin.py
+++ b/packages/millforkd/millforkd/sidecar/origin.py
@@ -7,7 +7,7 @@
 from typing import Final
 
 from millfork_adapter.adapter import Adapter
-from millfork_adapter.calls import BadCall
+from millfork_adapter.calls import InvalidMessage
 from millfork_core.environment import Environment
 from millfork_core.logs import Part, logger
 from millfork_routing.documents import Document, OriginSpec
@@ -89,7 +89,7 @@
             return False
         try:
             pieces = self.adapter.read_piece_list(body)
-        except BadCall as error:
+        except InvalidMessage as error:
             log.warning(
                 'The digests of {} from the origin could not be parsed: {}.', weights, error
             )
--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -660,8 +660,8 @@
         (
             Edit(
                 'platform/millfork_platform/numbers.py',
-                'Whole = Annotated[int, Meta(ge=0, le=MOST)]',
-                'Whole = int',
+                'NonNegativeInt = Annotated[int, Meta(ge=0, le=MAX_EXACT_INT)]',
+                'NonNegativeInt = int',
             ),
         ),
     ),
--- a/tests/test_asked_for_rest.py
+++ b/tests/test_asked_for_rest.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from millfork_platform import standins
+from millfork_platform import client_requests
 from tests.test_seeded_fleet import request
 from tests.utils.loaded import ENTRIES, LOAD_PER_S, loaded_fleet
 
@@ -28,7 +28,7 @@
 
 def test_a_back_end_that_asked_for_rest_gets_it(fleet):
     resting = fleet.back_ends[0]
-    resting.says = {standins.RETRY_AFTER: str(REST_S)}
+    resting.says = {client_requests.RETRY_AFTER: str(REST_S)}
     resting.turns_away = True
     began = time.monotonic()
     replies = fleet.load(lambda: request('/safe/x'), LOAD_PER_S, LOAD_S)
--- a/tests/test_closed_back_ends.py
+++ b/tests/test_closed_back_ends.py
@@ -10,7 +10,7 @@
 
 from millfork_adapter.exchange import NO_BACKPRESSURE, Backpressure
 from millfork_core.ids import UNTOLD_INCARNATION, Incarnation, ServiceName, ZoneId
-from millfork_platform import standins
+from millfork_platform import client_requests
 from millfork_platform.adapter import PlatformAdapter
 from millfork_scheduling.availability import (
     MAX_REST_S,
@@ -110,7 +110,7 @@
 def test_a_daemon_reads_the_signals_of_its_engine():
     class Client:
         async def fetch(self, method, path, headers, body, timeout):
-            said = [(standins.LEAVING, '1'), (standins.LIMIT, '2.5')]
+            said = [(client_requests.SERVER_LEAVING, '1'), (client_requests.SERVER_LIMIT, '2.5')]
             return Response(200, said, b'{"running":1,"queued":0}')
 
     found = curio.run(LocalEngine(PlatformAdapter(), Client()).report)
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -128,7 +128,7 @@
             return_after_ms=lambda job, choice: 0,
             depends_on_first_try=lambda job, choice: False,
         )
-        adapter = SimpleNamespace(forward=lambda request, orders: [])
+        adapter = SimpleNamespace(back_end_headers=lambda request, orders: [])
         book = ServerTable(ZoneId('z1'), Random(1), self.clock)
         book.choose = self.choose
         loads = SimpleNamespace(refresh=self.refresh)
--- a/tests/test_leases_after_a_freeze.py
+++ b/tests/test_leases_after_a_freeze.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from millfork_platform import standins
+from millfork_platform import client_requests
 from millfork_standins.seeded import CONTROL_PORT, BackEnd, SeededFleet, call
 from tests.test_seeded_fleet import document, request
 from tests.test_version_ends import pass_time
@@ -26,7 +26,10 @@
 
     def heartbeat(self):
         owner = self.fleet.replica_hosts[0]
-        return call(owner, CONTROL_PORT, standins.heartbeat(self._lease())).status == 200
+        return (
+            call(owner, CONTROL_PORT, client_requests.heartbeat_request(self._lease())).status
+            == 200
+        )
 
 
 @pytest.fixture
--- a/tests/test_named_limits.py
+++ b/tests/test_named_limits.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from millfork_platform import standins
+from millfork_platform import client_requests
 from tests.test_seeded_fleet import request
 from tests.utils.loaded import LOAD_PER_S, loaded_fleet
 
@@ -39,7 +39,7 @@
 
 def test_a_back_end_that_names_a_limit_gets_no_more_than_it_takes(fleet):
     limited = fleet.back_ends[0]
-    limited.says = {standins.LIMIT: '1.8'}
+    limited.says = {client_requests.SERVER_LIMIT: '1.8'}
     served, since = play(fleet)
     assert limited.most_in(WINDOW_S, since) <= allowed(1.8)
     # The two others can carry all.
@@ -48,7 +48,7 @@
 
 def test_what_no_back_end_takes_is_refused_at_once(fleet):
     for back_end in fleet.back_ends:
-        back_end.says = {standins.LIMIT: '2'}
+        back_end.says = {client_requests.SERVER_LIMIT: '2'}
     served, since = play(fleet)
     assert all(back_end.most_in(WINDOW_S, since) <= allowed(2) for back_end in fleet.back_ends)
     assert served < 0.5
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -10,15 +10,15 @@
 from hypothesis import strategies as st
 
 from millfork_adapter.calls import (
-    BadCall,
-    Goodbye,
     Heartbeat,
-    NameVersion,
+    InvalidMessage,
+    LeaveNotice,
     PutDocument,
     ReadDocument,
+    SetModelVersion,
     UnknownCall,
 )
-from millfork_adapter.exchange import PathPart, SendOrders
+from millfork_adapter.exchange import ForwardOptions, PathSegment
 from millfork_platform import PlatformAdapter
 from millfork_registry.records import LeaseState, ServedVersion
 from millfork_routing.documents import RouteKind
@@ -96,13 +96,13 @@
 
 @pytest.mark.parametrize('change', [{'state': 'odd'}, {'address': 'x'}, {'seq': 'x'}])
 def test_a_bad_heartbeat_says_why(change):
-    with pytest.raises(BadCall):
+    with pytest.raises(InvalidMessage):
         beat(**change)
 
 
 def test_the_other_calls():
-    assert post('/v1/Instances.Leave/i-1', b'') == Goodbye('i-1')
-    assert post('/v1/version-put', {'model': 'm', 'version': 2}) == NameVersion('m', 2)
+    assert post('/v1/Instances.Leave/i-1', b'') == LeaveNotice('i-1')
+    assert post('/v1/version-put', {'model': 'm', 'version': 2}) == SetModelVersion('m', 2)
     assert ADAPTER.read_call(Request('GET', '/v1/Config.Get')) == ReadDocument()
     assert post('/elsewhere', b'') == UnknownCall()
     assert ADAPTER.read_call(Request('DELETE', '/v1/Config.Put')) == UnknownCall()
@@ -127,7 +127,7 @@
 
 @given(st.integers(0, len(json.dumps(DOCUMENT)) - 1))
 def test_a_document_cut_short_is_refused(length):
-    with pytest.raises(BadCall):
+    with pytest.raises(InvalidMessage):
         post('/v1/Config.Put', json.dumps(DOCUMENT).encode()[:length])
 
 
@@ -140,7 +140,7 @@
 def test_any_body_is_a_call_or_a_clear_error(path, body):
     try:
         post(path, body)
-    except BadCall as error:
+    except InvalidMessage as error:
         assert str(error)
 
 
@@ -148,7 +148,7 @@
 def test_any_field_of_a_heartbeat_may_be_wrong(changes):
     try:
         beat(**changes)
-    except BadCall as error:
+    except InvalidMessage as error:
         assert str(error)
 
 
@@ -164,7 +164,7 @@
         for spoilt in (body[:cut], body[:cut] + more, more + body):
             try:
                 read(spoilt)
-            except BadCall as error:
+            except InvalidMessage as error:
                 assert str(error)
 
 
@@ -174,8 +174,8 @@
     for name, _ in HEAD:
         changed = [(key, text if key == name else held) for key, held in HEAD]
         try:
-            ADAPTER.read_caller(Request('POST', '/a/b', changed))
-        except BadCall as error:
+            ADAPTER.read_caller_request(Request('POST', '/a/b', changed))
+        except InvalidMessage as error:
             assert str(error)
 
 
@@ -196,25 +196,25 @@
 
 
 def test_a_caller_head():
-    caller = ADAPTER.read_caller(Request('POST', '/a/b?c=1', HEAD))
+    caller = ADAPTER.read_caller_request(Request('POST', '/a/b?c=1', HEAD))
     assert (caller.request_id, caller.key, caller.deadline_ms) == ('9c41', 'k1', 6077)
     assert (caller.prompt_tokens, caller.answer_tokens) == (1460, 80)
-    assert caller.parts == (('5c1e', 800), ('91bd', 410))
+    assert caller.prefix_parts == (('5c1e', 800), ('91bd', 410))
     assert caller.last_event_id == 12
 
 
 @pytest.mark.parametrize('bad', [('x-deadline-ms', 'soon'), ('x-token-count', 'a,b')])
 def test_a_head_that_makes_no_sense_is_an_error(bad):
     head = [item for item in HEAD if item[0] != bad[0]]
-    with pytest.raises(BadCall):
-        ADAPTER.read_caller(Request('POST', '/', [*head, bad]))
-    with pytest.raises(BadCall):
-        ADAPTER.read_caller(Request('POST', '/', [('host', 'h')]))
+    with pytest.raises(InvalidMessage):
+        ADAPTER.read_caller_request(Request('POST', '/', [*head, bad]))
+    with pytest.raises(InvalidMessage):
+        ADAPTER.read_caller_request(Request('POST', '/', [('host', 'h')]))
 
 
 def test_what_a_back_end_gets():
-    orders = SendOrders('i-7', 500, 'o', True, 2, 4, 15)
-    headers = dict(ADAPTER.forward(Request('POST', '/', HEAD), orders))
+    options = ForwardOptions('i-7', 500, 'o', True, 2, 4, 15)
+    headers = dict(ADAPTER.back_end_headers(Request('POST', '/', HEAD), options))
     assert headers['x-expect-instance'] == 'i-7'
     assert headers['x-deadline-ms'] == '500'
     assert headers['x-tenant'] == 'o'
@@ -226,32 +226,41 @@
 
 
 def test_a_path_names_its_parts_in_order():
-    path = (PathPart('10.0.0.1', 80, 0, 8), PathPart('10.0.0.2', 81, 8, 16))
+    path = (PathSegment('10.0.0.1', 80, 0, 8), PathSegment('10.0.0.2', 81, 8, 16))
     forged = [*HEAD, ('path', 'elsewhere')]
-    headers = dict(ADAPTER.forward(Request('POST', '/', forged), SendOrders('i', 5, path=path)))
+    headers = dict(
+        ADAPTER.back_end_headers(Request('POST', '/', forged), ForwardOptions('i', 5, path=path))
+    )
     assert headers['path'] == '10.0.0.1:80=0-8,10.0.0.2:81=8-16'
-    assert 'path' not in dict(ADAPTER.forward(Request('POST', '/', forged), SendOrders('i', 5)))
+    assert 'path' not in dict(
+        ADAPTER.back_end_headers(Request('POST', '/', forged), ForwardOptions('i', 5))
+    )
 
 
 def test_a_forged_organisation_never_passes():
-    headers = dict(ADAPTER.forward(Request('POST', '/', HEAD), SendOrders('i-7', 500)))
+    headers = dict(ADAPTER.back_end_headers(Request('POST', '/', HEAD), ForwardOptions('i-7', 500)))
     assert 'x-tenant' not in headers
     assert headers['last-event-id'] == '12'
 
 
 def test_the_head_of_an_answer():
-    head = ADAPTER.read_answer(
+    head = ADAPTER.read_answer_head(
         503, [('x-not-executed', '1'), ('keep-alive', 'timeout=5, max=9'), ('x-request-id', 'a')]
     )
-    assert (head.not_run, head.elsewhere, head.keep_s, head.request_id) == (True, False, 5.0, 'a')
-    assert ADAPTER.read_answer(421, []).elsewhere
-    assert not ADAPTER.read_answer(503, []).not_run
-    assert ADAPTER.read_answer(200, [('connection', 'Close')]).closing
+    assert (head.not_run, head.misdirected, head.keep_alive_s, head.request_id) == (
+        True,
+        False,
+        5.0,
+        'a',
+    )
+    assert ADAPTER.read_answer_head(421, []).misdirected
+    assert not ADAPTER.read_answer_head(503, []).not_run
+    assert ADAPTER.read_answer_head(200, [('connection', 'Close')]).closes_connection
 
 
 def test_what_a_caller_gets():
     headers = [('x-server-stamp', 's'), ('connection', 'close'), ('content-type', 'a')]
-    assert ADAPTER.relayed(headers) == [('x-server-stamp', 's'), ('content-type', 'a')]
+    assert ADAPTER.caller_headers(headers) == [('x-server-stamp', 's'), ('content-type', 'a')]
     assert ('retry-after', '0.250') in ADAPTER.refusal_headers('id', 250)
 
 
@@ -266,8 +275,8 @@
     pieces = ADAPTER.read_piece_list(body)
     assert pieces.digests == (digest,)
     assert ADAPTER.piece_request('m', 2, 5).path == '/v1/piece/m?item_count=5&version=2'
-    assert ADAPTER.stage_request('m', 5, b'x').method == 'PUT'
-    order = json.loads(ADAPTER.start_request('m', 2, 8, 16, False).body)
+    assert ADAPTER.stage_piece_request('m', 5, b'x').method == 'PUT'
+    order = json.loads(ADAPTER.load_layers_request('m', 2, 8, 16, False).body)
     assert (order['manner'], order['from'], order['target_version']) == ('queue', 8, 16)
-    order = json.loads(ADAPTER.start_request('m', 2, 8, 16, True).body)
+    order = json.loads(ADAPTER.load_layers_request('m', 2, 8, 16, True).body)
     assert (order['manner'], order['from'], order['target_version']) == ('preempt', 8, 16)
--- a/tests/test_platform_backpressure.py
+++ b/tests/test_platform_backpressure.py
@@ -13,7 +13,7 @@
 
 
 def told(*headers, status=200):
-    return ADAPTER.read_answer(status, list(headers)).backpressure
+    return ADAPTER.read_answer_head(status, list(headers)).backpressure
 
 
 def test_a_limit_is_requests_a_second():
@@ -29,13 +29,13 @@
 def test_a_limit_that_makes_no_sense_is_not_believed(text):
     found = told(('server-limit', text))
     assert found.limit_per_s is None
-    assert found.unread
+    assert found.invalid_headers
 
 
 @given(st.text(max_size=20))
 def test_any_limit_is_read_or_told_as_unread(text):
     found = told(('server-limit', text))
-    assert (found.limit_per_s is None) == bool(found.unread)
+    assert (found.limit_per_s is None) == bool(found.invalid_headers)
 
 
 def test_a_back_end_that_leaves_says_so():
@@ -44,7 +44,7 @@
     assert not told().leaving
     odd = told(('server-leaving', 'soon'))
     assert not odd.leaving
-    assert odd.unread
+    assert odd.invalid_headers
 
 
 def test_a_rest_is_asked_for_with_an_answer_that_turns_away():
@@ -69,10 +69,10 @@
 def test_a_rest_that_makes_no_sense_is_not_believed(text):
     found = told(('retry-after', text), status=503)
     assert found.rest_s is None
-    assert found.unread
+    assert found.invalid_headers
 
 
 @given(st.text(max_size=40))
 def test_any_rest_is_read_or_told_as_unread(text):
     found = told(('retry-after', text), ('date', text), status=503)
-    assert (found.rest_s is None) == bool(found.unread)
+    assert (found.rest_s is None) == bool(found.invalid_headers)
--- a/tests/test_platform_foreign_messages.py
+++ b/tests/test_platform_foreign_messages.py
@@ -17,11 +17,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from millfork_adapter.calls import BadCall, Goodbye, Heartbeat, PutDocument
+from millfork_adapter.calls import Heartbeat, InvalidMessage, LeaveNotice, PutDocument
 from millfork_core.environment import Environment
 from millfork_core.ids import InstanceId, ZoneId
 from millfork_core.verdicts import Reason
-from millfork_platform import PlatformAdapter, names, standins
+from millfork_platform import PlatformAdapter, client_requests, names
 from millfork_registry.records import LeaseState, decode_leases, encode_records
 from millfork_registry.registry import Registry
 from millfork_routing.routes import RouteTable
@@ -111,7 +111,7 @@
 def test_a_heartbeat_is_fully_valid_or_refused(body):
     try:
         call = post('/v1/Instances.Heartbeat/i-1', body)
-    except BadCall:
+    except InvalidMessage:
         return
     assert isinstance(call, Heartbeat)
     records = [call.lease]
@@ -125,7 +125,7 @@
 def test_a_document_is_fully_valid_or_refused(body):
     try:
         call = post('/v1/Config.Put', body)
-    except BadCall:
+    except InvalidMessage:
         return
     assert isinstance(call, PutDocument)
     RouteTable(call.document)
@@ -138,7 +138,7 @@
 def test_an_engine_report_is_fully_valid_or_refused(body):
     try:
         report = ADAPTER.read_report(body)
-    except BadCall:
+    except InvalidMessage:
         return
     assert msgspec.msgpack.encode([report.running, report.queued, report.incarnation])
 
@@ -147,7 +147,7 @@
 def test_a_list_of_pieces_is_fully_valid_or_refused(body):
     try:
         pieces = ADAPTER.read_piece_list(body)
-    except BadCall:
+    except InvalidMessage:
         return
     assert all(len(bytes.fromhex(digest)) == 32 for digest in pieces.digests)
 
@@ -157,30 +157,30 @@
     for path, body in (('/v1/version-put', version), ('/v1/Instances.Leave/i-1', goodbye)):
         try:
             post(path, body)
-        except BadCall:
+        except InvalidMessage:
             continue
 
 
 @given(st.dictionaries(st.sampled_from(HEADERS), st.text()))
 def test_any_headers_are_parsed_or_refused(headers):
     pairs = list(headers.items())
-    ADAPTER.read_answer(200, pairs)
+    ADAPTER.read_answer_head(200, pairs)
     try:
-        caller = ADAPTER.read_caller(Request('GET', '/x', pairs))
-    except BadCall:
+        caller = ADAPTER.read_caller_request(Request('GET', '/x', pairs))
+    except InvalidMessage:
         return
     assert caller.deadline_ms is None or caller.deadline_ms >= 0
 
 
 def test_a_keep_alive_that_is_not_a_number_is_ignored():
-    assert ADAPTER.read_answer(200, [('keep-alive', 'timeout=\xb2')]).keep_s is None
+    assert ADAPTER.read_answer_head(200, [('keep-alive', 'timeout=\xb2')]).keep_alive_s is None
 
 
 def test_a_goodbye_with_a_body_names_its_incarnation():
     path = '/v1/Instances.Leave/i-1'
-    assert post(path, b'') == Goodbye('i-1', None)
-    assert post(path, {'born': FIRST_INCARNATION}) == Goodbye('i-1', FIRST_INCARNATION)
-    assert post(path, {}) == Goodbye('i-1', 0)
+    assert post(path, b'') == LeaveNotice('i-1', None)
+    assert post(path, {'born': FIRST_INCARNATION}) == LeaveNotice('i-1', FIRST_INCARNATION)
+    assert post(path, {}) == LeaveNotice('i-1', 0)
 
 
 def test_fractional_counts_in_a_document_are_rounded():
@@ -272,7 +272,7 @@
 def test_an_undeclared_service_is_refused_once_there_is_a_document():
     calls = ReplicaCalls()
     calls.control.services = None
-    beat = standins.heartbeat(lease(FIRST_INCARNATION, 6))
+    beat = client_requests.heartbeat_request(lease(FIRST_INCARNATION, 6))
     assert calls.send(beat) == 200
     calls.control.services = frozenset(item.name for item in document(1).services)
-    assert calls.send(standins.heartbeat(lease(FIRST_INCARNATION, 7))) == 422
+    assert calls.send(client_requests.heartbeat_request(lease(FIRST_INCARNATION, 7))) == 422
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -21,7 +21,7 @@
 from hypothesis import strategies as st
 
 from millfork_core.ids import ServiceName
-from millfork_platform import standins
+from millfork_platform import client_requests
 from millfork_routing.documents import Document, Service
 from millfork_settings.errors import BadFile
 from millfork_settings.loading import load
@@ -123,7 +123,7 @@
         fleet.start()
         engines = Service(ServiceName('engines'), 64, ENGINE)
         assert fleet.put(Document(1, services=(engines,))).status == 200
-        assert fleet.control(standins.name_version('m', 2)).status == 200
+        assert fleet.control(client_requests.set_version_request('m', 2)).status == 200
         named = datetime.now().timestamp()
         hosts = (*fleet.replica_hosts, *fleet.entry_hosts, *fleet.endpoint_hosts)
         for host in hosts:
--- a/tests/test_said_to_leave.py
+++ b/tests/test_said_to_leave.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from millfork_platform import standins
+from millfork_platform import client_requests
 from tests.test_seeded_fleet import request
 from tests.utils.loaded import LOAD_PER_S, loaded_fleet
 
@@ -24,7 +24,7 @@
 
 def test_a_back_end_that_said_that_it_leaves_gets_nothing_more(fleet):
     leaving = fleet.back_ends[0]
-    leaving.says = {standins.LEAVING: '1'}
+    leaving.says = {client_requests.SERVER_LEAVING: '1'}
     began = time.monotonic()
     replies = fleet.load(lambda: request('/safe/x'), LOAD_PER_S, LOAD_S)
     assert all(reply.status == 200 for reply in replies)
--- a/tests/test_seeded.py
+++ b/tests/test_seeded.py
@@ -13,7 +13,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import InstanceId, ZoneId
-from millfork_platform.templates import Place, settings_text
+from millfork_platform.settings_templates import TemplateValues, render_settings
 from millfork_registry.discovery import address_of
 from millfork_settings.common import StateSettings
 from millfork_settings.errors import BadFile
@@ -32,10 +32,10 @@
 
 
 def filled_template(name, **bounds):
-    place = Place('front-1', '10.1.0.40', 'z1', 'r1', 7700, 8000, 8005, 8002, SEEDS, True)
+    place = TemplateValues('front-1', '10.1.0.40', 'z1', 'r1', 7700, 8000, 8005, 8002, SEEDS, True)
     place.engine, place.service = '10.1.0.44:8001', 's'
     place.bounds.update(bounds)
-    return settings_text((ROOT / 'deploy' / 'settings' / name).read_text(), place)
+    return render_settings((ROOT / 'deploy' / 'settings' / name).read_text(), place)
 
 
 @pytest.mark.parametrize('role', SeededRole, ids=lambda role: role.value)
--- a/tests/test_seeded_fleet.py
+++ b/tests/test_seeded_fleet.py
@@ -10,7 +10,7 @@
 import pytest
 
 from millfork_core.ids import OrganisationId, ServiceName
-from millfork_platform import standins
+from millfork_platform import client_requests
 from millfork_routing.documents import (
     Document,
     Organisation,
@@ -46,8 +46,8 @@
     headers = [
         ('host', 'h.example'),
         ('authorization', f'Bearer {key}'),
-        (standins.REQUEST_ID, f'request-{next(IDS)}'),
-        (standins.DEADLINE_MS, '4000'),
+        (client_requests.REQUEST_ID, f'request-{next(IDS)}'),
+        (client_requests.DEADLINE_MS, '4000'),
     ]
     return Request(method, path, headers, body)
 
@@ -82,12 +82,12 @@
     asked = request('/safe/y')
     reply = fleet.ask(asked)
     assert (reply.status, reply.body) == (200, b'answer')
-    assert reply.headers[standins.SIGNATURE] == 'i-1'
+    assert reply.headers[client_requests.SIGNATURE] == 'i-1'
     seen = fleet.back_end.executed[-1]
-    assert seen[standins.REQUEST_ID] == dict(asked.headers)[standins.REQUEST_ID]
-    assert seen[standins.EXECUTED_BY] == 'i-1'
-    assert seen[standins.ORGANISATION] == 'org'
-    assert 0 < int(seen[standins.DEADLINE_MS]) <= 4000
+    assert seen[client_requests.REQUEST_ID] == dict(asked.headers)[client_requests.REQUEST_ID]
+    assert seen[client_requests.EXPECT_INSTANCE] == 'i-1'
+    assert seen[client_requests.ORGANISATION] == 'org'
+    assert 0 < int(seen[client_requests.DEADLINE_MS]) <= 4000
     assert 'authorization' not in seen
     assert fleet.ask(request('/safe/y', key='unknown')).status == 401
     assert fleet.ask(request('/nowhere/')).status == 404
@@ -129,9 +129,9 @@
             fleet.kill(host)
     for host in fleet.replica_hosts:
         fleet.start_one(host)
-    reply = fleet.control(standins.read_document())
+    reply = fleet.control(client_requests.read_document_request())
     assert reply.status == 200
-    assert reply.body == standins.put_document(document(5, '/safe/', '/new/')).body
+    assert reply.body == client_requests.put_document_request(document(5, '/safe/', '/new/')).body
     assert fleet.ask(request('/new/x')).status == 200
 
 
@@ -140,8 +140,8 @@
     assert fleet.put(document(4, '/safe/')).status == 200
     assert fleet.put(document(9, '/other/')).status == 200
     assert fleet.put(document(12, '/safe/', service='unknown')).status == 422
-    reply = fleet.control(standins.read_document())
-    assert reply.body == standins.put_document(document(9, '/safe/', '/nine/')).body
+    reply = fleet.control(client_requests.read_document_request())
+    assert reply.body == client_requests.put_document_request(document(9, '/safe/', '/nine/')).body
     wait_until(lambda: fleet.ask(request('/nine/x')).status == 200)
 
 
@@ -159,7 +159,7 @@
 
 def test_a_planned_stop_takes_the_entry_out_and_ends_what_runs(fleet):
     host = fleet.entry_hosts[0]
-    ready = Request('GET', standins.READY_PATH)
+    ready = Request('GET', client_requests.READY_PATH)
     assert call(host, READY_PORT, ready).status == 200
     fleet.back_end.release.clear()
     replies = []
--- a/tests/test_version_ends.py
+++ b/tests/test_version_ends.py
@@ -18,7 +18,7 @@
 
 import pytest
 
-from millfork_platform import standins
+from millfork_platform import client_requests
 from millfork_standins.seeded import SeededFleet
 from tests.test_seeded_fleet import document, request
 from tests.utils.fleets import wait_until
@@ -66,7 +66,7 @@
     Name a version, and wait until one process knows of it.
 
     """
-    assert fleet.control(standins.name_version(MODEL, version)).status == 200
+    assert fleet.control(client_requests.set_version_request(MODEL, version)).status == 200
     wait_until(lambda: learned(fleet, host, version) is not None)
 
 
