--- a/packages/millfork-adapter/millfork_adapter/__init__.py
+++ b/packages/millfork-adapter/millfork_adapter/__init__.py
@@ -1,4 +1,4 @@
 """
-What a platform adapter gives the daemon: typed calls, requests and answers.
+The interface that a platform adapter implements, and its typed messages.
 
 """
--- a/packages/millfork-adapter/millfork_adapter/adapter.py
+++ b/packages/millfork-adapter/millfork_adapter/adapter.py
@@ -1,8 +1,8 @@
 """
-The interface between the daemon and a platform's manner of speaking.
+The interface between the daemons and the wire format of a platform.
 
-An adapter translates and decides nothing: every name on the wire is read
-once, into the typed messages of this package, and written from them.
+An adapter only translates: it parses the platform's HTTP messages into the types of this
+package and writes HTTP messages from them. The daemons make all decisions.
 
 """
 
@@ -22,119 +22,120 @@
 
 class Adapter(Protocol):
     """
-    What the daemon needs of a platform.
+    Translates between the wire format of a platform and the typed messages.
 
     """
 
     def read_call(self, request: Request) -> Call:
         """
-        A call to a replica.
+        Parse a call to a replica; a call of an unknown kind yields `UnknownCall`.
 
-        :raises BadCall: if it makes no sense.
+        :raises InvalidMessage: if the call can not be parsed.
 
         """
 
     def accepted_response(self) -> Response:
         """
-        The answer to a call that was carried out.
+        The response to a call that was carried out.
 
         """
 
     def document_response(self, body: bytes) -> Response:
         """
-        The answer that holds the newest document.
+        The response to `ReadDocument`; `body` is the document as the operator sent it.
 
         """
 
     def read_document(self, body: bytes) -> Document:
         """
-        A document from its bytes.
+        Parse the operator's document.
 
-        :raises BadCall: if it can't be read whole.
+        :raises InvalidMessage: if any part of the document can not be parsed.
 
         """
 
     def is_readiness_check(self, request: Request) -> bool:
         """
-        Whether a request asks an entry if it is ready.
+        Whether a request is a readiness check.
 
         """
 
     def read_caller_request(self, request: Request) -> CallerRequest:
         """
-        A caller's request.
+        Parse the request line and headers of a caller's request.
 
-        :raises BadCall: if its head makes no sense.
+        :raises InvalidMessage: if a header is missing or can not be parsed.
 
         """
 
     def back_end_headers(self, request: Request, options: ForwardOptions) -> Headers:
         """
-        The headers of a caller's request as a back end gets them.
+        The headers of a caller's request as they are sent to a back end.
 
         """
 
     def read_answer_head(self, status: int, headers: Headers) -> AnswerHead:
         """
-        The head of a back end's answer.
+        Parse the status and headers of a back end's response.
 
         """
 
     def caller_headers(self, headers: Headers) -> Headers:
         """
-        The headers of a back end's answer as the caller gets them.
+        The headers of a back end's response as they are sent to the caller.
 
         """
 
     def refusal_headers(self, request_id: str, wait_ms: int) -> Headers:
         """
-        The headers of the entry's own refusal.
+        The headers of a refusal by the entry itself. `request_id` may be empty; `wait_ms` is the
+        time after which the caller may try again (0: unspecified).
 
         """
 
     def report_request(self) -> Request:
         """
-        Asks an engine for its state.
+        The request that asks an engine for its state.
 
         """
 
     def read_report(self, body: bytes) -> EngineReport:
         """
-        An engine's state.
+        Parse an engine's report of its state.
 
-        :raises BadCall: if it can't be read.
+        :raises InvalidMessage: if the report can not be parsed.
 
         """
 
     def piece_list_request(self, model: str, version: int) -> Request:
         """
-        Asks the origin for the digests of a version.
+        The request that asks the origin for the digests of a version's pieces.
 
         """
 
     def read_piece_list(self, body: bytes) -> PieceList:
         """
-        The digests of a version.
+        Parse the origin's list of digests.
 
-        :raises BadCall: if they can't be read.
+        :raises InvalidMessage: if the list can not be parsed or a digest is malformed.
 
         """
 
     def piece_request(self, model: str, version: int, index: int) -> Request:
         """
-        Asks the origin for a piece.
+        The request that asks the origin for the piece with number `index`.
 
         """
 
     def stage_piece_request(self, model: str, index: int, body: bytes) -> Request:
         """
-        Lays a piece where the engine takes it from.
+        The request that writes a piece to the engine's staging area.
 
         """
 
     def read_staged_piece_request(self, model: str, index: int) -> Request:
         """
-        Asks the engine for a piece that lies there.
+        The request that reads a piece from the engine's staging area.
 
         """
 
@@ -142,8 +143,8 @@
         self, model: str, version: int, first: int, end: int, interrupts: bool
     ) -> Request:
         """
-        Orders the engine to take the layers from `first` to before `end` of a
-        version from the pieces that lie there: once what runs has ended, or at
-        once, which breaks off what runs.
+        The request that orders the engine to load the layers from `first` up to, but not
+        including, `end` from its staged pieces: after running requests have finished or, if
+        `interrupts` is set, at once, which ends running requests.
 
         """
--- a/packages/millfork-adapter/millfork_adapter/calls.py
+++ b/packages/millfork-adapter/millfork_adapter/calls.py
@@ -1,5 +1,5 @@
 """
-Calls that arrive at a replica: from back ends and from the operator.
+The calls that back ends and operators make to a replica.
 
 """
 
@@ -12,7 +12,7 @@
 
 class InvalidMessage(Exception):
     """
-    A call, or a document in it, that makes no sense; the text says why.
+    A call, request, report or document can not be parsed; the error's text says why.
 
     """
 
@@ -20,7 +20,7 @@
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
     """
-    A back end renews its lease.
+    A back end registers or renews its lease.
 
     """
 
@@ -30,7 +30,7 @@
 @dataclass(frozen=True, slots=True)
 class LeaveNotice:
     """
-    A back end gives its lease back; None where it does not say which incarnation of it.
+    A back end gives up its lease. `incarnation` is None if the call does not name one.
 
     """
 
@@ -41,7 +41,7 @@
 @dataclass(frozen=True, slots=True)
 class PutDocument:
     """
-    The operator sends a document; `body` is kept as it came.
+    The operator submits a document; `body` holds the bytes as received.
 
     """
 
@@ -60,7 +60,7 @@
 @dataclass(frozen=True, slots=True)
 class SetModelVersion:
     """
-    The operator names the version of a model's weights to serve.
+    The operator sets the version of a model's weights that engines shall serve.
 
     """
 
@@ -71,7 +71,7 @@
 @dataclass(frozen=True, slots=True)
 class UnknownCall:
     """
-    Nothing that this system answers.
+    A call whose method and path match no call of the platform.
 
     """
 
--- a/packages/millfork-adapter/millfork_adapter/exchange.py
+++ b/packages/millfork-adapter/millfork_adapter/exchange.py
@@ -1,5 +1,5 @@
 """
-A caller's request and a back end's answer, as the entry needs to know them.
+Callers' requests, back ends' responses and engines' reports as typed values.
 
 """
 
@@ -12,10 +12,10 @@
 @dataclass(frozen=True, slots=True)
 class CallerRequest:
     """
-    What a caller's head says. `deadline_ms` is how long it will wait;
-    `last_event_id` is the event after which a stream is to go on (None: from
-    its beginning); tokens are those of the prompt and the most to be written;
-    `prefix_parts` are the prompt's parts in order, each with its id and tokens.
+    The request line and headers of a caller's request. `key` is the API key; `deadline_ms` is
+    how long the caller waits; `last_event_id` is the event after which a stream is to be
+    resumed (None: from its beginning); `answer_tokens` is the maximum number of tokens to be
+    generated; `prefix_parts` lists the parts of the prompt in order, each as id and tokens.
 
     """
 
@@ -34,7 +34,7 @@
 @dataclass(frozen=True, slots=True)
 class PathSegment:
     """
-    One back end of a path, and its layers from `first` to before `end`.
+    One back end of a path; it computes the layers from `first` up to, but not including, `end`.
 
     """
 
@@ -47,10 +47,10 @@
 @dataclass(frozen=True, slots=True)
 class ForwardOptions:
     """
-    What the entry adds to a request for one back end. Versions are those of
-    weights; `resume_after` is the last event that the caller has. A caller's
-    key is withheld where the entry has checked it. A path names the back ends
-    that share a model's layers, the one addressed first.
+    The headers that the entry changes in a request for one back end. `version` is the version
+    of the weights; `resume_after` is the last event that the caller has received;
+    `omits_api_key` is set if the entry has checked the caller's key; `path` lists the back
+    ends that share a model's layers, first the one to which the request is sent.
 
     """
 
@@ -86,11 +86,11 @@
 @dataclass(frozen=True, slots=True)
 class AnswerHead:
     """
-    What the head of a back end's answer says.
+    The status and headers of a back end's response.
 
-    `not_run` is the back end's word that it did not run the request; it
-    also holds for an answer by another back end at the same address.
-    `keep_alive_s` is how long an idle connection lasts (None: not told).
+    `not_run` means that the back end did not run the request. This is also so if the response
+    is `misdirected`: another back end than the one addressed answered at the same address.
+    `keep_alive_s` is how long the back end keeps an idle connection (None: unspecified).
 
     """
 
@@ -107,9 +107,9 @@
 @dataclass(frozen=True, slots=True)
 class EngineReport:
     """
-    An engine's state. `served` names model, version, first layer, and the
-    layer before which it ends (None: the model whole). The memory of an incarnation
-    before this one is gone, and its orders.
+    An engine's state. Each entry of `served` holds a model, its version, the first layer and
+    the exclusive end of the layers (None: all layers). A changed `incarnation` means that the
+    engine restarted: its staged pieces and the orders sent to it are lost.
 
     """
 
@@ -127,7 +127,7 @@
 @dataclass(frozen=True, slots=True)
 class PieceList:
     """
-    The pieces of one version of a model: SHA-256 digests in hex, in order.
+    The pieces of one version of a model: their SHA-256 digests in hex, in order.
 
     """
 
