--- a/packages/millfork/millfork/__init__.py
+++ b/packages/millfork/millfork/__init__.py
@@ -1,4 +1,4 @@
 """
-The command line for operators.
+The operators' command line, `millfork`.
 
 """
--- a/packages/millfork/millfork/__main__.py
+++ b/packages/millfork/millfork/__main__.py
@@ -17,15 +17,15 @@
 from millfork_settings.errors import BadFile
 from millfork_settings.loading import read_secret
 
-HELP = frozenset({'-h', '--help', 'help'})
+HELP_ARGUMENTS = frozenset({'-h', '--help', 'help'})
 
 
 def main() -> None:
     """
-    Parse the command line and run the command.
+    Parse the command line, run the command and exit with its status.
 
     """
-    if len(sys.argv) < 2 or sys.argv[1] in HELP:
+    if len(sys.argv) < 2 or sys.argv[1] in HELP_ARGUMENTS:
         print(USAGE)
         print('flags:')
         print(FLAGS.module_help('millfork.cli.definition'))
--- a/packages/millfork/millfork/cli/__init__.py
+++ b/packages/millfork/millfork/cli/__init__.py
@@ -1,4 +1,4 @@
 """
-The command line of the operator program.
+Flags, arguments and usage text of `millfork`.
 
 """
--- a/packages/millfork/millfork/cli/argtypes.py
+++ b/packages/millfork/millfork/cli/argtypes.py
@@ -1,5 +1,5 @@
 """
-Arguments as types.
+Parsers for command-line arguments.
 
 """
 
@@ -11,16 +11,16 @@
 
 class BadArgument(Exception):
     """
-    An argument of the command line that can't be used.
+    A command-line argument is missing or malformed.
 
     """
 
 
 def parse_entries(text: str) -> list[tuple[str, int]]:
     """
-    `HOST:PORT,HOST:PORT` as pairs.
+    Parse `HOST:PORT,HOST:PORT` into pairs of host and port.
 
-    :raises BadArgument: if it is something else.
+    :raises BadArgument: if `text` has another form.
 
     """
     pairs = []
@@ -34,9 +34,9 @@
 
 def parse_labels(items: list[str]) -> dict[str, str]:
     """
-    `KEY=VALUE` arguments as a mapping.
+    Parse `KEY=VALUE` arguments into a mapping.
 
-    :raises BadArgument: if one is something else.
+    :raises BadArgument: if an argument has another form.
 
     """
     labels = {}
--- a/packages/millfork/millfork/cli/constants.py
+++ b/packages/millfork/millfork/cli/constants.py
@@ -1,5 +1,5 @@
 """
-Constants of the operator program.
+Constants of the command line.
 
 """
 
@@ -17,11 +17,11 @@
   remove DEPLOYMENT             take a deployment out of service
   get [PREFIX]                  print the accepted configuration
   label INSTANCE KEY=VALUE ...  attach labels to an instance
-  status                        show every rollout; --watch follows it
-  drain INSTANCE                give an instance no new work; --undo ends that
-  check FILE                    check settings or a declaration, without a fleet
-  explain LOG ...               what became of requests, by cause and moment, from the
-                                logs of entries; --every sets the span in seconds
+  status                        show all rollouts; --watch follows them
+  drain INSTANCE                send an instance no new requests; --undo reverts it
+  check FILE                    validate settings or a declaration; needs no fleet
+  explain LOG ...               count requests by outcome and time, from the logs of
+                                entries; --every sets the interval in seconds
 
 examples:
   millfork check declaration.yaml
--- a/packages/millfork/millfork/client.py
+++ b/packages/millfork/millfork/client.py
@@ -1,5 +1,5 @@
 """
-Control requests to any entry that answers.
+Control requests to the first entry that can answer them.
 
 """
 
@@ -13,53 +13,56 @@
 from millfork_web.client import Client, ExchangeFailed
 from millfork_web.models import Response
 
-PREFIX: Final = '/control/v1/'
-TIMEOUT_S: Final = 10.0
-ROUNDS: Final = 3
-PAUSE_S: Final = 0.5
-WORTH_ANOTHER_ENTRY: Final = frozenset(
+CONTROL_PATH_PREFIX: Final = '/control/v1/'
+REQUEST_TIMEOUT_S: Final = 10.0
+MAX_ROUNDS: Final = 3
+PAUSE_BETWEEN_ROUNDS_S: Final = 0.5
+# Reasons of a refusal for which another entry may still accept the request.
+RETRYABLE_REASONS: Final = frozenset(
     {Reason.NO_QUORUM.value, Reason.NOT_READY.value, Reason.STOPPING.value}
 )
 
 
-class Unreachable(Exception):
+class NoEntryReachable(Exception):
     """
-    No entry gave an answer.
+    No entry could be reached.
 
     """
 
 
 class ControlClient:
     """
-    Asks the entries in turn. Commands carry ids, so asking again is safe.
+    Sends control requests to the entries, one after the other. Retries are safe because each
+    command carries an id.
 
     """
 
     def __init__(self, arguments: Arguments) -> None:
         self.arguments = arguments
 
-    async def ask(self, method: str, action: str, body: Any = None) -> Response:
+    async def request(self, method: str, action: str, body: Any = None) -> Response:
         """
-        The first usable answer of an entry.
+        Send a request and return the first answer that is not a refusal with a reason in
+        `RETRYABLE_REASONS`. If there is no such answer, return the last one.
 
-        :raises Unreachable: if there is none.
+        :raises NoEntryReachable: if no entry answered.
 
         """
         headers = [('authorization', f'Bearer {self.arguments.token}')]
-        data = b'' if body is None else json.dumps(body).encode()
-        last: Response | None = None
-        for _ in range(ROUNDS):
+        payload = b'' if body is None else json.dumps(body).encode()
+        last_response: Response | None = None
+        for _ in range(MAX_ROUNDS):
             for host, port in self.arguments.entries:
                 try:
-                    last = await Client(host, port).fetch(
-                        method, PREFIX + action, headers, data, TIMEOUT_S
+                    last_response = await Client(host, port).fetch(
+                        method, CONTROL_PATH_PREFIX + action, headers, payload, REQUEST_TIMEOUT_S
                     )
                 except ExchangeFailed:
                     continue
-                if last.header('millfork-reason') not in WORTH_ANOTHER_ENTRY:
-                    return last
-            await curio.sleep(PAUSE_S)
-        if last is not None:
-            return last
-        names = ', '.join(f'{host}:{port}' for host, port in self.arguments.entries)
-        raise Unreachable(f'no entry answers: {names}')
+                if last_response.header('millfork-reason') not in RETRYABLE_REASONS:
+                    return last_response
+            await curio.sleep(PAUSE_BETWEEN_ROUNDS_S)
+        if last_response is not None:
+            return last_response
+        addresses = ', '.join(f'{host}:{port}' for host, port in self.arguments.entries)
+        raise NoEntryReachable(f'no entry could be reached: {addresses}')
--- a/packages/millfork/millfork/core.py
+++ b/packages/millfork/millfork/core.py
@@ -1,5 +1,5 @@
 """
-The story of a command: parse, ask an entry, print, exit status.
+The commands of `millfork`. Each prints its result and returns an exit status.
 
 """
 
@@ -13,10 +13,10 @@
 
 from millfork.cli.argtypes import BadArgument, parse_labels
 from millfork.cli.constants import USAGE
-from millfork.client import ControlClient, Unreachable
-from millfork.explain import Ended, read, table
+from millfork.client import ControlClient, NoEntryReachable
+from millfork.explain import EndedRequest, format_table, read_ended_requests
 from millfork.models import Arguments, Environment
-from millfork.status import line, refuse, watch
+from millfork.status import format_rollout, report_refusal, watch
 from millfork_core.status import ExitStatus
 from millfork_settings.declarations import Declaration
 from millfork_settings.errors import BadFile
@@ -24,7 +24,7 @@
 from millfork_settings.models import Settings
 
 Command = Callable[[Arguments, Environment], Awaitable[ExitStatus]]
-OPERANDS: Final = {
+OPERAND_COUNTS: Final = {
     'apply': 1,
     'remove': 1,
     'drain': 1,
@@ -35,16 +35,16 @@
 
 def run(arguments: Arguments, env: Environment) -> ExitStatus:
     """
-    Run one command.
+    Run one command. Errors are printed and turned into exit statuses.
 
     """
     command = COMMANDS.get(arguments.command)
     if command is None:
         env.err(USAGE)
         return ExitStatus.USAGE
-    wanted = OPERANDS.get(arguments.command)
-    if wanted is not None and len(arguments.operands) != wanted:
-        env.err(f'millfork: {arguments.command} takes {wanted} argument(s); see --help')
+    expected_count = OPERAND_COUNTS.get(arguments.command)
+    if expected_count is not None and len(arguments.operands) != expected_count:
+        env.err(f'millfork: {arguments.command} takes {expected_count} argument(s); see --help')
         return ExitStatus.USAGE
     try:
         status: ExitStatus = curio.run(command, arguments, env)
@@ -54,7 +54,7 @@
     except BadArgument as error:
         env.err(f'millfork: {error}')
         return ExitStatus.USAGE
-    except Unreachable as error:
+    except NoEntryReachable as error:
         env.err(f'millfork: {error}')
         return ExitStatus.UNREACHABLE
     return status
@@ -71,7 +71,7 @@
 
 async def label(arguments: Arguments, env: Environment) -> ExitStatus:
     if len(arguments.operands) < 2:
-        raise BadArgument('label INSTANCE KEY=VALUE ... expected')
+        raise BadArgument('expected: label INSTANCE KEY=VALUE ...')
     labels = parse_labels(arguments.operands[1:])
     return await _send(arguments, env, {'labels': {arguments.operands[0]: labels}})
 
@@ -94,26 +94,26 @@
         'expect': arguments.expect,
         'remove': remove or [],
     }
-    response = await ControlClient(arguments).ask('POST', 'apply', body)
+    response = await ControlClient(arguments).request('POST', 'apply', body)
     if response.status != 200:
-        return refuse(response, env)
+        return report_refusal(response, env)
     env.out(f'accepted as revision {response.json()["revision"]}')
     return ExitStatus.SUCCESS
 
 
 async def get(arguments: Arguments, env: Environment) -> ExitStatus:
-    response = await ControlClient(arguments).ask('GET', 'state')
+    response = await ControlClient(arguments).request('GET', 'state')
     if response.status != 200:
-        return refuse(response, env)
+        return report_refusal(response, env)
     prefix = arguments.operands[0] if arguments.operands else ''
     state = response.json()
-    items = {key: item for key, item in state['items'].items() if key.startswith(prefix)}
+    records = {key: record for key, record in state['items'].items() if key.startswith(prefix)}
     if arguments.json:
-        env.out(json.dumps({'revision': state['revision'], 'items': items}))
+        env.out(json.dumps({'revision': state['revision'], 'items': records}))
         return ExitStatus.SUCCESS
     env.out(f'revision {state["revision"]}')
-    for key, item in sorted(items.items()):
-        env.out(f'{key}  (revision {item["revision"]})  {json.dumps(item["value"])}')
+    for key, record in sorted(records.items()):
+        env.out(f'{key}  (revision {record["revision"]})  {json.dumps(record["value"])}')
     return ExitStatus.SUCCESS
 
 
@@ -121,16 +121,16 @@
     control = ControlClient(arguments)
     if arguments.watch:
         return await watch(control, arguments, env)
-    response = await control.ask('GET', 'status')
+    response = await control.request('GET', 'status')
     if response.status != 200:
-        return refuse(response, env)
+        return report_refusal(response, env)
     body = response.json()
     if arguments.json:
         env.out(json.dumps(body))
         return ExitStatus.SUCCESS
     env.out(f'revision {body["revision"]}')
     for row in body['deployments']:
-        env.out(line(row))
+        env.out(format_rollout(row))
     return ExitStatus.SUCCESS
 
 
@@ -149,19 +149,19 @@
 
 async def explain(arguments: Arguments, env: Environment) -> ExitStatus:
     if not arguments.operands:
-        raise BadArgument('explain LOG ... expected')
-    requests: list[Ended] = []
+        raise BadArgument('expected: explain LOG ...')
+    requests: list[EndedRequest] = []
     for name in arguments.operands:
         try:
             with Path(name).open(errors='replace') as log:
-                requests += read(log)
+                requests += read_ended_requests(log)
         except OSError as error:
             env.err(f'millfork: {error}')
             return ExitStatus.ERROR
     if not requests:
-        env.err('millfork: no request ended in these logs')
+        env.err('millfork: these logs contain no ended request')
         return ExitStatus.ERROR
-    for row in table(requests, arguments.every):
+    for row in format_table(requests, arguments.every):
         env.out(row)
     return ExitStatus.SUCCESS
 
--- a/packages/millfork/millfork/explain.py
+++ b/packages/millfork/millfork/explain.py
@@ -1,5 +1,5 @@
 """
-What became of requests, by cause and moment, from the logs of entries.
+Counts requests by outcome and time, from the logs of entries.
 
 """
 
@@ -10,36 +10,37 @@
 from enum import Enum
 from typing import Final
 
-# The last line that an entry writes of each request.
-ENDED: Final = re.compile(r'(\d\d):(\d\d):(\d\d\.\d+) \w+ proxy: Request ended\. (.*)')
-SECONDS_OF_A_DAY: Final = 86_400
+# The last log line that an entry writes for each request.
+REQUEST_ENDED: Final = re.compile(r'(\d\d):(\d\d):(\d\d\.\d+) \w+ proxy: Request ended\. (.*)')
+SECONDS_PER_DAY: Final = 86_400
 
 
 class Cause(Enum):
     """
-    What a request came to. Late is what had its first token after the time left for it.
+    Why a request ended as it did. A request is late if its first token came after the time that
+    was left for it.
 
     """
 
     IN_TIME = 'in time'
     SERVED = 'served'
-    RETURNED = 'late: came back'
-    FULL = 'late: full engines'
-    UNFORESEEN = 'late: unforeseen'
+    LATE_AFTER_REFUSAL = 'late: came back'
+    LATE_ENGINES_FULL = 'late: full engines'
+    LATE_UNFORESEEN = 'late: unforeseen'
     BUSY = 'refused: busy'
-    NOTHING_SERVES = 'refused: no server'
+    NO_SERVER = 'refused: no server'
     LIMITED = 'refused: limits'
     RESTING = 'refused: rest'
     LEAVING = 'refused: leaving'
     REFUSED = 'refused: other'
     FAILED = 'failed'
-    LEFT = 'caller left'
+    CALLER_LEFT = 'caller left'
 
 
-# By the reason that the entry gave.
-CAUSES_OF_REFUSALS: Final = {
+# Causes by the reason that the entry gave for a refusal.
+CAUSE_BY_REFUSAL_REASON: Final = {
     'busy': Cause.BUSY,
-    'no_endpoint': Cause.NOTHING_SERVES,
+    'no_endpoint': Cause.NO_SERVER,
     'limited': Cause.LIMITED,
     'resting': Cause.RESTING,
     'leaving': Cause.LEAVING,
@@ -47,11 +48,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class EndedRequest:
     """
-    One request as the entry's last line tells it: when it came (seconds of the day), and
-    the times that decided, in ms. `left_ms` is what was left for the first token when an
-    engine was last weighed; 0 where none was.
+    One request, from the entry's last log line about it. `at_s` is when it arrived, in seconds
+    since midnight. `expected_ms` is the entry's last estimate of the time to the first token, and
+    `left_ms` the time that was left for it then (0: the entry made no estimate). `elapsed_ms` is
+    the time since the caller's first try, if that one was turned away (0: this is the first try).
 
     """
 
@@ -64,20 +66,20 @@
     elapsed_ms: float = 0.0
 
 
-def read(lines: Iterable[str]) -> Iterator[Ended]:
+def read_ended_requests(lines: Iterable[str]) -> Iterator[EndedRequest]:
     """
-    The requests that these lines tell of; other lines are passed over.
+    Parse the lines that report the end of a request; other lines are skipped.
 
     """
     for line in lines:
-        found = ENDED.search(line)
+        found = REQUEST_ENDED.search(line)
         if found is None:
             continue
         hours, minutes, seconds, rest = found.groups()
         fields = dict(item.split('=', 1) for item in rest.split() if '=' in item)
         ended_s = int(hours) * 3600 + int(minutes) * 60 + float(seconds)
-        yield Ended(
-            (ended_s - _number(fields, 'ms') / 1000) % SECONDS_OF_A_DAY,
+        yield EndedRequest(
+            (ended_s - _number(fields, 'ms') / 1000) % SECONDS_PER_DAY,
             fields.get('outcome', ''),
             fields.get('reason', ''),
             _number(fields, 'first_ms', -1.0),
@@ -94,52 +96,52 @@
         return default
 
 
-def cause_of(ended: Ended) -> Cause:
+def determine_cause(request: EndedRequest) -> Cause:
     """
-    Why a request ended as it did.
+    Determine the cause from the fields of the log line.
 
     """
-    if ended.outcome == 'served':
-        return _cause_of_served(ended)
-    if ended.outcome == 'caller_gone':
-        return Cause.LEFT
-    if ended.outcome != 'refused':
+    if request.outcome == 'served':
+        return _determine_cause_of_served(request)
+    if request.outcome == 'caller_gone':
+        return Cause.CALLER_LEFT
+    if request.outcome != 'refused':
         return Cause.FAILED
-    return CAUSES_OF_REFUSALS.get(ended.reason, Cause.REFUSED)
+    return CAUSE_BY_REFUSAL_REASON.get(request.reason, Cause.REFUSED)
 
 
-def _cause_of_served(ended: Ended) -> Cause:
-    if not ended.left_ms and not ended.expected_ms:
-        # A plain service's request: nothing was weighed.
+def _determine_cause_of_served(request: EndedRequest) -> Cause:
+    if not request.left_ms and not request.expected_ms:
+        # The service has no engines, so the entry made no estimate.
         return Cause.SERVED
-    if 0 <= ended.first_ms <= ended.left_ms:
+    if 0 <= request.first_ms <= request.left_ms:
         return Cause.IN_TIME
-    if ended.elapsed_ms > 0:
-        return Cause.RETURNED
-    if ended.expected_ms > ended.left_ms:
-        return Cause.FULL
-    return Cause.UNFORESEEN
+    if request.elapsed_ms > 0:
+        return Cause.LATE_AFTER_REFUSAL
+    if request.expected_ms > request.left_ms:
+        return Cause.LATE_ENGINES_FULL
+    return Cause.LATE_UNFORESEEN
 
 
-def table(requests: Iterable[Ended], every_s: float) -> list[str]:
+def format_table(requests: Iterable[EndedRequest], interval_s: float) -> list[str]:
     """
-    A line for each span of so many seconds, counted from the first request, with the
-    number of requests of each cause; a line of sums at the end.
+    Format a table with the number of requests of each cause: a heading, a line for each interval
+    of `interval_s`, counted from the first request, and a line of totals.
 
     """
-    ended = sorted(requests, key=lambda item: item.at_s)
-    if not ended:
+    ordered = sorted(requests, key=lambda request: request.at_s)
+    if not ordered:
         return []
-    began = ended[0].at_s
-    spans: dict[int, Counter[Cause]] = {}
-    for item in ended:
-        span = int((item.at_s - began) / every_s)
-        spans.setdefault(span, Counter())[cause_of(item)] += 1
-    total = sum(spans.values(), Counter())
+    started_at_s = ordered[0].at_s
+    counts_by_interval: dict[int, Counter[Cause]] = {}
+    for request in ordered:
+        interval = int((request.at_s - started_at_s) / interval_s)
+        counts_by_interval.setdefault(interval, Counter())[determine_cause(request)] += 1
+    total = sum(counts_by_interval.values(), Counter())
     causes = [cause for cause in Cause if total[cause]]
     lines = [_row('from second', [cause.value for cause in causes])]
-    for span, counts in sorted(spans.items()):
-        lines.append(_row(f'{span * every_s:g}', [str(counts[cause]) for cause in causes]))
+    for interval, counts in sorted(counts_by_interval.items()):
+        lines.append(_row(f'{interval * interval_s:g}', [str(counts[cause]) for cause in causes]))
     lines.append(_row('all', [str(total[cause]) for cause in causes]))
     return lines
 
--- a/packages/millfork/millfork/models.py
+++ b/packages/millfork/millfork/models.py
@@ -1,5 +1,5 @@
 """
-What a command needs from the command line.
+The parsed command line and the output streams of a command.
 
 """
 
@@ -25,14 +25,14 @@
     timeout: float = 600.0
     undo: bool = False
     json: bool = False
-    # Seconds that one line of `explain` covers.
+    # Seconds per line of the output of `explain`.
     every: float = 2.0
 
 
 @dataclass
 class Environment:
     """
-    Where the program reads and writes; replaced in tests.
+    Writes to standard output and standard error, or to lists in tests.
 
     """
 
--- a/packages/millfork/millfork/status.py
+++ b/packages/millfork/millfork/status.py
@@ -1,5 +1,5 @@
 """
-Rollouts, shown as they go.
+Shows the progress of rollouts.
 
 """
 
@@ -13,28 +13,28 @@
 from millfork_core.status import ExitStatus
 from millfork_web.models import Response
 
-POLL_S: Final = 0.2
+POLL_INTERVAL_S: Final = 0.2
 
 
-def line(row: dict[str, Any]) -> str:
+def format_rollout(row: dict[str, Any]) -> str:
     """
-    One rollout as a line of text.
+    Format one rollout as a line of text.
 
     """
-    share = sum(item['share'] for item in row['instances']) / max(row['selected'], 1)
+    held_share = sum(instance['share'] for instance in row['instances']) / max(row['selected'], 1)
     return (
         f'{row["deployment"]}  {row["model"]} {row["model_version"]}  '
-        f'{row["serving"]}/{row["selected"]} serving  {share:.0%} held'
+        f'{row["serving"]}/{row["selected"]} serving  {held_share:.0%} held'
     )
 
 
-def is_done(rows: list[dict[str, Any]]) -> bool:
+def all_serve(rows: list[dict[str, Any]]) -> bool:
     return bool(rows) and all(row['serving'] == row['selected'] > 0 for row in rows)
 
 
 async def watch(control: ControlClient, arguments: Arguments, env: Environment) -> ExitStatus:
     """
-    Follow all rollouts until every selected instance serves.
+    Show the progress of all rollouts until every selected instance serves its version.
 
     """
     with Progress(
@@ -47,30 +47,30 @@
         try:
             async with curio.timeout_after(arguments.timeout):
                 while True:
-                    response = await control.ask('GET', 'status')
+                    response = await control.request('GET', 'status')
                     if response.status != 200:
-                        return refuse(response, env)
+                        return report_refusal(response, env)
                     rows = response.json()['deployments']
                     for row in rows:
-                        _show(progress, tasks, row)
-                    if is_done(rows):
+                        _update_progress(progress, tasks, row)
+                    if all_serve(rows):
                         return ExitStatus.SUCCESS
-                    await curio.sleep(POLL_S)
+                    await curio.sleep(POLL_INTERVAL_S)
         except curio.TaskTimeout:
-            env.err(f'millfork: not done after {arguments.timeout:.0f} s')
+            env.err(f'millfork: the rollouts are not finished after {arguments.timeout:.0f} s')
             return ExitStatus.TIMED_OUT
 
 
-def _show(progress: Progress, tasks: dict[str, TaskID], row: dict[str, Any]) -> None:
+def _update_progress(progress: Progress, tasks: dict[str, TaskID], row: dict[str, Any]) -> None:
     name = f'{row["deployment"]} {row["model_version"]}'
     if name not in tasks:
         tasks[name] = progress.add_task(name, total=row['selected'])
     progress.update(tasks[name], completed=row['serving'], total=row['selected'])
 
 
-def refuse(response: Response, env: Environment) -> ExitStatus:
+def report_refusal(response: Response, env: Environment) -> ExitStatus:
     """
-    Print a refusal and give its exit status.
+    Print a refusal and return the exit status for its reason.
 
     """
     try:
