--- a/packages/millfork/millfork/cli/constants.py
+++ b/packages/millfork/millfork/cli/constants.py
@@ -18,7 +18,7 @@
   get [PREFIX]                  print the accepted configuration
   label INSTANCE KEY=VALUE ...  attach labels to an instance
   status                        show all rollouts; --watch follows them
-  drain INSTANCE                send an instance no new requests; --undo reverts it
+  drain INSTANCE                assign an instance no new work; --undo reverts it
   check FILE                    validate settings or a declaration; needs no fleet
   explain LOG ...               count requests by outcome and time, from the logs of
                                 entries; --every sets the interval in seconds
--- a/packages/millfork/millfork/cli/definition.py
+++ b/packages/millfork/millfork/cli/definition.py
@@ -38,6 +38,6 @@
 )
 flags.DEFINE_bool('watch', False, 'status: follow the rollouts until all instances serve.')
 flags.DEFINE_float('timeout', 600.0, 'status --watch: seconds to follow.', lower_bound=0)
-flags.DEFINE_bool('undo', False, 'drain: send the instance requests again.')
+flags.DEFINE_bool('undo', False, 'drain: assign the instance new work again.')
 flags.DEFINE_bool('json', False, 'Print JSON.')
 flags.DEFINE_float('every', 2.0, 'explain: seconds per line of the output.', lower_bound=0.001)
