--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,5 +1,5 @@
 """
-Command lines of both programs: help, usage, exit statuses.
+The command lines of `millfork` and `millforkd`: help, usage and exit statuses.
 
 """
 
@@ -14,21 +14,21 @@
 from millfork_core.status import ExitStatus
 
 
-def invoke(program, *arguments):
+def run_program(program, *arguments):
     command = [sys.executable, '-m', program, *arguments]
     return subprocess.run(command, capture_output=True, text=True, timeout=60, check=False)
 
 
 @pytest.mark.parametrize('program', ['millfork', 'millforkd'])
-def test_help_says_what_a_newcomer_needs(program):
-    done = invoke(program, '--help')
-    assert done.returncode == ExitStatus.SUCCESS
-    assert 'usage: ' in done.stdout
-    assert 'xit statuses' in done.stdout
+def test_help_shows_usage_and_exit_statuses(program):
+    completed = run_program(program, '--help')
+    assert completed.returncode == ExitStatus.SUCCESS
+    assert 'usage: ' in completed.stdout
+    assert 'xit statuses' in completed.stdout
 
 
 def test_every_command_is_in_the_help():
-    text = invoke('millfork', '--help').stdout
+    text = run_program('millfork', '--help').stdout
     for command in COMMANDS:
         assert f'\n  {command} ' in text
 
@@ -45,25 +45,25 @@
         ('millforkd', ['--settings=missing.yaml'], ExitStatus.BAD_SETTINGS),
     ],
 )
-def test_what_goes_wrong_has_its_exit_status(program, arguments, status):
-    done = invoke(program, *arguments)
-    assert done.returncode == status
-    assert done.stderr or not arguments
+def test_each_error_has_its_exit_status(program, arguments, status):
+    completed = run_program(program, *arguments)
+    assert completed.returncode == status
+    assert completed.stderr or not arguments
 
 
-def test_no_entry_is_an_exit_status_of_its_own():
+def test_an_unreachable_entry_has_its_exit_status():
     env = Environment(stdout=[], stderr=[])
     arguments = Arguments('get', [], [('127.9.9.9', 9)], 'token')
     assert run(arguments, env) == ExitStatus.UNREACHABLE
     assert '127.9.9.9:9' in env.stderr[0]
 
 
-def test_entries_and_labels_are_read():
+def test_entries_and_labels_are_parsed():
     assert parse_entries('10.0.0.1:80, 10.0.0.2:81') == [('10.0.0.1', 80), ('10.0.0.2', 81)]
     assert parse_labels(['a=b', 'c=D-1']) == {'a': 'b', 'c': 'D-1'}
 
 
 @pytest.mark.parametrize('labels', [['a'], ['=b'], ['a='], ['A=b'], ['a=b c']])
-def test_labels_that_are_none(labels):
+def test_malformed_labels_are_rejected(labels):
     with pytest.raises(BadArgument):
         parse_labels(labels)
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,5 +1,5 @@
 """
-What became of requests, told from the entries' logs.
+`millfork explain` counts requests by cause from the logs of entries.
 
 """
 
@@ -10,15 +10,15 @@
 from millfork.models import Arguments, Environment
 from millfork_core.status import ExitStatus
 
-LINE = (
+LOG_LINE = (
     '2026-10-08T07:45:{second:06.3f} INFO proxy: Request ended. id=a outcome={outcome} status=200 '
     'route=r service=s first_ms={first} ms=100 reason={reason} verdict= expected_ms={expected} '
     'left_ms=400 occupied=3 elapsed_ms=0'
 )
 
 
-def line(second=0.0, outcome='served', first=100, reason='', expected=90):
-    return LINE.format(
+def log_line(second=0.0, outcome='served', first=100, reason='', expected=90):
+    return LOG_LINE.format(
         second=second, outcome=outcome, first=first, reason=reason, expected=expected
     )
 
@@ -47,19 +47,19 @@
         (EndedRequest(0, 'caller_gone'), Cause.CALLER_LEFT),
     ],
 )
-def test_each_end_has_its_cause(ended, cause):
+def test_the_cause_follows_from_the_logged_fields(ended, cause):
     assert determine_cause(ended) is cause
 
 
-def test_lines_of_other_kinds_are_passed_over():
-    lines = ['garbage', line(1.5), '2026-10-08T07:45:01.000 INFO proxy: Attempt failed. id=a']
+def test_other_lines_are_skipped():
+    lines = ['garbage', log_line(1.5), '2026-10-08T07:45:01.000 INFO proxy: Attempt failed. id=a']
     (ended,) = read_ended_requests(lines)
     assert ended.at_s == pytest.approx(7 * 3600 + 45 * 60 + 1.4)
     assert (ended.first_ms, ended.expected_ms, ended.left_ms) == (100, 90, 400)
 
 
-def test_a_line_for_each_span_and_the_sums():
-    lines = [line(0.1), line(0.2, first=900), line(2.5, 'refused', -1, 'busy', 700)]
+def test_the_table_has_a_line_for_each_interval_and_the_totals():
+    lines = [log_line(0.1), log_line(0.2, first=900), log_line(2.5, 'refused', -1, 'busy', 700)]
     head, first, second, total = format_table(read_ended_requests(lines), 2.0)
     assert head.split()[:2] == ['from', 'second']
     assert first.split() == ['0', '1', '1', '0']
@@ -67,9 +67,9 @@
     assert total.split() == ['all', '1', '1', '1']
 
 
-def test_the_command_reads_logs_and_says_what_is_wrong_with_them(tmp_path):
+def test_the_command_reads_logs_and_reports_errors(tmp_path):
     log = tmp_path / 'entry.log'
-    log.write_text(line(0.1) + '\n' + line(0.3) + '\n')
+    log.write_text(log_line(0.1) + '\n' + log_line(0.3) + '\n')
     env = Environment(stdout=[], stderr=[])
     assert run(Arguments('explain', [str(log)], [], ''), env) == ExitStatus.SUCCESS
     assert env.stdout[-1].split() == ['all', '2']
--- a/tests/test_leaving_back_ends.py
+++ b/tests/test_leaving_back_ends.py
@@ -1,5 +1,5 @@
 """
-Back ends that say in their answers that they leave, while their heartbeats go on.
+Back ends that announce in their responses that they are leaving, and still send heartbeats.
 
 """
 
@@ -11,7 +11,7 @@
 from tests.test_seeded_fleet import request
 from tests.utils.loaded import LOAD_PER_S, loaded_fleet
 
-# How long what was under way may still come.
+# Requests that were already on the way may arrive for this long.
 DRAIN_S = 2.0
 LOAD_S = 4.0
 
@@ -22,10 +22,10 @@
         yield made
 
 
-def test_a_back_end_that_said_that_it_leaves_gets_nothing_more(fleet):
+def test_a_back_end_that_announced_leaving_gets_no_more_requests(fleet):
     leaving = fleet.back_ends[0]
     leaving.says = {client_requests.SERVER_LEAVING: '1'}
-    began = time.monotonic()
+    announced_at = time.monotonic()
     replies = fleet.load(lambda: request('/safe/x'), LOAD_PER_S, LOAD_S)
     assert all(reply.status == 200 for reply in replies)
-    assert leaving.most_in(LOAD_S, began + DRAIN_S) == 0
+    assert leaving.most_in(LOAD_S, announced_at + DRAIN_S) == 0
--- a/tests/test_limits_set_by_back_ends.py
+++ b/tests/test_limits_set_by_back_ends.py
@@ -1,5 +1,5 @@
 """
-Back ends that name how many requests a second they take.
+Back ends that limit the requests per second with the header `server-limit`.
 
 """
 
@@ -11,12 +11,12 @@
 from tests.test_seeded_fleet import request
 from tests.utils.loaded import LOAD_PER_S, loaded_fleet
 
-# How long the word of a back end may take to be heeded, and the time that is looked at.
-HEEDED_S = 3.0
+# How long a limit may take to be applied, and the window in which arrivals are counted.
+APPLIED_AFTER_S = 3.0
 WINDOW_S = 4.0
 
 
-def allowed(limit_per_s):
+def max_arrivals(limit_per_s):
     return 1.5 * limit_per_s * WINDOW_S + 5
 
 
@@ -26,32 +26,33 @@
         yield made
 
 
-def play(fleet):
+def send_load(fleet):
     """
-    Callers' load, as long as it takes to look at one window after the word is heeded.
+    Send the load for one window after the limit has to be applied. Returns the share of requests
+    that were served, and the time from which the limit has to be applied.
 
     """
-    named_at = time.monotonic()
-    replies = fleet.load(lambda: request('/safe/x'), LOAD_PER_S, HEEDED_S + WINDOW_S + 0.5)
-    served = sum(reply.status == 200 for reply in replies) / len(replies)
-    return served, named_at + HEEDED_S
+    limited_at = time.monotonic()
+    replies = fleet.load(lambda: request('/safe/x'), LOAD_PER_S, APPLIED_AFTER_S + WINDOW_S + 0.5)
+    served_share = sum(reply.status == 200 for reply in replies) / len(replies)
+    return served_share, limited_at + APPLIED_AFTER_S
 
 
-def test_a_back_end_that_names_a_limit_gets_no_more_than_it_takes(fleet):
+def test_a_back_end_gets_no_more_requests_than_its_limit(fleet):
     limited = fleet.back_ends[0]
     limited.says = {client_requests.SERVER_LIMIT: '1.8'}
-    served, since = play(fleet)
-    assert limited.most_in(WINDOW_S, since) <= allowed(1.8)
-    # The two others can carry all.
-    assert served == 1
+    served_share, since = send_load(fleet)
+    assert limited.most_in(WINDOW_S, since) <= max_arrivals(1.8)
+    # The two other back ends can serve the whole load.
+    assert served_share == 1
 
 
-def test_what_no_back_end_takes_is_refused_at_once(fleet):
+def test_requests_beyond_the_limits_of_all_back_ends_are_refused_at_once(fleet):
     for back_end in fleet.back_ends:
         back_end.says = {client_requests.SERVER_LIMIT: '2'}
-    served, since = play(fleet)
-    assert all(back_end.most_in(WINDOW_S, since) <= allowed(2) for back_end in fleet.back_ends)
-    assert served < 0.5
+    served_share, since = send_load(fleet)
+    assert all(back_end.most_in(WINDOW_S, since) <= max_arrivals(2) for back_end in fleet.back_ends)
+    assert served_share < 0.5
     refused = next(
         reply for _ in range(LOAD_PER_S) if (reply := fleet.ask(request('/safe/x'))).status != 200
     )
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,5 +1,5 @@
 """
-The adapter: each wire name read once, bad input answered by a clear error.
+The platform adapter parses valid messages and rejects invalid ones with `InvalidMessage`.
 
 """
 
@@ -25,7 +25,7 @@
 from millfork_web.models import Request
 
 ADAPTER = PlatformAdapter()
-BEAT = {
+HEARTBEAT = {
     'service': 's',
     'address': '10.0.0.9:8080',
     'zone': 'z',
@@ -66,17 +66,17 @@
 }
 
 
-def post(path, body):
+def parse_post(path, body):
     data = body if isinstance(body, bytes) else json.dumps(body).encode()
     return ADAPTER.read_call(Request('POST', path, [], data))
 
 
-def beat(**changes):
-    return post('/v1/Instances.Heartbeat/i-1', {**BEAT, **changes})
+def parse_heartbeat(**changes):
+    return parse_post('/v1/Instances.Heartbeat/i-1', {**HEARTBEAT, **changes})
 
 
-def test_a_heartbeat_is_a_lease():
-    call = beat()
+def test_a_heartbeat_carries_a_lease():
+    call = parse_heartbeat()
     assert isinstance(call, Heartbeat)
     lease = call.lease
     assert (lease.instance, lease.host, lease.port, lease.sequence) == ('i-1', '10.0.0.9', 8080, 4)
@@ -85,32 +85,32 @@
 
 
 def test_an_empty_engine_serves_nothing():
-    assert beat(layers={'from': 0, 'target_version': 0, 'version': 1}).lease.served == ()
+    assert parse_heartbeat(layers={'from': 0, 'target_version': 0, 'version': 1}).lease.served == ()
 
 
 def test_a_back_end_without_layers_serves_its_models_whole():
-    plain = {key: value for key, value in BEAT.items() if key != 'layers'}
-    lease = post('/v1/Instances.Heartbeat/i-1', plain).lease
+    plain = {key: value for key, value in HEARTBEAT.items() if key != 'layers'}
+    lease = parse_post('/v1/Instances.Heartbeat/i-1', plain).lease
     assert lease.served == (ServedVersion('m', 1),)
 
 
 @pytest.mark.parametrize('change', [{'state': 'odd'}, {'address': 'x'}, {'seq': 'x'}])
-def test_a_bad_heartbeat_says_why(change):
+def test_an_invalid_heartbeat_is_rejected(change):
     with pytest.raises(InvalidMessage):
-        beat(**change)
+        parse_heartbeat(**change)
 
 
-def test_the_other_calls():
-    assert post('/v1/Instances.Leave/i-1', b'') == LeaveNotice('i-1')
-    assert post('/v1/version-put', {'model': 'm', 'version': 2}) == SetModelVersion('m', 2)
+def test_other_calls_are_parsed():
+    assert parse_post('/v1/Instances.Leave/i-1', b'') == LeaveNotice('i-1')
+    assert parse_post('/v1/version-put', {'model': 'm', 'version': 2}) == SetModelVersion('m', 2)
     assert ADAPTER.read_call(Request('GET', '/v1/Config.Get')) == ReadDocument()
-    assert post('/elsewhere', b'') == UnknownCall()
+    assert parse_post('/elsewhere', b'') == UnknownCall()
     assert ADAPTER.read_call(Request('DELETE', '/v1/Config.Put')) == UnknownCall()
 
 
-def test_a_document_is_read_and_kept_as_it_came():
+def test_a_document_is_parsed_and_its_bytes_are_kept():
     body = json.dumps(DOCUMENT).encode()
-    call = post('/v1/Config.Put', body)
+    call = parse_post('/v1/Config.Put', body)
     assert isinstance(call, PutDocument)
     assert call.body == body
     document = call.document
@@ -126,9 +126,9 @@
 
 
 @given(st.integers(0, len(json.dumps(DOCUMENT)) - 1))
-def test_a_document_cut_short_is_refused(length):
+def test_a_truncated_document_is_rejected(length):
     with pytest.raises(InvalidMessage):
-        post('/v1/Config.Put', json.dumps(DOCUMENT).encode()[:length])
+        parse_post('/v1/Config.Put', json.dumps(DOCUMENT).encode()[:length])
 
 
 @given(
@@ -137,49 +137,56 @@
     ),
     st.binary(max_size=200) | st.text(max_size=100).map(lambda text: json.dumps(text).encode()),
 )
-def test_any_body_is_a_call_or_a_clear_error(path, body):
+def test_any_body_is_parsed_or_rejected(path, body):
     try:
-        post(path, body)
+        parse_post(path, body)
     except InvalidMessage as error:
         assert str(error)
 
 
-@given(st.dictionaries(st.sampled_from(sorted(BEAT)), st.none() | st.integers() | st.text()))
-def test_any_field_of_a_heartbeat_may_be_wrong(changes):
+@given(st.dictionaries(st.sampled_from(sorted(HEARTBEAT)), st.none() | st.integers() | st.text()))
+def test_a_heartbeat_with_any_wrong_fields_is_parsed_or_rejected(changes):
     try:
-        beat(**changes)
+        parse_heartbeat(**changes)
     except InvalidMessage as error:
         assert str(error)
 
 
 REPORT = json.dumps(
-    {'running': 3, 'queued': 1, 'kv_used': 5, 'kv_total': 9, 'pace': 1.5, 'models': BEAT['models']}
+    {
+        'running': 3,
+        'queued': 1,
+        'kv_used': 5,
+        'kv_total': 9,
+        'pace': 1.5,
+        'models': HEARTBEAT['models'],
+    }
 ).encode()
 PIECE_LIST = b'{"model":"m","version":2,"digests":["9f","07"]}'
 
 
 @given(st.sampled_from([REPORT, PIECE_LIST]), st.integers(0, 200), st.binary(max_size=20))
-def test_any_answer_of_an_engine_or_origin_is_read_or_a_clear_error(body, cut, more):
+def test_any_answer_of_an_engine_or_origin_is_parsed_or_rejected(body, length, suffix):
     for read in (ADAPTER.read_report, ADAPTER.read_piece_list, ADAPTER.read_document):
-        for spoilt in (body[:cut], body[:cut] + more, more + body):
+        for corrupted in (body[:length], body[:length] + suffix, suffix + body):
             try:
-                read(spoilt)
+                read(corrupted)
             except InvalidMessage as error:
                 assert str(error)
 
 
 @given(st.binary(max_size=40))
-def test_any_head_of_a_caller_is_read_or_a_clear_error(value):
+def test_any_header_of_a_caller_is_parsed_or_rejected(value):
     text = value.decode('latin-1')
-    for name, _ in HEAD:
-        changed = [(key, text if key == name else held) for key, held in HEAD]
+    for name, _ in CALLER_HEADERS:
+        changed = [(key, text if key == name else held) for key, held in CALLER_HEADERS]
         try:
             ADAPTER.read_caller_request(Request('POST', '/a/b', changed))
         except InvalidMessage as error:
             assert str(error)
 
 
-HEAD = [
+CALLER_HEADERS = [
     ('host', 'h.example'),
     ('x-request-id', '9c41'),
     ('last-event-id', '12'),
@@ -195,8 +202,8 @@
 ]
 
 
-def test_a_caller_head():
-    caller = ADAPTER.read_caller_request(Request('POST', '/a/b?c=1', HEAD))
+def test_the_headers_of_a_caller_are_parsed():
+    caller = ADAPTER.read_caller_request(Request('POST', '/a/b?c=1', CALLER_HEADERS))
     assert (caller.request_id, caller.key, caller.deadline_ms) == ('9c41', 'k1', 6077)
     assert (caller.prompt_tokens, caller.answer_tokens) == (1460, 80)
     assert caller.prefix_parts == (('5c1e', 800), ('91bd', 410))
@@ -204,17 +211,17 @@
 
 
 @pytest.mark.parametrize('bad', [('x-deadline-ms', 'soon'), ('x-token-count', 'a,b')])
-def test_a_head_that_makes_no_sense_is_an_error(bad):
-    head = [item for item in HEAD if item[0] != bad[0]]
+def test_invalid_headers_of_a_caller_are_rejected(bad):
+    head = [item for item in CALLER_HEADERS if item[0] != bad[0]]
     with pytest.raises(InvalidMessage):
         ADAPTER.read_caller_request(Request('POST', '/', [*head, bad]))
     with pytest.raises(InvalidMessage):
         ADAPTER.read_caller_request(Request('POST', '/', [('host', 'h')]))
 
 
-def test_what_a_back_end_gets():
+def test_headers_sent_to_a_back_end():
     options = ForwardOptions('i-7', 500, 'o', True, 2, 4, 15)
-    headers = dict(ADAPTER.back_end_headers(Request('POST', '/', HEAD), options))
+    headers = dict(ADAPTER.back_end_headers(Request('POST', '/', CALLER_HEADERS), options))
     assert headers['x-expect-instance'] == 'i-7'
     assert headers['x-deadline-ms'] == '500'
     assert headers['x-tenant'] == 'o'
@@ -225,9 +232,9 @@
     assert not {'authorization', 'connection', 'x-mine'} & set(headers)
 
 
-def test_a_path_names_its_parts_in_order():
+def test_the_path_header_lists_its_segments_in_order():
     path = (PathSegment('10.0.0.1', 80, 0, 8), PathSegment('10.0.0.2', 81, 8, 16))
-    forged = [*HEAD, ('path', 'elsewhere')]
+    forged = [*CALLER_HEADERS, ('path', 'elsewhere')]
     headers = dict(
         ADAPTER.back_end_headers(Request('POST', '/', forged), ForwardOptions('i', 5, path=path))
     )
@@ -237,13 +244,15 @@
     )
 
 
-def test_a_forged_organisation_never_passes():
-    headers = dict(ADAPTER.back_end_headers(Request('POST', '/', HEAD), ForwardOptions('i-7', 500)))
+def test_a_forged_organisation_is_dropped():
+    headers = dict(
+        ADAPTER.back_end_headers(Request('POST', '/', CALLER_HEADERS), ForwardOptions('i-7', 500))
+    )
     assert 'x-tenant' not in headers
     assert headers['last-event-id'] == '12'
 
 
-def test_the_head_of_an_answer():
+def test_the_headers_of_an_answer_are_parsed():
     head = ADAPTER.read_answer_head(
         503, [('x-not-executed', '1'), ('keep-alive', 'timeout=5, max=9'), ('x-request-id', 'a')]
     )
@@ -258,15 +267,15 @@
     assert ADAPTER.read_answer_head(200, [('connection', 'Close')]).closes_connection
 
 
-def test_what_a_caller_gets():
+def test_headers_sent_to_a_caller():
     headers = [('x-server-stamp', 's'), ('connection', 'close'), ('content-type', 'a')]
     assert ADAPTER.caller_headers(headers) == [('x-server-stamp', 's'), ('content-type', 'a')]
     assert ('retry-after', '0.250') in ADAPTER.refusal_headers('id', 250)
 
 
-def test_engine_calls():
+def test_engine_messages():
     body = json.dumps(
-        {'running': 3, 'queued': 1, 'kv_used': 5, 'models': BEAT['models'], 'layers': None}
+        {'running': 3, 'queued': 1, 'kv_used': 5, 'models': HEARTBEAT['models'], 'layers': None}
     ).encode()
     report = ADAPTER.read_report(body)
     assert (report.running, report.queued, report.served) == (3, 1, (('m', 1, 0, None),))
--- a/tests/test_requests_that_crash_instances.py
+++ b/tests/test_requests_that_crash_instances.py
@@ -1,8 +1,8 @@
 """
-A request under which whole instances end, endpoint daemon and engine at once, on a listed fleet.
+A request that ends whole instances, the endpoint daemon together with the engine.
 
-The endpoint that would tell of its engine's end is gone with it. An entry that lost the connection
-to an endpoint counted nothing, so the request was sent on to one instance after another.
+The endpoint that would report the end of its engine has ended too. If an entry doesn't count a
+lost connection to an endpoint as an end, it sends the request to one instance after another.
 """
 
 import threading
@@ -15,7 +15,7 @@
 from tests.utils.fleets import wait_until
 
 CALLS = 10
-# Long enough for the test to end the instance first.
+# Long enough for the test to kill the instance before its engine crashes.
 CRASH_AFTER_MS = 2000
 
 
@@ -29,9 +29,9 @@
         made.close()
 
 
-def running(crashing, nonce):
+def running_instance(crashing, nonce):
     """
-    The engine that began a request and has not ended since.
+    The instance whose engine started a request and has logged nothing since; None if there is none.
 
     """
     for instance in crashing.fleet.engines:
@@ -41,24 +41,26 @@
     return None
 
 
-def call_and_end_instance(crashing, number):
+def call_and_kill_instance(crashing, number):
     """
-    One call, and the end of the instance that runs it; whether one did.
+    Send one call and kill the instance that runs it. Returns whether an instance ran it.
 
     """
     nonce = 'takes all'
-    asking = threading.Thread(target=lambda: crashing.call(0, nonce=nonce))
-    asking.start()
-    wait_until(lambda: running(crashing, nonce) is not None or not asking.is_alive())
-    instance = running(crashing, nonce)
+    caller = threading.Thread(target=lambda: crashing.call(0, nonce=nonce))
+    caller.start()
+    wait_until(lambda: running_instance(crashing, nonce) is not None or not caller.is_alive())
+    instance = running_instance(crashing, nonce)
     if instance is not None:
         crashing.fleet.kill(instance.name)
         crashing.fleet.processes[f'{instance.name}.backend'].kill()
-    asking.join()
+    caller.join()
     if instance is None:
         return False
-    # What it began is over.
-    wait_until(lambda: running(crashing, nonce) is not instance or restart(crashing, instance))
+    # Logs another execution, so that this instance no longer counts as running the request.
+    wait_until(
+        lambda: running_instance(crashing, nonce) is not instance or restart(crashing, instance)
+    )
     return True
 
 
@@ -68,6 +70,6 @@
     return True
 
 
-def test_a_request_under_which_instances_end_is_sent_no_more(crashing):
-    ended = sum(call_and_end_instance(crashing, number) for number in range(CALLS))
-    assert ended <= ENDS_BEFORE_QUARANTINE + MAX_FURTHER_ENDS
+def test_a_request_that_ended_instances_is_no_longer_sent(crashing):
+    ended_count = sum(call_and_kill_instance(crashing, number) for number in range(CALLS))
+    assert ended_count <= ENDS_BEFORE_QUARANTINE + MAX_FURTHER_ENDS
