--- a/tests/test_ends_after_their_callers_left.py
+++ b/tests/test_ends_after_their_callers_left.py
@@ -13,7 +13,7 @@
 import pytest
 
 from millfork_standins.seeded import CALLERS_PORT, CRASHING_BODY, SeededFleet
-from tests.test_crashing_requests import ENDS, MOST_AFTER, ended
+from tests.test_crashing_requests import ENDS_BEFORE_QUARANTINE, MAX_FURTHER_ENDS, ended
 from tests.test_seeded_fleet import document, request
 from tests.utils.fleets import wait_until
 
@@ -80,7 +80,7 @@
         over.set()
     if busy:
         asking.join()
-    assert ended(fleet) <= ENDS + MOST_CROSSING + MOST_AFTER
+    assert ended(fleet) <= ENDS_BEFORE_QUARANTINE + MOST_CROSSING + MAX_FURTHER_ENDS
 
 
 def ask_others(fleet, over):
--- a/tests/test_late_closing_back_ends.py
+++ b/tests/test_late_closing_back_ends.py
@@ -9,7 +9,7 @@
 import pytest
 
 from millfork_standins.seeded import SeededFleet
-from tests.test_crashing_requests import ENDS, MOST_AFTER, crashing, ended
+from tests.test_crashing_requests import ENDS_BEFORE_QUARANTINE, MAX_FURTHER_ENDS, crashing, ended
 from tests.test_seeded_fleet import document, request
 from tests.utils.fleets import wait_until
 
@@ -39,7 +39,7 @@
     for back_end in fleet.back_ends:
         back_end.closes_after_s = closes_after_s
     replies = [fleet.ask(crashing(), number % 2) for number in range(CALLS)]
-    assert ended(fleet) <= ENDS + MOST_CROSSING + MOST_AFTER
+    assert ended(fleet) <= ENDS_BEFORE_QUARANTINE + MOST_CROSSING + MAX_FURTHER_ENDS
     assert all(reply.status in (502, 503) for reply in replies)
 
 
@@ -52,7 +52,7 @@
     innocent = request('/safe/x', 'POST', body=b'innocent')
     for back_end in fleet.back_ends:
         back_end.breaks_off = True
-    for number in range(ENDS + 1):
+    for number in range(ENDS_BEFORE_QUARANTINE + 1):
         assert fleet.ask(innocent, number % 2).status in (502, 503)
     for back_end in fleet.back_ends:
         back_end.breaks_off = False
--- a/tests/test_platform_foreign_messages.py
+++ b/tests/test_platform_foreign_messages.py
@@ -29,7 +29,7 @@
 from millfork_web.models import Request
 from millforkd.replica.control import Control
 from tests.test_incarnations import FIRST_INCARNATION, lease
-from tests.test_platform import BEAT, DOCUMENT, post
+from tests.test_platform import DOCUMENT, HEARTBEAT, parse_post
 from tests.test_registry import HEARTBEAT_S, Clock
 from tests.test_seeded_fleet import document
 
@@ -107,10 +107,10 @@
 
 
 @settings(max_examples=300, deadline=None)
-@given(mutated({**BEAT, 'born': FIRST_INCARNATION}))
+@given(mutated({**HEARTBEAT, 'born': FIRST_INCARNATION}))
 def test_a_heartbeat_is_fully_valid_or_refused(body):
     try:
-        call = post('/v1/Instances.Heartbeat/i-1', body)
+        call = parse_post('/v1/Instances.Heartbeat/i-1', body)
     except InvalidMessage:
         return
     assert isinstance(call, Heartbeat)
@@ -124,7 +124,7 @@
 @given(mutated(DOCUMENT))
 def test_a_document_is_fully_valid_or_refused(body):
     try:
-        call = post('/v1/Config.Put', body)
+        call = parse_post('/v1/Config.Put', body)
     except InvalidMessage:
         return
     assert isinstance(call, PutDocument)
@@ -156,7 +156,7 @@
 def test_other_calls_are_accepted_or_refused(version, goodbye):
     for path, body in (('/v1/version-put', version), ('/v1/Instances.Leave/i-1', goodbye)):
         try:
-            post(path, body)
+            parse_post(path, body)
         except InvalidMessage:
             continue
 
@@ -178,9 +178,9 @@
 
 def test_a_goodbye_with_a_body_names_its_incarnation():
     path = '/v1/Instances.Leave/i-1'
-    assert post(path, b'') == LeaveNotice('i-1', None)
-    assert post(path, {'born': FIRST_INCARNATION}) == LeaveNotice('i-1', FIRST_INCARNATION)
-    assert post(path, {}) == LeaveNotice('i-1', 0)
+    assert parse_post(path, b'') == LeaveNotice('i-1', None)
+    assert parse_post(path, {'born': FIRST_INCARNATION}) == LeaveNotice('i-1', FIRST_INCARNATION)
+    assert parse_post(path, {}) == LeaveNotice('i-1', 0)
 
 
 def test_fractional_counts_in_a_document_are_rounded():
@@ -188,7 +188,7 @@
     body['services'][0]['max_conns'] = 66.6
     body['services'][0]['engine']['slots'] = 0.4
     body['routes'][0]['timeout_ms'] = 6000.5
-    found = post('/v1/Config.Put', body).document
+    found = parse_post('/v1/Config.Put', body).document
     assert found.services[0].max_connections == 66
     assert found.services[0].engine.slots == 1
     assert found.routes[0].timeout_ms == 6001
@@ -242,7 +242,7 @@
 def test_a_foreign_heartbeat_is_refused_and_changes_no_lease(change):
     calls = ReplicaCalls()
     held = calls.registry.leases.get('i-1')
-    body = {**BEAT, 'address': '10.0.0.1:80', 'born': FIRST_INCARNATION + 1, **change}
+    body = {**HEARTBEAT, 'address': '10.0.0.1:80', 'born': FIRST_INCARNATION + 1, **change}
     for name in ('i-1', 'i-2'):
         request = Request('POST', f'{names.HEARTBEAT_PATH}{name}', [], json.dumps(body).encode())
         assert 400 <= calls.send(request) < 500
