--- a/tests/test_ends_after_their_callers_left.py
+++ b/tests/test_ends_after_their_callers_left.py
@@ -13,7 +13,7 @@
 import pytest
 
 from millfork_standins.seeded import CALLERS_PORT, CRASHING_BODY, SeededFleet
-from tests.test_crashing_requests import ENDS_BEFORE_QUARANTINE, MAX_FURTHER_ENDS, ended
+from tests.test_crashing_requests import ENDS_BEFORE_QUARANTINE, MAX_FURTHER_ENDS, count_ended
 from tests.test_seeded_fleet import document, request
 from tests.utils.fleets import wait_until
 
@@ -80,7 +80,7 @@
         over.set()
     if busy:
         asking.join()
-    assert ended(fleet) <= ENDS_BEFORE_QUARANTINE + MOST_CROSSING + MAX_FURTHER_ENDS
+    assert count_ended(fleet) <= ENDS_BEFORE_QUARANTINE + MOST_CROSSING + MAX_FURTHER_ENDS
 
 
 def ask_others(fleet, over):
@@ -92,7 +92,7 @@
 
 def call_and_leave_often(fleet):
     for number in range(CALLS):
-        before = ended(fleet), arrived(fleet)
+        before = count_ended(fleet), arrived(fleet)
         call_and_leave(fleet, number % ENTRIES)
         if arrived(fleet) > before[1]:
-            wait_until(lambda before=before: ended(fleet) > before[0])
+            wait_until(lambda before=before: count_ended(fleet) > before[0])
--- a/tests/test_faults_left_open.py
+++ b/tests/test_faults_left_open.py
@@ -1,5 +1,5 @@
 """
-Faults that the postmortems leave open, each brought about. Those that fail are in KNOWN-RED.txt.
+Reproduces the faults that the postmortems leave open. The failing tests are in KNOWN-RED.txt.
 
 """
 
@@ -28,8 +28,8 @@
 from tests.test_servers import Clock
 from tests.test_versions import SWITCH_S
 
-AWAY_S = 3.0
-LOAD = 1.2
+DOWN_S = 3.0
+LOAD_FACTOR = 1.2
 LEAST = 0.9
 DAY_S = 24 * 3600
 STEP_S = 30
@@ -37,8 +37,8 @@
 
 def test_a_request_that_only_ran_beside_the_one_at_fault_is_tried_again_within_a_day():
     """
-    All that ran on three back ends that ended one after another shares the suspicion; without
-    a try no answer can come whole and clear it.
+    Three back ends ended one after another. All requests that ran on them are suspected, and only
+    a complete answer clears one; without a trial there can be none.
 
     """
 
@@ -58,15 +58,15 @@
 
 def test_a_version_ends_in_time_where_all_replicas_lose_power_after_its_naming(tmp_path):
     """
-    It was acknowledged by a leader whose word of the commit no other one had. None of them knows
-    for how long all were away.
+    The leader acknowledged the new version, but no other replica had learned of the commit. After
+    the power loss no replica knows for how long all were down.
 
     """
     clock = Clock()
     before = replica_in(tmp_path, clock)
     append(before, [genesis(before), version_entry(2)], commit=1)
     acknowledged_at = clock.now
-    clock.now += AWAY_S
+    clock.now += DOWN_S
     replica = replica_in(tmp_path, clock)
     versions = versions_of(replica)
     win_election(replica)
@@ -81,7 +81,7 @@
 @pytest.mark.parametrize(('late', 'live'), [(0, 0), (1, 2)], ids=['start-not-told', 'start-told'])
 def test_a_late_first_heartbeat_of_one_that_has_ended_ends_no_lease(replica, clock, late, live):
     """
-    Where starts of processes are told, the live one's is the later, and decides.
+    If the heartbeats carry incarnations, the live process has the later one, which decides.
 
     """
     replica.record_heartbeat(heartbeats.lease('i-2', 5, incarnation=live))
@@ -93,26 +93,26 @@
 @pytest.mark.parametrize('entries', [6, 98, 380])
 def test_entries_together_use_most_of_a_small_limit(entries):
     """
-    Callers have twenty times what the back end takes; 20 plays of each.
+    Callers send twenty times what the back end accepts; 20 simulations for each number of entries.
 
     """
     limit_per_s = 1.0
-    used = []
+    used_shares = []
     for seed in range(20):
         random = Random(seed)
-        way = Shares(limit_per_s, entries, random)
-        sent = play(way, limit_per_s, entries, 20.0, random)
-        used.append(len(sent) / SECONDS / limit_per_s)
-    assert statistics.mean(used) >= 0.5
+        shares = Shares(limit_per_s, entries, random)
+        sent = play(shares, limit_per_s, entries, 20.0, random)
+        used_shares.append(len(sent) / SECONDS / limit_per_s)
+    assert statistics.mean(used_shares) >= 0.5
 
 
 @pytest.mark.parametrize('seed', [22, 70])
 def test_split_knowledge_loses_no_more_than_a_stated_part_with_other_seeds(seed):
     """
-    Thirteen entries before four engines; two of 200 other seeds lose more than 0.2.
+    13 entries in front of four engines. With two of 200 other seeds the loss exceeds 0.2.
 
     """
-    built = drawn.played(drawn.SPLIT, LOAD, seed, Way.BUILT, LEAST)
-    single = drawn.played(replace(drawn.SPLIT, entries=1), LOAD, seed, Way.KNOWN, LEAST)
+    built = drawn.played(drawn.SPLIT, LOAD_FACTOR, seed, Way.BUILT, LEAST)
+    single = drawn.played(replace(drawn.SPLIT, entries=1), LOAD_FACTOR, seed, Way.KNOWN, LEAST)
     in_time = built.outcomes.share('in time')
     assert in_time > single.outcomes.share('in time') - drawn.SPLIT_LOSS
--- a/tests/test_history_runs.py
+++ b/tests/test_history_runs.py
@@ -1,5 +1,5 @@
 """
-Histories of concurrent operators on real processes, under failure.
+Histories of concurrent operators on a fleet of processes with failures.
 
 """
 
@@ -20,29 +20,29 @@
 from millfork_standins.requests import fetch
 from tests.utils.fleets import wait_until
 
-SHAPE = replace(LANTING, engines=0, plain_services={})
+DEPLOYMENT = replace(LANTING, engines=0, plain_services={})
 THREADS = 4
 
-wishes = st.builds(
+operations = st.builds(
     Wish,
     entry=st.integers(0, 5),
     key=st.integers(0, 2),
-    is_read=st.integers(0, 4).map(lambda chance: chance == 0),
+    is_read=st.integers(0, 4).map(lambda number: number == 0),
     expects=st.booleans(),
     resends=st.booleans(),
 )
 plan = st.builds(
     operator.add,
-    st.lists(wishes.filter(lambda wish: not wish.is_read), min_size=6, max_size=6),
-    st.lists(wishes, min_size=8, max_size=8),
+    st.lists(operations.filter(lambda operation: not operation.is_read), min_size=6, max_size=6),
+    st.lists(operations, min_size=8, max_size=8),
 )
 plans = st.lists(plan, min_size=THREADS, max_size=THREADS)
-turns = itertools.count()
+run_numbers = itertools.count()
 
 
 @pytest.fixture(scope='module')
 def fleet(tmp_path_factory):
-    made = Fleet(SHAPE, tmp_path_factory.mktemp('fleet'), FleetOptions())
+    made = Fleet(DEPLOYMENT, tmp_path_factory.mktemp('fleet'), FleetOptions())
     made.start()
     path = made.write_declaration('organisations.yaml', made.organisations_declaration())
     assert made.operate('apply', str(path)).returncode == 0
@@ -65,11 +65,11 @@
     fleet.thaw(name)
 
 
-def leave_alone(fleet, name):
+def inject_no_failure(fleet, name):
     fleet.wait_ready(fleet.instances[name])
 
 
-TROUBLES = [kill_and_restart, freeze_and_thaw, leave_alone]
+FAILURES = [kill_and_restart, freeze_and_thaw, inject_no_failure]
 
 
 @given(plans)
@@ -80,13 +80,13 @@
     suppress_health_check=[HealthCheck.function_scoped_fixture, HealthCheck.too_slow],
 )
 def test_configuration_is_linearizable_under_failure(fleet, plans):
-    turn = next(turns)
+    run_number = next(run_numbers)
     recorder = Recorder(fleet)
     recorder.read(0)
     observers = recorder.observe()
     threads = recorder.run(plans)
-    victim = fleet.replicas[turn % len(fleet.replicas)].name
-    TROUBLES[turn % len(TROUBLES)](fleet, victim)
+    victim = fleet.replicas[run_number % len(fleet.replicas)].name
+    FAILURES[run_number % len(FAILURES)](fleet, victim)
     for thread in threads:
         thread.join(120)
     while not recorder.read(3):
@@ -113,7 +113,7 @@
 
 
 def test_a_leader_that_is_cut_off_accepts_nothing(tmp_path):
-    fleet = Fleet(SHAPE, tmp_path, FleetOptions(relay=True))
+    fleet = Fleet(DEPLOYMENT, tmp_path, FleetOptions(relay=True))
     try:
         fleet.start()
         fleet.apply(fleet.organisations_declaration())
--- a/tests/test_late_closing_back_ends.py
+++ b/tests/test_late_closing_back_ends.py
@@ -9,7 +9,12 @@
 import pytest
 
 from millfork_standins.seeded import SeededFleet
-from tests.test_crashing_requests import ENDS_BEFORE_QUARANTINE, MAX_FURTHER_ENDS, crashing, ended
+from tests.test_crashing_requests import (
+    ENDS_BEFORE_QUARANTINE,
+    MAX_FURTHER_ENDS,
+    count_ended,
+    crashing_request,
+)
 from tests.test_seeded_fleet import document, request
 from tests.utils.fleets import wait_until
 
@@ -38,8 +43,8 @@
 def test_an_end_counts_however_late_the_address_closes(fleet, closes_after_s):
     for back_end in fleet.back_ends:
         back_end.closes_after_s = closes_after_s
-    replies = [fleet.ask(crashing(), number % 2) for number in range(CALLS)]
-    assert ended(fleet) <= ENDS_BEFORE_QUARANTINE + MOST_CROSSING + MAX_FURTHER_ENDS
+    replies = [fleet.ask(crashing_request(), number % 2) for number in range(CALLS)]
+    assert count_ended(fleet) <= ENDS_BEFORE_QUARANTINE + MOST_CROSSING + MAX_FURTHER_ENDS
     assert all(reply.status in (502, 503) for reply in replies)
 
 
--- a/tests/test_leases_after_a_freeze.py
+++ b/tests/test_leases_after_a_freeze.py
@@ -1,6 +1,6 @@
 """
-While one replica stands still for longer than a lease lasts, no other one, nor that one when
-it goes on, ends a lease whose owner has got heartbeats all the time.
+One replica is frozen for longer than a lease lasts. Neither the other replicas nor that one, once
+it resumes, may end a lease whose owner received heartbeats all the time.
 
 """
 
@@ -14,13 +14,13 @@
 from tests.test_version_ends import pass_time
 from tests.utils.fleets import wait_until
 
-# Each freeze ends at another moment of the rounds in which replicas ask each other.
+# Each freeze ends at a different point of the rounds in which the replicas query each other.
 FREEZES_S = [3.8, 3.8, 3.8, 3.8, 4.4, 4.9]
 
 
-class FaithfulBackEnd(BackEnd):
+class SingleReplicaBackEnd(BackEnd):
     """
-    It sends its heartbeats to the first replica alone, which always takes them.
+    Sends its heartbeats only to the first replica, which is never frozen.
 
     """
 
@@ -37,7 +37,7 @@
     made = SeededFleet(tmp_path)
     try:
         made.start()
-        made.back_ends.append(FaithfulBackEnd(made.back_host, 'plain', 'i-1', made))
+        made.back_ends.append(SingleReplicaBackEnd(made.back_host, 'plain', 'i-1', made))
         assert made.put(document(1, '/safe/')).status == 200
         wait_until(lambda: made.ask(request('/safe/x')).status == 200)
         yield made
@@ -45,23 +45,23 @@
         made.close()
 
 
-def test_no_lease_ends_while_its_owner_hears_the_back_end(fleet):
+def test_no_lease_ends_while_its_owner_receives_heartbeats(fleet):
     pass_time(2.0)
     for number, frozen_s in enumerate(FREEZES_S):
-        struck = fleet.replica_hosts[1 + number % 2]
-        fleet.signal(struck, signal.SIGSTOP)
+        frozen = fleet.replica_hosts[1 + number % 2]
+        fleet.signal(frozen, signal.SIGSTOP)
         pass_time(frozen_s)
-        fleet.signal(struck, signal.SIGCONT)
+        fleet.signal(frozen, signal.SIGCONT)
         pass_time(1.3)
-    # Long enough for anything to put it right.
+    # Long enough for a lease that was ended wrongly to be restored.
     pass_time(10.0)
-    ended = [
+    lease_lines = [
         f'{host} {line}'
         for host in (*fleet.replica_hosts, *fleet.entry_hosts)
         for line in fleet.log(host).splitlines()
         if 'Lease ' in line
     ]
-    served = fleet.ask(request('/safe/x')).status
-    assert (served, [line for line in ended if 'Lease expired' in line]) == (200, []), '\n'.join(
-        ended
+    status = fleet.ask(request('/safe/x')).status
+    assert (status, [line for line in lease_lines if 'Lease expired' in line]) == (200, []), (
+        '\n'.join(lease_lines)
     )
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -15,7 +15,7 @@
     Runner(tmp_path).run(parse(path))
 
 
-def test_steps_are_read_with_their_lines(tmp_path):
+def test_steps_are_parsed_with_their_line_numbers(tmp_path):
     path = tmp_path / 'one.txt'
     path.write_text('# why\nfleet lanting relay=yes engine.token_ms=20\n\ncut 1-2 1-3  # two\n')
     assert parse(path) == [
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize('text', ['dance', 'wait ready entry-1', 'cut 1', 'corrupt much'])
-def test_what_is_no_step_is_refused_with_its_place(tmp_path, text):
+def test_an_invalid_step_is_reported_with_file_and_line(tmp_path, text):
     path = tmp_path / 'bad.txt'
     path.write_text(f'fleet lanting\n{text}\n')
     with pytest.raises(BadScenario, match='bad.txt:[23]:'):
--- a/tests/test_seeded_fleet.py
+++ b/tests/test_seeded_fleet.py
@@ -1,5 +1,5 @@
 """
-A seeded fleet of real processes: replicas, an entry, back ends, an operator.
+A seeded fleet: processes of replicas and of an entry, with simulated back ends and an operator.
 
 """
 
@@ -67,7 +67,7 @@
 
 def leader(fleet):
     """
-    The host of the replica that began to lead last.
+    The host of the running replica that became leader in the highest term.
 
     """
     terms = {}
@@ -79,21 +79,21 @@
 
 
 def test_a_request_reaches_its_back_end_and_the_answer_its_caller(fleet):
-    asked = request('/safe/y')
-    reply = fleet.ask(asked)
+    sent = request('/safe/y')
+    reply = fleet.ask(sent)
     assert (reply.status, reply.body) == (200, b'answer')
     assert reply.headers[client_requests.SIGNATURE] == 'i-1'
-    seen = fleet.back_end.executed[-1]
-    assert seen[client_requests.REQUEST_ID] == dict(asked.headers)[client_requests.REQUEST_ID]
-    assert seen[client_requests.EXPECT_INSTANCE] == 'i-1'
-    assert seen[client_requests.ORGANISATION] == 'org'
-    assert 0 < int(seen[client_requests.DEADLINE_MS]) <= 4000
-    assert 'authorization' not in seen
+    received = fleet.back_end.executed[-1]
+    assert received[client_requests.REQUEST_ID] == dict(sent.headers)[client_requests.REQUEST_ID]
+    assert received[client_requests.EXPECT_INSTANCE] == 'i-1'
+    assert received[client_requests.ORGANISATION] == 'org'
+    assert 0 < int(received[client_requests.DEADLINE_MS]) <= 4000
+    assert 'authorization' not in received
     assert fleet.ask(request('/safe/y', key='unknown')).status == 401
     assert fleet.ask(request('/nowhere/')).status == 404
 
 
-def test_what_is_not_repeatable_runs_once_when_its_answer_is_lost(fleet):
+def test_an_unsafe_request_runs_once_if_its_answer_is_lost(fleet):
     fleet.add_back_end('plain', 'i-2')
     for back_end in fleet.back_ends:
         back_end.breaks_off = True
@@ -103,14 +103,14 @@
     assert sum(len(back_end.executed) for back_end in fleet.back_ends) == 1
 
 
-def test_a_safe_request_goes_to_another_back_end(fleet):
+def test_a_safe_request_is_retried_on_another_back_end(fleet):
     second = fleet.add_back_end('plain', 'i-2')
     fleet.back_end.breaks_off = True
     wait_until(lambda: second.executed or fleet.ask(request('/safe/x')).status == 0)
     assert all(fleet.ask(request('/safe/x')).status == 200 for _ in range(10))
 
 
-def test_after_its_word_a_leaving_back_end_gets_nothing(fleet):
+def test_a_draining_back_end_gets_no_more_requests(fleet):
     second = fleet.add_back_end('plain', 'i-2')
     wait_until(lambda: fleet.ask(request('/safe/x')).status == 200 and second.executed)
     assert second.drain()
@@ -120,7 +120,7 @@
     assert len(second.executed) == before
 
 
-def test_configuration_outlives_the_leader_and_all_replicas(fleet):
+def test_the_document_survives_a_restart_of_all_replicas(fleet):
     fleet.kill(leader(fleet))
     assert fleet.put(document(5, '/safe/', '/new/')).status == 200
     wait_until(lambda: fleet.ask(request('/new/x')).status == 200)
@@ -135,7 +135,7 @@
     assert fleet.ask(request('/new/x')).status == 200
 
 
-def test_the_higher_version_prevails_and_a_bad_document_changes_nothing(fleet):
+def test_the_highest_version_wins_and_an_invalid_document_is_rejected(fleet):
     assert fleet.put(document(9, '/safe/', '/nine/')).status == 200
     assert fleet.put(document(4, '/safe/')).status == 200
     assert fleet.put(document(9, '/other/')).status == 200
@@ -145,32 +145,32 @@
     wait_until(lambda: fleet.ask(request('/nine/x')).status == 200)
 
 
-def test_a_replica_that_lost_its_disk_is_taken_in_again(fleet):
+def test_a_replica_that_lost_its_disk_rejoins(fleet):
     lost = leader(fleet)
     fleet.kill(lost)
     for path in sorted((fleet.folder / lost).rglob('*'), reverse=True):
         path.rmdir() if path.is_dir() else path.unlink()
     fleet.start_one(lost)
-    rest = [host for host in fleet.replica_hosts if host != lost]
-    wait_until(lambda: any(fleet.log(host).count('Voters are now') >= 2 for host in rest))
-    fleet.kill(rest[0])
+    others = [host for host in fleet.replica_hosts if host != lost]
+    wait_until(lambda: any(fleet.log(host).count('Voters are now') >= 2 for host in others))
+    fleet.kill(others[0])
     assert fleet.put(document(7, '/safe/', '/seven/')).status == 200
 
 
-def test_a_planned_stop_takes_the_entry_out_and_ends_what_runs(fleet):
+def test_an_entry_that_stops_is_not_ready_and_finishes_running_requests(fleet):
     host = fleet.entry_hosts[0]
     ready = Request('GET', client_requests.READY_PATH)
     assert call(host, READY_PORT, ready).status == 200
     fleet.back_end.release.clear()
     replies = []
-    asking = threading.Thread(target=lambda: replies.append(fleet.ask(request('/safe/slow'))))
-    begun = len(fleet.back_end.executed)
-    asking.start()
-    wait_until(lambda: len(fleet.back_end.executed) > begun)
+    caller = threading.Thread(target=lambda: replies.append(fleet.ask(request('/safe/slow'))))
+    executed_before = len(fleet.back_end.executed)
+    caller.start()
+    wait_until(lambda: len(fleet.back_end.executed) > executed_before)
     fleet.signal(host, signal.SIGTERM)
     wait_until(lambda: call(host, READY_PORT, ready).status != 200)
     fleet.back_end.release.set()
-    asking.join(10)
+    caller.join(10)
     assert replies[0].status == 200
     assert fleet.processes[host].wait(10) == 0
 
@@ -178,17 +178,17 @@
 def test_a_reload_while_a_daemon_starts_does_not_end_it(fleet):
     host = fleet.entry_hosts[0]
     fleet.kill(host)
-    begun = fleet.log(host).count('Starting.')
+    starts = fleet.log(host).count('Starting.')
     fleet.start_one(host)
     pid = fleet.processes[host].pid
     wait_until(lambda: handles_signal(pid, signal.SIGHUP))
-    assert fleet.log(host).count('Starting.') == begun
+    assert fleet.log(host).count('Starting.') == starts
     fleet.signal(host, signal.SIGHUP)
     wait_until(lambda: fleet.ask(request('/safe/x')).status == 200)
     assert fleet.processes[host].poll() is None
 
 
-def test_a_stop_while_a_daemon_starts_ends_it_well(fleet):
+def test_a_daemon_that_is_stopped_while_it_starts_exits_with_status_0(fleet):
     host = fleet.entry_hosts[0]
     fleet.kill(host)
     fleet.start_one(host)
