--- a/packages/millfork-adapter/millfork_adapter/exchange.py
+++ b/packages/millfork-adapter/millfork_adapter/exchange.py
@@ -109,7 +109,7 @@
     """
     An engine's state. Each entry of `served` holds a model, its version, the first layer and
     the exclusive end of the layers (None: all layers). A changed `incarnation` means that the
-    engine restarted: its staged pieces and the orders sent to it are lost.
+    engine restarted: what it held in memory and the orders sent to it are lost.
 
     """
 
