--- a/packages/millfork-adapter/millfork_adapter/calls.py
+++ b/packages/millfork-adapter/millfork_adapter/calls.py
@@ -1,5 +1,5 @@
 """
-Calls that arrive at a replica: from back ends and from the operator.
+The calls that back ends and operators make to a replica.
 
 """
 
@@ -10,9 +10,9 @@
 from millfork_routing.documents import Document
 
 
-class BadCall(Exception):
+class InvalidMessage(Exception):
     """
-    A call, or a document in it, that makes no sense; the text says why.
+    A call, request, report or document can not be parsed; the error's text says why.
 
     """
 
@@ -20,7 +20,7 @@
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
     """
-    A back end renews its lease.
+    A back end registers or renews its lease.
 
     """
 
@@ -28,9 +28,9 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Goodbye:
+class LeaveNotice:
     """
-    A back end gives its lease back; None where it does not say which incarnation of it.
+    A back end gives up its lease. `incarnation` is None if the call does not name one.
 
     """
 
@@ -41,7 +41,7 @@
 @dataclass(frozen=True, slots=True)
 class PutDocument:
     """
-    The operator sends a document; `body` is kept as it came.
+    The operator submits a document; `body` holds the bytes as received.
 
     """
 
@@ -58,9 +58,9 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NameVersion:
+class SetModelVersion:
     """
-    The operator names the version of a model's weights to serve.
+    The operator sets the version of a model's weights that engines shall serve.
 
     """
 
@@ -71,9 +71,9 @@
 @dataclass(frozen=True, slots=True)
 class UnknownCall:
     """
-    Nothing that this system answers.
+    A call whose method and path match no call of the platform.
 
     """
 
 
-Call = Heartbeat | Goodbye | PutDocument | ReadDocument | NameVersion | UnknownCall
+Call = Heartbeat | LeaveNotice | PutDocument | ReadDocument | SetModelVersion | UnknownCall
--- a/packages/millfork-adapter/millfork_adapter/exchange.py
+++ b/packages/millfork-adapter/millfork_adapter/exchange.py
@@ -1,5 +1,5 @@
 """
-A caller's request and a back end's answer, as the entry needs to know them.
+Callers' requests, back ends' responses and engines' reports as typed values.
 
 """
 
@@ -12,10 +12,10 @@
 @dataclass(frozen=True, slots=True)
 class CallerRequest:
     """
-    What a caller's head says. `deadline_ms` is how long it will wait;
-    `last_event_id` is the event after which a stream is to go on (None: from
-    its beginning); tokens are those of the prompt and the most to be written;
-    `parts` are the prompt's parts in order, each with its id and tokens.
+    The request line and headers of a caller's request. `key` is the API key; `deadline_ms` is
+    how long the caller waits; `last_event_id` is the event after which a stream is to be
+    resumed (None: from its beginning); `answer_tokens` is the maximum number of tokens to be
+    generated; `prefix_parts` lists the parts of the prompt in order, each as id and tokens.
 
     """
 
@@ -27,14 +27,14 @@
     model: str = ''
     prompt_tokens: int = 0
     answer_tokens: int = 0
-    parts: tuple[tuple[str, int], ...] = ()
+    prefix_parts: tuple[tuple[str, int], ...] = ()
     last_event_id: int | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class PathPart:
+class PathSegment:
     """
-    One back end of a path, and its layers from `first` to before `end`.
+    One back end of a path; it computes the layers from `first` up to, but not including, `end`.
 
     """
 
@@ -45,39 +45,39 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SendOrders:
+class ForwardOptions:
     """
-    What the entry adds to a request for one back end. Versions are those of
-    weights; `resume_after` is the last event that the caller has. A caller's
-    key is withheld where the entry has checked it. A path names the back ends
-    that share a model's layers, the one addressed first.
+    The headers that the entry changes in a request for one back end. `version` is the version
+    of the weights; `resume_after` is the last event that the caller has received;
+    `omits_api_key` is set if the entry has checked the caller's key; `path` lists the back
+    ends that share a model's layers, first the one to which the request is sent.
 
     """
 
     instance: str
     deadline_ms: int
     organisation: str = ''
-    withholds_key: bool = False
+    omits_api_key: bool = False
     version: int | None = None
     priority: int | None = None
     resume_after: int | None = None
-    path: tuple[PathPart, ...] = ()
+    path: tuple[PathSegment, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Backpressure:
     """
-    What a back end says of itself in the head of an answer: the requests a second that it
-    takes from all entries together (None: no limit), whether it leaves, and for how many
-    seconds it wants nothing of the one it answers (None: it asks for no rest). `unread` tells
-    what makes no sense.
+    What a back end states about itself in the headers of a response: the requests per second
+    that it accepts from all entries together (None: no limit), whether it is leaving, and for
+    how many seconds the sender must not send it requests (None: it asks for no such pause).
+    `invalid_headers` lists the headers that could not be parsed.
 
     """
 
     limit_per_s: float | None = None
     leaving: bool = False
     rest_s: float | None = None
-    unread: str = ''
+    invalid_headers: str = ''
 
 
 NO_BACKPRESSURE: Final = Backpressure()
@@ -86,30 +86,30 @@
 @dataclass(frozen=True, slots=True)
 class AnswerHead:
     """
-    What the head of a back end's answer says.
+    The status and headers of a back end's response.
 
-    `not_run` is the back end's word that it did not run the request; it
-    also holds for an answer by another back end at the same address.
-    `keep_s` is how long an idle connection lasts (None: not told).
+    `not_run` means that the back end did not run the request. This is also so if the response
+    is `misdirected`: another back end than the one addressed answered at the same address.
+    `keep_alive_s` is how long the back end keeps an idle connection (None: unspecified).
 
     """
 
     status: int
     request_id: str = ''
     not_run: bool = False
-    elsewhere: bool = False
-    signed: bool = False
-    closing: bool = False
-    keep_s: float | None = None
+    misdirected: bool = False
+    has_signature: bool = False
+    closes_connection: bool = False
+    keep_alive_s: float | None = None
     backpressure: Backpressure = NO_BACKPRESSURE
 
 
 @dataclass(frozen=True, slots=True)
 class EngineReport:
     """
-    An engine's state. `served` names model, version, first layer, and the
-    layer before which it ends (None: the model whole). The memory of an incarnation
-    before this one is gone, and its orders.
+    An engine's state. Each entry of `served` holds a model, its version, the first layer and
+    the exclusive end of the layers (None: all layers). A changed `incarnation` means that the
+    engine restarted: what it held in memory and the orders sent to it are lost.
 
     """
 
@@ -127,7 +127,7 @@
 @dataclass(frozen=True, slots=True)
 class PieceList:
     """
-    The pieces of one version of a model: SHA-256 digests in hex, in order.
+    The pieces of one version of a model: their SHA-256 digests in hex, in order.
 
     """
 
--- a/packages/millforkd/millforkd/document.py
+++ b/packages/millforkd/millforkd/document.py
@@ -6,7 +6,7 @@
 import zlib
 
 from millfork_adapter.adapter import Adapter
-from millfork_adapter.calls import BadCall
+from millfork_adapter.calls import InvalidMessage
 from millfork_core.logs import Component, logger
 from millfork_routing.documents import Document
 from millfork_state.commands import decode_versioned
@@ -30,7 +30,7 @@
     versioned = decode_versioned(held.value)
     try:
         document = adapter.read_document(zlib.decompress(versioned.body))
-    except (BadCall, zlib.error) as error:
+    except (InvalidMessage, zlib.error) as error:
         # Documents are checked before they are accepted. The document in force stays.
         log.error('Document {} cannot be read: {}.', versioned.version, error)
         return None
--- a/tests/mutations_listed.py
+++ b/tests/mutations_listed.py
@@ -78,7 +78,7 @@
     ),
     Mutation(
         'the end of a back end counts even if its endpoint is lost as well',
-        'tests/test_requests_that_take_their_endpoints.py',
+        'tests/test_requests_that_crash_instances.py',
         (Edit(D + 'entry/attempts.py', 'if not self.backend.start:', 'if True:'),),
     ),
     Mutation(
--- a/tests/test_ends_after_their_callers_left.py
+++ b/tests/test_ends_after_their_callers_left.py
@@ -12,7 +12,7 @@
 import pytest
 
 from millfork_standins.seeded import CALLERS_PORT, CRASHING_BODY, SeededFleet
-from tests.test_crashing_requests import ENDS, MOST_AFTER, ended
+from tests.test_crashing_requests import ENDS_BEFORE_QUARANTINE, MAX_FURTHER_ENDS, count_ended
 from tests.test_seeded_fleet import document, request
 from tests.utils.fleets import wait_until
 
@@ -79,7 +79,7 @@
         stop_event.set()
     if busy:
         asking.join()
-    assert ended(fleet) <= ENDS + MAX_CONCURRENT_ENDS + MOST_AFTER
+    assert count_ended(fleet) <= ENDS_BEFORE_QUARANTINE + MAX_CONCURRENT_ENDS + MAX_FURTHER_ENDS
 
 
 def load_with_other_requests(fleet, stop_event):
@@ -91,7 +91,7 @@
 
 def make_calls_that_leave(fleet):
     for number in range(CALLS):
-        before = ended(fleet), count_crashing_requests(fleet)
+        before = count_ended(fleet), count_crashing_requests(fleet)
         call_and_leave(fleet, number % ENTRIES)
         if count_crashing_requests(fleet) > before[1]:
-            wait_until(lambda before=before: ended(fleet) > before[0])
+            wait_until(lambda before=before: count_ended(fleet) > before[0])
--- a/tests/test_late_closing_back_ends.py
+++ b/tests/test_late_closing_back_ends.py
@@ -9,7 +9,7 @@
 import pytest
 
 from millfork_standins.seeded import SeededFleet
-from tests.test_crashing_requests import ENDS, MOST_AFTER, crashing, ended
+from tests.test_crashing_requests import ENDS_BEFORE_QUARANTINE, MAX_FURTHER_ENDS, crashing_request, count_ended
 from tests.test_seeded_fleet import document, request
 from tests.utils.fleets import wait_until
 
@@ -38,8 +38,8 @@
 def test_an_end_counts_however_late_the_address_closes(fleet, address_close_delay_s):
     for back_end in fleet.back_ends:
         back_end.address_close_delay_s = address_close_delay_s
-    replies = [fleet.send_request(crashing(), number % 2) for number in range(CALLS)]
-    assert ended(fleet) <= ENDS + MAX_CROSSING_ENDS + MOST_AFTER
+    replies = [fleet.send_request(crashing_request(), number % 2) for number in range(CALLS)]
+    assert count_ended(fleet) <= ENDS_BEFORE_QUARANTINE + MAX_CROSSING_ENDS + MAX_FURTHER_ENDS
     assert all(reply.status in (502, 503) for reply in replies)
 
 
@@ -52,7 +52,7 @@
     innocent = request('/safe/x', 'POST', body=b'innocent')
     for back_end in fleet.back_ends:
         back_end.drops_requests = True
-    for number in range(ENDS + 1):
+    for number in range(ENDS_BEFORE_QUARANTINE + 1):
         assert fleet.send_request(innocent, number % 2).status in (502, 503)
     for back_end in fleet.back_ends:
         back_end.drops_requests = False
--- a/tests/test_retry_after_is_kept.py
+++ b/tests/test_retry_after_is_kept.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from millfork_platform import standins
+from millfork_platform import client_requests
 from tests.test_seeded_fleet import request
 from tests.utils.loaded import ENTRIES, LOAD_PER_S, loaded_fleet
 
@@ -29,7 +29,7 @@
 
 def test_a_back_end_gets_the_rest_that_it_asked_for(fleet):
     resting = fleet.back_ends[0]
-    resting.extra_headers = {standins.RETRY_AFTER: str(REST_S)}
+    resting.extra_headers = {client_requests.RETRY_AFTER: str(REST_S)}
     resting.turns_away = True
     started_at = time.monotonic()
     replies = fleet.send_load(lambda: request('/safe/x'), LOAD_PER_S, LOAD_S)
