--- a/packages/millforkd/millforkd/endpoint/daemon.py
+++ b/packages/millforkd/millforkd/endpoint/daemon.py
@@ -16,8 +16,8 @@
 from millfork_settings.models import BackendKind, Settings
 from millfork_state.config import DRAINS, ORGANISATIONS, Organisation, decode
 from millfork_state.leader_client import LeaderClient
-from millfork_weights.links import Link
 from millfork_weights.chunk_server import ChunkServer
+from millfork_weights.links import Link
 from millfork_weights.store import WeightStore
 from millfork_wire import messages
 from millfork_wire.connection import Connection
--- a/packages/millforkd/millforkd/endpoint/rest_tracking.py
+++ b/packages/millforkd/millforkd/endpoint/rest_tracking.py
@@ -62,7 +62,8 @@
         requested = read_retry_after(reply.headers)
         if requested.invalid_values:
             log.warning(
-                'Could not parse the rest period that the back end asked for: {}', requested.invalid_values
+                'Could not parse the rest period that the back end asked for: {}',
+                requested.invalid_values,
             )
         if not requested.seconds:
             return
--- a/packages/millforkd/millforkd/endpoint/rollout.py
+++ b/packages/millforkd/millforkd/endpoint/rollout.py
@@ -17,7 +17,7 @@
 from millfork_state.view import View
 from millfork_weights.links import Link
 from millfork_weights.origin import Origin
-from millfork_weights.store import WeightStore, VersionDigestMismatch
+from millfork_weights.store import VersionDigestMismatch, WeightStore
 from millfork_weights.transfer import Transfer, TransferFailed, TransferSettings
 from millfork_weights.trees import Receiver
 from millfork_wire.peers import Peers
--- a/packages/millforkd/millforkd/entry/daemon.py
+++ b/packages/millforkd/millforkd/entry/daemon.py
@@ -10,7 +10,7 @@
 import curio
 
 from millfork_core.environment import Environment
-from millfork_core.logs import Part, logger
+from millfork_core.logs import Component, logger
 from millfork_core.verdicts import Reason, Refusal
 from millfork_registry.suspicion_store import SuspicionStore
 from millfork_settings.loading import read_secret
--- a/packages/millforkd/millforkd/proxy/request_sender.py
+++ b/packages/millforkd/millforkd/proxy/request_sender.py
@@ -8,7 +8,7 @@
 import curio
 
 from millfork_adapter.adapter import Adapter
-from millfork_adapter.exchange import PathSegment, ForwardOptions
+from millfork_adapter.exchange import ForwardOptions, PathSegment
 from millfork_core.environment import Environment
 from millfork_core.verdicts import Reason, Verdict
 from millfork_routing.documents import EngineSpec, RouteKind
--- a/packages/millforkd/millforkd/replica/control.py
+++ b/packages/millforkd/millforkd/replica/control.py
@@ -12,13 +12,13 @@
 
 from millfork_adapter.adapter import Adapter
 from millfork_adapter.calls import (
-    InvalidMessage,
     Call,
-    LeaveNotice,
     Heartbeat,
-    SetModelVersion,
+    InvalidMessage,
+    LeaveNotice,
     PutDocument,
     ReadDocument,
+    SetModelVersion,
     UnknownCall,
 )
 from millfork_core.environment import Environment
--- a/tests/mutations_listed.py
+++ b/tests/mutations_listed.py
@@ -50,7 +50,13 @@
     Mutation(
         'an endpoint reports to the entry when it later finds out whether its back end ended',
         'tests/test_late_ends_at_endpoints.py::test_a_late_status_is_reported_to_the_entry',
-        (Edit(D + 'endpoint/incarnation_tracking.py', 'if not item.subject.is_awaited:', 'if False:'),),
+        (
+            Edit(
+                D + 'endpoint/incarnation_tracking.py',
+                'if not item.subject.is_awaited:',
+                'if False:',
+            ),
+        ),
     ),
     Mutation(
         'an entry suspects a request while it is unknown whether its back ends ended',
@@ -90,7 +96,13 @@
     Mutation(
         'an entry that starts asks other entries which requests end back ends',
         'tests/test_suspicion_gossip.py::test_an_entry_that_starts_learns_what_others_know',
-        (Edit(D + 'entry/suspicion_gossip.py', 'await self._ask_others()', 'self.has_asked_others = True'),),
+        (
+            Edit(
+                D + 'entry/suspicion_gossip.py',
+                'await self._ask_others()',
+                'self.has_asked_others = True',
+            ),
+        ),
     ),
     Mutation(
         'the parts and bytes of an answer are compared with the reported totals',
@@ -254,7 +266,11 @@
     Mutation(
         'an answer from another version than the reserved one is not delivered',
         'tests/test_backend_gateway.py',
-        (Edit(D + 'endpoint/backend_gateway.py', 'if version != reservation.version:', 'if False:'),),
+        (
+            Edit(
+                D + 'endpoint/backend_gateway.py', 'if version != reservation.version:', 'if False:'
+            ),
+        ),
     ),
     Mutation(
         'a manifest must have the digest that was accepted',
--- a/tests/test_faults_left_open.py
+++ b/tests/test_faults_left_open.py
@@ -113,6 +113,8 @@
 
     """
     built = drawn.run_model(drawn.SPLIT_SHAPE, LOAD_FACTOR, seed, Way.BUILT, LEAST)
-    single = drawn.run_model(replace(drawn.SPLIT_SHAPE, entries=1), LOAD_FACTOR, seed, Way.KNOWN, LEAST)
+    single = drawn.run_model(
+        replace(drawn.SPLIT_SHAPE, entries=1), LOAD_FACTOR, seed, Way.KNOWN, LEAST
+    )
     in_time = built.outcomes.share('in time')
     assert in_time > single.outcomes.share('in time') - drawn.MAX_SPLIT_LOSS
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -70,7 +70,9 @@
             curio.run(order_late)
     else:
         curio.run(order_late)
-    late = [line for line in read_executions(fleet.execution_log_path(instance.name)) if line['old']]
+    late = [
+        line for line in read_executions(fleet.execution_log_path(instance.name)) if line['old']
+    ]
     assert len(late) == (0 if refuses else 1)
 
 
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -23,7 +23,9 @@
 def test_a_put_with_unknown_outcome_may_have_been_accepted_or_not():
     unknown = replace(SECOND_PUT, outcome=Outcome.UNKNOWN, revision=0)
     assert find_violations(History([FIRST_PUT, unknown], [READ])) == []
-    assert find_violations(History([FIRST_PUT, unknown], [Read(4.0, 5.0, 1, {'k': ('a', 1)})])) == []
+    assert (
+        find_violations(History([FIRST_PUT, unknown], [Read(4.0, 5.0, 1, {'k': ('a', 1)})])) == []
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/test_history_runs.py
+++ b/tests/test_history_runs.py
@@ -16,7 +16,7 @@
 from millfork_standins.fleet import Fleet
 from millfork_standins.history import find_violations
 from millfork_standins.layout import ADMIN_PORT, FleetOptions
-from millfork_standins.recorder import Recorder, PlannedOperation
+from millfork_standins.recorder import PlannedOperation, Recorder
 from millfork_standins.requests import fetch
 from tests.utils.fleets import wait_until
 
--- a/tests/test_late_closing_back_ends.py
+++ b/tests/test_late_closing_back_ends.py
@@ -9,7 +9,12 @@
 import pytest
 
 from millfork_standins.seeded import SeededFleet
-from tests.test_crashing_requests import ENDS_BEFORE_QUARANTINE, MAX_FURTHER_ENDS, crashing_request, count_ended
+from tests.test_crashing_requests import (
+    ENDS_BEFORE_QUARANTINE,
+    MAX_FURTHER_ENDS,
+    count_ended,
+    crashing_request,
+)
 from tests.test_seeded_fleet import document, request
 from tests.utils.fleets import wait_until
 
@@ -28,7 +33,9 @@
             made.add_back_end('plain', f'i-{number}')
         assert made.put_document(document(1, '/safe/')).status == 200
         for entry in (0, 1):
-            wait_until(lambda entry=entry: made.send_request(request('/safe/x'), entry).status == 200)
+            wait_until(
+                lambda entry=entry: made.send_request(request('/safe/x'), entry).status == 200
+            )
         yield made
     finally:
         made.close()
@@ -60,7 +67,10 @@
     def is_served():
         for number in range(2 * BACK_ENDS):
             assert fleet.send_request(request('/safe/x'), number % 2).status in (200, 503)
-        return fleet.send_request(innocent).status == 200 and fleet.send_request(innocent, 1).status == 200
+        return (
+            fleet.send_request(innocent).status == 200
+            and fleet.send_request(innocent, 1).status == 200
+        )
 
     wait_until(is_served)
     assert not any('Back end ended' in fleet.log(host) for host in fleet.entry_hosts)
--- a/tests/test_limits_set_by_back_ends.py
+++ b/tests/test_limits_set_by_back_ends.py
@@ -33,7 +33,9 @@
 
     """
     limited_at = time.monotonic()
-    replies = fleet.send_load(lambda: request('/safe/x'), LOAD_PER_S, APPLIED_AFTER_S + WINDOW_S + 0.5)
+    replies = fleet.send_load(
+        lambda: request('/safe/x'), LOAD_PER_S, APPLIED_AFTER_S + WINDOW_S + 0.5
+    )
     served_share = sum(reply.status == 200 for reply in replies) / len(replies)
     return served_share, limited_at + APPLIED_AFTER_S
 
@@ -51,10 +53,15 @@
     for back_end in fleet.back_ends:
         back_end.extra_headers = {client_requests.SERVER_LIMIT: '2'}
     served_share, since = send_load(fleet)
-    assert all(back_end.max_arrivals_within(WINDOW_S, since) <= max_arrivals(2) for back_end in fleet.back_ends)
+    assert all(
+        back_end.max_arrivals_within(WINDOW_S, since) <= max_arrivals(2)
+        for back_end in fleet.back_ends
+    )
     assert served_share < 0.5
     refused = next(
-        reply for _ in range(LOAD_PER_S) if (reply := fleet.send_request(request('/safe/x'))).status != 200
+        reply
+        for _ in range(LOAD_PER_S)
+        if (reply := fleet.send_request(request('/safe/x'))).status != 200
     )
     assert refused.status == 503
     assert float(refused.headers['retry-after']) > 0
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -9,8 +9,8 @@
 from millfork_standins.callers import Callers, RequestKind
 from millfork_standins.deployments import LANTING
 from millfork_standins.fleet import Fleet
-from millfork_standins.run_summary import summarize_fleet_run
 from millfork_standins.layout import FleetOptions
+from millfork_standins.run_summary import summarize_fleet_run
 from millfork_standins.versions import fetch_version
 from millfork_standins.weights import answer_text, weights_key
 from tests.utils.fleets import complete, control, serve_version, serving, wait_until
--- a/tests/test_seeded_fleet.py
+++ b/tests/test_seeded_fleet.py
@@ -163,7 +163,9 @@
     assert call(host, READY_PORT, ready).status == 200
     fleet.back_end.release.clear()
     replies = []
-    caller = threading.Thread(target=lambda: replies.append(fleet.send_request(request('/safe/slow'))))
+    caller = threading.Thread(
+        target=lambda: replies.append(fleet.send_request(request('/safe/slow')))
+    )
     executed_before = len(fleet.back_end.executed)
     caller.start()
     wait_until(lambda: len(fleet.back_end.executed) > executed_before)
--- a/tests/test_version_ends.py
+++ b/tests/test_version_ends.py
@@ -44,7 +44,9 @@
         made.add_back_end('plain', 'i-1')
         assert made.put_document(document(1, '/safe/')).status == 200
         for entry in range(2):
-            wait_until(lambda entry=entry: made.send_request(request('/safe/x'), entry).status == 200)
+            wait_until(
+                lambda entry=entry: made.send_request(request('/safe/x'), entry).status == 200
+            )
         yield made
     finally:
         made.close()
