--- a/packages/millfork-wire/millfork_wire/connection.py
+++ b/packages/millfork-wire/millfork_wire/connection.py
@@ -11,8 +11,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import InstanceId
-from millfork_core.logs import Part as LogPart
-from millfork_core.logs import logger
+from millfork_core.logs import Component, logger
 from millfork_wire import codec
 from millfork_wire.codec import BadFrame, Frame, FrameKind
 from millfork_wire.messages import (
@@ -35,7 +34,7 @@
 MAX_SEND_BATCH_BYTES: Final = 256 * 1024
 DATA_MESSAGES: Final = (Chunk, PushChunk, Reserve, Reserved, Start, Head, Part, End)
 
-log = logger(LogPart.WIRE)
+log = logger(Component.WIRE)
 
 
 class PeerError(Exception):
--- a/packages/millforkd/millforkd/endpoint/backend_gateway.py
+++ b/packages/millforkd/millforkd/endpoint/backend_gateway.py
@@ -9,8 +9,7 @@
 
 from millfork_core.environment import Environment
 from millfork_core.ids import OrganisationId, RequestId
-from millfork_core.logs import Part as LogPart
-from millfork_core.logs import logger
+from millfork_core.logs import Component, logger
 from millfork_core.verdicts import Reason, Refusal, Verdict
 from millfork_routing.limits import FairQueue
 from millfork_scheduling.incarnation_status import IncarnationStatus
@@ -48,7 +47,7 @@
 PLAIN_VERSION: Final = ''
 STREAM_TYPE: Final = 'text/event-stream'
 
-log = logger(LogPart.ENDPOINT)
+log = logger(Component.ENDPOINT)
 
 
 class BackendGateway:
