--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -7,7 +7,6 @@
 from pathlib import Path
 
 import pytest
-from millfork_standins.build_examples import build_examples, write_examples
 
 from millfork_core.logs import Component
 from millfork_core.verdicts import Reason
@@ -16,6 +15,7 @@
 from millfork_settings.loading import load
 from millfork_settings.models import Settings
 from millfork_standins.deployments import SHAPES
+from millfork_standins.examples import build_examples, write_examples
 
 ROOT = Path(__file__).parent.parent
 DOCS = ROOT / 'docs'
