--- a/packages/millfork-standins/millfork_standins/bench/__main__.py
+++ b/packages/millfork-standins/millfork_standins/bench/__main__.py
@@ -16,7 +16,7 @@
     distribution,
     limit_shares,
     limits,
-    returning,
+    retry_detection,
     routing,
     turning_away,
 )
@@ -28,7 +28,7 @@
     'limit-shares': limit_shares.run,
     'cost': cost.run,
     'routing': routing.run,
-    'returning': returning.run,
+    'returning': retry_detection.run,
     'turning-away': turning_away.run,
 }
 
--- a/packages/millfork-standins/millfork_standins/bench/baselines.py
+++ b/packages/millfork-standins/millfork_standins/bench/baselines.py
@@ -19,10 +19,10 @@
 
     """
     names = [holder.instance for holder in holders]
-    return [FromOrigin(dict.fromkeys(names), names)]
+    return [OriginOnlyTree(dict.fromkeys(names), names)]
 
 
-class FromOrigin(Tree):
+class OriginOnlyTree(Tree):
     """
     A tree in which nobody asks a peer.
 
--- a/packages/millfork-standins/millfork_standins/bench/cost.py
+++ b/packages/millfork-standins/millfork_standins/bench/cost.py
@@ -19,7 +19,7 @@
 import psutil
 
 from millfork_core.ids import InstanceId, Revision, ServiceName, ZoneId
-from millfork_standins.bench.rows import Sheet
+from millfork_standins.bench.results import ExperimentResults
 from millfork_standins.deployments import LANTING
 from millfork_standins.fleet import Fleet
 from millfork_standins.layout import ADMIN_PORT, BACKEND_PORT, CALLERS_PORT, FleetOptions
@@ -33,32 +33,32 @@
 CHANGES: Final = 60
 REQUESTS: Final = 300
 TOKENS: Final = 200
-SAMPLE: Final = 20_000
+SAMPLE_SIZE: Final = 20_000
 KIB: Final = 1024
 POOL: Final = 'millfork-pool'
 
 
 @dataclass(frozen=True, slots=True)
-class Usage:
+class DaemonUsage:
     """
     A daemon's use so far: CPU seconds, resident bytes, control bytes by way.
 
     """
 
     cpu_s: float
-    memory: int
-    moved: dict[str, float]
+    resident_bytes: int
+    control_bytes: dict[str, float]
 
 
-def usage(fleet: Fleet, name: str) -> Usage:
+def read_usage(fleet: Fleet, name: str) -> DaemonUsage:
     process = psutil.Process(fleet.processes[name].pid)
     times = process.cpu_times()
     text = fetch('GET', fleet.instances[name].host, ADMIN_PORT, '/metrics').body.decode()
-    moved = {}
+    control_bytes = {}
     for line in text.splitlines():
         if line.startswith('millfork_wire_bytes_total{'):
-            moved[line.split('"')[1]] = float(line.rsplit(' ', 1)[1])
-    return Usage(times.user + times.system, process.memory_info().rss, moved)
+            control_bytes[line.split('"')[1]] = float(line.rsplit(' ', 1)[1])
+    return DaemonUsage(times.user + times.system, process.memory_info().rss, control_bytes)
 
 
 def _fleet(folder: Path, endpoints: int) -> Fleet:
@@ -67,12 +67,12 @@
     return Fleet(shape, folder, options)
 
 
-def _roles(fleet: Fleet) -> dict[str, list[str]]:
+def _daemons_by_role(fleet: Fleet) -> dict[str, list[str]]:
     """
     The daemons of each role, the leader apart from the other replicas.
 
     """
-    leader = _leader(fleet)
+    leader = _find_leader(fleet)
     return {
         'leader': [leader],
         'replica': [entry.name for entry in fleet.replicas if entry.name != leader],
@@ -81,7 +81,7 @@
     }
 
 
-def _leader(fleet: Fleet) -> str:
+def _find_leader(fleet: Fleet) -> str:
     for replica in fleet.replicas:
         text = fetch('GET', replica.host, ADMIN_PORT, '/metrics').body.decode()
         if 'millfork_leader 1' in text:
@@ -89,7 +89,7 @@
     raise RuntimeError('no replica leads')
 
 
-def measure_control(sheet: Sheet, endpoints: int) -> None:
+def measure_control(results: ExperimentResults, endpoints: int) -> None:
     """
     Idle cost and cost of changes in a fleet of so many endpoints.
 
@@ -100,62 +100,70 @@
             fleet.start(backends=False, timeout=120)
             fleet.apply(fleet.organisations_declaration())
             time.sleep(2)
-            _measure_idle(sheet, fleet, endpoints)
-            _measure_changes(sheet, fleet, endpoints)
+            _measure_idle(results, fleet, endpoints)
+            _measure_changes(results, fleet, endpoints)
         finally:
             fleet.close()
 
 
-def _measure_idle(sheet: Sheet, fleet: Fleet, endpoints: int) -> None:
-    roles = _roles(fleet)
+def _measure_idle(results: ExperimentResults, fleet: Fleet, endpoints: int) -> None:
+    roles = _daemons_by_role(fleet)
     names = [name for names in roles.values() for name in names]
-    before = {name: usage(fleet, name) for name in names}
+    before = {name: read_usage(fleet, name) for name in names}
     time.sleep(IDLE_S)
     for role, members in roles.items():
-        after = {name: usage(fleet, name) for name in members}
+        after = {name: read_usage(fleet, name) for name in members}
         case = f'{role}, {endpoints} endpoints'
         cpu = [(after[n].cpu_s - before[n].cpu_s) / IDLE_S * 100 for n in members]
-        sheet.add(case, 'idle_cpu', '% of a core', statistics.mean(cpu))
-        memory = [after[name].memory / KIB / KIB for name in members]
-        sheet.add(case, 'memory', 'MiB', statistics.mean(memory))
-        for way in ('in', 'out', 'platform'):
+        results.add(case, 'idle_cpu', '% of a core', statistics.mean(cpu))
+        memory = [after[name].resident_bytes / KIB / KIB for name in members]
+        results.add(case, 'memory', 'MiB', statistics.mean(memory))
+        for direction in ('in', 'out', 'platform'):
             rate = [
-                (after[n].moved.get(way, 0) - before[n].moved.get(way, 0)) / IDLE_S for n in members
+                (
+                    after[n].control_bytes.get(direction, 0)
+                    - before[n].control_bytes.get(direction, 0)
+                )
+                / IDLE_S
+                for n in members
             ]
-            sheet.add(case, f'idle_bytes_{way}', 'B/s', statistics.mean(rate))
-            sheet.add(case, f'idle_bytes_{way}_worst', 'B/s', max(rate))
+            results.add(case, f'idle_bytes_{direction}', 'B/s', statistics.mean(rate))
+            results.add(case, f'idle_bytes_{direction}_worst', 'B/s', max(rate))
 
 
-def _measure_changes(sheet: Sheet, fleet: Fleet, endpoints: int) -> None:
-    roles = _roles(fleet)
+def _measure_changes(results: ExperimentResults, fleet: Fleet, endpoints: int) -> None:
+    roles = _daemons_by_role(fleet)
     names = [name for names in roles.values() for name in names]
-    began = time.monotonic()
-    before = {name: usage(fleet, name) for name in names}
+    started_at = time.monotonic()
+    before = {name: read_usage(fleet, name) for name in names}
     delays: list[float] = []
     for number in range(CHANGES):
-        accepted = time.monotonic()
+        submitted_at = time.monotonic()
         labels = {'one': {'generation': str(number)}}
         revision = fleet.apply({'organisation': 'bench', 'labels': labels})
-        delays.append(_until_in_force(fleet, revision) - accepted)
-    passed = time.monotonic() - began
-    idle = {(row.case, row.metric): row.value for row in sheet.rows()}
+        delays.append(_wait_until_in_force(fleet, revision) - submitted_at)
+    elapsed_s = time.monotonic() - started_at
+    idle = {(row.case, row.metric): row.value for row in results.rows()}
     for role, members in roles.items():
         case = f'{role}, {endpoints} endpoints'
-        after = {name: usage(fleet, name) for name in members}
+        after = {name: read_usage(fleet, name) for name in members}
         cpu = statistics.mean(after[n].cpu_s - before[n].cpu_s for n in members)
-        cpu -= idle[(case, 'idle_cpu')] / 100 * passed
-        sheet.add(case, 'cpu_per_change', 'ms', max(cpu, 0) / CHANGES * 1000)
-        for way in ('in', 'out'):
-            moved = statistics.mean(after[n].moved[way] - before[n].moved[way] for n in members)
-            moved -= idle[(case, f'idle_bytes_{way}')] * passed
-            sheet.add(case, f'bytes_per_change_{way}', 'B', moved / CHANGES)
+        cpu -= idle[(case, 'idle_cpu')] / 100 * elapsed_s
+        results.add(case, 'cpu_per_change', 'ms', max(cpu, 0) / CHANGES * 1000)
+        for direction in ('in', 'out'):
+            control_bytes = statistics.mean(
+                after[n].control_bytes[direction] - before[n].control_bytes[direction]
+                for n in members
+            )
+            control_bytes -= idle[(case, f'idle_bytes_{direction}')] * elapsed_s
+            results.add(case, f'bytes_per_change_{direction}', 'B', control_bytes / CHANGES)
     delays.sort()
     case = f'fleet, {endpoints} endpoints'
-    sheet.add(case, 'in_force_p50', 's', delays[len(delays) // 2])
-    sheet.add(case, 'in_force_worst', 's', delays[-1])
+    results.add(case, 'in_force_p50', 's', delays[len(delays) // 2])
+    results.add(case, 'in_force_worst', 's', delays[-1])
 
 
-def _until_in_force(fleet: Fleet, revision: int) -> float:
+def _wait_until_in_force(fleet: Fleet, revision: int) -> float:
     """
     The moment at which every daemon has the revision; it includes the time
     to ask them all.
@@ -170,31 +178,31 @@
     return time.monotonic()
 
 
-def measure_memory(sheet: Sheet) -> None:
+def measure_memory(results: ExperimentResults) -> None:
     """
     Bytes that one more key, claim or listed instance takes.
 
     """
 
-    def grow_view() -> Any:
+    def build_view() -> Any:
         view = View()
-        for number in range(SAMPLE):
+        for number in range(SAMPLE_SIZE):
             key = f'labels/organisation-{number % 300}/instance-{number}'
             view.apply_change(
                 Revision(number + 1), {key: StoredValue(b'{"tier":"gold"}', Revision(1))}, []
             )
         return view
 
-    def grow_claims() -> Any:
+    def build_claims() -> Any:
         machine = StateMachine(View())
-        for number in range(SAMPLE):
+        for number in range(SAMPLE_SIZE):
             key = f'organisation/service/{number:032x}'
             machine.apply(ClaimKey(key, f'{number:032x}', 'f' * 64, number))
             headers = [('content-type', 'application/json')]
             machine.apply(SettleKey(key, f'{number:032x}', False, 200, headers, b'x' * 100))
         return machine
 
-    def grow_roster() -> Any:
+    def build_roster() -> Any:
         return {
             f'instance-{number}': InstanceFacts(
                 InstanceId(f'instance-{number}'),
@@ -205,24 +213,24 @@
                 'endpoint',
                 ServiceName('service'),
             )
-            for number in range(SAMPLE)
+            for number in range(SAMPLE_SIZE)
         }
 
-    grown: dict[str, Callable[[], Any]] = {
-        'key of the configuration': grow_view,
-        'claim of an idempotency key': grow_claims,
-        'listed instance': grow_roster,
+    builders: dict[str, Callable[[], Any]] = {
+        'key of the configuration': build_view,
+        'claim of an idempotency key': build_claims,
+        'listed instance': build_roster,
     }
-    for name, grow in grown.items():
+    for name, build in builders.items():
         tracemalloc.start()
-        held = grow()
+        built = build()
         size, _ = tracemalloc.get_traced_memory()
         tracemalloc.stop()
-        sheet.add(name, 'memory_each', 'B', size / SAMPLE)
-        del held
+        results.add(name, 'memory_each', 'B', size / SAMPLE_SIZE)
+        del built
 
 
-def measure_requests(sheet: Sheet) -> None:
+def measure_requests(results: ExperimentResults) -> None:
     """
     CPU and added latency of a request, and of a streamed token.
 
@@ -240,47 +248,47 @@
             fleet.apply(fleet.organisations_declaration())
             fleet.apply(fleet.deployment_declaration('v1'))
             time.sleep(4)
-            _measure_plain(sheet, fleet)
-            _measure_tokens(sheet, fleet)
+            _measure_plain(results, fleet)
+            _measure_tokens(results, fleet)
         finally:
             fleet.close()
 
 
-def _measure_plain(sheet: Sheet, fleet: Fleet) -> None:
+def _measure_plain(results: ExperimentResults, fleet: Fleet) -> None:
     service = POOL + '-plain'
     endpoint = next(i for i in fleet.instances.values() if i.service == service)
     entry = next(entry for entry in fleet.entries if entry.zone == endpoint.zone)
     token = fleet.caller_tokens[fleet.shape.organisations[0]]
     headers = {'authorization': f'Bearer {token}'}
 
-    def through() -> None:
+    def send_through_fleet() -> None:
         answer = fetch('GET', entry.host, CALLERS_PORT, f'/services/{service}/x', b'', headers)
         assert answer.status == 200, answer.body
 
-    def direct() -> None:
+    def send_directly() -> None:
         assert fetch('GET', endpoint.host, BACKEND_PORT, '/x').status == 200
 
-    before = {name: usage(fleet, name) for name in (entry.name, endpoint.name)}
-    through_s = _times(through)
-    after = {name: usage(fleet, name) for name in before}
-    direct_s = _times(direct)
+    before = {name: read_usage(fleet, name) for name in (entry.name, endpoint.name)}
+    fleet_s = _median_duration_s(send_through_fleet)
+    after = {name: read_usage(fleet, name) for name in before}
+    direct_s = _median_duration_s(send_directly)
     for role, name in (('entry', entry.name), ('endpoint', endpoint.name)):
         cpu = (after[name].cpu_s - before[name].cpu_s) / REQUESTS
-        sheet.add('plain request', f'{role}_cpu', 'ms', cpu * 1000)
-    sheet.add('plain request', 'latency_p50', 'ms', through_s * 1000, 'direct request')
-    sheet.add('direct request', 'latency_p50', 'ms', direct_s * 1000)
+        results.add('plain request', f'{role}_cpu', 'ms', cpu * 1000)
+    results.add('plain request', 'latency_p50', 'ms', fleet_s * 1000, 'direct request')
+    results.add('direct request', 'latency_p50', 'ms', direct_s * 1000)
 
 
-def _times(call: Callable[[], None]) -> float:
-    times = []
+def _median_duration_s(call: Callable[[], None]) -> float:
+    durations_s = []
     for _ in range(REQUESTS):
-        began = time.monotonic()
+        started_at = time.monotonic()
         call()
-        times.append(time.monotonic() - began)
-    return statistics.median(times)
+        durations_s.append(time.monotonic() - started_at)
+    return statistics.median(durations_s)
 
 
-def _measure_tokens(sheet: Sheet, fleet: Fleet) -> None:
+def _measure_tokens(results: ExperimentResults, fleet: Fleet) -> None:
     """
     Streams side by side; what the daemons spend, by token.
 
@@ -297,15 +305,15 @@
         answer = fetch('POST', entry.host, CALLERS_PORT, '/v1/completions', data, headers)
         assert answer.status == 200 and answer.body.endswith(b'[DONE]\n\n'), answer.body[-200:]
 
-    before = {name: usage(fleet, name) for name in (entry.name, engine.name)}
+    before = {name: read_usage(fleet, name) for name in (entry.name, engine.name)}
     threads = [threading.Thread(target=stream) for _ in range(streams)]
     for thread in threads:
         thread.start()
     for thread in threads:
         thread.join()
     for role, name in (('entry', entry.name), ('endpoint', engine.name)):
-        cpu = usage(fleet, name).cpu_s - before[name].cpu_s
-        sheet.add('streamed token', f'{role}_cpu', 'us', cpu / streams / TOKENS * 1e6)
+        cpu = read_usage(fleet, name).cpu_s - before[name].cpu_s
+        results.add('streamed token', f'{role}_cpu', 'us', cpu / streams / TOKENS * 1e6)
 
 
 def run(repetitions: int, quick: bool) -> Path:
@@ -315,10 +323,10 @@
     """
     sizes = () if quick else (8, 32, 128)
     settings = {'endpoints': sizes, 'idle_s': IDLE_S, 'changes': CHANGES, 'requests': REQUESTS}
-    sheet = Sheet('cost', {**settings, 'repetitions': repetitions})
-    measure_memory(sheet)
+    results = ExperimentResults('cost', {**settings, 'repetitions': repetitions})
+    measure_memory(results)
     for _ in range(repetitions):
-        measure_requests(sheet)
+        measure_requests(results)
         for endpoints in sizes:
-            measure_control(sheet, endpoints)
-    return sheet.write()
+            measure_control(results, endpoints)
+    return results.write()
--- a/packages/millfork-standins/millfork_standins/bench/distribution.py
+++ b/packages/millfork-standins/millfork_standins/bench/distribution.py
@@ -19,7 +19,7 @@
 
 import msgspec
 
-from millfork_standins.bench.rows import Sheet
+from millfork_standins.bench.results import ExperimentResults
 from millfork_standins.bench.weight_node import NodeSpec, Plan
 from millfork_standins.deployments import LANTING
 from millfork_standins.fleet import Fleet
@@ -33,10 +33,10 @@
 CHUNK_BYTES: Final = 32 * 1024
 MODEL_BYTES: Final = CHUNKS * CHUNK_BYTES
 MODEL: Final = 'model'
-BASE: Final = 'trees, N=16'
-SLOW_LINK_S: Final = 6.0
-START_LEAD_S: Final = 2.0
-TIMEOUT_S: Final = 300
+BASE_CASE: Final = 'trees, N=16'
+SLOW_LINK_COPY_S: Final = 6.0
+START_DELAY_S: Final = 2.0
+EXIT_TIMEOUT_S: Final = 300
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,20 +50,20 @@
     name: str
     nodes: int
     planner: str = 'trees'
-    copies: int = 1
-    together: bool = False
-    corrupt: float = 0.0
-    trouble: str = ''
-    second: str = ''
-    share: float = 1.0
-    live: bool = False
-    link_s: float = 3.0
+    origin_copies: int = 1
+    shares_directions: bool = False
+    corrupt_share: float = 0.0
+    fault: str = ''
+    second_version: str = ''
+    transfer_share: float = 1.0
+    has_live_requests: bool = False
+    copy_s: float = 3.0
     stripes: int = 4
     window: int = 4
 
     @property
-    def rate(self) -> int:
-        return int(MODEL_BYTES / self.link_s)
+    def bytes_per_s(self) -> int:
+        return int(MODEL_BYTES / self.copy_s)
 
     @property
     def bound_s(self) -> float:
@@ -71,9 +71,11 @@
         The least time in which all can be whole, in seconds.
 
         """
-        passes = (2 * self.nodes - self.copies) / self.nodes if self.together else 1.0
-        fill = math.ceil(math.log2(self.nodes)) * CHUNK_BYTES / self.rate
-        return passes * self.link_s / self.share + fill
+        copies_per_link = (
+            (2 * self.nodes - self.origin_copies) / self.nodes if self.shares_directions else 1.0
+        )
+        pipeline_fill_s = math.ceil(math.log2(self.nodes)) * CHUNK_BYTES / self.bytes_per_s
+        return copies_per_link * self.copy_s / self.transfer_share + pipeline_fill_s
 
 
 @dataclass(frozen=True, slots=True)
@@ -85,7 +87,7 @@
     """
 
     seconds: float
-    copies: float
+    origin_copies: float
     live_waits: list[float]
 
 
@@ -104,7 +106,7 @@
     with tempfile.TemporaryDirectory(prefix='millfork-bench-') as folder:
         options = FleetOptions(
             chunk_bytes=CHUNK_BYTES,
-            link_bytes_per_s=case.rate,
+            link_bytes_per_s=case.bytes_per_s,
             versions=[
                 {'name': MODEL, 'version': 'v1', 'size': MODEL_BYTES},
                 {'name': MODEL, 'version': 'v2', 'size': MODEL_BYTES},
@@ -121,23 +123,23 @@
         fleet = Fleet(shape, Path(folder), options)
         try:
             fleet.start_standins()
-            fleet.control_origin(corrupt_share=case.corrupt)
+            fleet.control_origin(corrupt_share=case.corrupt_share)
             return _run_nodes(case, fleet, Path(folder))
         finally:
             fleet.close()
 
 
-def _specs(case: Case, fleet: Fleet) -> list[NodeSpec]:
+def _node_specs(case: Case, fleet: Fleet) -> list[NodeSpec]:
     specs = []
     for number in range(case.nodes):
         zone = number % ZONES
         host = f'127.{fleet.number}.{zone + 1}.{number // ZONES + 1}'
-        spec = NodeSpec(f'node-{number}', host, f'zone-{zone}', trouble_s=case.link_s / 3)
-        if case.trouble == 'stall' and number == 1:
+        spec = NodeSpec(f'node-{number}', host, f'zone-{zone}', trouble_s=case.copy_s / 3)
+        if case.fault == 'stall' and number == 1:
             spec.trouble = 'stall'
-        if case.trouble == 'kill' and number % 10 == 1:
+        if case.fault == 'kill' and number % 10 == 1:
             spec.trouble = 'kill'
-        if case.trouble == 'cut':
+        if case.fault == 'cut':
             # Either side must stop talking to the other.
             spec.trouble = 'cut'
         specs.append(spec)
@@ -145,43 +147,43 @@
 
 
 def _run_nodes(case: Case, fleet: Fleet, folder: Path) -> Result:
-    specs = _specs(case, fleet)
-    wanted = ['v1', case.second] if case.second else ['v1']
+    specs = _node_specs(case, fleet)
+    versions = ['v1', case.second_version] if case.second_version else ['v1']
     plan = Plan(
         specs,
         [],
         str(folder / 'nodes'),
         (fleet.origin['host'], STANDIN_PORT),
-        [(MODEL, version, _digest(fleet, version)) for version in wanted],
-        case.link_s / 2,
-        time.monotonic() + START_LEAD_S,
+        [(MODEL, version, _digest(fleet, version)) for version in versions],
+        case.copy_s / 2,
+        time.monotonic() + START_DELAY_S,
         case.planner,
-        case.copies,
+        case.origin_copies,
         case.stripes if case.planner == 'trees' else 1,
         case.window if case.planner == 'trees' else 4 * case.window,
-        max(8 * CHUNK_BYTES / case.rate * case.stripes, 0.5),
-        case.rate,
-        case.together,
-        case.share,
-        case.rate * 0.1 if case.live else 0.0,
+        max(8 * CHUNK_BYTES / case.bytes_per_s * case.stripes, 0.5),
+        case.bytes_per_s,
+        case.shares_directions,
+        case.transfer_share,
+        case.bytes_per_s * 0.1 if case.has_live_requests else 0.0,
     )
     before = fetch_json('GET', fleet.origin['host'], STANDIN_PORT, '/stats')['bytes']
     processes = [_start(plan, number) for number in range(min(PROCESSES, case.nodes))]
     lines = []
-    for process, mine in processes:
+    for process, own_names in processes:
         assert process.stdout is not None
-        for _ in mine:
+        for _ in own_names:
             line = process.stdout.readline()
             if not line:
-                raise RunFailed(f'a process ended early: {mine}')
+                raise RunFailed(f'a process ended early: {own_names}')
             lines.append(json.loads(line))
     after = fetch_json('GET', fleet.origin['host'], STANDIN_PORT, '/stats')['bytes']
     for process, _ in processes:
-        process.communicate('\n', timeout=TIMEOUT_S)
+        process.communicate('\n', timeout=EXIT_TIMEOUT_S)
     seconds = max(line['seconds'] for line in lines if line['seconds'] is not None)
     waits = [wait for line in lines for wait in line['live_waits']]
-    offset = case.link_s / 2 if case.second else 0.0
-    return Result(seconds - offset, (after - before) / MODEL_BYTES, waits)
+    second_start_s = case.copy_s / 2 if case.second_version else 0.0
+    return Result(seconds - second_start_s, (after - before) / MODEL_BYTES, waits)
 
 
 def _digest(fleet: Fleet, version: str) -> str:
@@ -190,7 +192,7 @@
 
 
 def _start(plan: Plan, number: int) -> tuple[subprocess.Popen[str], list[str]]:
-    mine = [spec.name for spec in plan.nodes[number::PROCESSES]]
+    own_names = [spec.name for spec in plan.nodes[number::PROCESSES]]
     process = subprocess.Popen(
         [sys.executable, '-m', 'millfork_standins.bench.weight_node'],
         stdin=subprocess.PIPE,
@@ -198,42 +200,42 @@
         text=True,
     )
     assert process.stdin is not None
-    own = msgspec.structs.replace(plan, mine=mine)
-    process.stdin.write(msgspec.json.encode(own).decode() + '\n')
+    own_plan = msgspec.structs.replace(plan, mine=own_names)
+    process.stdin.write(msgspec.json.encode(own_plan).decode() + '\n')
     process.stdin.flush()
-    return process, mine
+    return process, own_names
 
 
-def cases(quick: bool) -> list[Case]:
+def list_cases(quick: bool) -> list[Case]:
     """
     All cases, or the reduced set.
 
     """
     if quick:
         return [
-            Case('trees, N=8', 8, link_s=2),
-            Case('binary tree, N=8', 8, planner='binary', link_s=2),
+            Case('trees, N=8', 8, copy_s=2),
+            Case('binary tree, N=8', 8, planner='binary', copy_s=2),
         ]
-    found = [Case(f'trees, N={nodes}', nodes) for nodes in (4, 8, 16)]
+    all_cases = [Case(f'trees, N={nodes}', nodes) for nodes in (4, 8, 16)]
     # Slower links where more processes share this machine's cores.
-    found += [Case(f'trees, N={nodes}', nodes, link_s=SLOW_LINK_S) for nodes in (32, 64)]
-    base = Case(BASE, 16)
-    found += [
-        replace(base, name='trees, N=16, shared link', together=True),
-        replace(base, name='trees 2 copies, N=16', copies=2),
-        replace(base, name='trees 3 copies, N=16', copies=3),
+    all_cases += [Case(f'trees, N={nodes}', nodes, copy_s=SLOW_LINK_COPY_S) for nodes in (32, 64)]
+    base = Case(BASE_CASE, 16)
+    all_cases += [
+        replace(base, name='trees, N=16, shared link', shares_directions=True),
+        replace(base, name='trees 2 copies, N=16', origin_copies=2),
+        replace(base, name='trees 3 copies, N=16', origin_copies=3),
         replace(base, name='binary tree, N=16', planner='binary'),
         Case('all from origin, N=4', 4, 'origin', 4),
-        replace(base, name='1% corrupt', corrupt=0.01),
-        replace(base, name='one stalled', trouble='stall'),
-        replace(base, name='one killed in ten', trouble='kill'),
-        replace(base, name='zones cut midway', trouble='cut'),
-        replace(base, name='version changes', second='v2'),
-        replace(base, name='version changes, 90% kept', second='kept'),
-        replace(base, name='live requests, share 0.8', share=0.8, live=True),
-        replace(base, name='live requests, share 1.0', live=True),
+        replace(base, name='1% corrupt', corrupt_share=0.01),
+        replace(base, name='one stalled', fault='stall'),
+        replace(base, name='one killed in ten', fault='kill'),
+        replace(base, name='zones cut midway', fault='cut'),
+        replace(base, name='version changes', second_version='v2'),
+        replace(base, name='version changes, 90% kept', second_version='kept'),
+        replace(base, name='live requests, share 0.8', transfer_share=0.8, has_live_requests=True),
+        replace(base, name='live requests, share 1.0', has_live_requests=True),
     ]
-    return found
+    return all_cases
 
 
 def run(repetitions: int, quick: bool) -> Path:
@@ -241,25 +243,25 @@
     The experiment.
 
     """
-    sheet = Sheet(
+    results = ExperimentResults(
         'distribution',
         {'model_bytes': MODEL_BYTES, 'chunks': CHUNKS, 'zones': ZONES, 'repetitions': repetitions},
     )
-    for case in cases(quick):
+    for case in list_cases(quick):
         for _ in range(repetitions):
             try:
                 result = run_case(case)
             except RunFailed as error:
                 # A run that did not end is a result too.
                 print(f'{case.name}: FAILED: {error}', flush=True)
-                sheet.add(case.name, 'failed_runs', 'runs', 1)
+                results.add(case.name, 'failed_runs', 'runs', 1)
                 continue
-            clean = BASE if case.nodes == 16 and case.name != BASE else ''
-            sheet.add(case.name, 'time_to_n', 's', result.seconds, clean)
-            sheet.add(case.name, 'over_bound', 'ratio', result.seconds / case.bound_s)
-            sheet.add(case.name, 'origin_copies', 'copies', result.copies)
+            baseline = BASE_CASE if case.nodes == 16 and case.name != BASE_CASE else ''
+            results.add(case.name, 'time_to_n', 's', result.seconds, baseline)
+            results.add(case.name, 'over_bound', 'ratio', result.seconds / case.bound_s)
+            results.add(case.name, 'origin_copies', 'copies', result.origin_copies)
             if result.live_waits:
-                worst = sorted(result.live_waits)[int(len(result.live_waits) * 0.95)]
-                sheet.add(case.name, 'live_wait_p95', 's', worst)
-        print(f'{case.name}: {result.seconds:.2f} s, {result.copies:.2f} copies', flush=True)
-    return sheet.write()
+                wait_p95_s = sorted(result.live_waits)[int(len(result.live_waits) * 0.95)]
+                results.add(case.name, 'live_wait_p95', 's', wait_p95_s)
+        print(f'{case.name}: {result.seconds:.2f} s, {result.origin_copies:.2f} copies', flush=True)
+    return results.write()
--- a/packages/millfork-standins/millfork_standins/bench/engine_model.py
+++ b/packages/millfork-standins/millfork_standins/bench/engine_model.py
@@ -16,10 +16,10 @@
 from millfork_routing.documents import EngineSpec
 
 # Prompt tokens that one pass reads at the most.
-READ_AT_ONCE: Final = 2048
+MAX_PROMPT_TOKENS_PER_PASS: Final = 2048
 
 
-class Agenda:
+class EventScheduler:
     """
     What is to happen when; times are simulated seconds.
 
@@ -27,18 +27,18 @@
 
     def __init__(self) -> None:
         self.now = 0.0
-        self.numbers = count()
+        self.sequence_numbers = count()
         self.events: list[tuple[float, int, Callable[[], None]]] = []
 
     def monotonic(self) -> float:
         return self.now
 
-    def after(self, seconds: float, action: Callable[[], None]) -> None:
+    def schedule(self, seconds: float, action: Callable[[], None]) -> None:
         """
         Have something happen so much later.
 
         """
-        heapq.heappush(self.events, (self.now + seconds, next(self.numbers), action))
+        heapq.heappush(self.events, (self.now + seconds, next(self.sequence_numbers), action))
 
     def run_until(self, end: float) -> None:
         """
@@ -57,16 +57,16 @@
 
     """
 
-    prompt: int
-    answer: int
-    on_first: Callable[[], None]
+    prompt_tokens: int
+    answer_tokens: int
+    on_first_token: Callable[[], None]
     on_end: Callable[[], None]
-    read: int = 0
-    written: int = 0
+    tokens_read: int = 0
+    tokens_written: int = 0
 
     @property
-    def is_read(self) -> bool:
-        return self.read >= self.prompt
+    def is_prompt_read(self) -> bool:
+        return self.tokens_read >= self.prompt_tokens
 
 
 class EngineModel:
@@ -75,65 +75,69 @@
 
     """
 
-    def __init__(self, agenda: Agenda, figures: EngineSpec) -> None:
-        self.agenda = agenda
-        self.figures = figures
+    def __init__(self, scheduler: EventScheduler, engine_spec: EngineSpec) -> None:
+        self.scheduler = scheduler
+        self.engine_spec = engine_spec
         self.queue: deque[Generation] = deque()
         self.running: list[Generation] = []
         self.busy = False
 
-    def add(self, generation: Generation) -> None:
+    def submit(self, generation: Generation) -> None:
         """
         Take a request.
 
         """
         self.queue.append(generation)
         if not self.busy:
-            self._begin_pass()
+            self._start_pass()
 
-    def _begin_pass(self) -> None:
-        figures = self.figures
-        while self.queue and len(self.running) < figures.slots:
+    def _start_pass(self) -> None:
+        engine_spec = self.engine_spec
+        while self.queue and len(self.running) < engine_spec.slots:
             self.running.append(self.queue.popleft())
         self.busy = bool(self.running)
         if not self.busy:
             return
-        writers = [item for item in self.running if item.is_read]
-        firsts, pass_ms = self._read()
-        if writers:
-            step_ms = figures.step_ms + figures.per_sequence_ms * len(writers)
-            pass_ms += figures.steps_per_event * step_ms
+        generating = [generation for generation in self.running if generation.is_prompt_read]
+        first_token_due, pass_ms = self._read_prompts()
+        if generating:
+            step_ms = engine_spec.step_ms + engine_spec.per_sequence_ms * len(generating)
+            pass_ms += engine_spec.steps_per_event * step_ms
         else:
-            pass_ms += figures.step_ms
-        self.agenda.after(pass_ms / 1000, lambda: self._end_pass(writers, firsts))
+            pass_ms += engine_spec.step_ms
+        self.scheduler.schedule(
+            pass_ms / 1000, lambda: self._finish_pass(generating, first_token_due)
+        )
 
-    def _read(self) -> tuple[list[Generation], float]:
+    def _read_prompts(self) -> tuple[list[Generation], float]:
         """
         Read on in the prompts; returns those that are read by now, and the
         milliseconds that it takes.
 
         """
-        figures = self.figures
-        firsts: list[Generation] = []
-        left = READ_AT_ONCE
-        for item in self.running:
-            if item.is_read or not left:
+        engine_spec = self.engine_spec
+        first_token_due: list[Generation] = []
+        tokens_left = MAX_PROMPT_TOKENS_PER_PASS
+        for generation in self.running:
+            if generation.is_prompt_read or not tokens_left:
                 continue
-            tokens = min(left, item.prompt - item.read)
-            left -= tokens
-            item.read += tokens
-            if item.is_read:
-                firsts.append(item)
-        pairs = sum(item.prompt**2 for item in firsts) / 2 / 1_000_000
-        read_ms = (READ_AT_ONCE - left) * 1000 / figures.read_per_s
-        return firsts, read_ms + pairs * figures.pairs_ms_per_million
-
-    def _end_pass(self, writers: list[Generation], firsts: list[Generation]) -> None:
-        for item in firsts:
-            item.on_first()
-        for item in writers:
-            item.written += self.figures.steps_per_event
-            if item.written >= item.answer:
-                self.running.remove(item)
-                item.on_end()
-        self._begin_pass()
+            tokens = min(tokens_left, generation.prompt_tokens - generation.tokens_read)
+            tokens_left -= tokens
+            generation.tokens_read += tokens
+            if generation.is_prompt_read:
+                first_token_due.append(generation)
+        million_pairs = (
+            sum(generation.prompt_tokens**2 for generation in first_token_due) / 2 / 1_000_000
+        )
+        read_ms = (MAX_PROMPT_TOKENS_PER_PASS - tokens_left) * 1000 / engine_spec.read_per_s
+        return first_token_due, read_ms + million_pairs * engine_spec.pairs_ms_per_million
+
+    def _finish_pass(self, generating: list[Generation], first_token_due: list[Generation]) -> None:
+        for generation in first_token_due:
+            generation.on_first_token()
+        for generation in generating:
+            generation.tokens_written += self.engine_spec.steps_per_event
+            if generation.tokens_written >= generation.answer_tokens:
+                self.running.remove(generation)
+                generation.on_end()
+        self._start_pass()
--- a/packages/millfork-standins/millfork_standins/bench/limit_shares.py
+++ b/packages/millfork-standins/millfork_standins/bench/limit_shares.py
@@ -14,24 +14,24 @@
 from typing import Final, Protocol
 
 from millfork_scheduling.limit_share import LimitShare
-from millfork_standins.bench.rows import Sheet
+from millfork_standins.bench.results import ExperimentResults
 
-ENTRIES: Final = (1, 6, 98, 380)
-LIMITS: Final = (0.5, 1.0, 1.8, 5.0, 20.0)
+ENTRY_COUNTS: Final = (1, 6, 98, 380)
+LIMITS_PER_S: Final = (0.5, 1.0, 1.8, 5.0, 20.0)
 # Requests that callers have for the back end, against its limit.
-DEMANDS: Final = (0.5, 2.0, 20.0)
-SECONDS: Final = 60.0
+DEMAND_FACTORS: Final = (0.5, 2.0, 20.0)
+DURATION_S: Final = 60.0
 STEP_S: Final = 0.02
 WINDOW_S: Final = 4.0
 # As a back end counts them only once its word had time to be heeded.
-COUNTED_AFTER_S: Final = 3.0
-UNEVENNESS: Final = 2.3
-SEEDS: Final = 20
+COUNTED_FROM_S: Final = 3.0
+DEMAND_SPREAD: Final = 2.3
+SEED_COUNT: Final = 20
 # How late the owner of a limit knows what entries asked for.
-FOLLOWED_AFTER_S: Final = 0.5
+DEMAND_UPDATE_INTERVAL_S: Final = 0.5
 
 
-def allowed(limit_per_s: float) -> float:
+def allowed_in_window(limit_per_s: float) -> float:
     """
     The requests in 4 s that a back end puts up with.
 
@@ -39,7 +39,7 @@
     return 1.5 * limit_per_s * WINDOW_S + 5
 
 
-class Way(Protocol):
+class LimitStrategy(Protocol):
     """
     One way to keep to a limit.
 
@@ -52,28 +52,28 @@
         """
 
 
-class Buckets:
+class EqualBuckets:
     """
     A token bucket for each entry with an equal share, which begins full with one.
 
     """
 
     def __init__(self, limit_per_s: float, entries: int, random: Random) -> None:
-        self.rate = limit_per_s / entries
-        self.saved = [1.0] * entries
-        self.at = [0.0] * entries
+        self.rate_per_s = limit_per_s / entries
+        self.tokens = [1.0] * entries
+        self.updated_at = [0.0] * entries
 
     def may_send(self, entry: int, now: float) -> bool:
-        grown = self.saved[entry] + (now - self.at[entry]) * self.rate
-        self.saved[entry] = min(grown, max(self.rate, 1.0))
-        self.at[entry] = now
-        if self.saved[entry] < 1:
+        refilled = self.tokens[entry] + (now - self.updated_at[entry]) * self.rate_per_s
+        self.tokens[entry] = min(refilled, max(self.rate_per_s, 1.0))
+        self.updated_at[entry] = now
+        if self.tokens[entry] < 1:
             return False
-        self.saved[entry] -= 1
+        self.tokens[entry] -= 1
         return True
 
 
-class Shares:
+class LimitShares:
     """
     The project's: `LimitShare`.
 
@@ -87,20 +87,20 @@
         return self.shares[entry].consume(now, self.entries)
 
 
-class Owner:
+class CentralBucket:
     """
     One process that is asked before each request, with one bucket for all entries.
 
     """
 
     def __init__(self, limit_per_s: float, entries: int, random: Random) -> None:
-        self.bucket = Buckets(limit_per_s, 1, random)
+        self.bucket = EqualBuckets(limit_per_s, 1, random)
 
     def may_send(self, entry: int, now: float) -> bool:
         return self.bucket.may_send(0, now)
 
 
-class Followed:
+class DemandShares:
     """
     Shares that follow what each entry asked for, as told a moment later; buckets of one.
 
@@ -108,66 +108,68 @@
 
     def __init__(self, limit_per_s: float, entries: int, random: Random) -> None:
         self.limit_per_s = limit_per_s
-        self.asked = [1.0] * entries
+        self.demands = [1.0] * entries
         self.shares = [1 / entries] * entries
-        self.saved = [0.0] * entries
-        self.at = [0.0] * entries
-        self.told_at = 0.0
+        self.tokens = [0.0] * entries
+        self.updated_at = [0.0] * entries
+        self.shares_updated_at = 0.0
 
     def may_send(self, entry: int, now: float) -> bool:
-        self.asked[entry] += 1
-        if now - self.told_at > FOLLOWED_AFTER_S:
-            total = sum(self.asked)
-            self.shares = [asked / total for asked in self.asked]
-            self.asked = [asked / 2 + 0.01 for asked in self.asked]
-            self.told_at = now
-        rate = self.limit_per_s * self.shares[entry]
-        grown = self.saved[entry] + (now - self.at[entry]) * rate
-        self.saved[entry] = min(grown, max(rate, 1.0))
-        self.at[entry] = now
-        if self.saved[entry] < 1:
+        self.demands[entry] += 1
+        if now - self.shares_updated_at > DEMAND_UPDATE_INTERVAL_S:
+            total = sum(self.demands)
+            self.shares = [demand / total for demand in self.demands]
+            self.demands = [demand / 2 + 0.01 for demand in self.demands]
+            self.shares_updated_at = now
+        rate_per_s = self.limit_per_s * self.shares[entry]
+        refilled = self.tokens[entry] + (now - self.updated_at[entry]) * rate_per_s
+        self.tokens[entry] = min(refilled, max(rate_per_s, 1.0))
+        self.updated_at[entry] = now
+        if self.tokens[entry] < 1:
             return False
-        self.saved[entry] -= 1
+        self.tokens[entry] -= 1
         return True
 
 
-WAYS: Final[dict[str, Callable[[float, int, Random], Way]]] = {
-    'buckets': Buckets,
-    'shares': Shares,
-    'owner': Owner,
-    'followed': Followed,
+STRATEGIES: Final[dict[str, Callable[[float, int, Random], LimitStrategy]]] = {
+    'buckets': EqualBuckets,
+    'shares': LimitShares,
+    'owner': CentralBucket,
+    'followed': DemandShares,
 }
 
 
-def play(way: Way, limit_per_s: float, entries: int, demand: float, random: Random) -> list[float]:
+def simulate_sends(
+    strategy: LimitStrategy, limit_per_s: float, entries: int, demand: float, random: Random
+) -> list[float]:
     """
     When requests were sent, in seconds.
 
     """
-    weights = [math.exp(random.random() * UNEVENNESS) for _ in range(entries)]
+    weights = [math.exp(random.random() * DEMAND_SPREAD) for _ in range(entries)]
     per_step = limit_per_s * demand * STEP_S
-    sent = []
-    for step in range(int(SECONDS / STEP_S)):
+    sent_at = []
+    for step in range(int(DURATION_S / STEP_S)):
         now = step * STEP_S
         count = int(per_step) + (random.random() < per_step % 1)
         for entry in random.choices(range(entries), weights, k=count):
-            if way.may_send(entry, now):
-                sent.append(now)
-    return sent
+            if strategy.may_send(entry, now):
+                sent_at.append(now)
+    return sent_at
 
 
-def most_in_window(sent: list[float]) -> int:
+def max_in_window(sent_at: list[float]) -> int:
     """
     The most requests in any window, once the word had time to be heeded.
 
     """
-    counted = [at for at in sent if at >= COUNTED_AFTER_S]
-    most, first = 0, 0
-    for last, at in enumerate(counted):
-        while counted[first] <= at - WINDOW_S:
-            first += 1
-        most = max(most, last - first + 1)
-    return most
+    counted_times = [at for at in sent_at if at >= COUNTED_FROM_S]
+    highest, window_start = 0, 0
+    for last, at in enumerate(counted_times):
+        while counted_times[window_start] <= at - WINDOW_S:
+            window_start += 1
+        highest = max(highest, last - window_start + 1)
+    return highest
 
 
 def run(repetitions: int, quick: bool) -> Path:
@@ -175,24 +177,28 @@
     The experiment, on so many seeds each.
 
     """
-    seeds = 2 if quick else SEEDS
-    sheet = Sheet('limit-shares', {'seconds': SECONDS, 'seeds': seeds, 'demands': DEMANDS})
-    for entries in ENTRIES:
-        for name, make in WAYS.items():
-            over, plays, used = 0, 0, []
-            worst = 0.0
-            for limit in LIMITS:
-                for demand in DEMANDS:
+    seeds = 2 if quick else SEED_COUNT
+    results = ExperimentResults(
+        'limit-shares', {'seconds': DURATION_S, 'seeds': seeds, 'demands': DEMAND_FACTORS}
+    )
+    for entries in ENTRY_COUNTS:
+        for name, make_strategy in STRATEGIES.items():
+            runs_over, runs, used_shares = 0, 0, []
+            highest_ratio = 0.0
+            for limit in LIMITS_PER_S:
+                for demand in DEMAND_FACTORS:
                     for seed in range(seeds):
                         random = Random(f'{entries} {limit} {demand} {seed}')
-                        sent = play(make(limit, entries, random), limit, entries, demand, random)
-                        ratio = most_in_window(sent) / allowed(limit)
-                        worst = max(worst, ratio)
-                        over += ratio > 1
-                        plays += 1
-                        used.append(len(sent) / (SECONDS * limit * min(demand, 1.0)))
+                        sent_at = simulate_sends(
+                            make_strategy(limit, entries, random), limit, entries, demand, random
+                        )
+                        ratio = max_in_window(sent_at) / allowed_in_window(limit)
+                        highest_ratio = max(highest_ratio, ratio)
+                        runs_over += ratio > 1
+                        runs += 1
+                        used_shares.append(len(sent_at) / (DURATION_S * limit * min(demand, 1.0)))
             case = f'{entries} entries, {name}'
-            sheet.add(case, 'most in 4 s', 'of allowed', worst)
-            sheet.add(case, 'plays over', 'share', over / plays)
-            sheet.add(case, 'used', 'of limit', sum(used) / len(used))
-    return sheet.write()
+            results.add(case, 'most in 4 s', 'of allowed', highest_ratio)
+            results.add(case, 'plays over', 'share', runs_over / runs)
+            results.add(case, 'used', 'of limit', sum(used_shares) / len(used_shares))
+    return results.write()
--- a/packages/millfork-standins/millfork_standins/bench/limits.py
+++ b/packages/millfork-standins/millfork_standins/bench/limits.py
@@ -9,14 +9,14 @@
 from pathlib import Path
 from typing import Final
 
-from millfork_standins.bench.load import (
-    Load,
-    Stream,
-    endings,
+from millfork_standins.bench.load_generator import (
+    ArrivalStream,
+    LoadGenerator,
+    count_endings,
     percentile,
-    right,
+    successful,
 )
-from millfork_standins.bench.rows import Sheet
+from millfork_standins.bench.results import ExperimentResults
 from millfork_standins.deployments import LANTING
 from millfork_standins.fleet import Fleet
 from millfork_standins.layout import ADMIN_PORT, FleetOptions
@@ -26,11 +26,11 @@
 ENDPOINTS: Final = 3
 SLOTS: Final = 8
 ANSWER_MS: Final = 200
-CAPACITY: Final = ENDPOINTS * SLOTS * 1000 / ANSWER_MS
-SECONDS: Final = 6.0
-FACTORS: Final = (1.0, 2.0, 5.0)
+CAPACITY_PER_S: Final = ENDPOINTS * SLOTS * 1000 / ANSWER_MS
+DURATION_S: Final = 6.0
+LOAD_FACTORS: Final = (1.0, 2.0, 5.0)
 QUICK_FACTORS: Final = (1.0, 2.0)
-LARGE, SMALL = LANTING.organisations
+LARGE_ORGANISATION, SMALL_ORGANISATION = LANTING.organisations
 
 
 def _fleet(folder: Path) -> Fleet:
@@ -40,80 +40,84 @@
     return Fleet(shape, folder, options)
 
 
-def measure_overload(sheet: Sheet, fleet: Fleet, factors: tuple[float, ...]) -> None:
+def measure_overload(results: ExperimentResults, fleet: Fleet, factors: tuple[float, ...]) -> None:
     """
     Goodput and refusals at multiples of the capacity.
 
     """
     for factor in factors:
-        outcomes = Load(fleet, SERVICE).run([Stream(LARGE, CAPACITY * factor, 0, SECONDS)])
+        outcomes = LoadGenerator(fleet, SERVICE).run(
+            [ArrivalStream(LARGE_ORGANISATION, CAPACITY_PER_S * factor, 0, DURATION_S)]
+        )
         case = f'{factor:.0f} x capacity'
-        good = right(outcomes)
-        ended = max(outcome.at + outcome.seconds for outcome in outcomes)
-        sheet.add(case, 'goodput', 'requests/s', len(good) / ended, '1 x capacity')
-        refused = [outcome for outcome in outcomes if outcome not in good]
-        sheet.add(case, 'refused_share', 'share', len(refused) / len(outcomes))
-        sheet.add(case, 'refusal_p99', 's', percentile(refused, 0.99))
-        sheet.add(case, 'answer_p99', 's', percentile(good, 0.99))
-        sheet.add(case, 'cut', 'requests', endings(outcomes)['cut'])
+        answered = successful(outcomes)
+        last_end_s = max(outcome.arrived_at_s + outcome.duration_s for outcome in outcomes)
+        results.add(case, 'goodput', 'requests/s', len(answered) / last_end_s, '1 x capacity')
+        refused = [outcome for outcome in outcomes if outcome not in answered]
+        results.add(case, 'refused_share', 'share', len(refused) / len(outcomes))
+        results.add(case, 'refusal_p99', 's', percentile(refused, 0.99))
+        results.add(case, 'answer_p99', 's', percentile(answered, 0.99))
+        results.add(case, 'cut', 'requests', count_endings(outcomes)['cut'])
 
 
-def measure_fairness(sheet: Sheet, fleet: Fleet) -> None:
+def measure_fairness(results: ExperimentResults, fleet: Fleet) -> None:
     """
     A small organisation alone, and beside a large one that floods.
 
     """
-    small = Stream(SMALL, CAPACITY * 0.1, 0, SECONDS)
-    flood = Stream(LARGE, CAPACITY * 3, 0, SECONDS)
-    quiet = Load(fleet, SERVICE).run([small])
-    crowded = Load(fleet, SERVICE).run([small, flood])
-    mine = [outcome for outcome in crowded if outcome.organisation == SMALL]
-    for case, outcomes in (('small, quiet', quiet), ('small, beside a flood', mine)):
-        sheet.add(case, 'answer_p50', 's', percentile(right(outcomes), 0.5), 'small, quiet')
-        sheet.add(case, 'answer_p99', 's', percentile(right(outcomes), 0.99), 'small, quiet')
-        sheet.add(case, 'answered', 'share', len(right(outcomes)) / len(outcomes))
-
-
-def measure_recovery(sheet: Sheet, fleet: Fleet) -> None:
+    small = ArrivalStream(SMALL_ORGANISATION, CAPACITY_PER_S * 0.1, 0, DURATION_S)
+    flood = ArrivalStream(LARGE_ORGANISATION, CAPACITY_PER_S * 3, 0, DURATION_S)
+    alone = LoadGenerator(fleet, SERVICE).run([small])
+    crowded = LoadGenerator(fleet, SERVICE).run([small, flood])
+    crowded_small = [outcome for outcome in crowded if outcome.organisation == SMALL_ORGANISATION]
+    for case, outcomes in (('small, quiet', alone), ('small, beside a flood', crowded_small)):
+        results.add(case, 'answer_p50', 's', percentile(successful(outcomes), 0.5), 'small, quiet')
+        results.add(case, 'answer_p99', 's', percentile(successful(outcomes), 0.99), 'small, quiet')
+        results.add(case, 'answered', 'share', len(successful(outcomes)) / len(outcomes))
+
+
+def measure_recovery(results: ExperimentResults, fleet: Fleet) -> None:
     """
     Callers that come back when told; a burst in the middle.
 
     """
-    steady = Stream(SMALL, CAPACITY * 0.6, 0, 14, persistent=True)
-    burst = Stream(LARGE, CAPACITY * 4, 3, 5, persistent=True)
-    outcomes = Load(fleet, SERVICE).run([steady, burst])
-    before = [o for o in outcomes if o.organisation == SMALL and o.at < 3]
-    late = [o for o in outcomes if o.organisation == SMALL and o.at > 10]
+    steady = ArrivalStream(SMALL_ORGANISATION, CAPACITY_PER_S * 0.6, 0, 14, persistent=True)
+    burst = ArrivalStream(LARGE_ORGANISATION, CAPACITY_PER_S * 4, 3, 5, persistent=True)
+    outcomes = LoadGenerator(fleet, SERVICE).run([steady, burst])
+    before = [o for o in outcomes if o.organisation == SMALL_ORGANISATION and o.arrived_at_s < 3]
+    after = [o for o in outcomes if o.organisation == SMALL_ORGANISATION and o.arrived_at_s > 10]
     case = 'before the burst'
-    sheet.add(case, 'answer_p99', 's', percentile(right(before), 0.99))
-    sheet.add('after the burst', 'answer_p99', 's', percentile(right(late), 0.99), case)
-    sendings = sum(outcome.sendings for outcome in outcomes) / len(outcomes)
-    sheet.add('burst', 'sendings_each', 'sendings', sendings)
+    results.add(case, 'answer_p99', 's', percentile(successful(before), 0.99))
+    results.add('after the burst', 'answer_p99', 's', percentile(successful(after), 0.99), case)
+    attempts = sum(outcome.attempts for outcome in outcomes) / len(outcomes)
+    results.add('burst', 'sendings_each', 'sendings', attempts)
 
 
-def measure_outage(sheet: Sheet, fleet: Fleet) -> None:
+def measure_outage(results: ExperimentResults, fleet: Fleet) -> None:
     """
     One of three endpoints is frozen, then dead, at 60% of capacity.
 
     """
     victim = next(i for i in fleet.instances.values() if i.service == SERVICE).name
-    for case, harm, mend in (
+    for case, inject_fault, undo_fault in (
         ('one of three frozen', fleet.freeze, fleet.thaw),
         ('one of three dead', fleet.kill, None),
     ):
-        before = _retries(fleet)
-        harm(victim)
-        outcomes = Load(fleet, SERVICE).run([Stream(LARGE, CAPACITY * 0.6, 0, SECONDS)])
-        retries = _retries(fleet) - before
-        if mend is not None:
-            mend(victim)
+        before = _count_retries(fleet)
+        inject_fault(victim)
+        outcomes = LoadGenerator(fleet, SERVICE).run(
+            [ArrivalStream(LARGE_ORGANISATION, CAPACITY_PER_S * 0.6, 0, DURATION_S)]
+        )
+        retries = _count_retries(fleet) - before
+        if undo_fault is not None:
+            undo_fault(victim)
             time.sleep(2)
-        sheet.add(case, 'amplification', 'attempts', 1 + retries / len(outcomes))
-        sheet.add(case, 'answered', 'share', len(right(outcomes)) / len(outcomes))
-        sheet.add(case, 'answer_p99', 's', percentile(right(outcomes), 0.99))
+        results.add(case, 'amplification', 'attempts', 1 + retries / len(outcomes))
+        results.add(case, 'answered', 'share', len(successful(outcomes)) / len(outcomes))
+        results.add(case, 'answer_p99', 's', percentile(successful(outcomes), 0.99))
 
 
-def _retries(fleet: Fleet) -> float:
+def _count_retries(fleet: Fleet) -> float:
     total = 0.0
     for entry in fleet.entries:
         text = fetch('GET', entry.host, ADMIN_PORT, '/metrics').body.decode()
@@ -128,8 +132,8 @@
     The experiment.
 
     """
-    settings = {'capacity': CAPACITY, 'seconds': SECONDS, 'repetitions': repetitions}
-    sheet = Sheet('limits', settings)
+    settings = {'capacity': CAPACITY_PER_S, 'seconds': DURATION_S, 'repetitions': repetitions}
+    results = ExperimentResults('limits', settings)
     for _ in range(repetitions):
         with tempfile.TemporaryDirectory(prefix='millfork-bench-') as folder:
             fleet = _fleet(Path(folder))
@@ -137,11 +141,11 @@
                 fleet.start()
                 fleet.apply(fleet.organisations_declaration())
                 time.sleep(2)
-                measure_overload(sheet, fleet, QUICK_FACTORS if quick else FACTORS)
+                measure_overload(results, fleet, QUICK_FACTORS if quick else LOAD_FACTORS)
                 if not quick:
-                    measure_fairness(sheet, fleet)
-                    measure_recovery(sheet, fleet)
-                    measure_outage(sheet, fleet)
+                    measure_fairness(results, fleet)
+                    measure_recovery(results, fleet)
+                    measure_outage(results, fleet)
             finally:
                 fleet.close()
-    return sheet.write()
+    return results.write()
--- a/packages/millfork-standins/millfork_standins/bench/load.py
+++ b/packages/millfork-standins/millfork_standins/bench/load_generator.py
@@ -15,13 +15,13 @@
 from millfork_standins.layout import CALLERS_PORT
 from millfork_web.client import Client, ExchangeFailed
 
-TIMEOUT_S: Final = 15.0
-OK: Final = 200
-CUT: Final = 'cut'
+REQUEST_TIMEOUT_S: Final = 15.0
+OK_STATUS: Final = 200
+NO_RESPONSE: Final = 'cut'
 
 
 @dataclass(frozen=True, slots=True)
-class Stream:
+class ArrivalStream:
     """
     Arrivals of one organisation: requests/s from `begin_s` to `end_s`. With
     `persistent`, a refused request comes again when it was told to.
@@ -29,8 +29,8 @@
     """
 
     organisation: str
-    rate: float
-    begin_s: float
+    rate_per_s: float
+    start_s: float
     end_s: float
     persistent: bool = False
 
@@ -44,14 +44,14 @@
     """
 
     organisation: str
-    at: float
-    seconds: float
-    ending: str
-    sendings: int = 1
+    arrived_at_s: float
+    duration_s: float
+    status_or_reason: str
+    attempts: int = 1
 
 
 @dataclass
-class Load:
+class LoadGenerator:
     """
     Runs streams of arrivals against the entries of a fleet.
 
@@ -63,7 +63,7 @@
     seed: int = 0
     outcomes: list[Outcome] = field(default_factory=list)
 
-    def run(self, streams: list[Stream]) -> list[Outcome]:
+    def run(self, streams: list[ArrivalStream]) -> list[Outcome]:
         """
         Run all streams to their ends; the outcomes in the order of ending.
 
@@ -72,42 +72,46 @@
         curio.run(self._run, streams)
         return self.outcomes
 
-    async def _run(self, streams: list[Stream]) -> None:
+    async def _run(self, streams: list[ArrivalStream]) -> None:
         clients = [Client(entry.host, CALLERS_PORT) for entry in self.fleet.entries]
-        began = time.monotonic()
+        started_at = time.monotonic()
         async with curio.TaskGroup() as group:
-            for number, stream in enumerate(streams):
-                chance = random.Random(f'{self.seed}/{number}')
-                await group.spawn(self._arrivals, stream, chance, clients, began)
+            for stream_number, stream in enumerate(streams):
+                random_source = random.Random(f'{self.seed}/{stream_number}')
+                await group.spawn(self._arrivals, stream, random_source, clients, started_at)
         for client in clients:
             await client.close()
 
     async def _arrivals(
-        self, stream: Stream, chance: random.Random, clients: list[Client], began: float
+        self,
+        stream: ArrivalStream,
+        random_source: random.Random,
+        clients: list[Client],
+        started_at: float,
     ) -> None:
-        at = stream.begin_s
+        next_arrival_s = stream.start_s
         async with curio.TaskGroup() as group:
-            while at < stream.end_s:
-                await curio.sleep(max(began + at - time.monotonic(), 0))
-                client = chance.choice(clients)
-                await group.spawn(self._request, stream, client, began)
-                at += chance.expovariate(stream.rate)
+            while next_arrival_s < stream.end_s:
+                await curio.sleep(max(started_at + next_arrival_s - time.monotonic(), 0))
+                client = random_source.choice(clients)
+                await group.spawn(self._request, stream, client, started_at)
+                next_arrival_s += random_source.expovariate(stream.rate_per_s)
 
-    async def _request(self, stream: Stream, client: Client, began: float) -> None:
+    async def _request(self, stream: ArrivalStream, client: Client, started_at: float) -> None:
         sent_at = time.monotonic()
-        outcome = Outcome(stream.organisation, sent_at - began, 0.0, CUT)
+        outcome = Outcome(stream.organisation, sent_at - started_at, 0.0, NO_RESPONSE)
         token = self.fleet.caller_tokens[stream.organisation]
         headers = [('authorization', f'Bearer {token}')]
         if self.deadline_ms:
             headers.append(('millfork-timeout-ms', str(self.deadline_ms)))
         while True:
-            again_in = await self._send(client, headers, outcome)
-            late = time.monotonic() - began > stream.end_s
-            if not stream.persistent or not again_in or late:
+            retry_after_s = await self._send(client, headers, outcome)
+            is_after_end = time.monotonic() - started_at > stream.end_s
+            if not stream.persistent or not retry_after_s or is_after_end:
                 break
-            outcome.sendings += 1
-            await curio.sleep(again_in)
-        outcome.seconds = time.monotonic() - sent_at
+            outcome.attempts += 1
+            await curio.sleep(retry_after_s)
+        outcome.duration_s = time.monotonic() - sent_at
         self.outcomes.append(outcome)
 
     async def _send(
@@ -119,16 +123,16 @@
         """
         path = f'/services/{self.service}/x'
         try:
-            response = await client.fetch('GET', path, headers, timeout=TIMEOUT_S)
+            response = await client.fetch('GET', path, headers, timeout=REQUEST_TIMEOUT_S)
         except ExchangeFailed:
-            outcome.ending = CUT
+            outcome.status_or_reason = NO_RESPONSE
             return 0.0
-        outcome.ending = response.header('millfork-reason') or str(response.status)
+        outcome.status_or_reason = response.header('millfork-reason') or str(response.status)
         return float(response.header('retry-after') or 0)
 
 
-def right(outcomes: list[Outcome]) -> list[Outcome]:
-    return [outcome for outcome in outcomes if outcome.ending == str(OK)]
+def successful(outcomes: list[Outcome]) -> list[Outcome]:
+    return [outcome for outcome in outcomes if outcome.status_or_reason == str(OK_STATUS)]
 
 
 def percentile(outcomes: list[Outcome], share: float) -> float:
@@ -136,9 +140,9 @@
     The time to the end that `share` of the outcomes stay within, in seconds.
 
     """
-    times = sorted(outcome.seconds for outcome in outcomes)
+    times = sorted(outcome.duration_s for outcome in outcomes)
     return times[min(int(len(times) * share), len(times) - 1)] if times else 0.0
 
 
-def endings(outcomes: list[Outcome]) -> Counter[str]:
-    return Counter(outcome.ending for outcome in outcomes)
+def count_endings(outcomes: list[Outcome]) -> Counter[str]:
+    return Counter(outcome.status_or_reason for outcome in outcomes)
--- a/packages/millfork-standins/millfork_standins/bench/plots.py
+++ b/packages/millfork-standins/millfork_standins/bench/plots.py
@@ -15,10 +15,10 @@
 from matplotlib import pyplot
 
 from millfork_core.status import ExitStatus
-from millfork_standins.bench.rows import BUILD
+from millfork_standins.bench.results import RESULTS_FOLDER
 
 
-def draw(path: Path) -> Path:
+def plot(path: Path) -> Path:
     """
     One picture for an experiment: a panel for each metric, a bar for each
     case, a whisker from the least to the most.
@@ -26,33 +26,38 @@
     """
     rows: list[dict[str, Any]] = json.loads(path.read_text())['rows']
     metrics = list(dict.fromkeys(row['metric'] for row in rows))
-    tallest = max(sum(row['metric'] == metric for row in rows) for metric in metrics)
+    max_cases = max(sum(row['metric'] == metric for row in rows) for metric in metrics)
     figure, panels = pyplot.subplots(
-        len(metrics), 1, figsize=(9, len(metrics) * (1 + 0.25 * tallest)), squeeze=False
+        len(metrics), 1, figsize=(9, len(metrics) * (1 + 0.25 * max_cases)), squeeze=False
     )
     for panel, metric in zip(panels[:, 0], metrics, strict=True):
-        chosen = [row for row in rows if row['metric'] == metric]
-        values = [row['value'] for row in chosen]
-        below = [row['value'] - row['least'] for row in chosen]
-        above = [row['most'] - row['value'] for row in chosen]
-        panel.barh([row['case'] for row in chosen], values, xerr=[below, above], capsize=2)
+        metric_rows = [row for row in rows if row['metric'] == metric]
+        values = [row['value'] for row in metric_rows]
+        errors_below = [row['value'] - row['least'] for row in metric_rows]
+        errors_above = [row['most'] - row['value'] for row in metric_rows]
+        panel.barh(
+            [row['case'] for row in metric_rows],
+            values,
+            xerr=[errors_below, errors_above],
+            capsize=2,
+        )
         panel.invert_yaxis()
-        panel.set_title(f'{path.stem}: {metric} ({chosen[0]["unit"]})', fontsize=9)
+        panel.set_title(f'{path.stem}: {metric} ({metric_rows[0]["unit"]})', fontsize=9)
         panel.tick_params(labelsize=7)
     figure.tight_layout()
-    target = path.with_suffix('.png')
-    figure.savefig(target, dpi=90)
+    image_path = path.with_suffix('.png')
+    figure.savefig(image_path, dpi=90)
     pyplot.close(figure)
-    return target
+    return image_path
 
 
 def main() -> int:
-    paths = sorted(BUILD.glob('*.json'))
+    paths = sorted(RESULTS_FOLDER.glob('*.json'))
     if not paths:
-        print(f'no files in {BUILD}; run the bench first', file=sys.stderr)
+        print(f'no files in {RESULTS_FOLDER}; run the bench first', file=sys.stderr)
         return ExitStatus.ERROR
     for path in paths:
-        print(draw(path))
+        print(plot(path))
     return ExitStatus.SUCCESS
 
 
--- a/packages/millfork-standins/millfork_standins/bench/rows.py
+++ b/packages/millfork-standins/millfork_standins/bench/results.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any, Final
 
-BUILD: Final = Path('build/bench')
+RESULTS_FOLDER: Final = Path('build/bench')
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,7 +34,7 @@
     ratio: float = 0.0
 
 
-class Sheet:
+class ExperimentResults:
     """
     Gathers samples of one experiment and writes them out.
 
@@ -60,12 +60,12 @@
             (case, metric): statistics.median(values)
             for (case, metric, _), values in self.samples.items()
         }
-        found = []
+        result_rows = []
         for (case, metric, unit), values in self.samples.items():
             median = medians[(case, metric)]
             baseline = self.baselines.get((case, metric), '')
-            reference = medians.get((baseline, metric), 0.0)
-            found.append(
+            baseline_median = medians.get((baseline, metric), 0.0)
+            result_rows.append(
                 Row(
                     self.experiment,
                     case,
@@ -76,11 +76,11 @@
                     round(max(values), 6),
                     len(values),
                     baseline,
-                    round(reference, 6),
-                    round(median / reference, 4) if reference else 0.0,
+                    round(baseline_median, 6),
+                    round(median / baseline_median, 4) if baseline_median else 0.0,
                 )
             )
-        return found
+        return result_rows
 
     def write(self) -> Path:
         """
@@ -88,8 +88,8 @@
 
         """
         rows = self.rows()
-        BUILD.mkdir(parents=True, exist_ok=True)
-        path = BUILD / f'{self.experiment}.json'
+        RESULTS_FOLDER.mkdir(parents=True, exist_ok=True)
+        path = RESULTS_FOLDER / f'{self.experiment}.json'
         content = {'settings': self.settings, 'rows': [asdict(row) for row in rows]}
         path.write_text(json.dumps(content, indent=1) + '\n')
         print(f'\n{self.experiment} ({self.settings})')
--- /dev/null
+++ b/packages/millfork-standins/millfork_standins/bench/retry_detection.py
@@ -0,0 +1,178 @@
+"""
+Telling who comes back: callers that begin with different times, under lasting load.
+
+The ways are compared on the model of routing: as built (the times that first tries come
+with, and what the zone's entries remember), by the longest time seen, by the learned times
+alone, nobody, and with knowledge that no entry has. A calm stretch comes first, as on a
+fleet that was in use before its load rose.
+
+"""
+
+import math
+import statistics
+from collections import Counter
+from enum import Enum
+from functools import partial
+from pathlib import Path
+from typing import Final
+
+from millfork_scheduling.first_tries import DEADLINE_TOLERANCE_MS, FirstTryDetector
+from millfork_scheduling.server_table import ServerTable
+from millfork_standins.bench.results import ExperimentResults
+from millfork_standins.bench.routing import SHAPES, FleetShape, ModelRequest, RoutingModel
+
+CALM_DURATION_S: Final = 9.0
+# Of what the engines carry, what is asked of them meanwhile.
+CALM_LOAD_FACTOR: Final = 0.5
+LOADED_DURATION_S: Final = 9.0
+LOAD_FACTORS: Final = (0.9, 1.2, 1.5)
+# The least part of the usual time that a caller gives.
+MIN_TIMEOUT_SHARES: Final = (1.0, 0.85)
+USUAL_TIMEOUT_MS: Final = 6000
+SHIFTED: Final = FleetShape('shifted', 23, 12, 39, 3, (110, 0.7, 270), 8.87, 19_100, 450)
+
+
+class DetectionMethod(Enum):
+    """
+    How an entry tells a first try from a return.
+
+    """
+
+    BUILT = 'as built'
+    LEARNED = 'learned times alone'
+    LONGEST = 'longest time seen'
+    NOBODY = 'nobody returns'
+    KNOWN = 'known'
+
+
+class RetryDetectionModel(RoutingModel):
+    """
+    A run whose callers give between `least` and all of the usual time.
+
+    """
+
+    def __init__(
+        self,
+        shape: FleetShape,
+        factor: float,
+        seed: int,
+        method: DetectionMethod,
+        min_timeout_share: float,
+    ) -> None:
+        super().__init__(
+            shape,
+            ServerTable,
+            shape.capacity * CALM_LOAD_FACTOR,
+            seed,
+            counted_from_s=CALM_DURATION_S,
+        )
+        self.method = method
+        self.min_timeout_share = min_timeout_share
+        self.first_tries = {table: FirstTryDetector() for table in self.tables}
+        self.longest_remaining_ms: Counter[ServerTable] = Counter()
+        # What first tries (False) and returns (True) were taken for.
+        self.classifications: Counter[tuple[bool, bool]] = Counter()
+        self.turned_away = 0
+        # The prompts of requests that ended, and whether they were answered.
+        self.answered: list[tuple[int, bool]] = []
+        self.scheduler.schedule(
+            CALM_DURATION_S, partial(setattr, self, 'rate', shape.capacity * factor)
+        )
+
+    def _request_timeout_ms(self) -> int:
+        return int(
+            USUAL_TIMEOUT_MS
+            * (self.min_timeout_share + (1 - self.min_timeout_share) * self.random.random())
+        )
+
+    def _elapsed_ms(self, request: ModelRequest, table: ServerTable) -> int:
+        true_elapsed_ms = super()._elapsed_ms(request, table)
+        elapsed_ms = self._estimate_elapsed_ms(request, table, true_elapsed_ms)
+        self.classifications[request.is_retry, elapsed_ms > DEADLINE_TOLERANCE_MS] += 1
+        return elapsed_ms
+
+    def _estimate_elapsed_ms(
+        self, request: ModelRequest, table: ServerTable, true_elapsed_ms: int
+    ) -> int:
+        remaining_ms = request.timeout_ms - true_elapsed_ms
+        if self.method is DetectionMethod.KNOWN:
+            return true_elapsed_ms
+        if self.method is DetectionMethod.NOBODY:
+            return 0
+        if self.method is DetectionMethod.LONGEST:
+            self.longest_remaining_ms[table] = max(self.longest_remaining_ms[table], remaining_ms)
+            lost_ms = self.longest_remaining_ms[table] - remaining_ms
+            return lost_ms if lost_ms > DEADLINE_TOLERANCE_MS else 0
+        judgement = self.first_tries[table].judge('r', remaining_ms, self.scheduler.now)
+        if self.method is DetectionMethod.BUILT and judgement.is_undecided:
+            # What the zone remembers.
+            return true_elapsed_ms
+        return judgement.elapsed_ms
+
+    def _note_turned_away(self, table: ServerTable) -> None:
+        self.first_tries[table].note_turned_away(self.scheduler.now)
+        self.turned_away += self.scheduler.now > CALM_DURATION_S
+
+    def _count(self, request: ModelRequest, outcome: str) -> None:
+        super()._count(request, outcome)
+        if request.created_at > CALM_DURATION_S:
+            self.answered.append((request.prompt_tokens, outcome != 'refused'))
+
+    def simulate(self) -> None:
+        """
+        The calm stretch, then the load.
+
+        """
+        self.run(CALM_DURATION_S + LOADED_DURATION_S)
+
+
+def run(repetitions: int, quick: bool) -> Path:
+    """
+    The experiment.
+
+    """
+    shapes = (SHIFTED,) if quick else (SHIFTED, *SHAPES[:1])
+    results = ExperimentResults(
+        'returning', {'seconds': LOADED_DURATION_S, 'repetitions': repetitions}
+    )
+    for shape in shapes:
+        for min_timeout_share in MIN_TIMEOUT_SHARES:
+            for factor in LOAD_FACTORS:
+                for method in DetectionMethod:
+                    _add_case(results, shape, min_timeout_share, factor, method, repetitions)
+    return results.write()
+
+
+def _add_case(
+    results: ExperimentResults,
+    shape: FleetShape,
+    min_timeout_share: float,
+    factor: float,
+    method: DetectionMethod,
+    repetitions: int,
+) -> None:
+    case = f'{shape.name}, {min_timeout_share:.2f}, {factor:.1f} x, {method.value}'
+    baseline = (
+        f'{shape.name}, {min_timeout_share:.2f}, {factor:.1f} x, {DetectionMethod.KNOWN.value}'
+    )
+    in_time = []
+    for seed in range(repetitions):
+        model = RetryDetectionModel(shape, factor, seed, method, min_timeout_share)
+        model.simulate()
+        in_time.append(model.outcomes.share('in time'))
+        results.add(case, 'in_time', 'share', in_time[-1], baseline)
+        results.add(case, 'late', 'share', model.outcomes.share('late'))
+        results.add(case, 'refused', 'share', model.outcomes.share('refused'))
+        results.add(
+            case, 'first_taken_for_return', 'share', _share(model.classifications, False, True)
+        )
+        results.add(case, 'return_missed', 'share', _share(model.classifications, True, False))
+    results.add(case, 'in_time_mean', 'share', statistics.mean(in_time))
+    if repetitions > 1:
+        standard_error = statistics.stdev(in_time) / math.sqrt(repetitions)
+        results.add(case, 'in_time_error', 'share', standard_error)
+
+
+def _share(classifications: Counter[tuple[bool, bool]], is_retry: bool, as_retry: bool) -> float:
+    total = classifications[is_retry, False] + classifications[is_retry, True]
+    return classifications[is_retry, as_retry] / max(total, 1)
--- a/packages/millfork-standins/millfork_standins/bench/routing.py
+++ b/packages/millfork-standins/millfork_standins/bench/routing.py
@@ -26,8 +26,8 @@
 from millfork_scheduling.prediction import read_ms
 from millfork_scheduling.server import Load, Server
 from millfork_scheduling.server_table import ServerTable
-from millfork_standins.bench.engine_model import Agenda, EngineModel, Generation
-from millfork_standins.bench.rows import Sheet
+from millfork_standins.bench.engine_model import EngineModel, EventScheduler, Generation
+from millfork_standins.bench.results import ExperimentResults
 from millfork_state.view import View
 from millfork_web.server import Exchange
 from millforkd.proxy.admission import Admission
@@ -37,18 +37,18 @@
 SERVICE: Final = ServiceName('engines')
 # Until then the engines fill up; requests of this time are not counted.
 WARM_UP_S: Final = 3.0
-SECONDS: Final = 18.0
-QUICK_SECONDS: Final = 8.0
+DURATION_S: Final = 18.0
+QUICK_DURATION_S: Final = 8.0
 # One way, within a zone and to another, in seconds.
-NEAR_S: Final = 0.0015
-FAR_S: Final = 0.004
+SAME_ZONE_DELAY_S: Final = 0.0015
+CROSS_ZONE_DELAY_S: Final = 0.004
 # From a question for an engine's load until the daemon beside it has looked.
-LOOK_S: Final = 0.002
+LOAD_READ_DELAY_S: Final = 0.002
 # Mean tokens of prompts and answers, their spread (of the logarithm), the largest.
-PROMPT: Final = (930, 0.83, 3900)
+PROMPT_TOKENS: Final = (930, 0.83, 3900)
 # Endpoint daemons report this often, and a replica tells it entries as often.
-REPORT_S: Final = 0.15
-FACTORS: Final = (0.5, 0.9, 1.05, 1.2, 1.5)
+REPORT_INTERVAL_S: Final = 0.15
+LOAD_FACTORS: Final = (0.5, 0.9, 1.05, 1.2, 1.5)
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,11 +77,11 @@
         writes in so many passes, between which the prompts of the others are read.
 
         """
-        figures = _figures(self)
-        passes = self.answer[0] / figures.steps_per_event
-        step_ms = figures.step_ms + figures.per_sequence_ms * self.slots
-        writing_ms = passes * figures.steps_per_event * step_ms
-        reading_ms = self.slots * read_ms(figures, PROMPT[0])
+        engine_spec = _engine_spec(self)
+        passes = self.answer[0] / engine_spec.steps_per_event
+        step_ms = engine_spec.step_ms + engine_spec.per_sequence_ms * self.slots
+        writing_ms = passes * engine_spec.steps_per_event * step_ms
+        reading_ms = self.slots * read_ms(engine_spec, PROMPT_TOKENS[0])
         return self.engines * self.slots * 1000 / (writing_ms + reading_ms)
 
 
@@ -89,7 +89,7 @@
 SHAPES: Final = (FleetShape('small', 6, 16, 7), FleetShape('grown', 24, 12, 40), LARGE)
 
 
-class RandomBook(ServerTable):
+class RandomChoiceTable(ServerTable):
     """
     Any engine, whatever its load.
 
@@ -104,13 +104,13 @@
         return Choice(self.random.choice(self.index.by_service[requirements.service]))
 
 
-class RoundRobinBook(ServerTable):
+class RoundRobinTable(ServerTable):
     """
     One engine after the other.
 
     """
 
-    turns: 'cycle[int] | None' = None
+    positions: 'cycle[int] | None' = None
 
     def choose(
         self,
@@ -119,16 +119,16 @@
         compared: list[Server] | None = None,
     ) -> Choice | None:
         servers = self.index.by_service[requirements.service]
-        if self.turns is None:
-            begin = self.random.randrange(len(servers))
-            self.turns = cycle([*range(begin, len(servers)), *range(begin)])
-        return Choice(servers[next(self.turns)])
+        if self.positions is None:
+            first_position = self.random.randrange(len(servers))
+            self.positions = cycle([*range(first_position, len(servers)), *range(first_position)])
+        return Choice(servers[next(self.positions)])
 
 
-BOOKS: Final[dict[str, type[ServerTable]]] = {
+TABLES: Final[dict[str, type[ServerTable]]] = {
     'as built': ServerTable,
-    'random': RandomBook,
-    'round robin': RoundRobinBook,
+    'random': RandomChoiceTable,
+    'round robin': RoundRobinTable,
 }
 
 
@@ -145,7 +145,7 @@
     def share(self, outcome: str) -> float:
         return self.counts[outcome] / max(self.counts['asked'], 1)
 
-    def first_at(self, share: float) -> float:
+    def first_token_percentile_ms(self, share: float) -> float:
         """
         The time to the first token that this share of the answered stay under, in ms.
 
@@ -155,18 +155,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class ModelRequest:
     """
     One caller's request: sizes, when it was first made, the time that its caller gives it
     (ms), whether it comes back.
 
     """
 
-    prompt: int
-    answer: int
-    at: float
-    time_ms: int = 0
-    returning: bool = False
+    prompt_tokens: int
+    answer_tokens: int
+    created_at: float
+    timeout_ms: int = 0
+    is_retry: bool = False
 
 
 class RoutingModel:
@@ -178,39 +178,42 @@
     def __init__(
         self,
         shape: FleetShape,
-        book: type[ServerTable],
+        table: type[ServerTable],
         rate: float,
         seed: int,
-        near_report_s: float = REPORT_S,
+        near_report_s: float = REPORT_INTERVAL_S,
         counted_from_s: float = WARM_UP_S,
     ) -> None:
         self.shape = shape
-        self.look_s = LOOK_S
+        self.load_read_delay_s = LOAD_READ_DELAY_S
         self.counted_from_s = counted_from_s
         # Between two reports of an engine to its zone, and two messages of a replica there.
         self.near_report_s = near_report_s
         self.rate = rate
         self.random = Random(seed)
-        self.agenda = Agenda()
-        self.figures = _figures(shape)
-        self.engines = [EngineModel(self.agenda, self.figures) for _ in range(shape.engines)]
-        self.admits_all = book is not ServerTable
-        self.books = [self._book(book, number) for number in range(shape.entries)]
+        self.scheduler = EventScheduler()
+        self.engine_spec = _engine_spec(shape)
+        self.engines = [EngineModel(self.scheduler, self.engine_spec) for _ in range(shape.engines)]
+        self.admits_all = table is not ServerTable
+        self.tables = [self._make_table(table, number) for number in range(shape.entries)]
         env = Environment(
-            InstanceId('entry'), ZoneId('z0'), monotonic=self.agenda.monotonic, random=self.random
+            InstanceId('entry'),
+            ZoneId('z0'),
+            monotonic=self.scheduler.monotonic,
+            random=self.random,
         )
         self.admissions = {
-            book: Admission(env, Versions(env, View(), 0), lambda: shape.entries)
-            for book in self.books
+            table: Admission(env, Versions(env, View(), 0), lambda: shape.entries)
+            for table in self.tables
         }
         self.route = _route(shape)
         self.outcomes = Outcomes()
 
-    def _book(self, book: type[ServerTable], number: int) -> ServerTable:
-        made = book(
+    def _make_table(self, table: type[ServerTable], number: int) -> ServerTable:
+        made = table(
             ZoneId(f'z{number % self.shape.zones}'),
             Random(self.random.random()),
-            self.agenda.monotonic,
+            self.scheduler.monotonic,
             lambda: self.shape.entries,
         )
         made.apply_leases(_lease(index, self.shape) for index in range(self.shape.engines))
@@ -222,166 +225,178 @@
 
         """
         for index in range(len(self.engines)):
-            self.agenda.after(self.random.random() * REPORT_S, partial(self._report, index, 0.0))
-        self._arrive()
-        self.agenda.run_until(seconds)
+            self.scheduler.schedule(
+                self.random.random() * REPORT_INTERVAL_S, partial(self._publish_load, index, 0.0)
+            )
+        self._generate_arrivals()
+        self.scheduler.run_until(seconds)
         return self.outcomes
 
-    def _report(self, index: int, told_far_at: float) -> None:
+    def _publish_load(self, index: int, other_zones_sent_at: float) -> None:
         """
         An engine's load goes to the entries of its zone, and now and then to all others.
 
         """
         engine = self.engines[index]
         zone = f'z{index % self.shape.zones}'
-        state = _state(index, zone, self.agenda.now, len(engine.running), len(engine.queue))
-        self._tell(state, self.near_report_s, near=True)
-        if self.agenda.now - told_far_at > REPORT_S - self.near_report_s / 2:
-            told_far_at = self.agenda.now
-            self._tell(state, REPORT_S, near=False)
-        self.agenda.after(self.near_report_s, partial(self._report, index, told_far_at))
-
-    def _tell(self, state: EndpointState, within_s: float, near: bool) -> None:
-        books = [book for book in self.books if (str(book.zone) == state.zone) == near]
-        self.agenda.after(self.random.random() * within_s, partial(_deliver, books, state))
-
-    def _arrive(self) -> None:
-        self.agenda.after(self.random.expovariate(self.rate), self._arrive)
-        sizes = self._size(PROMPT), self._size(self.shape.answer)
-        asked = Asked(*sizes, self.agenda.now, self._time_given())
-        if asked.at > self.counted_from_s:
+        state = _endpoint_state(
+            index, zone, self.scheduler.now, len(engine.running), len(engine.queue)
+        )
+        self._send_report(state, self.near_report_s, is_same_zone=True)
+        if self.scheduler.now - other_zones_sent_at > REPORT_INTERVAL_S - self.near_report_s / 2:
+            other_zones_sent_at = self.scheduler.now
+            self._send_report(state, REPORT_INTERVAL_S, is_same_zone=False)
+        self.scheduler.schedule(
+            self.near_report_s, partial(self._publish_load, index, other_zones_sent_at)
+        )
+
+    def _send_report(self, state: EndpointState, max_delay_s: float, is_same_zone: bool) -> None:
+        tables = [table for table in self.tables if (str(table.zone) == state.zone) == is_same_zone]
+        self.scheduler.schedule(
+            self.random.random() * max_delay_s, partial(_deliver, tables, state)
+        )
+
+    def _generate_arrivals(self) -> None:
+        self.scheduler.schedule(self.random.expovariate(self.rate), self._generate_arrivals)
+        sizes = self._draw_tokens(PROMPT_TOKENS), self._draw_tokens(self.shape.answer)
+        request = ModelRequest(*sizes, self.scheduler.now, self._request_timeout_ms())
+        if request.created_at > self.counted_from_s:
             self.outcomes.counts['asked'] += 1
-        self._send(asked)
+        self._send(request)
 
-    def _time_given(self) -> int:
+    def _request_timeout_ms(self) -> int:
         return 6000
 
-    def _elapsed_ms(self, asked: Asked, book: ServerTable) -> int:
+    def _elapsed_ms(self, request: ModelRequest, table: ServerTable) -> int:
         """
         The time since the first try, as an entry knows it; here exactly.
 
         """
-        return int((self.agenda.now - asked.at) * 1000)
+        return int((self.scheduler.now - request.created_at) * 1000)
 
-    def _note_turned_away(self, book: ServerTable) -> None:
+    def _note_turned_away(self, table: ServerTable) -> None:
         """
         An entry turned a caller away.
 
         """
 
-    def _size(self, of: tuple[int, float, int]) -> int:
-        mean, spread, most = of
+    def _draw_tokens(self, distribution: tuple[int, float, int]) -> int:
+        mean, spread, maximum = distribution
         size = self.random.lognormvariate(math.log(mean) - spread**2 / 2, spread)
-        return int(min(max(size, 10), most))
+        return int(min(max(size, 10), maximum))
 
-    def _send(self, asked: Asked) -> None:
-        book = self.random.choice(self.books)
-        requirements = self._wanted(asked)
+    def _send(self, request: ModelRequest) -> None:
+        table = self.random.choice(self.tables)
+        requirements = self._requirements(request)
         if self.admits_all:
-            self._choose(asked, book, requirements, None)
+            self._choose(request, table, requirements, None)
             return
-        compared = book.sample_candidates(requirements, set())
-        if not needs_fresh_loads(compared, self.agenda.now, self.shape.entries):
-            self._choose(asked, book, requirements, compared)
+        compared = table.sample_candidates(requirements, set())
+        if not needs_fresh_loads(compared, self.scheduler.now, self.shape.entries):
+            self._choose(request, table, requirements, compared)
             return
         unanswered = set(compared)
 
-        def take(server: Server, load: Load) -> None:
-            server.set_load(load, self.agenda.now)
+        def apply_load(server: Server, load: Load) -> None:
+            server.set_load(load, self.scheduler.now)
             unanswered.remove(server)
             if not unanswered:
-                self._choose(asked, book, requirements, compared)
+                self._choose(request, table, requirements, compared)
 
         for server in compared:
-            self._ask(book, server, take)
+            self._query_load(table, server, apply_load)
 
-    def _wanted(self, asked: Asked) -> Requirements:
-        return Requirements(SERVICE, self.figures, 0, 1, asked.prompt)
+    def _requirements(self, request: ModelRequest) -> Requirements:
+        return Requirements(SERVICE, self.engine_spec, 0, 1, request.prompt_tokens)
 
-    def _ask(self, book: ServerTable, server: Server, take: Callable[[Server, Load], None]) -> None:
+    def _query_load(
+        self, table: ServerTable, server: Server, apply_load: Callable[[Server, Load], None]
+    ) -> None:
         """
         Ask the daemon beside an engine for its load.
 
         """
-        way_s = NEAR_S if server.zone == book.zone else FAR_S
-        mine, own_unread = server.own_requests, server.own_unread
+        one_way_s = SAME_ZONE_DELAY_S if server.zone == table.zone else CROSS_ZONE_DELAY_S
+        own_requests, own_unread = server.own_requests, server.own_unread
 
-        def look() -> None:
+        def read_load() -> None:
             engine = self.engines[server.port]
-            load = Load(len(engine.running), len(engine.queue), 1.0, mine, own_unread)
-            self.agenda.after(way_s, partial(take, server, load))
+            load = Load(len(engine.running), len(engine.queue), 1.0, own_requests, own_unread)
+            self.scheduler.schedule(one_way_s, partial(apply_load, server, load))
 
-        self.agenda.after(way_s + self.look_s, look)
+        self.scheduler.schedule(one_way_s + self.load_read_delay_s, read_load)
 
     def _choose(
         self,
-        asked: Asked,
-        book: ServerTable,
+        request: ModelRequest,
+        table: ServerTable,
         requirements: Requirements,
         compared: list[Server] | None,
     ) -> None:
-        choice = book.choose(requirements, set(), compared)
+        choice = table.choose(requirements, set(), compared)
         if choice is None:
-            self._count(asked, 'refused')
+            self._count(request, 'refused')
             return
-        job = self._job(requirements, self._elapsed_ms(asked, book))
-        wait_ms = 0 if self.admits_all else self.admissions[book].return_after_ms(job, choice)
-        if wait_ms and (freest := book.freest_candidates(requirements, set())):
-            choice = book.choose(requirements, set(), freest) or choice
-            wait_ms = self.admissions[book].return_after_ms(job, choice)
+        job = self._job(requirements, self._elapsed_ms(request, table))
+        wait_ms = 0 if self.admits_all else self.admissions[table].return_after_ms(job, choice)
+        if wait_ms and (freest := table.freest_candidates(requirements, set())):
+            choice = table.choose(requirements, set(), freest) or choice
+            wait_ms = self.admissions[table].return_after_ms(job, choice)
         if not wait_ms:
-            self._start(asked, book, choice)
+            self._start(request, table, choice)
             return
-        self._note_turned_away(book)
-        if asked.returning:
-            self._count(asked, 'refused')
+        self._note_turned_away(table)
+        if request.is_retry:
+            self._count(request, 'refused')
             return
-        again = replace(asked, returning=True)
-        self.agenda.after(wait_ms / 1000, lambda: self._send(again))
+        again = replace(request, is_retry=True)
+        self.scheduler.schedule(wait_ms / 1000, lambda: self._send(again))
 
     def _job(self, requirements: Requirements, elapsed_ms: int) -> Job:
         # Nothing is answered here, so there is no exchange.
         exchange = cast(Exchange, None)
         caller = CallerRequest('id', 'host', '/')
-        now = self.agenda.now
+        now = self.scheduler.now
         route = self.route
         return Job(exchange, caller, route, None, requirements, 1, now, now + 6, 1, elapsed_ms)
 
-    def _start(self, asked: Asked, book: ServerTable, choice: Choice) -> None:
-        attempt = Attempt(choice, self.agenda.now)
+    def _start(self, request: ModelRequest, table: ServerTable, choice: Choice) -> None:
+        attempt = Attempt(choice, self.scheduler.now)
         attempt.begin()
-        way_s = NEAR_S if choice.server.zone == book.zone else FAR_S
+        one_way_s = SAME_ZONE_DELAY_S if choice.server.zone == table.zone else CROSS_ZONE_DELAY_S
 
         def first() -> None:
-            took_ms = (self.agenda.now + way_s - attempt.started_at) * 1000
-            book.note_first_token(choice.server, took_ms - choice.spec_first_token_ms)
+            took_ms = (self.scheduler.now + one_way_s - attempt.started_at) * 1000
+            table.note_first_token(choice.server, took_ms - choice.spec_first_token_ms)
             attempt.mark_first_token()
-            self._note_first(asked, (self.agenda.now + way_s - asked.at) * 1000)
+            self._record_first_token(
+                request, (self.scheduler.now + one_way_s - request.created_at) * 1000
+            )
 
         def end() -> None:
-            choice.server.note_service_time(self.agenda.now - attempt.started_at)
+            choice.server.note_service_time(self.scheduler.now - attempt.started_at)
             attempt.end()
 
-        generation = Generation(asked.prompt, asked.answer, first, end)
+        generation = Generation(request.prompt_tokens, request.answer_tokens, first, end)
         engine = self.engines[choice.server.port]
-        self.agenda.after(way_s, lambda: engine.add(generation))
+        self.scheduler.schedule(one_way_s, lambda: engine.submit(generation))
 
-    def _note_first(self, asked: Asked, first_ms: float) -> None:
-        self._count(asked, 'in time' if first_ms <= self.shape.target_ms else 'late')
-        if asked.at > self.counted_from_s:
+    def _record_first_token(self, request: ModelRequest, first_ms: float) -> None:
+        self._count(request, 'in time' if first_ms <= self.shape.target_ms else 'late')
+        if request.created_at > self.counted_from_s:
             self.outcomes.first_ms.append(first_ms)
 
-    def _count(self, asked: Asked, outcome: str) -> None:
-        if asked.at > self.counted_from_s:
+    def _count(self, request: ModelRequest, outcome: str) -> None:
+        if request.created_at > self.counted_from_s:
             self.outcomes.counts[outcome] += 1
 
 
-def _deliver(books: list[ServerTable], state: EndpointState) -> None:
-    for book in books:
-        book.apply_reports([state])
+def _deliver(tables: list[ServerTable], state: EndpointState) -> None:
+    for table in tables:
+        table.apply_reports([state])
 
 
-def _figures(shape: FleetShape) -> EngineSpec:
+def _engine_spec(shape: FleetShape) -> EngineSpec:
     return EngineSpec(
         slots=shape.slots,
         tokens=317_000,
@@ -391,7 +406,7 @@
         read_per_s=shape.read_per_s,
         pairs_ms_per_million=1.18,
         steps_per_event=5,
-        usual_prompt=PROMPT[0],
+        usual_prompt=PROMPT_TOKENS[0],
         usual_answer=shape.answer[0],
         model='m',
         layers=16,
@@ -416,7 +431,7 @@
     )
 
 
-def _state(index: int, zone: str, now: float, running: int, queued: int) -> EndpointState:
+def _endpoint_state(index: int, zone: str, now: float, running: int, queued: int) -> EndpointState:
     return EndpointState(
         f'e-{index}',
         SERVICE,
@@ -436,20 +451,24 @@
     The experiment.
 
     """
-    seconds = QUICK_SECONDS if quick else SECONDS
+    seconds = QUICK_DURATION_S if quick else DURATION_S
     settings = {'seconds': seconds, 'repetitions': repetitions}
-    sheet = Sheet('routing', settings)
+    results = ExperimentResults('routing', settings)
     for seed in range(repetitions):
         for shape in SHAPES:
-            for factor in FACTORS:
-                for name, book in BOOKS.items():
+            for factor in LOAD_FACTORS:
+                for name, table in TABLES.items():
                     rate = shape.capacity * factor
-                    found = RoutingModel(shape, book, rate, seed).run(seconds)
+                    outcomes = RoutingModel(shape, table, rate, seed).run(seconds)
                     case = f'{shape.name}, {factor:.1f} x, {name}'
                     baseline = f'{shape.name}, {factor:.1f} x, random'
-                    sheet.add(case, 'in_time', 'share', found.share('in time'), baseline)
-                    sheet.add(case, 'late', 'share', found.share('late'))
-                    sheet.add(case, 'refused', 'share', found.share('refused'))
-                    sheet.add(case, 'first_token_p50', 'ms', found.first_at(0.5))
-                    sheet.add(case, 'first_token_p95', 'ms', found.first_at(0.95))
-    return sheet.write()
+                    results.add(case, 'in_time', 'share', outcomes.share('in time'), baseline)
+                    results.add(case, 'late', 'share', outcomes.share('late'))
+                    results.add(case, 'refused', 'share', outcomes.share('refused'))
+                    results.add(
+                        case, 'first_token_p50', 'ms', outcomes.first_token_percentile_ms(0.5)
+                    )
+                    results.add(
+                        case, 'first_token_p95', 'ms', outcomes.first_token_percentile_ms(0.95)
+                    )
+    return results.write()
--- a/packages/millfork-standins/millfork_standins/bench/tables.py
+++ b/packages/millfork-standins/millfork_standins/bench/tables.py
@@ -10,10 +10,10 @@
 from typing import Any
 
 from millfork_core.status import ExitStatus
-from millfork_standins.bench.rows import BUILD
+from millfork_standins.bench.results import RESULTS_FOLDER
 
 
-def table(path: Path) -> str:
+def format_table(path: Path) -> str:
     """
     A line for each case, a column for each metric: median (least to most).
 
@@ -21,7 +21,7 @@
     rows: list[dict[str, Any]] = json.loads(path.read_text())['rows']
     metrics = list(dict.fromkeys((row['metric'], row['unit']) for row in rows))
     cases = list(dict.fromkeys(row['case'] for row in rows))
-    cells = {(row['case'], row['metric']): _cell(row) for row in rows}
+    cells = {(row['case'], row['metric']): _format_cell(row) for row in rows}
     lines = [
         '| case | ' + ' | '.join(f'{metric}, {unit}' for metric, unit in metrics) + ' |',
         '|---' * (len(metrics) + 1) + '|',
@@ -32,7 +32,7 @@
     return '\n'.join(lines)
 
 
-def _cell(row: dict[str, Any]) -> str:
+def _format_cell(row: dict[str, Any]) -> str:
     return f'{row["value"]:.3g} ({row["least"]:.3g} to {row["most"]:.3g})'
 
 
@@ -40,7 +40,7 @@
     if len(sys.argv) != 2:
         print('usage: python -m millfork_standins.bench.tables EXPERIMENT', file=sys.stderr)
         return ExitStatus.USAGE
-    print(table(BUILD / f'{sys.argv[1]}.json'))
+    print(format_table(RESULTS_FOLDER / f'{sys.argv[1]}.json'))
     return ExitStatus.SUCCESS
 
 
--- a/packages/millfork-standins/millfork_standins/bench/turning_away.py
+++ b/packages/millfork-standins/millfork_standins/bench/turning_away.py
@@ -17,35 +17,35 @@
 from millfork_scheduling.retry_after import refusal_wait_ms
 from millfork_scheduling.server import Server
 from millfork_scheduling.server_table import ServerTable
+from millfork_standins.bench.results import ExperimentResults
 from millfork_standins.bench.routing import (
-    FAR_S,
-    NEAR_S,
-    QUICK_SECONDS,
-    SECONDS,
+    CROSS_ZONE_DELAY_S,
+    DURATION_S,
+    QUICK_DURATION_S,
+    SAME_ZONE_DELAY_S,
     SHAPES,
-    Asked,
     FleetShape,
+    ModelRequest,
     RoutingModel,
 )
-from millfork_standins.bench.rows import Sheet
 
 SMALL, GROWN, _ = SHAPES
-FACTORS: Final = (0.5, 0.8)
+LOAD_FACTORS: Final = (0.5, 0.8)
 # Of what reaches it, what the engine turns away.
-SHARES: Final = (1.0, 0.4)
-SHEDDING: Final = 0
+TURNED_AWAY_SHARES: Final = (1.0, 0.4)
+REFUSING_ENGINE_PORT: Final = 0
 
-Note = Callable[[Server, float, float], None]
+TurnedAwayHandler = Callable[[Server, float, float], None]
 
 
-def nothing(server: Server, sent_at: float, now: float) -> None:
+def ignore(server: Server, sent_at: float, now: float) -> None:
     """
     As entries did before.
 
     """
 
 
-def left(server: Server, sent_at: float, now: float) -> None:
+def avoid_temporarily(server: Server, sent_at: float, now: float) -> None:
     """
     As entries do: it is left alone for a while, longer each time.
 
@@ -53,7 +53,7 @@
     server.note_turned_away(sent_at, now)
 
 
-def failed(server: Server, sent_at: float, now: float) -> None:
+def count_as_failure(server: Server, sent_at: float, now: float) -> None:
     """
     It counts as a failure, as an answer that broke off does.
 
@@ -61,7 +61,7 @@
     server.note_failure(now)
 
 
-def rated(server: Server, sent_at: float, now: float) -> None:
+def count_in_failure_rate(server: Server, sent_at: float, now: float) -> None:
     """
     It counts in the rate of failures alone.
 
@@ -69,52 +69,63 @@
     server.note_outcome(failed=True)
 
 
-WAYS: Final[dict[str, Note]] = {
-    'nothing': nothing,
-    'left alone': left,
-    'failure': failed,
-    'rate': rated,
+HANDLERS: Final[dict[str, TurnedAwayHandler]] = {
+    'nothing': ignore,
+    'left alone': avoid_temporarily,
+    'failure': count_as_failure,
+    'rate': count_in_failure_rate,
 }
 
 
-class SheddingModel(RoutingModel):
+class RefusingEngineModel(RoutingModel):
     """
     One engine turns a share of its requests away; those go to another one once.
 
     """
 
     def __init__(
-        self, shape: FleetShape, rate: float, seed: int, note: Note, shed_share: float
+        self,
+        shape: FleetShape,
+        rate: float,
+        seed: int,
+        handle_turned_away: TurnedAwayHandler,
+        turned_away_share: float,
     ) -> None:
         super().__init__(shape, ServerTable, rate, seed)
-        self.note = note
-        self.shed_share = shed_share
+        self.handle_turned_away = handle_turned_away
+        self.turned_away_share = turned_away_share
 
-    def _start(self, asked: Asked, book: ServerTable, choice: Choice) -> None:
+    def _start(self, request: ModelRequest, table: ServerTable, choice: Choice) -> None:
         server = choice.server
-        sheds = server.port == SHEDDING and self.random.random() < self.shed_share
-        self._count(asked, 'sends')
-        if not sheds:
-            server.note_accepted(self.agenda.now)
-            super()._start(asked, book, choice)
+        is_turned_away = (
+            server.port == REFUSING_ENGINE_PORT and self.random.random() < self.turned_away_share
+        )
+        self._count(request, 'sends')
+        if not is_turned_away:
+            server.note_accepted(self.scheduler.now)
+            super()._start(request, table, choice)
             return
-        self._count(asked, 'turned away')
-        way_s = NEAR_S if server.zone == book.zone else FAR_S
-        sent_at = self.agenda.now
-        self.agenda.after(2 * way_s, partial(self._again, asked, book, server, sent_at))
-
-    def _again(self, asked: Asked, book: ServerTable, server: Server, sent_at: float) -> None:
-        self.note(server, sent_at, self.agenda.now)
-        other = book.choose(self._wanted(asked), {server.instance})
-        if other is not None:
-            super()._start(asked, book, other)
-            self._count(asked, 'sends')
+        self._count(request, 'turned away')
+        one_way_s = SAME_ZONE_DELAY_S if server.zone == table.zone else CROSS_ZONE_DELAY_S
+        sent_at = self.scheduler.now
+        self.scheduler.schedule(
+            2 * one_way_s, partial(self._retry_elsewhere, request, table, server, sent_at)
+        )
+
+    def _retry_elsewhere(
+        self, request: ModelRequest, table: ServerTable, server: Server, sent_at: float
+    ) -> None:
+        self.handle_turned_away(server, sent_at, self.scheduler.now)
+        alternative = table.choose(self._requirements(request), {server.instance})
+        if alternative is not None:
+            super()._start(request, table, alternative)
+            self._count(request, 'sends')
             return
-        if asked.returning:
-            self._count(asked, 'refused')
+        if request.is_retry:
+            self._count(request, 'refused')
             return
         wait_s = refusal_wait_ms(Reason.BUSY) / 1000
-        self.agenda.after(wait_s, partial(self._send, replace(asked, returning=True)))
+        self.scheduler.schedule(wait_s, partial(self._send, replace(request, is_retry=True)))
 
 
 def run(repetitions: int, quick: bool) -> Path:
@@ -122,19 +133,23 @@
     The experiment, a seed for each repetition.
 
     """
-    seconds = QUICK_SECONDS if quick else SECONDS
-    sheet = Sheet('turning-away', {'seconds': seconds, 'repetitions': repetitions})
+    seconds = QUICK_DURATION_S if quick else DURATION_S
+    results = ExperimentResults('turning-away', {'seconds': seconds, 'repetitions': repetitions})
     for seed in range(repetitions):
         for shape in (SMALL, GROWN):
-            for factor in FACTORS:
-                for share in SHARES:
-                    for name, note in WAYS.items():
+            for factor in LOAD_FACTORS:
+                for share in TURNED_AWAY_SHARES:
+                    for name, handle_turned_away in HANDLERS.items():
                         rate = shape.capacity * factor
-                        found = SheddingModel(shape, rate, seed, note, share).run(seconds)
+                        outcomes = RefusingEngineModel(
+                            shape, rate, seed, handle_turned_away, share
+                        ).run(seconds)
                         case = f'{shape.name}, {factor:.1f} x, {share:.1f} shed, '
                         baseline = f'{case}nothing'
                         case += name
-                        sheet.add(case, 'in_time', 'share', found.share('in time'), baseline)
-                        sheds = found.counts['turned away'] / max(found.counts['sends'], 1)
-                        sheet.add(case, 'turned_away', 'of sends', sheds)
-    return sheet.write()
+                        results.add(case, 'in_time', 'share', outcomes.share('in time'), baseline)
+                        turned_away_share = outcomes.counts['turned away'] / max(
+                            outcomes.counts['sends'], 1
+                        )
+                        results.add(case, 'turned_away', 'of sends', turned_away_share)
+    return results.write()
--- a/packages/millfork-standins/millfork_standins/bench/weight_node.py
+++ b/packages/millfork-standins/millfork_standins/bench/weight_node.py
@@ -29,7 +29,7 @@
 from millfork_wire.messages import GetChunk, GetManifest, Message
 from millfork_wire.peers import PeerAddress, Peers
 
-KEY: Final = b'bench'
+FLEET_KEY: Final = b'bench'
 PORT: Final = 7400
 DEADLINE_S: Final = 60.0
 
@@ -74,7 +74,7 @@
 
 
 @dataclass
-class Cut:
+class ZonePartition:
     """
     Whether this node's zone is cut off, and which nodes are beyond.
 
@@ -83,17 +83,17 @@
     active: bool = False
 
 
-class CutPeers(Peers):
+class PartitionedPeers(Peers):
     """
     Peers that can't be reached while a zone is cut off.
 
     """
 
-    cut: Cut
+    partition: ZonePartition
     zones: dict[str, str]
 
     async def connect(self, address: PeerAddress) -> Connection:
-        if self.cut.active and self.zones[address.instance] != self.env.zone:
+        if self.partition.active and self.zones[address.instance] != self.env.zone:
             raise PeerUnreachable('cut off')
         return await super().connect(address)
 
@@ -108,9 +108,9 @@
         self.plan = plan
         self.spec = spec
         self.env = Environment(InstanceId(spec.name), ZoneId(spec.zone))
-        self.cut = Cut()
-        self.peers = CutPeers(self.env, 'endpoint', spec.host, PORT, KEY, self.handle)
-        self.peers.cut = self.cut
+        self.partition = ZonePartition()
+        self.peers = PartitionedPeers(self.env, 'endpoint', spec.host, PORT, FLEET_KEY, self.handle)
+        self.peers.partition = self.partition
         self.peers.zones = {node.name: node.zone for node in plan.nodes}
         self.link = Link(plan.bytes_per_s, plan.share, plan.together, time.monotonic)
         self.store = WeightStore(Path(plan.folder) / spec.name)
@@ -137,12 +137,12 @@
         """
         listening = await curio.spawn(self.peers.listen, daemon=True)
         await curio.sleep(max(self.plan.start_at - time.monotonic(), 0))
-        trouble = await curio.spawn(self._trouble, daemon=True)
+        fault_task = await curio.spawn(self._inject_fault, daemon=True)
         if self.plan.live_bytes_per_s:
-            await curio.spawn(self._live, daemon=True)
+            await curio.spawn(self._send_live_answers, daemon=True)
         fetching = await curio.spawn(self._fetch_all, daemon=True)
         if self.spec.trouble == 'kill':
-            await trouble.wait()
+            await fault_task.wait()
             await fetching.cancel()
             await listening.cancel()
             for connection in list(self.peers.connections.values()):
@@ -152,11 +152,11 @@
         seconds = time.monotonic() - self.plan.start_at
         return {'name': self.spec.name, 'seconds': seconds, 'live_waits': self.live_waits}
 
-    async def _trouble(self) -> None:
+    async def _inject_fault(self) -> None:
         await curio.sleep(self.spec.trouble_s)
         self.stalled = self.spec.trouble == 'stall'
-        self.cut.active = self.spec.trouble == 'cut'
-        if self.cut.active:
+        self.partition.active = self.spec.trouble == 'cut'
+        if self.partition.active:
             for connection in list(self.peers.connections.values()):
                 if self.peers.zones[connection.peer] != self.env.zone:
                     await connection.close()
@@ -182,7 +182,7 @@
         )
         return await transfer.run(name, version, Digest(digest), holders)
 
-    async def _live(self) -> None:
+    async def _send_live_answers(self) -> None:
         """
         Live answers on the same outward link: one in each tenth of a second,
         which must not wait behind transfers.
@@ -190,10 +190,14 @@
         """
         size = self.plan.live_bytes_per_s / 10
         while True:
-            began = time.monotonic()
-            room = self.plan.bytes_per_s * (1 - self.plan.share)
-            await curio.sleep(size / room if room else self.link.outward.backlog_s)
-            self.live_waits.append(time.monotonic() - began)
+            started_at = time.monotonic()
+            available_bytes_per_s = self.plan.bytes_per_s * (1 - self.plan.share)
+            await curio.sleep(
+                size / available_bytes_per_s
+                if available_bytes_per_s
+                else self.link.outward.backlog_s
+            )
+            self.live_waits.append(time.monotonic() - started_at)
             await curio.sleep(0.1)
 
 
--- a/packages/millfork-standins/millfork_standins/soak/__main__.py
+++ b/packages/millfork-standins/millfork_standins/soak/__main__.py
@@ -9,7 +9,7 @@
 
 from absl import app, flags
 
-from millfork_standins.soak.run import Soak
+from millfork_standins.soak.run import SoakRun
 
 SEED = flags.DEFINE_integer('seed', 1, 'Seed of the first run.', lower_bound=0)
 RUNS = flags.DEFINE_integer('runs', 1, 'Runs, each with the next seed.', lower_bound=1)
@@ -24,7 +24,7 @@
         with tempfile.TemporaryDirectory(prefix='millfork-soak-') as scratch:
             folder = Path(FOLDER.value) / str(seed) if FOLDER.value else Path(scratch)
             folder.mkdir(parents=True, exist_ok=True)
-            verdict = Soak(folder, seed, SECONDS.value, BACKPRESSURE.value).run()
+            verdict = SoakRun(folder, seed, SECONDS.value, BACKPRESSURE.value).run()
         failed += bool(verdict.broken)
         statuses = ' '.join(f'{status}:{n}' for status, n in sorted(verdict.statuses.items()))
         print(
--- a/packages/millfork-standins/millfork_standins/soak/backpressure.py
+++ b/packages/millfork-standins/millfork_standins/soak/backpressure.py
@@ -14,17 +14,17 @@
 from millfork_platform import standins
 from millfork_standins.seeded import BackEnd
 
-MOST_GAP_S: Final = 4.0
-LEAST_S: Final = 4.0
-MOST_S: Final = 9.0
+MAX_GAP_S: Final = 4.0
+MIN_SIGNAL_S: Final = 4.0
+MAX_SIGNAL_S: Final = 9.0
 LIMITS_PER_S: Final = (0.5, 5.0)
 RESTS_S: Final = (0.5, 3.0)
 # How long the word may take to be heeded, and in what time requests are counted.
-HEEDED_S: Final = 3.0
+REACTION_TIME_S: Final = 3.0
 WINDOW_S: Final = 4.0
 # An entry that was struck may know nothing, as may those that lost a connection with it: so
 # many callers send meanwhile.
-PER_STRIKE: Final = 6
+EXTRA_REQUESTS_PER_FAULT: Final = 6
 
 
 class SignalKind(Enum):
@@ -47,7 +47,7 @@
     """
 
     at_s: float
-    for_s: float
+    duration_s: float
     kind: SignalKind
     back_end: int
     value: float = 0.0
@@ -60,23 +60,23 @@
     """
     random = Random(f'backpressure {seed}')
     signals: list[PlannedSignal] = []
-    free_at = [0.0] * back_ends
+    available_at = [0.0] * back_ends
     at_s = 0.0
     while True:
-        at_s += random.uniform(0.0, MOST_GAP_S)
+        at_s += random.uniform(0.0, MAX_GAP_S)
         if at_s >= seconds:
             return signals
         back_end = random.randrange(back_ends)
-        if at_s < free_at[back_end]:
+        if at_s < available_at[back_end]:
             continue
         kind = random.choice(list(SignalKind))
         value = random.uniform(*(LIMITS_PER_S if kind is SignalKind.LIMIT else RESTS_S))
-        for_s = random.uniform(LEAST_S, MOST_S)
-        free_at[back_end] = at_s + for_s
-        signals.append(PlannedSignal(at_s, for_s, kind, back_end, value))
+        duration_s = random.uniform(MIN_SIGNAL_S, MAX_SIGNAL_S)
+        available_at[back_end] = at_s + duration_s
+        signals.append(PlannedSignal(at_s, duration_s, kind, back_end, value))
 
 
-def begin(back_end: BackEnd, planned: PlannedSignal) -> None:
+def begin_signal(back_end: BackEnd, planned: PlannedSignal) -> None:
     """
     Send a signal with all answers from now on.
 
@@ -89,7 +89,7 @@
         back_end.says = {standins.RETRY_AFTER: f'{planned.value:.3f}'}
 
 
-def end(back_end: BackEnd) -> None:
+def end_signal(back_end: BackEnd) -> None:
     """
     Send no signal any more.
 
@@ -99,7 +99,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Period:
+class LimitPeriod:
     """
     A back end that named a limit from one moment to another (monotonic seconds).
 
@@ -107,28 +107,37 @@
 
     back_end: BackEnd
     limit_per_s: float
-    began: float
-    ended: float
+    began_at: float
+    ended_at: float
 
 
-def unheeded(periods: Iterable[Period], struck_at: list[float]) -> list[str]:
+def find_exceeded_limits(
+    limit_periods: Iterable[LimitPeriod], entry_faults_at: list[float]
+) -> list[str]:
     """
     Limits that were not kept, in words; `struck_at` is when entries were struck.
 
     """
-    found = []
-    for period in periods:
-        times = [
-            at for at in period.back_end.arrived_at if period.began + HEEDED_S <= at <= period.ended
+    violations = []
+    for period in limit_periods:
+        arrivals = [
+            at
+            for at in period.back_end.arrived_at
+            if period.began_at + REACTION_TIME_S <= at <= period.ended_at
         ]
-        for first in times:
-            count = sum(first <= at < first + WINDOW_S for at in times)
-            strikes = sum(first - HEEDED_S - WINDOW_S <= at < first + WINDOW_S for at in struck_at)
-            allowed = 1.5 * period.limit_per_s * WINDOW_S + 5 + PER_STRIKE * strikes
+        for first in arrivals:
+            count = sum(first <= at < first + WINDOW_S for at in arrivals)
+            entry_faults = sum(
+                first - REACTION_TIME_S - WINDOW_S <= at < first + WINDOW_S
+                for at in entry_faults_at
+            )
+            allowed = (
+                1.5 * period.limit_per_s * WINDOW_S + 5 + EXTRA_REQUESTS_PER_FAULT * entry_faults
+            )
             if count > allowed:
-                found.append(
+                violations.append(
                     f'{period.back_end.instance} named {period.limit_per_s:.2f} a second and got '
                     f'{count} requests in {WINDOW_S:g} s, allowed {allowed:.0f}'
                 )
                 break
-    return found
+    return violations
--- a/packages/millfork-standins/millfork_standins/soak/callers.py
+++ b/packages/millfork-standins/millfork_standins/soak/callers.py
@@ -25,10 +25,10 @@
 SERVICE: Final = ServiceName('plain')
 DEADLINE_MS: Final = 3000
 CALL_TIMEOUT_S: Final = 5.0
-PAUSE_S: Final = 0.02
-CHANGE_EVERY_S: Final = 0.8
-HOST: Final = 'h.example'
-KEY: Final = 'key'
+REQUEST_INTERVAL_S: Final = 0.02
+CHANGE_INTERVAL_S: Final = 0.8
+ROUTE_HOST: Final = 'h.example'
+API_KEY: Final = 'key'
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,15 +65,15 @@
         self.thread.start()
 
     def _run(self) -> None:
-        while not self.stop.wait(PAUSE_S):
-            self.answers.append(self._ask())
+        while not self.stop.wait(REQUEST_INTERVAL_S):
+            self.answers.append(self._send_request())
 
-    def _ask(self) -> Answer:
+    def _send_request(self) -> Answer:
         request_id = f'{self.number}-{next(self.ids)}'
         repeatable = self.random.random() < 0.5
         headers = {
-            'host': HOST,
-            'authorization': f'Bearer {KEY}',
+            'host': ROUTE_HOST,
+            'authorization': f'Bearer {API_KEY}',
             standins.REQUEST_ID: request_id,
             standins.DEADLINE_MS: str(DEADLINE_MS),
         }
@@ -111,7 +111,7 @@
         self.version = 1
         self.acknowledged = 0
         # Reads that showed less than was acknowledged before they were sent.
-        self.stale: list[str] = []
+        self.stale_reads: list[str] = []
         self.reads = 0
         self.thread = threading.Thread(target=self._run, daemon=True)
 
@@ -138,15 +138,17 @@
         return None
 
     def _run(self) -> None:
-        while not self.stop.wait(CHANGE_EVERY_S):
+        while not self.stop.wait(CHANGE_INTERVAL_S):
             self.put_next()
-            least = self.acknowledged
-            found = self.read()
-            if found is None:
+            acknowledged_before = self.acknowledged
+            read_version = self.read()
+            if read_version is None:
                 continue
             self.reads += 1
-            if found < least:
-                self.stale.append(f'read {found} after {least} was acknowledged')
+            if read_version < acknowledged_before:
+                self.stale_reads.append(
+                    f'read {read_version} after {acknowledged_before} was acknowledged'
+                )
 
 
 def document(version: int) -> Document:
@@ -161,8 +163,8 @@
     }
     shares = (Share(SERVICE, 1),)
     routes = tuple(
-        Route(prefix, HOST, prefix, kind, 4000, 300, 1, shares, 2, False, False, 0)
+        Route(prefix, ROUTE_HOST, prefix, kind, 4000, 300, 1, shares, 2, False, False, 0)
         for prefix, kind in kinds.items()
     )
-    organisation = Organisation(OrganisationId('org'), (KEY,))
+    organisation = Organisation(OrganisationId('org'), (API_KEY,))
     return Document(version, routes, (Service(SERVICE, 64),), (organisation,))
--- a/packages/millfork-standins/millfork_standins/soak/checks.py
+++ b/packages/millfork-standins/millfork_standins/soak/checks.py
@@ -12,7 +12,7 @@
 # These promise that a request has not run and never will.
 NOT_RUN_STATUSES: Final = frozenset({408, 421, 429, 503})
 # What every configuration of the soak allows must not be refused for what it is.
-WRONGLY_DENIED: Final = frozenset({400, 401, 403, 404})
+WRONG_DENIAL_STATUSES: Final = frozenset({400, 401, 403, 404})
 WHOLE_BODY: Final = b'answer'
 
 
@@ -23,19 +23,19 @@
 
     """
     runs = Counter(request_id for ids in executed.values() for request_id in ids)
-    found = []
+    violations = []
     for answer in answers:
         ran = runs[answer.request_id]
         if not answer.repeatable and ran > 1:
-            found.append(f'{answer.request_id} ran {ran} times')
+            violations.append(f'{answer.request_id} ran {ran} times')
         if answer.status in NOT_RUN_STATUSES and ran:
-            found.append(f'{answer.request_id} was refused with {answer.status} and ran')
-        if answer.status in WRONGLY_DENIED:
-            found.append(f'{answer.request_id} was denied with {answer.status}')
+            violations.append(f'{answer.request_id} was refused with {answer.status} and ran')
+        if answer.status in WRONG_DENIAL_STATUSES:
+            violations.append(f'{answer.request_id} was denied with {answer.status}')
         if answer.status != 200:
             continue
         if answer.body != WHOLE_BODY or answer.echoed_id != answer.request_id:
-            found.append(f'{answer.request_id} got the answer of {answer.echoed_id!r}')
+            violations.append(f'{answer.request_id} got the answer of {answer.echoed_id!r}')
         if answer.request_id not in executed.get(answer.back_end, ()):
-            found.append(f'{answer.request_id} was not run by {answer.back_end!r}')
-    return found
+            violations.append(f'{answer.request_id} was not run by {answer.back_end!r}')
+    return violations
--- a/packages/millfork-standins/millfork_standins/soak/plan.py
+++ b/packages/millfork-standins/millfork_standins/soak/fault_plan.py
@@ -9,11 +9,11 @@
 from typing import Final
 
 # Faults come closer together than they last, so that they overlap.
-MOST_GAP_S: Final = 1.2
-MOST_DURATION_S: Final = 4.0
+MAX_GAP_S: Final = 1.2
+MAX_DURATION_S: Final = 4.0
 # A second disk is lost only once the first replica has caught up; the fleet bears
 # the loss of one.
-DISK_GAP_S: Final = 15.0
+MIN_DISK_LOSS_GAP_S: Final = 15.0
 
 
 class FaultKind(Enum):
@@ -34,9 +34,9 @@
     ONE_WAY = 'one_way'
 
 
-ON_PROCESSES: Final = (FaultKind.KILL, FaultKind.STOP, FaultKind.PAUSE, FaultKind.RELOAD)
-ON_REPLICAS: Final = (*ON_PROCESSES, FaultKind.LOSE_DISK, FaultKind.FULL_DISK)
-ON_LINKS: Final = (FaultKind.DELAY, FaultKind.RESET, FaultKind.SILENCE, FaultKind.ONE_WAY)
+PROCESS_FAULTS: Final = (FaultKind.KILL, FaultKind.STOP, FaultKind.PAUSE, FaultKind.RELOAD)
+REPLICA_FAULTS: Final = (*PROCESS_FAULTS, FaultKind.LOSE_DISK, FaultKind.FULL_DISK)
+LINK_FAULTS: Final = (FaultKind.DELAY, FaultKind.RESET, FaultKind.SILENCE, FaultKind.ONE_WAY)
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,12 +48,12 @@
     """
 
     at_s: float
-    for_s: float
+    duration_s: float
     kind: FaultKind
     target: str
 
 
-def plan(
+def plan_faults(
     seed: int, seconds: float, replicas: list[str], entries: list[str], links: int
 ) -> list[Fault]:
     """
@@ -63,20 +63,20 @@
     random = Random(seed)
     faults: list[Fault] = []
     at_s = 0.0
-    disk_free_at = 0.0
+    next_disk_loss_s = 0.0
     while True:
-        at_s += random.uniform(0.0, MOST_GAP_S)
+        at_s += random.uniform(0.0, MAX_GAP_S)
         if at_s >= seconds:
             return faults
         target = random.choice([*replicas, *entries, *map(str, range(links))])
-        kinds: tuple[FaultKind, ...] = ON_LINKS
+        kinds: tuple[FaultKind, ...] = LINK_FAULTS
         if target in replicas:
-            kinds = ON_REPLICAS
+            kinds = REPLICA_FAULTS
         if target in entries:
-            kinds = ON_PROCESSES
+            kinds = PROCESS_FAULTS
         kind = random.choice(kinds)
         if kind is FaultKind.LOSE_DISK:
-            if at_s < disk_free_at:
+            if at_s < next_disk_loss_s:
                 continue
-            disk_free_at = at_s + DISK_GAP_S
-        faults.append(Fault(at_s, random.uniform(0.1, MOST_DURATION_S), kind, target))
+            next_disk_loss_s = at_s + MIN_DISK_LOSS_GAP_S
+        faults.append(Fault(at_s, random.uniform(0.1, MAX_DURATION_S), kind, target))
--- a/packages/millfork-standins/millfork_standins/soak/link.py
+++ b/packages/millfork-standins/millfork_standins/soak/link_proxy.py
@@ -10,11 +10,11 @@
 from typing import Final
 
 READ_BYTES: Final = 64 * 1024
-POLL_S: Final = 0.02
+POLL_INTERVAL_S: Final = 0.02
 RESET_ON_CLOSE: Final = struct.pack('ii', 1, 0)
 
 
-class Link:
+class LinkProxy:
     """
     One listening address; what is sent there goes to `target`.
 
@@ -28,8 +28,8 @@
         # Bytes are held: to the back end, and from it.
         self.holds_requests = False
         self.holds_answers = False
-        self.open: set[socket.socket] = set()
-        self.closed = False
+        self.open_sockets: set[socket.socket] = set()
+        self.is_closed = False
         threading.Thread(target=self._accept, daemon=True).start()
 
     def reset(self) -> None:
@@ -37,38 +37,40 @@
         Reset all open connections.
 
         """
-        for sock in list(self.open):
+        for sock in list(self.open_sockets):
             self._abort(sock)
 
     def close(self) -> None:
-        self.closed = True
+        self.is_closed = True
         self.listener.close()
         self.reset()
 
     def _accept(self) -> None:
-        while not self.closed:
+        while not self.is_closed:
             try:
                 sock, _ = self.listener.accept()
                 peer = socket.create_connection(self.target)
             except OSError:
                 continue
-            self.open |= {sock, peer}
-            for source, sink, forth in ((sock, peer, True), (peer, sock, False)):
-                threading.Thread(target=self._pump, args=(source, sink, forth), daemon=True).start()
+            self.open_sockets |= {sock, peer}
+            for source, sink, is_request in ((sock, peer, True), (peer, sock, False)):
+                threading.Thread(
+                    target=self._forward, args=(source, sink, is_request), daemon=True
+                ).start()
 
-    def _pump(self, source: socket.socket, sink: socket.socket, forth: bool) -> None:
+    def _forward(self, source: socket.socket, sink: socket.socket, is_request: bool) -> None:
         try:
             while data := source.recv(READ_BYTES):
                 time.sleep(self.delay_s)
-                while self.holds_requests if forth else self.holds_answers:
-                    time.sleep(POLL_S)
+                while self.holds_requests if is_request else self.holds_answers:
+                    time.sleep(POLL_INTERVAL_S)
                 sink.sendall(data)
             sink.shutdown(socket.SHUT_WR)
         except OSError:
             self._abort(sink)
         finally:
-            if not forth:
-                self.open -= {source, sink}
+            if not is_request:
+                self.open_sockets -= {source, sink}
 
     def _abort(self, sock: socket.socket) -> None:
         try:
@@ -78,4 +80,4 @@
             # It was closed by its own peer before.
             pass
         sock.close()
-        self.open.discard(sock)
+        self.open_sockets.discard(sock)
--- a/packages/millfork-standins/millfork_standins/soak/run.py
+++ b/packages/millfork-standins/millfork_standins/soak/run.py
@@ -17,30 +17,30 @@
 
 from millfork_standins.seeded import SeededFleet
 from millfork_standins.soak.backpressure import (
-    Period,
+    LimitPeriod,
     PlannedSignal,
     SignalKind,
-    begin,
-    end,
+    begin_signal,
+    end_signal,
+    find_exceeded_limits,
     plan_signals,
-    unheeded,
 )
 from millfork_standins.soak.callers import SERVICE, Caller, Operator
 from millfork_standins.soak.checks import broken_promises
-from millfork_standins.soak.link import Link
-from millfork_standins.soak.plan import Fault, FaultKind, plan
+from millfork_standins.soak.fault_plan import Fault, FaultKind, plan_faults
+from millfork_standins.soak.link_proxy import LinkProxy
 
 BACK_ENDS: Final = 3
 ENTRIES: Final = 2
 CALLERS: Final = 6
-START_S: Final = 20.0
+START_TIMEOUT_S: Final = 20.0
 # Service must be back this long after the last fault (the platform's bound is 12 s).
-RECOVER_S: Final = 12.0
-POLL_S: Final = 0.1
-STOP_S: Final = 10.0
-DELAY_S: Final = 0.3
+RECOVERY_TIMEOUT_S: Final = 12.0
+POLL_INTERVAL_S: Final = 0.1
+STOP_TIMEOUT_S: Final = 10.0
+LINK_DELAY_S: Final = 0.3
 # Bytes that a file may have while its disk is full.
-FULL_BYTES: Final = 1
+FULL_DISK_FILE_BYTES: Final = 1
 
 
 def handles_signal(pid: int, number: signal.Signals) -> bool:
@@ -70,7 +70,7 @@
     broken: list[str] = field(default_factory=list)
 
 
-class Soak:
+class SoakRun:
     """
     A fleet under faults.
 
@@ -81,15 +81,15 @@
         self.seconds = seconds
         # What back ends say of themselves meanwhile, and when they named limits.
         self.signals = plan_signals(seed, seconds, BACK_ENDS) if backpressure else []
-        self.limited: list[Period] = []
-        self.entries_struck_at: list[float] = []
+        self.limit_periods: list[LimitPeriod] = []
+        self.entry_faults_at: list[float] = []
         self.fleet = SeededFleet(folder, entries=ENTRIES)
         self.stop = threading.Event()
-        self.links: list[Link] = []
+        self.links: list[LinkProxy] = []
         self.callers: list[Caller] = []
         self.operator = Operator(self.fleet, self.stop)
         # Hosts whose process is down on purpose, or being handled.
-        self.struck: set[str] = set()
+        self.hosts_under_fault: set[str] = set()
         self.lock = threading.Lock()
         self.broken: list[str] = []
 
@@ -100,15 +100,15 @@
         """
         try:
             self._start()
-            faults = plan(
+            faults = plan_faults(
                 self.seed,
                 self.seconds,
                 self.fleet.replica_hosts,
                 self.fleet.entry_hosts,
                 BACK_ENDS,
             )
-            self._play(faults)
-            self._recover()
+            self._inject_faults(faults)
+            self._check_recovery()
             return self._verdict(len(faults))
         finally:
             self.stop.set()
@@ -121,117 +121,119 @@
         for number in range(BACK_ENDS):
             back_end = self.fleet.add_back_end(SERVICE, f'i-{number}')
             host, port = back_end.server_address[:2]
-            link = Link(str(host), (str(host), int(port)))
+            link = LinkProxy(str(host), (str(host), int(port)))
             back_end.advertised = link.address
             self.links.append(link)
-        if not self._holds(self.operator.put_next, START_S):
+        if not self._wait_until(self.operator.put_next, START_TIMEOUT_S):
             raise RuntimeError('the fleet takes no document')
         self.operator.thread.start()
         self.callers = [Caller(number, self.fleet, self.stop) for number in range(CALLERS)]
-        if not self._holds(self._serves, START_S):
+        if not self._wait_until(self._all_callers_served, START_TIMEOUT_S):
             raise RuntimeError('the fleet does not serve')
 
-    def _play(self, faults: list[Fault]) -> None:
-        began = time.monotonic()
+    def _inject_faults(self, faults: list[Fault]) -> None:
+        started_at = time.monotonic()
         threads = [
-            threading.Thread(target=self._signal, args=(planned, began), daemon=True)
+            threading.Thread(target=self._send_signal, args=(planned, started_at), daemon=True)
             for planned in self.signals
         ]
         for thread in threads:
             thread.start()
         for fault in faults:
-            while time.monotonic() - began < fault.at_s:
-                self._look_for_ended()
-                time.sleep(POLL_S)
-            thread = threading.Thread(target=self._strike, args=(fault,), daemon=True)
+            while time.monotonic() - started_at < fault.at_s:
+                self._restart_ended_processes()
+                time.sleep(POLL_INTERVAL_S)
+            thread = threading.Thread(target=self._inject_fault, args=(fault,), daemon=True)
             thread.start()
             threads.append(thread)
         for thread in threads:
             thread.join()
 
-    def _signal(self, planned: PlannedSignal, began: float) -> None:
+    def _send_signal(self, planned: PlannedSignal, started_at: float) -> None:
         back_end = self.fleet.back_ends[planned.back_end]
-        self.stop.wait(began + planned.at_s - time.monotonic())
-        began_at = time.monotonic()
-        begin(back_end, planned)
-        self.stop.wait(planned.for_s)
-        end(back_end)
+        self.stop.wait(started_at + planned.at_s - time.monotonic())
+        signal_began_at = time.monotonic()
+        begin_signal(back_end, planned)
+        self.stop.wait(planned.duration_s)
+        end_signal(back_end)
         if planned.kind is SignalKind.LIMIT:
-            self.limited.append(Period(back_end, planned.value, began_at, time.monotonic()))
+            self.limit_periods.append(
+                LimitPeriod(back_end, planned.value, signal_began_at, time.monotonic())
+            )
 
     # Faults.
 
-    def _strike(self, fault: Fault) -> None:
+    def _inject_fault(self, fault: Fault) -> None:
         if fault.target.isdigit():
-            self._strike_link(self.links[int(fault.target)], fault)
+            self._inject_link_fault(self.links[int(fault.target)], fault)
             return
         with self.lock:
-            if fault.target in self.struck:
+            if fault.target in self.hosts_under_fault:
                 return
-            self.struck.add(fault.target)
+            self.hosts_under_fault.add(fault.target)
         try:
-            self._note_struck(fault.target)
-            self._strike_process(fault)
+            self._record_entry_fault(fault.target)
+            self._inject_process_fault(fault)
         finally:
-            self._note_struck(fault.target)
+            self._record_entry_fault(fault.target)
             with self.lock:
-                self.struck.discard(fault.target)
+                self.hosts_under_fault.discard(fault.target)
 
-    def _note_struck(self, host: str) -> None:
+    def _record_entry_fault(self, host: str) -> None:
         if host in self.fleet.entry_hosts:
-            self.entries_struck_at.append(time.monotonic())
+            self.entry_faults_at.append(time.monotonic())
 
-    def _strike_link(self, link: Link, fault: Fault) -> None:
+    def _inject_link_fault(self, link: LinkProxy, fault: Fault) -> None:
         if fault.kind is FaultKind.RESET:
             link.reset()
             return
-        link.delay_s = DELAY_S if fault.kind is FaultKind.DELAY else 0.0
+        link.delay_s = LINK_DELAY_S if fault.kind is FaultKind.DELAY else 0.0
         link.holds_requests = fault.kind is FaultKind.SILENCE
         link.holds_answers = fault.kind in (FaultKind.SILENCE, FaultKind.ONE_WAY)
-        time.sleep(fault.for_s)
+        time.sleep(fault.duration_s)
         link.delay_s = 0.0
         link.holds_requests = link.holds_answers = False
 
-    def _strike_process(self, fault: Fault) -> None:
+    def _inject_process_fault(self, fault: Fault) -> None:
         host = fault.target
         # Before, a signal would strike the interpreter and not the daemon.
-        self._holds(lambda: self._listens(host), START_S)
+        self._wait_until(lambda: self._handles_signals(host), START_TIMEOUT_S)
         if fault.kind is FaultKind.RELOAD:
             self.fleet.signal(host, signal.SIGHUP)
             return
         if fault.kind is FaultKind.PAUSE:
             self.fleet.signal(host, signal.SIGSTOP)
-            time.sleep(fault.for_s)
+            time.sleep(fault.duration_s)
             self.fleet.signal(host, signal.SIGCONT)
             return
         if fault.kind is FaultKind.FULL_DISK:
-            self._limit_files(host, FULL_BYTES)
-            time.sleep(fault.for_s)
-            self._limit_files(host, resource.RLIM_INFINITY)
+            self._limit_file_size(host, FULL_DISK_FILE_BYTES)
+            time.sleep(fault.duration_s)
+            self._limit_file_size(host, resource.RLIM_INFINITY)
             return
         if fault.kind is FaultKind.STOP:
-            self._stop_planned(host)
+            self._stop_gracefully(host)
         else:
             self.fleet.kill(host)
         if fault.kind is FaultKind.LOSE_DISK:
             shutil.rmtree(self.fleet.folder / host, ignore_errors=True)
-        time.sleep(fault.for_s)
+        time.sleep(fault.duration_s)
         self.fleet.start_one(host)
 
-    def _stop_planned(self, host: str) -> None:
+    def _stop_gracefully(self, host: str) -> None:
         process = self.fleet.processes.pop(host)
         process.terminate()
         try:
-            status = process.wait(STOP_S)
+            status = process.wait(STOP_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             process.kill()
             process.wait()
-            self.broken.append(f'{host} did not end in {STOP_S} s')
+            self.broken.append(f'{host} did not end in {STOP_TIMEOUT_S} s')
             return
         if status:
             self.broken.append(f'{host} ended a planned stop with {status}')
 
-    def _listens(self, host: str) -> bool:
+    def _handles_signals(self, host: str) -> bool:
         """
         Whether the host's process has said what becomes of the signals sent here.
 
@@ -239,57 +241,59 @@
         pid = self.fleet.processes[host].pid
         return all(handles_signal(pid, number) for number in (signal.SIGHUP, signal.SIGTERM))
 
-    def _limit_files(self, host: str, size: int) -> None:
+    def _limit_file_size(self, host: str, size: int) -> None:
         pid = self.fleet.processes[host].pid
         resource.prlimit(pid, resource.RLIMIT_FSIZE, (size, resource.RLIM_INFINITY))
 
     # What must hold.
 
-    def _look_for_ended(self) -> None:
+    def _restart_ended_processes(self) -> None:
         for host, process in list(self.fleet.processes.items()):
-            if host not in self.struck and process.poll() is not None:
+            if host not in self.hosts_under_fault and process.poll() is not None:
                 self.broken.append(f'{host} ended by itself with {process.returncode}')
                 self.fleet.start_one(host)
 
-    def _holds(self, condition: Callable[[], bool], within_s: float) -> bool:
-        until = time.monotonic() + within_s
-        while time.monotonic() < until:
+    def _wait_until(self, condition: Callable[[], bool], timeout_s: float) -> bool:
+        deadline = time.monotonic() + timeout_s
+        while time.monotonic() < deadline:
             if condition():
                 return True
-            time.sleep(POLL_S)
+            time.sleep(POLL_INTERVAL_S)
         return False
 
-    def _serves(self) -> bool:
+    def _all_callers_served(self) -> bool:
         return all(
             any(answer.status == 200 for answer in caller.answers[-5:]) for caller in self.callers
         )
 
-    def _recover(self) -> None:
-        marks = [len(caller.answers) for caller in self.callers]
+    def _check_recovery(self) -> None:
+        answer_counts = [len(caller.answers) for caller in self.callers]
 
-        def serves_again() -> bool:
+        def all_callers_served_again() -> bool:
             return all(
-                any(answer.status == 200 for answer in caller.answers[mark:])
-                for caller, mark in zip(self.callers, marks, strict=True)
+                any(answer.status == 200 for answer in caller.answers[answer_count:])
+                for caller, answer_count in zip(self.callers, answer_counts, strict=True)
             )
 
-        if not self._holds(serves_again, RECOVER_S):
-            self.broken.append(f'no service {RECOVER_S} s after the last fault')
-        if not self._holds(lambda: self.operator.read() is not None, RECOVER_S):
+        if not self._wait_until(all_callers_served_again, RECOVERY_TIMEOUT_S):
+            self.broken.append(f'no service {RECOVERY_TIMEOUT_S} s after the last fault')
+        if not self._wait_until(lambda: self.operator.read() is not None, RECOVERY_TIMEOUT_S):
             self.broken.append('the document can not be read back')
-        self._look_for_ended()
+        self._restart_ended_processes()
         self.stop.set()
         for thread in (self.operator.thread, *(caller.thread for caller in self.callers)):
-            thread.join(START_S)
-        found = self.operator.read()
-        if found is None or found < self.operator.acknowledged:
-            self.broken.append(f'read back {found}, acknowledged {self.operator.acknowledged}')
+            thread.join(START_TIMEOUT_S)
+        read_version = self.operator.read()
+        if read_version is None or read_version < self.operator.acknowledged:
+            self.broken.append(
+                f'read back {read_version}, acknowledged {self.operator.acknowledged}'
+            )
 
     def _verdict(self, faults: int) -> Verdict:
         answers = [answer for caller in self.callers for answer in caller.answers]
         executed = {back_end.instance: back_end.executed_ids() for back_end in self.fleet.back_ends}
-        broken = [*self.broken, *self.operator.stale, *broken_promises(answers, executed)]
-        broken += unheeded(self.limited, self.entries_struck_at)
+        broken = [*self.broken, *self.operator.stale_reads, *broken_promises(answers, executed)]
+        broken += find_exceeded_limits(self.limit_periods, self.entry_faults_at)
         return Verdict(
             self.seed,
             faults,
--- a/tests/test_drawn_deployments.py
+++ b/tests/test_drawn_deployments.py
@@ -12,7 +12,7 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from millfork_standins.bench.returning import ReturningModel, Way
+from millfork_standins.bench.retry_detection import DetectionMethod, RetryDetectionModel
 from millfork_standins.bench.routing import FleetShape
 
 # Of all first tokens, what many entries may lose to a single one: their knowledge is up to
@@ -40,8 +40,8 @@
 
 
 def played(shape, factor, seed, way, least):
-    model = ReturningModel(shape, factor, seed, way, least)
-    model.play()
+    model = RetryDetectionModel(shape, factor, seed, way, least)
+    model.simulate()
     return model
 
 
@@ -73,7 +73,7 @@
     at the freest engines that it knows of before it turns a caller away.
 
     """
-    found = played(shape, CALM, seed, Way.BUILT, least)
+    found = played(shape, CALM, seed, DetectionMethod.BUILT, least)
     assert found.outcomes.counts['refused'] == 0
     assert found.turned_away == 0
 
@@ -94,8 +94,8 @@
     daemons beside the engines that it compares, where one of them is nearly full.
 
     """
-    built = played(shape, factor, seed, Way.BUILT, least)
-    single = played(replace(shape, entries=1), factor, seed, Way.KNOWN, least)
+    built = played(shape, factor, seed, DetectionMethod.BUILT, least)
+    single = played(replace(shape, entries=1), factor, seed, DetectionMethod.KNOWN, least)
     in_time = built.outcomes.share('in time')
     assert in_time > single.outcomes.share('in time') - SPLIT_LOSS
 
@@ -103,7 +103,7 @@
 @settings(max_examples=4, deadline=DEADLINE_MS)
 @given(SHAPES, SEEDS, LEAST_TIMES, st.sampled_from([1.0, 1.5]))
 def test_no_length_of_prompt_is_starved(shape, seed, least, factor):
-    found = played(shape, factor, seed, Way.BUILT, least)
+    found = played(shape, factor, seed, DetectionMethod.BUILT, least)
     ordered = sorted(found.answered)
     tenth = ordered[-len(ordered) // 10 :]
     served = sum(answered for _, answered in tenth) / len(tenth)
--- a/tests/test_faults_left_open.py
+++ b/tests/test_faults_left_open.py
@@ -11,8 +11,8 @@
 import pytest
 
 from millfork_scheduling.quarantine import MIN_ENDS_AT_FAULT
-from millfork_standins.bench.limit_shares import SECONDS, Shares, play
-from millfork_standins.bench.returning import Way
+from millfork_standins.bench.limit_shares import DURATION_S, LimitShares, simulate_sends
+from millfork_standins.bench.retry_detection import DetectionMethod
 from millforkd.versions import CUT_S
 from tests import test_delayed_heartbeats as heartbeats
 from tests import test_drawn_deployments as drawn
@@ -100,9 +100,9 @@
     used = []
     for seed in range(20):
         random = Random(seed)
-        way = Shares(limit_per_s, entries, random)
-        sent = play(way, limit_per_s, entries, 20.0, random)
-        used.append(len(sent) / SECONDS / limit_per_s)
+        way = LimitShares(limit_per_s, entries, random)
+        sent = simulate_sends(way, limit_per_s, entries, 20.0, random)
+        used.append(len(sent) / DURATION_S / limit_per_s)
     assert statistics.mean(used) >= 0.5
 
 
@@ -112,7 +112,7 @@
     Thirteen entries before four engines; two of 200 other seeds lose more than 0.2.
 
     """
-    built = drawn.played(drawn.SPLIT, LOAD, seed, Way.BUILT, LEAST)
-    single = drawn.played(replace(drawn.SPLIT, entries=1), LOAD, seed, Way.KNOWN, LEAST)
+    built = drawn.played(drawn.SPLIT, LOAD, seed, DetectionMethod.BUILT, LEAST)
+    single = drawn.played(replace(drawn.SPLIT, entries=1), LOAD, seed, DetectionMethod.KNOWN, LEAST)
     in_time = built.outcomes.share('in time')
     assert in_time > single.outcomes.share('in time') - drawn.SPLIT_LOSS
--- a/tests/test_first_tries.py
+++ b/tests/test_first_tries.py
@@ -15,7 +15,7 @@
     Judgement,
 )
 from millfork_scheduling.turned_away import MAX_REMEMBERED, REMEMBERED_S, TurnedAwayRequests
-from millfork_standins.bench.returning import SHIFTED, ReturningModel, Way
+from millfork_standins.bench.retry_detection import SHIFTED, DetectionMethod, RetryDetectionModel
 
 # The share of first tries that may be taken for retries: low enough that no caller is refused
 # because of it under low load.
@@ -173,9 +173,9 @@
     def in_time(way):
         found = []
         for seed in range(2):
-            model = ReturningModel(SHIFTED, 1.2, seed, way, least)
-            model.play()
+            model = RetryDetectionModel(SHIFTED, 1.2, seed, way, least)
+            model.simulate()
             found.append(model.outcomes.share('in time'))
         return sum(found) / len(found)
 
-    assert in_time(Way.BUILT) > in_time(Way.KNOWN) - 0.02
+    assert in_time(DetectionMethod.BUILT) > in_time(DetectionMethod.KNOWN) - 0.02
--- a/tests/test_limit_shares.py
+++ b/tests/test_limit_shares.py
@@ -17,10 +17,10 @@
 from millfork_scheduling.placement import Requirements
 from millfork_scheduling.server_table import ServerTable
 from millfork_standins.bench.limit_shares import (
-    Shares,
-    allowed,
-    most_in_window,
-    play,
+    LimitShares,
+    allowed_in_window,
+    max_in_window,
+    simulate_sends,
 )
 from tests.test_servers import ENGINE, Clock
 
@@ -38,14 +38,14 @@
 )
 def test_the_sends_of_all_entries_keep_to_the_limit(entries, limit, demand, seed):
     random = Random(seed)
-    sent = play(Shares(limit, entries, random), limit, entries, demand, random)
-    assert most_in_window(sent) <= allowed(limit)
+    sent = simulate_sends(LimitShares(limit, entries, random), limit, entries, demand, random)
+    assert max_in_window(sent) <= allowed_in_window(limit)
 
 
 @pytest.mark.parametrize('entries', [1, 6])
 def test_a_few_entries_with_many_callers_use_up_the_limit(entries):
     random = Random(entries)
-    sent = play(Shares(2.0, entries, random), 2.0, entries, 20.0, random)
+    sent = simulate_sends(LimitShares(2.0, entries, random), 2.0, entries, 20.0, random)
     assert len(sent) >= 0.9 * 2.0 * 60
 
 
--- a/tests/test_routing_model.py
+++ b/tests/test_routing_model.py
@@ -8,13 +8,13 @@
 import pytest
 
 from millfork_scheduling.server_table import ServerTable
-from millfork_standins.bench.engine_model import Agenda, EngineModel, Generation
+from millfork_standins.bench.engine_model import EngineModel, EventScheduler, Generation
 from millfork_standins.bench.routing import (
     LARGE,
-    REPORT_S,
+    REPORT_INTERVAL_S,
     FleetShape,
-    RandomBook,
-    RoundRobinBook,
+    RandomChoiceTable,
+    RoundRobinTable,
     RoutingModel,
 )
 from tests.test_servers import ENGINE
@@ -23,11 +23,11 @@
 
 
 def test_an_engine_fills_at_most_its_slots_and_completes_all_requests():
-    agenda = Agenda()
-    engine = EngineModel(agenda, ENGINE)
+    scheduler = EventScheduler()
+    engine = EngineModel(scheduler, ENGINE)
     firsts, ended = [], []
     for number in range(40):
-        engine.add(
+        engine.submit(
             Generation(
                 900,
                 50,
@@ -36,7 +36,7 @@
             )
         )
         assert len(engine.running) <= ENGINE.slots
-    agenda.run_until(60.0)
+    scheduler.run_until(60.0)
     assert firsts == list(range(40))
     assert sorted(ended) == list(range(40))
     assert not engine.busy
@@ -44,19 +44,19 @@
 
 def test_earlier_prompts_delay_a_first_token():
     def first_at(before):
-        agenda = Agenda()
-        engine = EngineModel(agenda, ENGINE)
+        scheduler = EventScheduler()
+        engine = EngineModel(scheduler, ENGINE)
         found = []
         for _ in range(before):
-            engine.add(Generation(2000, 50, lambda: None, lambda: None))
-        engine.add(Generation(2000, 50, lambda: found.append(agenda.now), lambda: None))
-        agenda.run_until(60.0)
+            engine.submit(Generation(2000, 50, lambda: None, lambda: None))
+        engine.submit(Generation(2000, 50, lambda: found.append(scheduler.now), lambda: None))
+        scheduler.run_until(60.0)
         return found[0]
 
     assert first_at(0) < first_at(3) < first_at(12) < first_at(20)
 
 
-@pytest.mark.parametrize('table', [RandomBook, RoundRobinBook])
+@pytest.mark.parametrize('table', [RandomChoiceTable, RoundRobinTable])
 def test_more_first_tokens_are_in_time_than_with_load_blind_choices(table):
     rate = SHAPE.capacity * 1.2
     built = RoutingModel(SHAPE, ServerTable, rate, 1).run(10.0)
@@ -95,6 +95,6 @@
     rate = LARGE.capacity * 1.2
     usual, sooner = (
         RoutingModel(LARGE, ServerTable, rate, 1, near_report_s).run(7.0)
-        for near_report_s in (REPORT_S, REPORT_S / 3)
+        for near_report_s in (REPORT_INTERVAL_S, REPORT_INTERVAL_S / 3)
     )
     assert sooner.share('in time') > usual.share('in time') + 0.02
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -7,11 +7,16 @@
 
 import pytest
 
-from millfork_standins.soak.backpressure import Period, SignalKind, plan_signals, unheeded
+from millfork_standins.soak.backpressure import (
+    LimitPeriod,
+    SignalKind,
+    find_exceeded_limits,
+    plan_signals,
+)
 from millfork_standins.soak.callers import Answer
 from millfork_standins.soak.checks import broken_promises
-from millfork_standins.soak.plan import DISK_GAP_S, FaultKind, plan
-from millfork_standins.soak.run import Soak
+from millfork_standins.soak.fault_plan import MIN_DISK_LOSS_GAP_S, FaultKind, plan_faults
+from millfork_standins.soak.run import SoakRun
 
 REPLICAS = ['r1', 'r2', 'r3']
 ENTRIES = ['e1', 'e2']
@@ -34,8 +39,10 @@
 
 
 def test_a_seed_gives_the_same_faults_and_all_kinds_come():
-    assert plan(7, 60, REPLICAS, ENTRIES, 3) == plan(7, 60, REPLICAS, ENTRIES, 3)
-    kinds = {fault.kind for seed in range(20) for fault in plan(seed, 60, REPLICAS, ENTRIES, 3)}
+    assert plan_faults(7, 60, REPLICAS, ENTRIES, 3) == plan_faults(7, 60, REPLICAS, ENTRIES, 3)
+    kinds = {
+        fault.kind for seed in range(20) for fault in plan_faults(seed, 60, REPLICAS, ENTRIES, 3)
+    }
     assert kinds == set(FaultKind)
 
 
@@ -43,11 +50,12 @@
 def test_no_two_disks_are_lost_at_once(seed):
     lost = [
         fault.at_s
-        for fault in plan(seed, 300, REPLICAS, ENTRIES, 3)
+        for fault in plan_faults(seed, 300, REPLICAS, ENTRIES, 3)
         if fault.kind is FaultKind.LOSE_DISK
     ]
     assert all(
-        later - earlier >= DISK_GAP_S for earlier, later in zip(lost, lost[1:], strict=False)
+        later - earlier >= MIN_DISK_LOSS_GAP_S
+        for earlier, later in zip(lost, lost[1:], strict=False)
     )
 
 
@@ -75,7 +83,7 @@
 
 
 def test_a_short_run_with_backpressure_breaks_no_promise(tmp_path):
-    verdict = Soak(tmp_path, BACKPRESSURE_SEED, BACKPRESSURE_S, backpressure=True).run()
+    verdict = SoakRun(tmp_path, BACKPRESSURE_SEED, BACKPRESSURE_S, backpressure=True).run()
     assert verdict.broken == []
     assert verdict.statuses[200]
 
@@ -90,13 +98,13 @@
 def test_a_limit_that_is_not_kept_is_found(count, strikes, broken):
     arrived = [104 + number * 0.1 for number in range(count)]
     back_end = SimpleNamespace(instance='i-1', arrived_at=arrived)
-    period = Period(back_end, 2.0, 100.0, 110.0)
-    assert len(unheeded([period], [104.0] * strikes)) == broken
+    period = LimitPeriod(back_end, 2.0, 100.0, 110.0)
+    assert len(find_exceeded_limits([period], [104.0] * strikes)) == broken
 
 
 @pytest.mark.parametrize('seed', [1, *REGRESSIONS])
 def test_a_short_run_breaks_no_promise(seed, tmp_path):
-    verdict = Soak(tmp_path, seed, SHORT_S).run()
+    verdict = SoakRun(tmp_path, seed, SHORT_S).run()
     assert verdict.broken == []
     assert verdict.faults
     assert verdict.statuses[200]
