--- a/packages/millfork-standins/millfork_standins/bench/__init__.py
+++ b/packages/millfork-standins/millfork_standins/bench/__init__.py
@@ -1,4 +1,4 @@
 """
-The bench: experiments on this machine, with ratios within one run.
+Experiments on this machine. Results are compared only within one run.
 
 """
--- a/packages/millfork-standins/millfork_standins/bench/__main__.py
+++ b/packages/millfork-standins/millfork_standins/bench/__main__.py
@@ -33,13 +33,13 @@
 }
 
 flags.DEFINE_enum('only', None, sorted(EXPERIMENTS), 'Run one experiment.')
-flags.DEFINE_bool('quick', False, 'Run a reduced set, once each.')
+flags.DEFINE_bool('quick', False, 'Run a reduced set of cases, once each.')
 flags.DEFINE_integer('repetitions', 5, 'Repetitions of each case.', lower_bound=1)
 
 
 def main(argv: list[str]) -> int:
     """
-    Run the experiments and write their files.
+    Run the chosen experiments; each writes its results as a JSON file.
 
     """
     names = [FLAGS.only] if FLAGS.only else list(EXPERIMENTS)
--- a/packages/millfork-standins/millfork_standins/bench/baselines.py
+++ b/packages/millfork-standins/millfork_standins/bench/baselines.py
@@ -1,5 +1,5 @@
 """
-Baselines of the distribution: what the trees are compared with.
+Planners that the distribution trees are compared with.
 
 """
 
@@ -15,7 +15,7 @@
     digest: Digest, holders: list[Holder], stripes: int, origin_copies: int
 ) -> list[Tree]:
     """
-    Every instance draws everything from the origin.
+    One tree in which every instance fetches all chunks from the origin.
 
     """
     names = [holder.instance for holder in holders]
@@ -24,7 +24,7 @@
 
 class OriginOnlyTree(Tree):
     """
-    A tree in which nobody asks a peer.
+    A tree in which no instance has a peer to fetch from.
 
     """
 
@@ -36,7 +36,7 @@
     digest: Digest, holders: list[Holder], stripes: int, origin_copies: int
 ) -> list[Tree]:
     """
-    One plain binary tree for all chunks.
+    One binary tree for all chunks, in the order of rank.
 
     """
     names = sorted((h.instance for h in holders), key=lambda name: rank(digest, name))
--- a/packages/millfork-standins/millfork_standins/bench/capacity.py
+++ b/packages/millfork-standins/millfork_standins/bench/capacity.py
@@ -1,9 +1,8 @@
 """
-The tables of `docs/CAPACITY.md`, worked out from the cost experiment.
+Computes the tables of `docs/CAPACITY.md` from the results of the cost experiment.
 
-`python -m millfork_standins.bench.capacity` reads `build/bench/cost.json` and
-prints them. Nothing here is guessed: a figure that was not measured is not in
-the tables.
+`python -m millfork_standins.bench.capacity` reads `build/bench/cost.json` and prints the tables.
+They contain measured costs only, and values computed from them.
 
 """
 
@@ -17,7 +16,7 @@
 from millfork_standins.bench.results import RESULTS_FOLDER
 from millfork_weights.trees import Holder, plan_trees
 
-# The two-year size.
+# The size planned for two years ahead.
 DAEMONS: Final = 380
 SERVERS: Final = 2800
 ZONES: Final = 11
@@ -28,20 +27,20 @@
 DAY_S: Final = 86_400
 CONFIGURATION_KEYS: Final = 300 + 1000 + SERVERS
 
-# The budget of one daemon, for control.
+# The budget of one daemon for control, without requests.
 CPU_BUDGET_PERCENT: Final = 1.2
 MEMORY_BUDGET_MIB: Final = 128
 CONTROL_BUDGET_BYTES_PER_S: Final = 2048
 
 SMALL, MIDDLE, LARGE = 8, 32, 128
-# Connections of an entry at the three sizes: all, all, and the subset.
+# Connections of an entry by number of endpoints. At the largest size it connects to a subset.
 CONNECTIONS: Final = {SMALL: 8, MIDDLE: 32, LARGE: 40}
 CONTROL_BYTE_METRICS: Final = ('idle_bytes_in', 'idle_bytes_out', 'idle_bytes_platform')
 
 
 class CostMedians:
     """
-    Medians of the cost experiment by case and metric.
+    Medians of the cost experiment, by case and metric.
 
     """
 
@@ -54,7 +53,7 @@
 
     def control_bytes_per_s(self, role: str, endpoints: int) -> float:
         """
-        All bytes of control of one daemon, both ways, by second.
+        Control traffic of one daemon in both directions, in bytes/s.
 
         """
         return sum(self.median(role, metric, endpoints) for metric in CONTROL_BYTE_METRICS)
@@ -182,7 +181,7 @@
 
 def _plan_line() -> str:
     """
-    The time to compute the trees of a rollout at the two-year size.
+    The CPU time to compute the trees of a rollout at the size planned for two years ahead.
 
     """
     random_source = random.Random(0)
--- a/packages/millfork-standins/millfork_standins/bench/cost.py
+++ b/packages/millfork-standins/millfork_standins/bench/cost.py
@@ -1,7 +1,7 @@
 """
-Cost: what control and requests take, and how it grows with the fleet.
+CPU, memory and traffic of control and of requests, and their growth with the fleet.
 
-`docs/CAPACITY.md` is worked out from the figures of this experiment.
+The tables of `docs/CAPACITY.md` are computed from the results of this experiment.
 
 """
 
@@ -41,7 +41,7 @@
 @dataclass(frozen=True, slots=True)
 class DaemonUsage:
     """
-    A daemon's use so far: CPU seconds, resident bytes, control bytes by way.
+    Resources used by a daemon since its start. Control traffic is in bytes by direction.
 
     """
 
@@ -69,7 +69,7 @@
 
 def _daemons_by_role(fleet: Fleet) -> dict[str, list[str]]:
     """
-    The daemons of each role, the leader apart from the other replicas.
+    Names of daemons by role, the leader apart from the other replicas, at most 12 endpoints.
 
     """
     leader = _find_leader(fleet)
@@ -91,7 +91,7 @@
 
 def measure_control(results: ExperimentResults, endpoints: int) -> None:
     """
-    Idle cost and cost of changes in a fleet of so many endpoints.
+    Measure the idle cost and the cost of changes in a fleet with this many endpoints.
 
     """
     with tempfile.TemporaryDirectory(prefix='millfork-bench-') as folder:
@@ -165,8 +165,8 @@
 
 def _wait_until_in_force(fleet: Fleet, revision: int) -> float:
     """
-    The moment at which every daemon has the revision; it includes the time
-    to ask them all.
+    Wait until every daemon has the revision. Returns the monotonic time, which includes the
+    time to query all daemons.
 
     """
     for instance in fleet.instances.values():
@@ -180,7 +180,7 @@
 
 def measure_memory(results: ExperimentResults) -> None:
     """
-    Bytes that one more key, claim or listed instance takes.
+    Measure the bytes that each key, claim and listed instance takes.
 
     """
 
@@ -232,7 +232,7 @@
 
 def measure_requests(results: ExperimentResults) -> None:
     """
-    CPU and added latency of a request, and of a streamed token.
+    Measure CPU and latency of a plain request, and the CPU of a streamed token.
 
     """
     with tempfile.TemporaryDirectory(prefix='millfork-bench-') as folder:
@@ -290,7 +290,7 @@
 
 def _measure_tokens(results: ExperimentResults, fleet: Fleet) -> None:
     """
-    Streams side by side; what the daemons spend, by token.
+    Measure the CPU of the daemons for each token of concurrent streams.
 
     """
     engine = fleet.engines[0]
@@ -318,7 +318,7 @@
 
 def run(repetitions: int, quick: bool) -> Path:
     """
-    The experiment.
+    Run the experiment.
 
     """
     sizes = () if quick else (8, 32, 128)
--- a/packages/millfork-standins/millfork_standins/bench/distribution.py
+++ b/packages/millfork-standins/millfork_standins/bench/distribution.py
@@ -1,9 +1,9 @@
 """
-Distribution: time to N replicas and bytes drawn from the origin.
+Distribution of weights: the time until N instances are complete, and bytes from the origin.
 
-The bound is that of a pipelined transfer: model size over link rate, plus one
-chunk's time for each level of a binary tree. Where both directions share the
-link, N instances move 2N - C copies in all (C drawn from the origin).
+The lower bound is that of a pipelined transfer: model size over link rate, plus the time of one
+chunk for each level of a binary tree. Where both directions share the link, N instances move
+2N - C copies in all, of which C come from the origin.
 
 """
 
@@ -42,8 +42,8 @@
 @dataclass(frozen=True, slots=True)
 class Case:
     """
-    One configuration of a run. `link_s` is the time one copy takes on an
-    instance's link.
+    One configuration of a run. `copy_s` is the time that one copy of the model takes on the
+    link of an instance.
 
     """
 
@@ -68,7 +68,7 @@
     @property
     def bound_s(self) -> float:
         """
-        The least time in which all can be whole, in seconds.
+        The shortest time in which all instances can be complete, in seconds.
 
         """
         copies_per_link = (
@@ -81,8 +81,8 @@
 @dataclass(frozen=True, slots=True)
 class Result:
     """
-    The time until the last live node was whole (seconds), the origin's
-    copies, and the waits of live answers (seconds).
+    The time until the last surviving node was complete (seconds), the copies that the origin
+    sent, and how long live answers waited (seconds).
 
     """
 
@@ -93,7 +93,7 @@
 
 class RunFailed(Exception):
     """
-    A run did not come to its end.
+    A process of weight nodes ended before all its nodes had reported.
 
     """
 
@@ -140,7 +140,7 @@
         if case.fault == 'kill' and number % 10 == 1:
             spec.trouble = 'kill'
         if case.fault == 'cut':
-            # Either side must stop talking to the other.
+            # Every node must stop its connections to the other zones.
             spec.trouble = 'cut'
         specs.append(spec)
     return specs
@@ -208,7 +208,7 @@
 
 def list_cases(quick: bool) -> list[Case]:
     """
-    All cases, or the reduced set.
+    Return all cases, or the reduced set.
 
     """
     if quick:
@@ -217,7 +217,7 @@
             Case('binary tree, N=8', 8, planner='binary', copy_s=2),
         ]
     all_cases = [Case(f'trees, N={nodes}', nodes) for nodes in (4, 8, 16)]
-    # Slower links where more processes share this machine's cores.
+    # Links are slower in large cases, where more nodes share this machine's cores.
     all_cases += [Case(f'trees, N={nodes}', nodes, copy_s=SLOW_LINK_COPY_S) for nodes in (32, 64)]
     base = Case(BASE_CASE, 16)
     all_cases += [
@@ -240,7 +240,7 @@
 
 def run(repetitions: int, quick: bool) -> Path:
     """
-    The experiment.
+    Run the experiment.
 
     """
     results = ExperimentResults(
@@ -252,7 +252,7 @@
             try:
                 result = run_case(case)
             except RunFailed as error:
-                # A run that did not end is a result too.
+                # A failed run is part of the results.
                 print(f'{case.name}: FAILED: {error}', flush=True)
                 results.add(case.name, 'failed_runs', 'runs', 1)
                 continue
--- a/packages/millfork-standins/millfork_standins/bench/engine_model.py
+++ b/packages/millfork-standins/millfork_standins/bench/engine_model.py
@@ -1,8 +1,8 @@
 """
 A model of engines that batch requests, in simulated time.
 
-An engine works in passes. In each it reads prompts, some tokens at a time, and writes
-a few tokens of every request whose prompt has been read; what finds no slot waits.
+An engine works in passes. In each pass it reads a limited number of prompt tokens and writes
+a few answer tokens of every request whose prompt is read. Requests without a slot wait in a queue.
 
 """
 
@@ -15,13 +15,12 @@
 
 from millfork_routing.documents import EngineSpec
 
-# Prompt tokens that one pass reads at the most.
 MAX_PROMPT_TOKENS_PER_PASS: Final = 2048
 
 
 class EventScheduler:
     """
-    What is to happen when; times are simulated seconds.
+    Runs actions in the order of their simulated times (seconds).
 
     """
 
@@ -35,14 +34,14 @@
 
     def schedule(self, seconds: float, action: Callable[[], None]) -> None:
         """
-        Have something happen so much later.
+        Schedule an action this many simulated seconds from now.
 
         """
         heapq.heappush(self.events, (self.now + seconds, next(self.sequence_numbers), action))
 
     def run_until(self, end: float) -> None:
         """
-        Let everything happen that is due before `end`.
+        Run all actions that are due before `end`, in order.
 
         """
         while self.events and self.events[0][0] < end:
@@ -53,7 +52,7 @@
 @dataclass(slots=True)
 class Generation:
     """
-    One request at an engine; sizes are tokens.
+    One request at an engine, with its sizes and progress in tokens.
 
     """
 
@@ -71,7 +70,7 @@
 
 class EngineModel:
     """
-    One engine.
+    One engine with a queue, and slots for the requests that it runs.
 
     """
 
@@ -84,7 +83,7 @@
 
     def submit(self, generation: Generation) -> None:
         """
-        Take a request.
+        Queue a request; starts a pass if the engine is idle.
 
         """
         self.queue.append(generation)
@@ -111,8 +110,8 @@
 
     def _read_prompts(self) -> tuple[list[Generation], float]:
         """
-        Read on in the prompts; returns those that are read by now, and the
-        milliseconds that it takes.
+        Read prompt tokens for one pass. Returns the requests whose prompts were completed, and
+        the duration in milliseconds.
 
         """
         engine_spec = self.engine_spec
--- a/packages/millfork-standins/millfork_standins/bench/limit_shares.py
+++ b/packages/millfork-standins/millfork_standins/bench/limit_shares.py
@@ -1,9 +1,10 @@
 """
-Ways to keep to a limit that one back end names for all entries together.
+Strategies to keep to a rate limit that one back end announces for all entries together.
 
-A model of the requests that entries would send there: callers are uneven (the busiest entry
-has some ten times the least), and ask for more than the limit by a factor. Of each way: the
-most requests in any 4 s against what is allowed, and the share of the limit that was used.
+The model draws the requests that entries would send to this back end. Demand is uneven (the
+busiest entry has about ten times as much as the least busy one) and differs from the limit by a
+factor. For each strategy the experiment reports the highest number of requests in any 4 s in
+relation to the allowed number, and the used share of the limit.
 
 """
 
@@ -18,22 +19,22 @@
 
 ENTRY_COUNTS: Final = (1, 6, 98, 380)
 LIMITS_PER_S: Final = (0.5, 1.0, 1.8, 5.0, 20.0)
-# Requests that callers have for the back end, against its limit.
+# Demand of all callers in relation to the limit.
 DEMAND_FACTORS: Final = (0.5, 2.0, 20.0)
 DURATION_S: Final = 60.0
 STEP_S: Final = 0.02
 WINDOW_S: Final = 4.0
-# As a back end counts them only once its word had time to be heeded.
+# Back ends count requests only after entries have had time to apply an announced limit.
 COUNTED_FROM_S: Final = 3.0
 DEMAND_SPREAD: Final = 2.3
 SEED_COUNT: Final = 20
-# How late the owner of a limit knows what entries asked for.
+# Interval of the updates of `DemandShares`: the demand of the entries is known this late.
 DEMAND_UPDATE_INTERVAL_S: Final = 0.5
 
 
 def allowed_in_window(limit_per_s: float) -> float:
     """
-    The requests in 4 s that a back end puts up with.
+    The number of requests in 4 s that a back end tolerates.
 
     """
     return 1.5 * limit_per_s * WINDOW_S + 5
@@ -41,7 +42,7 @@
 
 class LimitStrategy(Protocol):
     """
-    One way to keep to a limit.
+    Decides which requests are sent under a rate limit.
 
     """
 
@@ -54,7 +55,7 @@
 
 class EqualBuckets:
     """
-    A token bucket for each entry with an equal share, which begins full with one.
+    A token bucket for each entry with an equal share of the limit and one token at the start.
 
     """
 
@@ -75,7 +76,7 @@
 
 class LimitShares:
     """
-    The project's: `LimitShare`.
+    The strategy that the entries use: `LimitShare`.
 
     """
 
@@ -89,7 +90,7 @@
 
 class CentralBucket:
     """
-    One process that is asked before each request, with one bucket for all entries.
+    One process that all entries query before each request, with a single token bucket.
 
     """
 
@@ -102,7 +103,8 @@
 
 class DemandShares:
     """
-    Shares that follow what each entry asked for, as told a moment later; buckets of one.
+    Shares in proportion to the recent demand of each entry, recomputed after a delay. Each entry
+    has a token bucket.
 
     """
 
@@ -143,7 +145,7 @@
     strategy: LimitStrategy, limit_per_s: float, entries: int, demand: float, random: Random
 ) -> list[float]:
     """
-    When requests were sent, in seconds.
+    The times at which requests were sent, in seconds.
 
     """
     weights = [math.exp(random.random() * DEMAND_SPREAD) for _ in range(entries)]
@@ -160,7 +162,7 @@
 
 def max_in_window(sent_at: list[float]) -> int:
     """
-    The most requests in any window, once the word had time to be heeded.
+    The highest number of requests in any window, from `COUNTED_FROM_S` on.
 
     """
     counted_times = [at for at in sent_at if at >= COUNTED_FROM_S]
@@ -174,7 +176,7 @@
 
 def run(repetitions: int, quick: bool) -> Path:
     """
-    The experiment, on so many seeds each.
+    Run the experiment; the number of seeds doesn't depend on `repetitions`.
 
     """
     seeds = 2 if quick else SEED_COUNT
--- a/packages/millfork-standins/millfork_standins/bench/limits.py
+++ b/packages/millfork-standins/millfork_standins/bench/limits.py
@@ -1,5 +1,5 @@
 """
-Limits and retries: goodput under overload, fair shares, an outage.
+Limits and retries: goodput under overload, fairness, recovery from a burst, and an outage.
 
 """
 
@@ -42,7 +42,7 @@
 
 def measure_overload(results: ExperimentResults, fleet: Fleet, factors: tuple[float, ...]) -> None:
     """
-    Goodput and refusals at multiples of the capacity.
+    Goodput and refusals when requests arrive at multiples of the capacity.
 
     """
     for factor in factors:
@@ -62,7 +62,7 @@
 
 def measure_fairness(results: ExperimentResults, fleet: Fleet) -> None:
     """
-    A small organisation alone, and beside a large one that floods.
+    Latency of a small organisation alone, and while a large one exceeds the capacity.
 
     """
     small = ArrivalStream(SMALL_ORGANISATION, CAPACITY_PER_S * 0.1, 0, DURATION_S)
@@ -78,7 +78,7 @@
 
 def measure_recovery(results: ExperimentResults, fleet: Fleet) -> None:
     """
-    Callers that come back when told; a burst in the middle.
+    Latency before and after a burst, with callers that retry when a refusal tells them to.
 
     """
     steady = ArrivalStream(SMALL_ORGANISATION, CAPACITY_PER_S * 0.6, 0, 14, persistent=True)
@@ -95,7 +95,7 @@
 
 def measure_outage(results: ExperimentResults, fleet: Fleet) -> None:
     """
-    One of three endpoints is frozen, then dead, at 60% of capacity.
+    Retries and latency at 60% of capacity while one of three endpoints is frozen, then killed.
 
     """
     victim = next(i for i in fleet.instances.values() if i.service == SERVICE).name
--- a/packages/millfork-standins/millfork_standins/bench/load_generator.py
+++ b/packages/millfork-standins/millfork_standins/bench/load_generator.py
@@ -1,5 +1,5 @@
 """
-Open-loop load on a fleet: requests arrive at their moments, come what may.
+Open-loop load on a fleet: requests arrive at drawn times, whether or not earlier ones ended.
 
 """
 
@@ -23,8 +23,8 @@
 @dataclass(frozen=True, slots=True)
 class ArrivalStream:
     """
-    Arrivals of one organisation: requests/s from `begin_s` to `end_s`. With
-    `persistent`, a refused request comes again when it was told to.
+    Arrivals of one organisation: requests/s from `start_s` to `end_s`. With `persistent`, a
+    refused request is sent again after the time that the refusal names.
 
     """
 
@@ -38,8 +38,8 @@
 @dataclass(slots=True)
 class Outcome:
     """
-    One request's arrival (seconds since the start), time to its end, and the
-    status or reason it ended with.
+    One request: its arrival (seconds since the start), its duration, and the status or refusal
+    reason of its last response.
 
     """
 
@@ -53,7 +53,7 @@
 @dataclass
 class LoadGenerator:
     """
-    Runs streams of arrivals against the entries of a fleet.
+    Sends streams of requests to the entries of a fleet.
 
     """
 
@@ -65,7 +65,7 @@
 
     def run(self, streams: list[ArrivalStream]) -> list[Outcome]:
         """
-        Run all streams to their ends; the outcomes in the order of ending.
+        Run all streams to their ends. Returns the outcomes in the order in which they ended.
 
         """
         self.outcomes = []
@@ -118,7 +118,7 @@
         self, client: Client, headers: list[tuple[str, str]], outcome: Outcome
     ) -> float:
         """
-        Send once; the seconds after which to come again, or 0.
+        Send the request once. Returns the seconds to wait before a retry, or 0 for no retry.
 
         """
         path = f'/services/{self.service}/x'
@@ -137,7 +137,7 @@
 
 def percentile(outcomes: list[Outcome], share: float) -> float:
     """
-    The time to the end that `share` of the outcomes stay within, in seconds.
+    The duration that `share` of the outcomes stay within, in seconds; 0 without outcomes.
 
     """
     times = sorted(outcome.duration_s for outcome in outcomes)
--- a/packages/millfork-standins/millfork_standins/bench/plots.py
+++ b/packages/millfork-standins/millfork_standins/bench/plots.py
@@ -1,5 +1,5 @@
 """
-Draws the bench's files as PNG: `python -m millfork_standins.bench.plots`.
+Plots the results of the experiments as PNG files: `python -m millfork_standins.bench.plots`.
 
 """
 
@@ -20,8 +20,8 @@
 
 def plot(path: Path) -> Path:
     """
-    One picture for an experiment: a panel for each metric, a bar for each
-    case, a whisker from the least to the most.
+    One image for an experiment: a panel for each metric, and a bar for each case with an error
+    bar from the lowest to the highest value.
 
     """
     rows: list[dict[str, Any]] = json.loads(path.read_text())['rows']
@@ -54,7 +54,7 @@
 def main() -> int:
     paths = sorted(RESULTS_FOLDER.glob('*.json'))
     if not paths:
-        print(f'no files in {RESULTS_FOLDER}; run the bench first', file=sys.stderr)
+        print(f'no files in {RESULTS_FOLDER}; run the experiments first', file=sys.stderr)
         return ExitStatus.ERROR
     for path in paths:
         print(plot(path))
--- a/packages/millfork-standins/millfork_standins/bench/results.py
+++ b/packages/millfork-standins/millfork_standins/bench/results.py
@@ -1,5 +1,5 @@
 """
-Results of the bench: rows, medians, a table, and the JSON file.
+Results of an experiment: samples, their medians, a printed table and a JSON file.
 
 """
 
@@ -16,8 +16,8 @@
 @dataclass(frozen=True, slots=True)
 class Row:
     """
-    One figure: its median and spread (least, most) over the repetitions,
-    and the ratio to a baseline of the same run, where there is one.
+    One metric of a case: the median, lowest and highest value over the repetitions, and the
+    ratio to the baseline case of the same run, if there is one.
 
     """
 
@@ -36,7 +36,7 @@
 
 class ExperimentResults:
     """
-    Gathers samples of one experiment and writes them out.
+    Collects the samples of one experiment and writes a summary.
 
     """
 
@@ -48,7 +48,7 @@
 
     def add(self, case: str, metric: str, unit: str, value: float, baseline: str = '') -> None:
         """
-        One sample; `baseline` names the case to compare with.
+        Add one sample; `baseline` names the case to compare with.
 
         """
         self.samples[(case, metric, unit)].append(value)
--- a/packages/millfork-standins/millfork_standins/bench/retry_detection.py
+++ b/packages/millfork-standins/millfork_standins/bench/retry_detection.py
@@ -1,10 +1,11 @@
 """
-Telling who comes back: callers that begin with different times, under lasting load.
+Compares methods to distinguish first tries from retries, under lasting load.
 
-The ways are compared on the model of routing: as built (the times that first tries come
-with, and what the zone's entries remember), by the longest time seen, by the learned times
-alone, nobody, and with knowledge that no entry has. A calm stretch comes first, as on a
-fleet that was in use before its load rose.
+Callers begin with different timeouts. The methods run on the routing model: as the entries do
+(learned timeouts of first tries, and the requests that entries of the zone remember turning
+away), the longest remaining time seen, the learned timeouts alone, no detection, and exact
+knowledge, which no real entry has. A period of low load comes first, as on a fleet that was in
+use before its load rose.
 
 """
 
@@ -22,11 +23,11 @@
 from millfork_standins.bench.routing import SHAPES, FleetShape, ModelRequest, RoutingModel
 
 CALM_DURATION_S: Final = 9.0
-# Of what the engines carry, what is asked of them meanwhile.
+# Load during the calm period, as a share of the capacity.
 CALM_LOAD_FACTOR: Final = 0.5
 LOADED_DURATION_S: Final = 9.0
 LOAD_FACTORS: Final = (0.9, 1.2, 1.5)
-# The least part of the usual time that a caller gives.
+# The shortest timeout of a caller, as a share of the usual timeout.
 MIN_TIMEOUT_SHARES: Final = (1.0, 0.85)
 USUAL_TIMEOUT_MS: Final = 6000
 SHIFTED: Final = FleetShape('shifted', 23, 12, 39, 3, (110, 0.7, 270), 8.87, 19_100, 450)
@@ -34,7 +35,7 @@
 
 class DetectionMethod(Enum):
     """
-    How an entry tells a first try from a return.
+    How an entry distinguishes a first try from a retry.
 
     """
 
@@ -47,7 +48,7 @@
 
 class RetryDetectionModel(RoutingModel):
     """
-    A run whose callers give between `least` and all of the usual time.
+    A run whose callers have timeouts from `min_timeout_share` to 1 times the usual one.
 
     """
 
@@ -70,10 +71,10 @@
         self.min_timeout_share = min_timeout_share
         self.first_tries = {table: FirstTryDetector() for table in self.tables}
         self.longest_remaining_ms: Counter[ServerTable] = Counter()
-        # What first tries (False) and returns (True) were taken for.
+        # Counts by (is a retry, was classified as a retry).
         self.classifications: Counter[tuple[bool, bool]] = Counter()
         self.turned_away = 0
-        # The prompts of requests that ended, and whether they were answered.
+        # Prompt tokens of the requests that ended, and whether they were answered.
         self.answered: list[tuple[int, bool]] = []
         self.scheduler.schedule(
             CALM_DURATION_S, partial(setattr, self, 'rate', shape.capacity * factor)
@@ -105,7 +106,7 @@
             return lost_ms if lost_ms > DEADLINE_TOLERANCE_MS else 0
         judgement = self.first_tries[table].judge('r', remaining_ms, self.scheduler.now)
         if self.method is DetectionMethod.BUILT and judgement.is_undecided:
-            # What the zone remembers.
+            # The entries of the zone remember the request if one of them turned it away.
             return true_elapsed_ms
         return judgement.elapsed_ms
 
@@ -120,7 +121,7 @@
 
     def simulate(self) -> None:
         """
-        The calm stretch, then the load.
+        Run the calm period, then the loaded one.
 
         """
         self.run(CALM_DURATION_S + LOADED_DURATION_S)
@@ -128,7 +129,7 @@
 
 def run(repetitions: int, quick: bool) -> Path:
     """
-    The experiment.
+    Run the experiment with one seed for each repetition.
 
     """
     shapes = (SHIFTED,) if quick else (SHIFTED, *SHAPES[:1])
--- a/packages/millfork-standins/millfork_standins/bench/routing.py
+++ b/packages/millfork-standins/millfork_standins/bench/routing.py
@@ -1,8 +1,8 @@
 """
-Routing to engines: first tokens in time, against random choice and round robin.
+Compares the routing of requests to engines with random choice and round robin.
 
-Entries as they are built (choice, prediction, admission) before modelled engines, in
-simulated time. Reports of load reach the entries late, as on a real fleet.
+The entries run the real code for choice, prediction and admission; the engines are modelled in
+simulated time. Load reports reach the entries with a delay, as on a real fleet.
 
 """
 
@@ -35,18 +35,18 @@
 from millforkd.versions import Versions
 
 SERVICE: Final = ServiceName('engines')
-# Until then the engines fill up; requests of this time are not counted.
+# The engines fill up during this time; requests that arrive in it are not counted.
 WARM_UP_S: Final = 3.0
 DURATION_S: Final = 18.0
 QUICK_DURATION_S: Final = 8.0
-# One way, within a zone and to another, in seconds.
+# One-way network delays within a zone and between zones.
 SAME_ZONE_DELAY_S: Final = 0.0015
 CROSS_ZONE_DELAY_S: Final = 0.004
-# From a question for an engine's load until the daemon beside it has looked.
+# From the arrival of a load query at the sidecar daemon until it has read the engine's load.
 LOAD_READ_DELAY_S: Final = 0.002
-# Mean tokens of prompts and answers, their spread (of the logarithm), the largest.
+# Lengths of prompts in tokens: mean, standard deviation of the logarithm, maximum.
 PROMPT_TOKENS: Final = (930, 0.83, 3900)
-# Endpoint daemons report this often, and a replica tells it entries as often.
+# Interval of the reports of endpoint daemons, and of the messages of replicas to entries.
 REPORT_INTERVAL_S: Final = 0.15
 LOAD_FACTORS: Final = (0.5, 0.9, 1.05, 1.2, 1.5)
 
@@ -54,9 +54,9 @@
 @dataclass(frozen=True, slots=True)
 class FleetShape:
     """
-    A fleet: its engines and their slots, its entries, its zones; mean tokens of answers,
-    their spread (of the logarithm) and the largest; what a step takes, prompt tokens read in
-    a second, and until when a first token is in time, in ms.
+    Size and speed of a fleet. `slots` is per engine; `answer` gives the lengths of answers in
+    tokens (mean, standard deviation of the logarithm, maximum); `read_per_s` counts prompt
+    tokens; a first token is in time within `target_ms`.
 
     """
 
@@ -73,8 +73,8 @@
     @property
     def capacity(self) -> float:
         """
-        Requests of mean size a second that the engines carry with all slots taken: one
-        writes in so many passes, between which the prompts of the others are read.
+        The requests/s of mean size that the engines can serve with all slots taken. Each
+        request needs several passes, which also read the prompts of the other requests.
 
         """
         engine_spec = _engine_spec(self)
@@ -91,7 +91,7 @@
 
 class RandomChoiceTable(ServerTable):
     """
-    Any engine, whatever its load.
+    Chooses a random engine, whatever its load.
 
     """
 
@@ -106,7 +106,7 @@
 
 class RoundRobinTable(ServerTable):
     """
-    One engine after the other.
+    Chooses the engines in turn, starting with a random one.
 
     """
 
@@ -125,7 +125,7 @@
         return Choice(servers[next(self.positions)])
 
 
-TABLES: Final[dict[str, type[ServerTable]]] = {
+TABLE_TYPES: Final[dict[str, type[ServerTable]]] = {
     'as built': ServerTable,
     'random': RandomChoiceTable,
     'round robin': RoundRobinTable,
@@ -135,30 +135,29 @@
 @dataclass
 class Outcomes:
     """
-    What became of the requests counted.
+    Outcomes of the counted requests, and the times to their first tokens in ms.
 
     """
 
     counts: Counter[str] = field(default_factory=Counter)
-    first_ms: list[float] = field(default_factory=list)
+    first_token_ms: list[float] = field(default_factory=list)
 
     def share(self, outcome: str) -> float:
         return self.counts[outcome] / max(self.counts['asked'], 1)
 
     def first_token_percentile_ms(self, share: float) -> float:
         """
-        The time to the first token that this share of the answered stay under, in ms.
+        The time to the first token that this share of the answered requests stay within.
 
         """
-        ordered = sorted(self.first_ms) or [0.0]
+        ordered = sorted(self.first_token_ms) or [0.0]
         return ordered[min(int(len(ordered) * share), len(ordered) - 1)]
 
 
 @dataclass(frozen=True, slots=True)
 class ModelRequest:
     """
-    One caller's request: sizes, when it was first made, the time that its caller gives it
-    (ms), whether it comes back.
+    One request of a caller. `created_at` is the time of its first try.
 
     """
 
@@ -171,31 +170,31 @@
 
 class RoutingModel:
     """
-    One run: entries before engines, and callers that come back once.
+    One run: entries that route to engines, and callers that retry once.
 
     """
 
     def __init__(
         self,
         shape: FleetShape,
-        table: type[ServerTable],
+        table_type: type[ServerTable],
         rate: float,
         seed: int,
-        near_report_s: float = REPORT_INTERVAL_S,
+        same_zone_report_interval_s: float = REPORT_INTERVAL_S,
         counted_from_s: float = WARM_UP_S,
     ) -> None:
         self.shape = shape
         self.load_read_delay_s = LOAD_READ_DELAY_S
         self.counted_from_s = counted_from_s
-        # Between two reports of an engine to its zone, and two messages of a replica there.
-        self.near_report_s = near_report_s
+        # Interval of the reports of an engine within its zone, and of replica messages there.
+        self.same_zone_report_interval_s = same_zone_report_interval_s
         self.rate = rate
         self.random = Random(seed)
         self.scheduler = EventScheduler()
         self.engine_spec = _engine_spec(shape)
         self.engines = [EngineModel(self.scheduler, self.engine_spec) for _ in range(shape.engines)]
-        self.admits_all = table is not ServerTable
-        self.tables = [self._make_table(table, number) for number in range(shape.entries)]
+        self.admits_all = table_type is not ServerTable
+        self.tables = [self._make_table(table_type, number) for number in range(shape.entries)]
         env = Environment(
             InstanceId('entry'),
             ZoneId('z0'),
@@ -209,32 +208,33 @@
         self.route = _route(shape)
         self.outcomes = Outcomes()
 
-    def _make_table(self, table: type[ServerTable], number: int) -> ServerTable:
-        made = table(
+    def _make_table(self, table_type: type[ServerTable], number: int) -> ServerTable:
+        table = table_type(
             ZoneId(f'z{number % self.shape.zones}'),
             Random(self.random.random()),
             self.scheduler.monotonic,
             lambda: self.shape.entries,
         )
-        made.apply_leases(_lease(index, self.shape) for index in range(self.shape.engines))
-        return made
+        table.apply_leases(_lease(index, self.shape) for index in range(self.shape.engines))
+        return table
 
     def run(self, seconds: float) -> Outcomes:
         """
-        Play so many simulated seconds.
+        Simulate this many seconds.
 
         """
         for index in range(len(self.engines)):
             self.scheduler.schedule(
-                self.random.random() * REPORT_INTERVAL_S, partial(self._publish_load, index, 0.0)
+                self.random.random() * REPORT_INTERVAL_S, partial(self._report_load, index, 0.0)
             )
         self._generate_arrivals()
         self.scheduler.run_until(seconds)
         return self.outcomes
 
-    def _publish_load(self, index: int, other_zones_sent_at: float) -> None:
+    def _report_load(self, index: int, other_zones_sent_at: float) -> None:
         """
-        An engine's load goes to the entries of its zone, and now and then to all others.
+        Report an engine's load to the entries of its zone, and to all others less often if the
+        interval within the zone is shorter.
 
         """
         engine = self.engines[index]
@@ -242,12 +242,15 @@
         state = _endpoint_state(
             index, zone, self.scheduler.now, len(engine.running), len(engine.queue)
         )
-        self._send_report(state, self.near_report_s, is_same_zone=True)
-        if self.scheduler.now - other_zones_sent_at > REPORT_INTERVAL_S - self.near_report_s / 2:
+        self._send_report(state, self.same_zone_report_interval_s, is_same_zone=True)
+        if (
+            self.scheduler.now - other_zones_sent_at
+            > REPORT_INTERVAL_S - self.same_zone_report_interval_s / 2
+        ):
             other_zones_sent_at = self.scheduler.now
             self._send_report(state, REPORT_INTERVAL_S, is_same_zone=False)
         self.scheduler.schedule(
-            self.near_report_s, partial(self._publish_load, index, other_zones_sent_at)
+            self.same_zone_report_interval_s, partial(self._report_load, index, other_zones_sent_at)
         )
 
     def _send_report(self, state: EndpointState, max_delay_s: float, is_same_zone: bool) -> None:
@@ -269,14 +272,14 @@
 
     def _elapsed_ms(self, request: ModelRequest, table: ServerTable) -> int:
         """
-        The time since the first try, as an entry knows it; here exactly.
+        The time since the first try as an entry estimates it; here the exact time.
 
         """
         return int((self.scheduler.now - request.created_at) * 1000)
 
     def _note_turned_away(self, table: ServerTable) -> None:
         """
-        An entry turned a caller away.
+        Called when an entry turned a caller away.
 
         """
 
@@ -289,11 +292,11 @@
         table = self.random.choice(self.tables)
         requirements = self._requirements(request)
         if self.admits_all:
-            self._choose(request, table, requirements, None)
+            self._choose_or_refuse(request, table, requirements, None)
             return
         compared = table.sample_candidates(requirements, set())
         if not needs_fresh_loads(compared, self.scheduler.now, self.shape.entries):
-            self._choose(request, table, requirements, compared)
+            self._choose_or_refuse(request, table, requirements, compared)
             return
         unanswered = set(compared)
 
@@ -301,7 +304,7 @@
             server.set_load(load, self.scheduler.now)
             unanswered.remove(server)
             if not unanswered:
-                self._choose(request, table, requirements, compared)
+                self._choose_or_refuse(request, table, requirements, compared)
 
         for server in compared:
             self._query_load(table, server, apply_load)
@@ -313,7 +316,7 @@
         self, table: ServerTable, server: Server, apply_load: Callable[[Server, Load], None]
     ) -> None:
         """
-        Ask the daemon beside an engine for its load.
+        Query the sidecar daemon of an engine for the engine's load.
 
         """
         one_way_s = SAME_ZONE_DELAY_S if server.zone == table.zone else CROSS_ZONE_DELAY_S
@@ -326,7 +329,7 @@
 
         self.scheduler.schedule(one_way_s + self.load_read_delay_s, read_load)
 
-    def _choose(
+    def _choose_or_refuse(
         self,
         request: ModelRequest,
         table: ServerTable,
@@ -337,7 +340,7 @@
         if choice is None:
             self._count(request, 'refused')
             return
-        job = self._job(requirements, self._elapsed_ms(request, table))
+        job = self._make_job(requirements, self._elapsed_ms(request, table))
         wait_ms = 0 if self.admits_all else self.admissions[table].return_after_ms(job, choice)
         if wait_ms and (freest := table.freest_candidates(requirements, set())):
             choice = table.choose(requirements, set(), freest) or choice
@@ -349,11 +352,11 @@
         if request.is_retry:
             self._count(request, 'refused')
             return
-        again = replace(request, is_retry=True)
-        self.scheduler.schedule(wait_ms / 1000, lambda: self._send(again))
+        retry = replace(request, is_retry=True)
+        self.scheduler.schedule(wait_ms / 1000, lambda: self._send(retry))
 
-    def _job(self, requirements: Requirements, elapsed_ms: int) -> Job:
-        # Nothing is answered here, so there is no exchange.
+    def _make_job(self, requirements: Requirements, elapsed_ms: int) -> Job:
+        # The model sends no responses, so there is no exchange.
         exchange = cast(Exchange, None)
         caller = CallerRequest('id', 'host', '/')
         now = self.scheduler.now
@@ -365,26 +368,28 @@
         attempt.begin()
         one_way_s = SAME_ZONE_DELAY_S if choice.server.zone == table.zone else CROSS_ZONE_DELAY_S
 
-        def first() -> None:
-            took_ms = (self.scheduler.now + one_way_s - attempt.started_at) * 1000
-            table.note_first_token(choice.server, took_ms - choice.spec_first_token_ms)
+        def on_first_token() -> None:
+            elapsed_ms = (self.scheduler.now + one_way_s - attempt.started_at) * 1000
+            table.note_first_token(choice.server, elapsed_ms - choice.spec_first_token_ms)
             attempt.mark_first_token()
             self._record_first_token(
                 request, (self.scheduler.now + one_way_s - request.created_at) * 1000
             )
 
-        def end() -> None:
+        def on_end() -> None:
             choice.server.note_service_time(self.scheduler.now - attempt.started_at)
             attempt.end()
 
-        generation = Generation(request.prompt_tokens, request.answer_tokens, first, end)
+        generation = Generation(
+            request.prompt_tokens, request.answer_tokens, on_first_token, on_end
+        )
         engine = self.engines[choice.server.port]
         self.scheduler.schedule(one_way_s, lambda: engine.submit(generation))
 
-    def _record_first_token(self, request: ModelRequest, first_ms: float) -> None:
-        self._count(request, 'in time' if first_ms <= self.shape.target_ms else 'late')
+    def _record_first_token(self, request: ModelRequest, first_token_ms: float) -> None:
+        self._count(request, 'in time' if first_token_ms <= self.shape.target_ms else 'late')
         if request.created_at > self.counted_from_s:
-            self.outcomes.first_ms.append(first_ms)
+            self.outcomes.first_token_ms.append(first_token_ms)
 
     def _count(self, request: ModelRequest, outcome: str) -> None:
         if request.created_at > self.counted_from_s:
@@ -448,7 +453,7 @@
 
 def run(repetitions: int, quick: bool) -> Path:
     """
-    The experiment.
+    Run the experiment with one seed for each repetition.
 
     """
     seconds = QUICK_DURATION_S if quick else DURATION_S
@@ -457,9 +462,9 @@
     for seed in range(repetitions):
         for shape in SHAPES:
             for factor in LOAD_FACTORS:
-                for name, table in TABLES.items():
+                for name, table_type in TABLE_TYPES.items():
                     rate = shape.capacity * factor
-                    outcomes = RoutingModel(shape, table, rate, seed).run(seconds)
+                    outcomes = RoutingModel(shape, table_type, rate, seed).run(seconds)
                     case = f'{shape.name}, {factor:.1f} x, {name}'
                     baseline = f'{shape.name}, {factor:.1f} x, random'
                     results.add(case, 'in_time', 'share', outcomes.share('in time'), baseline)
--- a/packages/millfork-standins/millfork_standins/bench/tables.py
+++ b/packages/millfork-standins/millfork_standins/bench/tables.py
@@ -1,5 +1,5 @@
 """
-Prints one experiment's file as a table for a page:
+Prints the results of one experiment as a Markdown table:
 `python -m millfork_standins.bench.tables distribution`.
 
 """
@@ -15,7 +15,7 @@
 
 def format_table(path: Path) -> str:
     """
-    A line for each case, a column for each metric: median (least to most).
+    A line for each case and a column for each metric: median (lowest to highest).
 
     """
     rows: list[dict[str, Any]] = json.loads(path.read_text())['rows']
--- a/packages/millfork-standins/millfork_standins/bench/turning_away.py
+++ b/packages/millfork-standins/millfork_standins/bench/turning_away.py
@@ -1,8 +1,8 @@
 """
-An engine that turns requests away at once, and what entries take from that.
+Compares how entries react to an engine that turns requests away at once.
 
-The routing model with one engine of six that runs none, or not all, of what reaches it: it
-takes no place there, so its reports say that it is free.
+In the routing model, one engine turns away all or a share of the requests that reach it. They
+occupy no slot, so the load reports of the engine still show it as free.
 
 """
 
@@ -31,7 +31,7 @@
 
 SMALL, GROWN, _ = SHAPES
 LOAD_FACTORS: Final = (0.5, 0.8)
-# Of what reaches it, what the engine turns away.
+# Shares of its requests that the engine turns away.
 TURNED_AWAY_SHARES: Final = (1.0, 0.4)
 REFUSING_ENGINE_PORT: Final = 0
 
@@ -40,14 +40,14 @@
 
 def ignore(server: Server, sent_at: float, now: float) -> None:
     """
-    As entries did before.
+    Record nothing, the baseline.
 
     """
 
 
 def avoid_temporarily(server: Server, sent_at: float, now: float) -> None:
     """
-    As entries do: it is left alone for a while, longer each time.
+    Avoid the engine for a period that grows each time, as entries do.
 
     """
     server.note_turned_away(sent_at, now)
@@ -55,7 +55,7 @@
 
 def count_as_failure(server: Server, sent_at: float, now: float) -> None:
     """
-    It counts as a failure, as an answer that broke off does.
+    Count a failure, as for an answer that broke off.
 
     """
     server.note_failure(now)
@@ -63,7 +63,7 @@
 
 def count_in_failure_rate(server: Server, sent_at: float, now: float) -> None:
     """
-    It counts in the rate of failures alone.
+    Count a failure in the failure rate only.
 
     """
     server.note_outcome(failed=True)
@@ -79,7 +79,7 @@
 
 class RefusingEngineModel(RoutingModel):
     """
-    One engine turns a share of its requests away; those go to another one once.
+    One engine turns away a share of its requests; each is sent to another engine once.
 
     """
 
@@ -130,7 +130,7 @@
 
 def run(repetitions: int, quick: bool) -> Path:
     """
-    The experiment, a seed for each repetition.
+    Run the experiment with one seed for each repetition.
 
     """
     seconds = QUICK_DURATION_S if quick else DURATION_S
--- a/packages/millfork-standins/millfork_standins/bench/weight_node.py
+++ b/packages/millfork-standins/millfork_standins/bench/weight_node.py
@@ -1,8 +1,8 @@
 """
-A process of weight nodes for the bench: the product's store, trees and
-transfers over real connections, without engines.
+Runs weight nodes in one process: the real store, trees and transfers over real connections,
+without engines.
 
-Reads one JSON line with its plan, prints one JSON line for each node.
+Reads its plan as one JSON line, and prints one JSON line for each node.
 
 """
 
@@ -36,8 +36,8 @@
 
 class NodeSpec(msgspec.Struct):
     """
-    One node, and what goes wrong at it: `trouble` is '', 'stall', 'kill' or
-    'cut', and happens `trouble_s` after the start.
+    One node and its injected fault: `trouble` is '', 'stall', 'kill' or 'cut' (from the other
+    zones), and happens `trouble_s` after the node starts to fetch.
 
     """
 
@@ -50,8 +50,8 @@
 
 class Plan(msgspec.Struct):
     """
-    What one process runs. Versions are (name, version, digest) in turn; the
-    second begins `second_s` after the start, in place of the first.
+    All nodes of a run, and in `mine` the names of those that this process runs. `versions` are
+    (name, version, digest); the second replaces the first `second_s` after the start.
 
     """
 
@@ -76,7 +76,7 @@
 @dataclass
 class ZonePartition:
     """
-    Whether this node's zone is cut off, and which nodes are beyond.
+    Whether this node is cut off from the other zones.
 
     """
 
@@ -85,7 +85,7 @@
 
 class PartitionedPeers(Peers):
     """
-    Peers that can't be reached while a zone is cut off.
+    Peers that are unreachable from other zones while the partition is active.
 
     """
 
@@ -100,7 +100,7 @@
 
 class Node:
     """
-    One instance that the weights should reach.
+    One instance that fetches the weights and serves them to its peers.
 
     """
 
@@ -132,7 +132,8 @@
 
     async def run(self) -> dict[str, Any]:
         """
-        Bring the last version here; seconds from the common start.
+        Fetch the last version. The result has the seconds since the common start, or None for a
+        node that was killed.
 
         """
         listening = await curio.spawn(self.peers.listen, daemon=True)
@@ -184,8 +185,8 @@
 
     async def _send_live_answers(self) -> None:
         """
-        Live answers on the same outward link: one in each tenth of a second,
-        which must not wait behind transfers.
+        Measure how long live answers wait on the outward link, with one answer after each pause
+        of 0.1 s. They must not wait behind transfers.
 
         """
         size = self.plan.live_bytes_per_s / 10
@@ -209,7 +210,7 @@
                 await group.spawn(node.run)
             async for task in group:
                 print(json.dumps(task.result), flush=True)
-        # Stay to serve the others until told to end.
+        # Serve chunks to the nodes of other processes until the parent sends a line.
         await curio.run_in_thread(sys.stdin.readline)
 
 
--- a/packages/millfork-standins/millfork_standins/soak/__init__.py
+++ b/packages/millfork-standins/millfork_standins/soak/__init__.py
@@ -1,4 +1,4 @@
 """
-A randomized soak: real processes on loopback, faults from outside them.
+Randomized soak runs: real processes on loopback, with faults injected from outside.
 
 """
--- a/packages/millfork-standins/millfork_standins/soak/__main__.py
+++ b/packages/millfork-standins/millfork_standins/soak/__main__.py
@@ -1,5 +1,5 @@
 """
-`python -m millfork_standins.soak --seed=1 --runs=5 --seconds=20`.
+Runs the soak: `python -m millfork_standins.soak --seed=1 --runs=5 --seconds=20`.
 
 """
 
@@ -12,10 +12,12 @@
 from millfork_standins.soak.run import SoakRun
 
 SEED = flags.DEFINE_integer('seed', 1, 'Seed of the first run.', lower_bound=0)
-RUNS = flags.DEFINE_integer('runs', 1, 'Runs, each with the next seed.', lower_bound=1)
+RUNS = flags.DEFINE_integer('runs', 1, 'Number of runs, each with the next seed.', lower_bound=1)
 SECONDS = flags.DEFINE_float('seconds', 20.0, 'Seconds of faults in a run.', lower_bound=1)
-BACKPRESSURE = flags.DEFINE_bool('backpressure', True, 'Back ends say things of themselves.')
-FOLDER = flags.DEFINE_string('folder', '', 'Where logs of runs are kept; empty: nowhere.')
+BACKPRESSURE = flags.DEFINE_bool('backpressure', True, 'Back ends send backpressure signals.')
+FOLDER = flags.DEFINE_string(
+    'folder', '', 'Folder for the files of the runs; empty: they are deleted.'
+)
 
 
 def main(argv: list[str]) -> int:
--- a/packages/millfork-standins/millfork_standins/soak/backpressure.py
+++ b/packages/millfork-standins/millfork_standins/soak/backpressure.py
@@ -1,7 +1,7 @@
 """
-What back ends say of themselves in a run, by seed, and whether entries heeded it.
+Backpressure signals of back ends, drawn by seed, and a check that entries keep to the limits.
 
-Drawn apart from the faults, which stay the same with and without it.
+The signals have their own random numbers, so that a seed gives the same faults without them.
 
 """
 
@@ -19,17 +19,18 @@
 MAX_SIGNAL_S: Final = 9.0
 LIMITS_PER_S: Final = (0.5, 5.0)
 RESTS_S: Final = (0.5, 3.0)
-# How long the word may take to be heeded, and in what time requests are counted.
+# Entries may take this long to apply an announced limit.
 REACTION_TIME_S: Final = 3.0
+# Requests are counted in windows of this length.
 WINDOW_S: Final = 4.0
-# An entry that was struck may know nothing, as may those that lost a connection with it: so
-# many callers send meanwhile.
+# After a fault of an entry, it and the daemons that lost a connection to it may not know the limit.
+# Each such fault allows this many requests more, one for each caller.
 EXTRA_REQUESTS_PER_FAULT: Final = 6
 
 
 class SignalKind(Enum):
     """
-    What a back end says of itself in all its answers.
+    The backpressure signal that a back end sends with all its answers.
 
     """
 
@@ -41,8 +42,8 @@
 @dataclass(frozen=True, slots=True)
 class PlannedSignal:
     """
-    What one back end says of itself from a moment on: seconds from the begin, how long, the
-    value of a limit (requests a second) or of a rest (seconds).
+    A signal of one back end, `at_s` after the start of the run. `value` is a limit in
+    requests/s, or a rest in seconds.
 
     """
 
@@ -55,7 +56,7 @@
 
 def plan_signals(seed: int, seconds: float, back_ends: int) -> list[PlannedSignal]:
     """
-    What back ends say in a run, in order; each one thing at a time.
+    The signals of a run in the order of their times; a back end sends one at a time.
 
     """
     random = Random(f'backpressure {seed}')
@@ -78,7 +79,7 @@
 
 def begin_signal(back_end: BackEnd, planned: PlannedSignal) -> None:
     """
-    Send a signal with all answers from now on.
+    Make the back end send a signal with all its answers.
 
     """
     if planned.kind is SignalKind.LIMIT:
@@ -91,7 +92,7 @@
 
 def end_signal(back_end: BackEnd) -> None:
     """
-    Send no signal any more.
+    Make the back end stop sending a signal.
 
     """
     back_end.turns_away = False
@@ -101,7 +102,7 @@
 @dataclass(frozen=True, slots=True)
 class LimitPeriod:
     """
-    A back end that named a limit from one moment to another (monotonic seconds).
+    A period (monotonic seconds) in which a back end announced a limit.
 
     """
 
@@ -115,7 +116,8 @@
     limit_periods: Iterable[LimitPeriod], entry_faults_at: list[float]
 ) -> list[str]:
     """
-    Limits that were not kept, in words; `struck_at` is when entries were struck.
+    Describe each limit that was exceeded. `entry_faults_at` has the times (monotonic seconds)
+    at which faults of entries began and ended.
 
     """
     violations = []
--- a/packages/millfork-standins/millfork_standins/soak/callers.py
+++ b/packages/millfork-standins/millfork_standins/soak/callers.py
@@ -1,5 +1,5 @@
 """
-Callers and an operator, who note what they were answered.
+Callers and an operator that record the responses they get.
 
 """
 
@@ -34,7 +34,7 @@
 @dataclass(frozen=True, slots=True)
 class Answer:
     """
-    What a caller saw: status 0 where the connection broke first.
+    The response to one request; status 0 if the connection broke first.
 
     """
 
@@ -48,8 +48,8 @@
 
 class Caller:
     """
-    Sends one request after another over a connection that it keeps until the
-    process behind it is gone.
+    Sends one request after another over one connection. It connects again, to a random entry,
+    when the connection breaks.
 
     """
 
@@ -101,7 +101,7 @@
 
 class Operator:
     """
-    Raises the document again and again, and reads it back.
+    Replaces the configuration document repeatedly, and reads it back.
 
     """
 
@@ -110,14 +110,14 @@
         self.stop = stop
         self.version = 1
         self.acknowledged = 0
-        # Reads that showed less than was acknowledged before they were sent.
+        # Reads of a version older than the one acknowledged before the read.
         self.stale_reads: list[str] = []
         self.reads = 0
         self.thread = threading.Thread(target=self._run, daemon=True)
 
     def put_next(self) -> bool:
         """
-        Send the next document; True once it is acknowledged.
+        Send the next document. Returns whether it was acknowledged.
 
         """
         self.version += 1
@@ -128,7 +128,7 @@
 
     def read(self) -> int | None:
         """
-        The version that some replica tells; None if none is certain.
+        The version that the first replica with a successful read returns, or None.
 
         """
         for host in self.fleet.replica_hosts:
@@ -153,7 +153,7 @@
 
 def document(version: int) -> Document:
     """
-    Two routes, and one that only this version has.
+    A document with two common routes, and one that only this version has.
 
     """
     kinds = {
--- a/packages/millfork-standins/millfork_standins/soak/checks.py
+++ b/packages/millfork-standins/millfork_standins/soak/checks.py
@@ -1,5 +1,5 @@
 """
-The promises, checked on what callers, back ends and the operator saw.
+Checks that responses kept the promises of the platform, by what callers and back ends recorded.
 
 """
 
@@ -9,17 +9,17 @@
 
 from millfork_standins.soak.callers import Answer
 
-# These promise that a request has not run and never will.
+# These statuses promise that the request has not run and never will.
 NOT_RUN_STATUSES: Final = frozenset({408, 421, 429, 503})
-# What every configuration of the soak allows must not be refused for what it is.
+# Every configuration of the soak allows the requests of its callers, so these are wrong.
 WRONG_DENIAL_STATUSES: Final = frozenset({400, 401, 403, 404})
 WHOLE_BODY: Final = b'answer'
 
 
 def broken_promises(answers: Iterable[Answer], executed: dict[str, list[str]]) -> list[str]:
     """
-    What was promised and not kept, in words; `executed` names the requests
-    that each back end ran.
+    Describe each broken promise. `executed` has the IDs of the requests that each back end
+    ran.
 
     """
     runs = Counter(request_id for ids in executed.values() for request_id in ids)
--- a/packages/millfork-standins/millfork_standins/soak/fault_plan.py
+++ b/packages/millfork-standins/millfork_standins/soak/fault_plan.py
@@ -1,5 +1,5 @@
 """
-Which faults come when, by seed.
+Draws the faults of a run and their times from a seed.
 
 """
 
@@ -8,17 +8,17 @@
 from random import Random
 from typing import Final
 
-# Faults come closer together than they last, so that they overlap.
+# The gaps are shorter than the faults last, so that faults overlap.
 MAX_GAP_S: Final = 1.2
 MAX_DURATION_S: Final = 4.0
-# A second disk is lost only once the first replica has caught up; the fleet bears
-# the loss of one.
+# The fleet tolerates the loss of one disk: the next is lost only when the replica that lost the
+# first one has caught up.
 MIN_DISK_LOSS_GAP_S: Final = 15.0
 
 
 class FaultKind(Enum):
     """
-    What is done to a process, or to the link before a back end.
+    A fault of a process, or of the link to a back end.
 
     """
 
@@ -42,8 +42,8 @@
 @dataclass(frozen=True, slots=True)
 class Fault:
     """
-    One fault: seconds from the begin, how long, and the host (of a process) or
-    the number (of a link) that it strikes.
+    One fault, `at_s` after the start of the run. `target` is the host of a process or the
+    number of a link.
 
     """
 
@@ -57,7 +57,7 @@
     seed: int, seconds: float, replicas: list[str], entries: list[str], links: int
 ) -> list[Fault]:
     """
-    The faults of a run, in order.
+    The faults of a run in the order of their times.
 
     """
     random = Random(seed)
--- a/packages/millfork-standins/millfork_standins/soak/link_proxy.py
+++ b/packages/millfork-standins/millfork_standins/soak/link_proxy.py
@@ -1,5 +1,5 @@
 """
-A loopback proxy before a back end, which delays, silences and resets.
+A TCP proxy in front of a back end that can delay, hold back and reset traffic.
 
 """
 
@@ -16,7 +16,7 @@
 
 class LinkProxy:
     """
-    One listening address; what is sent there goes to `target`.
+    Listens on one address and forwards its connections to `target`.
 
     """
 
@@ -25,7 +25,7 @@
         self.listener = socket.create_server((host, 0))
         self.address: tuple[str, int] = self.listener.getsockname()
         self.delay_s = 0.0
-        # Bytes are held: to the back end, and from it.
+        # Whether bytes to the back end, and from it, are held back.
         self.holds_requests = False
         self.holds_answers = False
         self.open_sockets: set[socket.socket] = set()
@@ -77,7 +77,7 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             sock.shutdown(socket.SHUT_RDWR)
         except OSError:
-            # It was closed by its own peer before.
+            # The peer had closed the connection.
             pass
         sock.close()
         self.open_sockets.discard(sock)
--- a/packages/millfork-standins/millfork_standins/soak/run.py
+++ b/packages/millfork-standins/millfork_standins/soak/run.py
@@ -1,5 +1,5 @@
 """
-One run of the soak: the fleet, its faults, its callers, the verdict.
+One run of the soak: starts a fleet and callers, injects faults, and checks the promises.
 
 """
 
@@ -34,18 +34,18 @@
 ENTRIES: Final = 2
 CALLERS: Final = 6
 START_TIMEOUT_S: Final = 20.0
-# Service must be back this long after the last fault (the platform's bound is 12 s).
+# The service must recover within this time after the last fault (the bound of the platform).
 RECOVERY_TIMEOUT_S: Final = 12.0
 POLL_INTERVAL_S: Final = 0.1
 STOP_TIMEOUT_S: Final = 10.0
 LINK_DELAY_S: Final = 0.3
-# Bytes that a file may have while its disk is full.
+# Largest size of a file while the disk is full.
 FULL_DISK_FILE_BYTES: Final = 1
 
 
 def handles_signal(pid: int, number: signal.Signals) -> bool:
     """
-    Whether a process ignores or catches a signal.
+    Whether a process ignores or catches a signal, instead of being ended by it.
 
     """
     fields = dict(
@@ -58,7 +58,7 @@
 @dataclass(slots=True)
 class Verdict:
     """
-    What a run showed.
+    The counts of a run, and descriptions of what was broken.
 
     """
 
@@ -72,14 +72,14 @@
 
 class SoakRun:
     """
-    A fleet under faults.
+    Runs a fleet under the faults of one seed.
 
     """
 
     def __init__(self, folder: Path, seed: int, seconds: float, backpressure: bool = False) -> None:
         self.seed = seed
         self.seconds = seconds
-        # What back ends say of themselves meanwhile, and when they named limits.
+        # The backpressure signals of the run, and the periods in which back ends had limits.
         self.signals = plan_signals(seed, seconds, BACK_ENDS) if backpressure else []
         self.limit_periods: list[LimitPeriod] = []
         self.entry_faults_at: list[float] = []
@@ -88,14 +88,14 @@
         self.links: list[LinkProxy] = []
         self.callers: list[Caller] = []
         self.operator = Operator(self.fleet, self.stop)
-        # Hosts whose process is down on purpose, or being handled.
+        # Hosts with a fault in progress, whose processes may be down on purpose.
         self.hosts_under_fault: set[str] = set()
         self.lock = threading.Lock()
         self.broken: list[str] = []
 
     def run(self) -> Verdict:
         """
-        Play the seed's faults; what was broken is in the verdict.
+        Inject the faults of the seed. Returns the counts and everything that was broken.
 
         """
         try:
@@ -125,7 +125,7 @@
             back_end.advertised = link.address
             self.links.append(link)
         if not self._wait_until(self.operator.put_next, START_TIMEOUT_S):
-            raise RuntimeError('the fleet takes no document')
+            raise RuntimeError('the fleet accepts no document')
         self.operator.thread.start()
         self.callers = [Caller(number, self.fleet, self.stop) for number in range(CALLERS)]
         if not self._wait_until(self._all_callers_served, START_TIMEOUT_S):
@@ -161,8 +161,6 @@
                 LimitPeriod(back_end, planned.value, signal_began_at, time.monotonic())
             )
 
-    # Faults.
-
     def _inject_fault(self, fault: Fault) -> None:
         if fault.target.isdigit():
             self._inject_link_fault(self.links[int(fault.target)], fault)
@@ -196,7 +194,7 @@
 
     def _inject_process_fault(self, fault: Fault) -> None:
         host = fault.target
-        # Before, a signal would strike the interpreter and not the daemon.
+        # Until the daemon has installed its handlers, a signal would end the process.
         self._wait_until(lambda: self._handles_signals(host), START_TIMEOUT_S)
         if fault.kind is FaultKind.RELOAD:
             self.fleet.signal(host, signal.SIGHUP)
@@ -235,7 +233,7 @@
 
     def _handles_signals(self, host: str) -> bool:
         """
-        Whether the host's process has said what becomes of the signals sent here.
+        Whether the host's process handles the signals that this run sends.
 
         """
         pid = self.fleet.processes[host].pid
@@ -245,8 +243,6 @@
         pid = self.fleet.processes[host].pid
         resource.prlimit(pid, resource.RLIMIT_FSIZE, (size, resource.RLIM_INFINITY))
 
-    # What must hold.
-
     def _restart_ended_processes(self) -> None:
         for host, process in list(self.fleet.processes.items()):
             if host not in self.hosts_under_fault and process.poll() is not None:
@@ -278,7 +274,7 @@
         if not self._wait_until(all_callers_served_again, RECOVERY_TIMEOUT_S):
             self.broken.append(f'no service {RECOVERY_TIMEOUT_S} s after the last fault')
         if not self._wait_until(lambda: self.operator.read() is not None, RECOVERY_TIMEOUT_S):
-            self.broken.append('the document can not be read back')
+            self.broken.append('the document cannot be read back')
         self._restart_ended_processes()
         self.stop.set()
         for thread in (self.operator.thread, *(caller.thread for caller in self.callers)):
--- a/tests/test_routing_model.py
+++ b/tests/test_routing_model.py
@@ -1,5 +1,5 @@
 """
-The engine model of the routing benchmark, and the gain of routing on it.
+The engine model of the routing experiment, and the gain of load-aware routing on it.
 
 """
 
@@ -88,8 +88,8 @@
 
 def test_in_large_fleets_fresher_load_reports_help():
     """
-    The age of load reports limits large fleets: 0.59 of first tokens were in time with reports
-    every 0.15 s, and 0.66 with reports every 0.05 s within the own zone.
+    Old load reports cost first tokens in large fleets: 0.59 of them were in time with reports
+    every 0.15 s, and 0.66 with reports every 0.05 s within the zone.
 
     """
     rate = LARGE.capacity * 1.2
