--- a/packages/millfork-standins/millfork_standins/bench/limit_shares.py
+++ b/packages/millfork-standins/millfork_standins/bench/limit_shares.py
@@ -26,6 +26,7 @@
 WINDOW_S: Final = 4.0
 # Back ends count requests only after entries have had time to apply an announced limit.
 COUNTED_FROM_S: Final = 3.0
+# Logarithm of the highest ratio between the demands of two entries.
 DEMAND_SPREAD: Final = 2.3
 SEED_COUNT: Final = 20
 # Interval of the updates of `DemandShares`: the demand of the entries is known this late.
--- a/packages/millfork-standins/millfork_standins/bench/routing.py
+++ b/packages/millfork-standins/millfork_standins/bench/routing.py
@@ -140,17 +140,17 @@
     """
 
     counts: Counter[str] = field(default_factory=Counter)
-    first_token_ms: list[float] = field(default_factory=list)
+    first_token_times_ms: list[float] = field(default_factory=list)
 
     def share(self, outcome: str) -> float:
         return self.counts[outcome] / max(self.counts['asked'], 1)
 
-    def first_token_percentile_ms(self, share: float) -> float:
+    def percentile_ms(self, share: float) -> float:
         """
         The time to the first token that this share of the answered requests stay within.
 
         """
-        ordered = sorted(self.first_token_ms) or [0.0]
+        ordered = sorted(self.first_token_times_ms) or [0.0]
         return ordered[min(int(len(ordered) * share), len(ordered) - 1)]
 
 
@@ -389,7 +389,7 @@
     def _record_first_token(self, request: ModelRequest, first_token_ms: float) -> None:
         self._count(request, 'in time' if first_token_ms <= self.shape.target_ms else 'late')
         if request.created_at > self.counted_from_s:
-            self.outcomes.first_token_ms.append(first_token_ms)
+            self.outcomes.first_token_times_ms.append(first_token_ms)
 
     def _count(self, request: ModelRequest, outcome: str) -> None:
         if request.created_at > self.counted_from_s:
@@ -470,10 +470,6 @@
                     results.add(case, 'in_time', 'share', outcomes.share('in time'), baseline)
                     results.add(case, 'late', 'share', outcomes.share('late'))
                     results.add(case, 'refused', 'share', outcomes.share('refused'))
-                    results.add(
-                        case, 'first_token_p50', 'ms', outcomes.first_token_percentile_ms(0.5)
-                    )
-                    results.add(
-                        case, 'first_token_p95', 'ms', outcomes.first_token_percentile_ms(0.95)
-                    )
+                    results.add(case, 'first_token_p50', 'ms', outcomes.percentile_ms(0.5))
+                    results.add(case, 'first_token_p95', 'ms', outcomes.percentile_ms(0.95))
     return results.write()
--- a/packages/millfork-standins/millfork_standins/bench/weight_node.py
+++ b/packages/millfork-standins/millfork_standins/bench/weight_node.py
@@ -51,7 +51,8 @@
 class Plan(msgspec.Struct):
     """
     All nodes of a run, and in `mine` the names of those that this process runs. `versions` are
-    (name, version, digest); the second replaces the first `second_s` after the start.
+    (name, version, digest); the second replaces the first `second_s` after the start. Transfers use
+    `share` of the link, on which both directions compete if `together` is set.
 
     """
 
--- a/tests/test_routing_model.py
+++ b/tests/test_routing_model.py
@@ -25,33 +25,33 @@
 def test_an_engine_fills_at_most_its_slots_and_completes_all_requests():
     scheduler = EventScheduler()
     engine = EngineModel(scheduler, ENGINE)
-    firsts, ended = [], []
+    first_tokens, ended = [], []
     for number in range(40):
         engine.submit(
             Generation(
                 900,
                 50,
-                lambda number=number: firsts.append(number),
+                lambda number=number: first_tokens.append(number),
                 lambda number=number: ended.append(number),
             )
         )
         assert len(engine.running) <= ENGINE.slots
     scheduler.run_until(60.0)
-    assert firsts == list(range(40))
+    assert first_tokens == list(range(40))
     assert sorted(ended) == list(range(40))
     assert not engine.busy
 
 
 def test_earlier_prompts_delay_a_first_token():
-    def first_at(before):
+    def first_at(earlier):
         scheduler = EventScheduler()
         engine = EngineModel(scheduler, ENGINE)
-        found = []
-        for _ in range(before):
+        times = []
+        for _ in range(earlier):
             engine.submit(Generation(2000, 50, lambda: None, lambda: None))
-        engine.submit(Generation(2000, 50, lambda: found.append(scheduler.now), lambda: None))
+        engine.submit(Generation(2000, 50, lambda: times.append(scheduler.now), lambda: None))
         scheduler.run_until(60.0)
-        return found[0]
+        return times[0]
 
     assert first_at(0) < first_at(3) < first_at(12) < first_at(20)
 
@@ -59,15 +59,15 @@
 @pytest.mark.parametrize('table', [RandomChoiceTable, RoundRobinTable])
 def test_more_first_tokens_are_in_time_than_with_load_blind_choices(table):
     rate = SHAPE.capacity * 1.2
-    built = RoutingModel(SHAPE, ServerTable, rate, 1).run(10.0)
-    plain = RoutingModel(SHAPE, table, rate, 1).run(10.0)
-    assert built.share('in time') > 1.5 * plain.share('in time')
+    load_aware = RoutingModel(SHAPE, ServerTable, rate, 1).run(10.0)
+    load_blind = RoutingModel(SHAPE, table, rate, 1).run(10.0)
+    assert load_aware.share('in time') > 1.5 * load_blind.share('in time')
 
 
 def test_under_lasting_load_slots_go_to_requests_that_can_be_in_time():
-    load = SHAPE.capacity * 1.2
+    rate = SHAPE.capacity * 1.2
     counted = sum(
-        (RoutingModel(SHAPE, ServerTable, load, seed).run(10.0).counts for seed in range(3)),
+        (RoutingModel(SHAPE, ServerTable, rate, seed).run(10.0).counts for seed in range(3)),
         Counter(),
     )
     assert counted['in time'] > 0.6 * counted['asked']
@@ -76,8 +76,8 @@
 
 def test_many_entries_do_not_choose_the_same_engine():
     shape = FleetShape('many entries', 24, 12, 40)
-    found = RoutingModel(shape, ServerTable, shape.capacity * 1.2, 1).run(6.0)
-    assert found.share('in time') > 0.5
+    outcomes = RoutingModel(shape, ServerTable, shape.capacity * 1.2, 1).run(6.0)
+    assert outcomes.share('in time') > 0.5
 
 
 def test_equal_seeds_give_equal_runs():
