--- a/packages/millfork-standins/millfork_standins/bench/__main__.py
+++ b/packages/millfork-standins/millfork_standins/bench/__main__.py
@@ -16,7 +16,7 @@
     distribution,
     limit_shares,
     limits,
-    returning,
+    retry_detection,
     routing,
     turning_away,
 )
@@ -28,18 +28,18 @@
     'limit-shares': limit_shares.run,
     'cost': cost.run,
     'routing': routing.run,
-    'returning': returning.run,
+    'returning': retry_detection.run,
     'turning-away': turning_away.run,
 }
 
 flags.DEFINE_enum('only', None, sorted(EXPERIMENTS), 'Run one experiment.')
-flags.DEFINE_bool('quick', False, 'Run a reduced set, once each.')
+flags.DEFINE_bool('quick', False, 'Run a reduced set of cases, once each.')
 flags.DEFINE_integer('repetitions', 5, 'Repetitions of each case.', lower_bound=1)
 
 
 def main(argv: list[str]) -> int:
     """
-    Run the experiments and write their files.
+    Run the chosen experiments; each writes its results as a JSON file.
 
     """
     names = [FLAGS.only] if FLAGS.only else list(EXPERIMENTS)
--- a/packages/millfork-standins/millfork_standins/bench/baselines.py
+++ b/packages/millfork-standins/millfork_standins/bench/baselines.py
@@ -1,5 +1,5 @@
 """
-Baselines of the distribution: what the trees are compared with.
+Planners that the distribution trees are compared with.
 
 """
 
@@ -15,16 +15,16 @@
     digest: Digest, receivers: list[Receiver], stripes: int, origin_copies: int
 ) -> list[Tree]:
     """
-    Every instance draws everything from the origin.
+    One tree in which every instance fetches all chunks from the origin.
 
     """
     names = [receiver.instance for receiver in receivers]
-    return [FromOrigin(dict.fromkeys(names), names)]
+    return [OriginOnlyTree(dict.fromkeys(names), names)]
 
 
-class FromOrigin(Tree):
+class OriginOnlyTree(Tree):
     """
-    A tree in which nobody asks a peer.
+    A tree in which no instance has a peer to fetch from.
 
     """
 
@@ -36,7 +36,7 @@
     digest: Digest, receivers: list[Receiver], stripes: int, origin_copies: int
 ) -> list[Tree]:
     """
-    One plain binary tree for all chunks.
+    One binary tree for all chunks, in the order of rank.
 
     """
     names = sorted((h.instance for h in receivers), key=lambda name: rank(digest, name))
--- a/packages/millfork-standins/millfork_standins/bench/weight_node.py
+++ b/packages/millfork-standins/millfork_standins/bench/weight_node.py
@@ -1,8 +1,8 @@
 """
-A process of weight nodes for the bench: the product's store, trees and
-transfers over real connections, without engines.
+Runs weight nodes in one process: the real store, trees and transfers over real connections,
+without engines.
 
-Reads one JSON line with its plan, prints one JSON line for each node.
+Reads its plan as one JSON line, and prints one JSON line for each node.
 
 """
 
@@ -19,9 +19,9 @@
 from millfork_core.environment import Environment
 from millfork_core.ids import Digest, InstanceId, ZoneId
 from millfork_standins.bench.baselines import PLANNERS
-from millfork_weights.chunk_server import ChunkServer
 from millfork_weights.links import Link
 from millfork_weights.origin import Origin
+from millfork_weights.chunk_server import ChunkServer
 from millfork_weights.store import StoredVersion, WeightStore
 from millfork_weights.transfer import Transfer, TransferSettings
 from millfork_weights.trees import Receiver
@@ -29,15 +29,15 @@
 from millfork_wire.messages import GetChunk, GetManifest, Message
 from millfork_wire.peers import PeerAddress, Peers
 
-KEY: Final = b'bench'
+FLEET_KEY: Final = b'bench'
 PORT: Final = 7400
 DEADLINE_S: Final = 60.0
 
 
 class NodeSpec(msgspec.Struct):
     """
-    One node, and what goes wrong at it: `trouble` is '', 'stall', 'kill' or
-    'cut', and happens `trouble_s` after the start.
+    One node and its injected fault: `trouble` is '', 'stall', 'kill' or 'cut' (from the other
+    zones), and happens `trouble_s` after the node starts to fetch.
 
     """
 
@@ -50,8 +50,9 @@
 
 class Plan(msgspec.Struct):
     """
-    What one process runs. Versions are (name, version, digest) in turn; the
-    second begins `second_s` after the start, in place of the first.
+    All nodes of a run, and in `mine` the names of those that this process runs. `versions` are
+    (name, version, digest); the second replaces the first `second_s` after the start. Transfers use
+    `share` of the link, on which both directions compete if `together` is set.
 
     """
 
@@ -74,33 +75,33 @@
 
 
 @dataclass
-class Cut:
+class ZonePartition:
     """
-    Whether this node's zone is cut off, and which nodes are beyond.
+    Whether this node is cut off from the other zones.
 
     """
 
     active: bool = False
 
 
-class CutPeers(Peers):
+class PartitionedPeers(Peers):
     """
-    Peers that can't be reached while a zone is cut off.
+    Peers that are unreachable from other zones while the partition is active.
 
     """
 
-    cut: Cut
+    partition: ZonePartition
     zones: dict[str, str]
 
     async def connect(self, address: PeerAddress) -> Connection:
-        if self.cut.active and self.zones[address.instance] != self.env.zone:
+        if self.partition.active and self.zones[address.instance] != self.env.zone:
             raise PeerUnreachable('cut off')
         return await super().connect(address)
 
 
 class Node:
     """
-    One instance that the weights should reach.
+    One instance that fetches the weights and serves them to its peers.
 
     """
 
@@ -108,9 +109,9 @@
         self.plan = plan
         self.spec = spec
         self.env = Environment(InstanceId(spec.name), ZoneId(spec.zone))
-        self.cut = Cut()
-        self.peers = CutPeers(self.env, 'endpoint', spec.host, PORT, KEY, self.handle)
-        self.peers.cut = self.cut
+        self.partition = ZonePartition()
+        self.peers = PartitionedPeers(self.env, 'endpoint', spec.host, PORT, FLEET_KEY, self.handle)
+        self.peers.partition = self.partition
         self.peers.zones = {node.name: node.zone for node in plan.nodes}
         self.link = Link(plan.bytes_per_s, plan.share, plan.together, time.monotonic)
         self.store = WeightStore(Path(plan.folder) / spec.name)
@@ -132,17 +133,18 @@
 
     async def run(self) -> dict[str, Any]:
         """
-        Bring the last version here; seconds from the common start.
+        Fetch the last version. The result has the seconds since the common start, or None for a
+        node that was killed.
 
         """
         listening = await curio.spawn(self.peers.listen, daemon=True)
         await curio.sleep(max(self.plan.start_at - time.monotonic(), 0))
-        trouble = await curio.spawn(self._trouble, daemon=True)
+        fault_task = await curio.spawn(self._inject_fault, daemon=True)
         if self.plan.live_bytes_per_s:
-            await curio.spawn(self._live, daemon=True)
+            await curio.spawn(self._send_live_answers, daemon=True)
         fetching = await curio.spawn(self._fetch_all, daemon=True)
         if self.spec.trouble == 'kill':
-            await trouble.wait()
+            await fault_task.wait()
             await fetching.cancel()
             await listening.cancel()
             for connection in list(self.peers.connections.values()):
@@ -152,11 +154,11 @@
         seconds = time.monotonic() - self.plan.start_at
         return {'name': self.spec.name, 'seconds': seconds, 'live_waits': self.live_waits}
 
-    async def _trouble(self) -> None:
+    async def _inject_fault(self) -> None:
         await curio.sleep(self.spec.trouble_s)
         self.stalled = self.spec.trouble == 'stall'
-        self.cut.active = self.spec.trouble == 'cut'
-        if self.cut.active:
+        self.partition.active = self.spec.trouble == 'cut'
+        if self.partition.active:
             for connection in list(self.peers.connections.values()):
                 if self.peers.zones[connection.peer] != self.env.zone:
                     await connection.close()
@@ -182,18 +184,22 @@
         )
         return await transfer.run(name, version, Digest(digest), receivers)
 
-    async def _live(self) -> None:
+    async def _send_live_answers(self) -> None:
         """
-        Live answers on the same outward link: one in each tenth of a second,
-        which must not wait behind transfers.
+        Measure how long live answers wait on the outward link, with one answer after each pause
+        of 0.1 s. They must not wait behind transfers.
 
         """
         size = self.plan.live_bytes_per_s / 10
         while True:
-            began = time.monotonic()
-            room = self.plan.bytes_per_s * (1 - self.plan.share)
-            await curio.sleep(size / room if room else self.link.outbound.backlog_s)
-            self.live_waits.append(time.monotonic() - began)
+            started_at = time.monotonic()
+            available_bytes_per_s = self.plan.bytes_per_s * (1 - self.plan.share)
+            await curio.sleep(
+                size / available_bytes_per_s
+                if available_bytes_per_s
+                else self.link.outbound.backlog_s
+            )
+            self.live_waits.append(time.monotonic() - started_at)
             await curio.sleep(0.1)
 
 
@@ -205,7 +211,7 @@
                 await group.spawn(node.run)
             async for task in group:
                 print(json.dumps(task.result), flush=True)
-        # Stay to serve the others until told to end.
+        # Serve chunks to the nodes of other processes until the parent sends a line.
         await curio.run_in_thread(sys.stdin.readline)
 
 
--- a/packages/millfork-standins/millfork_standins/soak/backpressure.py
+++ b/packages/millfork-standins/millfork_standins/soak/backpressure.py
@@ -1,7 +1,7 @@
 """
-What back ends say of themselves in a run, by seed, and whether entries heeded it.
+Backpressure signals of back ends, drawn by seed, and a check that entries keep to the limits.
 
-Drawn apart from the faults, which stay the same with and without it.
+The signals have their own random numbers, so that a seed gives the same faults without them.
 
 """
 
@@ -14,22 +14,23 @@
 from millfork_platform import client_requests
 from millfork_standins.seeded import BackEnd
 
-MOST_GAP_S: Final = 4.0
-LEAST_S: Final = 4.0
-MOST_S: Final = 9.0
+MAX_GAP_S: Final = 4.0
+MIN_SIGNAL_S: Final = 4.0
+MAX_SIGNAL_S: Final = 9.0
 LIMITS_PER_S: Final = (0.5, 5.0)
 RESTS_S: Final = (0.5, 3.0)
-# How long the word may take to be heeded, and in what time requests are counted.
-HEEDED_S: Final = 3.0
+# Entries may take this long to apply an announced limit.
+REACTION_TIME_S: Final = 3.0
+# Requests are counted in windows of this length.
 WINDOW_S: Final = 4.0
-# An entry that was struck may know nothing, as may those that lost a connection with it: so
-# many callers send meanwhile.
-PER_STRIKE: Final = 6
+# After a fault of an entry, it and the daemons that lost a connection to it may not know the limit.
+# Each such fault allows this many requests more, one for each caller.
+EXTRA_REQUESTS_PER_FAULT: Final = 6
 
 
 class SignalKind(Enum):
     """
-    What a back end says of itself in all its answers.
+    The backpressure signal that a back end sends with all its answers.
 
     """
 
@@ -41,13 +42,13 @@
 @dataclass(frozen=True, slots=True)
 class PlannedSignal:
     """
-    What one back end says of itself from a moment on: seconds from the begin, how long, the
-    value of a limit (requests a second) or of a rest (seconds).
+    A signal of one back end, `at_s` after the start of the run. `value` is a limit in
+    requests/s, or a rest in seconds.
 
     """
 
     at_s: float
-    for_s: float
+    duration_s: float
     kind: SignalKind
     back_end: int
     value: float = 0.0
@@ -55,30 +56,30 @@
 
 def plan_signals(seed: int, seconds: float, back_ends: int) -> list[PlannedSignal]:
     """
-    What back ends say in a run, in order; each one thing at a time.
+    The signals of a run in the order of their times; a back end sends one at a time.
 
     """
     random = Random(f'backpressure {seed}')
     signals: list[PlannedSignal] = []
-    free_at = [0.0] * back_ends
+    available_at = [0.0] * back_ends
     at_s = 0.0
     while True:
-        at_s += random.uniform(0.0, MOST_GAP_S)
+        at_s += random.uniform(0.0, MAX_GAP_S)
         if at_s >= seconds:
             return signals
         back_end = random.randrange(back_ends)
-        if at_s < free_at[back_end]:
+        if at_s < available_at[back_end]:
             continue
         kind = random.choice(list(SignalKind))
         value = random.uniform(*(LIMITS_PER_S if kind is SignalKind.LIMIT else RESTS_S))
-        for_s = random.uniform(LEAST_S, MOST_S)
-        free_at[back_end] = at_s + for_s
-        signals.append(PlannedSignal(at_s, for_s, kind, back_end, value))
+        duration_s = random.uniform(MIN_SIGNAL_S, MAX_SIGNAL_S)
+        available_at[back_end] = at_s + duration_s
+        signals.append(PlannedSignal(at_s, duration_s, kind, back_end, value))
 
 
-def begin(back_end: BackEnd, planned: PlannedSignal) -> None:
+def begin_signal(back_end: BackEnd, planned: PlannedSignal) -> None:
     """
-    Send a signal with all answers from now on.
+    Make the back end send a signal with all its answers.
 
     """
     if planned.kind is SignalKind.LIMIT:
@@ -89,9 +90,9 @@
         back_end.extra_headers = {client_requests.RETRY_AFTER: f'{planned.value:.3f}'}
 
 
-def end(back_end: BackEnd) -> None:
+def end_signal(back_end: BackEnd) -> None:
     """
-    Send no signal any more.
+    Make the back end stop sending a signal.
 
     """
     back_end.turns_away = False
@@ -99,36 +100,46 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Period:
+class LimitPeriod:
     """
-    A back end that named a limit from one moment to another (monotonic seconds).
+    A period (monotonic seconds) in which a back end announced a limit.
 
     """
 
     back_end: BackEnd
     limit_per_s: float
-    began: float
-    ended: float
+    began_at: float
+    ended_at: float
 
 
-def unheeded(periods: Iterable[Period], struck_at: list[float]) -> list[str]:
+def find_exceeded_limits(
+    limit_periods: Iterable[LimitPeriod], entry_faults_at: list[float]
+) -> list[str]:
     """
-    Limits that were not kept, in words; `struck_at` is when entries were struck.
+    Describe each limit that was exceeded. `entry_faults_at` has the times (monotonic seconds)
+    at which faults of entries began and ended.
 
     """
-    found = []
-    for period in periods:
-        times = [
-            at for at in period.back_end.arrived_at if period.began + HEEDED_S <= at <= period.ended
+    violations = []
+    for period in limit_periods:
+        arrivals = [
+            at
+            for at in period.back_end.arrived_at
+            if period.began_at + REACTION_TIME_S <= at <= period.ended_at
         ]
-        for first in times:
-            count = sum(first <= at < first + WINDOW_S for at in times)
-            strikes = sum(first - HEEDED_S - WINDOW_S <= at < first + WINDOW_S for at in struck_at)
-            allowed = 1.5 * period.limit_per_s * WINDOW_S + 5 + PER_STRIKE * strikes
+        for first in arrivals:
+            count = sum(first <= at < first + WINDOW_S for at in arrivals)
+            entry_faults = sum(
+                first - REACTION_TIME_S - WINDOW_S <= at < first + WINDOW_S
+                for at in entry_faults_at
+            )
+            allowed = (
+                1.5 * period.limit_per_s * WINDOW_S + 5 + EXTRA_REQUESTS_PER_FAULT * entry_faults
+            )
             if count > allowed:
-                found.append(
+                violations.append(
                     f'{period.back_end.instance} named {period.limit_per_s:.2f} a second and got '
                     f'{count} requests in {WINDOW_S:g} s, allowed {allowed:.0f}'
                 )
                 break
-    return found
+    return violations
--- a/packages/millfork-standins/millfork_standins/soak/callers.py
+++ b/packages/millfork-standins/millfork_standins/soak/callers.py
@@ -1,5 +1,5 @@
 """
-Callers and an operator, who note what they were answered.
+Callers and an operator that record the responses they get.
 
 """
 
@@ -25,16 +25,16 @@
 SERVICE: Final = ServiceName('plain')
 DEADLINE_MS: Final = 3000
 CALL_TIMEOUT_S: Final = 5.0
-PAUSE_S: Final = 0.02
-CHANGE_EVERY_S: Final = 0.8
-HOST: Final = 'h.example'
-KEY: Final = 'key'
+REQUEST_INTERVAL_S: Final = 0.02
+CHANGE_INTERVAL_S: Final = 0.8
+ROUTE_HOST: Final = 'h.example'
+API_KEY: Final = 'key'
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
     """
-    What a caller saw: status 0 where the connection broke first.
+    The response to one request; status 0 if the connection broke first.
 
     """
 
@@ -48,8 +48,8 @@
 
 class Caller:
     """
-    Sends one request after another over a connection that it keeps until the
-    process behind it is gone.
+    Sends one request after another over one connection. It connects again, to a random entry,
+    when the connection breaks.
 
     """
 
@@ -65,15 +65,15 @@
         self.thread.start()
 
     def _run(self) -> None:
-        while not self.stop.wait(PAUSE_S):
-            self.answers.append(self._ask())
+        while not self.stop.wait(REQUEST_INTERVAL_S):
+            self.answers.append(self._send_request())
 
-    def _ask(self) -> Answer:
+    def _send_request(self) -> Answer:
         request_id = f'{self.number}-{next(self.ids)}'
         repeatable = self.random.random() < 0.5
         headers = {
-            'host': HOST,
-            'authorization': f'Bearer {KEY}',
+            'host': ROUTE_HOST,
+            'authorization': f'Bearer {API_KEY}',
             client_requests.REQUEST_ID: request_id,
             client_requests.DEADLINE_MS: str(DEADLINE_MS),
         }
@@ -101,7 +101,7 @@
 
 class Operator:
     """
-    Raises the document again and again, and reads it back.
+    Replaces the configuration document repeatedly, and reads it back.
 
     """
 
@@ -110,14 +110,14 @@
         self.stop = stop
         self.version = 1
         self.acknowledged = 0
-        # Reads that showed less than was acknowledged before they were sent.
-        self.stale: list[str] = []
+        # Reads of a version older than the one acknowledged before the read.
+        self.stale_reads: list[str] = []
         self.reads = 0
         self.thread = threading.Thread(target=self._run, daemon=True)
 
     def put_next(self) -> bool:
         """
-        Send the next document; True once it is acknowledged.
+        Send the next document. Returns whether it was acknowledged.
 
         """
         self.version += 1
@@ -128,7 +128,7 @@
 
     def read(self) -> int | None:
         """
-        The version that some replica tells; None if none is certain.
+        The version that the first replica with a successful read returns, or None.
 
         """
         for host in self.fleet.replica_hosts:
@@ -138,20 +138,22 @@
         return None
 
     def _run(self) -> None:
-        while not self.stop.wait(CHANGE_EVERY_S):
+        while not self.stop.wait(CHANGE_INTERVAL_S):
             self.put_next()
-            least = self.acknowledged
-            found = self.read()
-            if found is None:
+            acknowledged_before = self.acknowledged
+            read_version = self.read()
+            if read_version is None:
                 continue
             self.reads += 1
-            if found < least:
-                self.stale.append(f'read {found} after {least} was acknowledged')
+            if read_version < acknowledged_before:
+                self.stale_reads.append(
+                    f'read {read_version} after {acknowledged_before} was acknowledged'
+                )
 
 
 def document(version: int) -> Document:
     """
-    Two routes, and one that only this version has.
+    A document with two common routes, and one that only this version has.
 
     """
     kinds = {
@@ -161,8 +163,8 @@
     }
     shares = (Share(SERVICE, 1),)
     routes = tuple(
-        Route(prefix, HOST, prefix, kind, 4000, 300, 1, shares, 2, False, False, 0)
+        Route(prefix, ROUTE_HOST, prefix, kind, 4000, 300, 1, shares, 2, False, False, 0)
         for prefix, kind in kinds.items()
     )
-    organisation = Organisation(OrganisationId('org'), (KEY,))
+    organisation = Organisation(OrganisationId('org'), (API_KEY,))
     return Document(version, routes, (Service(SERVICE, 64),), (organisation,))
--- a/tests/test_drawn_deployments.py
+++ b/tests/test_drawn_deployments.py
@@ -12,7 +12,7 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from millfork_standins.bench.returning import ReturningModel, Way
+from millfork_standins.bench.retry_detection import RetryDetectionModel, DetectionMethod
 from millfork_standins.bench.routing import FleetShape
 
 # Share of all first tokens that many entries may lose against a single one: each knows only its
@@ -40,8 +40,8 @@
 
 
 def run_model(shape, factor, seed, way, min_time_part):
-    model = ReturningModel(shape, factor, seed, way, min_time_part)
-    model.play()
+    model = RetryDetectionModel(shape, factor, seed, way, min_time_part)
+    model.simulate()
     return model
 
 
@@ -74,7 +74,7 @@
     it knows before it turns a caller away.
 
     """
-    model = run_model(shape, CALM_FACTOR, seed, Way.BUILT, min_time_part)
+    model = run_model(shape, CALM_FACTOR, seed, DetectionMethod.BUILT, min_time_part)
     assert model.outcomes.counts['refused'] == 0
     assert model.turned_away == 0
 
@@ -94,8 +94,8 @@
     these is nearly full.
 
     """
-    many_entries = run_model(shape, factor, seed, Way.BUILT, min_time_part)
-    single_entry = run_model(replace(shape, entries=1), factor, seed, Way.KNOWN, min_time_part)
+    many_entries = run_model(shape, factor, seed, DetectionMethod.BUILT, min_time_part)
+    single_entry = run_model(replace(shape, entries=1), factor, seed, DetectionMethod.KNOWN, min_time_part)
     in_time = many_entries.outcomes.share('in time')
     assert in_time > single_entry.outcomes.share('in time') - MAX_SPLIT_LOSS
 
@@ -103,7 +103,7 @@
 @settings(max_examples=4, deadline=DEADLINE_MS)
 @given(SHAPES, SEEDS, MIN_TIME_PARTS, st.sampled_from([1.0, 1.5]))
 def test_no_length_of_prompt_is_starved(shape, seed, min_time_part, factor):
-    model = run_model(shape, factor, seed, Way.BUILT, min_time_part)
+    model = run_model(shape, factor, seed, DetectionMethod.BUILT, min_time_part)
     by_prompt_length = sorted(model.answered)
     longest_tenth = by_prompt_length[-len(by_prompt_length) // 10 :]
     served = sum(answered for _, answered in longest_tenth) / len(longest_tenth)
--- a/tests/test_faults_left_open.py
+++ b/tests/test_faults_left_open.py
@@ -11,8 +11,8 @@
 import pytest
 
 from millfork_scheduling.quarantine import MIN_ENDS_AT_FAULT
-from millfork_standins.bench.limit_shares import SECONDS, Shares, play
-from millfork_standins.bench.returning import Way
+from millfork_standins.bench.limit_shares import DURATION_S, LimitShares, simulate_sends
+from millfork_standins.bench.retry_detection import DetectionMethod
 from millforkd.versions import CANCEL_MARGIN_S
 from tests import test_delayed_heartbeats as heartbeats
 from tests import test_drawn_deployments as drawn
@@ -100,9 +100,9 @@
     used_shares = []
     for seed in range(20):
         random = Random(seed)
-        shares = Shares(limit_per_s, entries, random)
-        sent = play(shares, limit_per_s, entries, 20.0, random)
-        used_shares.append(len(sent) / SECONDS / limit_per_s)
+        shares = LimitShares(limit_per_s, entries, random)
+        sent = simulate_sends(shares, limit_per_s, entries, 20.0, random)
+        used_shares.append(len(sent) / DURATION_S / limit_per_s)
     assert statistics.mean(used_shares) >= 0.5
 
 
@@ -112,9 +112,9 @@
     13 entries in front of four engines. With two of 200 other seeds the loss exceeds 0.2.
 
     """
-    built = drawn.run_model(drawn.SPLIT_SHAPE, LOAD_FACTOR, seed, Way.BUILT, LEAST)
+    built = drawn.run_model(drawn.SPLIT_SHAPE, LOAD_FACTOR, seed, DetectionMethod.BUILT, LEAST)
     single = drawn.run_model(
-        replace(drawn.SPLIT_SHAPE, entries=1), LOAD_FACTOR, seed, Way.KNOWN, LEAST
+        replace(drawn.SPLIT_SHAPE, entries=1), LOAD_FACTOR, seed, DetectionMethod.KNOWN, LEAST
     )
     in_time = built.outcomes.share('in time')
     assert in_time > single.outcomes.share('in time') - drawn.MAX_SPLIT_LOSS
--- a/tests/test_routing_model.py
+++ b/tests/test_routing_model.py
@@ -1,5 +1,5 @@
 """
-The engine model of the routing benchmark, and the gain of routing on it.
+The engine model of the routing experiment, and the gain of load-aware routing on it.
 
 """
 
@@ -8,13 +8,13 @@
 import pytest
 
 from millfork_scheduling.server_table import ServerTable
-from millfork_standins.bench.engine_model import Agenda, EngineModel, Generation
+from millfork_standins.bench.engine_model import EngineModel, EventScheduler, Generation
 from millfork_standins.bench.routing import (
     LARGE,
-    REPORT_S,
+    REPORT_INTERVAL_S,
     FleetShape,
-    RandomBook,
-    RoundRobinBook,
+    RandomChoiceTable,
+    RoundRobinTable,
     RoutingModel,
 )
 from tests.test_servers import ENGINE
@@ -23,51 +23,51 @@
 
 
 def test_an_engine_fills_at_most_its_slots_and_completes_all_requests():
-    agenda = Agenda()
-    engine = EngineModel(agenda, ENGINE)
-    firsts, ended = [], []
+    scheduler = EventScheduler()
+    engine = EngineModel(scheduler, ENGINE)
+    first_tokens, ended = [], []
     for number in range(40):
-        engine.add(
+        engine.submit(
             Generation(
                 900,
                 50,
-                lambda number=number: firsts.append(number),
+                lambda number=number: first_tokens.append(number),
                 lambda number=number: ended.append(number),
             )
         )
         assert len(engine.running) <= ENGINE.slots
-    agenda.run_until(60.0)
-    assert firsts == list(range(40))
+    scheduler.run_until(60.0)
+    assert first_tokens == list(range(40))
     assert sorted(ended) == list(range(40))
     assert not engine.busy
 
 
 def test_earlier_prompts_delay_a_first_token():
-    def first_at(before):
-        agenda = Agenda()
-        engine = EngineModel(agenda, ENGINE)
-        found = []
-        for _ in range(before):
-            engine.add(Generation(2000, 50, lambda: None, lambda: None))
-        engine.add(Generation(2000, 50, lambda: found.append(agenda.now), lambda: None))
-        agenda.run_until(60.0)
-        return found[0]
+    def first_at(earlier):
+        scheduler = EventScheduler()
+        engine = EngineModel(scheduler, ENGINE)
+        times = []
+        for _ in range(earlier):
+            engine.submit(Generation(2000, 50, lambda: None, lambda: None))
+        engine.submit(Generation(2000, 50, lambda: times.append(scheduler.now), lambda: None))
+        scheduler.run_until(60.0)
+        return times[0]
 
     assert first_at(0) < first_at(3) < first_at(12) < first_at(20)
 
 
-@pytest.mark.parametrize('table', [RandomBook, RoundRobinBook])
+@pytest.mark.parametrize('table', [RandomChoiceTable, RoundRobinTable])
 def test_more_first_tokens_are_in_time_than_with_load_blind_choices(table):
     rate = SHAPE.capacity * 1.2
-    built = RoutingModel(SHAPE, ServerTable, rate, 1).run(10.0)
-    plain = RoutingModel(SHAPE, table, rate, 1).run(10.0)
-    assert built.share('in time') > 1.5 * plain.share('in time')
+    load_aware = RoutingModel(SHAPE, ServerTable, rate, 1).run(10.0)
+    load_blind = RoutingModel(SHAPE, table, rate, 1).run(10.0)
+    assert load_aware.share('in time') > 1.5 * load_blind.share('in time')
 
 
 def test_under_lasting_load_slots_go_to_requests_that_can_be_in_time():
-    load = SHAPE.capacity * 1.2
+    rate = SHAPE.capacity * 1.2
     counted = sum(
-        (RoutingModel(SHAPE, ServerTable, load, seed).run(10.0).counts for seed in range(3)),
+        (RoutingModel(SHAPE, ServerTable, rate, seed).run(10.0).counts for seed in range(3)),
         Counter(),
     )
     assert counted['in time'] > 0.6 * counted['asked']
@@ -76,8 +76,8 @@
 
 def test_many_entries_do_not_choose_the_same_engine():
     shape = FleetShape('many entries', 24, 12, 40)
-    found = RoutingModel(shape, ServerTable, shape.capacity * 1.2, 1).run(6.0)
-    assert found.share('in time') > 0.5
+    outcomes = RoutingModel(shape, ServerTable, shape.capacity * 1.2, 1).run(6.0)
+    assert outcomes.share('in time') > 0.5
 
 
 def test_equal_seeds_give_equal_runs():
@@ -88,13 +88,13 @@
 
 def test_in_large_fleets_fresher_load_reports_help():
     """
-    The age of load reports limits large fleets: 0.59 of first tokens were in time with reports
-    every 0.15 s, and 0.66 with reports every 0.05 s within the own zone.
+    Old load reports cost first tokens in large fleets: 0.59 of them were in time with reports
+    every 0.15 s, and 0.66 with reports every 0.05 s within the zone.
 
     """
     rate = LARGE.capacity * 1.2
     usual, sooner = (
         RoutingModel(LARGE, ServerTable, rate, 1, near_report_s).run(7.0)
-        for near_report_s in (REPORT_S, REPORT_S / 3)
+        for near_report_s in (REPORT_INTERVAL_S, REPORT_INTERVAL_S / 3)
     )
     assert sooner.share('in time') > usual.share('in time') + 0.02
