--- a/packages/millfork-standins/millfork_standins/bench/distribution.py
+++ b/packages/millfork-standins/millfork_standins/bench/distribution.py
@@ -119,7 +119,9 @@
                 },
             ],
         )
-        shape = replace(LANTING, engines=0, entries=0, disks=0, plain_services={}, network_number=80)
+        shape = replace(
+            LANTING, engines=0, entries=0, disks=0, plain_services={}, network_number=80
+        )
         fleet = Fleet(shape, Path(folder), options)
         try:
             fleet.start_standins()
--- a/packages/millfork-standins/millfork_standins/bench/limits.py
+++ b/packages/millfork-standins/millfork_standins/bench/limits.py
@@ -34,7 +34,9 @@
 
 
 def _fleet(folder: Path) -> Fleet:
-    shape = replace(LANTING, engines=0, entries=3, plain_services={SERVICE: ENDPOINTS}, network_number=160)
+    shape = replace(
+        LANTING, engines=0, entries=3, plain_services={SERVICE: ENDPOINTS}, network_number=160
+    )
     options = FleetOptions(log_level='WARNING', service={'answer_ms': ANSWER_MS})
     options.backend = {'slots': SLOTS, 'queue': 64}
     return Fleet(shape, folder, options)
--- a/packages/millfork-standins/millfork_standins/bench/weight_node.py
+++ b/packages/millfork-standins/millfork_standins/bench/weight_node.py
@@ -19,9 +19,9 @@
 from millfork_core.environment import Environment
 from millfork_core.ids import Digest, InstanceId, ZoneId
 from millfork_standins.bench.baselines import PLANNERS
+from millfork_weights.chunk_server import ChunkServer
 from millfork_weights.links import Link
 from millfork_weights.origin import Origin
-from millfork_weights.chunk_server import ChunkServer
 from millfork_weights.store import StoredVersion, WeightStore
 from millfork_weights.transfer import Transfer, TransferSettings
 from millfork_weights.trees import Receiver
--- a/tests/test_drawn_deployments.py
+++ b/tests/test_drawn_deployments.py
@@ -12,7 +12,7 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from millfork_standins.bench.retry_detection import RetryDetectionModel, DetectionMethod
+from millfork_standins.bench.retry_detection import DetectionMethod, RetryDetectionModel
 from millfork_standins.bench.routing import FleetShape
 
 # Share of all first tokens that many entries may lose against a single one: each knows only its
@@ -95,7 +95,9 @@
 
     """
     many_entries = run_model(shape, factor, seed, DetectionMethod.BUILT, min_time_part)
-    single_entry = run_model(replace(shape, entries=1), factor, seed, DetectionMethod.KNOWN, min_time_part)
+    single_entry = run_model(
+        replace(shape, entries=1), factor, seed, DetectionMethod.KNOWN, min_time_part
+    )
     in_time = many_entries.outcomes.share('in time')
     assert in_time > single_entry.outcomes.share('in time') - MAX_SPLIT_LOSS
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -7,7 +7,12 @@
 
 import pytest
 
-from millfork_standins.soak.backpressure import LimitPeriod, SignalKind, plan_signals, find_exceeded_limits
+from millfork_standins.soak.backpressure import (
+    LimitPeriod,
+    SignalKind,
+    find_exceeded_limits,
+    plan_signals,
+)
 from millfork_standins.soak.callers import Answer
 from millfork_standins.soak.checks import broken_promises
 from millfork_standins.soak.fault_plan import MIN_DISK_LOSS_GAP_S, FaultKind, plan_faults
@@ -35,7 +40,9 @@
 
 def test_a_seed_gives_the_same_faults_and_all_kinds_come():
     assert plan_faults(7, 60, REPLICAS, ENTRIES, 3) == plan_faults(7, 60, REPLICAS, ENTRIES, 3)
-    kinds = {fault.kind for seed in range(20) for fault in plan_faults(seed, 60, REPLICAS, ENTRIES, 3)}
+    kinds = {
+        fault.kind for seed in range(20) for fault in plan_faults(seed, 60, REPLICAS, ENTRIES, 3)
+    }
     assert kinds == set(FaultKind)
 
 
