--- a/packages/millfork-registry/millfork_registry/feed_client.py
+++ b/packages/millfork-registry/millfork_registry/feed_client.py
@@ -140,7 +140,7 @@
         self.asked_at = self.source_heard_at
         self.age_ms = reply.age_ms
         log.info('Following replica {}. age_ms={}', address.instance, reply.age_ms)
-        await self.registry.suspects.mark_all_unsent()
+        await self.registry.suspicion_store.mark_all_unsent()
         return True
 
     async def _ask(self, address: PeerAddress) -> Replicas | None:
@@ -302,7 +302,7 @@
             self.registry.merge_lease(lease)
         for state in endpoints:
             self.registry.merge_endpoint_state(state)
-        await self.registry.suspects.merge(suspicions)
+        await self.registry.suspicion_store.merge(suspicions)
         if message.full and message.settled:
             self.registry.is_complete = True
             self.registry.retain_only(
--- a/packages/millfork-registry/millfork_registry/feed_relay.py
+++ b/packages/millfork-registry/millfork_registry/feed_relay.py
@@ -147,13 +147,13 @@
         update.age_ms = feed_client.age_ms + int((now - feed_client.source_heard_at) * 1000)
         leases = registry.leases.changed_since(question.lease_version)
         reports = registry.endpoints.changed_since(question.report_version)
-        suspicions = registry.suspects.table.changed_since(question.suspicion_version)
+        suspicions = registry.suspicion_store.table.changed_since(question.suspicion_version)
         versions = FeedSent(
             True,
             registry.leases.version,
             registry.endpoints.version,
             self.switches(),
-            registry.suspects.table.version,
+            registry.suspicion_store.table.version,
         )
         feed = Leases(
             not question.lease_version,
--- a/packages/millfork-registry/millfork_registry/followers.py
+++ b/packages/millfork-registry/millfork_registry/followers.py
@@ -164,7 +164,7 @@
         registry = self.registry
         leases = registry.leases.changed_since(follower.lease_version)
         endpoints = registry.endpoints.changed_since(follower.endpoint_version)
-        suspicions = registry.suspects.table.changed_since(follower.suspicion_version)
+        suspicions = registry.suspicion_store.table.changed_since(follower.suspicion_version)
         full = not follower.sent_full
         if follower.role == REPLICA_ROLE and not full:
             own = str(self.env.instance)
@@ -172,7 +172,7 @@
             endpoints = [state for state in endpoints if state.owner == own]
         follower.lease_version = registry.leases.version
         follower.endpoint_version = registry.endpoints.version
-        follower.suspicion_version = registry.suspects.table.version
+        follower.suspicion_version = registry.suspicion_store.table.version
         follower.sent_full = True
         return Leases(
             full,
--- a/packages/millfork-registry/millfork_registry/registry.py
+++ b/packages/millfork-registry/millfork_registry/registry.py
@@ -61,7 +61,7 @@
         self.min_gap_s = heartbeat_s * MIN_GAP_SHARE
         self.leases: VersionedTable[Lease] = VersionedTable()
         self.endpoints: VersionedTable[EndpointState] = VersionedTable()
-        self.suspects = SuspicionStore(env.monotonic)
+        self.suspicion_store = SuspicionStore(env.monotonic)
         self.last_heard_at: dict[str, float] = {}
         self.ended_at_by_instance: dict[str, float] = {}
         # The back end that was last known to run at an address.
--- a/packages/millforkd/millforkd/end_watch.py
+++ b/packages/millforkd/millforkd/end_watch.py
@@ -89,7 +89,7 @@
 @dataclass(slots=True)
 class EndWatch(Generic[Subject]):
     """
-    Watches one back end. `probe` connects to its address. `liveness` returns what other sources
+    Watches one back end. `probe` connects to its address. `status_of` returns what other sources
     say about the back end since an interruption. `on_resolved` receives the result and the
     interruptions that it applies to; the result is UNKNOWN only after `max_watch_s`.
 
@@ -97,7 +97,7 @@
 
     env: Environment
     probe: Callable[[], Awaitable[ProbeResult]]
-    liveness: Callable[[Interruption[Subject]], IncarnationStatus]
+    status_of: Callable[[Interruption[Subject]], IncarnationStatus]
     on_resolved: Callable[[IncarnationStatus, list[Interruption[Subject]]], Awaitable[None]]
     max_interval_s: float = MAX_PROBE_INTERVAL_S
     max_watch_s: float = MAX_WATCH_S
@@ -168,7 +168,7 @@
     async def _resolve(self, probed_at: float, result: ProbeResult) -> None:
         resolved: dict[IncarnationStatus, list[Interruption[Subject]]] = {}
         for key, broken in list(self.interruptions.items()):
-            fate = self.liveness(broken)
+            fate = self.status_of(broken)
             if (
                 fate is IncarnationStatus.UNKNOWN
                 and result is ProbeResult.REFUSES
--- a/packages/millforkd/millforkd/entry/crash_tracking.py
+++ b/packages/millforkd/millforkd/entry/crash_tracking.py
@@ -35,7 +35,7 @@
 
 # An endpoint watches its back end for 20 s; an endpoint that is gone sends no result.
 PENDING_RETENTION_S: Final = 30.0
-MAX_EARLY_FATES: Final = 256
+MAX_EARLY_STATUSES: Final = 256
 
 log = logger(Component.ENTRY)
 
@@ -67,7 +67,7 @@
         self.key = key
         self.cluster = cluster
 
-    def of(self, call: Call) -> Fingerprint:
+    def compute(self, call: Call) -> Fingerprint:
         parts = (call.organisation, call.service, call.method, call.path)
         return fingerprint_of(self.key, self.cluster(), parts, call.body)
 
@@ -82,12 +82,12 @@
         self, env: Environment, key: bytes, view: View, entries: Callable[[], int]
     ) -> None:
         self.env = env
-        self.suspicions = SuspicionStore(env.monotonic)
-        self.suspicion_updater = SuspicionUpdater(env, self.suspicions)
+        self.suspicion_store = SuspicionStore(env.monotonic)
+        self.suspicion_updater = SuspicionUpdater(env, self.suspicion_store)
         self.pending: dict[RequestId, PendingAttempt] = {}
-        self.early_fates: dict[RequestId, bool] = {}
+        self.early_statuses: dict[RequestId, bool] = {}
         self.quarantine = Quarantine(
-            self.suspicions,
+            self.suspicion_store,
             view,
             CallFingerprints(key, lambda: view.cluster),
             TrialSchedule(env.random, env.monotonic, entries),
@@ -105,7 +105,7 @@
         Return a refusal if a call ends back ends or is suspected to; None if it may run.
 
         """
-        level = self.quarantine.blocking_standing(call)
+        level = self.quarantine.blocking_level(call)
         if level is None:
             return None
         return Refusal(REFUSAL_REASONS[level], detail=REFUSAL_DETAILS[level])
@@ -124,7 +124,7 @@
     async def _record_refusal(self, outcome: Refusal, before: Suspicion) -> None:
         if outcome.reason is not Reason.BACKEND_FAILED or outcome.verdict is Verdict.NOT_RUN:
             return
-        await self.suspicions.record(before.with_end())
+        await self.suspicion_store.record(before.with_end())
         self._log_end(before)
 
     @_record_refusal.register
@@ -136,7 +136,7 @@
         if outcome.reason is Reason.BACKEND_FAILED:
             await self._settle(pending, ended=True)
             return
-        ended = self.early_fates.pop(outcome.request_id, None)
+        ended = self.early_statuses.pop(outcome.request_id, None)
         if ended is None:
             self.pending[outcome.request_id] = pending
             return
@@ -155,7 +155,7 @@
             self.suspicion_of(call), incarnation, now, is_cancelled=True
         )
 
-    async def apply_fate(self, message: BackEndFate) -> None:
+    async def apply_back_end_status(self, message: BackEndFate) -> None:
         """
         Apply an endpoint's report of whether its back end ended.
 
@@ -164,9 +164,9 @@
         pending = self.pending.pop(request_id, None)
         if pending is None:
             # The report may arrive before the `End` of its attempt, which another task handles.
-            self.early_fates[request_id] = message.ended
-            while len(self.early_fates) > MAX_EARLY_FATES:
-                del self.early_fates[next(iter(self.early_fates))]
+            self.early_statuses[request_id] = message.ended
+            while len(self.early_statuses) > MAX_EARLY_STATUSES:
+                del self.early_statuses[next(iter(self.early_statuses))]
             return
         await self._settle(pending, message.ended)
 
@@ -200,7 +200,7 @@
         log.info(
             'A back end ended under a request. fingerprint={} ends={}',
             before.fingerprint,
-            self.suspicions.get(before.fingerprint).ends,
+            self.suspicion_store.get(before.fingerprint).ends,
         )
 
     async def expire(self) -> None:
@@ -208,8 +208,8 @@
         Remove expired suspicions, publish overdue ones and give up on old pending attempts.
 
         """
-        self.suspicions.forget_expired()
-        await self.suspicions.publish_overdue()
+        self.suspicion_store.forget_expired()
+        await self.suspicion_store.publish_overdue()
         expired_before = self.env.monotonic() - PENDING_RETENTION_S
         for request_id, pending in list(self.pending.items()):
             if pending.interrupted_at < expired_before:
--- a/packages/millforkd/millforkd/entry/daemon.py
+++ b/packages/millforkd/millforkd/entry/daemon.py
@@ -73,9 +73,9 @@
             view,
             lambda: max(len(self.member.roster.all_entries()), 1),
         )
-        suspicions = self.crashes.suspicions
+        suspicion_store = self.crashes.suspicion_store
         self.suspicion_gossip = SuspicionGossip(
-            env, self.member.peers, self.member.roster, suspicions
+            env, self.member.peers, self.member.roster, suspicion_store
         )
         self.dispatcher = Dispatcher(env, settings.routing, self.endpoints, self.crashes)
         self.endpoints.endpoint_reached_hooks.append(self.crashes.apply_endpoint_start)
@@ -87,7 +87,7 @@
             self.dispatcher,
             KeyClaims(env, self.proposals),
         )
-        self.quarantine = self._build_quarantine(suspicions)
+        self.quarantine = self._build_quarantine(suspicion_store)
         self.operator_requests = OperatorRequests(
             env,
             view,
@@ -120,14 +120,14 @@
         )
         return StateNode(replica, self.member.reports)
 
-    def _build_quarantine(self, suspicions: SuspicionStore) -> QuarantineList | None:
+    def _build_quarantine(self, suspicion_store: SuspicionStore) -> QuarantineList | None:
         node = self.node
         if node is None:
             return None
         return QuarantineList(
             self.env,
             self.member.view,
-            suspicions,
+            suspicion_store,
             self.proposals,
             lambda: node.leads,
             lambda: int(time.time() * 1000),
@@ -233,7 +233,7 @@
 
     @on.register
     async def _(self, message: messages.BackEndFate, connection: Connection) -> None:
-        await self.crashes.apply_fate(message)
+        await self.crashes.apply_back_end_status(message)
 
     @on.register
     async def _(self, message: messages.SuspicionReport, connection: Connection) -> Message:
--- a/packages/millforkd/millforkd/entry/operator_requests.py
+++ b/packages/millforkd/millforkd/entry/operator_requests.py
@@ -222,7 +222,7 @@
         ]
         instances = []
         for facts in chosen:
-            report = EndpointReport.of(reports.get(facts.instance))
+            report = EndpointReport.from_report(reports.get(facts.instance))
             instances.append(
                 {
                     'instance': facts.instance,
--- a/packages/millforkd/millforkd/entry/suspicion_gossip.py
+++ b/packages/millforkd/millforkd/entry/suspicion_gossip.py
@@ -56,12 +56,12 @@
     """
 
     def __init__(
-        self, env: Environment, peers: Peers, roster: Roster, suspicions: SuspicionStore
+        self, env: Environment, peers: Peers, roster: Roster, suspicion_store: SuspicionStore
     ) -> None:
         self.env = env
         self.peers = peers
         self.roster = roster
-        self.suspicions = suspicions
+        self.suspicion_store = suspicion_store
         # Whether other entries were asked for their suspicions.
         self.has_asked_others = False
         # The fingerprints that each target has not accepted yet.
@@ -75,10 +75,10 @@
         """
         await self._ask_others()
         while True:
-            await self.suspicions.unsent_event.wait()
-            self.suspicions.unsent_event.clear()
-            unsent = set(self.suspicions.unsent)
-            self.suspicions.unsent.clear()
+            await self.suspicion_store.unsent_event.wait()
+            self.suspicion_store.unsent_event.clear()
+            unsent = set(self.suspicion_store.unsent)
+            self.suspicion_store.unsent.clear()
             order = [facts.instance for facts in self.roster.all_entries()]
             for name in gossip_targets(order, self.env.instance):
                 self.undelivered.setdefault(name, set()).update(unsent)
@@ -102,7 +102,7 @@
 
     async def _send_report(self, address: PeerAddress) -> bool:
         fingerprints = self.undelivered.pop(address.instance)
-        body = encode_suspicions([self.suspicions.get(name) for name in fingerprints])
+        body = encode_suspicions([self.suspicion_store.get(name) for name in fingerprints])
         try:
             reply = await self.peers.call(address, SuspicionReport(body), REPORT_TIMEOUT_S)
         except PeerError as error:
@@ -126,8 +126,8 @@
         except msgspec.DecodeError as error:
             log.warning('Could not decode the suspicions from {}: {}.', name, error)
             return False
-        for fingerprint in await self.suspicions.merge(received):
-            await self.suspicions.mark_unsent(fingerprint)
+        for fingerprint in await self.suspicion_store.merge(received):
+            await self.suspicion_store.mark_unsent(fingerprint)
         return True
 
     # Asking others at the start.
@@ -137,7 +137,7 @@
         Return all published suspicions, for an entry that starts.
 
         """
-        return SuspicionReport(encode_suspicions(self.suspicions.published()))
+        return SuspicionReport(encode_suspicions(self.suspicion_store.published()))
 
     async def _ask_others(self) -> None:
         while self.roster.version < 0:
--- a/packages/millforkd/millforkd/proxy/cache.py
+++ b/packages/millforkd/millforkd/proxy/cache.py
@@ -39,7 +39,7 @@
 MAX_CONCURRENT_ORIGIN_FETCHES: Final = 3
 MAX_CONCURRENT_PREFETCHES: Final = 2
 # A requester takes a cache for silent after a second; this one answers 'not yet' well before.
-WAIT_S: Final = 0.5
+ANSWER_WITHIN_S: Final = 0.5
 # Another cache answers 'not yet' after WAIT_S, and the latency between zones is below 0.1 s.
 PEER_TIMEOUT_S: Final = 0.8
 # A piece that arrives corrupt is fetched once more.
@@ -48,7 +48,7 @@
 RETRY_S: Final = 0.2
 # A version without a request for this long is not needed at the moment: a daemon that needs
 # one repeats its request after 0.5 s and a pause of RETRY_S.
-WANTED_S: Final = 1.2
+REQUESTED_WITHIN_S: Final = 1.2
 NOT_YET: Final = 'not yet'
 ORIGIN_FAILS: Final = 'the origin does not answer'
 OTHERS_FIRST: Final = 'the origin sends other pieces first'
@@ -142,8 +142,8 @@
         was complete 12.8 s after an outage of an origin that sends one copy in 4.4 s.
 
         """
-        figures = self.origin.figures()
-        if figures is None or not figures.bytes_per_s:
+        spec = self.origin.current_spec()
+        if spec is None or not spec.bytes_per_s:
             return False
         now = self.env.monotonic()
         while self.received_from_origin and now - self.received_from_origin[0][0] > RATE_WINDOW_S:
@@ -151,11 +151,11 @@
         received_bytes = sum(size for _, size in self.received_from_origin)
         return (
             received_bytes
-            >= MIN_RATE_SHARE * RATE_WINDOW_S * figures.bytes_per_s / MAX_ADVERTISED_PER_OTHER_ZONE
+            >= MIN_RATE_SHARE * RATE_WINDOW_S * spec.bytes_per_s / MAX_ADVERTISED_PER_OTHER_ZONE
         )
 
     def _answer_deadline(self) -> float:
-        return self.env.monotonic() + WAIT_S
+        return self.env.monotonic() + ANSWER_WITHIN_S
 
     async def _ensure_digests(self, weights: WeightsId, draw: bool, deadline: float) -> bool:
         held = self.store.get_or_create(weights)
@@ -294,8 +294,8 @@
         return reply if isinstance(reply, Chunk | Manifest) else Chunk(reason='no cache')
 
     def _origin_zone(self) -> str:
-        figures = self.origin.figures()
-        return figures.zone if figures is not None else ''
+        spec = self.origin.current_spec()
+        return spec.zone if spec is not None else ''
 
     # Prefetching keeps the slow links of engines from waiting for the origin, and gets pieces
     # from the origin before it may fail.
@@ -340,7 +340,10 @@
         versions where the origin's link is the bottleneck.
 
         """
-        return self.env.monotonic() - self.last_requested_at.get(weights, float('-inf')) < WANTED_S
+        return (
+            self.env.monotonic() - self.last_requested_at.get(weights, float('-inf'))
+            < REQUESTED_WITHIN_S
+        )
 
     async def _run_prefetcher(self, weights: WeightsId, queue: list[int]) -> None:
         while queue and self._is_wanted(weights):
--- a/packages/millforkd/millforkd/proxy/connections.py
+++ b/packages/millforkd/millforkd/proxy/connections.py
@@ -274,7 +274,7 @@
         self.env = env
         self.pools: dict[str, Pool] = {}
 
-    def of(self, server: Server) -> Pool:
+    def pool_of(self, server: Server) -> Pool:
         pool = self.pools.get(server.instance)
         if pool is None:
             pool = Pool(self.env, server.host, server.port)
--- a/packages/millforkd/millforkd/proxy/daemon.py
+++ b/packages/millforkd/millforkd/proxy/daemon.py
@@ -79,7 +79,7 @@
         self.feed_relay = feed.feed_relay
         self.versions = feed.versions
         self.admission = Admission(env, self.versions, lambda: self.feed_client.entries)
-        self.book = ServerTable(
+        self.server_table = ServerTable(
             env.zone,
             env.random,
             env.monotonic,
@@ -102,15 +102,15 @@
             env,
             adapter,
             self.admission,
-            self.book,
+            self.server_table,
             self.pools,
             self.budget,
-            Quarantine(self.registry.suspects, self.view, fingerprints, trials),
+            Quarantine(self.registry.suspicion_store, self.view, fingerprints, trials),
             self.turned_away,
-            LoadQueries(env, self.peers, self.book),
+            LoadQueries(env, self.peers, self.server_table),
         )
         self.suspicion_reporter = SuspicionReporter(
-            env, self.peers, self.feed_client, self.registry.suspects
+            env, self.peers, self.feed_client, self.registry.suspicion_store
         )
         self.document: Document | None = None
         origin = Origin(env, adapter, str(settings.address), lambda: find_origin(self.document))
@@ -212,15 +212,15 @@
                 self.applied_leases_version = self.registry.leases.version
                 # Reports on a new back end may have arrived before its lease.
                 self.applied_reports_version = 0
-                for server in self.book.apply_leases(self.registry.leases.values()):
+                for server in self.server_table.apply_leases(self.registry.leases.values()):
                     await self.pools.remove(server)
-            signals = self.book.apply_reports(
+            signals = self.server_table.apply_reports(
                 self.registry.endpoints.changed_since(self.applied_reports_version)
             )
             for server, changes in signals:
                 self.forwarding.backpressure.note(server, changes, SignalSource.DAEMON)
             self.applied_reports_version = self.registry.endpoints.version
-            if self.admission.table is not None and self.book.servers:
+            if self.admission.table is not None and self.server_table.servers:
                 await self.admission.ready_event.set()
 
     def _apply_document(self) -> None:
@@ -238,8 +238,8 @@
             await curio.sleep(HOUSEKEEPING_INTERVAL_S)
             await self.pools.close_old()
             self.budget.count_entries()
-            self.registry.suspects.forget_expired()
-            await self.registry.suspects.publish_overdue()
+            self.registry.suspicion_store.forget_expired()
+            await self.registry.suspicion_store.publish_overdue()
             self._log_repeats()
 
     def _log_repeats(self) -> None:
@@ -312,7 +312,7 @@
             log.warning('Suspicions of {} can not be decoded: {}.', connection.peer, error)
             return messages.Done(False)
         for suspicion in suspicions:
-            await self.registry.suspects.record(suspicion)
+            await self.registry.suspicion_store.record(suspicion)
         return messages.Done(True)
 
     @on.register
--- a/packages/millforkd/millforkd/proxy/end_detection.py
+++ b/packages/millforkd/millforkd/proxy/end_detection.py
@@ -76,12 +76,12 @@
     def __init__(
         self,
         env: Environment,
-        suspects: SuspicionStore,
-        liveness_of: Callable[[Server, float], IncarnationStatus] = determine_status,
+        suspicion_store: SuspicionStore,
+        status_of: Callable[[Server, float], IncarnationStatus] = determine_status,
     ) -> None:
         self.env = env
-        self.liveness_of = liveness_of
-        self.suspicion_updater = SuspicionUpdater(env, suspects)
+        self.status_of = status_of
+        self.suspicion_updater = SuspicionUpdater(env, suspicion_store)
         self.watches: dict[IncarnationKey, EndWatch[SentRequest]] = {}
         # The last abandonment of each request whose caller left.
         self.abandoned: dict[Fingerprint, AbandonedRequest] = {}
@@ -141,7 +141,7 @@
         )
 
     def _fate(self, server: Server, broken: Interruption[SentRequest]) -> IncarnationStatus:
-        fate = self.liveness_of(server, broken.at)
+        fate = self.status_of(server, broken.at)
         if fate is IncarnationStatus.ENDED or not broken.subject.caller_left:
             return fate
         # The back end may still run the request while it answers others.
--- a/packages/millforkd/millforkd/proxy/fingerprints.py
+++ b/packages/millforkd/millforkd/proxy/fingerprints.py
@@ -21,17 +21,17 @@
         self.key = key
         self.cluster = cluster
 
-    def of(self, job: Job) -> Fingerprint:
+    def compute(self, job: Job) -> Fingerprint:
         """
         The fingerprint of a job's request; computed once, as a body may be long.
 
         """
         if job.fingerprint is None:
             caller = job.organisation.name if job.organisation is not None else job.caller.key
-            job.fingerprint = self.of_request(job.exchange.request, caller)
+            job.fingerprint = self.compute_for_request(job.exchange.request, caller)
         return job.fingerprint
 
-    def of_request(self, request: Request, caller: str) -> Fingerprint:
+    def compute_for_request(self, request: Request, caller: str) -> Fingerprint:
         """
         The fingerprint of a request; `caller` is its organisation's name or API key.
 
--- a/packages/millforkd/millforkd/proxy/forwarding.py
+++ b/packages/millforkd/millforkd/proxy/forwarding.py
@@ -45,7 +45,7 @@
         env: Environment,
         adapter: Adapter,
         admission: Admission,
-        book: ServerTable,
+        server_table: ServerTable,
         pools: Pools,
         budget: SharedBudget,
         quarantine: Quarantine[Job],
@@ -55,20 +55,22 @@
         self.env = env
         self.adapter = adapter
         self.admission = admission
-        self.book = book
+        self.server_table = server_table
         self.pools = pools
         self.budget = budget
         self.quarantine = quarantine
         self.turned_away = turned_away
         self.load_queries = load_queries
         self.backpressure = BackpressureRecorder(env)
-        self.end_detector = EndDetector(env, quarantine.suspects, book.incarnation_status)
-        self.response_relay = ResponseRelay(env, adapter, book)
+        self.end_detector = EndDetector(
+            env, quarantine.suspicion_store, server_table.incarnation_status
+        )
+        self.response_relay = ResponseRelay(env, adapter, server_table)
         self.request_sender = RequestSender(
             env,
             adapter,
             admission,
-            book,
+            server_table,
             pools,
             budget,
             quarantine,
@@ -177,7 +179,7 @@
                 await self._look_up_first_try(job, choice)
                 wait_ms = self.admission.return_after_ms(job, choice)
                 if wait_ms:
-                    choice = self._among_freest(job) or choice
+                    choice = self._choose_among_freest(job) or choice
                     wait_ms = self.admission.return_after_ms(job, choice)
                 if wait_ms:
                     return Refusal(Reason.BUSY, Verdict.NOT_RUN, 'all servers are busy', wait_ms)
@@ -234,19 +236,19 @@
 
         """
         tried = set(job.tried)
-        compared = self.book.sample_candidates(job.requirements, tried)
+        compared = self.server_table.sample_candidates(job.requirements, tried)
         await self.load_queries.refresh(compared)
-        return self.book.choose(job.requirements, tried, compared or None)
+        return self.server_table.choose(job.requirements, tried, compared or None)
 
-    def _among_freest(self, job: Job) -> Choice | None:
+    def _choose_among_freest(self, job: Job) -> Choice | None:
         """
         Choose among the back ends with most free slots, for a job that all back ends compared
         so far were too busy for.
 
         """
         tried = set(job.tried)
-        freest = self.book.freest_candidates(job.requirements, tried)
-        return self.book.choose(job.requirements, tried, freest) if freest else None
+        freest = self.server_table.freest_candidates(job.requirements, tried)
+        return self.server_table.choose(job.requirements, tried, freest) if freest else None
 
     async def _look_up_first_try(self, job: Job, choice: Choice) -> None:
         if not self.admission.depends_on_first_try(job, choice):
@@ -261,7 +263,7 @@
         """
         if job.remaining_s(self.env.monotonic()) < REFUSAL_MARGIN_S:
             return self._final_refusal(job, Reason.TIMED_OUT if job.tried else Reason.EXPIRED)
-        standing = self.quarantine.blocking_standing(job)
+        standing = self.quarantine.blocking_level(job)
         if standing is SuspicionLevel.AT_FAULT:
             detail = 'back ends ended while running this request'
             return self._final_refusal(job, Reason.QUARANTINED, detail)
@@ -278,7 +280,7 @@
         return None
 
     def _no_server_refusal(self, job: Job) -> Refusal:
-        closure = self.book.first_to_open(job.requirements)
+        closure = self.server_table.first_to_open(job.requirements)
         if job.tried:
             refusal = self._final_refusal(job, job.failures[-1].reason)
             if closure is None or refusal.verdict is not Verdict.NOT_RUN:
--- a/packages/millforkd/millforkd/proxy/load_queries.py
+++ b/packages/millforkd/millforkd/proxy/load_queries.py
@@ -23,11 +23,11 @@
 from millforkd.proxy.peer_queries import PeerQueries
 
 # How long a request waits for loads at most.
-WAIT_S: Final = 0.02
+MAX_WAIT_S: Final = 0.02
 # By then the next report says the same as an answer.
 ANSWER_TIMEOUT_S: Final = 0.15
 # How long a daemon that didn't answer in time isn't queried.
-PASSED_OVER_S: Final = 0.5
+SKIP_UNANSWERED_S: Final = 0.5
 
 log = logger(Component.PROXY)
 
@@ -38,18 +38,18 @@
 
     """
 
-    def __init__(self, env: Environment, peers: Peers, book: ServerTable) -> None:
+    def __init__(self, env: Environment, peers: Peers, server_table: ServerTable) -> None:
         self.env = env
-        self.book = book
-        self.queries = PeerQueries(env, peers, 'load_untold', PASSED_OVER_S)
+        self.server_table = server_table
+        self.queries = PeerQueries(env, peers, 'load_untold', SKIP_UNANSWERED_S)
 
     async def refresh(self, servers: list[Server]) -> None:
         """
         Update the loads of some engines where the choice may depend on them; returns once all
-        queries are answered, or after `WAIT_S`.
+        queries are answered, or after `MAX_WAIT_S`.
 
         """
-        if not needs_fresh_loads(servers, self.env.monotonic(), self.book.entries()):
+        if not needs_fresh_loads(servers, self.env.monotonic(), self.server_table.entries()):
             return
         tasks = []
         for server in servers:
@@ -60,7 +60,7 @@
                 continue
             tasks.append(await self.env.spawn(self._ask, server, connection))
         try:
-            async with curio.timeout_after(WAIT_S):
+            async with curio.timeout_after(MAX_WAIT_S):
                 for task in tasks:
                     await task.wait()
         except curio.TaskTimeout:
@@ -72,7 +72,7 @@
         mine, own_unread = server.own_requests, server.own_unread
         reply = await self.queries.ask(daemon, connection, AskLoad(), ANSWER_TIMEOUT_S)
         now = self.env.monotonic()
-        if reply is None or now - queried_at > WAIT_S:
+        if reply is None or now - queried_at > MAX_WAIT_S:
             self.queries.silent.mark_silent(daemon)
         if not isinstance(reply, EngineLoad) or not reply.known:
             return
--- a/packages/millforkd/millforkd/proxy/request_sender.py
+++ b/packages/millforkd/millforkd/proxy/request_sender.py
@@ -53,7 +53,7 @@
         env: Environment,
         adapter: Adapter,
         admission: Admission,
-        book: ServerTable,
+        server_table: ServerTable,
         pools: Pools,
         budget: SharedBudget,
         quarantine: Quarantine[Job],
@@ -63,7 +63,7 @@
         self.env = env
         self.adapter = adapter
         self.admission = admission
-        self.book = book
+        self.server_table = server_table
         self.pools = pools
         self.budget = budget
         self.quarantine = quarantine
@@ -77,7 +77,7 @@
 
         """
         server = choice.server
-        pool = self.pools.of(server)
+        pool = self.pools.pool_of(server)
         attempt = Attempt(choice, self.env.monotonic())
         attempt.begin()
         connection = None
@@ -150,7 +150,7 @@
 
         """
         for server in choice.servers:
-            closure = self.book.closure(server)
+            closure = self.server_table.closure(server)
             if closure is not None:
                 detail = f'{server.instance} takes no requests for {closure.opens_in_s:.1f} s'
                 raise NotSent(Reason(closure.closure_reason.value), detail)
@@ -186,7 +186,7 @@
         if not job.tried:
             self.budget.note_request(job.requirements.service)
         job.tried += [part.instance for part in attempt.choice.servers]
-        self.book.note_sent(attempt.choice.servers)
+        self.server_table.note_sent(attempt.choice.servers)
         headers = self.adapter.back_end_headers(request, forward_options)
         self._note_version(job, version)
         job.pending_servers = tuple(attempt.choice.servers)
--- a/packages/millforkd/millforkd/proxy/turned_away_directory.py
+++ b/packages/millforkd/millforkd/proxy/turned_away_directory.py
@@ -96,7 +96,7 @@
         return TurnedAwayBefore(elapsed_ms is not None, elapsed_ms or 0)
 
     def _short_fingerprint(self, job: Job) -> bytes:
-        return bytes.fromhex(self.fingerprints.of(job))[:FINGERPRINT_PREFIX_BYTES]
+        return bytes.fromhex(self.fingerprints.compute(job))[:FINGERPRINT_PREFIX_BYTES]
 
     def _owner_of(self, fingerprint: bytes) -> str:
         """
--- a/packages/millforkd/millforkd/quarantine.py
+++ b/packages/millforkd/millforkd/quarantine.py
@@ -25,7 +25,7 @@
 
     """
 
-    def of(self, request: RequestContraT, /) -> Fingerprint: ...
+    def compute(self, request: RequestContraT, /) -> Fingerprint: ...
 
 
 class Quarantine(Generic[RequestT]):
@@ -37,12 +37,12 @@
 
     def __init__(
         self,
-        suspects: SuspicionStore,
+        suspicion_store: SuspicionStore,
         view: View,
         fingerprints: FingerprintSource[RequestT],
         trials: TrialSchedule | None = None,
     ) -> None:
-        self.suspects = suspects
+        self.suspicion_store = suspicion_store
         self.view = view
         self.fingerprints = fingerprints
         self.trials = trials
@@ -55,15 +55,15 @@
         Return the present suspicion of a request.
 
         """
-        return self.suspects.get(self.fingerprints.of(request))
+        return self.suspicion_store.get(self.fingerprints.compute(request))
 
-    def blocking_standing(self, request: RequestT) -> SuspicionLevel | None:
+    def blocking_level(self, request: RequestT) -> SuspicionLevel | None:
         """
         Return the standing for which a request may not be sent, or None if it may be sent.
 
         """
         self._refresh()
-        if not self.suspects.table and not self.listed_epochs:
+        if not self.suspicion_store.table and not self.listed_epochs:
             return None
         suspicion = self.suspicion_of(request)
         listed_epoch = self.listed_epochs.get(suspicion.fingerprint)
@@ -95,8 +95,8 @@
         doesn't end back ends.
 
         """
-        if not self.suspects.table:
+        if not self.suspicion_store.table:
             return
         suspicion = self.suspicion_of(request)
         if not suspicion.is_clear:
-            await self.suspects.withdraw(suspicion.cleared())
+            await self.suspicion_store.withdraw(suspicion.cleared())
--- a/packages/millforkd/millforkd/report.py
+++ b/packages/millforkd/millforkd/report.py
@@ -20,7 +20,7 @@
     leaving: bool = False
 
     @classmethod
-    def of(cls, report: Report | None) -> 'EndpointReport':
+    def from_report(cls, report: Report | None) -> 'EndpointReport':
         """
         Decode a report; an empty one if there is none or it can't be decoded.
 
--- a/packages/millforkd/millforkd/sidecar/daemon.py
+++ b/packages/millforkd/millforkd/sidecar/daemon.py
@@ -151,7 +151,7 @@
 
     # The version to be served.
 
-    def _engine_figures(self) -> EngineSpec | None:
+    def _engine_spec(self) -> EngineSpec | None:
         found = find_new_document(self.view, self.adapter, self.document_revision)
         if found is not None:
             self.document, self.document_revision = found
@@ -163,14 +163,14 @@
         return None
 
     def _model_shape(self) -> tuple[int, int]:
-        figures = self._engine_figures()
-        return (figures.layers, figures.pieces) if figures is not None else (0, 0)
+        spec = self._engine_spec()
+        return (spec.layers, spec.pieces) if spec is not None else (0, 0)
 
     def _current_target(self) -> Target | None:
-        figures = self._engine_figures()
-        if figures is None or not figures.model:
+        spec = self._engine_spec()
+        if spec is None or not spec.model:
             return None
-        return self.targets.choose(figures)
+        return self.targets.choose(spec)
 
     def _served_version(self) -> int:
         return max((item.version for item in self.rollout.served), default=0)
--- a/packages/millforkd/millforkd/sidecar/origin.py
+++ b/packages/millforkd/millforkd/sidecar/origin.py
@@ -47,12 +47,12 @@
         env: Environment,
         adapter: Adapter,
         source: str,
-        figures: Callable[[], OriginSpec | None],
+        spec: Callable[[], OriginSpec | None],
     ) -> None:
         self.env = env
         self.adapter = adapter
         self.source = source
-        self.figures = figures
+        self.current_spec = spec
         self.client: Client | None = None
         self.paused_until = float('-inf')
         # Whether the last request failed. Only changes of this state are logged.
@@ -103,12 +103,12 @@
         return True
 
     def _client(self) -> Client | None:
-        figures = self.figures()
-        if figures is None:
+        spec = self.current_spec()
+        if spec is None:
             return self.client
         client = self.client
-        if client is None or (client.host, client.port) != (figures.host, figures.port):
-            self.client = Client(figures.host, figures.port, source=self.source)
+        if client is None or (client.host, client.port) != (spec.host, spec.port):
+            self.client = Client(spec.host, spec.port, source=self.source)
         return self.client
 
     async def _fetch(self, request: Request) -> bytes | None:
--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -52,7 +52,7 @@
         self.failing = False
         self.bytes_per_s = 0.0
 
-    def figures(self):
+    def current_spec(self):
         return OriginSpec('10.0.0.9', 80, 8, self.zone, self.bytes_per_s)
 
     async def fetch_digests(self, held):
@@ -200,7 +200,7 @@
         cache = cache_at('10.0.0.1:1', 'z1', origin, peers, [CacheAddress('10.0.0.1:1', 'z1')])
         cache.env.monotonic = lambda: now
         assert not (await cache.chunk(GetChunk('m@2', 0))).found
-        now += caching.WANTED_S + 0.1
+        now += caching.REQUESTED_WITHIN_S + 0.1
         async with curio.timeout_after(5):
             while WeightsId('m', 2) in cache.prefetching:
                 await curio.sleep(0)
@@ -262,7 +262,7 @@
 
 
 def test_a_piece_that_the_assigned_cache_fetches_is_not_fetched_twice(monkeypatch):
-    monkeypatch.setattr(caching, 'WAIT_S', 0.05)
+    monkeypatch.setattr(caching, 'ANSWER_WITHIN_S', 0.05)
 
     async def run():
         cache, assigned = cache_and_assigned_cache()
@@ -287,7 +287,7 @@
 
 
 def test_only_the_assigned_cache_retries_an_origin_that_is_down(monkeypatch):
-    monkeypatch.setattr(caching, 'WAIT_S', 0.02)
+    monkeypatch.setattr(caching, 'ANSWER_WITHIN_S', 0.02)
 
     async def run():
         cache, assigned = cache_and_assigned_cache()
@@ -314,7 +314,7 @@
     engine had the whole version 12.8 s after the origin was back.
 
     """
-    monkeypatch.setattr(caching, 'WAIT_S', 0.02)
+    monkeypatch.setattr(caching, 'ANSWER_WITHIN_S', 0.02)
 
     async def run():
         cache, assigned = cache_and_assigned_cache()
@@ -341,7 +341,7 @@
 
 
 def test_an_assigned_cache_that_is_too_slow_is_not_waited_for(monkeypatch):
-    monkeypatch.setattr(caching, 'WAIT_S', 0.05)
+    monkeypatch.setattr(caching, 'ANSWER_WITHIN_S', 0.05)
 
     async def run():
         cache, assigned = cache_and_assigned_cache()
@@ -360,8 +360,8 @@
 
 
 def test_a_cache_answers_before_it_is_taken_for_silent():
-    assert caching.WAIT_S < caching.PEER_TIMEOUT_S
-    assert caching.WAIT_S < gathering.CACHE_TIMEOUT_S
+    assert caching.ANSWER_WITHIN_S < caching.PEER_TIMEOUT_S
+    assert caching.ANSWER_WITHIN_S < gathering.CACHE_TIMEOUT_S
 
 
 def test_a_corrupt_piece_is_fetched_again_and_an_unknown_one_refused():
@@ -390,7 +390,7 @@
 
 
 def test_a_piece_requested_while_the_origin_is_down_arrives_once_it_is_back(monkeypatch):
-    monkeypatch.setattr(caching, 'WAIT_S', 0.05)
+    monkeypatch.setattr(caching, 'ANSWER_WITHIN_S', 0.05)
     monkeypatch.setattr(caching, 'RETRY_S', 0.01)
 
     async def run():
@@ -407,7 +407,7 @@
 
 
 def test_a_hanging_origin_does_not_block_requests(monkeypatch):
-    monkeypatch.setattr(caching, 'WAIT_S', 0.05)
+    monkeypatch.setattr(caching, 'ANSWER_WITHIN_S', 0.05)
 
     async def run():
         caches = [CacheAddress('10.0.0.1:1', 'z1')]
@@ -432,7 +432,7 @@
 
 
 def test_digests_and_piece_share_one_wait(monkeypatch):
-    monkeypatch.setattr(caching, 'WAIT_S', 1.0)
+    monkeypatch.setattr(caching, 'ANSWER_WITHIN_S', 1.0)
 
     async def run():
         caches = [CacheAddress('10.0.0.1:1', 'z1')]
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -131,14 +131,14 @@
             depends_on_first_try=lambda job, choice: False,
         )
         adapter = SimpleNamespace(back_end_headers=lambda request, orders: [])
-        book = ServerTable(ZoneId('z1'), Random(1), self.clock)
-        book.choose = self.choose
+        server_table = ServerTable(ZoneId('z1'), Random(1), self.clock)
+        server_table.choose = self.choose
         loads = SimpleNamespace(refresh=self.refresh)
-        pools = SimpleNamespace(of=self.pool_of)
+        pools = SimpleNamespace(pool_of=self.pool_of)
         fingerprints = Fingerprints(b'key', lambda: 'cluster')
         quarantine = Quarantine(SuspicionStore(self.clock), View(), fingerprints)
         self.forwarding = Forwarding(
-            env, adapter, admission, book, pools, self.budget, quarantine, None, loads
+            env, adapter, admission, server_table, pools, self.budget, quarantine, None, loads
         )
         route = SimpleNamespace(repeatable=False, max_attempts=2)
         exchange = SimpleNamespace(
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -124,46 +124,46 @@
 
 
 def test_an_entry_resets_all_state_for_the_next_incarnation(clock):
-    book = ServerTable(ZoneId('z1'), Random(1), clock)
-    book.apply_leases([lease(FIRST_INCARNATION, 9)])
-    book.apply_reports([report(FIRST_INCARNATION, 500, running=16)])
-    before = book.servers['i-1']
+    server_table = ServerTable(ZoneId('z1'), Random(1), clock)
+    server_table.apply_leases([lease(FIRST_INCARNATION, 9)])
+    server_table.apply_reports([report(FIRST_INCARNATION, 500, running=16)])
+    before = server_table.servers['i-1']
     before.own_requests = 3
     before.refused[1] = clock.now + 60
     before.note_failure(clock.now)
     before.lateness.note(500.0, clock.now)
-    assert book.apply_leases([lease(SECOND_INCARNATION, 1, served=())]) == [before]
+    assert server_table.apply_leases([lease(SECOND_INCARNATION, 1, served=())]) == [before]
     assert before.replaced
-    after = book.servers['i-1']
+    after = server_table.servers['i-1']
     assert after is not before
     assert (after.served, after.own_requests, after.reported) == ((), 0, 0)
     assert (after.failures, after.refused, after.lateness.mean_ms) == (0, {}, 0.0)
 
 
 def test_a_delayed_report_of_the_earlier_incarnation_is_not_applied_to_the_next(clock):
-    book = ServerTable(ZoneId('z1'), Random(1), clock)
-    book.apply_leases([lease(SECOND_INCARNATION, 1, served=())])
-    book.apply_reports([report(FIRST_INCARNATION, 500)])
-    assert book.choose(Requirements(ServiceName('s'), ENGINE), set()) is None
-    book.apply_reports([report(SECOND_INCARNATION, 501)])
-    assert book.choose(Requirements(ServiceName('s'), ENGINE), set()) is not None
+    server_table = ServerTable(ZoneId('z1'), Random(1), clock)
+    server_table.apply_leases([lease(SECOND_INCARNATION, 1, served=())])
+    server_table.apply_reports([report(FIRST_INCARNATION, 500)])
+    assert server_table.choose(Requirements(ServiceName('s'), ENGINE), set()) is None
+    server_table.apply_reports([report(SECOND_INCARNATION, 501)])
+    assert server_table.choose(Requirements(ServiceName('s'), ENGINE), set()) is not None
 
 
 def test_an_engine_whose_next_incarnation_already_reports_is_not_chosen(clock):
-    book = ServerTable(ZoneId('z1'), Random(1), clock)
-    book.apply_leases([lease(FIRST_INCARNATION, 9)])
-    book.apply_reports([report(SECOND_INCARNATION, 501, served=())])
-    assert book.choose(Requirements(ServiceName('s'), ENGINE), set()) is None
+    server_table = ServerTable(ZoneId('z1'), Random(1), clock)
+    server_table.apply_leases([lease(FIRST_INCARNATION, 9)])
+    server_table.apply_reports([report(SECOND_INCARNATION, 501, served=())])
+    assert server_table.choose(Requirements(ServiceName('s'), ENGINE), set()) is None
 
 
 def test_a_request_that_waits_at_an_earlier_incarnation_is_withdrawn(clock):
-    book = ServerTable(ZoneId('z1'), Random(1), clock)
-    book.apply_leases([lease(FIRST_INCARNATION, 9)])
-    attempt = Attempt(Choice(book.servers['i-1']), clock.now)
+    server_table = ServerTable(ZoneId('z1'), Random(1), clock)
+    server_table.apply_leases([lease(FIRST_INCARNATION, 9)])
+    attempt = Attempt(Choice(server_table.servers['i-1']), clock.now)
     job = SimpleNamespace(requirements=Requirements(ServiceName('s')))
     waiting = ResponseMonitor(Environment(InstanceId('a:1'), ZoneId('z1'), monotonic=clock), None)
     waiting.check_engine(job, attempt, None)
-    book.apply_leases([lease(SECOND_INCARNATION, 1)])
+    server_table.apply_leases([lease(SECOND_INCARNATION, 1)])
     with pytest.raises(SendFailed):
         waiting.check_engine(job, attempt, None)
 
--- a/tests/test_late_ends_at_endpoints.py
+++ b/tests/test_late_ends_at_endpoints.py
@@ -176,7 +176,7 @@
         await self.crashes.record_outcome(self.call, suspicion, outcome)
 
     async def report_status(self, number, ended):
-        await self.crashes.apply_fate(BackEndFate(f'r-{number}', ended))
+        await self.crashes.apply_back_end_status(BackEndFate(f'r-{number}', ended))
 
     @property
     def block_reason(self):
@@ -208,7 +208,9 @@
             interrupted_calls.crashes.suspicion_of(interrupted_calls.call).ends
             == MIN_ENDS_AT_FAULT - 1
         )
-        assert not interrupted_calls.crashes.early_fates and not interrupted_calls.crashes.pending
+        assert (
+            not interrupted_calls.crashes.early_statuses and not interrupted_calls.crashes.pending
+        )
 
     curio.run(run)
 
--- a/tests/test_load_queries.py
+++ b/tests/test_load_queries.py
@@ -16,7 +16,7 @@
 from millfork_scheduling.server_table import ServerTable
 from millfork_wire.connection import PeerTimedOut, PeerUnreachable
 from millfork_wire.messages import EngineLoad
-from millforkd.proxy.load_queries import PASSED_OVER_S, WAIT_S, LoadQueries
+from millforkd.proxy.load_queries import MAX_WAIT_S, SKIP_UNANSWERED_S, LoadQueries
 from millforkd.proxy.peer_queries import MIN_SILENCE_S
 from millforkd.sidecar.load import SHARED_REPORT_S, EngineLoads
 from tests.test_servers import ENGINE, Clock
@@ -141,7 +141,7 @@
     curio.run(run)
     assert [fleet.server(number).reported for number in range(3)] == [8, 2, 20]
     assert '10.0.0.1:10' not in fleet.asked
-    fleet.clock.now += PASSED_OVER_S + 0.01
+    fleet.clock.now += SKIP_UNANSWERED_S + 0.01
     curio.run(fleet.choose)
     assert '10.0.0.1:10' in fleet.asked
 
@@ -153,7 +153,7 @@
         call = connection.call
 
         async def late(message, timeout):
-            fleet.clock.now += WAIT_S + 0.01
+            fleet.clock.now += MAX_WAIT_S + 0.01
             return await call(message, timeout)
 
         connection.call = late
@@ -200,10 +200,10 @@
     async def run():
         await fleet.choose()
         assert not connection.closed
-        fleet.clock.now += MIN_SILENCE_S + PASSED_OVER_S
+        fleet.clock.now += MIN_SILENCE_S + SKIP_UNANSWERED_S
         await fleet.choose()
         assert connection.closed
-        fleet.clock.now += PASSED_OVER_S + 0.01
+        fleet.clock.now += SKIP_UNANSWERED_S + 0.01
         await fleet.choose()
         await curio.sleep(0)
 
--- a/tests/test_not_run_refusals.py
+++ b/tests/test_not_run_refusals.py
@@ -17,7 +17,7 @@
 from millfork_core.verdicts import Reason, Verdict
 from millforkd.proxy.forwarding import Forwarding
 from millforkd.proxy.job import FailedAttempt, Job
-from millforkd.proxy.load_queries import WAIT_S
+from millforkd.proxy.load_queries import MAX_WAIT_S
 from millforkd.proxy.outcomes import status_of
 from millforkd.proxy.turned_away_directory import ASK_TIMEOUT_S
 
@@ -48,4 +48,4 @@
 
 
 def test_queries_take_a_small_share_of_the_shortest_target():
-    assert WAIT_S + ASK_TIMEOUT_S < MAX_QUERY_SHARE * SHORTEST_TARGET_S
+    assert MAX_WAIT_S + ASK_TIMEOUT_S < MAX_QUERY_SHARE * SHORTEST_TARGET_S
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -37,14 +37,17 @@
 
 def test_a_fingerprint_depends_only_on_path_caller_body_key_and_cluster():
     made = Fingerprints(b'key', lambda: 'cluster')
-    first = made.of_request(Request('POST', '/a', [('x-request-id', '1')], b'text'), 'org')
-    assert made.of_request(Request('POST', '/a', [('x-request-id', '2')], b'text'), 'org') == first
+    first = made.compute_for_request(Request('POST', '/a', [('x-request-id', '1')], b'text'), 'org')
+    assert (
+        made.compute_for_request(Request('POST', '/a', [('x-request-id', '2')], b'text'), 'org')
+        == first
+    )
     others = [
-        made.of_request(Request('POST', '/b', [], b'text'), 'org'),
-        made.of_request(Request('POST', '/a', [], b'text'), 'other'),
-        made.of_request(Request('POST', '/a', [], b'else'), 'org'),
-        Fingerprints(b'key', lambda: 'another').of_request(Request('POST', '/a'), 'org'),
-        Fingerprints(b'word', lambda: 'cluster').of_request(Request('POST', '/a'), 'org'),
+        made.compute_for_request(Request('POST', '/b', [], b'text'), 'org'),
+        made.compute_for_request(Request('POST', '/a', [], b'text'), 'other'),
+        made.compute_for_request(Request('POST', '/a', [], b'else'), 'org'),
+        Fingerprints(b'key', lambda: 'another').compute_for_request(Request('POST', '/a'), 'org'),
+        Fingerprints(b'word', lambda: 'cluster').compute_for_request(Request('POST', '/a'), 'org'),
     ]
     assert len({first, *others}) == 1 + len(others)
     assert 'text' not in first
@@ -52,26 +55,26 @@
 
 def test_ends_at_the_same_moment_count_as_one():
     async def run():
-        suspects = SuspicionStore(Clock())
-        before = suspects.get(FINGERPRINT)
+        suspicion_store = SuspicionStore(Clock())
+        before = suspicion_store.get(FINGERPRINT)
         for _ in range(5):
-            await suspects.record(before.with_end())
-        assert suspects.get(FINGERPRINT).ends == 1
+            await suspicion_store.record(before.with_end())
+        assert suspicion_store.get(FINGERPRINT).ends == 1
 
     curio.run(run)
 
 
 def test_a_complete_answer_clears_earlier_suspicions():
     async def run():
-        suspects = SuspicionStore(Clock())
-        late = suspects.get(FINGERPRINT)
+        suspicion_store = SuspicionStore(Clock())
+        late = suspicion_store.get(FINGERPRINT)
         for _ in range(MIN_ENDS_AT_FAULT):
-            late = suspects.get(FINGERPRINT)
-            await suspects.record(late.with_end())
-        assert is_at_fault(suspects.get(FINGERPRINT))
-        await suspects.record(suspects.get(FINGERPRINT).cleared())
-        assert not await suspects.merge([late.with_end()])
-        assert suspects.get(FINGERPRINT).ends == 0
+            late = suspicion_store.get(FINGERPRINT)
+            await suspicion_store.record(late.with_end())
+        assert is_at_fault(suspicion_store.get(FINGERPRINT))
+        await suspicion_store.record(suspicion_store.get(FINGERPRINT).cleared())
+        assert not await suspicion_store.merge([late.with_end()])
+        assert suspicion_store.get(FINGERPRINT).ends == 0
 
     curio.run(run)
 
@@ -79,28 +82,28 @@
 def test_suspicions_are_bounded_in_age_and_number():
     async def run():
         clock = Clock()
-        suspects = SuspicionStore(clock)
+        suspicion_store = SuspicionStore(clock)
         for number in range(MAX_SUSPICIONS + 10):
-            await suspects.record(Suspicion(Fingerprint(f'{number}'), 0, 1))
-        assert len(suspects.table) == len(suspects.changed_at) == MAX_SUSPICIONS
-        assert len(suspects.unsent) == MAX_SUSPICIONS
+            await suspicion_store.record(Suspicion(Fingerprint(f'{number}'), 0, 1))
+        assert len(suspicion_store.table) == len(suspicion_store.changed_at) == MAX_SUSPICIONS
+        assert len(suspicion_store.unsent) == MAX_SUSPICIONS
         clock.now += SUSPICION_RETENTION_S
-        await suspects.record(Suspicion(FINGERPRINT, 0, 1))
-        suspects.forget_expired()
-        assert list(suspects.table.values()) == [Suspicion(FINGERPRINT, 0, 1)]
+        await suspicion_store.record(Suspicion(FINGERPRINT, 0, 1))
+        suspicion_store.forget_expired()
+        assert list(suspicion_store.table.values()) == [Suspicion(FINGERPRINT, 0, 1)]
 
     curio.run(run)
 
 
 def test_followers_send_all_suspicions_to_a_restarted_replica():
     async def run():
-        suspects = SuspicionStore(Clock())
+        suspicion_store = SuspicionStore(Clock())
         suspicion = Suspicion(FINGERPRINT, 0, 2)
-        await suspects.merge([suspicion])
-        assert not suspects.unsent
-        await suspects.mark_all_unsent()
-        assert suspects.unsent == {FINGERPRINT: suspicion}
-        assert suspects.unsent_event.is_set()
+        await suspicion_store.merge([suspicion])
+        assert not suspicion_store.unsent
+        await suspicion_store.mark_all_unsent()
+        assert suspicion_store.unsent == {FINGERPRINT: suspicion}
+        assert suspicion_store.unsent_event.is_set()
 
     curio.run(run)
 
@@ -149,11 +152,11 @@
     """
 
     def __init__(self):
-        self.suspects = SuspicionStore(Clock())
+        self.suspicion_store = SuspicionStore(Clock())
         self.view = View()
         self.view.cluster = ClusterId('c')
         self.quarantine = Quarantine(
-            self.suspects, self.view, Fingerprints(b'key', lambda: self.view.cluster)
+            self.suspicion_store, self.view, Fingerprints(b'key', lambda: self.view.cluster)
         )
         request = Request('POST', '/a', [], b'text')
         self.job = SimpleNamespace(
@@ -164,7 +167,7 @@
         )
 
     async def end(self):
-        await self.suspects.record(self.quarantine.suspicion_of(self.job).with_end())
+        await self.suspicion_store.record(self.quarantine.suspicion_of(self.job).with_end())
 
 
 def list_of(entry, clock, leads=lambda: True):
@@ -176,7 +179,7 @@
     env = Environment(InstanceId('a:1'), ZoneId('z1'))
     proposals = SimpleNamespace(propose=propose)
     now_ms = lambda: int(clock.now * 1000)  # noqa: E731
-    return QuarantineList(env, entry.view, entry.suspects, proposals, leads, now_ms)
+    return QuarantineList(env, entry.view, entry.suspicion_store, proposals, leads, now_ms)
 
 
 def test_a_request_is_blocked_after_its_third_end_and_by_the_list_alone():
@@ -184,13 +187,13 @@
         entry = Entry()
         listing = list_of(entry, Clock())
         for _ in range(MIN_ENDS_AT_FAULT):
-            assert not entry.quarantine.blocking_standing(entry.job)
+            assert not entry.quarantine.blocking_level(entry.job)
             await entry.end()
-        assert entry.quarantine.blocking_standing(entry.job)
+        assert entry.quarantine.blocking_level(entry.job)
         await listing.reconcile()
         # As after a loss of power: suspicions are lost, the replicated state is not.
-        entry.suspects.table.remove(entry.job.fingerprint)
-        assert entry.quarantine.blocking_standing(entry.job)
+        entry.suspicion_store.table.remove(entry.job.fingerprint)
+        assert entry.quarantine.blocking_level(entry.job)
 
     curio.run(run)
 
@@ -203,7 +206,7 @@
             await entry.end()
         await listing.reconcile()
         await entry.quarantine.clear_suspicion(entry.job)
-        assert not entry.quarantine.blocking_standing(entry.job)
+        assert not entry.quarantine.blocking_level(entry.job)
         await listing.reconcile()
         assert entry.view.items == {}
 
@@ -216,9 +219,11 @@
         listing = list_of(entry, clock)
         for number in range(MAX_LISTED + 3):
             clock.now += 0.001
-            await entry.suspects.record(Suspicion(Fingerprint(f'{number}'), 0, MIN_ENDS_AT_FAULT))
+            await entry.suspicion_store.record(
+                Suspicion(Fingerprint(f'{number}'), 0, MIN_ENDS_AT_FAULT)
+            )
             await listing.reconcile()
-            entry.suspects.table.remove(f'{number}')
+            entry.suspicion_store.table.remove(f'{number}')
         assert len(entry.view.items) == MAX_LISTED
         clock.now += LISTED_MAX_AGE_MS / 1000 + 1
         await listing.reconcile()
@@ -241,11 +246,11 @@
 
     async def run():
         env = Environment(InstanceId('a:1'), ZoneId('z1'))
-        suspects = SuspicionStore(env.monotonic)
-        ends = EndDetector(env, suspects)
+        suspicion_store = SuspicionStore(env.monotonic)
+        ends = EndDetector(env, suspicion_store)
         server = Server(InstanceId('i-1'), ServiceName('s'), '127.0.0.1', port, ZoneId('z1'), 16)
         await ends.note_broken(server, Suspicion(FINGERPRINT))
-        return suspects.get(FINGERPRINT).ends
+        return suspicion_store.get(FINGERPRINT).ends
 
     return curio.run(run)
 
--- a/tests/test_suspicion_gossip.py
+++ b/tests/test_suspicion_gossip.py
@@ -97,7 +97,7 @@
 
 
 def all_know(network, ends):
-    return [entry.suspicions.get(FINGERPRINT).ends for entry in network.entries.values()] == [
+    return [entry.suspicion_store.get(FINGERPRINT).ends for entry in network.entries.values()] == [
         ends
     ] * len(network.entries)
 
@@ -114,9 +114,9 @@
             await entry.env.spawn(entry.run)
         network.unreachable = {InstanceId('entry-1'), InstanceId('entry-4')}
         first = network.entries[InstanceId('entry-0')]
-        await first.suspicions.record(Suspicion(FINGERPRINT, 0, 1))
+        await first.suspicion_store.record(Suspicion(FINGERPRINT, 0, 1))
         reached = [e for name, e in network.entries.items() if name not in network.unreachable]
-        await wait_until(lambda: all(e.suspicions.get(FINGERPRINT).ends == 1 for e in reached))
+        await wait_until(lambda: all(e.suspicion_store.get(FINGERPRINT).ends == 1 for e in reached))
         network.unreachable = set()
         await wait_until(lambda: all_know(network, 1))
         await wait_until(lambda: not any(entry.sending_to for entry in network.entries.values()))
@@ -128,13 +128,13 @@
     async def run():
         network = FakeNetwork(['entry-0', 'entry-1'])
         other = network.entries[InstanceId('entry-1')]
-        await other.suspicions.record(Suspicion(FINGERPRINT, 0, 2))
-        other.suspicions.record_privately(Suspicion(Fingerprint('cd'), 0, 1))
+        await other.suspicion_store.record(Suspicion(FINGERPRINT, 0, 2))
+        other.suspicion_store.record_privately(Suspicion(Fingerprint('cd'), 0, 1))
         starting = network.add('entry-2')
         assert not starting.has_asked_others
         await starting.env.spawn(starting.run)
         await wait_until(lambda: starting.has_asked_others)
-        assert list(starting.suspicions.table.values()) == [Suspicion(FINGERPRINT, 0, 2)]
+        assert list(starting.suspicion_store.table.values()) == [Suspicion(FINGERPRINT, 0, 2)]
 
     curio.run(run)
 
