--- a/packages/millfork-registry/millfork_registry/registry.py
+++ b/packages/millfork-registry/millfork_registry/registry.py
@@ -137,7 +137,9 @@
             return None
         return other
 
-    def record_goodbye(self, instance: str, incarnation: Incarnation | None = None) -> RecordChange:
+    def record_leave_notice(
+        self, instance: str, incarnation: Incarnation | None = None
+    ) -> RecordChange:
         """
         Record that a back end leaves; without an incarnation, the known one is meant.
 
--- a/packages/millfork-scheduling/millfork_scheduling/placement.py
+++ b/packages/millfork-scheduling/millfork_scheduling/placement.py
@@ -57,7 +57,7 @@
 
     service: ServiceName
     engine: EngineSpec | None = None
-    least_version: int = 0
+    oldest_version: int = 0
     newest_version: int = 0
     prompt_tokens: int = 0
     # Whether the request can't be sent to another back end after this one.
--- a/packages/millforkd/millforkd/proxy/cache.py
+++ b/packages/millforkd/millforkd/proxy/cache.py
@@ -94,7 +94,7 @@
         # The number of 'not yet' answers of fetchers, by version and piece.
         self.not_yet_answers: Counter[tuple[WeightsId, int]] = Counter()
 
-    async def manifest(self, message: GetManifest) -> Manifest:
+    async def on_get_manifest(self, message: GetManifest) -> Manifest:
         """
         Answer a request for the digests of a version.
 
@@ -106,7 +106,7 @@
             return Manifest(reason=self._reason())
         return Manifest(True, encode_digests(self.store.get_or_create(weights).digests), False)
 
-    async def chunk(self, message: GetChunk) -> Chunk:
+    async def on_get_chunk(self, message: GetChunk) -> Chunk:
         """
         Answer a daemon or another cache that requests a piece. A fetch that isn't complete in
         time continues, and serves later requests.
--- a/packages/millforkd/millforkd/proxy/daemon.py
+++ b/packages/millforkd/millforkd/proxy/daemon.py
@@ -84,20 +84,20 @@
             env.random,
             env.monotonic,
             lambda: self.feed_client.entries,
-            self.most_entries,
+            self.max_recent_entries,
         )
         self.pools = Pools(env)
         self.budget = SharedBudget(
             promises.retry_ratio,
             promises.retry_slack,
             promises.retry_window_s,
-            lambda: self.feed_client.most_entries,
+            lambda: self.feed_client.max_recent_entries,
             env.monotonic,
             lambda: self.feed_client.connected,
         )
         fingerprints = Fingerprints(fleet_key(settings), lambda: self.view.cluster)
         self.turned_away = TurnedAwayDirectory(env, self.peers, self.discovery.caches, fingerprints)
-        trials = TrialSchedule(env.random, env.monotonic, self.most_entries)
+        trials = TrialSchedule(env.random, env.monotonic, self.max_recent_entries)
         self.forwarding = Forwarding(
             env,
             adapter,
@@ -136,14 +136,16 @@
         # The last logged number of repeats within the window, by service.
         self.repeats_logged: dict[ServiceName, int] = {}
 
-    def most_entries(self) -> int:
+    def max_recent_entries(self) -> int:
         """
         The largest number of entries known lately. Before a replica has sent one, a large
         number is assumed: otherwise this entry would use the whole of a shared limit.
 
         """
         return (
-            self.feed_client.most_entries if self.feed_client.entries_known else DEFAULT_ENTRY_COUNT
+            self.feed_client.max_recent_entries
+            if self.feed_client.entries_known
+            else DEFAULT_ENTRY_COUNT
         )
 
     @property
@@ -317,11 +319,11 @@
 
     @on.register
     async def _(self, message: messages.GetManifest, connection: Connection) -> Message:
-        return await self.cache.manifest(message)
+        return await self.cache.on_get_manifest(message)
 
     @on.register
     async def _(self, message: messages.GetChunk, connection: Connection) -> Message:
-        return await self.cache.chunk(message)
+        return await self.cache.on_get_chunk(message)
 
     @on.register
     async def _(self, message: messages.NoteTurnedAway, connection: Connection) -> None:
--- a/packages/millforkd/millforkd/sidecar/target.py
+++ b/packages/millforkd/millforkd/sidecar/target.py
@@ -74,19 +74,19 @@
         # Versions that count as stuck, and until when (monotonic seconds).
         self.stuck_until: dict[int, float] = {}
 
-    def choose(self, engine_spec: EngineSpec) -> Target:
+    def choose(self, spec: EngineSpec) -> Target:
         """
         The next target of an engine with these figures.
 
         """
         self.versions.refresh()
         now = self.env.monotonic()
-        ends = self._ends_at(engine_spec, self.served())
-        weights = WeightsId(engine_spec.model, self._choose_version(engine_spec, now, ends))
+        ends = self._ends_at(spec, self.served())
+        weights = WeightsId(spec.model, self._choose_version(spec, now, ends))
         current = self.current
         chosen_at = current.chosen_at if current is not None and current.weights == weights else now
         due = ends - LAST_SEND_BEFORE_END_S
-        target = Target(weights, engine_spec.layers, engine_spec.pieces, chosen_at, due)
+        target = Target(weights, spec.layers, spec.pieces, chosen_at, due)
         if current is None or current.weights != weights:
             self.progress = (0, now)
             log.notice('New target version: {}. served={}', weights, self.served())
@@ -94,43 +94,42 @@
         self._track_progress(target, now)
         return target
 
-    def _ends_at(self, engine_spec: EngineSpec, version: int) -> float:
+    def _ends_at(self, spec: EngineSpec, version: int) -> float:
         """
         The time from which no request may start on a version (monotonic seconds);
         infinity for version 0 or one without an end.
 
         """
-        ends = self.versions.ends_at(engine_spec.model, version) if version else None
+        ends = self.versions.ends_at(spec.model, version) if version else None
         return ends if ends is not None else float('inf')
 
-    def _choose_version(self, engine_spec: EngineSpec, now: float, ends: float) -> int:
-        newest = self.versions.newest(engine_spec.model) or FIRST_VERSION
+    def _choose_version(self, spec: EngineSpec, now: float, ends: float) -> int:
+        newest = self.versions.newest(spec.model) or FIRST_VERSION
         intermediate = [
             version
-            for version in self.versions.newer_than(engine_spec.model, self.served())
+            for version in self.versions.newer_than(spec.model, self.served())
             if version != newest
             and not self._is_stuck(version, now)
-            and self._is_worthwhile(engine_spec, version, now)
+            and self._is_worthwhile(spec, version, now)
         ]
-        best, least_idle_s = newest, self._idle_direct_s(engine_spec, newest, now, ends)
+        best, least_idle_s = newest, self._idle_direct_s(spec, newest, now, ends)
         for version in intermediate:
-            idle_s = self._idle_via_s(engine_spec, version, now, ends)
+            idle_s = self._idle_via_s(spec, version, now, ends)
             if idle_s < least_idle_s:
                 best, least_idle_s = version, idle_s
         return best
 
-    def _is_worthwhile(self, engine_spec: EngineSpec, version: int, now: float) -> bool:
+    def _is_worthwhile(self, spec: EngineSpec, version: int, now: float) -> bool:
         """
         Whether an intermediate version would be served for longer than its change costs.
 
         """
-        complete_at = now + self._transfer_s(engine_spec, version)
+        complete_at = now + self._transfer_s(spec, version)
         return (
-            complete_at + VERSION_CHANGE_S
-            < self._ends_at(engine_spec, version) - LAST_SEND_BEFORE_END_S
+            complete_at + VERSION_CHANGE_S < self._ends_at(spec, version) - LAST_SEND_BEFORE_END_S
         )
 
-    def _idle_via_s(self, engine_spec: EngineSpec, version: int, now: float, ends: float) -> float:
+    def _idle_via_s(self, spec: EngineSpec, version: int, now: float, ends: float) -> float:
         """
         For how many seconds the engine would serve nothing on the way to the newest version
         via an intermediate one, including the second change. An engine that has not
@@ -138,17 +137,15 @@
         its pieces have arrived and the change is complete.
 
         """
-        complete_at = now + self._transfer_s(engine_spec, version)
-        full_transfer_s = engine_spec.pieces * engine_spec.piece_bytes / self.bytes_per_s
+        complete_at = now + self._transfer_s(spec, version)
+        full_transfer_s = spec.pieces * spec.piece_bytes / self.bytes_per_s
         served_until = max(now, ends - LAST_SEND_BEFORE_END_S)
         idle_before_s = max(complete_at + VERSION_CHANGE_S - served_until, 0.0)
-        last_sent = self._ends_at(engine_spec, version) - LAST_SEND_BEFORE_END_S
+        last_sent = self._ends_at(spec, version) - LAST_SEND_BEFORE_END_S
         idle_after_s = max(complete_at + full_transfer_s + VERSION_CHANGE_S - last_sent, 0.0)
         return idle_before_s + idle_after_s + VERSION_CHANGE_S
 
-    def _idle_direct_s(
-        self, engine_spec: EngineSpec, newest: int, now: float, ends: float
-    ) -> float:
+    def _idle_direct_s(self, spec: EngineSpec, newest: int, now: float, ends: float) -> float:
         """
         For how many seconds the engine would serve nothing if it loaded the newest next.
 
@@ -157,16 +154,16 @@
             return 0.0
         if self._is_stuck(newest, now):
             return float('inf')
-        complete_at = now + self._transfer_s(engine_spec, newest)
+        complete_at = now + self._transfer_s(spec, newest)
         return max(complete_at + VERSION_CHANGE_S - max(now, ends - LAST_SEND_BEFORE_END_S), 0.0)
 
-    def _transfer_s(self, engine_spec: EngineSpec, version: int) -> float:
+    def _transfer_s(self, spec: EngineSpec, version: int) -> float:
         """
         Seconds that the link needs to transfer the missing pieces of a version.
 
         """
-        held_count = self._held_count(WeightsId(engine_spec.model, version))
-        return (engine_spec.pieces - held_count) * engine_spec.piece_bytes / self.bytes_per_s
+        held_count = self._held_count(WeightsId(spec.model, version))
+        return (spec.pieces - held_count) * spec.piece_bytes / self.bytes_per_s
 
     def _held_count(self, weights: WeightsId) -> int:
         held = self.store.find(weights)
--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -88,7 +88,9 @@
         if self.silent:
             raise PeerTimedOut('silent')
         cache = self.caches[address.instance]
-        return await (cache.manifest(message) if asks_digests else cache.chunk(message))
+        return await (
+            cache.on_get_manifest(message) if asks_digests else cache.on_get_chunk(message)
+        )
 
 
 def cache_at(instance, zone, origin, peers, caches):
@@ -144,10 +146,10 @@
         async with curio.TaskGroup() as group:
             for index in range(len(PIECES)):
                 for cache in peers.caches.values():
-                    await group.spawn(cache.chunk, GetChunk('m@2', index))
+                    await group.spawn(cache.on_get_chunk, GetChunk('m@2', index))
         for index, piece in enumerate(PIECES):
             for cache in peers.caches.values():
-                assert (await cache.chunk(GetChunk('m@2', index))).data == piece
+                assert (await cache.on_get_chunk(GetChunk('m@2', index))).data == piece
         assert sorted(origin.fetched) == list(range(len(PIECES)))
 
     curio.run(run)
@@ -168,9 +170,9 @@
             cache_at(cache.instance, cache.zone, origin, peers, caches)
         async with curio.TaskGroup() as group:
             for cache in peers.caches.values():
-                await group.spawn(cache.manifest, GetManifest('m@2'))
+                await group.spawn(cache.on_get_manifest, GetManifest('m@2'))
         for cache in peers.caches.values():
-            assert decode_digests((await cache.manifest(GetManifest('m@2'))).body) == DIGESTS
+            assert decode_digests((await cache.on_get_manifest(GetManifest('m@2'))).body) == DIGESTS
         assert origin.digest_fetches == 1
 
     curio.run(run)
@@ -181,8 +183,8 @@
         caches = [CacheAddress('10.0.0.1:1', 'z1')]
         origin, peers = FakeOrigin(), FakePeers()
         cache = cache_at('10.0.0.1:1', 'z1', origin, peers, caches)
-        assert decode_digests((await cache.manifest(GetManifest('m@2'))).body) == DIGESTS
-        assert (await cache.chunk(GetChunk('m@2', 4))).data == PIECES[4]
+        assert decode_digests((await cache.on_get_manifest(GetManifest('m@2'))).body) == DIGESTS
+        assert (await cache.on_get_chunk(GetChunk('m@2', 4))).data == PIECES[4]
         while len(origin.fetched) < len(PIECES):
             await curio.sleep(0)
         assert sorted(origin.fetched) == list(range(len(PIECES)))
@@ -191,7 +193,7 @@
     curio.run(run)
 
 
-def test_prefetching_stops_when_nobody_asks_any_more(monkeypatch):
+def test_prefetching_stops_once_a_version_is_no_longer_requested(monkeypatch):
     monkeypatch.setattr(caching, 'RETRY_S', 0.01)
 
     async def run():
@@ -199,7 +201,7 @@
         origin, peers = FakeOrigin(corrupt_count=10_000), FakePeers()
         cache = cache_at('10.0.0.1:1', 'z1', origin, peers, [CacheAddress('10.0.0.1:1', 'z1')])
         cache.env.monotonic = lambda: now
-        assert not (await cache.chunk(GetChunk('m@2', 0))).found
+        assert not (await cache.on_get_chunk(GetChunk('m@2', 0))).found
         now += caching.REQUESTED_WITHIN_S + 0.1
         async with curio.timeout_after(5):
             while WeightsId('m', 2) in cache.prefetching:
@@ -210,7 +212,7 @@
         assert len(origin.fetched) == fetched
         # A later request starts prefetching again.
         origin.corrupt_count = 0
-        assert (await cache.chunk(GetChunk('m@2', 0))).found
+        assert (await cache.on_get_chunk(GetChunk('m@2', 0))).found
         async with curio.timeout_after(5):
             while not cache.store.get_or_create(WeightsId('m', 2)).whole:
                 await curio.sleep(0)
@@ -233,7 +235,7 @@
         origin, peers = FakeOrigin(), FakePeers()
         peers.silent = True
         cache = cache_at('10.0.0.2:1', 'z2', origin, peers, caches)
-        assert (await cache.chunk(GetChunk('m@2', 3))).data == PIECES[3]
+        assert (await cache.on_get_chunk(GetChunk('m@2', 3))).data == PIECES[3]
         # One unanswered request for digests is enough.
         assert peers.asked[0] == ('10.0.0.1:1', DIGESTS_REQUEST)
 
@@ -250,12 +252,12 @@
         now = 100.0
         cache.silent.monotonic = lambda: now
         for index in range(4):
-            assert (await cache.chunk(GetChunk('m@2', index))).data == PIECES[index]
+            assert (await cache.on_get_chunk(GetChunk('m@2', index))).data == PIECES[index]
         assert peers.asked == [('10.0.0.1:1', DIGESTS_REQUEST)]
         peers.silent = False
         cache_at('10.0.0.1:1', 'z1', origin, peers, caches)
         now += SKIP_SILENT_PEER_S + 0.1
-        assert (await cache.chunk(GetChunk('m@2', 4))).data == PIECES[4]
+        assert (await cache.on_get_chunk(GetChunk('m@2', 4))).data == PIECES[4]
         assert peers.asked[-1] == ('10.0.0.1:1', 4)
 
     curio.run(run)
@@ -275,11 +277,11 @@
 
         assigned.origin.fetch_piece = fetch_piece
         for _ in range(caching.MAX_NOT_YET_ANSWERS - 1):
-            assert not (await cache.chunk(GetChunk('m@2', 3))).found
+            assert not (await cache.on_get_chunk(GetChunk('m@2', 3))).found
         assert cache.origin.fetched == []
         await here.set()
         async with curio.timeout_after(5):
-            while not (await cache.chunk(GetChunk('m@2', 3))).found:
+            while not (await cache.on_get_chunk(GetChunk('m@2', 3))).found:
                 pass
         assert cache.origin.fetched == []
 
@@ -294,11 +296,11 @@
         assigned.origin.corrupt_count = 10_000
         assigned.origin.failing = True
         for _ in range(caching.MAX_NOT_YET_ANSWERS * 3):
-            assert not (await cache.chunk(GetChunk('m@2', 3))).found
+            assert not (await cache.on_get_chunk(GetChunk('m@2', 3))).found
         assert cache.origin.fetched == []
         assigned.origin.corrupt_count = 0
         async with curio.timeout_after(5):
-            while not (await cache.chunk(GetChunk('m@2', 3))).found:
+            while not (await cache.on_get_chunk(GetChunk('m@2', 3))).found:
                 pass
         assert cache.origin.fetched == []
 
@@ -332,8 +334,8 @@
             version = f'm@{number + 10}'
             assigned.prefetching.add(WeightsId('m', number + 10))
             for index in (0, 1):
-                assert (await assigned.chunk(GetChunk(version, index, draw=True))).found
-            assert not (await cache.chunk(GetChunk('m@2', 3))).found
+                assert (await assigned.on_get_chunk(GetChunk(version, index, draw=True))).found
+            assert not (await cache.on_get_chunk(GetChunk('m@2', 3))).found
         assert cache.origin.fetched == []
         cache.env.ended = assigned.env.ended = True
 
@@ -351,7 +353,7 @@
 
         assigned.origin.fetch_piece = fetch_piece
         async with curio.timeout_after(10):
-            while not (await cache.chunk(GetChunk('m@2', 3))).found:
+            while not (await cache.on_get_chunk(GetChunk('m@2', 3))).found:
                 pass
         assert cache.origin.fetched == [3]
         cache.env.ended = assigned.env.ended = True
@@ -369,10 +371,10 @@
         caches = [CacheAddress('10.0.0.1:1', 'z1')]
         origin, peers = FakeOrigin(corrupt_count=1), FakePeers()
         cache = cache_at('10.0.0.1:1', 'z1', origin, peers, caches)
-        assert (await cache.chunk(GetChunk('m@2', 0))).data == PIECES[0]
+        assert (await cache.on_get_chunk(GetChunk('m@2', 0))).data == PIECES[0]
         assert origin.fetched[:2] == [0, 0]
         for bad in (GetChunk('m@2', 6), GetChunk('m', 0), GetChunk('m@x', 0)):
-            assert not (await cache.chunk(bad)).found
+            assert not (await cache.on_get_chunk(bad)).found
 
     curio.run(run)
 
@@ -383,7 +385,7 @@
         origin, peers = FakeOrigin(), FakePeers()
         cache = cache_at('10.0.0.3:1', 'z1', origin, peers, caches)
         cache.prefetching.add(WeightsId('m', 2))
-        assert (await cache.chunk(GetChunk('m@2', 1, draw=True))).data == PIECES[1]
+        assert (await cache.on_get_chunk(GetChunk('m@2', 1, draw=True))).data == PIECES[1]
         assert peers.asked == []
 
     curio.run(run)
@@ -397,11 +399,11 @@
         caches = [CacheAddress('10.0.0.1:1', 'z1')]
         origin, peers = FakeOrigin(corrupt_count=40), FakePeers()
         cache = cache_at('10.0.0.1:1', 'z1', origin, peers, caches)
-        assert (await cache.chunk(GetChunk('m@2', 5))).reason == caching.NOT_YET
+        assert (await cache.on_get_chunk(GetChunk('m@2', 5))).reason == caching.NOT_YET
         async with curio.timeout_after(5):
             while not cache.store.get_or_create(WeightsId('m', 2)).whole:
                 await curio.sleep(0.01)
-        assert (await cache.chunk(GetChunk('m@2', 5))).data == PIECES[5]
+        assert (await cache.on_get_chunk(GetChunk('m@2', 5))).data == PIECES[5]
 
     curio.run(run)
 
@@ -422,10 +424,10 @@
 
         origin.fetch_piece = fetch_piece
         async with curio.timeout_after(2):
-            assert not (await cache.chunk(GetChunk('m@2', 0))).found
+            assert not (await cache.on_get_chunk(GetChunk('m@2', 0))).found
         await hanging.set()
         async with curio.timeout_after(2):
-            while not (await cache.chunk(GetChunk('m@2', 0))).found:
+            while not (await cache.on_get_chunk(GetChunk('m@2', 0))).found:
                 pass
 
     curio.run(run)
@@ -449,7 +451,7 @@
 
         origin.fetch_digests, origin.fetch_piece = fetch_digests, fetch_piece
         began = cache.env.monotonic()
-        assert (await cache.chunk(GetChunk('m@2', 0))).reason == caching.NOT_YET
+        assert (await cache.on_get_chunk(GetChunk('m@2', 0))).reason == caching.NOT_YET
         assert cache.env.monotonic() - began < 1.7
         cache.env.ended = True
 
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -405,7 +405,7 @@
     curio.run(run)
 
 
-def test_a_version_that_has_not_ended_stays():
+def test_a_version_that_has_not_ended_is_not_removed():
     async def run():
         under_test = RolloutUnderTest(0, FakeEngine(), StalledGatherer(3))
         under_test.target = replace(under_test.target, due=float('inf'))
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -110,7 +110,7 @@
 
 
 def test_an_engine_needs_all_layers_of_an_acceptable_version(table):
-    requirements = Requirements(SERVICE, ENGINE, least_version=2)
+    requirements = Requirements(SERVICE, ENGINE, oldest_version=2)
     table.apply_leases([lease(1, version=1), lease(2, version=2, end=8), lease(3, version=2)])
     assert {chosen(table, requirements) for _ in range(20)} == {'i-3'}
 
--- a/tests/test_suspicion_gossip.py
+++ b/tests/test_suspicion_gossip.py
@@ -124,7 +124,7 @@
     curio.run(run)
 
 
-def test_an_entry_that_starts_learns_what_others_know():
+def test_a_starting_entry_receives_the_suspicions_of_others():
     async def run():
         network = FakeNetwork(['entry-0', 'entry-1'])
         other = network.entries[InstanceId('entry-1')]
--- a/tests/test_turned_away_directory.py
+++ b/tests/test_turned_away_directory.py
@@ -136,13 +136,13 @@
     assert not any(kept[name] for name in NAMES[4:])
 
 
-def test_without_an_answer_in_time_it_counts_as_a_first_try(zone):
+def test_a_request_without_an_answer_in_time_counts_as_a_first_try(zone):
     zone.turn_away(NAMES[5], zone.job())
     zone.slow = set(NAMES)
     assert zone.look_up(NAMES[4], zone.job()) == 0
 
 
-def test_unreachable_entries_are_passed_over(zone):
+def test_unreachable_entries_are_skipped(zone):
     zone.unreachable = set(NAMES[:3])
     for number in range(12):
         zone.turn_away(NAMES[5], zone.job(bytes([number])))
@@ -160,7 +160,7 @@
     assert zone.look_up(NAMES[5], zone.job()) == pytest.approx(300, abs=1)
 
 
-def test_no_body_and_no_key_leaves_the_entry(zone):
+def test_only_a_short_fingerprint_of_a_request_is_sent(zone):
     job = zone.job(b'a private body')
     short_fingerprint = zone.entries[NAMES[5]]._short_fingerprint(job)
     assert (
