--- a/packages/millforkd/millforkd/end_watch.py
+++ b/packages/millforkd/millforkd/end_watch.py
@@ -89,9 +89,9 @@
 @dataclass(slots=True)
 class EndWatch(Generic[Subject]):
     """
-    Watches one back end. `probe` connects to its address. `status_of` returns what other sources
-    say about the back end since an interruption. `on_resolved` receives the result and the
-    interruptions that it applies to; the result is UNKNOWN only after `max_watch_s`.
+    Watches one back end. `probe` connects to its address. `status_of` returns
+    the back end's status since an interruption, according to other sources. `on_resolved`
+    receives the result, UNKNOWN only after `max_watch_s`, and the interruptions it applies to.
 
     """
 
@@ -111,7 +111,7 @@
     async def add(self, key: str, subject: Subject, at_once: bool = True) -> None:
         """
         Add an interruption that happens now; it replaces an earlier one with the same key.
-        Without `at_once` the next probe isn't brought forward: the back end may end only later.
+        Without `at_once` the next probe isn't hurried, as the back end may end only later.
 
         """
         was_idle = not self.interruptions
@@ -167,20 +167,20 @@
 
     async def _resolve(self, probed_at: float, result: ProbeResult) -> None:
         resolved: dict[IncarnationStatus, list[Interruption[Subject]]] = {}
-        for key, broken in list(self.interruptions.items()):
-            fate = self.status_of(broken)
+        for key, interruption in list(self.interruptions.items()):
+            status = self.status_of(interruption)
             if (
-                fate is IncarnationStatus.UNKNOWN
+                status is IncarnationStatus.UNKNOWN
                 and result is ProbeResult.REFUSES
-                and broken.at <= probed_at
+                and interruption.at <= probed_at
             ):
-                fate = IncarnationStatus.ENDED
+                status = IncarnationStatus.ENDED
             if (
-                fate is IncarnationStatus.UNKNOWN
-                and self.env.monotonic() - broken.at <= self.max_watch_s
+                status is IncarnationStatus.UNKNOWN
+                and self.env.monotonic() - interruption.at <= self.max_watch_s
             ):
                 continue
             del self.interruptions[key]
-            resolved.setdefault(fate, []).append(broken)
-        for fate, interruptions in resolved.items():
-            await self.on_resolved(fate, interruptions)
+            resolved.setdefault(status, []).append(interruption)
+        for status, interruptions in resolved.items():
+            await self.on_resolved(status, interruptions)
--- a/packages/millforkd/millforkd/endpoint/backend_gateway.py
+++ b/packages/millforkd/millforkd/endpoint/backend_gateway.py
@@ -176,8 +176,8 @@
 
     async def on_closed(self, connection: Connection) -> None:
         """
-        Cancel requests of an entry whose connection closed, as nobody can get
-        their answers: those not yet sent to the back end, and all of an engine.
+        Cancel requests of an entry whose connection closed, as their answers
+        can't be delivered: those not yet sent to the back end, and all of an engine.
 
         """
         if self.entries.get(connection.peer) is connection:
--- a/packages/millforkd/millforkd/endpoint/incarnation_tracking.py
+++ b/packages/millforkd/millforkd/endpoint/incarnation_tracking.py
@@ -164,20 +164,20 @@
         return await probe_address(*self.address())
 
     async def _apply_status(
-        self, status: IncarnationStatus, interrupted: list[Interruption[InterruptedRequest]]
+        self, status: IncarnationStatus, interruptions: list[Interruption[InterruptedRequest]]
     ) -> None:
-        after_ms = (self.env.monotonic() - min(item.at for item in interrupted)) * 1000
+        after_ms = (self.env.monotonic() - min(item.at for item in interruptions)) * 1000
         log.info(
             'Back end status after interrupted answers: {}. requests={} after_ms={:.0f}',
             status.value,
-            len(interrupted),
+            len(interruptions),
             after_ms,
         )
         if status is IncarnationStatus.ENDED and any(
-            item.subject.number == self.number for item in interrupted
+            item.subject.number == self.number for item in interruptions
         ):
             self._start_next_incarnation()
-        for item in interrupted:
+        for item in interruptions:
             item.subject.status = status
             if not item.subject.is_awaited:
                 await self._notify_entry(item.subject)
--- a/packages/millforkd/millforkd/endpoint/reservations.py
+++ b/packages/millforkd/millforkd/endpoint/reservations.py
@@ -31,8 +31,8 @@
 class Reservation:
     """
     One request from its `Reserve` to its `End`. `deadline` is in monotonic
-    seconds of this process, `version` the weights that the request was admitted
-    to, `response` the answer to a request with an idempotency key.
+    seconds of this process, `version` the version of the weights that the request
+    was admitted to, `response` the answer to a request with an idempotency key.
 
     """
 
--- a/packages/millforkd/millforkd/entry/access_control.py
+++ b/packages/millforkd/millforkd/entry/access_control.py
@@ -79,7 +79,7 @@
 
     def authenticate_operator(self, request: Request) -> Operator:
         """
-        Return the operator who sent a control request.
+        Return the operator that sent a control request.
 
         :raises Refused: if the token is unknown.
 
--- a/packages/millforkd/millforkd/entry/caller_requests.py
+++ b/packages/millforkd/millforkd/entry/caller_requests.py
@@ -155,10 +155,10 @@
             await settling.wait()
         return refusal
 
-    async def _refuse(self, exchange: Exchange, refusal: Refusal, begun: bool = False) -> None:
+    async def _refuse(self, exchange: Exchange, refusal: Refusal, started: bool = False) -> None:
         self.env.metrics.refused(refusal.reason, METRICS_PART)
         self.env.metrics.count(self.env.metrics.requests, outcome='refused')
-        if not begun:
+        if not started:
             await exchange.respond(problem(refusal))
 
     # Parsing a request.
--- a/packages/millforkd/millforkd/fingerprints.py
+++ b/packages/millforkd/millforkd/fingerprints.py
@@ -3,7 +3,7 @@
 
 A caller that retries uses a new request id and any entry, but the same path and body. These are
 hashed with the fleet's key, as bodies are private: state and logs hold only the hash, and
-without the key nobody can check a guess against it.
+a guess can't be checked against the hash without the key.
 
 """
 
--- a/packages/millforkd/millforkd/proxy/admission.py
+++ b/packages/millforkd/millforkd/proxy/admission.py
@@ -28,13 +28,13 @@
 from millforkd.proxy.job import Job
 from millforkd.versions import VersionTracker
 
-# The least remaining time for sending a request: its answer has to travel back in time.
+# The minimum remaining time for sending a request: its answer must still reach the caller.
 MIN_REMAINING_MS: Final = 20
 # A starting entry receives its first document and leases after 0.5 s to 0.8 s, the time that
 # replicas that start with it need to discover each other. Requests wait meanwhile: callers
 # that are refused would all return at once, and each retries only once.
 STARTUP_WAIT_S: Final = 1.0
-# The largest share of a caller's deadline that a request waits for that.
+# The largest share of a caller's deadline for which a request waits while the entry starts.
 STARTUP_WAIT_SHARE: Final = 0.25
 
 log = logger(Component.PROXY)
@@ -51,7 +51,7 @@
     ) -> None:
         self.env = env
         self.versions = versions
-        # The known number of entries.
+        # Returns the known number of entries.
         self.entry_count = entries
         self.table: RouteTable | None = None
         # Set once the entry has a document and back ends.
--- a/packages/millforkd/millforkd/proxy/backpressure.py
+++ b/packages/millforkd/millforkd/proxy/backpressure.py
@@ -17,7 +17,7 @@
 
 class BackpressureRecorder:
     """
-    Records backpressure signals.
+    Applies the signals to the server table, and logs and counts their changes.
 
     """
 
@@ -53,7 +53,7 @@
         self,
         server: Server,
         changes: Iterable[SignalChange],
-        told_by: SignalSource,
+        source: SignalSource,
         request_id: str = '',
     ) -> None:
         """
@@ -65,7 +65,7 @@
                 self.env.metrics.backpressure,
                 signal=change.signal.value,
                 event=change.event.value,
-                told_by=told_by.value,
+                told_by=source.value,
             )
             log.info(
                 'Back end signal. server={} incarnation={} signal={} event={} value={:g} '
@@ -75,6 +75,6 @@
                 change.signal.value,
                 change.event.value,
                 change.value,
-                told_by.value,
+                source.value,
                 request_id,
             )
--- a/packages/millforkd/millforkd/proxy/cache.py
+++ b/packages/millforkd/millforkd/proxy/cache.py
@@ -137,7 +137,7 @@
 
     def _is_limited_by_origin(self) -> bool:
         """
-        Whether the origin is the bottleneck and not this fetcher. When other caches then also
+        Whether the bottleneck is the origin rather than this fetcher. When other caches then also
         fetched a piece from the origin, it sent 4.6 copies instead of two, and the first engine
         was complete 12.8 s after an outage of an origin that sends one copy in 4.4 s.
 
@@ -157,32 +157,32 @@
     def _answer_deadline(self) -> float:
         return self.env.monotonic() + ANSWER_WITHIN_S
 
-    async def _ensure_digests(self, weights: WeightsId, draw: bool, deadline: float) -> bool:
+    async def _ensure_digests(self, weights: WeightsId, direct: bool, deadline: float) -> bool:
         held = self.store.get_or_create(weights)
         if not held.digests:
-            await self._fetch_once((weights, None), deadline, self._fetch_digests, held, draw)
+            await self._fetch_once((weights, None), deadline, self._fetch_digests, held, direct)
         return bool(held.digests)
 
-    async def _fetch_digests(self, held: PieceSet, draw: bool) -> None:
+    async def _fetch_digests(self, held: PieceSet, direct: bool) -> None:
         """
-        Fetch the digests, from the origin only once for all caches: when 98 entries and 102
+        Fetch the digests, only once from the origin for all caches. When 98 entries and 102
         daemons each fetched them, a third fewer pieces fit on the origin's link in the first
         2.5 s.
 
         """
-        if draw or not await self._fetch_from_cache(held, DIGESTS_INDEX):
+        if direct or not await self._fetch_from_cache(held, DIGESTS_INDEX):
             await self.origin.fetch_digests(held)
 
     async def _ensure_piece(
-        self, weights: WeightsId, index: int, draw: bool, deadline: float
+        self, weights: WeightsId, index: int, direct: bool, deadline: float
     ) -> None:
         """
-        Fetch a piece if it is missing; returns at `deadline` at the latest.
+        Fetch a missing piece (`direct`: from the origin); returns by `deadline`.
 
         """
         held = self.store.get_or_create(weights)
         if 0 <= index < len(held.digests) and index not in held.pieces:
-            await self._fetch_once((weights, index), deadline, self._fetch, weights, index, draw)
+            await self._fetch_once((weights, index), deadline, self._fetch, weights, index, direct)
 
     async def _fetch_once(
         self,
@@ -214,9 +214,9 @@
         finally:
             await self.pending.pop(key).set()
 
-    async def _fetch(self, weights: WeightsId, index: int, draw: bool) -> None:
+    async def _fetch(self, weights: WeightsId, index: int, direct: bool) -> None:
         held = self.store.get_or_create(weights)
-        if not draw and await self._fetch_from_cache(held, index):
+        if not direct and await self._fetch_from_cache(held, index):
             return
         async with self.origin_slots:
             for _ in range(MAX_ORIGIN_ATTEMPTS):
@@ -248,10 +248,10 @@
                 self.not_yet_answers[key] += reply.reason not in (ORIGIN_FAILS, OTHERS_FIRST)
                 return True
             del self.not_yet_answers[key]
-            return await self._keep(held, index, reply, fetcher)
+            return await self._store_reply(held, index, reply, fetcher)
         return False
 
-    async def _keep(
+    async def _store_reply(
         self, held: PieceSet, index: int, reply: Chunk | Manifest, fetcher: str
     ) -> bool:
         if isinstance(reply, Chunk):
--- a/packages/millforkd/millforkd/proxy/daemon.py
+++ b/packages/millforkd/millforkd/proxy/daemon.py
@@ -129,17 +129,17 @@
         self.admin = Admin(env, settings, self.is_ready)
         self.stopping = False
         self.document_revision = 0
-        # The version of the leases that the server book has.
+        # The version of the leases that the server table has.
         self.applied_leases_version = -1
-        # The version of the endpoint reports that the server book has.
+        # The version of the endpoint reports that the server table has.
         self.applied_reports_version = 0
         # The last logged number of repeats within the window, by service.
         self.repeats_logged: dict[ServiceName, int] = {}
 
     def max_recent_entries(self) -> int:
         """
-        The largest number of entries known lately. Before a replica has sent one, a large
-        number is assumed: otherwise this entry would use the whole of a shared limit.
+        The largest number of entries known recently. Before a replica has sent one, a large
+        number is assumed: otherwise this entry would use a shared limit alone.
 
         """
         return (
--- a/packages/millforkd/millforkd/proxy/end_detection.py
+++ b/packages/millforkd/millforkd/proxy/end_detection.py
@@ -32,7 +32,6 @@
 
 log = logger(Component.PROXY)
 
-
 # How long requests whose callers left are remembered, and how many of them.
 CALLER_LEFT_MEMORY_S: Final = 60.0
 MAX_ABANDONED_REQUESTS: Final = 1024
@@ -41,8 +40,7 @@
 @dataclass(frozen=True, slots=True)
 class AbandonedRequest:
     """
-    A request whose caller left. `at` is in monotonic seconds; `before` is the suspicion of
-    the request when it was sent.
+    A request whose caller left at `at` (monotonic seconds); `before` is its suspicion when sent.
 
     """
 
@@ -54,8 +52,7 @@
 @dataclass(frozen=True, slots=True)
 class SentRequest:
     """
-    A request whose answer broke off, or whose caller left before the answer came. `before` is
-    the suspicion of the request when it was sent to the back end.
+    A request that broke off or whose caller left; `before` is its suspicion when it was sent.
 
     """
 
@@ -134,16 +131,16 @@
         return EndWatch(
             self.env,
             partial(self._probe, server),
-            partial(self._fate, server),
+            partial(self._status, server),
             partial(self._resolve, key),
             MAX_PROBE_INTERVAL_S,
             MAX_WATCH_S,
         )
 
-    def _fate(self, server: Server, broken: Interruption[SentRequest]) -> IncarnationStatus:
-        fate = self.status_of(server, broken.at)
-        if fate is IncarnationStatus.ENDED or not broken.subject.caller_left:
-            return fate
+    def _status(self, server: Server, broken: Interruption[SentRequest]) -> IncarnationStatus:
+        status = self.status_of(server, broken.at)
+        if status is IncarnationStatus.ENDED or not broken.subject.caller_left:
+            return status
         # The back end may still run the request while it answers others.
         watch_is_over = self.env.monotonic() - broken.at > CALLER_LEFT_WATCH_S
         return IncarnationStatus.LIVES if watch_is_over else IncarnationStatus.UNKNOWN
@@ -155,27 +152,30 @@
             del self.watches[key]
 
     async def _resolve(
-        self, key: IncarnationKey, fate: IncarnationStatus, broken: list[Interruption[SentRequest]]
+        self,
+        key: IncarnationKey,
+        status: IncarnationStatus,
+        interruptions: list[Interruption[SentRequest]],
     ) -> None:
-        if fate is IncarnationStatus.ENDED:
-            self._log_end(key, broken)
-        if fate is IncarnationStatus.UNKNOWN:
+        if status is IncarnationStatus.ENDED:
+            self._log_end(key, interruptions)
+        if status is IncarnationStatus.UNKNOWN:
             log.info('It stayed unknown whether a back end ended. incarnation={}', key)
-        for item in broken:
-            if fate is IncarnationStatus.ENDED:
+        for item in interruptions:
+            if status is IncarnationStatus.ENDED:
                 if item.subject.caller_left:
                     await self.suspicion_updater.note_broken(item.subject.before.fingerprint, key)
                 await self.suspicion_updater.note_end(item.subject.before, key)
                 continue
             await self.suspicion_updater.note_no_end(item.subject.before.fingerprint, key)
 
-    def _log_end(self, key: IncarnationKey, broken: list[Interruption[SentRequest]]) -> None:
+    def _log_end(self, key: IncarnationKey, interruptions: list[Interruption[SentRequest]]) -> None:
         log.info(
             'Back end ended. incarnation={} requests={} after_ms={:.0f} fingerprints={}',
             key,
-            len(broken),
-            (self.env.monotonic() - min(item.at for item in broken)) * 1000,
-            ','.join(sorted(item.subject.before.fingerprint for item in broken)),
+            len(interruptions),
+            (self.env.monotonic() - min(item.at for item in interruptions)) * 1000,
+            ','.join(sorted(item.subject.before.fingerprint for item in interruptions)),
         )
 
     async def _probe(self, server: Server) -> ProbeResult:
--- a/packages/millforkd/millforkd/proxy/forwarding.py
+++ b/packages/millforkd/millforkd/proxy/forwarding.py
@@ -220,8 +220,8 @@
         if failed is None:
             return None
         if failed.verdict is not Verdict.NOT_RUN and failed.reason in BROKEN:
-            for part in choice.servers:
-                await self.end_detector.note_broken(part, before)
+            for server in choice.servers:
+                await self.end_detector.note_broken(server, before)
         if failed.reason is Reason.TIMED_OUT:
             await self._note_callers_left(job, before)
         return failed
--- a/packages/millforkd/millforkd/proxy/load_queries.py
+++ b/packages/millforkd/millforkd/proxy/load_queries.py
@@ -24,7 +24,7 @@
 
 # How long a request waits for loads at most.
 MAX_WAIT_S: Final = 0.02
-# By then the next report says the same as an answer.
+# After this time the next report has arrived, so an answer adds nothing.
 ANSWER_TIMEOUT_S: Final = 0.15
 # How long a daemon that didn't answer in time isn't queried.
 SKIP_UNANSWERED_S: Final = 0.5
@@ -69,7 +69,7 @@
     async def _ask(self, server: Server, connection: Connection) -> None:
         queried_at = self.env.monotonic()
         daemon = server.daemon
-        mine, own_unread = server.own_requests, server.own_unread
+        own_requests, own_unread = server.own_requests, server.own_unread
         reply = await self.queries.ask(daemon, connection, AskLoad(), ANSWER_TIMEOUT_S)
         now = self.env.monotonic()
         if reply is None or now - queried_at > MAX_WAIT_S:
@@ -79,5 +79,5 @@
         if server.is_other_incarnation(Incarnation(reply.incarnation)):
             log.info('A load report belongs to another engine. server={}', server.instance)
             return
-        load = Load(reply.running, reply.queued, reply.pace_percent / 100, mine, own_unread)
+        load = Load(reply.running, reply.queued, reply.pace_percent / 100, own_requests, own_unread)
         server.set_load(load, now)
--- a/packages/millforkd/millforkd/proxy/outcomes.py
+++ b/packages/millforkd/millforkd/proxy/outcomes.py
@@ -92,7 +92,7 @@
 
 def status_of(refusal: Refusal) -> int:
     """
-    The HTTP status of a refusal; a status that promises 'not run' only if that is certain.
+    The HTTP status of a refusal; it promises 'not run' only if that is certain.
 
     """
     if refusal.reason in CLIENT_ERRORS:
--- a/packages/millforkd/millforkd/proxy/request_sender.py
+++ b/packages/millforkd/millforkd/proxy/request_sender.py
@@ -113,7 +113,7 @@
             if server.instance not in job.tried:
                 job.tried.append(server.instance)
             silent = reason is Reason.TIMED_OUT and server.last_received_at < job.received_at
-            # A back end that changes its weights was told to break off running requests.
+            # An engine that changes its weights was ordered to interrupt running requests.
             if (silent or reason in BROKEN) and not server.changing:
                 server.note_failure(now)
         return FailedAttempt(reason, verdict, detail)
@@ -137,9 +137,9 @@
             longer has a complete version).
 
         """
-        least = self.admission.versions.oldest_usable(engine.model)
-        if version is None or version < least:
-            detail = f'the engine has version {version}, but requests need at least version {least}'
+        oldest = self.admission.versions.oldest_usable(engine.model)
+        if version is None or version < oldest:
+            detail = f'the engine has version {version}; requests need version {oldest} or newer'
             raise NotSent(Reason.VERSION_MISMATCH, detail)
 
     def _check_open(self, choice: Choice) -> None:
@@ -185,7 +185,7 @@
         )
         if not job.tried:
             self.budget.note_request(job.requirements.service)
-        job.tried += [part.instance for part in attempt.choice.servers]
+        job.tried += [used.instance for used in attempt.choice.servers]
         self.server_table.note_sent(attempt.choice.servers)
         headers = self.adapter.back_end_headers(request, forward_options)
         self._note_version(job, version)
--- a/packages/millforkd/millforkd/quarantine.py
+++ b/packages/millforkd/millforkd/quarantine.py
@@ -59,7 +59,7 @@
 
     def blocking_level(self, request: RequestT) -> SuspicionLevel | None:
         """
-        Return the standing for which a request may not be sent, or None if it may be sent.
+        Return the suspicion level that forbids sending a request; None if it may be sent.
 
         """
         self._refresh()
@@ -69,11 +69,11 @@
         listed_epoch = self.listed_epochs.get(suspicion.fingerprint)
         if listed_epoch is not None and listed_epoch >= suspicion.epoch:
             return SuspicionLevel.AT_FAULT
-        standing = suspicion_level_of(suspicion)
-        if standing is SuspicionLevel.SUSPECTED and self._begin_trial(suspicion):
+        level = suspicion_level_of(suspicion)
+        if level is SuspicionLevel.SUSPECTED and self._begin_trial(suspicion):
             log.info('Suspected request sent on trial. fingerprint={}', suspicion.fingerprint)
             return None
-        return standing if standing is not SuspicionLevel.FREE else None
+        return level if level is not SuspicionLevel.FREE else None
 
     def _begin_trial(self, suspicion: Suspicion) -> bool:
         return self.trials is not None and self.trials.begin(suspicion)
--- a/packages/millforkd/millforkd/replica/control.py
+++ b/packages/millforkd/millforkd/replica/control.py
@@ -79,7 +79,7 @@
         # By reason: the time of the last logged refusal, and the number of refusals since.
         self.refused_logged: dict[Reason, float] = {}
         self.refused_unlogged: Counter[Reason] = Counter()
-        # Drains and goodbyes of back ends that a majority of the replicas has.
+        # Drains and leave notices of back ends that a majority of the replicas has.
         self.endings_at_majority: set[tuple[str, Incarnation, LeaseState]] = set()
 
     async def answer(self, exchange: Exchange) -> None:
@@ -165,9 +165,9 @@
 
     def _may_be_of_another_incarnation(self, call: LeaveNotice) -> bool:
         """
-        Whether other replicas may know an incarnation that this goodbye doesn't end, as it
-        names none and none is known here. Requests would reach that incarnation after the
-        goodbye is acknowledged.
+        Whether other replicas may know an incarnation that this leave notice doesn't end, as the
+        notice names none and none is known here. Requests would reach that incarnation after
+        the notice is acknowledged.
 
         """
         known = self.registry.leases.get(call.instance) is not None
@@ -175,7 +175,7 @@
 
     async def _send_ending_to_majority(self, instance: str) -> None:
         """
-        Send a back end's drain or goodbye to a majority of the replicas before it
+        Send a back end's drain or leave notice to a majority of the replicas before it
         is acknowledged, as the back end relies on the acknowledgement.
 
         :raises Refused: if too few replicas confirmed it in time.
--- a/packages/millforkd/millforkd/replica/replica_links.py
+++ b/packages/millforkd/millforkd/replica/replica_links.py
@@ -27,7 +27,7 @@
 
 ROUND_PERIOD_S: Final = 0.5
 FOLLOW_TIMEOUT_S: Final = 0.6
-# A back end that reports its drain or goodbye waits one second for the answer.
+# A back end that reports its drain or leave waits one second for the answer.
 MAJORITY_TIMEOUT_S: Final = 0.7
 # An owner that was silent for this long no longer expires its leases.
 OWNER_LOST_AFTER_S: Final = 2.0
@@ -245,8 +245,8 @@
         changes += [self.registry.merge_endpoint_state(state) for state in endpoints]
         if message.full and message.settled:
             self.registry.is_complete = True
-        news_on_suspicions = await self.registry.suspicion_store.merge(suspicions)
-        if news_on_suspicions or RecordChange.CHANGED in changes:
+        suspicions_changed = await self.registry.suspicion_store.merge(suspicions)
+        if suspicions_changed or RecordChange.CHANGED in changes:
             await self.followers.wake()
 
     async def send_to_majority(self, lease: Lease) -> bool:
--- a/packages/millforkd/millforkd/settling.py
+++ b/packages/millforkd/millforkd/settling.py
@@ -16,7 +16,7 @@
 
 SETTLE_TIMEOUT_S: Final = 30.0
 # The response is stored up to this length. The caller of a longer one, when it tries again,
-# is only told that its request ran.
+# learns only that its request ran.
 MAX_KEPT_BODY_BYTES: Final = 16 * 1024
 
 
--- a/packages/millforkd/millforkd/sidecar/expiry.py
+++ b/packages/millforkd/millforkd/sidecar/expiry.py
@@ -111,7 +111,7 @@
     def _has_ended(self, target: Target) -> bool:
         """
         Whether the engine still serves a version on which no request may start any more,
-        or which gets there within `EMPTY_AHEAD_S`.
+        or on which none may start after `EMPTY_AHEAD_S`.
 
         """
         emptied = self.emptied_for == (self.rollout.incarnation, target.weights.version)
--- a/packages/millforkd/millforkd/sidecar/fleet.py
+++ b/packages/millforkd/millforkd/sidecar/fleet.py
@@ -21,8 +21,7 @@
 from millforkd.sidecar.pieces import WeightsId
 from millforkd.sidecar.sources import holders, preferred_holders, request_order
 
-# What is computed from the states of all daemons is needed for each piece, and reused for
-# this long.
+# A snapshot of the states of all daemons is needed for each piece, and reused for this long.
 SNAPSHOT_MAX_AGE_S: Final = 0.2
 
 
@@ -42,7 +41,7 @@
 
 class Fleet:
     """
-    Computes which daemons hold a piece, who fetches it, and when each engine changes.
+    Computes which daemons hold a piece, which daemon fetches it, and when each engine changes.
 
     """
 
@@ -88,7 +87,7 @@
             goal = state.goal
             if goal is None or (goal.model, goal.version) != (weights.model, weights.version):
                 continue
-            # The layers that a daemon has begun with override the computed assignment.
+            # The layers that a daemon loads first override the computed assignment.
             end = goal.end if goal.end is not None else layers
             assignments[state.instance] = LayerAssignment(
                 Layers(goal.first, end), assignments[state.instance].pair
--- a/packages/millforkd/millforkd/sidecar/gathering.py
+++ b/packages/millforkd/millforkd/sidecar/gathering.py
@@ -160,9 +160,9 @@
             await self._ask_caches(held, index)
             return
         async with self.slow_link_lock:
-            began = self.env.monotonic()
+            started_at = self.env.monotonic()
             await self._ask_caches(held, index)
-            await curio.sleep(self.env.monotonic() - began)
+            await curio.sleep(self.env.monotonic() - started_at)
 
     async def _ask_caches(self, held: PieceSet, index: int) -> None:
         for name in request_order(self.near_caches(), held.weights, index)[:MAX_PEERS_PER_ROUND]:
@@ -171,7 +171,7 @@
                 return
 
     async def _request_from_cache(self, name: str, weights: WeightsId, index: int) -> bytes:
-        began = self.transfer_times.begin()
+        transfer = self.transfer_times.begin()
         timeout = PEER_TIMEOUT_S if self.transfer_times.is_slow else CACHE_TIMEOUT_S
         data = b''
         try:
@@ -180,7 +180,7 @@
             log.info('Piece {} of {} was not received from {}: {}.', index, weights, name, error)
             self.silent.mark_silent(name)
         finally:
-            self.transfer_times.end(began, len(data))
+            self.transfer_times.end(transfer, len(data))
         return data
 
     # Requests to the origin.
--- a/packages/millforkd/millforkd/sidecar/origin.py
+++ b/packages/millforkd/millforkd/sidecar/origin.py
@@ -64,14 +64,14 @@
 
         """
         weights = held.weights
-        began = self.env.monotonic()
+        started_at = self.env.monotonic()
         data = await self._fetch(self.adapter.piece_request(weights.model, weights.version, index))
         log.debug(
             'Piece fetched from the origin. weights={} index={} got={} ms={:.0f}',
             weights,
             index,
             data is not None,
-            (self.env.monotonic() - began) * 1000,
+            (self.env.monotonic() - started_at) * 1000,
         )
         if data is None:
             return None
--- a/packages/millforkd/millforkd/sidecar/rollout.py
+++ b/packages/millforkd/millforkd/sidecar/rollout.py
@@ -98,7 +98,7 @@
             report.incarnation,
         )
         self.incarnation = report.incarnation
-        # What was known of the engine's last process is void. Pieces may still be staged.
+        # Facts about the engine's previous process no longer apply. Pieces may still be staged.
         self.staged_checked = False
         self.staged_weights = None
         self.assignment = None
@@ -167,13 +167,13 @@
         Fetch the next layers that the engine lacks, and order the engine to load them.
 
         """
-        began = self.env.monotonic()
+        started_at = self.env.monotonic()
         held = self.store.get_or_create(target.weights)
         await self._check_staged(held)
         goal = self._choose_goal(target, held)
         if not await self._gather(held, target, goal):
             return
-        gathered = self.env.monotonic()
+        gathered_at = self.env.monotonic()
         if not await self._wait_for_turn(target):
             return
         await self._start(target, held, goal)
@@ -185,8 +185,8 @@
             goal.first,
             goal.end,
             self._served_layers(target),
-            gathered - began,
-            now - gathered,
+            gathered_at - started_at,
+            now - gathered_at,
             now - target.chosen_at,
         )
 
@@ -195,8 +195,8 @@
         The layers that the engine loads next.
 
         """
-        begun = held.whole or self._served_layers(target) is not None
-        if begun or (self.serves_another(target) and self.gatherer.near_caches()):
+        has_started = held.whole or self._served_layers(target) is not None
+        if has_started or (self.serves_another(target) and self.gatherer.near_caches()):
             return Layers(0, target.layers)
         return self._own_assignment(target).layers
 
--- a/packages/millforkd/millforkd/sidecar/target.py
+++ b/packages/millforkd/millforkd/sidecar/target.py
@@ -76,7 +76,7 @@
 
     def choose(self, spec: EngineSpec) -> Target:
         """
-        The next target of an engine with these figures.
+        The next target of an engine with this specification.
 
         """
         self.versions.refresh()
@@ -112,11 +112,11 @@
             and not self._is_stuck(version, now)
             and self._is_worthwhile(spec, version, now)
         ]
-        best, least_idle_s = newest, self._idle_direct_s(spec, newest, now, ends)
+        best, min_idle_s = newest, self._idle_direct_s(spec, newest, now, ends)
         for version in intermediate:
             idle_s = self._idle_via_s(spec, version, now, ends)
-            if idle_s < least_idle_s:
-                best, least_idle_s = version, idle_s
+            if idle_s < min_idle_s:
+                best, min_idle_s = version, idle_s
         return best
 
     def _is_worthwhile(self, spec: EngineSpec, version: int, now: float) -> bool:
--- a/packages/millforkd/millforkd/versions.py
+++ b/packages/millforkd/millforkd/versions.py
@@ -31,7 +31,7 @@
 
 def always_leads() -> bool:
     """
-    For a process that gets no cutoffs from others.
+    The default for `leads`: the process gets no cutoffs from others.
 
     """
     return True
@@ -39,7 +39,7 @@
 
 def always_current() -> bool:
     """
-    For a process whose view is up to date whenever it is read.
+    The default for `is_current`: the view is up to date whenever it is read.
 
     """
     return True
@@ -47,7 +47,7 @@
 
 def never_leads() -> bool:
     """
-    For a process that follows the replicas.
+    For `leads` of a process that follows the replicas.
 
     """
     return False
@@ -55,7 +55,7 @@
 
 def no_arrival_time(key: str, version: int) -> float | None:
     """
-    For a process without a replicated log.
+    The default for `arrived_at`: the process has no replicated log.
 
     """
     return None
@@ -177,7 +177,7 @@
 
     def oldest_usable(self, model: str) -> int:
         """
-        The oldest version on which a request may begin now; 0 if any will do.
+        The oldest version on which a request may begin now; 0 if all may be used.
 
         """
         now = self.env.monotonic()
--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -246,7 +246,7 @@
         (
             Edit(
                 D + 'proxy/cache.py',
-                'if not draw and await self._fetch_from_cache(held, index):',
+                'if not direct and await self._fetch_from_cache(held, index):',
                 'if False:',
             ),
         ),
@@ -400,7 +400,7 @@
         (
             Edit(
                 D + 'proxy/request_sender.py',
-                'if version is None or version < least:',
+                'if version is None or version < oldest:',
                 'if version is None:',
             ),
         ),
@@ -411,8 +411,8 @@
         (
             Edit(
                 D + 'proxy/request_sender.py',
-                'if version is None or version < least:',
-                'if version is not None and version < least:',
+                'if version is None or version < oldest:',
+                'if version is not None and version < oldest:',
             ),
         ),
     ),
@@ -682,7 +682,7 @@
         (
             Edit(
                 D + 'proxy/cache.py',
-                'if draw or not await self._fetch_from_cache(held, DIGESTS_INDEX):',
+                'if direct or not await self._fetch_from_cache(held, DIGESTS_INDEX):',
                 'if True:',
             ),
         ),
