--- a/packages/millfork-registry/millfork_registry/feed_client.py
+++ b/packages/millfork-registry/millfork_registry/feed_client.py
@@ -75,7 +75,7 @@
         self.age_ms = 0
         # Number of entries that the replica knows now, and the greatest recent number.
         self.entries = 1
-        self.max_recent_entries = 1
+        self.peak_entries = 1
         # Whether any replica has reported the number of entries.
         self.entries_known = False
         # The follower that relays the feed while no replica is in reach, and the follower
@@ -289,7 +289,7 @@
         if peer == self.source:
             self.source_heard_at = self.env.monotonic()
             self.entries = max(message.entries, 1)
-            self.max_recent_entries = max(message.most_entries, self.entries)
+            self.peak_entries = max(message.most_entries, self.entries)
             self.entries_known = True
         try:
             leases = decode_leases(message.leases)
--- a/packages/millfork-registry/millfork_registry/feed_relay.py
+++ b/packages/millfork-registry/millfork_registry/feed_relay.py
@@ -161,7 +161,7 @@
             feed_client.entries,
             encode_records(leases) if leases else b'',
             encode_records(reports) if reports else b'',
-            feed_client.max_recent_entries,
+            feed_client.peak_entries,
             encode_suspicions(suspicions),
         )
         try:
--- a/packages/millfork-registry/millfork_registry/followers.py
+++ b/packages/millfork-registry/millfork_registry/followers.py
@@ -69,7 +69,7 @@
         # The entries divide a fixed allowance of retries. Entries that start during a network
         # partition must count those on the other side too, or else each side would use the
         # whole allowance.
-        self.max_recent_entries = WindowMax(ENTRIES_REMEMBERED_S)
+        self.peak_entries = WindowMax(ENTRIES_REMEMBERED_S)
 
     @property
     def local_entries(self) -> int:
@@ -180,7 +180,7 @@
             self.entries,
             encode_records(leases) if leases else b'',
             encode_records(endpoints) if endpoints else b'',
-            self.max_recent_entries.add(self.entries, self.env.monotonic()),
+            self.peak_entries.add(self.entries, self.env.monotonic()),
             # An endpoint daemon doesn't route requests, and its link has little bandwidth.
             encode_suspicions(suspicions if follower.role in ROLES_SENT_SUSPICIONS else []),
         )
--- a/packages/millfork-registry/millfork_registry/registry.py
+++ b/packages/millfork-registry/millfork_registry/registry.py
@@ -137,9 +137,7 @@
             return None
         return other
 
-    def record_leave_notice(
-        self, instance: str, incarnation: Incarnation | None = None
-    ) -> RecordChange:
+    def record_leave(self, instance: str, incarnation: Incarnation | None = None) -> RecordChange:
         """
         Record that a back end leaves; without an incarnation, the known one is meant.
 
@@ -147,7 +145,7 @@
         held = self.leases.get(instance)
         owner = str(self.env.instance)
         if held is None:
-            # Other replicas may know the back end, so the goodbye is recorded all the same.
+            # Other replicas may know the back end, so the leave notice is still recorded.
             leaving = incarnation or UNKNOWN_INCARNATION
             gone = Lease(instance, '', '', 0, '', 0, LeaseState.GONE, 0, owner, incarnation=leaving)
             return self.merge_lease(gone)
--- a/packages/millfork-routing/millfork_routing/shared_budget.py
+++ b/packages/millfork-routing/millfork_routing/shared_budget.py
@@ -92,7 +92,7 @@
         # Since when there has been contact with a majority. Once that has lasted a whole window,
         # a loss of contact no longer resets it.
         self.quorum_since: float | None = None
-        self.max_recent_entries = WindowMax(ENTRIES_REMEMBERED_S)
+        self.peak_entries = WindowMax(ENTRIES_REMEMBERED_S)
         self.windows: dict[ServiceName, _Window] = {}
 
     def note_request(self, service: ServiceName) -> None:
@@ -145,10 +145,10 @@
             if not self._knows_all_entries():
                 self.quorum_since = None
             # Entries behind the partition use the allowance for as long as it lasts.
-            return max(self.max_recent_entries.maximum, entries)
+            return max(self.peak_entries.maximum, entries)
         if self.quorum_since is None:
             self.quorum_since = now
-        return self.max_recent_entries.add(entries, now)
+        return self.peak_entries.add(entries, now)
 
     def _knows_all_entries(self) -> bool:
         """
--- a/packages/millfork-scheduling/millfork_scheduling/server_table.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server_table.py
@@ -55,13 +55,13 @@
         random: Random,
         monotonic: Callable[[], float],
         entries: Callable[[], int] = lambda: 1,
-        max_recent_entries: Callable[[], int] = lambda: 1,
+        peak_entries: Callable[[], int] = lambda: 1,
     ) -> None:
         self.zone = zone
         self.entries = entries
         # The highest number of entries seen lately. Entries that are out of reach now may still
         # send requests.
-        self.max_recent_entries = max_recent_entries
+        self.peak_entries = peak_entries
         # How much later than predicted from the engine spec first tokens came lately, in ms.
         self.lateness: dict[ServiceName, Lateness] = {}
         self.random = random
@@ -370,7 +370,7 @@
         Why a back end's own signals forbid sending to it now; None if they don't.
 
         """
-        return server.availability.closure(self.monotonic(), max(self.max_recent_entries(), 1))
+        return server.availability.closure(self.monotonic(), max(self.peak_entries(), 1))
 
     def note_sent(self, servers: Iterable[Server]) -> None:
         """
@@ -378,7 +378,7 @@
 
         """
         for server in servers:
-            server.availability.note_sent(self.monotonic(), max(self.max_recent_entries(), 1))
+            server.availability.note_sent(self.monotonic(), max(self.peak_entries(), 1))
 
     def first_to_open(self, requirements: Requirements) -> Closure | None:
         """
--- a/packages/millforkd/millforkd/proxy/cache.py
+++ b/packages/millforkd/millforkd/proxy/cache.py
@@ -38,9 +38,9 @@
 # Enough concurrent fetches to use the whole link of the origin.
 MAX_CONCURRENT_ORIGIN_FETCHES: Final = 3
 MAX_CONCURRENT_PREFETCHES: Final = 2
-# A requester takes a cache for silent after a second; this one answers 'not yet' well before.
+# A requester considers a cache silent after a second; a cache answers 'not yet' before that.
 ANSWER_WITHIN_S: Final = 0.5
-# Another cache answers 'not yet' after WAIT_S, and the latency between zones is below 0.1 s.
+# Another cache answers within ANSWER_WITHIN_S, and the latency between zones is below 0.1 s.
 PEER_TIMEOUT_S: Final = 0.8
 # A piece that arrives corrupt is fetched once more.
 MAX_ORIGIN_ATTEMPTS: Final = 2
@@ -48,7 +48,7 @@
 RETRY_S: Final = 0.2
 # A version without a request for this long is not needed at the moment: a daemon that needs
 # one repeats its request after 0.5 s and a pause of RETRY_S.
-REQUESTED_WITHIN_S: Final = 1.2
+IDLE_S: Final = 1.2
 NOT_YET: Final = 'not yet'
 ORIGIN_FAILS: Final = 'the origin does not answer'
 OTHERS_FIRST: Final = 'the origin sends other pieces first'
@@ -267,7 +267,7 @@
 
     def _fetcher_of(self, weights: WeightsId, index: int) -> str:
         """
-        The cache that fetches a piece from the origin. Caches that were silent lately are left
+        The cache that fetches a piece from the origin. Caches that were silent recently are left
         out; without any other this cache is the fetcher.
 
         """
@@ -314,7 +314,7 @@
             for index in prefetch_order(len(held.digests))
             if not zone_caches or request_order(zone_caches, weights, index)[0] == own
         ]
-        while self.store.find(weights) is held and self._is_wanted(weights):
+        while self.store.find(weights) is held and self._is_requested(weights):
             queue = [index for index in reversed(own_indexes) if index not in held.pieces]
             if not queue:
                 break
@@ -324,7 +324,7 @@
                     await group.spawn(self._run_prefetcher, weights, queue)
             if len(held.pieces) == before:
                 await curio.sleep(RETRY_S)
-        if not self._is_wanted(weights):
+        if not self._is_requested(weights):
             # The next request starts prefetching again.
             self.prefetching.discard(weights)
         log.info(
@@ -334,19 +334,16 @@
             len(held.digests),
         )
 
-    def _is_wanted(self, weights: WeightsId) -> bool:
+    def _is_requested(self, weights: WeightsId) -> bool:
         """
         Whether a version is still requested. Prefetching one that is not would delay other
         versions where the origin's link is the bottleneck.
 
         """
-        return (
-            self.env.monotonic() - self.last_requested_at.get(weights, float('-inf'))
-            < REQUESTED_WITHIN_S
-        )
+        return self.env.monotonic() - self.last_requested_at.get(weights, float('-inf')) < IDLE_S
 
     async def _run_prefetcher(self, weights: WeightsId, queue: list[int]) -> None:
-        while queue and self._is_wanted(weights):
+        while queue and self._is_requested(weights):
             await self._ensure_piece(weights, queue.pop(), False, self._answer_deadline())
 
 
--- a/packages/millforkd/millforkd/proxy/daemon.py
+++ b/packages/millforkd/millforkd/proxy/daemon.py
@@ -84,20 +84,20 @@
             env.random,
             env.monotonic,
             lambda: self.feed_client.entries,
-            self.max_recent_entries,
+            self.peak_entries,
         )
         self.pools = Pools(env)
         self.budget = SharedBudget(
             promises.retry_ratio,
             promises.retry_slack,
             promises.retry_window_s,
-            lambda: self.feed_client.max_recent_entries,
+            lambda: self.feed_client.peak_entries,
             env.monotonic,
             lambda: self.feed_client.connected,
         )
         fingerprints = Fingerprints(fleet_key(settings), lambda: self.view.cluster)
         self.turned_away = TurnedAwayDirectory(env, self.peers, self.discovery.caches, fingerprints)
-        trials = TrialSchedule(env.random, env.monotonic, self.max_recent_entries)
+        trials = TrialSchedule(env.random, env.monotonic, self.peak_entries)
         self.forwarding = Forwarding(
             env,
             adapter,
@@ -136,16 +136,14 @@
         # The last logged number of repeats within the window, by service.
         self.repeats_logged: dict[ServiceName, int] = {}
 
-    def max_recent_entries(self) -> int:
+    def peak_entries(self) -> int:
         """
         The largest number of entries known recently. Before a replica has sent one, a large
-        number is assumed: otherwise this entry would use a shared limit alone.
+        number is assumed: otherwise this entry would use all of a shared limit.
 
         """
         return (
-            self.feed_client.max_recent_entries
-            if self.feed_client.entries_known
-            else DEFAULT_ENTRY_COUNT
+            self.feed_client.peak_entries if self.feed_client.entries_known else DEFAULT_ENTRY_COUNT
         )
 
     @property
--- a/packages/millforkd/millforkd/proxy/fingerprints.py
+++ b/packages/millforkd/millforkd/proxy/fingerprints.py
@@ -28,10 +28,10 @@
         """
         if job.fingerprint is None:
             caller = job.organisation.name if job.organisation is not None else job.caller.key
-            job.fingerprint = self.compute_for_request(job.exchange.request, caller)
+            job.fingerprint = self.for_request(job.exchange.request, caller)
         return job.fingerprint
 
-    def compute_for_request(self, request: Request, caller: str) -> Fingerprint:
+    def for_request(self, request: Request, caller: str) -> Fingerprint:
         """
         The fingerprint of a request; `caller` is its organisation's name or API key.
 
--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -516,7 +516,7 @@
         (
             Edit(
                 R + 'shared_budget.py',
-                'return self.max_recent_entries.add(entries, now)',
+                'return self.peak_entries.add(entries, now)',
                 'return entries',
             ),
         ),
@@ -538,7 +538,7 @@
         (
             Edit(
                 G + 'followers.py',
-                'self.max_recent_entries.add(self.entries, self.env.monotonic())',
+                'self.peak_entries.add(self.entries, self.env.monotonic())',
                 'self.entries',
             ),
         ),
--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -202,7 +202,7 @@
         cache = cache_at('10.0.0.1:1', 'z1', origin, peers, [CacheAddress('10.0.0.1:1', 'z1')])
         cache.env.monotonic = lambda: now
         assert not (await cache.on_get_chunk(GetChunk('m@2', 0))).found
-        now += caching.REQUESTED_WITHIN_S + 0.1
+        now += caching.IDLE_S + 0.1
         async with curio.timeout_after(5):
             while WeightsId('m', 2) in cache.prefetching:
                 await curio.sleep(0)
--- a/tests/test_feed_client.py
+++ b/tests/test_feed_client.py
@@ -127,8 +127,8 @@
     async def run():
         # From another follower, which relays the feed.
         await client.handle_feed_message(InstanceId('10.0.0.8:7'), leases)
-        assert ProxyDaemon.max_recent_entries(daemon) == DEFAULT_ENTRY_COUNT
+        assert ProxyDaemon.peak_entries(daemon) == DEFAULT_ENTRY_COUNT
         await client.handle_feed_message(client.source, leases)
-        assert ProxyDaemon.max_recent_entries(daemon) == 7
+        assert ProxyDaemon.peak_entries(daemon) == 7
 
     curio.run(run)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -37,17 +37,14 @@
 
 def test_a_fingerprint_depends_only_on_path_caller_body_key_and_cluster():
     made = Fingerprints(b'key', lambda: 'cluster')
-    first = made.compute_for_request(Request('POST', '/a', [('x-request-id', '1')], b'text'), 'org')
-    assert (
-        made.compute_for_request(Request('POST', '/a', [('x-request-id', '2')], b'text'), 'org')
-        == first
-    )
+    first = made.for_request(Request('POST', '/a', [('x-request-id', '1')], b'text'), 'org')
+    assert made.for_request(Request('POST', '/a', [('x-request-id', '2')], b'text'), 'org') == first
     others = [
-        made.compute_for_request(Request('POST', '/b', [], b'text'), 'org'),
-        made.compute_for_request(Request('POST', '/a', [], b'text'), 'other'),
-        made.compute_for_request(Request('POST', '/a', [], b'else'), 'org'),
-        Fingerprints(b'key', lambda: 'another').compute_for_request(Request('POST', '/a'), 'org'),
-        Fingerprints(b'word', lambda: 'cluster').compute_for_request(Request('POST', '/a'), 'org'),
+        made.for_request(Request('POST', '/b', [], b'text'), 'org'),
+        made.for_request(Request('POST', '/a', [], b'text'), 'other'),
+        made.for_request(Request('POST', '/a', [], b'else'), 'org'),
+        Fingerprints(b'key', lambda: 'another').for_request(Request('POST', '/a'), 'org'),
+        Fingerprints(b'word', lambda: 'cluster').for_request(Request('POST', '/a'), 'org'),
     ]
     assert len({first, *others}) == 1 + len(others)
     assert 'text' not in first
