--- a/packages/millforkd/millforkd/endpoint/backend_gateway.py
+++ b/packages/millforkd/millforkd/endpoint/backend_gateway.py
@@ -61,10 +61,10 @@
         env: Environment,
         settings: BackendSettings,
         source: str,
-        proposals: LeaderClient,
+        leader_client: LeaderClient,
     ) -> None:
         self.env = env
-        self.proposals = proposals
+        self.leader_client = leader_client
         self.settings = settings
         self.is_engine = settings.kind is BackendKind.ENGINE
         self.client = Client(*settings.address.pair, source=source)
@@ -216,7 +216,7 @@
         request = reservation.request
         if reservation.response is not None:
             await settle_claim(
-                self.env, self.proposals, request.key, request.attempt, reservation.response
+                self.env, self.leader_client, request.key, request.attempt, reservation.response
             )
 
     async def _wait_for_start_and_slot(self, reservation: Reservation) -> Refusal | None:
--- a/packages/millforkd/millforkd/endpoint/daemon.py
+++ b/packages/millforkd/millforkd/endpoint/daemon.py
@@ -48,8 +48,8 @@
         self.settings = settings
         self.member = Member(env, settings, self.handle, POLL_INTERVAL_S)
         host = str(settings.address)
-        proposals = LeaderClient(env, self.member.peers, self.member.replicas, None)
-        self.gateway = BackendGateway(env, settings.backend, host, proposals)
+        leader_client = LeaderClient(env, self.member.peers, self.member.replicas, None)
+        self.gateway = BackendGateway(env, settings.backend, host, leader_client)
         self.store: WeightStore | None = None
         self.chunk_server: ChunkServer | None = None
         self.rollout: Rollout | None = None
--- a/packages/millforkd/millforkd/entry/daemon.py
+++ b/packages/millforkd/millforkd/entry/daemon.py
@@ -63,7 +63,7 @@
         token_file = settings.admin_token_file
         self.access_control = AccessControl(view, read_secret(token_file) if token_file else None)
         origin = settings.weights.origin
-        self.proposals = LeaderClient(env, self.member.peers, self.member.replicas, self.node)
+        self.leader_client = LeaderClient(env, self.member.peers, self.member.replicas, self.node)
         self.endpoints = EndpointConnections(
             env, view, self.member.roster, self.member.peers, settings.routing.subset
         )
@@ -85,7 +85,7 @@
             view,
             self.access_control,
             self.dispatcher,
-            KeyClaims(env, self.proposals),
+            KeyClaims(env, self.leader_client),
         )
         self.quarantine = self._build_quarantine(suspicion_store)
         self.operator_requests = OperatorRequests(
@@ -94,7 +94,7 @@
             self.member.roster,
             self.member.reports,
             self.access_control,
-            self.proposals,
+            self.leader_client,
             Origin(*origin.pair, str(settings.address)) if origin else None,
         )
         self.server = Server(
@@ -128,7 +128,7 @@
             self.env,
             self.member.view,
             suspicion_store,
-            self.proposals,
+            self.leader_client,
             lambda: node.leads,
             lambda: int(time.time() * 1000),
         )
--- a/packages/millforkd/millforkd/entry/key_claims.py
+++ b/packages/millforkd/millforkd/entry/key_claims.py
@@ -24,9 +24,9 @@
 
     """
 
-    def __init__(self, env: Environment, proposals: LeaderClient) -> None:
+    def __init__(self, env: Environment, leader_client: LeaderClient) -> None:
         self.env = env
-        self.proposals = proposals
+        self.leader_client = leader_client
 
     async def claim(self, call: Call) -> Response | None:
         """
@@ -38,7 +38,7 @@
         """
         command = ClaimKey(replicated_key(call), call.claim, _fingerprint(call))
         try:
-            data = await self.proposals.propose(command, CLAIM_TIMEOUT_S)
+            data = await self.leader_client.propose(command, CLAIM_TIMEOUT_S)
         except Refused as error:
             detail = 'no quorum can confirm whether this key is in use'
             raise Refused(Refusal(Reason.CLAIM_UNAVAILABLE, detail=detail)) from error
@@ -54,7 +54,7 @@
         """
         if response is None and verdict is not Verdict.NOT_RUN:
             return
-        await settle_claim(self.env, self.proposals, replicated_key(call), call.claim, response)
+        await settle_claim(self.env, self.leader_client, replicated_key(call), call.claim, response)
 
 
 def _repeated_response(result: ClaimResult) -> Response:
--- a/packages/millforkd/millforkd/entry/operator_requests.py
+++ b/packages/millforkd/millforkd/entry/operator_requests.py
@@ -70,7 +70,7 @@
         roster: Roster,
         reports: Reports,
         access: AccessControl,
-        proposals: LeaderClient,
+        leader_client: LeaderClient,
         origin: Origin | None,
     ) -> None:
         self.env = env
@@ -78,7 +78,7 @@
         self.roster = roster
         self.reports = reports
         self.access_control = access
-        self.proposals = proposals
+        self.leader_client = leader_client
         self.origin = origin
 
     async def handle(self, exchange: Exchange) -> None:
@@ -118,7 +118,7 @@
             raise Refused(Refusal(Reason.INVALID, detail='; '.join(found))) from error
         changes = await self._build_changes(declaration, operator, request)
         command = Apply(request.command_id or uuid.uuid4().hex, changes)
-        result = decode_apply_result(await self.proposals.propose(command))
+        result = decode_apply_result(await self.leader_client.propose(command))
         if not result.ok:
             detail = 'changed since the expected revision: ' + ', '.join(result.conflicts)
             raise Refused(Refusal(Reason.CONFLICT, detail=detail))
@@ -180,7 +180,7 @@
     # Read.
 
     async def _state(self, operator: Operator) -> Response:
-        body = await self.proposals.read_state()
+        body = await self.leader_client.read_state()
         items = {}
         for key, (value, revision) in body.items.items():
             if self._may_see(operator, key):
@@ -197,7 +197,7 @@
 
     async def _status(self, operator: Operator) -> Response:
         try:
-            reports = {r.instance: r for r in await self.proposals.read_reports()}
+            reports = {r.instance: r for r in await self.leader_client.read_reports()}
             partial = False
         except Refused:
             reports = {str(name): known.report for name, known in self.reports.by_instance.items()}
--- a/packages/millforkd/millforkd/proxy/turned_away_directory.py
+++ b/packages/millforkd/millforkd/proxy/turned_away_directory.py
@@ -52,7 +52,7 @@
         # Returns the entries that all entries of their zone know of.
         self.list_entries = list_entries
         self.fingerprints = fingerprints
-        self.first_tries = TurnedAwayRequests()
+        self.requests = TurnedAwayRequests()
         self.queries = PeerQueries(env, peers, 'first_try_unknown')
 
     async def note(self, job: Job) -> None:
@@ -77,7 +77,7 @@
         fingerprint = self._short_fingerprint(job)
         owner = self._owner_of(fingerprint)
         if owner == str(self.env.instance):
-            return self.first_tries.elapsed_ms(fingerprint, self.env.monotonic()) or 0
+            return self.requests.elapsed_ms(fingerprint, self.env.monotonic()) or 0
         return await self._ask(owner, AskTurnedAway(fingerprint))
 
     def on_note(self, message: NoteTurnedAway) -> None:
@@ -85,14 +85,14 @@
         Record a request that another entry turned away.
 
         """
-        self.first_tries.note(message.fingerprint, message.elapsed_ms, self.env.monotonic())
+        self.requests.note(message.fingerprint, message.elapsed_ms, self.env.monotonic())
 
     def on_ask(self, message: AskTurnedAway) -> TurnedAwayBefore:
         """
         Answer another entry's query for a request.
 
         """
-        elapsed_ms = self.first_tries.elapsed_ms(message.fingerprint, self.env.monotonic())
+        elapsed_ms = self.requests.elapsed_ms(message.fingerprint, self.env.monotonic())
         return TurnedAwayBefore(elapsed_ms is not None, elapsed_ms or 0)
 
     def _short_fingerprint(self, job: Job) -> bytes:
--- a/packages/millforkd/millforkd/replica/control.py
+++ b/packages/millforkd/millforkd/replica/control.py
@@ -64,7 +64,7 @@
         registry: Registry,
         followers: Followers,
         replica_links: ReplicaLinks,
-        proposals: LeaderClient,
+        leader_client: LeaderClient,
     ) -> None:
         self.env = env
         self.adapter = adapter
@@ -72,7 +72,7 @@
         self.registry = registry
         self.followers = followers
         self.replica_links = replica_links
-        self.proposals = proposals
+        self.leader_client = leader_client
         # The declared services; None as long as there is no document.
         self.services: frozenset[ServiceName] | None = None
         self.services_revision = 0
@@ -222,7 +222,7 @@
 
     @on.register
     async def _(self, call: ReadDocument) -> Response:
-        state = await self.proposals.read_state(PROPOSAL_TIMEOUT_S)
+        state = await self.leader_client.read_state(PROPOSAL_TIMEOUT_S)
         item = state.items.get(DOCUMENT_KEY)
         if item is None:
             raise Refused(Refusal(Reason.NOT_READY, detail='no document yet'))
@@ -237,5 +237,5 @@
             if command.version <= version:
                 # The state applied here is committed, and versions never decrease.
                 return RaiseResult(False, version)
-        data = await self.proposals.propose(command, PROPOSAL_TIMEOUT_S)
+        data = await self.leader_client.propose(command, PROPOSAL_TIMEOUT_S)
         return msgspec.msgpack.decode(data, type=RaiseResult)
--- a/packages/millforkd/millforkd/replica/daemon.py
+++ b/packages/millforkd/millforkd/replica/daemon.py
@@ -78,7 +78,7 @@
         )
         for address in seeds:
             self.replica.add_address(address)
-        self.answers = StateMessageHandler(self.node)
+        self.state_messages = StateMessageHandler(self.node)
         self.registry = Registry(env, heartbeat_s)
         self.followers = Followers(env, self.replica, self.registry)
         self.replica_links = ReplicaLinks(
@@ -100,14 +100,14 @@
             leads=self._leads,
             arrived_at=self.replica.arrival_times.find,
         )
-        self.proposals = LeaderClient(
+        self.leader_client = LeaderClient(
             env, self.peers, self.replica.others, self.node, LEADER_TIMEOUT_S
         )
         self.quarantine = QuarantineList(
             env,
             self.replica.view,
             self.registry.suspicion_store,
-            self.proposals,
+            self.leader_client,
             self._leads,
             lambda: int(time.time() * 1000),
         )
@@ -118,7 +118,7 @@
             self.registry,
             self.followers,
             self.replica_links,
-            self.proposals,
+            self.leader_client,
         )
         self.server = Server(
             *socket_pair(settings.listen.control), self.control.answer, spawn=env.spawn
@@ -202,7 +202,7 @@
 
     @singledispatchmethod
     async def on(self, message: Message, connection: Connection) -> Message | None:
-        reply = await self.answers.handle(message)
+        reply = await self.state_messages.handle(message)
         if reply is not None:
             return reply
         self.env.metrics.count(self.env.metrics.wire, event='unexpected')
--- a/packages/millforkd/millforkd/replica/quarantine.py
+++ b/packages/millforkd/millforkd/replica/quarantine.py
@@ -45,14 +45,14 @@
         env: Environment,
         view: View,
         suspicion_store: SuspicionStore,
-        proposals: LeaderClient,
+        leader_client: LeaderClient,
         leads: Callable[[], bool],
         now_ms: Callable[[], int],
     ) -> None:
         self.env = env
         self.view = view
         self.suspicion_store = suspicion_store
-        self.proposals = proposals
+        self.leader_client = leader_client
         self.is_leader = leads
         self.now_ms = now_ms
 
@@ -109,7 +109,7 @@
 
     async def _propose(self, command: AnyCommand) -> bool:
         try:
-            await self.proposals.propose(command, PROPOSAL_TIMEOUT_S)
+            await self.leader_client.propose(command, PROPOSAL_TIMEOUT_S)
         except Refused as error:
             log.info('Cannot change the quarantine list: {}.', error)
             return False
--- a/packages/millforkd/millforkd/settling.py
+++ b/packages/millforkd/millforkd/settling.py
@@ -22,7 +22,7 @@
 
 async def settle_claim(
     env: Environment,
-    proposals: LeaderClient,
+    leader_client: LeaderClient,
     key: str,
     claim: str,
     response: Response | None,
@@ -35,6 +35,6 @@
     if response is not None and len(response.body) <= MAX_KEPT_BODY_BYTES:
         command = SettleKey(key, claim, False, response.status, response.headers, response.body)
     try:
-        await proposals.propose(command, SETTLE_TIMEOUT_S)
+        await leader_client.propose(command, SETTLE_TIMEOUT_S)
     except Refused:
         env.metrics.count(env.metrics.state, event='claim_unsettled')
--- a/tests/test_backend_gateway.py
+++ b/tests/test_backend_gateway.py
@@ -80,7 +80,7 @@
         self.sent.append(message)
 
 
-class FakeProposals:
+class FakeLeaderClient:
     """
     Records the commands that the gateway proposes.
 
@@ -110,8 +110,8 @@
             coalesce_ms=0,
         )
         env = Environment(InstanceId('e'), ZoneId('z'), monotonic=clock)
-        self.proposals = FakeProposals()
-        self.gateway = BackendGateway(env, settings, '127.0.0.1', self.proposals)
+        self.leader_client = FakeLeaderClient()
+        self.gateway = BackendGateway(env, settings, '127.0.0.1', self.leader_client)
         if kind is BackendKind.ENGINE:
             self.gateway.served = {'org/main': VERSION}
         self.backend = FakeBackend(Response(status, [('millfork-version', version)], b'answer'))
@@ -243,7 +243,7 @@
         return await scene.reserve(key='org/pool/k', attempt='claim')
 
     run_steps(scene, reserve, scene.start, lambda: lose_entry(scene), scene.backend.gate.set)
-    (command,) = scene.proposals.commands
+    (command,) = scene.leader_client.commands
     assert isinstance(command, SettleKey)
     assert (command.key, command.attempt, command.released) == ('org/pool/k', 'claim', False)
     assert command.body == b'answer'
@@ -257,7 +257,7 @@
 
     run_steps(scene, reserve, lambda: lose_entry(scene))
     assert scene.gateway.in_progress == 0
-    assert scene.proposals.commands == []
+    assert scene.leader_client.commands == []
 
 
 def test_one_trial_request_is_sent_after_a_rest_period():
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -174,9 +174,9 @@
         machine.apply(command)
 
     env = Environment(InstanceId('a:1'), ZoneId('z1'))
-    proposals = SimpleNamespace(propose=propose)
+    leader_client = SimpleNamespace(propose=propose)
     now_ms = lambda: int(clock.now * 1000)  # noqa: E731
-    return QuarantineList(env, entry.view, entry.suspicion_store, proposals, leads, now_ms)
+    return QuarantineList(env, entry.view, entry.suspicion_store, leader_client, leads, now_ms)
 
 
 def test_a_request_is_blocked_after_its_third_end_and_by_the_list_alone():
