--- a/packages/millforkd/millforkd/end_watch.py
+++ b/packages/millforkd/millforkd/end_watch.py
@@ -29,7 +29,7 @@
 MAX_PROBE_WAIT_S: Final = 0.05
 
 # A back end in an unknown state is probed at least this often and for this long: an instance
-# that lost power is back within seconds, and leases behind a network partition expire meanwhile.
+# that lost power is back within seconds, and leases behind a partition expire within this time.
 MAX_PROBE_INTERVAL_S: Final = 0.5
 MAX_WATCH_S: Final = 20.0
 
--- a/packages/millforkd/millforkd/endpoint/backend_gateway.py
+++ b/packages/millforkd/millforkd/endpoint/backend_gateway.py
@@ -158,7 +158,7 @@
 
     async def on_cancel(self, connection: Connection, message: Cancel) -> Cancelled:
         """
-        Cancel a request. After the verdict NOT_RUN in the reply it is never run here.
+        Cancel a request. After a reply with NOT_RUN, the request never runs here.
 
         """
         reservation = self.reservations.get(message.request_id)
--- a/packages/millforkd/millforkd/fingerprints.py
+++ b/packages/millforkd/millforkd/fingerprints.py
@@ -25,7 +25,7 @@
     hash_key = hashlib.sha256(key + cluster.encode()).digest()
     keyed_hash = hashlib.blake2b(digest_size=DIGEST_BYTES, key=hash_key)
     for part in parts:
-        # Lengths keep different splits of the same text into parts apart.
+        # The lengths distinguish different splits of one text into parts.
         keyed_hash.update(len(part.encode()).to_bytes(4, 'big'))
         keyed_hash.update(part.encode())
     keyed_hash.update(body)
--- a/packages/millforkd/millforkd/proxy/daemon.py
+++ b/packages/millforkd/millforkd/proxy/daemon.py
@@ -52,7 +52,7 @@
 HOUSEKEEPING_INTERVAL_S: Final = 0.5
 # The timeout of passing a report on to a replica; the next report follows in 0.15 s.
 REPORT_TIMEOUT_S: Final = 0.3
-# The number of entries assumed while it is unknown: that of a large fleet.
+# Assumed while the number of entries is unknown: the number in a large fleet.
 DEFAULT_ENTRY_COUNT: Final = 380
 
 log = logger(Component.PROXY)
--- a/packages/millforkd/millforkd/proxy/forwarding.py
+++ b/packages/millforkd/millforkd/proxy/forwarding.py
@@ -122,8 +122,7 @@
             self.outcomes.record(job, 'caller_gone')
             raise
         finally:
-            # Wait until the watcher has ended: the socket is closed next, and the event loop
-            # must not be waiting on it for the watcher then.
+            # The socket is closed next, so the watcher must no longer wait on it.
             await watcher.cancel()
 
     async def _watch_caller(self, job: Job, task: curio.Task) -> None:
@@ -153,7 +152,7 @@
 
     async def _note_turned_away(self, job: Job) -> None:
         """
-        Record the refusal: the caller may retry with a shorter deadline than it first had.
+        Record the refusal, as a caller that retries may send a shorter deadline.
 
         """
         self.admission.first_tries.note_turned_away(self.env.monotonic())
--- a/packages/millforkd/millforkd/proxy/turned_away_directory.py
+++ b/packages/millforkd/millforkd/proxy/turned_away_directory.py
@@ -71,7 +71,7 @@
 
     async def elapsed_ms(self, job: Job) -> int:
         """
-        Milliseconds since a job's first try; 0 if this is the first one, or if it is unknown.
+        Milliseconds since a job's first try; 0 if this is the first try or the time is unknown.
 
         """
         fingerprint = self._short_fingerprint(job)
--- a/packages/millforkd/millforkd/sidecar/expiry.py
+++ b/packages/millforkd/millforkd/sidecar/expiry.py
@@ -110,7 +110,7 @@
 
     def _has_ended(self, target: Target) -> bool:
         """
-        Whether the engine still serves a version on which no request may start any more,
+        Whether the engine still serves a version on which no request may start any longer,
         or on which none may start after `EMPTY_AHEAD_S`.
 
         """
--- a/packages/millforkd/millforkd/sidecar/target.py
+++ b/packages/millforkd/millforkd/sidecar/target.py
@@ -147,7 +147,7 @@
 
     def _idle_direct_s(self, spec: EngineSpec, newest: int, now: float, ends: float) -> float:
         """
-        For how many seconds the engine would serve nothing if it loaded the newest next.
+        For how many seconds the engine would serve nothing if it loaded the newest version next.
 
         """
         if ends == float('inf'):
