--- a/packages/millfork-registry/millfork_registry/feed_client.py
+++ b/packages/millfork-registry/millfork_registry/feed_client.py
@@ -71,11 +71,11 @@
         self.peers = peers
         self.discovery = discovery
         self.source = NO_INSTANCE
-        self.source_heard_at = 0.0
+        self.source_contact_at = 0.0
         self.age_ms = 0
         # Number of entries that the replica knows now, and the greatest recent number.
         self.entries = 1
-        self.most_entries = 1
+        self.peak_entries = 1
         # Whether any replica has reported the number of entries.
         self.entries_known = False
         # The follower that relays the feed while no replica is in reach, and the follower
@@ -102,7 +102,7 @@
         Whether the followed replica sent a message recently and is in contact with its leader.
 
         """
-        silent_s = self.env.monotonic() - self.source_heard_at
+        silent_s = self.env.monotonic() - self.source_contact_at
         return bool(self.source) and silent_s < SILENT_AFTER_S and self.age_ms < STALE_MS
 
     async def run(self) -> None:
@@ -136,11 +136,11 @@
         except PeerError as error:
             log.info('Cannot follow replica {}: {}.', address.instance, error)
             return False
-        self.source_heard_at = self.env.monotonic()
-        self.asked_at = self.source_heard_at
+        self.source_contact_at = self.env.monotonic()
+        self.asked_at = self.source_contact_at
         self.age_ms = reply.age_ms
         log.info('Following replica {}. age_ms={}', address.instance, reply.age_ms)
-        await self.registry.suspects.mark_all_unsent()
+        await self.registry.suspicion_store.mark_all_unsent()
         return True
 
     async def _ask(self, address: PeerAddress) -> Replicas | None:
@@ -203,7 +203,7 @@
             if connection is None or connection.closed:
                 reason = 'the connection is closed'
                 break
-            if now - self.source_heard_at > SILENT_AFTER_S:
+            if now - self.source_contact_at > SILENT_AFTER_S:
                 reason = 'silent'
                 await connection.close()
                 break
@@ -225,7 +225,7 @@
             'Left replica {}: {}. silent_s={:.2f} age_ms={} revision={}',
             address.instance,
             reason,
-            self.env.monotonic() - self.source_heard_at,
+            self.env.monotonic() - self.source_contact_at,
             self.age_ms,
             self.view.revision,
         )
@@ -269,7 +269,7 @@
     async def _on_update(self, peer: InstanceId, update: Update) -> None:
         now = self.env.monotonic()
         if peer == self.source:
-            self.source_heard_at = now
+            self.source_contact_at = now
             self.age_ms = update.age_ms
         elif peer != self.pending_relay:
             return
@@ -287,9 +287,9 @@
 
     async def _on_leases(self, peer: InstanceId, message: Leases) -> None:
         if peer == self.source:
-            self.source_heard_at = self.env.monotonic()
+            self.source_contact_at = self.env.monotonic()
             self.entries = max(message.entries, 1)
-            self.most_entries = max(message.most_entries, self.entries)
+            self.peak_entries = max(message.most_entries, self.entries)
             self.entries_known = True
         try:
             leases = decode_leases(message.leases)
@@ -302,7 +302,7 @@
             self.registry.merge_lease(lease)
         for state in endpoints:
             self.registry.merge_endpoint_state(state)
-        await self.registry.suspects.merge(suspicions)
+        await self.registry.suspicion_store.merge(suspicions)
         if message.full and message.settled:
             self.registry.is_complete = True
             self.registry.retain_only(
--- a/packages/millfork-registry/millfork_registry/feed_relay.py
+++ b/packages/millfork-registry/millfork_registry/feed_relay.py
@@ -61,7 +61,7 @@
 
     def _feed_is_lost(self) -> bool:
         feed_client = self.feed_client
-        silent_s = self.env.monotonic() - feed_client.source_heard_at
+        silent_s = self.env.monotonic() - feed_client.source_contact_at
         return bool(feed_client.view.cluster) and silent_s > FEED_LOST_AFTER_S
 
     def _leave_relay(self) -> None:
@@ -144,16 +144,16 @@
         now = self.env.monotonic()
         registry = feed_client.registry
         update = feed_client.view.update_since(question.cluster, question.revision)
-        update.age_ms = feed_client.age_ms + int((now - feed_client.source_heard_at) * 1000)
+        update.age_ms = feed_client.age_ms + int((now - feed_client.source_contact_at) * 1000)
         leases = registry.leases.changed_since(question.lease_version)
         reports = registry.endpoints.changed_since(question.report_version)
-        suspicions = registry.suspects.table.changed_since(question.suspicion_version)
+        suspicions = registry.suspicion_store.table.changed_since(question.suspicion_version)
         versions = FeedSent(
             True,
             registry.leases.version,
             registry.endpoints.version,
             self.switches(),
-            registry.suspects.table.version,
+            registry.suspicion_store.table.version,
         )
         feed = Leases(
             not question.lease_version,
@@ -161,7 +161,7 @@
             feed_client.entries,
             encode_records(leases) if leases else b'',
             encode_records(reports) if reports else b'',
-            feed_client.most_entries,
+            feed_client.peak_entries,
             encode_suspicions(suspicions),
         )
         try:
--- a/packages/millfork-registry/millfork_registry/followers.py
+++ b/packages/millfork-registry/millfork_registry/followers.py
@@ -69,7 +69,7 @@
         # The entries divide a fixed allowance of retries. Entries that start during a network
         # partition must count those on the other side too, or else each side would use the
         # whole allowance.
-        self.most_entries = WindowMax(ENTRIES_REMEMBERED_S)
+        self.peak_entries = WindowMax(ENTRIES_REMEMBERED_S)
 
     @property
     def local_entries(self) -> int:
@@ -164,7 +164,7 @@
         registry = self.registry
         leases = registry.leases.changed_since(follower.lease_version)
         endpoints = registry.endpoints.changed_since(follower.endpoint_version)
-        suspicions = registry.suspects.table.changed_since(follower.suspicion_version)
+        suspicions = registry.suspicion_store.table.changed_since(follower.suspicion_version)
         full = not follower.sent_full
         if follower.role == REPLICA_ROLE and not full:
             own = str(self.env.instance)
@@ -172,7 +172,7 @@
             endpoints = [state for state in endpoints if state.owner == own]
         follower.lease_version = registry.leases.version
         follower.endpoint_version = registry.endpoints.version
-        follower.suspicion_version = registry.suspects.table.version
+        follower.suspicion_version = registry.suspicion_store.table.version
         follower.sent_full = True
         return Leases(
             full,
@@ -180,7 +180,7 @@
             self.entries,
             encode_records(leases) if leases else b'',
             encode_records(endpoints) if endpoints else b'',
-            self.most_entries.add(self.entries, self.env.monotonic()),
+            self.peak_entries.add(self.entries, self.env.monotonic()),
             # An endpoint daemon doesn't route requests, and its link has little bandwidth.
             encode_suspicions(suspicions if follower.role in ROLES_SENT_SUSPICIONS else []),
         )
--- a/packages/millfork-registry/millfork_registry/registry.py
+++ b/packages/millfork-registry/millfork_registry/registry.py
@@ -61,8 +61,8 @@
         self.min_gap_s = heartbeat_s * MIN_GAP_SHARE
         self.leases: VersionedTable[Lease] = VersionedTable()
         self.endpoints: VersionedTable[EndpointState] = VersionedTable()
-        self.suspects = SuspicionStore(env.monotonic)
-        self.last_heard_at: dict[str, float] = {}
+        self.suspicion_store = SuspicionStore(env.monotonic)
+        self.last_received_at: dict[str, float] = {}
         self.ended_at_by_instance: dict[str, float] = {}
         # The back end that was last known to run at an address.
         self.instance_by_address: dict[tuple[str, int], str] = {}
@@ -137,7 +137,9 @@
             return None
         return other
 
-    def record_goodbye(self, instance: str, incarnation: Incarnation | None = None) -> RecordChange:
+    def record_leave_notice(
+        self, instance: str, incarnation: Incarnation | None = None
+    ) -> RecordChange:
         """
         Record that a back end leaves; without an incarnation, the known one is meant.
 
@@ -167,7 +169,7 @@
                 if self._is_wrongly_ended(held, lease)
                 else RecordChange.NONE
             )
-        self.last_heard_at[lease.instance] = self.env.monotonic()
+        self.last_received_at[lease.instance] = self.env.monotonic()
         if held is not None and not lease.needs_announcement_after(held):
             self.leases.put_unannounced(lease.instance, lease)
             return RecordChange.RENEWED
@@ -220,7 +222,7 @@
         """
         now = self.env.monotonic()
         for lease in self.leases.values():
-            self.last_heard_at[lease.instance] = now
+            self.last_received_at[lease.instance] = now
 
     def merge_endpoint_state(self, state: EndpointState) -> RecordChange:
         """
@@ -230,7 +232,7 @@
         held = self.endpoints.get(state.instance)
         if held is not None and state.order <= held.order:
             return RecordChange.NONE
-        self.last_heard_at[state.instance] = self.env.monotonic()
+        self.last_received_at[state.instance] = self.env.monotonic()
         self.endpoints.put(state.instance, state)
         return (
             RecordChange.CHANGED if state.needs_announcement_after(held) else RecordChange.RENEWED
@@ -245,7 +247,7 @@
             self._forget_lease(key)
         for key in [key for key in self.endpoints.rows if key not in endpoints]:
             self.endpoints.remove(key)
-            self.last_heard_at.pop(key, None)
+            self.last_received_at.pop(key, None)
 
     def expire(self, lost_owners: set[str]) -> list[Lease]:
         """
@@ -261,9 +263,9 @@
             owned_here = lease.owner == str(self.env.instance)
             if not owned_here and lease.owner not in lost_owners:
                 # The owner expires it; silence counts here from the owner's loss.
-                self.last_heard_at[lease.instance] = now
+                self.last_received_at[lease.instance] = now
                 continue
-            if now - self.last_heard_at.get(lease.instance, now) < self.lease_s:
+            if now - self.last_received_at.get(lease.instance, now) < self.lease_s:
                 continue
             ended = msgspec.structs.replace(
                 lease, state=LeaseState.EXPIRED, owner=str(self.env.instance)
@@ -285,16 +287,16 @@
         """
         now = self.env.monotonic()
         for state in list(self.endpoints.values()):
-            if now - self.last_heard_at.get(state.instance, now) > REPORT_LIFETIME_S:
+            if now - self.last_received_at.get(state.instance, now) > REPORT_LIFETIME_S:
                 self.endpoints.remove(state.instance)
-                self.last_heard_at.pop(state.instance, None)
+                self.last_received_at.pop(state.instance, None)
 
     def _forget_lease(self, key: str) -> None:
         lease = self.leases.get(key)
         if lease is not None:
             self._release_address(lease)
         self.leases.remove(key)
-        self.last_heard_at.pop(key, None)
+        self.last_received_at.pop(key, None)
         self.ended_at_by_instance.pop(key, None)
 
     def _release_address(self, lease: Lease) -> None:
--- a/packages/millfork-routing/millfork_routing/limits.py
+++ b/packages/millfork-routing/millfork_routing/limits.py
@@ -189,7 +189,7 @@
         self.ceiling = ceiling
         self.counts: dict[OrganisationId, int] = {}
 
-    def begin(self, organisation: OrganisationId) -> bool:
+    def try_acquire(self, organisation: OrganisationId) -> bool:
         """
         Count a new request; returns False if the organisation is at its ceiling.
 
@@ -200,7 +200,7 @@
         self.counts[organisation] = count + 1
         return True
 
-    def end(self, organisation: OrganisationId) -> None:
+    def release(self, organisation: OrganisationId) -> None:
         remaining = self.counts[organisation] - 1
         if remaining:
             self.counts[organisation] = remaining
--- a/packages/millfork-routing/millfork_routing/retries.py
+++ b/packages/millfork-routing/millfork_routing/retries.py
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True)
 class _Window:
-    began: float
+    started_at: float
     requests: int = 0
     retries: int = 0
 
@@ -53,7 +53,7 @@
     def _window(self, organisation: OrganisationId, service: str) -> _Window:
         now = self.monotonic()
         window = self.windows.get((organisation, service))
-        if window is None or now - window.began > WINDOW_S:
+        if window is None or now - window.started_at > WINDOW_S:
             window = _Window(now)
             self.windows[(organisation, service)] = window
         return window
--- a/packages/millfork-routing/millfork_routing/routes.py
+++ b/packages/millfork-routing/millfork_routing/routes.py
@@ -58,14 +58,14 @@
         return self.organisations_by_key.get(key)
 
 
-def pick_service(route: Route, draw: float) -> ServiceName:
+def pick_service(route: Route, random_number: float) -> ServiceName:
     """
-    Choose the service of one request by the weights of its route; `draw` is a uniform random
+    Choose the service of one request by the weights of its route; `random_number` is a uniform random
     number in [0, 1).
 
     """
     total = sum(share.weight for share in route.shares)
-    point = draw * total
+    point = random_number * total
     for share in route.shares:
         point -= share.weight
         if point < 0:
--- a/packages/millfork-routing/millfork_routing/shared_budget.py
+++ b/packages/millfork-routing/millfork_routing/shared_budget.py
@@ -88,11 +88,11 @@
         self.entries = entries
         self.monotonic = monotonic
         self.has_quorum = has_quorum
-        self.began = monotonic()
+        self.started_at = monotonic()
         # Since when there has been contact with a majority. Once that has lasted a whole window,
         # a loss of contact no longer resets it.
         self.quorum_since: float | None = None
-        self.most_entries = WindowMax(ENTRIES_REMEMBERED_S)
+        self.peak_entries = WindowMax(ENTRIES_REMEMBERED_S)
         self.windows: dict[ServiceName, _Window] = {}
 
     def note_request(self, service: ServiceName) -> None:
@@ -123,7 +123,7 @@
         window = self._window(service)
         entries = self.count_entries()
         allowed = self.ratio * len(window.requests)
-        if self.monotonic() - self.began < self.window_s:
+        if self.monotonic() - self.started_at < self.window_s:
             allowed *= FIRST_WINDOW_SHARE
         else:
             allowed *= USED_SHARE
@@ -145,10 +145,10 @@
             if not self._knows_all_entries():
                 self.quorum_since = None
             # Entries behind the partition use the allowance for as long as it lasts.
-            return max(self.most_entries.maximum, entries)
+            return max(self.peak_entries.maximum, entries)
         if self.quorum_since is None:
             self.quorum_since = now
-        return self.most_entries.add(entries, now)
+        return self.peak_entries.add(entries, now)
 
     def _knows_all_entries(self) -> bool:
         """
--- a/packages/millfork-scheduling/millfork_scheduling/availability.py
+++ b/packages/millfork-scheduling/millfork_scheduling/availability.py
@@ -152,7 +152,7 @@
 
     random: Random = field(default_factory=Random)
     limit: LimitShare | None = None
-    limit_named_at: float = float('-inf')
+    limit_announced_at: float = float('-inf')
     rest: RestPeriod | None = None
     # An incarnation that leaves never comes back, whatever its heartbeats say.
     leaving: bool = False
@@ -171,7 +171,7 @@
         changes += self._apply_rest(backpressure.rest_s or 0.0, sent_at, now, turned_away)
         if backpressure.limit_per_s is not None:
             return changes + self._start_or_change_limit(backpressure.limit_per_s, now)
-        if sent_at <= self.limit_named_at:
+        if sent_at <= self.limit_announced_at:
             # The back end may have answered before it announced the limit.
             return changes
         return changes + self._end_limit()
@@ -204,7 +204,7 @@
         changes = self._report_leaving(backpressure.leaving)
         if backpressure.limit_per_s is not None:
             return changes + self._start_or_change_limit(backpressure.limit_per_s, now)
-        if now - self.limit_named_at < REPORT_LAG_S:
+        if now - self.limit_announced_at < REPORT_LAG_S:
             return changes
         return changes + self._end_limit()
 
@@ -241,7 +241,7 @@
             self.limit.consume(now, entries)
 
     def _start_or_change_limit(self, limit_per_s: float, now: float) -> list[SignalChange]:
-        self.limit_named_at = now
+        self.limit_announced_at = now
         if self.limit is None:
             self.limit = LimitShare(self.random, limit_per_s, now)
             return [SignalChange(Signal.LIMIT, SignalEvent.BEGAN, limit_per_s)]
--- a/packages/millfork-scheduling/millfork_scheduling/fleet_index.py
+++ b/packages/millfork-scheduling/millfork_scheduling/fleet_index.py
@@ -49,11 +49,11 @@
             self.by_address[(server.host, server.port)] = server
         for service, found in self.by_service.items():
             share = ENTRIES_PER_ENGINE * len(found) // max(self.entries(), 1)
-            _keep_least(self.near, service, max(MAX_NEAR, share))
-            _keep_least(self.far, service, max(MAX_FAR, share))
+            _keep_lowest(self.near, service, max(MAX_NEAR, share))
+            _keep_lowest(self.far, service, max(MAX_FAR, share))
 
 
-def _keep_least(servers: dict[ServiceName, list[Server]], service: ServiceName, most: int) -> None:
+def _keep_lowest(servers: dict[ServiceName, list[Server]], service: ServiceName, most: int) -> None:
     """
     Keep the back ends of a service with the lowest `draw_order`, at most `most` of them.
 
--- a/packages/millfork-scheduling/millfork_scheduling/placement.py
+++ b/packages/millfork-scheduling/millfork_scheduling/placement.py
@@ -57,21 +57,21 @@
 
     service: ServiceName
     engine: EngineSpec | None = None
-    least_version: int = 0
+    min_version: int = 0
     newest_version: int = 0
     prompt_tokens: int = 0
     # Whether the request can't be sent to another back end after this one.
     last_send: bool = False
     # For each recently announced version, the moment from which no request may begin on an
     # older version (monotonic seconds).
-    endings: tuple[tuple[int, float], ...] = ()
+    cancel_times: tuple[tuple[int, float], ...] = ()
 
     def ends_at(self, version: int) -> float:
         """
         The moment from which the request may no longer begin on `version`; infinity if none.
 
         """
-        return min((at for newer, at in self.endings if newer > version), default=float('inf'))
+        return min((at for newer, at in self.cancel_times if newer > version), default=float('inf'))
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/millfork-scheduling/millfork_scheduling/quarantine.py
+++ b/packages/millfork-scheduling/millfork_scheduling/quarantine.py
@@ -90,7 +90,7 @@
         # By request: its last known suspicion, and when it may be tried (monotonic seconds).
         self.due: dict[Fingerprint, tuple[Suspicion, float]] = {}
 
-    def begin(self, suspicion: Suspicion) -> bool:
+    def start_trial(self, suspicion: Suspicion) -> bool:
         """
         Whether a suspected request may be sent now. If so, its next trial is scheduled.
 
--- a/packages/millfork-scheduling/millfork_scheduling/server.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server.py
@@ -54,10 +54,10 @@
 
     weight: float
     mean_ms: float = 0.0
-    at: float = 0.0
+    updated_at: float = 0.0
 
     def now_ms(self, now: float) -> float:
-        return self.mean_ms * math.exp2((self.at - now) / LATENESS_HALF_LIFE_S)
+        return self.mean_ms * math.exp2((self.updated_at - now) / LATENESS_HALF_LIFE_S)
 
     def note(self, late_ms: float, now: float) -> None:
         """
@@ -67,7 +67,7 @@
         late_ms = min(max(late_ms, -MAX_LATENESS_MS), MAX_LATENESS_MS)
         mean_ms = self.now_ms(now)
         self.mean_ms = mean_ms + self.weight * (late_ms - mean_ms)
-        self.at = now
+        self.updated_at = now
 
 
 @dataclass(frozen=True, slots=True)
@@ -277,24 +277,24 @@
         if not failed:
             self.failures = 0
 
-    def note_answered(self, urgency: int | None, began: float) -> None:
+    def note_answered(self, urgency: int | None, sent_at: float) -> None:
         """
-        Record that the answer to a request of this rank, sent at `began`, has begun.
+        Record that the answer to a request of this rank, sent at `sent_at`, has begun.
 
         """
-        self.answered[urgency] = max(began, self.answered.get(urgency, began))
+        self.answered[urgency] = max(sent_at, self.answered.get(urgency, sent_at))
 
-    def answered_since(self, urgency: int | None, began: float) -> bool:
+    def answered_since(self, urgency: int | None, sent_at: float) -> bool:
         """
-        Whether it began to answer a request of the same rank that was sent after `began`.
+        Whether it began to answer a request of the same rank that was sent after `sent_at`.
 
         """
-        return self.answered.get(urgency, float('-inf')) > began
+        return self.answered.get(urgency, float('-inf')) > sent_at
 
     def newest_complete_version(self, layers: int) -> int | None:
         """
         The newest version of which it holds all layers; None if there is none.
 
         """
-        whole = [item.version for item in self.served if item.is_whole(layers)]
+        whole = [item.version for item in self.served if item.has_all_layers(layers)]
         return max(whole, default=None)
--- a/packages/millfork-scheduling/millfork_scheduling/server_table.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server_table.py
@@ -55,13 +55,13 @@
         random: Random,
         monotonic: Callable[[], float],
         entries: Callable[[], int] = lambda: 1,
-        most_entries: Callable[[], int] = lambda: 1,
+        peak_entries: Callable[[], int] = lambda: 1,
     ) -> None:
         self.zone = zone
         self.entries = entries
         # The highest number of entries seen lately. Entries that are out of reach now may still
         # send requests.
-        self.most_entries = most_entries
+        self.peak_entries = peak_entries
         # How much later than predicted from the engine spec first tokens came lately, in ms.
         self.lateness: dict[ServiceName, Lateness] = {}
         self.random = random
@@ -370,7 +370,7 @@
         Why a back end's own signals forbid sending to it now; None if they don't.
 
         """
-        return server.availability.closure(self.monotonic(), max(self.most_entries(), 1))
+        return server.availability.closure(self.monotonic(), max(self.peak_entries(), 1))
 
     def note_sent(self, servers: Iterable[Server]) -> None:
         """
@@ -378,7 +378,7 @@
 
         """
         for server in servers:
-            server.availability.note_sent(self.monotonic(), max(self.most_entries(), 1))
+            server.availability.note_sent(self.monotonic(), max(self.peak_entries(), 1))
 
     def first_to_open(self, requirements: Requirements) -> Closure | None:
         """
@@ -435,7 +435,7 @@
         version = server.newest_complete_version(engine.layers)
         if version is None:
             return self._is_in_usable_path(server, requirements, paths, now)
-        return version >= requirements.least_version and server.refused.get(version, now) <= now
+        return version >= requirements.min_version and server.refused.get(version, now) <= now
 
     def _is_in_usable_path(
         self, server: Server, requirements: Requirements, paths: list[Path], now: float
@@ -448,7 +448,7 @@
         for path in paths:
             if server in path.servers:
                 refused = [member.refused.get(path.version, now) for member in path.servers]
-                return path.version >= requirements.least_version and max(refused) <= now
+                return path.version >= requirements.min_version and max(refused) <= now
         return False
 
 
--- a/packages/millfork-weights/millfork_weights/chunk_server.py
+++ b/packages/millfork-weights/millfork_weights/chunk_server.py
@@ -29,7 +29,7 @@
         stored = self.store.stored_versions.get(Digest(request.digest))
         if stored is None:
             return Manifest(False)
-        return Manifest(True, encode_manifest(stored.manifest), stored.whole)
+        return Manifest(True, encode_manifest(stored.manifest), stored.is_complete)
 
     async def on_get_chunk(self, request: GetChunk) -> Chunk:
         """
--- a/packages/millfork-weights/millfork_weights/store.py
+++ b/packages/millfork-weights/millfork_weights/store.py
@@ -23,7 +23,7 @@
 
 MANIFEST_FILE: Final = 'manifest'
 PARTIAL_FILE: Final = 'weights.partial'
-WHOLE_FILE: Final = 'weights'
+COMPLETE_FILE: Final = 'weights'
 
 log = logger(Component.WEIGHTS)
 
@@ -48,14 +48,14 @@
         self.has_chunk = bytearray(len(manifest.chunks))
         self.index_of = {chunk: index for index, chunk in enumerate(manifest.chunks)}
         self.missing = len(manifest.chunks)
-        self.whole = False
+        self.is_complete = False
         self.chunk_stored = curio.Condition()
         folder.mkdir(parents=True, exist_ok=True)
         (folder / MANIFEST_FILE).write_bytes(encode_manifest(manifest))
         self.fd = self._open()
 
     def _open(self) -> int:
-        whole = self.folder / WHOLE_FILE
+        whole = self.folder / COMPLETE_FILE
         if whole.exists():
             # After a restart, a complete file counts as partial until it is verified again.
             whole.replace(self.folder / PARTIAL_FILE)
@@ -69,7 +69,7 @@
         Path of the complete file, which the engine loads.
 
         """
-        return self.folder / WHOLE_FILE
+        return self.folder / COMPLETE_FILE
 
     @property
     def share(self) -> float:
@@ -137,13 +137,13 @@
         :raises VersionDigestMismatch: if the file has another digest.
 
         """
-        found = await curio.run_in_thread(self._whole_digest)
+        found = await curio.run_in_thread(self._file_digest)
         if found != self.manifest.whole:
             raise VersionDigestMismatch(f'{self.manifest.name} {self.manifest.version}')
         (self.folder / PARTIAL_FILE).replace(self.path)
-        self.whole = True
+        self.is_complete = True
 
-    def _whole_digest(self) -> str:
+    def _file_digest(self) -> str:
         hasher = blake3.blake3(max_threads=blake3.blake3.AUTO)
         hasher.update_mmap(self.folder / PARTIAL_FILE)
         return hasher.hexdigest()
--- a/packages/millfork-weights/millfork_weights/transfer.py
+++ b/packages/millfork-weights/millfork_weights/transfer.py
@@ -150,7 +150,7 @@
         failures = [task.exception for task in group.tasks if task.exception]
         if failures:
             raise TransferFailed(str(failures[0])) from failures[0]
-        if not stored.whole:
+        if not stored.is_complete:
             await stored.complete()
         return stored
 
--- a/packages/millforkd/millforkd/endpoint/rollout.py
+++ b/packages/millforkd/millforkd/endpoint/rollout.py
@@ -153,7 +153,7 @@
                 log.info('Transfer of {} is cancelled.', digest[:16])
         for digest, part in parts.items():
             stored = self.store.stored_versions.get(digest)
-            if digest in self.transfers or (stored is not None and stored.whole):
+            if digest in self.transfers or (stored is not None and stored.is_complete):
                 continue
             if self.transfer_retry_times.get(digest, 0.0) > self.env.monotonic():
                 continue
@@ -189,7 +189,7 @@
     def _is_whole(self, deployment: Deployment) -> bool:
         for part in deployment.parts:
             stored = self.store.stored_versions.get(part.manifest)
-            if stored is None or not stored.whole:
+            if stored is None or not stored.is_complete:
                 return False
         return True
 
--- a/packages/millforkd/millforkd/entry/caller_requests.py
+++ b/packages/millforkd/millforkd/entry/caller_requests.py
@@ -85,7 +85,7 @@
         try:
             organisation = self.access_control.authenticate_caller(exchange.request)
             call = self._parse_call(exchange.request, organisation)
-            if not self.in_flight.begin(organisation):
+            if not self.in_flight.try_acquire(organisation):
                 detail = 'too many requests of this organisation are in progress'
                 raise Refused(Refusal(Reason.OVER_SHARE, detail=detail))
         except Refused as error:
@@ -94,7 +94,7 @@
         try:
             await self._answer_until_caller_leaves(exchange, call)
         finally:
-            self.in_flight.end(organisation)
+            self.in_flight.release(organisation)
 
     async def _answer_until_caller_leaves(self, exchange: Exchange, call: Call) -> None:
         """
--- a/packages/millforkd/millforkd/proxy/admission.py
+++ b/packages/millforkd/millforkd/proxy/admission.py
@@ -124,10 +124,10 @@
         model = requirements.engine.model
         return replace(
             requirements,
-            least_version=self.versions.oldest_usable(model),
+            min_version=self.versions.oldest_usable(model),
             newest_version=self.versions.newest(model),
             last_send=last_send,
-            endings=self.versions.upcoming_ends(model),
+            cancel_times=self.versions.upcoming_ends(model),
         )
 
     def _estimate_first_try(self, route: Route, caller: CallerRequest) -> Judgement:
--- a/packages/millforkd/millforkd/proxy/daemon.py
+++ b/packages/millforkd/millforkd/proxy/daemon.py
@@ -84,20 +84,20 @@
             env.random,
             env.monotonic,
             lambda: self.feed_client.entries,
-            self.most_entries,
+            self.peak_entries,
         )
         self.pools = Pools(env)
         self.budget = SharedBudget(
             promises.retry_ratio,
             promises.retry_slack,
             promises.retry_window_s,
-            lambda: self.feed_client.most_entries,
+            lambda: self.feed_client.peak_entries,
             env.monotonic,
             lambda: self.feed_client.connected,
         )
         fingerprints = Fingerprints(fleet_key(settings), lambda: self.view.cluster)
         self.turned_away = TurnedAwayDirectory(env, self.peers, self.discovery.caches, fingerprints)
-        trials = TrialSchedule(env.random, env.monotonic, self.most_entries)
+        trials = TrialSchedule(env.random, env.monotonic, self.peak_entries)
         self.forwarding = Forwarding(
             env,
             adapter,
@@ -105,12 +105,12 @@
             self.book,
             self.pools,
             self.budget,
-            Quarantine(self.registry.suspects, self.view, fingerprints, trials),
+            Quarantine(self.registry.suspicion_store, self.view, fingerprints, trials),
             self.turned_away,
             LoadQueries(env, self.peers, self.book),
         )
         self.suspicion_reporter = SuspicionReporter(
-            env, self.peers, self.feed_client, self.registry.suspects
+            env, self.peers, self.feed_client, self.registry.suspicion_store
         )
         self.document: Document | None = None
         origin = Origin(env, adapter, str(settings.address), lambda: find_origin(self.document))
@@ -136,14 +136,14 @@
         # The last logged number of repeats within the window, by service.
         self.repeats_logged: dict[ServiceName, int] = {}
 
-    def most_entries(self) -> int:
+    def peak_entries(self) -> int:
         """
         The largest number of entries known lately. Before a replica has sent one, a large
         number is assumed: otherwise this entry would use the whole of a shared limit.
 
         """
         return (
-            self.feed_client.most_entries if self.feed_client.entries_known else DEFAULT_ENTRY_COUNT
+            self.feed_client.peak_entries if self.feed_client.entries_known else DEFAULT_ENTRY_COUNT
         )
 
     @property
@@ -238,8 +238,8 @@
             await curio.sleep(HOUSEKEEPING_INTERVAL_S)
             await self.pools.close_old()
             self.budget.count_entries()
-            self.registry.suspects.forget_expired()
-            await self.registry.suspects.publish_overdue()
+            self.registry.suspicion_store.forget_expired()
+            await self.registry.suspicion_store.publish_overdue()
             self._log_repeats()
 
     def _log_repeats(self) -> None:
@@ -312,7 +312,7 @@
             log.warning('Suspicions of {} can not be decoded: {}.', connection.peer, error)
             return messages.Done(False)
         for suspicion in suspicions:
-            await self.registry.suspects.record(suspicion)
+            await self.registry.suspicion_store.record(suspicion)
         return messages.Done(True)
 
     @on.register
--- a/packages/millforkd/millforkd/proxy/end_detection.py
+++ b/packages/millforkd/millforkd/proxy/end_detection.py
@@ -76,12 +76,12 @@
     def __init__(
         self,
         env: Environment,
-        suspects: SuspicionStore,
+        suspicion_store: SuspicionStore,
         liveness_of: Callable[[Server, float], IncarnationStatus] = determine_status,
     ) -> None:
         self.env = env
         self.liveness_of = liveness_of
-        self.suspicion_updater = SuspicionUpdater(env, suspects)
+        self.suspicion_updater = SuspicionUpdater(env, suspicion_store)
         self.watches: dict[IncarnationKey, EndWatch[SentRequest]] = {}
         # The last abandonment of each request whose caller left.
         self.abandoned: dict[Fingerprint, AbandonedRequest] = {}
--- a/packages/millforkd/millforkd/proxy/forwarding.py
+++ b/packages/millforkd/millforkd/proxy/forwarding.py
@@ -62,7 +62,7 @@
         self.turned_away = turned_away
         self.load_queries = load_queries
         self.backpressure = BackpressureRecorder(env)
-        self.end_detector = EndDetector(env, quarantine.suspects, book.incarnation_status)
+        self.end_detector = EndDetector(env, quarantine.suspicion_store, book.incarnation_status)
         self.response_relay = ResponseRelay(env, adapter, book)
         self.request_sender = RequestSender(
             env,
--- a/packages/millforkd/millforkd/proxy/suspicion_reporter.py
+++ b/packages/millforkd/millforkd/proxy/suspicion_reporter.py
@@ -31,12 +31,16 @@
     """
 
     def __init__(
-        self, env: Environment, peers: Peers, feed_client: FeedClient, suspects: SuspicionStore
+        self,
+        env: Environment,
+        peers: Peers,
+        feed_client: FeedClient,
+        suspicion_store: SuspicionStore,
     ) -> None:
         self.env = env
         self.peers = peers
         self.feed_client = feed_client
-        self.suspects = suspects
+        self.suspicion_store = suspicion_store
 
     async def run(self) -> None:
         """
@@ -44,13 +48,13 @@
 
         """
         while True:
-            await self.suspects.unsent_event.wait()
-            self.suspects.unsent_event.clear()
-            while self.suspects.unsent and not await self._report():
+            await self.suspicion_store.unsent_event.wait()
+            self.suspicion_store.unsent_event.clear()
+            while self.suspicion_store.unsent and not await self._report():
                 await curio.sleep(RETRY_S)
 
     async def _report(self) -> bool:
-        reported = dict(self.suspects.unsent)
+        reported = dict(self.suspicion_store.unsent)
         name = self.feed_client.report_target
         if not name:
             return False
@@ -63,6 +67,6 @@
         if not isinstance(reply, Done) or not reply.ok:
             return False
         for fingerprint, suspicion in reported.items():
-            if self.suspects.unsent.get(fingerprint) == suspicion:
-                del self.suspects.unsent[fingerprint]
+            if self.suspicion_store.unsent.get(fingerprint) == suspicion:
+                del self.suspicion_store.unsent[fingerprint]
         return True
--- a/packages/millforkd/millforkd/quarantine.py
+++ b/packages/millforkd/millforkd/quarantine.py
@@ -37,12 +37,12 @@
 
     def __init__(
         self,
-        suspects: SuspicionStore,
+        suspicion_store: SuspicionStore,
         view: View,
         fingerprints: FingerprintSource[RequestT],
         trials: TrialSchedule | None = None,
     ) -> None:
-        self.suspects = suspects
+        self.suspicion_store = suspicion_store
         self.view = view
         self.fingerprints = fingerprints
         self.trials = trials
@@ -55,7 +55,7 @@
         Return the present suspicion of a request.
 
         """
-        return self.suspects.get(self.fingerprints.of(request))
+        return self.suspicion_store.get(self.fingerprints.of(request))
 
     def blocking_standing(self, request: RequestT) -> SuspicionLevel | None:
         """
@@ -63,7 +63,7 @@
 
         """
         self._refresh()
-        if not self.suspects.table and not self.listed_epochs:
+        if not self.suspicion_store.table and not self.listed_epochs:
             return None
         suspicion = self.suspicion_of(request)
         listed_epoch = self.listed_epochs.get(suspicion.fingerprint)
@@ -76,7 +76,7 @@
         return standing if standing is not SuspicionLevel.FREE else None
 
     def _begin_trial(self, suspicion: Suspicion) -> bool:
-        return self.trials is not None and self.trials.begin(suspicion)
+        return self.trials is not None and self.trials.start_trial(suspicion)
 
     def _refresh(self) -> None:
         if self.view.revision == self.revision:
@@ -95,8 +95,8 @@
         doesn't end back ends.
 
         """
-        if not self.suspects.table:
+        if not self.suspicion_store.table:
             return
         suspicion = self.suspicion_of(request)
         if not suspicion.is_clear:
-            await self.suspects.withdraw(suspicion.cleared())
+            await self.suspicion_store.withdraw(suspicion.cleared())
--- a/packages/millforkd/millforkd/replica/daemon.py
+++ b/packages/millforkd/millforkd/replica/daemon.py
@@ -106,7 +106,7 @@
         self.quarantine = QuarantineList(
             env,
             self.replica.view,
-            self.registry.suspects,
+            self.registry.suspicion_store,
             self.proposals,
             self._leads,
             lambda: int(time.time() * 1000),
@@ -229,7 +229,7 @@
         except msgspec.DecodeError as error:
             log.warning('Cannot decode suspicions from {}: {}.', connection.peer, error)
             return Done(False)
-        if await self.registry.suspects.merge(suspicions):
+        if await self.registry.suspicion_store.merge(suspicions):
             await self.followers.wake()
         return Done(True)
 
--- a/packages/millforkd/millforkd/replica/quarantine.py
+++ b/packages/millforkd/millforkd/replica/quarantine.py
@@ -44,14 +44,14 @@
         self,
         env: Environment,
         view: View,
-        suspects: SuspicionStore,
+        suspicion_store: SuspicionStore,
         proposals: LeaderClient,
         leads: Callable[[], bool],
         now_ms: Callable[[], int],
     ) -> None:
         self.env = env
         self.view = view
-        self.suspects = suspects
+        self.suspicion_store = suspicion_store
         self.proposals = proposals
         self.is_leader = leads
         self.now_ms = now_ms
@@ -63,7 +63,7 @@
         """
         while True:
             await curio.sleep(RECONCILE_PERIOD_S)
-            self.suspects.forget_expired()
+            self.suspicion_store.forget_expired()
             if self.is_leader():
                 await self.reconcile()
 
@@ -72,7 +72,7 @@
         Update the list in the replicated state from the present suspicions.
 
         """
-        for suspicion in list(self.suspects.table.values()):
+        for suspicion in list(self.suspicion_store.table.values()):
             held = self.view.items.get(quarantine_key(suspicion.fingerprint))
             if held is None and is_at_fault(suspicion):
                 await self._add(suspicion)
--- a/packages/millforkd/millforkd/replica/replica_links.py
+++ b/packages/millforkd/millforkd/replica/replica_links.py
@@ -91,7 +91,7 @@
         self.complete_after_s = heartbeat_s * COMPLETE_AFTER_HEARTBEATS
         self.started_at = env.monotonic()
         self.followed: dict[InstanceId, Connection] = {}
-        self.last_heard_at: dict[str, float] = {}
+        self.last_received_at: dict[str, float] = {}
         # Replicas that are being asked, each in its own task: asking a frozen replica takes 2 s
         # to fail, and must not delay the others.
         self.contacting: set[InstanceId] = set()
@@ -156,7 +156,7 @@
             return
         log.warning('This process was paused. seconds={:.1f}', paused_s)
         self.started_at = now
-        self.last_heard_at.clear()
+        self.last_received_at.clear()
         self.registry.restart_expiry_timers()
 
     async def _contact_once(self, address: PeerAddress) -> None:
@@ -174,7 +174,7 @@
         if reply is None:
             self.followers.entries_by_other_replica.pop(str(address.instance), None)
             return
-        self.last_heard_at[str(address.instance)] = self.env.monotonic()
+        self.last_received_at[str(address.instance)] = self.env.monotonic()
         self.replica.add_address(address)
         self.followers.entries_by_other_replica[str(address.instance)] = reply.entries
         self.version_cutoffs.record_answer(asked_at, reply.switches)
@@ -197,7 +197,7 @@
         return {
             owner
             for owner in owners
-            if now - self.last_heard_at.get(owner, self.started_at) > OWNER_LOST_AFTER_S
+            if now - self.last_received_at.get(owner, self.started_at) > OWNER_LOST_AFTER_S
         }
 
     def on_find(self, message: FindReplicas, zone: str) -> Replicas:
@@ -210,7 +210,7 @@
         if message.instance:
             self.discovery.add_replica(message.instance)
             self.replica.add_address(address_of(message.instance))
-            self.last_heard_at[message.instance] = self.env.monotonic()
+            self.last_received_at[message.instance] = self.env.monotonic()
             self.followers.entries_by_other_replica[message.instance] = message.entries
         else:
             caches += self.discovery.caches_elsewhere(CACHES_VALID_S)
@@ -233,7 +233,7 @@
         Merge another replica's records, and send changes on to followers.
 
         """
-        self.last_heard_at[str(peer)] = self.env.monotonic()
+        self.last_received_at[str(peer)] = self.env.monotonic()
         try:
             leases = decode_leases(message.leases)
             endpoints = decode_states(message.reports)
@@ -245,7 +245,7 @@
         changes += [self.registry.merge_endpoint_state(state) for state in endpoints]
         if message.full and message.settled:
             self.registry.is_complete = True
-        news_on_suspicions = await self.registry.suspects.merge(suspicions)
+        news_on_suspicions = await self.registry.suspicion_store.merge(suspicions)
         if news_on_suspicions or RecordChange.CHANGED in changes:
             await self.followers.wake()
 
--- a/packages/millforkd/millforkd/sidecar/layer_assignment.py
+++ b/packages/millforkd/millforkd/sidecar/layer_assignment.py
@@ -68,7 +68,8 @@
 
     """
     return any(
-        (item.model, item.version) == (weights.model, weights.version) and item.is_whole(layers)
+        (item.model, item.version) == (weights.model, weights.version)
+        and item.has_all_layers(layers)
         for item in served
     )
 
--- a/tests/mutations_listed.py
+++ b/tests/mutations_listed.py
@@ -14,13 +14,13 @@
         (
             Edit(
                 D + 'endpoint/rollout.py',
-                'if stored is None or not stored.whole:',
+                'if stored is None or not stored.is_complete:',
                 'if stored is None or not stored.share > 0.3:',
             ),
             Edit(
                 W + 'store.py',
-                'return self.folder / WHOLE_FILE\n\n    @property\n    def share',
-                'return self.folder / (WHOLE_FILE if self.whole else PARTIAL_FILE)\n\n'
+                'return self.folder / COMPLETE_FILE\n\n    @property\n    def share',
+                'return self.folder / (COMPLETE_FILE if self.is_complete else PARTIAL_FILE)\n\n'
                 '    @property\n    def share',
             ),
         ),
--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -27,7 +27,7 @@
     Mutation(
         'answers to requests sent before a limit was named do not end the limit',
         'tests/test_limit_shares.py::test_only_an_answer_to_a_later_request_ends_a_limit',
-        (Edit(C + 'availability.py', 'if sent_at <= self.limit_named_at:', 'if False:'),),
+        (Edit(C + 'availability.py', 'if sent_at <= self.limit_announced_at:', 'if False:'),),
     ),
     Mutation(
         'no request is sent to a back end that became unavailable while connecting to it',
@@ -516,7 +516,7 @@
         (
             Edit(
                 R + 'shared_budget.py',
-                'return self.most_entries.add(entries, now)',
+                'return self.peak_entries.add(entries, now)',
                 'return entries',
             ),
         ),
@@ -538,7 +538,7 @@
         (
             Edit(
                 G + 'followers.py',
-                'self.most_entries.add(self.entries, self.env.monotonic())',
+                'self.peak_entries.add(self.entries, self.env.monotonic())',
                 'self.entries',
             ),
         ),
--- a/tests/test_ends_of_silent_back_ends.py
+++ b/tests/test_ends_of_silent_back_ends.py
@@ -38,8 +38,8 @@
 
     async def run():
         env = Environment(InstanceId('a:1'), ZoneId('z1'))
-        suspects = SuspicionStore(env.monotonic)
-        end_detector = EndDetector(env, suspects)
+        suspicion_store = SuspicionStore(env.monotonic)
+        end_detector = EndDetector(env, suspicion_store)
         server = Server(InstanceId('i-1'), ServiceName('s'), '127.0.0.1', 1, ZoneId('z1'), 16)
         remaining_results = list(probe_results)
 
@@ -52,13 +52,13 @@
         await end_detector.note_broken(server, Suspicion(FINGERPRINT))
         try:
             async with curio.timeout_after(TIMEOUT_S):
-                while not suspects.get(FINGERPRINT).ends and len(remaining_results) > 1:
+                while not suspicion_store.get(FINGERPRINT).ends and len(remaining_results) > 1:
                     await curio.sleep(0.001)
         except curio.TaskTimeout:
             pass
         # The next probe notes what is known by now.
         await curio.sleep(0.05)
-        return suspects.get(FINGERPRINT).ends
+        return suspicion_store.get(FINGERPRINT).ends
 
     return curio.run(run)
 
--- a/tests/test_engines_without_daemon_reports.py
+++ b/tests/test_engines_without_daemon_reports.py
@@ -50,7 +50,7 @@
             )  # fmt: skip
             table.apply_reports([state])
         requirements = Requirements(
-            SERVICE, ENGINE, 0, 2, 900, endings=((2, began + end_s - CANCEL_MARGIN_S),)
+            SERVICE, ENGINE, 0, 2, 900, cancel_times=((2, began + end_s - CANCEL_MARGIN_S),)
         )
         if table.choose(requirements, set()) is not None:
             last = clock.now
@@ -76,7 +76,7 @@
     last = None
     while clock.now < ends_at:
         requirements = Requirements(
-            SERVICE, ENGINE, 0, 2, 900, endings=((2, ends_at - CANCEL_MARGIN_S),)
+            SERVICE, ENGINE, 0, 2, 900, cancel_times=((2, ends_at - CANCEL_MARGIN_S),)
         )
         if table.choose(requirements, set()) is not None:
             last = clock.now
--- a/tests/test_faults_left_open.py
+++ b/tests/test_faults_left_open.py
@@ -46,7 +46,7 @@
         entry = Entry()
         for _ in range(MIN_ENDS_AT_FAULT):
             await entry.end()
-        clock = entry.suspects.monotonic
+        clock = entry.suspicion_store.monotonic
         for _ in range(0, DAY_S // 2, STEP_S):
             clock.now += STEP_S
             if entry.quarantine.blocking_standing(entry.job) is None:
--- a/tests/test_feed_client.py
+++ b/tests/test_feed_client.py
@@ -68,7 +68,7 @@
     async with curio.timeout_after(bound_s):
         while not condition():
             # Simulates messages of the feed.
-            client.source_heard_at = client.env.monotonic()
+            client.source_contact_at = client.env.monotonic()
             await curio.sleep(0.01)
     await task.cancel()
 
@@ -127,8 +127,8 @@
     async def run():
         # From another follower, which relays the feed.
         await client.handle_feed_message(InstanceId('10.0.0.8:7'), leases)
-        assert ProxyDaemon.most_entries(daemon) == DEFAULT_ENTRY_COUNT
+        assert ProxyDaemon.peak_entries(daemon) == DEFAULT_ENTRY_COUNT
         await client.handle_feed_message(client.source, leases)
-        assert ProxyDaemon.most_entries(daemon) == 7
+        assert ProxyDaemon.peak_entries(daemon) == 7
 
     curio.run(run)
--- a/tests/test_feed_relay.py
+++ b/tests/test_feed_relay.py
@@ -61,7 +61,7 @@
         for name in names:
             feed_client = self.relays[name].feed_client
             feed_client.source = InstanceId('10.9.0.1:7')
-            feed_client.source_heard_at = feed_client.env.monotonic()
+            feed_client.source_contact_at = feed_client.env.monotonic()
 
     async def wait_until(self, condition, connected, bound_s=5.0):
         async with curio.timeout_after(bound_s):
@@ -117,8 +117,8 @@
 
 def test_a_follower_that_is_cut_off_gets_suspicions_from_its_zone(followers):
     async def run():
-        cut_off = followers.relays[CUT].feed_client.registry.suspects
-        neighbour = followers.relays[NEAR].feed_client.registry.suspects
+        cut_off = followers.relays[CUT].feed_client.registry.suspicion_store
+        neighbour = followers.relays[NEAR].feed_client.registry.suspicion_store
         suspicion = Suspicion(Fingerprint('ab'), 0, 2)
         await neighbour.merge([suspicion])
         task = await curio.spawn(followers.relays[CUT].run, daemon=True)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -52,26 +52,26 @@
 
 def test_ends_at_the_same_moment_count_as_one():
     async def run():
-        suspects = SuspicionStore(Clock())
-        before = suspects.get(FINGERPRINT)
+        suspicion_store = SuspicionStore(Clock())
+        before = suspicion_store.get(FINGERPRINT)
         for _ in range(5):
-            await suspects.record(before.with_end())
-        assert suspects.get(FINGERPRINT).ends == 1
+            await suspicion_store.record(before.with_end())
+        assert suspicion_store.get(FINGERPRINT).ends == 1
 
     curio.run(run)
 
 
 def test_a_complete_answer_clears_earlier_suspicions():
     async def run():
-        suspects = SuspicionStore(Clock())
-        late = suspects.get(FINGERPRINT)
+        suspicion_store = SuspicionStore(Clock())
+        late = suspicion_store.get(FINGERPRINT)
         for _ in range(MIN_ENDS_AT_FAULT):
-            late = suspects.get(FINGERPRINT)
-            await suspects.record(late.with_end())
-        assert is_at_fault(suspects.get(FINGERPRINT))
-        await suspects.record(suspects.get(FINGERPRINT).cleared())
-        assert not await suspects.merge([late.with_end()])
-        assert suspects.get(FINGERPRINT).ends == 0
+            late = suspicion_store.get(FINGERPRINT)
+            await suspicion_store.record(late.with_end())
+        assert is_at_fault(suspicion_store.get(FINGERPRINT))
+        await suspicion_store.record(suspicion_store.get(FINGERPRINT).cleared())
+        assert not await suspicion_store.merge([late.with_end()])
+        assert suspicion_store.get(FINGERPRINT).ends == 0
 
     curio.run(run)
 
@@ -79,28 +79,28 @@
 def test_suspicions_are_bounded_in_age_and_number():
     async def run():
         clock = Clock()
-        suspects = SuspicionStore(clock)
+        suspicion_store = SuspicionStore(clock)
         for number in range(MAX_SUSPICIONS + 10):
-            await suspects.record(Suspicion(Fingerprint(f'{number}'), 0, 1))
-        assert len(suspects.table) == len(suspects.changed_at) == MAX_SUSPICIONS
-        assert len(suspects.unsent) == MAX_SUSPICIONS
+            await suspicion_store.record(Suspicion(Fingerprint(f'{number}'), 0, 1))
+        assert len(suspicion_store.table) == len(suspicion_store.changed_at) == MAX_SUSPICIONS
+        assert len(suspicion_store.unsent) == MAX_SUSPICIONS
         clock.now += SUSPICION_RETENTION_S
-        await suspects.record(Suspicion(FINGERPRINT, 0, 1))
-        suspects.forget_expired()
-        assert list(suspects.table.values()) == [Suspicion(FINGERPRINT, 0, 1)]
+        await suspicion_store.record(Suspicion(FINGERPRINT, 0, 1))
+        suspicion_store.forget_expired()
+        assert list(suspicion_store.table.values()) == [Suspicion(FINGERPRINT, 0, 1)]
 
     curio.run(run)
 
 
 def test_followers_send_all_suspicions_to_a_restarted_replica():
     async def run():
-        suspects = SuspicionStore(Clock())
+        suspicion_store = SuspicionStore(Clock())
         suspicion = Suspicion(FINGERPRINT, 0, 2)
-        await suspects.merge([suspicion])
-        assert not suspects.unsent
-        await suspects.mark_all_unsent()
-        assert suspects.unsent == {FINGERPRINT: suspicion}
-        assert suspects.unsent_event.is_set()
+        await suspicion_store.merge([suspicion])
+        assert not suspicion_store.unsent
+        await suspicion_store.mark_all_unsent()
+        assert suspicion_store.unsent == {FINGERPRINT: suspicion}
+        assert suspicion_store.unsent_event.is_set()
 
     curio.run(run)
 
@@ -149,11 +149,11 @@
     """
 
     def __init__(self):
-        self.suspects = SuspicionStore(Clock())
+        self.suspicion_store = SuspicionStore(Clock())
         self.view = View()
         self.view.cluster = ClusterId('c')
         self.quarantine = Quarantine(
-            self.suspects, self.view, Fingerprints(b'key', lambda: self.view.cluster)
+            self.suspicion_store, self.view, Fingerprints(b'key', lambda: self.view.cluster)
         )
         request = Request('POST', '/a', [], b'text')
         self.job = SimpleNamespace(
@@ -164,7 +164,7 @@
         )
 
     async def end(self):
-        await self.suspects.record(self.quarantine.suspicion_of(self.job).with_end())
+        await self.suspicion_store.record(self.quarantine.suspicion_of(self.job).with_end())
 
 
 def list_of(entry, clock, leads=lambda: True):
@@ -176,7 +176,7 @@
     env = Environment(InstanceId('a:1'), ZoneId('z1'))
     proposals = SimpleNamespace(propose=propose)
     now_ms = lambda: int(clock.now * 1000)  # noqa: E731
-    return QuarantineList(env, entry.view, entry.suspects, proposals, leads, now_ms)
+    return QuarantineList(env, entry.view, entry.suspicion_store, proposals, leads, now_ms)
 
 
 def test_a_request_is_blocked_after_its_third_end_and_by_the_list_alone():
@@ -189,7 +189,7 @@
         assert entry.quarantine.blocking_standing(entry.job)
         await listing.reconcile()
         # As after a loss of power: suspicions are lost, the replicated state is not.
-        entry.suspects.table.remove(entry.job.fingerprint)
+        entry.suspicion_store.table.remove(entry.job.fingerprint)
         assert entry.quarantine.blocking_standing(entry.job)
 
     curio.run(run)
@@ -216,9 +216,11 @@
         listing = list_of(entry, clock)
         for number in range(MAX_LISTED + 3):
             clock.now += 0.001
-            await entry.suspects.record(Suspicion(Fingerprint(f'{number}'), 0, MIN_ENDS_AT_FAULT))
+            await entry.suspicion_store.record(
+                Suspicion(Fingerprint(f'{number}'), 0, MIN_ENDS_AT_FAULT)
+            )
             await listing.reconcile()
-            entry.suspects.table.remove(f'{number}')
+            entry.suspicion_store.table.remove(f'{number}')
         assert len(entry.view.items) == MAX_LISTED
         clock.now += LISTED_MAX_AGE_MS / 1000 + 1
         await listing.reconcile()
@@ -241,11 +243,11 @@
 
     async def run():
         env = Environment(InstanceId('a:1'), ZoneId('z1'))
-        suspects = SuspicionStore(env.monotonic)
-        ends = EndDetector(env, suspects)
+        suspicion_store = SuspicionStore(env.monotonic)
+        ends = EndDetector(env, suspicion_store)
         server = Server(InstanceId('i-1'), ServiceName('s'), '127.0.0.1', port, ZoneId('z1'), 16)
         await ends.note_broken(server, Suspicion(FINGERPRINT))
-        return suspects.get(FINGERPRINT).ends
+        return suspicion_store.get(FINGERPRINT).ends
 
     return curio.run(run)
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -173,11 +173,11 @@
 
 def test_one_organisation_has_a_ceiling_on_an_entry():
     count = InFlightCounter(1)
-    assert count.begin(ONE)
-    assert not count.begin(ONE)
-    assert count.begin(TWO)
-    count.end(ONE)
-    assert count.begin(ONE)
+    assert count.try_acquire(ONE)
+    assert not count.try_acquire(ONE)
+    assert count.try_acquire(TWO)
+    count.release(ONE)
+    assert count.try_acquire(ONE)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -110,7 +110,7 @@
 
 
 def test_an_engine_needs_all_layers_of_an_acceptable_version(table):
-    requirements = Requirements(SERVICE, ENGINE, least_version=2)
+    requirements = Requirements(SERVICE, ENGINE, min_version=2)
     table.apply_leases([lease(1, version=1), lease(2, version=2, end=8), lease(3, version=2)])
     assert {chosen(table, requirements) for _ in range(20)} == {'i-3'}
 
@@ -252,8 +252,8 @@
     table.apply_leases([lease('quick'), lease('slow')])
     for _ in range(5):
         table.note_first_token(table.servers[InstanceId('i-slow')], 800.0)
-    endings = ((2, clock.now + 1.2),)
-    requirements = Requirements(SERVICE, ENGINE, newest_version=2, endings=endings)
+    cancel_times = ((2, clock.now + 1.2),)
+    requirements = Requirements(SERVICE, ENGINE, newest_version=2, cancel_times=cancel_times)
     assert table.choose(requirements, set()).server.instance == 'i-quick'
     assert table.choose(requirements, {InstanceId('i-quick')}) is None
     clock.now += 1.0
--- a/tests/test_suspicions.py
+++ b/tests/test_suspicions.py
@@ -78,17 +78,17 @@
             await processes[other].merge(decode_suspicions(body))
 
         for kind, one, other, number in steps:
-            suspects = processes[one]
-            known = suspects.get(FINGERPRINT)
+            suspicion_store = processes[one]
+            known = suspicion_store.get(FINGERPRINT)
             key = IncarnationKey(f'i-{number}/1')
             if kind == 'break':
-                await suspects.record(known.with_broken_answer(key))
+                await suspicion_store.record(known.with_broken_answer(key))
             elif kind == 'lives' and key in known.broken:
-                await suspects.withdraw(known.without_broken(key))
+                await suspicion_store.withdraw(known.without_broken(key))
             elif kind == 'end':
-                await suspects.record(known.with_end())
+                await suspicion_store.record(known.with_end())
             elif kind == 'clear':
-                await suspects.withdraw(known.cleared())
+                await suspicion_store.withdraw(known.cleared())
             elif kind == 'tell':
                 await tell(one, other)
         for one in (0, 1, 2, 0, 1, 2):
@@ -124,28 +124,28 @@
 
 def test_an_unpublished_suspicion_is_withdrawn_without_a_trace():
     async def run():
-        suspects = SuspicionStore(Clock())
-        suspects.record_privately(suspected(1))
-        await suspects.mark_all_unsent()
-        assert not suspects.unsent
-        await suspects.withdraw(suspected(1).without_broken(IncarnationKey('i-0/1')))
-        assert not len(suspects.table)
-        suspects.record_privately(suspected(1))
-        await suspects.publish(FINGERPRINT)
-        assert suspects.unsent == {FINGERPRINT: suspected(1)}
-        await suspects.withdraw(suspected(1).without_broken(IncarnationKey('i-0/1')))
-        assert suspects.unsent[FINGERPRINT] == Suspicion(FINGERPRINT, 1)
+        suspicion_store = SuspicionStore(Clock())
+        suspicion_store.record_privately(suspected(1))
+        await suspicion_store.mark_all_unsent()
+        assert not suspicion_store.unsent
+        await suspicion_store.withdraw(suspected(1).without_broken(IncarnationKey('i-0/1')))
+        assert not len(suspicion_store.table)
+        suspicion_store.record_privately(suspected(1))
+        await suspicion_store.publish(FINGERPRINT)
+        assert suspicion_store.unsent == {FINGERPRINT: suspected(1)}
+        await suspicion_store.withdraw(suspected(1).without_broken(IncarnationKey('i-0/1')))
+        assert suspicion_store.unsent[FINGERPRINT] == Suspicion(FINGERPRINT, 1)
 
     curio.run(run)
 
 
 def test_records_without_suspicion_are_dropped_first():
     async def run():
-        suspects = SuspicionStore(Clock())
-        await suspects.record(suspected())
+        suspicion_store = SuspicionStore(Clock())
+        await suspicion_store.record(suspected())
         for number in range(MAX_SUSPICIONS):
-            await suspects.record(Suspicion(Fingerprint(f'{number}'), 1))
-        assert suspects.get(FINGERPRINT) == suspected()
+            await suspicion_store.record(Suspicion(Fingerprint(f'{number}'), 1))
+        assert suspicion_store.get(FINGERPRINT) == suspected()
 
     curio.run(run)
 
@@ -159,7 +159,7 @@
     begun = []
     started_at = clock.now
     while clock.now < started_at + DURATION_S:
-        begun += [clock.now for trial in trials if trial.begin(suspected())]
+        begun += [clock.now for trial in trials if trial.start_trial(suspected())]
         clock.now += 0.05
     assert begun[0] - started_at >= TRIAL_AFTER_S
     assert DURATION_S / (TRIAL_AFTER_S + entries * TRIAL_SPREAD_S) * entries <= len(begun)
@@ -169,13 +169,13 @@
 def test_news_about_a_request_postpones_its_trial():
     clock = Clock()
     trials = TrialSchedule(random.Random(1), clock, lambda: 1)
-    assert not trials.begin(suspected())
+    assert not trials.start_trial(suspected())
     clock.now += TRIAL_AFTER_S + TRIAL_SPREAD_S
-    assert not trials.begin(suspected(MIN_ENDS_AT_FAULT + 1))
-    assert not trials.begin(suspected(MIN_ENDS_AT_FAULT + 1))
+    assert not trials.start_trial(suspected(MIN_ENDS_AT_FAULT + 1))
+    assert not trials.start_trial(suspected(MIN_ENDS_AT_FAULT + 1))
     clock.now += TRIAL_AFTER_S + TRIAL_SPREAD_S
-    assert trials.begin(suspected(MIN_ENDS_AT_FAULT + 1))
-    assert not trials.begin(suspected(MIN_ENDS_AT_FAULT + 1))
+    assert trials.start_trial(suspected(MIN_ENDS_AT_FAULT + 1))
+    assert not trials.start_trial(suspected(MIN_ENDS_AT_FAULT + 1))
 
 
 def test_an_allowance_is_restored_after_its_window():
@@ -198,9 +198,9 @@
 
     def __init__(self):
         self.env = Environment(InstanceId('a:1'), ZoneId('z1'))
-        self.suspects = SuspicionStore(self.env.monotonic)
+        self.suspicion_store = SuspicionStore(self.env.monotonic)
         self.statuses = {}
-        self.ends = EndDetector(self.env, self.suspects, self.status)
+        self.ends = EndDetector(self.env, self.suspicion_store, self.status)
         self.found = ProbeResult.ANSWERS
         self.ends.probe = self.probe
 
@@ -219,7 +219,7 @@
 
     @property
     def known(self):
-        return self.suspects.get(FINGERPRINT)
+        return self.suspicion_store.get(FINGERPRINT)
 
     async def until(self, holds):
         async with curio.timeout_after(5):
--- a/tests/test_transfer.py
+++ b/tests/test_transfer.py
@@ -88,7 +88,7 @@
     (stored,) = store.stored_versions.values()
     kept = sum(stored.has_chunk)
     assert kept > 5
-    assert not stored.whole
+    assert not stored.is_complete
     monkeypatch.setattr(StoredVersion, 'put', put)
     transfer.origin = FakeOrigin()
     run(transfer)
--- a/tests/test_weights.py
+++ b/tests/test_weights.py
@@ -60,11 +60,11 @@
 def test_a_version_is_complete_only_after_the_last_chunk_and_the_verification(tmp_path):
     _, stored = open_stored(tmp_path, manifest_of())
     curio.run(fill, stored, DATA, range(5))
-    assert not stored.whole
+    assert not stored.is_complete
     assert not stored.path.exists()
     curio.run(fill, stored, DATA)
     curio.run(stored.complete)
-    assert stored.whole
+    assert stored.is_complete
     assert stored.path.read_bytes() == DATA
 
 
