--- a/packages/millfork-core/millfork_core/windows.py
+++ b/packages/millfork-core/millfork_core/windows.py
@@ -20,7 +20,7 @@
 
     def __init__(self, window_s: float) -> None:
         self.window_s = window_s
-        # When each value was added, and the value; the values fall from left to right.
+        # When each value was added, and the value; the values decrease.
         self.candidates: deque[tuple[float, int]] = deque()
 
     @property
--- a/packages/millfork-registry/millfork_registry/caches.py
+++ b/packages/millfork-registry/millfork_registry/caches.py
@@ -26,11 +26,11 @@
 
     """
     found = _best_first_by_zone(caches)
-    most = {
+    max_by_zone = {
         name: MAX_ADVERTISED_IN_ZONE if zone in (None, name) else MAX_ADVERTISED_PER_OTHER_ZONE
         for name in found
     }
-    return [cache for name in sorted(found) for cache in found[name][: most[name]]]
+    return [cache for name in sorted(found) for cache in found[name][: max_by_zone[name]]]
 
 
 def caches_near_origin(caches: Iterable[CacheAddress], origin_zone: str) -> list[CacheAddress]:
--- a/packages/millfork-registry/millfork_registry/feed_client.py
+++ b/packages/millfork-registry/millfork_registry/feed_client.py
@@ -255,7 +255,7 @@
 
     async def handle_feed_message(self, peer: InstanceId, message: Message) -> bool:
         """
-        Apply a message of the feed; False if the message belongs to something else.
+        Apply a message of the feed; False if the message isn't one of the feed.
 
         """
         if isinstance(message, Update):
--- a/packages/millfork-registry/millfork_registry/followers.py
+++ b/packages/millfork-registry/millfork_registry/followers.py
@@ -68,7 +68,7 @@
         self.entries_by_other_replica: dict[str, int] = {}
         # The entries divide a fixed allowance of retries. Entries that start during a network
         # partition must count those on the other side too, or else each side would use the
-        # whole allowance.
+        # full allowance.
         self.peak_entries = WindowMax(ENTRIES_REMEMBERED_S)
 
     @property
@@ -121,11 +121,11 @@
 
         """
         view = self.replica.view
-        mark = view.position
+        position = view.position
         while True:
-            await view.wait_for_change(mark, HEARTBEAT_S)
-            if view.position != mark:
-                mark = view.position
+            await view.wait_for_change(position, HEARTBEAT_S)
+            if view.position != position:
+                position = view.position
                 await self.wake()
 
     async def _feed(self, follower: Follower, message: Follow) -> None:
--- a/packages/millfork-registry/millfork_registry/registry.py
+++ b/packages/millfork-registry/millfork_registry/registry.py
@@ -141,13 +141,13 @@
         self, instance: str, incarnation: Incarnation | None = None
     ) -> RecordChange:
         """
-        Record that a back end leaves; without an incarnation, the known one is meant.
+        Record that a back end leaves: the given incarnation, or else the known one.
 
         """
         held = self.leases.get(instance)
         owner = str(self.env.instance)
         if held is None:
-            # Other replicas may know the back end, so the goodbye is recorded all the same.
+            # Other replicas may know the back end, so its leaving is recorded nevertheless.
             leaving = incarnation or UNKNOWN_INCARNATION
             gone = Lease(instance, '', '', 0, '', 0, LeaseState.GONE, 0, owner, incarnation=leaving)
             return self.merge_lease(gone)
@@ -217,7 +217,7 @@
 
     def restart_expiry_timers(self) -> None:
         """
-        Count silence from now on only, because this process did not run until now.
+        Restart the expiry time of every lease, because this process did not run until now.
 
         """
         now = self.env.monotonic()
@@ -272,8 +272,8 @@
             )
             self.merge_lease(ended)
             expired.append(ended)
-        for key, (_, came_at) in list(self.unconfirmed.items()):
-            if now - came_at > ENDED_RETENTION_S:
+        for key, (_, received_at) in list(self.unconfirmed.items()):
+            if now - received_at > ENDED_RETENTION_S:
                 del self.unconfirmed[key]
         for key, ended_at in list(self.ended_at_by_instance.items()):
             if now - ended_at > ENDED_RETENTION_S:
--- a/packages/millfork-registry/millfork_registry/suspicion_store.py
+++ b/packages/millfork-registry/millfork_registry/suspicion_store.py
@@ -73,8 +73,10 @@
         Return the next epoch's suspicion, once an incarnation is known to live on.
 
         """
-        left = tuple(key for key in self.broken if key != incarnation)
-        return Suspicion(self.fingerprint, self.epoch + 1, min(self.ends, len(left)), left)
+        remaining = tuple(key for key in self.broken if key != incarnation)
+        return Suspicion(
+            self.fingerprint, self.epoch + 1, min(self.ends, len(remaining)), remaining
+        )
 
     def merged_with(self, other: 'Suspicion') -> 'Suspicion':
         """
@@ -130,7 +132,7 @@
         self.monotonic = monotonic
         self.table: VersionedTable[Suspicion] = VersionedTable()
         self.changed_at: dict[Fingerprint, float] = {}
-        # Suspicions that the process at the other end of the feed may lack. Whoever adds one
+        # Suspicions that the process at the other end of the feed may lack. Code that adds one
         # sets `unsent_event`.
         self.unsent: dict[Fingerprint, Suspicion] = {}
         self.unsent_event = curio.Event()
--- a/packages/millfork-routing/millfork_routing/balance.py
+++ b/packages/millfork-routing/millfork_routing/balance.py
@@ -138,7 +138,7 @@
     able = [b for b in backends if b.instance not in tried and is_usable(b, organisation, now)]
     if not able:
         return None
-    # If all endpoints turned requests away lately, they are used nevertheless.
+    # If all endpoints turned requests away recently, they are used nevertheless.
     able = [b for b in able if b.passed_over_until <= now] or able
     local = [b for b in able if b.zone == zone and b.load < 1]
     free = local or [b for b in able if b.load < 1] or able
--- a/packages/millfork-routing/millfork_routing/routes.py
+++ b/packages/millfork-routing/millfork_routing/routes.py
@@ -60,8 +60,8 @@
 
 def pick_service(route: Route, random_number: float) -> ServiceName:
     """
-    Choose the service of one request by the weights of its route; `random_number` is a uniform random
-    number in [0, 1).
+    Choose the service of one request by the weights of its route; `random_number` is uniform
+    in [0, 1).
 
     """
     total = sum(share.weight for share in route.shares)
--- a/packages/millfork-routing/millfork_routing/shared_budget.py
+++ b/packages/millfork-routing/millfork_routing/shared_budget.py
@@ -7,7 +7,7 @@
 
 - The previous process of this entry may have spent the entry's share, so in its first window a
   process has little of the ratio and none of the fixed allowance.
-- The allowance is divided by the highest number of entries known lately: entries that are
+- The allowance is divided by the highest recent number of entries: entries that are
   partitioned off or restarting use their share of it nevertheless.
 - An entry has no share of the allowance until it was in contact with a majority of the replicas
   for a whole window. Only one side of a partition is, so the two sides can't both divide the
@@ -135,8 +135,8 @@
 
     def count_entries(self) -> int:
         """
-        The highest number of entries known lately. It must be called regularly, so that entries
-        that are out of reach now are remembered.
+        The highest recent number of entries. This method must be called regularly, so that
+        entries that are out of reach now are remembered.
 
         """
         now = self.monotonic()
--- a/packages/millfork-scheduling/millfork_scheduling/availability.py
+++ b/packages/millfork-scheduling/millfork_scheduling/availability.py
@@ -3,7 +3,7 @@
 
 An overloaded back end announces how many requests a second it accepts. Only its answers show
 when the limit is over, so some requests must continue to reach it. A back end that leaves may
-tell entries so before any replica receives its heartbeat, for example during a partition.
+announce that to entries before any replica receives its heartbeat, for example during a partition.
 
 """
 
@@ -20,7 +20,7 @@
 # A daemon's report is up to this old on arrival, so it may have been made before an answer that
 # announced a limit.
 REPORT_LAG_S: Final = 0.6
-# Longer rests are cut to this: the back end could otherwise be closed for good.
+# Longer rests are cut to this: the back end could otherwise stay closed forever.
 MAX_REST_S: Final = 300.0
 # If the request that probes whether a rest is over has no answer by then, another may probe.
 PROBE_TIMEOUT_S: Final = 1.0
--- a/packages/millfork-scheduling/millfork_scheduling/first_tries.py
+++ b/packages/millfork-scheduling/millfork_scheduling/first_tries.py
@@ -5,7 +5,7 @@
 late in any case, and a slot given to one of them is lost to a request that could be in time. A
 returning caller has a shorter deadline left than callers begin with. But on some fleets callers
 begin with very different deadlines, so a short one proves nothing by itself. Therefore the
-deadlines of first tries are learned while nobody is turned away, and a request is taken for a
+deadlines of first tries are learned while no caller is turned away, and a request counts as a
 retry only if its deadline is outside their range.
 
 """
@@ -35,7 +35,7 @@
 MIN_COMMON_DEADLINES: Final = 4
 SAME_DEADLINE_MS: Final = 20
 # The share of a route's shortest first-try deadlines that is ignored: probes, and retries that
-# were taken for first tries.
+# were mistaken for first tries.
 OUTLIER_SHARE: Final = 0.05
 # The observed first tries may not include the shortest deadline. It may lie below them by this
 # share of their range.
--- a/packages/millfork-scheduling/millfork_scheduling/fleet_index.py
+++ b/packages/millfork-scheduling/millfork_scheduling/fleet_index.py
@@ -53,11 +53,13 @@
             _keep_lowest(self.far, service, max(MAX_FAR, share))
 
 
-def _keep_lowest(servers: dict[ServiceName, list[Server]], service: ServiceName, most: int) -> None:
+def _keep_lowest(
+    servers: dict[ServiceName, list[Server]], service: ServiceName, limit: int
+) -> None:
     """
-    Keep the back ends of a service with the lowest `draw_order`, at most `most` of them.
+    Keep the back ends of a service with the lowest `draw_order`, at most `limit` of them.
 
     """
     found = servers.get(service, [])
-    if len(found) > most:
-        servers[service] = nsmallest(most, found, key=lambda server: server.draw_order)
+    if len(found) > limit:
+        servers[service] = nsmallest(limit, found, key=lambda server: server.draw_order)
--- a/packages/millfork-scheduling/millfork_scheduling/placement.py
+++ b/packages/millfork-scheduling/millfork_scheduling/placement.py
@@ -22,7 +22,7 @@
 
 # The cost of a failure rate of 1, in full loads of a back end.
 FAILURE_COST_LOADS: Final = 3.0
-# The cost of each answer token of a path whose engines lie in two zones: one round trip.
+# The cost of each answer token of a path whose engines are in two zones: one round trip.
 PATH_TOKEN_HOP_MS: Final = 5.0
 # The cost of an engine in another zone: one round trip.
 OTHER_ZONE_COST_MS: Final = 10.0
@@ -51,7 +51,7 @@
 class Requirements:
     """
     What a request requires of a back end: the service; for engines also the engine spec, the
-    oldest acceptable version and the newest announced version.
+    oldest acceptable version and the newest named version.
 
     """
 
@@ -62,13 +62,13 @@
     prompt_tokens: int = 0
     # Whether the request can't be sent to another back end after this one.
     last_send: bool = False
-    # For each recently announced version, the moment from which no request may begin on an
-    # older version (monotonic seconds).
+    # For each recently named version, when requests that have not begun on an older version
+    # are cancelled (monotonic seconds).
     cancel_times: tuple[tuple[int, float], ...] = ()
 
     def ends_at(self, version: int) -> float:
         """
-        The moment from which the request may no longer begin on `version`; infinity if none.
+        When the request is cancelled if it has not begun on `version`; infinity if never.
 
         """
         return min((at for newer, at in self.cancel_times if newer > version), default=float('inf'))
@@ -79,8 +79,8 @@
     """
     The back end chosen for a request; for a path, its first engine.
 
-    `spec_first_token_ms` is the time to the first token by the engine spec, `first_token_ms` the
-    same corrected by the recent lateness. Both are 0 for back ends that aren't engines.
+    `spec_first_token_ms` is the time to the first token by the engine spec, `first_token_ms` that
+    time corrected by the recent lateness. Both are 0 for back ends that aren't engines.
 
     """
 
@@ -193,8 +193,8 @@
     shuffled = random.sample(servers, len(servers))
     near = [server for server in shuffled if server.zone == zone]
     far = [server for server in shuffled if server.zone != zone]
-    near_taken = max(NEAR_SAMPLED, count - len(far))
-    return [*near[:near_taken], *far[: count - min(len(near), near_taken)]]
+    near_count = max(NEAR_SAMPLED, count - len(far))
+    return [*near[:near_count], *far[: count - min(len(near), near_count)]]
 
 
 def _cheapest(
@@ -206,20 +206,20 @@
     random: Random,
 ) -> Choice | None:
     best: Choice | None = None
-    least = float('inf')
+    lowest_cost = float('inf')
     for server in servers:
-        by_figures = server.first_token_ms(
+        spec_ms = server.first_token_ms(
             engine, requirements.prompt_tokens, context.now, context.entries
         )
-        expected = by_figures + max(context.mean_lateness_ms, server.lateness.now_ms(context.now))
+        expected = spec_ms + max(context.mean_lateness_ms, server.lateness.now_ms(context.now))
         path = by_first.get(server.instance)
-        found = Choice(server, by_figures, max(expected, 0.0), path)
+        found = Choice(server, spec_ms, max(expected, 0.0), path)
         if _ends_before(found, expected, requirements, engine, context.now):
             continue
         cost = expected + _extra_cost(found, requirements, engine, context.zone)
         cost += random.random() * COST_JITTER_MS
-        if cost < least:
-            least = cost
+        if cost < lowest_cost:
+            lowest_cost = cost
             best = found
     return best
 
--- a/packages/millfork-scheduling/millfork_scheduling/quarantine.py
+++ b/packages/millfork-scheduling/millfork_scheduling/quarantine.py
@@ -21,8 +21,8 @@
 # After this many ends of back ends a request is at fault. A single end proves nothing, as every
 # request that ran on the back end is suspected.
 MIN_ENDS_AT_FAULT: Final = 3
-# A suspected request is tried again this long after its last news. By then it is known of most
-# back ends whose answers broke off whether they have ended.
+# A suspected request is tried again this long after its suspicion last changed. By then most
+# back ends whose answers broke off are known to have ended or to live on.
 TRIAL_AFTER_S: Final = 2.0
 # Entries spread their trials at random over this time multiplied by the number of entries, so
 # that most learn the outcome of the first trial. The fleet makes at most two trials a second.
--- a/packages/millfork-scheduling/millfork_scheduling/retry_after.py
+++ b/packages/millfork-scheduling/millfork_scheduling/retry_after.py
@@ -1,5 +1,5 @@
 """
-How long a rejected caller is told to wait before it retries.
+The wait that a rejected caller is asked for before it retries.
 
 Callers that all retried at the same moment, before the reason for the rejection is over,
 would be rejected again. So the waits are spread at random, and last about as long as a slot
@@ -31,7 +31,7 @@
     Reason.BUSY: 300,
     Reason.RETRY_BUDGET: 500,
     Reason.EXPIRED: 0,
-    # By then it is known of most back ends whose answers broke off whether they have ended.
+    # By then most back ends whose answers broke off are known to have ended or to live on.
     Reason.SUSPECTED: 2000,
     # A quarantined request is refused however long its caller waits.
     Reason.QUARANTINED: 0,
@@ -63,8 +63,8 @@
     lower, as other back ends may start to serve, or another entry may be able to send.
 
     """
-    most_ms = MAX_REST_MS if closure.closure_reason is ClosureReason.RESTING else NOTHING_SERVES_MS
-    wait_ms = min(max(closure.opens_in_s * 1000, MIN_WAIT_MS), most_ms)
+    max_ms = MAX_REST_MS if closure.closure_reason is ClosureReason.RESTING else NOTHING_SERVES_MS
+    wait_ms = min(max(closure.opens_in_s * 1000, MIN_WAIT_MS), max_ms)
     return int(wait_ms + random.random() * SPREAD_WAIT_MS)
 
 
--- a/packages/millfork-scheduling/millfork_scheduling/server.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server.py
@@ -103,7 +103,7 @@
     incarnation: Incarnation = UNKNOWN_INCARNATION
     # Whether another incarnation has replaced this one; requests sent to this one are lost.
     replaced: bool = False
-    # The backpressure signals that it sent.
+    # The backpressure signals that the back end sent.
     availability: Availability = field(default_factory=Availability)
     # The versions in its last heartbeat. Reports of endpoint daemons are newer.
     lease_served: tuple[ServedVersion, ...] = ()
@@ -113,7 +113,7 @@
     daemon: str = ''
     # When this entry first received its lease, in monotonic seconds.
     known_since: float = float('inf')
-    # In large fleets an entry uses only the back ends with the lowest values, so always the same.
+    # Random but fixed: in large fleets an entry uses only the back ends with the lowest values.
     draw_order: float = 0.0
     # This entry's own requests there, and those of them without a first token.
     own_requests: int = 0
@@ -134,11 +134,11 @@
     suspect_until: float = float('-inf')
     # When this entry last received data from it.
     last_received_at: float = float('-inf')
-    # By rank: when the latest request was sent among those whose answers have begun.
+    # By urgency: when the latest request was sent among those whose answers have begun.
     answered: dict[int | None, float] = field(default_factory=dict)
     # The delay of its first tokens against the prediction from the engine spec.
     lateness: 'Lateness' = field(default_factory=lambda: Lateness(SERVER_LATENESS_WEIGHT))
-    # Versions that it refused lately, and until when the refusal is taken as valid.
+    # Versions that the back end refused recently, and until when each refusal counts.
     refused: dict[int, float] = field(default_factory=dict)
 
     def is_other_incarnation(self, incarnation: Incarnation) -> bool:
@@ -181,8 +181,8 @@
         """
         if now - self.reported_at > REPORT_VALID_S:
             return self.own_requests * entries
-        begun = self.own_requests - self.own_at_report
-        return max(self.reported + begun * (entries if begun > 0 else 1), self.own_requests)
+        started = self.own_requests - self.own_at_report
+        return max(self.reported + started * (entries if started > 0 else 1), self.own_requests)
 
     def likely_occupied(self, now: float, entries: int) -> int:
         """
@@ -205,8 +205,10 @@
         """
         if now - self.reported_at > REPORT_VALID_S:
             return self.own_unread * entries
-        begun = self.own_unread - self.own_unread_at_report
-        return max(self.reported_unread + begun * (entries if begun > 0 else 1), self.own_unread)
+        started = self.own_unread - self.own_unread_at_report
+        return max(
+            self.reported_unread + started * (entries if started > 0 else 1), self.own_unread
+        )
 
     def first_token_ms(
         self, engine: EngineSpec, prompt_tokens: int, now: float, entries: int
@@ -247,9 +249,8 @@
 
     def note_turned_away(self, sent_at: float, now: float) -> None:
         """
-        Record that it turned away a request sent at `sent_at`; it is avoided for a while.
-
-        Rejected requests occupy no slots, so it would otherwise look like the freest back end.
+        Record that a request sent at `sent_at` was turned away; the back end is avoided for a
+        while. As rejected requests occupy no slots, it would otherwise seem to be the freest.
 
         """
         if sent_at < self.turned_away_at:
@@ -262,7 +263,7 @@
 
     def note_accepted(self, sent_at: float) -> None:
         """
-        Record that it accepted a request sent at `sent_at`.
+        Record that the back end accepted a request sent at `sent_at`.
 
         """
         if sent_at >= self.turned_away_at:
@@ -279,22 +280,22 @@
 
     def note_answered(self, urgency: int | None, sent_at: float) -> None:
         """
-        Record that the answer to a request of this rank, sent at `sent_at`, has begun.
+        Record that the answer to a request of this urgency, sent at `sent_at`, has begun.
 
         """
         self.answered[urgency] = max(sent_at, self.answered.get(urgency, sent_at))
 
-    def answered_since(self, urgency: int | None, sent_at: float) -> bool:
+    def answered_since(self, urgency: int | None, moment: float) -> bool:
         """
-        Whether it began to answer a request of the same rank that was sent after `sent_at`.
+        Whether the back end began to answer a request of this urgency sent after `moment`.
 
         """
-        return self.answered.get(urgency, float('-inf')) > sent_at
+        return self.answered.get(urgency, float('-inf')) > moment
 
     def newest_complete_version(self, layers: int) -> int | None:
         """
-        The newest version of which it holds all layers; None if there is none.
+        The newest version of which the back end holds all layers; None if there is none.
 
         """
-        whole = [item.version for item in self.served if item.has_all_layers(layers)]
-        return max(whole, default=None)
+        complete = [item.version for item in self.served if item.has_all_layers(layers)]
+        return max(complete, default=None)
--- a/packages/millfork-scheduling/millfork_scheduling/server_table.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server_table.py
@@ -59,10 +59,10 @@
     ) -> None:
         self.zone = zone
         self.entries = entries
-        # The highest number of entries seen lately. Entries that are out of reach now may still
-        # send requests.
+        # The highest recent number of entries. Entries that are out of reach now may still send
+        # requests.
         self.peak_entries = peak_entries
-        # How much later than predicted from the engine spec first tokens came lately, in ms.
+        # How much later than predicted from the engine spec recent first tokens arrived, in ms.
         self.lateness: dict[ServiceName, Lateness] = {}
         self.random = random
         self.monotonic = monotonic
@@ -85,8 +85,8 @@
             lease = usable.get(key)
             if lease is not None and lease.incarnation == server.incarnation:
                 continue
-            # Nothing learned about one incarnation holds for the next one: its weights, load,
-            # failures and connections ended with it.
+            # The weights, load, failures and connections of one incarnation say nothing about
+            # the next one.
             server.replaced = lease is not None
             dropped.append(server)
             self.lapsed.store((key, server.incarnation), server.availability)
@@ -222,8 +222,8 @@
             and self._can_serve_now(server, requirements, [], now)
             and server.newest_complete_version(engine.layers) is not None
         ]
-        taken = sum(server.likely_occupied(now, self.entries()) for server in eligible)
-        if taken >= MAX_OCCUPIED_SHARE * sum(server.slots for server in eligible):
+        occupied = sum(server.likely_occupied(now, self.entries()) for server in eligible)
+        if occupied >= MAX_OCCUPIED_SHARE * sum(server.slots for server in eligible):
             return []
         return nsmallest(
             NEAR_SAMPLED + FAR_SAMPLED, eligible, key=partial(_occupied_share, now=now)
--- a/packages/millfork-scheduling/millfork_scheduling/turned_away.py
+++ b/packages/millfork-scheduling/millfork_scheduling/turned_away.py
@@ -1,8 +1,8 @@
 """
-The requests that were turned away lately, by fingerprint of their content.
+The recently turned away requests, by fingerprint of their content.
 
-A caller may come back to another entry than the one that turned it away, with a new request
-id and, on some fleets, with a deadline that doesn't show that it was turned away before.
+A caller may retry at another entry than the one that turned it away, with a new request id
+and, on some fleets, with a deadline that doesn't show that it was turned away before.
 
 """
 
@@ -39,7 +39,7 @@
 
     def elapsed_ms(self, fingerprint: bytes, now: float) -> int | None:
         """
-        The time since a request's first try, in ms; None if it was not turned away lately.
+        The time since a request's first try, in ms; None if it was not turned away recently.
 
         """
         self._forget_old(now)
--- a/packages/millfork-settings/millfork_settings/seeded.py
+++ b/packages/millfork-settings/millfork_settings/seeded.py
@@ -182,7 +182,7 @@
     if isinstance(value, bool) or not isinstance(value, int | float | str):
         return None
     try:
-        # By way of a string: an integer beyond the range of floats becomes infinity.
+        # Through a string, an integer beyond the range of floats becomes infinity.
         number = float(str(value))
     except ValueError:
         return None
--- a/packages/millfork-weights/millfork_weights/store.py
+++ b/packages/millfork-weights/millfork_weights/store.py
@@ -55,10 +55,10 @@
         self.fd = self._open()
 
     def _open(self) -> int:
-        whole = self.folder / COMPLETE_FILE
-        if whole.exists():
+        complete_path = self.folder / COMPLETE_FILE
+        if complete_path.exists():
             # After a restart, a complete file counts as partial until it is verified again.
-            whole.replace(self.folder / PARTIAL_FILE)
+            complete_path.replace(self.folder / PARTIAL_FILE)
         fd = os.open(self.folder / PARTIAL_FILE, os.O_RDWR | os.O_CREAT, 0o644)
         os.truncate(fd, self.manifest.size)
         return fd
--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -190,7 +190,7 @@
         (
             Edit(
                 C + 'server_table.py',
-                'if taken >= MAX_OCCUPIED_SHARE * sum(',
+                'if occupied >= MAX_OCCUPIED_SHARE * sum(',
                 'if taken >= 0 * sum(',
             ),
         ),
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -1,7 +1,7 @@
 """
 Back ends that restart under the same id. Their sequence numbers start from 1 again, so
 replicas ignored their heartbeats for as long as the first process had lived, or for two
-minutes after a goodbye. Where the heartbeats were accepted, entries kept using the weights,
+minutes after a leave notice. Where the heartbeats were accepted, entries kept using the weights,
 load and failures of the process that had ended.
 
 """
@@ -89,7 +89,7 @@
     assert registry.leases.get('i-1') == held
 
 
-def test_a_goodbye_without_incarnation_ends_the_known_one(registry):
+def test_a_leave_notice_without_incarnation_ends_the_known_one(registry):
     registry.record_heartbeat(lease(SECOND_INCARNATION, 1))
     registry.record_leave_notice('i-1')
     assert state_of(registry) is LeaseState.GONE
--- a/tests/test_platform_foreign_messages.py
+++ b/tests/test_platform_foreign_messages.py
@@ -176,7 +176,7 @@
     assert ADAPTER.read_answer_head(200, [('keep-alive', 'timeout=\xb2')]).keep_alive_s is None
 
 
-def test_a_goodbye_with_a_body_names_its_incarnation():
+def test_a_leave_notice_with_a_body_names_its_incarnation():
     path = '/v1/Instances.Leave/i-1'
     assert parse_post(path, b'') == LeaveNotice('i-1', None)
     assert parse_post(path, {'born': FIRST_INCARNATION}) == LeaveNotice('i-1', FIRST_INCARNATION)
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -65,14 +65,14 @@
     assert registry.leases.version == version
 
 
-def test_a_goodbye_is_final(registry):
+def test_a_heartbeat_after_a_leave_notice_changes_nothing(registry):
     registry.record_heartbeat(lease(sequence=1))
     registry.record_leave_notice('i-1')
     assert registry.record_heartbeat(lease(sequence=9)) is RecordChange.NONE
     assert state_of(registry) is LeaseState.GONE
 
 
-def test_a_goodbye_of_an_unknown_back_end_is_recorded(registry):
+def test_a_leave_notice_of_an_unknown_back_end_is_recorded(registry):
     registry.record_leave_notice('i-1')
     assert registry.merge_lease(lease(sequence=3)) is RecordChange.NONE
 
