--- a/packages/millfork-adapter/millfork_adapter/exchange.py
+++ b/packages/millfork-adapter/millfork_adapter/exchange.py
@@ -67,7 +67,7 @@
 @dataclass(frozen=True, slots=True)
 class Backpressure:
     """
-    What a back end states about itself in the headers of a response: the requests per second
+    The signals of a back end in the headers of a response: the requests per second
     that it accepts from all entries together (None: no limit), whether it is leaving, and for
     how many seconds the sender must not send it requests (None: it asks for no such pause).
     `invalid_headers` lists the headers that could not be parsed.
@@ -88,7 +88,7 @@
     """
     The status and headers of a back end's response.
 
-    `not_run` means that the back end did not run the request. This is also so if the response
+    `not_run` means that the back end did not run the request. It is also set if the response
     is `misdirected`: another back end than the one addressed answered at the same address.
     `keep_alive_s` is how long the back end keeps an idle connection (None: unspecified).
 
@@ -109,7 +109,7 @@
     """
     An engine's state. Each entry of `served` holds a model, its version, the first layer and
     the exclusive end of the layers (None: all layers). A changed `incarnation` means that the
-    engine restarted: what it held in memory and the orders sent to it are lost.
+    engine restarted: its memory and the orders sent to it are lost.
 
     """
 
--- a/packages/millfork-registry/millfork_registry/followers.py
+++ b/packages/millfork-registry/millfork_registry/followers.py
@@ -34,7 +34,7 @@
 
 class Follower:
     """
-    One process that follows this replica, and how much it has been sent.
+    One process that follows this replica, and the versions of the tables last sent to it.
 
     """
 
--- a/packages/millfork-registry/millfork_registry/records.py
+++ b/packages/millfork-registry/millfork_registry/records.py
@@ -150,7 +150,7 @@
     held: tuple[HeldVersion, ...] = ()
     # The version that the engine is changing to at this moment, 0 if none.
     changing_to: int = 0
-    # The part of a version in transfer that the daemon brings to its engine first.
+    # The layers of a version in transfer that the daemon loads into its engine first.
     goal: ServedVersion | None = None
     # The engine's incarnation.
     incarnation: Incarnation = UNKNOWN_INCARNATION
--- a/packages/millfork-registry/millfork_registry/registry.py
+++ b/packages/millfork-registry/millfork_registry/registry.py
@@ -95,7 +95,7 @@
             return RecordChange.NONE
         if other is not None and held is None and self._may_be_delayed(lease, other):
             log.info(
-                'Heartbeat of an unknown back end not accepted before its next. instance={} '
+                'Heartbeat of an unknown back end ignored until its next. instance={} '
                 'sequence={} address={}:{} held_by={}',
                 lease.instance,
                 lease.sequence,
@@ -118,8 +118,8 @@
         if (lease.incarnation and other.incarnation) or lease.sequence <= FIRST_SEQUENCE:
             return False
         now = self.env.monotonic()
-        sequence, at = self.unconfirmed.setdefault(lease.instance, (lease.sequence, now))
-        if lease.sequence <= sequence or now - at < self.min_gap_s:
+        sequence, received_at = self.unconfirmed.setdefault(lease.instance, (lease.sequence, now))
+        if lease.sequence <= sequence or now - received_at < self.min_gap_s:
             return True
         del self.unconfirmed[lease.instance]
         return False
--- a/packages/millfork-scheduling/millfork_scheduling/incarnation_status.py
+++ b/packages/millfork-scheduling/millfork_scheduling/incarnation_status.py
@@ -14,7 +14,7 @@
 from millfork_scheduling.server import Server
 
 # Data that a back end sent before it ended may be read this much later, as a busy entry reads
-# everything that arrived meanwhile at once.
+# all data that arrived meanwhile in one go.
 READ_DELAY_S: Final = 0.1
 # A daemon's report may describe the engine as it was this long ago.
 REPORT_LAG_S: Final = 1.0
--- a/packages/millfork-scheduling/millfork_scheduling/quarantine.py
+++ b/packages/millfork-scheduling/millfork_scheduling/quarantine.py
@@ -3,10 +3,10 @@
 
 A request that crashes back ends is retried by its caller, at any entry. Each send costs a back
 end for seconds and breaks off all other requests that run there. Those other requests must not
-be refused for it: one complete answer clears a request of suspicion.
+be refused for that: one complete answer clears a request of suspicion.
 
-If back ends end late, or all at once as in a loss of power, it takes a while to tell crashing
-requests from others. Meanwhile a suspected request is refused, apart from occasional trials.
+If back ends end late, or all together as in a loss of power, crashing requests can't be
+distinguished from others for a while. Meanwhile a suspected request is refused, apart from occasional trials.
 
 """
 
--- a/packages/millfork-scheduling/millfork_scheduling/server_table.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server_table.py
@@ -140,7 +140,7 @@
         changes = []
         for state in states:
             server = self.index.by_address.get((state.host, state.port))
-            # Any other sequence is newer: the registry accepts a lower one only after the clock
+            # Any other sequence is newer, as the registry accepts a lower one only after the clock
             # of an instance was reset.
             if server is None or state.sequence == server.report_sequence:
                 continue
--- a/packages/millfork-settings/millfork_settings/errors.py
+++ b/packages/millfork-settings/millfork_settings/errors.py
@@ -22,7 +22,7 @@
 
 class BadFile(Exception):
     """
-    A file is missing, unreadable or invalid; `problems` has everything that is wrong.
+    A file is missing, unreadable or invalid; `problems` lists every error found.
 
     """
 
--- a/packages/millfork-settings/millfork_settings/seeded.py
+++ b/packages/millfork-settings/millfork_settings/seeded.py
@@ -176,7 +176,7 @@
 
 def _number(value: object) -> float | None:
     """
-    The value as a number, or None. Strings count as well, as YAML reads `1e+22` as a string.
+    The value as a number, or None. Strings count too, as YAML reads `1e+22` as a string.
 
     """
     if isinstance(value, bool) or not isinstance(value, int | float | str):
@@ -189,8 +189,8 @@
     return None if math.isnan(number) else number
 
 
-# The promises that the code of each role reads; the settings file must contain them. Where the
-# default stood in for a missing one, a whole fleet stopped using old versions 2 s too early.
+# The promises that the code of each role reads; the settings file must contain them. While the
+# default replaced a missing one, an entire fleet stopped using old versions 2 s too early.
 REQUIRED_PROMISES: Final = {
     SeededRole.ENTRY: (
         'heartbeat_ms',
--- a/packages/millfork-state/millfork_state/commands.py
+++ b/packages/millfork-state/millfork_state/commands.py
@@ -1,8 +1,7 @@
 """
 Commands to the replicated state, and their results.
 
-A command that is sent again has the same effect as once: `Apply` carries an id, a claim
-its attempt, and a raise its version. Times are milliseconds since the epoch, set by the leader.
+Commands are idempotent: `Apply` carries an id, a claim its attempt, and a raise its version. Times are milliseconds since the epoch, set by the leader.
 
 """
 
--- a/packages/millfork-state/millfork_state/formation.py
+++ b/packages/millfork-state/millfork_state/formation.py
@@ -31,7 +31,7 @@
 
 def identity_of(replica: Replica) -> Identity:
     """
-    The replica's disk id and cluster. It is empty if it has neither a cluster nor log entries.
+    The replica's disk id and cluster. `empty`: the replica has neither a cluster nor log entries.
 
     """
     empty = not replica.cluster and replica.storage.last_index == 0
--- a/packages/millfork-state/millfork_state/leader_client.py
+++ b/packages/millfork-state/millfork_state/leader_client.py
@@ -38,7 +38,7 @@
     ) -> None:
         self.env = env
         self.peers = peers
-        # The list is the caller's own and may grow.
+        # The list belongs to the code that passed it, and may grow.
         self.addresses = replicas
         self.node = node
         self.call_timeout_s = call_timeout_s
--- a/packages/millfork-state/millfork_state/leadership.py
+++ b/packages/millfork-state/millfork_state/leadership.py
@@ -219,7 +219,7 @@
 
     async def _handle_reply(self, progress: Progress, reply: AppendReply, sent_at: float) -> bool:
         """
-        Update the progress from a reply; True if another request is due at once.
+        Update the progress from a reply; True if another request is due immediately.
 
         """
         replica = self.replica
--- a/packages/millfork-state/millfork_state/replica.py
+++ b/packages/millfork-state/millfork_state/replica.py
@@ -399,9 +399,9 @@
         """
         Milliseconds since this replica was known to have applied all committed entries.
 
-        Contact with the leader isn't enough: a replica that had been away was in contact at once,
-        and for 0.2 s it passed versions named long ago to newly started entries as if they were
-        new. A leader counts as current only once an entry of its own term is applied, as earlier
+        Contact with the leader isn't enough: a replica that returned after a partition was in
+        contact immediately, and for 0.2 s it reported old versions to newly started entries as
+        just named. A leader counts as current only once an entry of its own term is applied, as earlier
         entries may be committed without its knowledge.
 
         """
--- a/packages/millfork-state/millfork_state/roster.py
+++ b/packages/millfork-state/millfork_state/roster.py
@@ -80,7 +80,7 @@
 
     def apply_delta(self, delta: PlatformDelta) -> None:
         """
-        Apply a delta to the list. One of the present version changes nothing.
+        Apply a delta to the list. A delta of the present version changes nothing.
 
         """
         if delta.version == self.version:
--- a/packages/millfork-state/millfork_state/subscription.py
+++ b/packages/millfork-state/millfork_state/subscription.py
@@ -1,6 +1,6 @@
 """
-How accepted configuration goes down the distribution tree to every process, and how reports
-go up.
+Distribution of accepted configuration down the tree to every process, and of reports up the
+tree.
 
 """
 
@@ -86,7 +86,7 @@
         self.upstream_age_ms = 0
         self.min_revision = 0
         self.has_gap = False
-        # The upstream to try first: found current when the last upstream was left for it.
+        # The upstream to try first: the current one for which the last upstream was left.
         self.preferred_upstream = NO_INSTANCE
         # The last upstream, if it was silent or stale. It is tried last, as its connection
         # may be open without an answer.
--- a/packages/millfork-web/millfork_web/client.py
+++ b/packages/millfork-web/millfork_web/client.py
@@ -20,7 +20,7 @@
 
 class ExchangeFailed(Exception):
     """
-    No complete response came. The verdict says whether the server may have run the request.
+    No complete response arrived. The verdict says whether the server may have run the request.
 
     """
 
@@ -57,7 +57,7 @@
 
     async def parts(self) -> AsyncIterator[bytes]:
         """
-        The body in parts as they arrive; all that has been received by then is one part.
+        The body in parts as they arrive; all bytes received since the last part form one part.
 
         :raises ExchangeFailed: if the body is incomplete.
 
@@ -132,7 +132,7 @@
         """
         Send a request and return once the response's head is read.
 
-        :raises ExchangeFailed: with the verdict on whether the server may have run it.
+        :raises ExchangeFailed: with the verdict on whether the server may have run the request.
 
         """
         sock, conn = await self._connection()
--- a/packages/millfork-wire/millfork_wire/messages/feed.py
+++ b/packages/millfork-wire/millfork_wire/messages/feed.py
@@ -63,7 +63,7 @@
 @dataclass(slots=True)
 class AskFeed(Message):
     """
-    Asks another follower for the feed, where no replica can be reached: configuration since
+    Asks another follower for the feed while no replica can be reached: configuration since
     `revision`, and changes of leases, reports and suspicions since the given versions of the
     asked follower's tables.
 
@@ -113,7 +113,7 @@
 @dataclass(slots=True)
 class SuspicionReport(Message):
     """
-    The requests known to an entry during which back ends ended.
+    The suspicions known to an entry: requests during which back ends ended.
 
     """
 
@@ -124,6 +124,6 @@
 class AskSuspicions(Message):
     """
     Sent to other entries by an entry that starts, on a fleet with a list of instances. The
-    answer is a `SuspicionReport` with all requests that the other entry knows.
+    answer is a `SuspicionReport` with all suspicions of the other entry.
 
     """
--- a/packages/millfork-wire/millfork_wire/peers.py
+++ b/packages/millfork-wire/millfork_wire/peers.py
@@ -47,7 +47,7 @@
 
 class Peers:
     """
-    Accepts and dials connections of this process; one for each peer. Hooks in `closed_hooks`
+    Accepts and dials the connections of this process, one for each peer. Hooks in `closed_hooks`
     are called with each connection that ends.
 
     """
@@ -70,7 +70,7 @@
         self.fleet_key = fleet_key
         self.handler = handler
         self.via = via
-        # Whether to close a connection if nothing at all is received on it during a call that
+        # Whether to close a connection if no bytes are received on it during a call that
         # times out. The next call then dials the peer again, which may have restarted.
         self.closes_unresponsive = closes_unresponsive
         self.connections: dict[InstanceId, Connection] = {}
--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -204,7 +204,7 @@
     Mutation(
         'a common deadline must occur in several requests before it marks first tries',
         'tests/test_first_tries.py::'
-        'test_first_tries_with_different_deadlines_are_not_taken_for_retries',
+        'test_first_tries_with_different_deadlines_are_not_mistaken_for_retries',
         (
             Edit(
                 C + 'first_tries.py',
--- a/tests/test_first_tries.py
+++ b/tests/test_first_tries.py
@@ -72,9 +72,9 @@
     assert under_load([*mixed_deadlines, 5600]) == Judgement(is_undecided=True)
 
 
-def share_taken_for_retries(least, counted):
+def share_mistaken_for_retries(least, counted):
     """
-    The share of first tries taken for retries. Callers begin with `least` to 1 times the usual
+    The share of first tries mistaken for retries. Callers begin with `least` to 1 times the usual
     deadline; of the requests that each entry judges, those at the positions `counted` count.
 
     """
@@ -93,7 +93,7 @@
 @pytest.mark.parametrize(
     'counted', [range(MIN_FIRST_TRIES), range(MIN_FIRST_TRIES, 3 * MIN_FIRST_TRIES)]
 )
-def test_first_tries_with_different_deadlines_are_not_taken_for_retries(least, counted):
+def test_first_tries_with_different_deadlines_are_not_mistaken_for_retries(least, counted):
     """
     A caller was turned away while two thirds of the slots were free. Its entry had judged 14
     requests of the route; six of them happened to be within 120 ms of the longest deadline, so
@@ -104,7 +104,7 @@
     they took 0.012 if callers begin with half of it or more.
 
     """
-    assert share_taken_for_retries(least, counted) < MISTAKEN
+    assert share_mistaken_for_retries(least, counted) < MISTAKEN
 
 
 def test_deadlines_of_possible_retries_are_not_learned(common_deadline):
--- a/tests/test_platform_foreign_messages.py
+++ b/tests/test_platform_foreign_messages.py
@@ -153,8 +153,8 @@
 
 
 @given(mutated({'model': 'm', 'version': 2}), mutated({'born': FIRST_INCARNATION}))
-def test_other_calls_are_accepted_or_refused(version, goodbye):
-    for path, body in (('/v1/version-put', version), ('/v1/Instances.Leave/i-1', goodbye)):
+def test_other_calls_are_accepted_or_refused(version, leave_body):
+    for path, body in (('/v1/version-put', version), ('/v1/Instances.Leave/i-1', leave_body)):
         try:
             parse_post(path, body)
         except InvalidMessage:
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -158,8 +158,8 @@
     """
     first = EndpointState('e:1', 'service', 'zone', '10.0.0.1', 80, 1, reachable=True)
     registry.merge_endpoint_state(first)
-    begun = msgspec.structs.replace(first, sequence=2, held=(HeldVersion('m', 2, 0, 3),))
-    assert registry.merge_endpoint_state(begun) is RecordChange.CHANGED
+    in_transfer = msgspec.structs.replace(first, sequence=2, held=(HeldVersion('m', 2, 0, 3),))
+    assert registry.merge_endpoint_state(in_transfer) is RecordChange.CHANGED
     further = msgspec.structs.replace(first, sequence=3, held=(HeldVersion('m', 2, 0, 9),))
     assert registry.merge_endpoint_state(further) is RecordChange.RENEWED
     assert registry.endpoints.changed_since(registry.endpoints.version - 1) == [further]
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -260,13 +260,13 @@
     assert table.choose(requirements, set()) is None
 
 
-@pytest.mark.parametrize(('begun', 'taken'), [(0, 4), (1, 5), (2, 14), (3, 23)])
-def test_in_a_rush_other_entries_are_assumed_to_send_as_many(table, clock, begun, taken):
+@pytest.mark.parametrize(('started', 'expected'), [(0, 4), (1, 5), (2, 14), (3, 23)])
+def test_in_a_rush_other_entries_are_assumed_to_send_as_many(table, clock, started, expected):
     table.apply_leases([lease(1)])
     table.apply_reports([report(1, running=4)])
     server = table.servers[InstanceId('i-1')]
-    server.own_requests += begun
-    assert server.likely_occupied(clock.now, 9) == taken
+    server.own_requests += started
+    assert server.likely_occupied(clock.now, 9) == expected
 
 
 def test_without_a_report_other_entries_are_assumed_to_have_as_many_requests(table, clock):
--- a/tests/test_suspicions.py
+++ b/tests/test_suspicions.py
@@ -156,17 +156,17 @@
     trials = [
         TrialSchedule(random.Random(number), clock, lambda: entries) for number in range(entries)
     ]
-    begun = []
+    started = []
     started_at = clock.now
     while clock.now < started_at + DURATION_S:
-        begun += [clock.now for trial in trials if trial.start_trial(suspected())]
+        started += [clock.now for trial in trials if trial.start_trial(suspected())]
         clock.now += 0.05
-    assert begun[0] - started_at >= TRIAL_AFTER_S
-    assert DURATION_S / (TRIAL_AFTER_S + entries * TRIAL_SPREAD_S) * entries <= len(begun)
-    assert len(begun) <= MAX_TRIALS_PER_S * DURATION_S
+    assert started[0] - started_at >= TRIAL_AFTER_S
+    assert DURATION_S / (TRIAL_AFTER_S + entries * TRIAL_SPREAD_S) * entries <= len(started)
+    assert len(started) <= MAX_TRIALS_PER_S * DURATION_S
 
 
-def test_news_about_a_request_postpones_its_trial():
+def test_a_changed_suspicion_postpones_the_trial_of_its_request():
     clock = Clock()
     trials = TrialSchedule(random.Random(1), clock, lambda: 1)
     assert not trials.start_trial(suspected())
