--- a/packages/millfork-state/millfork_state/replica.py
+++ b/packages/millfork-state/millfork_state/replica.py
@@ -401,8 +401,8 @@
 
         Contact with the leader isn't enough: a replica that returned after a partition was in
         contact immediately, and for 0.2 s it reported old versions to newly started entries as
-        just named. A leader counts as current only once an entry of its own term is applied, as earlier
-        entries may be committed without its knowledge.
+        just named. A leader counts as current only once an entry of its own term is applied, as
+        earlier entries may be committed without its knowledge.
 
         """
         is_leader = self.state is ReplicaState.LEADER
