--- a/packages/millfork-scheduling/millfork_scheduling/quarantine.py
+++ b/packages/millfork-scheduling/millfork_scheduling/quarantine.py
@@ -6,7 +6,8 @@
 be refused for that: one complete answer clears a request of suspicion.
 
 If back ends end late, or all together as in a loss of power, crashing requests can't be
-distinguished from others for a while. Meanwhile a suspected request is refused, apart from occasional trials.
+distinguished from others for a while. Meanwhile a suspected request is refused, apart from
+occasional trials.
 
 """
 
--- a/packages/millfork-state/millfork_state/commands.py
+++ b/packages/millfork-state/millfork_state/commands.py
@@ -1,7 +1,8 @@
 """
 Commands to the replicated state, and their results.
 
-Commands are idempotent: `Apply` carries an id, a claim its attempt, and a raise its version. Times are milliseconds since the epoch, set by the leader.
+Commands are idempotent: `Apply` carries an id, a claim its attempt, and a raise its version.
+Times are milliseconds since the epoch, set by the leader.
 
 """
 
