--- a/packages/millfork-routing/millfork_routing/balance.py
+++ b/packages/millfork-routing/millfork_routing/balance.py
@@ -44,7 +44,7 @@
     own_at_report: int = 0
     own_requests: int = 0
     leaving: bool = False
-    suspect_until: float = 0.0
+    avoided_until: float = 0.0
     # The number of requests that its back end turned away in a row, when the last one was, and
     # until when other endpoints are preferred.
     turned_away: int = 0
@@ -114,7 +114,7 @@
     Whether a request of this organisation may be sent to the endpoint.
 
     """
-    if backend.leaving or backend.suspect_until > now:
+    if backend.leaving or backend.avoided_until > now:
         return False
     return backend.busy_for(organisation, now) is None
 
--- a/packages/millfork-scheduling/millfork_scheduling/server.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server.py
@@ -20,8 +20,8 @@
 from millfork_scheduling.prediction import first_token_ms, usual_service_s
 
 # A back end that failed is avoided for this time, doubled with each further failure.
-FIRST_SUSPICION_S: Final = 0.5
-MAX_SUSPICION_S: Final = 4.0
+FIRST_AVOIDANCE_S: Final = 0.5
+MAX_AVOIDANCE_S: Final = 4.0
 # A back end that turns a request away is avoided for this time, doubled with each rejection in
 # a row: it may be full for a moment, or reject everything.
 FIRST_TURNED_AWAY_S: Final = 0.05
@@ -131,7 +131,7 @@
     # The number of requests turned away in a row, and when the last one was.
     turned_away: int = 0
     turned_away_at: float = float('-inf')
-    suspect_until: float = float('-inf')
+    avoided_until: float = float('-inf')
     # When this entry last received data from it.
     last_received_at: float = float('-inf')
     # By urgency: when the latest request was sent among those whose answers have begun.
@@ -242,9 +242,9 @@
         Record a failure; the back end is avoided for a while.
 
         """
-        wait = min(FIRST_SUSPICION_S * 2**self.failures, MAX_SUSPICION_S)
+        wait = min(FIRST_AVOIDANCE_S * 2**self.failures, MAX_AVOIDANCE_S)
         self.failures += 1
-        self.suspect_until = now + wait
+        self.avoided_until = now + wait
         self.note_outcome(failed=True)
 
     def note_turned_away(self, sent_at: float, now: float) -> None:
@@ -259,7 +259,7 @@
         wait = min(FIRST_TURNED_AWAY_S * 2**self.turned_away, MAX_TURNED_AWAY_S)
         self.turned_away += 1
         self.turned_away_at = now
-        self.suspect_until = max(self.suspect_until, now + wait)
+        self.avoided_until = max(self.avoided_until, now + wait)
 
     def note_accepted(self, sent_at: float) -> None:
         """
--- a/packages/millfork-scheduling/millfork_scheduling/server_table.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server_table.py
@@ -194,7 +194,7 @@
             return sampled
         by_first = {path.first.instance: path.second for path in paths}
         eligible = filter_startable(
-            self._unsuspected(requirements, paths, tried, now), requirements.engine, paths
+            self._usable_servers(requirements, paths, tried, now), requirements.engine, paths
         )
         return [
             member
@@ -218,7 +218,7 @@
         eligible = [
             server
             for server in servers
-            if self._is_untried_and_trusted(server, tried, now)
+            if self._is_untried_and_not_avoided(server, tried, now)
             and self._can_serve_now(server, requirements, [], now)
             and server.newest_complete_version(engine.layers) is not None
         ]
@@ -304,7 +304,7 @@
                     break
                 members = self._servers_through(server, by_first, requirements)
                 if not members or any(
-                    not self._is_untried_and_trusted(member, tried, now) for member in members
+                    not self._is_untried_and_not_avoided(member, tried, now) for member in members
                 ):
                     continue
                 if all(self._can_serve_now(member, requirements, paths, now) for member in members):
@@ -330,8 +330,10 @@
         second = by_first.get(server.instance)
         return [server, second] if second is not None else []
 
-    def _is_untried_and_trusted(self, server: Server, tried: set[InstanceId], now: float) -> bool:
-        return server.instance not in tried and server.suspect_until <= now
+    def _is_untried_and_not_avoided(
+        self, server: Server, tried: set[InstanceId], now: float
+    ) -> bool:
+        return server.instance not in tried and server.avoided_until <= now
 
     def _choose_from_all(
         self,
@@ -340,21 +342,18 @@
         tried: set[InstanceId],
         context: SelectionContext,
     ) -> Choice | None:
-        trusted = self._unsuspected(requirements, paths, tried, context.now)
-        if not trusted:
+        usable = self._usable_servers(requirements, paths, tried, context.now)
+        if not usable:
             return None
         if requirements.engine is None:
-            return choose_plain(trusted, context, self.random)
-        return choose_engine(
-            trusted, requirements, requirements.engine, paths, context, self.random
-        )
+            return choose_plain(usable, context, self.random)
+        return choose_engine(usable, requirements, requirements.engine, paths, context, self.random)
 
-    def _unsuspected(
+    def _usable_servers(
         self, requirements: Requirements, paths: list[Path], tried: set[InstanceId], now: float
     ) -> list[Server]:
         """
-        All back ends that can serve a request. Suspected ones are included only if no other
-        can.
+        All back ends that can serve a request. Avoided ones are included only if no other can.
 
         """
         eligible = [
@@ -363,7 +362,7 @@
             if server.instance not in tried
             and self._can_serve_now(server, requirements, paths, now)
         ]
-        return [server for server in eligible if server.suspect_until <= now] or eligible
+        return [server for server in eligible if server.avoided_until <= now] or eligible
 
     def closure(self, server: Server) -> Closure | None:
         """
--- a/packages/millforkd/millforkd/entry/dispatcher.py
+++ b/packages/millforkd/millforkd/entry/dispatcher.py
@@ -21,13 +21,11 @@
 from millforkd.entry.delivery import Delivery
 from millforkd.entry.endpoint_connections import EndpointConnections
 
-SUSPICION_DURATION_S: Final = 3.0
+AVOIDANCE_S: Final = 3.0
 # Length of the random key that is used where entries share no fingerprints.
 FINGERPRINT_KEY_BYTES: Final = 32
 BUSY_RETENTION_S: Final = 0.05
-SUSPICIOUS_REASONS: Final = frozenset(
-    {Reason.UNREACHABLE, Reason.TIMED_OUT, Reason.CONNECTION_LOST}
-)
+AVOIDANCE_REASONS: Final = frozenset({Reason.UNREACHABLE, Reason.TIMED_OUT, Reason.CONNECTION_LOST})
 
 
 class Dispatcher:
@@ -194,8 +192,8 @@
 
     def _apply_refusal(self, call: Call, backend: Backend, refusal: Refusal) -> None:
         now = self.env.monotonic()
-        if refusal.reason in SUSPICIOUS_REASONS:
-            backend.suspect_until = now + SUSPICION_DURATION_S
+        if refusal.reason in AVOIDANCE_REASONS:
+            backend.avoided_until = now + AVOIDANCE_S
         if refusal.reason is Reason.BUSY:
             backend.busy[call.organisation] = BusyNotice(now + BUSY_RETENTION_S, refusal.wait_ms)
         if refusal.reason is Reason.RESTING:
--- a/tests/test_choice_in_large_fleets.py
+++ b/tests/test_choice_in_large_fleets.py
@@ -93,7 +93,7 @@
     st.sets(st.integers(0, 59), max_size=30),
     st.integers(1, 2),
 )
-def test_no_excluded_engine_is_chosen(served_by_engine, tried, suspected, changing, least):
+def test_no_excluded_engine_is_chosen(served_by_engine, tried, avoided, changing, least):
     table = table_of(served_by_engine)
     now = table.monotonic()
     table.apply_reports(
@@ -101,9 +101,9 @@
         for number in changing
         if number < len(served_by_engine)
     )
-    for number in suspected:
+    for number in avoided:
         if number < len(served_by_engine):
-            table.servers[f'i-{number}'].suspect_until = now + 1
+            table.servers[f'i-{number}'].avoided_until = now + 1
     requirements = Requirements(SERVICE, ENGINE, least, 2)
     excluded = {f'i-{number}' for number in tried}
     paths = table._paths(SERVICE, ENGINE, 2)
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -102,7 +102,7 @@
     assert (refusal.reason, refusal.wait_ms) == (Reason.RETRY_BUDGET, 700)
 
 
-def test_an_unreachable_endpoint_becomes_suspect():
+def test_an_unreachable_endpoint_is_avoided():
     dispatcher, _ = run([UNREACHABLE, None])
     first = dispatcher.tried_instances[0]
-    assert dispatcher.endpoints.backends[first].suspect_until > dispatcher.env.monotonic()
+    assert dispatcher.endpoints.backends[first].avoided_until > dispatcher.env.monotonic()
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -55,8 +55,8 @@
     assert pick([backend('a', own_requests=4), backend('c', THERE, own_requests=6)]) == 'a'
 
 
-def test_tried_leaving_and_suspected_endpoints_are_not_chosen():
-    backends = [backend('a'), backend('b', leaving=True), backend('c', suspect_until=2.0)]
+def test_tried_leaving_and_avoided_endpoints_are_not_chosen():
+    backends = [backend('a'), backend('b', leaving=True), backend('c', avoided_until=2.0)]
     assert pick(backends, tried=['a']) is None
     assert pick(backends, tried=['a'], now=3.0) == 'c'
 
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -16,7 +16,7 @@
 from millfork_scheduling.paths import find_paths
 from millfork_scheduling.placement import Requirements
 from millfork_scheduling.prediction import first_token_ms
-from millfork_scheduling.server import MAX_SUSPICION_S
+from millfork_scheduling.server import MAX_AVOIDANCE_S
 from millfork_scheduling.server_table import ServerTable
 
 ENGINE = EngineSpec(
@@ -98,15 +98,15 @@
     assert chosen(table, tried=['i-2']) == 'i-1'
 
 
-def test_suspicion_grows_up_to_a_bound_and_ends(table, clock):
+def test_avoidance_of_a_failing_back_end_is_bounded_and_reset_by_a_success(table, clock):
     table.apply_leases([lease(1)])
     server = table.servers[InstanceId('i-1')]
     for _ in range(9):
         server.note_failure(clock.now)
-    assert server.suspect_until == clock.now + MAX_SUSPICION_S
+    assert server.avoided_until == clock.now + MAX_AVOIDANCE_S
     server.note_outcome(failed=False)
     server.note_failure(clock.now)
-    assert server.suspect_until < clock.now + MAX_SUSPICION_S
+    assert server.avoided_until < clock.now + MAX_AVOIDANCE_S
 
 
 def test_an_engine_needs_all_layers_of_an_acceptable_version(table):
