--- a/packages/millfork-registry/millfork_registry/records.py
+++ b/packages/millfork-registry/millfork_registry/records.py
@@ -37,7 +37,7 @@
     first: int = 0
     end: int | None = None
 
-    def has_all_layers(self, layers: int) -> bool:
+    def is_complete(self, layers: int) -> bool:
         """
         Whether these are all layers of a model that has `layers` layers.
 
--- a/packages/millfork-registry/millfork_registry/registry.py
+++ b/packages/millfork-registry/millfork_registry/registry.py
@@ -137,9 +137,7 @@
             return None
         return other
 
-    def record_leave_notice(
-        self, instance: str, incarnation: Incarnation | None = None
-    ) -> RecordChange:
+    def record_leave(self, instance: str, incarnation: Incarnation | None = None) -> RecordChange:
         """
         Record that a back end leaves: the given incarnation, or else the known one.
 
--- a/packages/millfork-registry/millfork_registry/suspicion_store.py
+++ b/packages/millfork-registry/millfork_registry/suspicion_store.py
@@ -73,10 +73,8 @@
         Return the next epoch's suspicion, once an incarnation is known to live on.
 
         """
-        remaining = tuple(key for key in self.broken if key != incarnation)
-        return Suspicion(
-            self.fingerprint, self.epoch + 1, min(self.ends, len(remaining)), remaining
-        )
+        broken = tuple(key for key in self.broken if key != incarnation)
+        return Suspicion(self.fingerprint, self.epoch + 1, min(self.ends, len(broken)), broken)
 
     def merged_with(self, other: 'Suspicion') -> 'Suspicion':
         """
--- a/packages/millfork-scheduling/millfork_scheduling/fleet_index.py
+++ b/packages/millfork-scheduling/millfork_scheduling/fleet_index.py
@@ -49,13 +49,11 @@
             self.by_address[(server.host, server.port)] = server
         for service, found in self.by_service.items():
             share = ENTRIES_PER_ENGINE * len(found) // max(self.entries(), 1)
-            _keep_lowest(self.near, service, max(MAX_NEAR, share))
-            _keep_lowest(self.far, service, max(MAX_FAR, share))
+            _truncate(self.near, service, max(MAX_NEAR, share))
+            _truncate(self.far, service, max(MAX_FAR, share))
 
 
-def _keep_lowest(
-    servers: dict[ServiceName, list[Server]], service: ServiceName, limit: int
-) -> None:
+def _truncate(servers: dict[ServiceName, list[Server]], service: ServiceName, limit: int) -> None:
     """
     Keep the back ends of a service with the lowest `draw_order`, at most `limit` of them.
 
--- a/packages/millfork-scheduling/millfork_scheduling/quarantine.py
+++ b/packages/millfork-scheduling/millfork_scheduling/quarantine.py
@@ -5,9 +5,8 @@
 end for seconds and breaks off all other requests that run there. Those other requests must not
 be refused for that: one complete answer clears a request of suspicion.
 
-If back ends end late, or all together as in a loss of power, crashing requests can't be
-distinguished from others for a while. Meanwhile a suspected request is refused, apart from
-occasional trials.
+If back ends end late, or all together as in a loss of power, crashing requests are recognised
+only after a while. Until then a suspected request is refused, apart from occasional trials.
 
 """
 
--- a/packages/millfork-scheduling/millfork_scheduling/server.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server.py
@@ -181,8 +181,8 @@
         """
         if now - self.reported_at > REPORT_VALID_S:
             return self.own_requests * entries
-        started = self.own_requests - self.own_at_report
-        return max(self.reported + started * (entries if started > 0 else 1), self.own_requests)
+        new = self.own_requests - self.own_at_report
+        return max(self.reported + new * (entries if new > 0 else 1), self.own_requests)
 
     def likely_occupied(self, now: float, entries: int) -> int:
         """
@@ -205,10 +205,8 @@
         """
         if now - self.reported_at > REPORT_VALID_S:
             return self.own_unread * entries
-        started = self.own_unread - self.own_unread_at_report
-        return max(
-            self.reported_unread + started * (entries if started > 0 else 1), self.own_unread
-        )
+        new = self.own_unread - self.own_unread_at_report
+        return max(self.reported_unread + new * (entries if new > 0 else 1), self.own_unread)
 
     def first_token_ms(
         self, engine: EngineSpec, prompt_tokens: int, now: float, entries: int
@@ -297,5 +295,5 @@
         The newest version of which the back end holds all layers; None if there is none.
 
         """
-        complete = [item.version for item in self.served if item.has_all_layers(layers)]
+        complete = [item.version for item in self.served if item.is_complete(layers)]
         return max(complete, default=None)
--- a/packages/millforkd/millforkd/proxy/suspicion_reporter.py
+++ b/packages/millforkd/millforkd/proxy/suspicion_reporter.py
@@ -31,16 +31,12 @@
     """
 
     def __init__(
-        self,
-        env: Environment,
-        peers: Peers,
-        feed_client: FeedClient,
-        suspicion_store: SuspicionStore,
+        self, env: Environment, peers: Peers, feed_client: FeedClient, store: SuspicionStore
     ) -> None:
         self.env = env
         self.peers = peers
         self.feed_client = feed_client
-        self.suspicion_store = suspicion_store
+        self.suspicion_store = store
 
     async def run(self) -> None:
         """
--- a/packages/millforkd/millforkd/replica/control.py
+++ b/packages/millforkd/millforkd/replica/control.py
@@ -155,10 +155,7 @@
     async def _(self, call: LeaveNotice) -> Response:
         if self._may_be_of_another_incarnation(call):
             raise Refused(Refusal(Reason.NOT_READY, detail='the back end is not known here yet'))
-        if (
-            self.registry.record_leave_notice(call.instance, call.incarnation)
-            is RecordChange.CHANGED
-        ):
+        if self.registry.record_leave(call.instance, call.incarnation) is RecordChange.CHANGED:
             await self.followers.wake()
         await self._send_ending_to_majority(call.instance)
         return self.adapter.accepted_response()
--- a/packages/millforkd/millforkd/sidecar/daemon.py
+++ b/packages/millforkd/millforkd/sidecar/daemon.py
@@ -253,7 +253,7 @@
             held += [
                 HeldVersion(item.model, item.version)
                 for item in served
-                if item.has_all_layers(layers)
+                if item.is_complete(layers)
                 and not self._holds_whole(WeightsId(item.model, item.version))
             ]
         return tuple(held)
--- a/packages/millforkd/millforkd/sidecar/layer_assignment.py
+++ b/packages/millforkd/millforkd/sidecar/layer_assignment.py
@@ -68,8 +68,7 @@
 
     """
     return any(
-        (item.model, item.version) == (weights.model, weights.version)
-        and item.has_all_layers(layers)
+        (item.model, item.version) == (weights.model, weights.version) and item.is_complete(layers)
         for item in served
     )
 
--- a/packages/millforkd/millforkd/suspicion_updates.py
+++ b/packages/millforkd/millforkd/suspicion_updates.py
@@ -24,9 +24,9 @@
 
     """
 
-    def __init__(self, env: Environment, suspicion_store: SuspicionStore) -> None:
+    def __init__(self, env: Environment, store: SuspicionStore) -> None:
         self.env = env
-        self.suspicion_store = suspicion_store
+        self.store = store
         self.immediate_reports = RateLimit(IMMEDIATE_REPORTS, IMMEDIATE_REPORTS_WINDOW_S)
 
     async def note_broken(self, fingerprint: Fingerprint, incarnation: IncarnationKey) -> None:
@@ -34,10 +34,10 @@
         Note that a request broke off at an incarnation of a back end.
 
         """
-        known = self.suspicion_store.get(fingerprint)
-        self.suspicion_store.record_privately(known.with_broken_answer(incarnation))
+        known = self.store.get(fingerprint)
+        self.store.record_privately(known.with_broken_answer(incarnation))
         if not known.is_clear or self.immediate_reports.try_acquire(self.env.monotonic()):
-            await self.suspicion_store.publish(fingerprint)
+            await self.store.publish(fingerprint)
 
     async def note_end(self, before: Suspicion, incarnation: IncarnationKey) -> None:
         """
@@ -45,20 +45,18 @@
         time when it was sent there.
 
         """
-        known = self.suspicion_store.get(before.fingerprint)
+        known = self.store.get(before.fingerprint)
         if incarnation in known.broken:
-            await self.suspicion_store.record(
-                known.with_ends(count_ends(before, known, incarnation))
-            )
+            await self.store.record(known.with_ends(count_ends(before, known, incarnation)))
             return
         # The suspicion was cleared after the request broke off.
-        await self.suspicion_store.record(before.with_end())
+        await self.store.record(before.with_end())
 
     async def note_no_end(self, fingerprint: Fingerprint, incarnation: IncarnationKey) -> None:
         """
         Note that the incarnation is alive, or that its state stayed unknown for too long.
 
         """
-        known = self.suspicion_store.get(fingerprint)
+        known = self.store.get(fingerprint)
         if incarnation in known.broken:
-            await self.suspicion_store.withdraw(known.without_broken(incarnation))
+            await self.store.withdraw(known.without_broken(incarnation))
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -69,7 +69,7 @@
 def test_a_restarted_back_end_is_usable_immediately(registry, ended):
     registry.record_heartbeat(lease(FIRST_INCARNATION, 50))
     if ended is LeaseState.GONE:
-        registry.record_leave_notice('i-1', FIRST_INCARNATION)
+        registry.record_leave('i-1', FIRST_INCARNATION)
     if ended is LeaseState.DRAINING:
         registry.record_heartbeat(lease(FIRST_INCARNATION, 51, state=ended))
     assert registry.record_heartbeat(lease(SECOND_INCARNATION, 1)) is RecordChange.CHANGED
@@ -84,14 +84,14 @@
         registry.merge_lease(lease(FIRST_INCARNATION, 51, state=LeaseState.EXPIRED, owner='b:1'))
         is RecordChange.NONE
     )
-    assert registry.record_leave_notice('i-1', FIRST_INCARNATION) is RecordChange.NONE
+    assert registry.record_leave('i-1', FIRST_INCARNATION) is RecordChange.NONE
     assert registry.record_heartbeat(lease(0, 52)) is RecordChange.NONE
     assert registry.leases.get('i-1') == held
 
 
 def test_a_leave_notice_without_incarnation_ends_the_known_one(registry):
     registry.record_heartbeat(lease(SECOND_INCARNATION, 1))
-    registry.record_leave_notice('i-1')
+    registry.record_leave('i-1')
     assert state_of(registry) is LeaseState.GONE
     assert registry.record_heartbeat(lease(SECOND_INCARNATION, 2)) is RecordChange.NONE
 
@@ -260,7 +260,7 @@
     def send_goodbye(self, instance, replica_index):
         heartbeat = self.last_sent.pop(instance, None)
         if heartbeat is not None:
-            self.replicas[replica_index][0].record_leave_notice(instance, heartbeat.incarnation)
+            self.replicas[replica_index][0].record_leave(instance, heartbeat.incarnation)
             self.note_incarnation(heartbeat)
 
     @rule(replica_index=REPLICA_INDEXES, data=st.data())
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -67,13 +67,13 @@
 
 def test_a_heartbeat_after_a_leave_notice_changes_nothing(registry):
     registry.record_heartbeat(lease(sequence=1))
-    registry.record_leave_notice('i-1')
+    registry.record_leave('i-1')
     assert registry.record_heartbeat(lease(sequence=9)) is RecordChange.NONE
     assert state_of(registry) is LeaseState.GONE
 
 
 def test_a_leave_notice_of_an_unknown_back_end_is_recorded(registry):
-    registry.record_leave_notice('i-1')
+    registry.record_leave('i-1')
     assert registry.merge_lease(lease(sequence=3)) is RecordChange.NONE
 
 
@@ -127,7 +127,7 @@
 
 def test_ended_leases_are_forgotten(registry, clock):
     registry.record_heartbeat(lease())
-    registry.record_leave_notice('i-1')
+    registry.record_leave('i-1')
     clock.now += ENDED_RETENTION_S + 1
     registry.expire(set())
     assert len(registry.leases) == 0
