--- a/tests/test_choice_in_large_fleets.py
+++ b/tests/test_choice_in_large_fleets.py
@@ -93,7 +93,7 @@
     st.sets(st.integers(0, 59), max_size=30),
     st.integers(1, 2),
 )
-def test_no_excluded_engine_is_chosen(served_by_engine, tried, avoided, changing, least):
+def test_no_excluded_engine_is_chosen(served_by_engine, tried, avoided, changing, min_version):
     table = table_of(served_by_engine)
     now = table.monotonic()
     table.apply_reports(
@@ -104,7 +104,7 @@
     for number in avoided:
         if number < len(served_by_engine):
             table.servers[f'i-{number}'].avoided_until = now + 1
-    requirements = Requirements(SERVICE, ENGINE, least, 2)
+    requirements = Requirements(SERVICE, ENGINE, min_version, 2)
     excluded = {f'i-{number}' for number in tried}
     paths = table._paths(SERVICE, ENGINE, 2)
     full_scan_choice = table._choose_from_all(requirements, paths, excluded, _context(table))
@@ -116,7 +116,7 @@
         for server in choice.servers:
             assert server.instance not in excluded
             assert not server.changing
-        assert choice.version(ENGINE.layers) >= least
+        assert choice.version(ENGINE.layers) >= min_version
 
 
 def _context(table):
--- a/tests/test_closed_back_ends.py
+++ b/tests/test_closed_back_ends.py
@@ -191,7 +191,7 @@
 
 
 @pytest.mark.parametrize(
-    ('closure', 'least_ms'),
+    ('closure', 'min_ms'),
     [
         (Closure(ClosureReason.RESTING, 4.0), 4000),
         (Closure(ClosureReason.RESTING, 200.0), MAX_REST_MS),
@@ -199,10 +199,10 @@
         (Closure(ClosureReason.LEAVING, float('inf')), NOTHING_SERVES_MS),
     ],
 )
-def test_callers_wait_until_the_first_back_end_opens(closure, least_ms):
+def test_callers_wait_until_the_first_back_end_opens(closure, min_ms):
     waits = {closed_wait_ms(closure, Random(seed)) for seed in range(20)}
-    assert min(waits) >= least_ms
-    assert max(waits) <= least_ms + SPREAD_WAIT_MS
+    assert min(waits) >= min_ms
+    assert max(waits) <= min_ms + SPREAD_WAIT_MS
 
 
 def test_a_back_end_that_turns_requests_away_is_avoided_longer_each_time(table, clock):
--- a/tests/test_first_tries.py
+++ b/tests/test_first_tries.py
@@ -17,7 +17,7 @@
 from millfork_scheduling.turned_away import MAX_REMEMBERED, REMEMBERED_S, TurnedAwayRequests
 from millfork_standins.bench.retry_detection import SHIFTED, DetectionMethod, RetryDetectionModel
 
-# The share of first tries that may be taken for retries: low enough that no caller is refused
+# The share of first tries that may be mistaken for retries: low enough that no caller is refused
 # because of it under low load.
 MISTAKEN = 0.002
 
@@ -47,7 +47,7 @@
 
 def test_with_different_deadlines_a_short_one_is_undecided(mixed_deadlines):
     """
-    Half of the first tries of such a fleet were taken for retries: their remaining time was below
+    Half of the first tries of such a fleet counted as retries: their remaining time was below
     0 at once, and they were sent only to engines with spare slots.
 
     """
@@ -72,39 +72,39 @@
     assert under_load([*mixed_deadlines, 5600]) == Judgement(is_undecided=True)
 
 
-def share_mistaken_for_retries(least, counted):
+def share_mistaken_for_retries(min_share, counted):
     """
-    The share of first tries mistaken for retries. Callers begin with `least` to 1 times the usual
-    deadline; of the requests that each entry judges, those at the positions `counted` count.
+    The share of first tries mistaken for retries. Callers begin with `min_share` to 1 times the
+    usual deadline; of the requests that each entry judges, those at the positions `counted` count.
 
     """
-    taken = []
+    mistaken = []
     for seed in range(200):
         random = Random(seed)
         tries = FirstTryDetector()
         for judged in range(counted.stop):
-            judgement = tries.judge('r', int(6000 * random.uniform(least, 1.0)), 0.0)
+            judgement = tries.judge('r', int(6000 * random.uniform(min_share, 1.0)), 0.0)
             if judged in counted:
-                taken.append(judgement.elapsed_ms > 0)
-    return sum(taken) / len(taken)
+                mistaken.append(judgement.elapsed_ms > 0)
+    return sum(mistaken) / len(mistaken)
 
 
-@pytest.mark.parametrize('least', [0.5, 0.6, 0.7, 0.8, 0.85, 0.9, 0.95])
+@pytest.mark.parametrize('min_share', [0.5, 0.6, 0.7, 0.8, 0.85, 0.9, 0.95])
 @pytest.mark.parametrize(
     'counted', [range(MIN_FIRST_TRIES), range(MIN_FIRST_TRIES, 3 * MIN_FIRST_TRIES)]
 )
-def test_first_tries_with_different_deadlines_are_not_mistaken_for_retries(least, counted):
+def test_first_tries_with_different_deadlines_are_not_mistaken_for_retries(min_share, counted):
     """
     A caller was turned away while two thirds of the slots were free. Its entry had judged 14
     requests of the route; six of them happened to be within 120 ms of the longest deadline, so
-    callers seemed to share one deadline. The next, 677 ms shorter, was taken for a retry without
+    callers seemed to share one deadline. The next, 677 ms shorter, counted as a retry without
     remaining time. Any two deadlines counted as equal. So entries that had just started, and
     routes with little traffic, took 0.074 of their first 20 first tries for retries if callers
     begin with 0.85 to 1 times the usual deadline, and 0.269 with 0.95 to 1 times. Of the next 40
     they took 0.012 if callers begin with half of it or more.
 
     """
-    assert share_mistaken_for_retries(least, counted) < MISTAKEN
+    assert share_mistaken_for_retries(min_share, counted) < MISTAKEN
 
 
 def test_deadlines_of_possible_retries_are_not_learned(common_deadline):
@@ -161,8 +161,8 @@
     assert not table.first_tried
 
 
-@pytest.mark.parametrize('least', [1.0, 0.85])
-def test_under_lasting_load_detected_retries_cost_no_requests_in_time(least):
+@pytest.mark.parametrize('min_share', [1.0, 0.85])
+def test_under_lasting_load_detected_retries_cost_no_requests_in_time(min_share):
     """
     Callers begin with 0.85 to 1 times the usual deadline, at 1.2 times the capacity of the
     engines. When retries were told from first tries by the longest deadline seen, 0.54 of the
@@ -173,7 +173,7 @@
     def in_time(way):
         found = []
         for seed in range(2):
-            model = RetryDetectionModel(SHIFTED, 1.2, seed, way, least)
+            model = RetryDetectionModel(SHIFTED, 1.2, seed, way, min_share)
             model.simulate()
             found.append(model.outcomes.share('in time'))
         return sum(found) / len(found)
