--- a/packages/millfork-registry/millfork_registry/registry.py
+++ b/packages/millfork-registry/millfork_registry/registry.py
@@ -62,7 +62,7 @@
         self.leases: VersionedTable[Lease] = VersionedTable()
         self.endpoints: VersionedTable[EndpointState] = VersionedTable()
         self.suspicion_store = SuspicionStore(env.monotonic)
-        self.last_heard_at: dict[str, float] = {}
+        self.last_received_at: dict[str, float] = {}
         self.ended_at_by_instance: dict[str, float] = {}
         # The back end that was last known to run at an address.
         self.instance_by_address: dict[tuple[str, int], str] = {}
@@ -95,7 +95,7 @@
             return RecordChange.NONE
         if other is not None and held is None and self._may_be_delayed(lease, other):
             log.info(
-                'Heartbeat of an unknown back end not accepted before its next. instance={} '
+                'Heartbeat of an unknown back end ignored until its next. instance={} '
                 'sequence={} address={}:{} held_by={}',
                 lease.instance,
                 lease.sequence,
@@ -118,8 +118,8 @@
         if (lease.incarnation and other.incarnation) or lease.sequence <= FIRST_SEQUENCE:
             return False
         now = self.env.monotonic()
-        sequence, at = self.unconfirmed.setdefault(lease.instance, (lease.sequence, now))
-        if lease.sequence <= sequence or now - at < self.min_gap_s:
+        sequence, received_at = self.unconfirmed.setdefault(lease.instance, (lease.sequence, now))
+        if lease.sequence <= sequence or now - received_at < self.min_gap_s:
             return True
         del self.unconfirmed[lease.instance]
         return False
@@ -139,13 +139,13 @@
 
     def record_leave(self, instance: str, incarnation: Incarnation | None = None) -> RecordChange:
         """
-        Record that a back end leaves; without an incarnation, the known one is meant.
+        Record that a back end leaves: the given incarnation, or else the known one.
 
         """
         held = self.leases.get(instance)
         owner = str(self.env.instance)
         if held is None:
-            # Other replicas may know the back end, so the leave notice is still recorded.
+            # Other replicas may know the back end, so its leaving is recorded nevertheless.
             leaving = incarnation or UNKNOWN_INCARNATION
             gone = Lease(instance, '', '', 0, '', 0, LeaseState.GONE, 0, owner, incarnation=leaving)
             return self.merge_lease(gone)
@@ -167,7 +167,7 @@
                 if self._is_wrongly_ended(held, lease)
                 else RecordChange.NONE
             )
-        self.last_heard_at[lease.instance] = self.env.monotonic()
+        self.last_received_at[lease.instance] = self.env.monotonic()
         if held is not None and not lease.needs_announcement_after(held):
             self.leases.put_unannounced(lease.instance, lease)
             return RecordChange.RENEWED
@@ -215,12 +215,12 @@
 
     def restart_expiry_timers(self) -> None:
         """
-        Count silence from now on only, because this process did not run until now.
+        Restart the expiry time of every lease, because this process did not run until now.
 
         """
         now = self.env.monotonic()
         for lease in self.leases.values():
-            self.last_heard_at[lease.instance] = now
+            self.last_received_at[lease.instance] = now
 
     def merge_endpoint_state(self, state: EndpointState) -> RecordChange:
         """
@@ -230,7 +230,7 @@
         held = self.endpoints.get(state.instance)
         if held is not None and state.order <= held.order:
             return RecordChange.NONE
-        self.last_heard_at[state.instance] = self.env.monotonic()
+        self.last_received_at[state.instance] = self.env.monotonic()
         self.endpoints.put(state.instance, state)
         return (
             RecordChange.CHANGED if state.needs_announcement_after(held) else RecordChange.RENEWED
@@ -245,7 +245,7 @@
             self._forget_lease(key)
         for key in [key for key in self.endpoints.rows if key not in endpoints]:
             self.endpoints.remove(key)
-            self.last_heard_at.pop(key, None)
+            self.last_received_at.pop(key, None)
 
     def expire(self, lost_owners: set[str]) -> list[Lease]:
         """
@@ -261,17 +261,17 @@
             owned_here = lease.owner == str(self.env.instance)
             if not owned_here and lease.owner not in lost_owners:
                 # The owner expires it; silence counts here from the owner's loss.
-                self.last_heard_at[lease.instance] = now
+                self.last_received_at[lease.instance] = now
                 continue
-            if now - self.last_heard_at.get(lease.instance, now) < self.lease_s:
+            if now - self.last_received_at.get(lease.instance, now) < self.lease_s:
                 continue
             ended = msgspec.structs.replace(
                 lease, state=LeaseState.EXPIRED, owner=str(self.env.instance)
             )
             self.merge_lease(ended)
             expired.append(ended)
-        for key, (_, came_at) in list(self.unconfirmed.items()):
-            if now - came_at > ENDED_RETENTION_S:
+        for key, (_, received_at) in list(self.unconfirmed.items()):
+            if now - received_at > ENDED_RETENTION_S:
                 del self.unconfirmed[key]
         for key, ended_at in list(self.ended_at_by_instance.items()):
             if now - ended_at > ENDED_RETENTION_S:
@@ -285,16 +285,16 @@
         """
         now = self.env.monotonic()
         for state in list(self.endpoints.values()):
-            if now - self.last_heard_at.get(state.instance, now) > REPORT_LIFETIME_S:
+            if now - self.last_received_at.get(state.instance, now) > REPORT_LIFETIME_S:
                 self.endpoints.remove(state.instance)
-                self.last_heard_at.pop(state.instance, None)
+                self.last_received_at.pop(state.instance, None)
 
     def _forget_lease(self, key: str) -> None:
         lease = self.leases.get(key)
         if lease is not None:
             self._release_address(lease)
         self.leases.remove(key)
-        self.last_heard_at.pop(key, None)
+        self.last_received_at.pop(key, None)
         self.ended_at_by_instance.pop(key, None)
 
     def _release_address(self, lease: Lease) -> None:
--- a/packages/millfork-scheduling/millfork_scheduling/availability.py
+++ b/packages/millfork-scheduling/millfork_scheduling/availability.py
@@ -3,7 +3,7 @@
 
 An overloaded back end announces how many requests a second it accepts. Only its answers show
 when the limit is over, so some requests must continue to reach it. A back end that leaves may
-tell entries so before any replica receives its heartbeat, for example during a partition.
+announce that to entries before any replica receives its heartbeat, for example during a partition.
 
 """
 
@@ -20,7 +20,7 @@
 # A daemon's report is up to this old on arrival, so it may have been made before an answer that
 # announced a limit.
 REPORT_LAG_S: Final = 0.6
-# Longer rests are cut to this: the back end could otherwise be closed for good.
+# Longer rests are cut to this: the back end could otherwise stay closed forever.
 MAX_REST_S: Final = 300.0
 # If the request that probes whether a rest is over has no answer by then, another may probe.
 PROBE_TIMEOUT_S: Final = 1.0
@@ -152,7 +152,7 @@
 
     random: Random = field(default_factory=Random)
     limit: LimitShare | None = None
-    limit_named_at: float = float('-inf')
+    limit_announced_at: float = float('-inf')
     rest: RestPeriod | None = None
     # An incarnation that leaves never comes back, whatever its heartbeats say.
     leaving: bool = False
@@ -171,7 +171,7 @@
         changes += self._apply_rest(backpressure.rest_s or 0.0, sent_at, now, turned_away)
         if backpressure.limit_per_s is not None:
             return changes + self._start_or_change_limit(backpressure.limit_per_s, now)
-        if sent_at <= self.limit_named_at:
+        if sent_at <= self.limit_announced_at:
             # The back end may have answered before it announced the limit.
             return changes
         return changes + self._end_limit()
@@ -204,7 +204,7 @@
         changes = self._report_leaving(backpressure.leaving)
         if backpressure.limit_per_s is not None:
             return changes + self._start_or_change_limit(backpressure.limit_per_s, now)
-        if now - self.limit_named_at < REPORT_LAG_S:
+        if now - self.limit_announced_at < REPORT_LAG_S:
             return changes
         return changes + self._end_limit()
 
@@ -241,7 +241,7 @@
             self.limit.consume(now, entries)
 
     def _start_or_change_limit(self, limit_per_s: float, now: float) -> list[SignalChange]:
-        self.limit_named_at = now
+        self.limit_announced_at = now
         if self.limit is None:
             self.limit = LimitShare(self.random, limit_per_s, now)
             return [SignalChange(Signal.LIMIT, SignalEvent.BEGAN, limit_per_s)]
--- a/packages/millfork-scheduling/millfork_scheduling/quarantine.py
+++ b/packages/millfork-scheduling/millfork_scheduling/quarantine.py
@@ -3,10 +3,10 @@
 
 A request that crashes back ends is retried by its caller, at any entry. Each send costs a back
 end for seconds and breaks off all other requests that run there. Those other requests must not
-be refused for it: one complete answer clears a request of suspicion.
+be refused for that: one complete answer clears a request of suspicion.
 
-If back ends end late, or all at once as in a loss of power, it takes a while to tell crashing
-requests from others. Meanwhile a suspected request is refused, apart from occasional trials.
+If back ends end late, or all together as in a loss of power, crashing requests are recognised
+only after a while. Until then a suspected request is refused, apart from occasional trials.
 
 """
 
@@ -21,8 +21,8 @@
 # After this many ends of back ends a request is at fault. A single end proves nothing, as every
 # request that ran on the back end is suspected.
 MIN_ENDS_AT_FAULT: Final = 3
-# A suspected request is tried again this long after its last news. By then it is known of most
-# back ends whose answers broke off whether they have ended.
+# A suspected request is tried again this long after its suspicion last changed. By then most
+# back ends whose answers broke off are known to have ended or to live on.
 TRIAL_AFTER_S: Final = 2.0
 # Entries spread their trials at random over this time multiplied by the number of entries, so
 # that most learn the outcome of the first trial. The fleet makes at most two trials a second.
@@ -90,7 +90,7 @@
         # By request: its last known suspicion, and when it may be tried (monotonic seconds).
         self.due: dict[Fingerprint, tuple[Suspicion, float]] = {}
 
-    def begin(self, suspicion: Suspicion) -> bool:
+    def start_trial(self, suspicion: Suspicion) -> bool:
         """
         Whether a suspected request may be sent now. If so, its next trial is scheduled.
 
--- a/packages/millfork-scheduling/millfork_scheduling/server.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server.py
@@ -20,8 +20,8 @@
 from millfork_scheduling.prediction import first_token_ms, usual_service_s
 
 # A back end that failed is avoided for this time, doubled with each further failure.
-FIRST_SUSPICION_S: Final = 0.5
-MAX_SUSPICION_S: Final = 4.0
+FIRST_AVOIDANCE_S: Final = 0.5
+MAX_AVOIDANCE_S: Final = 4.0
 # A back end that turns a request away is avoided for this time, doubled with each rejection in
 # a row: it may be full for a moment, or reject everything.
 FIRST_TURNED_AWAY_S: Final = 0.05
@@ -54,10 +54,10 @@
 
     weight: float
     mean_ms: float = 0.0
-    at: float = 0.0
+    updated_at: float = 0.0
 
     def now_ms(self, now: float) -> float:
-        return self.mean_ms * math.exp2((self.at - now) / LATENESS_HALF_LIFE_S)
+        return self.mean_ms * math.exp2((self.updated_at - now) / LATENESS_HALF_LIFE_S)
 
     def note(self, late_ms: float, now: float) -> None:
         """
@@ -67,7 +67,7 @@
         late_ms = min(max(late_ms, -MAX_LATENESS_MS), MAX_LATENESS_MS)
         mean_ms = self.now_ms(now)
         self.mean_ms = mean_ms + self.weight * (late_ms - mean_ms)
-        self.at = now
+        self.updated_at = now
 
 
 @dataclass(frozen=True, slots=True)
@@ -103,7 +103,7 @@
     incarnation: Incarnation = UNKNOWN_INCARNATION
     # Whether another incarnation has replaced this one; requests sent to this one are lost.
     replaced: bool = False
-    # The backpressure signals that it sent.
+    # The backpressure signals that the back end sent.
     availability: Availability = field(default_factory=Availability)
     # The versions in its last heartbeat. Reports of endpoint daemons are newer.
     lease_served: tuple[ServedVersion, ...] = ()
@@ -113,7 +113,7 @@
     daemon: str = ''
     # When this entry first received its lease, in monotonic seconds.
     known_since: float = float('inf')
-    # In large fleets an entry uses only the back ends with the lowest values, so always the same.
+    # Random but fixed: in large fleets an entry uses only the back ends with the lowest values.
     draw_order: float = 0.0
     # This entry's own requests there, and those of them without a first token.
     own_requests: int = 0
@@ -131,14 +131,14 @@
     # The number of requests turned away in a row, and when the last one was.
     turned_away: int = 0
     turned_away_at: float = float('-inf')
-    suspect_until: float = float('-inf')
+    avoided_until: float = float('-inf')
     # When this entry last received data from it.
     last_received_at: float = float('-inf')
-    # By rank: when the latest request was sent among those whose answers have begun.
+    # By urgency: when the latest request was sent among those whose answers have begun.
     answered: dict[int | None, float] = field(default_factory=dict)
     # The delay of its first tokens against the prediction from the engine spec.
     lateness: 'Lateness' = field(default_factory=lambda: Lateness(SERVER_LATENESS_WEIGHT))
-    # Versions that it refused lately, and until when the refusal is taken as valid.
+    # Versions that the back end refused recently, and until when each refusal counts.
     refused: dict[int, float] = field(default_factory=dict)
 
     def is_other_incarnation(self, incarnation: Incarnation) -> bool:
@@ -181,8 +181,8 @@
         """
         if now - self.reported_at > REPORT_VALID_S:
             return self.own_requests * entries
-        begun = self.own_requests - self.own_at_report
-        return max(self.reported + begun * (entries if begun > 0 else 1), self.own_requests)
+        new = self.own_requests - self.own_at_report
+        return max(self.reported + new * (entries if new > 0 else 1), self.own_requests)
 
     def likely_occupied(self, now: float, entries: int) -> int:
         """
@@ -205,8 +205,8 @@
         """
         if now - self.reported_at > REPORT_VALID_S:
             return self.own_unread * entries
-        begun = self.own_unread - self.own_unread_at_report
-        return max(self.reported_unread + begun * (entries if begun > 0 else 1), self.own_unread)
+        new = self.own_unread - self.own_unread_at_report
+        return max(self.reported_unread + new * (entries if new > 0 else 1), self.own_unread)
 
     def first_token_ms(
         self, engine: EngineSpec, prompt_tokens: int, now: float, entries: int
@@ -240,16 +240,15 @@
         Record a failure; the back end is avoided for a while.
 
         """
-        wait = min(FIRST_SUSPICION_S * 2**self.failures, MAX_SUSPICION_S)
+        wait = min(FIRST_AVOIDANCE_S * 2**self.failures, MAX_AVOIDANCE_S)
         self.failures += 1
-        self.suspect_until = now + wait
+        self.avoided_until = now + wait
         self.note_outcome(failed=True)
 
     def note_turned_away(self, sent_at: float, now: float) -> None:
         """
-        Record that it turned away a request sent at `sent_at`; it is avoided for a while.
-
-        Rejected requests occupy no slots, so it would otherwise look like the freest back end.
+        Record that a request sent at `sent_at` was turned away; the back end is avoided for a
+        while. As rejected requests occupy no slots, it would otherwise seem to be the freest.
 
         """
         if sent_at < self.turned_away_at:
@@ -258,11 +257,11 @@
         wait = min(FIRST_TURNED_AWAY_S * 2**self.turned_away, MAX_TURNED_AWAY_S)
         self.turned_away += 1
         self.turned_away_at = now
-        self.suspect_until = max(self.suspect_until, now + wait)
+        self.avoided_until = max(self.avoided_until, now + wait)
 
     def note_accepted(self, sent_at: float) -> None:
         """
-        Record that it accepted a request sent at `sent_at`.
+        Record that the back end accepted a request sent at `sent_at`.
 
         """
         if sent_at >= self.turned_away_at:
@@ -277,24 +276,24 @@
         if not failed:
             self.failures = 0
 
-    def note_answered(self, urgency: int | None, began: float) -> None:
+    def note_answered(self, urgency: int | None, sent_at: float) -> None:
         """
-        Record that the answer to a request of this rank, sent at `began`, has begun.
+        Record that the answer to a request of this urgency, sent at `sent_at`, has begun.
 
         """
-        self.answered[urgency] = max(began, self.answered.get(urgency, began))
+        self.answered[urgency] = max(sent_at, self.answered.get(urgency, sent_at))
 
-    def answered_since(self, urgency: int | None, began: float) -> bool:
+    def answered_since(self, urgency: int | None, moment: float) -> bool:
         """
-        Whether it began to answer a request of the same rank that was sent after `began`.
+        Whether the back end began to answer a request of this urgency sent after `moment`.
 
         """
-        return self.answered.get(urgency, float('-inf')) > began
+        return self.answered.get(urgency, float('-inf')) > moment
 
     def newest_complete_version(self, layers: int) -> int | None:
         """
-        The newest version of which it holds all layers; None if there is none.
+        The newest version of which the back end holds all layers; None if there is none.
 
         """
-        whole = [item.version for item in self.served if item.is_whole(layers)]
-        return max(whole, default=None)
+        complete = [item.version for item in self.served if item.is_complete(layers)]
+        return max(complete, default=None)
--- a/packages/millfork-scheduling/millfork_scheduling/server_table.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server_table.py
@@ -59,10 +59,10 @@
     ) -> None:
         self.zone = zone
         self.entries = entries
-        # The highest number of entries seen lately. Entries that are out of reach now may still
-        # send requests.
+        # The highest recent number of entries. Entries that are out of reach now may still send
+        # requests.
         self.peak_entries = peak_entries
-        # How much later than predicted from the engine spec first tokens came lately, in ms.
+        # How much later than predicted from the engine spec recent first tokens arrived, in ms.
         self.lateness: dict[ServiceName, Lateness] = {}
         self.random = random
         self.monotonic = monotonic
@@ -85,8 +85,8 @@
             lease = usable.get(key)
             if lease is not None and lease.incarnation == server.incarnation:
                 continue
-            # Nothing learned about one incarnation holds for the next one: its weights, load,
-            # failures and connections ended with it.
+            # The weights, load, failures and connections of one incarnation say nothing about
+            # the next one.
             server.replaced = lease is not None
             dropped.append(server)
             self.lapsed.store((key, server.incarnation), server.availability)
@@ -140,7 +140,7 @@
         changes = []
         for state in states:
             server = self.index.by_address.get((state.host, state.port))
-            # Any other sequence is newer: the registry accepts a lower one only after the clock
+            # Any other sequence is newer, as the registry accepts a lower one only after the clock
             # of an instance was reset.
             if server is None or state.sequence == server.report_sequence:
                 continue
@@ -194,7 +194,7 @@
             return sampled
         by_first = {path.first.instance: path.second for path in paths}
         eligible = filter_startable(
-            self._unsuspected(requirements, paths, tried, now), requirements.engine, paths
+            self._usable_servers(requirements, paths, tried, now), requirements.engine, paths
         )
         return [
             member
@@ -218,12 +218,12 @@
         eligible = [
             server
             for server in servers
-            if self._is_untried_and_trusted(server, tried, now)
+            if self._is_untried_and_not_avoided(server, tried, now)
             and self._can_serve_now(server, requirements, [], now)
             and server.newest_complete_version(engine.layers) is not None
         ]
-        taken = sum(server.likely_occupied(now, self.entries()) for server in eligible)
-        if taken >= MAX_OCCUPIED_SHARE * sum(server.slots for server in eligible):
+        occupied = sum(server.likely_occupied(now, self.entries()) for server in eligible)
+        if occupied >= MAX_OCCUPIED_SHARE * sum(server.slots for server in eligible):
             return []
         return nsmallest(
             NEAR_SAMPLED + FAR_SAMPLED, eligible, key=partial(_occupied_share, now=now)
@@ -304,7 +304,7 @@
                     break
                 members = self._servers_through(server, by_first, requirements)
                 if not members or any(
-                    not self._is_untried_and_trusted(member, tried, now) for member in members
+                    not self._is_untried_and_not_avoided(member, tried, now) for member in members
                 ):
                     continue
                 if all(self._can_serve_now(member, requirements, paths, now) for member in members):
@@ -330,8 +330,10 @@
         second = by_first.get(server.instance)
         return [server, second] if second is not None else []
 
-    def _is_untried_and_trusted(self, server: Server, tried: set[InstanceId], now: float) -> bool:
-        return server.instance not in tried and server.suspect_until <= now
+    def _is_untried_and_not_avoided(
+        self, server: Server, tried: set[InstanceId], now: float
+    ) -> bool:
+        return server.instance not in tried and server.avoided_until <= now
 
     def _choose_from_all(
         self,
@@ -340,21 +342,18 @@
         tried: set[InstanceId],
         context: SelectionContext,
     ) -> Choice | None:
-        trusted = self._unsuspected(requirements, paths, tried, context.now)
-        if not trusted:
+        usable = self._usable_servers(requirements, paths, tried, context.now)
+        if not usable:
             return None
         if requirements.engine is None:
-            return choose_plain(trusted, context, self.random)
-        return choose_engine(
-            trusted, requirements, requirements.engine, paths, context, self.random
-        )
+            return choose_plain(usable, context, self.random)
+        return choose_engine(usable, requirements, requirements.engine, paths, context, self.random)
 
-    def _unsuspected(
+    def _usable_servers(
         self, requirements: Requirements, paths: list[Path], tried: set[InstanceId], now: float
     ) -> list[Server]:
         """
-        All back ends that can serve a request. Suspected ones are included only if no other
-        can.
+        All back ends that can serve a request. Avoided ones are included only if no other can.
 
         """
         eligible = [
@@ -363,7 +362,7 @@
             if server.instance not in tried
             and self._can_serve_now(server, requirements, paths, now)
         ]
-        return [server for server in eligible if server.suspect_until <= now] or eligible
+        return [server for server in eligible if server.avoided_until <= now] or eligible
 
     def closure(self, server: Server) -> Closure | None:
         """
@@ -435,7 +434,7 @@
         version = server.newest_complete_version(engine.layers)
         if version is None:
             return self._is_in_usable_path(server, requirements, paths, now)
-        return version >= requirements.oldest_version and server.refused.get(version, now) <= now
+        return version >= requirements.min_version and server.refused.get(version, now) <= now
 
     def _is_in_usable_path(
         self, server: Server, requirements: Requirements, paths: list[Path], now: float
@@ -448,7 +447,7 @@
         for path in paths:
             if server in path.servers:
                 refused = [member.refused.get(path.version, now) for member in path.servers]
-                return path.version >= requirements.oldest_version and max(refused) <= now
+                return path.version >= requirements.min_version and max(refused) <= now
         return False
 
 
--- a/packages/millforkd/millforkd/proxy/admission.py
+++ b/packages/millforkd/millforkd/proxy/admission.py
@@ -127,7 +127,7 @@
             oldest_version=self.versions.oldest_usable(model),
             newest_version=self.versions.newest(model),
             last_send=last_send,
-            endings=self.versions.upcoming_ends(model),
+            cancel_times=self.versions.upcoming_ends(model),
         )
 
     def _estimate_first_try(self, route: Route, caller: CallerRequest) -> Judgement:
--- a/packages/millforkd/millforkd/quarantine.py
+++ b/packages/millforkd/millforkd/quarantine.py
@@ -76,7 +76,7 @@
         return level if level is not SuspicionLevel.FREE else None
 
     def _begin_trial(self, suspicion: Suspicion) -> bool:
-        return self.trials is not None and self.trials.begin(suspicion)
+        return self.trials is not None and self.trials.start_trial(suspicion)
 
     def _refresh(self) -> None:
         if self.view.revision == self.revision:
