--- a/packages/millforkd/millforkd/proxy/admission.py
+++ b/packages/millforkd/millforkd/proxy/admission.py
@@ -124,7 +124,7 @@
         model = requirements.engine.model
         return replace(
             requirements,
-            oldest_version=self.versions.oldest_usable(model),
+            min_version=self.versions.oldest_usable(model),
             newest_version=self.versions.newest(model),
             last_send=last_send,
             cancel_times=self.versions.upcoming_ends(model),
--- a/tests/mutations_listed.py
+++ b/tests/mutations_listed.py
@@ -21,7 +21,7 @@
                 W + 'store.py',
                 'return self.folder / COMPLETE_FILE\n\n    @property\n    def share',
                 'return self.folder / (COMPLETE_FILE if self.is_complete else PARTIAL_FILE)\n\n'
-        '    @property\n    def share',
+                '    @property\n    def share',
             ),
         ),
     ),
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -110,7 +110,7 @@
 
 
 def test_an_engine_needs_all_layers_of_an_acceptable_version(table):
-    requirements = Requirements(SERVICE, ENGINE, oldest_version=2)
+    requirements = Requirements(SERVICE, ENGINE, min_version=2)
     table.apply_leases([lease(1, version=1), lease(2, version=2, end=8), lease(3, version=2)])
     assert {chosen(table, requirements) for _ in range(20)} == {'i-3'}
 
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -81,9 +81,9 @@
     admission = Admission(versions.env, versions)
     wanted = admission.with_current_versions(Requirements(ServiceName('s'), ENGINE), False)
     set_version(view, versions, 2)
-    assert wanted.oldest_version == 0
+    assert wanted.min_version == 0
     clock.now += SWITCH_S
-    assert admission.with_current_versions(wanted, False).oldest_version == 2
+    assert admission.with_current_versions(wanted, False).min_version == 2
 
 
 FIGURES = replace(ENGINE, pieces=100, piece_bytes=1000)
