--- a/packages/millfork-standins/millfork_standins/bench/retry_detection.py
+++ b/packages/millfork-standins/millfork_standins/bench/retry_detection.py
@@ -39,10 +39,10 @@
 
     """
 
-    BUILT = 'as built'
+    AS_BUILT = 'as built'
     LEARNED = 'learned times alone'
     LONGEST = 'longest time seen'
-    NOBODY = 'nobody returns'
+    NO_DETECTION = 'nobody returns'
     KNOWN = 'known'
 
 
@@ -98,14 +98,14 @@
         remaining_ms = request.timeout_ms - true_elapsed_ms
         if self.method is DetectionMethod.KNOWN:
             return true_elapsed_ms
-        if self.method is DetectionMethod.NOBODY:
+        if self.method is DetectionMethod.NO_DETECTION:
             return 0
         if self.method is DetectionMethod.LONGEST:
             self.longest_remaining_ms[table] = max(self.longest_remaining_ms[table], remaining_ms)
             lost_ms = self.longest_remaining_ms[table] - remaining_ms
             return lost_ms if lost_ms > DEADLINE_TOLERANCE_MS else 0
         judgement = self.first_tries[table].judge('r', remaining_ms, self.scheduler.now)
-        if self.method is DetectionMethod.BUILT and judgement.is_undecided:
+        if self.method is DetectionMethod.AS_BUILT and judgement.is_undecided:
             # The entries of the zone remember the request if one of them turned it away.
             return true_elapsed_ms
         return judgement.elapsed_ms
--- a/packages/millfork-standins/millfork_standins/callers.py
+++ b/packages/millfork-standins/millfork_standins/callers.py
@@ -194,7 +194,7 @@
         if text == expected.get(record.version):
             return CallOutcome.RIGHT
         record.detail = f'{text} is not {expected.get(record.version)}'
-        known_tokens = {word for words in expected.values() for word in words.split()}
+        known_tokens = {token for words in expected.values() for token in words.split()}
         return CallOutcome.MIXED if set(text.split()) & known_tokens else CallOutcome.WRONG
 
 
--- a/packages/millfork-standins/millfork_standins/deployments.py
+++ b/packages/millfork-standins/millfork_standins/deployments.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class ZoneLocation:
     """
     An availability zone and its region.
 
@@ -28,7 +28,7 @@
 
     name: str
     network_number: int
-    places: tuple[Place, ...]
+    zone_locations: tuple[ZoneLocation, ...]
     engine_service: str
     engines: int
     plain_services: dict[str, int]
@@ -44,9 +44,9 @@
     'lanting',
     71,
     (
-        Place('neihu-hall', 'taipei'),
-        Place('xitun-hall', 'taichung'),
-        Place('qianzhen-hall', 'kaohsiung'),
+        ZoneLocation('neihu-hall', 'taipei'),
+        ZoneLocation('xitun-hall', 'taichung'),
+        ZoneLocation('qianzhen-hall', 'kaohsiung'),
     ),
     'millfork-pool',
     6,
@@ -59,9 +59,9 @@
     'cedarline',
     72,
     (
-        Place('kelowna-hall', 'bc-interior'),
-        Place('burnaby-hall', 'lower-mainland'),
-        Place('pg-hall', 'bc-north'),
+        ZoneLocation('kelowna-hall', 'bc-interior'),
+        ZoneLocation('burnaby-hall', 'lower-mainland'),
+        ZoneLocation('pg-hall', 'bc-north'),
     ),
     'millfork-drafting',
     6,
--- a/packages/millfork-standins/millfork_standins/examples.py
+++ b/packages/millfork-standins/millfork_standins/examples.py
@@ -18,11 +18,11 @@
 
 
 def _common(shape: Shape, zone: int, number: int) -> dict[str, Any]:
-    place = shape.places[zone]
+    location = shape.zone_locations[zone]
     host = NETWORKS[shape.name]
     return {
-        'zone': place.zone,
-        'region': place.region,
+        'zone': location.zone,
+        'region': location.region,
         'address': f'{host}.{zone + 1}.{number}',
         'fleet_key_file': f'{SECRETS_FOLDER}/fleet_key',
         'replicas': [
@@ -88,7 +88,7 @@
                     'version': 'v2',
                     'selector': {
                         'tier': 'canary',
-                        'zone': [place.zone for place in shape.places],
+                        'zone': [location.zone for location in shape.zone_locations],
                     },
                 },
             },
--- a/packages/millfork-standins/millfork_standins/layout.py
+++ b/packages/millfork-standins/millfork_standins/layout.py
@@ -126,12 +126,12 @@
     def _add(
         self, name: str, position: int, role: str, service: str, has_disk: bool = False
     ) -> None:
-        zones = len(self.shape.places)
-        place = self.shape.places[position % zones]
+        zone_count = len(self.shape.zone_locations)
+        location = self.shape.zone_locations[position % zone_count]
         first = 1 if role == 'entry' else FIRST_ENDPOINT_NUMBER
-        host = self._host(position % zones + 1, first + position // zones)
+        host = self._host(position % zone_count + 1, first + position // zone_count)
         instance = Instance(
-            name, host, place.zone, place.region, role, service, {}, has_disk=has_disk
+            name, host, location.zone, location.region, role, service, {}, has_disk=has_disk
         )
         self.instances[name] = instance
 
--- a/packages/millfork-standins/millfork_standins/seeded.py
+++ b/packages/millfork-standins/millfork_standins/seeded.py
@@ -314,7 +314,7 @@
 
     def _settings(self, host: str, first_start: bool) -> str:
         role = self._role(host)
-        place = TemplateValues(
+        template_values = TemplateValues(
             host,
             host,
             'zone',
@@ -330,9 +330,9 @@
             engine=f'{host}:{ENGINE_PORT}',
             service='engines',
         )
-        place.bounds['version_ms'] = self.version_ms
+        template_values.bounds['version_ms'] = self.version_ms
         template = ROOT / 'deploy' / 'settings' / f'{role.value}.yaml'
-        return render_settings(template.read_text(), place)
+        return render_settings(template.read_text(), template_values)
 
     def _role(self, host: str) -> SeededRole:
         if host in self.replica_hosts:
--- a/packages/millfork-standins/millfork_standins/versions.py
+++ b/packages/millfork-standins/millfork_standins/versions.py
@@ -23,7 +23,7 @@
     """
 
     id: str
-    whole: str
+    weights_digest: str
     key: str
 
 
@@ -34,5 +34,5 @@
     """
     path = f'/models/{model or fleet.shape.model}/{version}/manifest'
     body = fetch('GET', fleet.origin['host'], STANDIN_PORT, path).body
-    whole = decode_manifest(body).whole
-    return KnownVersion(digest_of(body)[:ID_CHARS], whole, weights_key([whole]))
+    weights_digest = decode_manifest(body).whole
+    return KnownVersion(digest_of(body)[:ID_CHARS], weights_digest, weights_key([weights_digest]))
--- a/tests/mutations_listed.py
+++ b/tests/mutations_listed.py
@@ -95,7 +95,7 @@
     ),
     Mutation(
         'an entry that starts asks other entries which requests end back ends',
-        'tests/test_suspicion_gossip.py::test_an_entry_that_starts_learns_what_others_know',
+        'tests/test_suspicion_gossip.py::test_a_starting_entry_learns_published_suspicions',
         (
             Edit(
                 D + 'entry/suspicion_gossip.py',
--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -186,7 +186,7 @@
     Mutation(
         'no request is turned away only because the few compared engines are occupied',
         'tests/test_drawn_deployments.py::'
-        'test_nobody_is_turned_away_while_half_of_the_slots_are_free',
+        'test_no_caller_is_turned_away_while_half_of_the_slots_are_free',
         (
             Edit(
                 C + 'server_table.py',
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -25,27 +25,27 @@
     return Admission(env, VersionTracker(env, View(), 8000))
 
 
-def job_of(made, elapsed_ms=0, engine=ENGINE):
+def job_of(admitting, elapsed_ms=0, engine=ENGINE):
     return SimpleNamespace(
         caller=SimpleNamespace(request_id='id'),
         requirements=Requirements(ServiceName('s'), engine),
         elapsed_ms=elapsed_ms,
-        received_at=made.env.monotonic(),
+        received_at=admitting.env.monotonic(),
         route=SimpleNamespace(target_ms=TARGET_MS),
     )
 
 
-def choice_of(made, expected_ms, running):
+def choice_of(admitting, expected_ms, running):
     server = Server(InstanceId('i-1'), ServiceName('s'), '10.0.0.1', 80, ZoneId('z1'), 16)
     server.own_requests = server.own_at_report = server.reported = running
-    server.reported_at = made.env.monotonic()
+    server.reported_at = admitting.env.monotonic()
     return Choice(server, expected_ms, expected_ms)
 
 
 def return_after_ms(expected_ms, elapsed_ms=0, engine=ENGINE, running=16):
-    made = admission()
-    job = job_of(made, elapsed_ms, engine)
-    return made.return_after_ms(job, choice_of(made, expected_ms, running))
+    admitting = admission()
+    job = job_of(admitting, elapsed_ms, engine)
+    return admitting.return_after_ms(job, choice_of(admitting, expected_ms, running))
 
 
 @pytest.mark.parametrize(('expected_ms', 'admitted'), [(100, True), (290, True), (320, False)])
@@ -69,13 +69,13 @@
         (True, 5000, 14, False),
     ],
 )
-def test_other_entries_are_asked_only_if_the_answer_decides(
+def test_other_entries_are_queried_only_if_the_answer_decides(
     is_undecided, expected_ms, running, hinges
 ):
-    made = admission()
-    job = job_of(made)
+    admitting = admission()
+    job = job_of(admitting)
     job.needs_first_try_lookup = is_undecided
-    assert made.depends_on_first_try(job, choice_of(made, expected_ms, running)) == hinges
+    assert admitting.depends_on_first_try(job, choice_of(admitting, expected_ms, running)) == hinges
 
 
 def test_a_refused_caller_is_given_a_minimum_wait():
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -70,7 +70,7 @@
         pieces.append(piece)
 
 
-def test_a_whole_answer_comes_through():
+def test_a_complete_answer_is_delivered():
     messages = [Head('r', 200), Part('r', 0, b'a'), Part('r', 1, b'bc'), End('r', 2, 3)]
     assert curio.run(collect, attempt(), messages) == ([b'a', b'bc'], None)
 
--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -93,9 +93,9 @@
 
 def cache_at(instance, zone, origin, peers, caches):
     env = Environment(InstanceId(instance), ZoneId(zone))
-    made = PieceCache(env, peers, origin, lambda: caches)
-    peers.caches[instance] = made
-    return made
+    cache = PieceCache(env, peers, origin, lambda: caches)
+    peers.caches[instance] = cache
+    return cache
 
 
 def cache_and_assigned_cache():
@@ -108,8 +108,8 @@
     peers = FakePeers()
     cache = cache_at('10.0.0.2:1', 'z2', FakeOrigin(), peers, caches)
     assigned = cache_at('10.0.0.1:1', 'z1', FakeOrigin(), peers, caches)
-    for made in (cache, assigned):
-        made.prefetching.add(WeightsId('m', 2))
+    for piece_cache in (cache, assigned):
+        piece_cache.prefetching.add(WeightsId('m', 2))
     return cache, assigned
 
 
@@ -119,8 +119,8 @@
     assert advertised_caches([*reversed(caches), *caches[:3]], zone) == found
     for name in ('z1', 'z2', 'z3'):
         of_zone = [cache for cache in caches if cache.zone == name]
-        most = MAX_ADVERTISED_IN_ZONE if name == zone else MAX_ADVERTISED_PER_OTHER_ZONE
-        assert sum(cache.zone == name for cache in found) == min(len(of_zone), most)
+        max_found = MAX_ADVERTISED_IN_ZONE if name == zone else MAX_ADVERTISED_PER_OTHER_ZONE
+        assert sum(cache.zone == name for cache in found) == min(len(of_zone), max_found)
 
 
 @given(CACHES, st.sampled_from(['z1', 'z2', 'z3', '']))
@@ -191,7 +191,7 @@
     curio.run(run)
 
 
-def test_prefetching_stops_when_nobody_asks_any_more(monkeypatch):
+def test_prefetching_stops_without_further_requests(monkeypatch):
     monkeypatch.setattr(caching, 'RETRY_S', 0.01)
 
     async def run():
@@ -266,18 +266,18 @@
 
     async def run():
         cache, assigned = cache_and_assigned_cache()
-        here = curio.Event()
+        answer_allowed = curio.Event()
         real = assigned.origin.fetch_piece
 
         async def fetch_piece(held, index):
-            await here.wait()
+            await answer_allowed.wait()
             return await real(held, index)
 
         assigned.origin.fetch_piece = fetch_piece
         for _ in range(caching.MAX_NOT_YET_ANSWERS - 1):
             assert not (await cache.chunk(GetChunk('m@2', 3))).found
         assert cache.origin.fetched == []
-        await here.set()
+        await answer_allowed.set()
         async with curio.timeout_after(5):
             while not (await cache.chunk(GetChunk('m@2', 3))).found:
                 pass
@@ -359,7 +359,7 @@
     curio.run(run)
 
 
-def test_a_cache_answers_before_it_is_taken_for_silent():
+def test_a_cache_answers_before_it_counts_as_silent():
     assert caching.WAIT_S < caching.PEER_TIMEOUT_S
     assert caching.WAIT_S < gathering.CACHE_TIMEOUT_S
 
@@ -448,9 +448,9 @@
             await curio.sleep(30)
 
         origin.fetch_digests, origin.fetch_piece = fetch_digests, fetch_piece
-        began = cache.env.monotonic()
+        started_at = cache.env.monotonic()
         assert (await cache.chunk(GetChunk('m@2', 0))).reason == caching.NOT_YET
-        assert cache.env.monotonic() - began < 1.7
+        assert cache.env.monotonic() - started_at < 1.7
         cache.env.ended = True
 
     curio.run(run)
--- a/tests/test_choice_in_large_fleets.py
+++ b/tests/test_choice_in_large_fleets.py
@@ -74,15 +74,15 @@
     0.9 times the capacity of the engines.
 
     """
-    drawn = Counter()
+    used = Counter()
     share = ENTRIES_PER_ENGINE * engines // entries
     for number in range(entries):
         table = ServerTable(ZoneId(f'z{number % ZONES}'), Random(number), Clock(), lambda: entries)
         table.apply_leases(lease(number, NEW) for number in range(engines))
-        kept = [*table.index.near.get(SERVICE, []), *table.index.far.get(SERVICE, [])]
-        assert len(kept) <= max(MAX_NEAR, share) + max(MAX_FAR, share)
-        drawn.update(server.instance for server in kept)
-    assert len(drawn) == engines
+        connected = [*table.index.near.get(SERVICE, []), *table.index.far.get(SERVICE, [])]
+        assert len(connected) <= max(MAX_NEAR, share) + max(MAX_FAR, share)
+        used.update(server.instance for server in connected)
+    assert len(used) == engines
 
 
 @settings(max_examples=60, deadline=None)
@@ -93,7 +93,7 @@
     st.sets(st.integers(0, 59), max_size=30),
     st.integers(1, 2),
 )
-def test_no_excluded_engine_is_chosen(served_by_engine, tried, suspected, changing, least):
+def test_no_excluded_engine_is_chosen(served_by_engine, tried, suspected, changing, oldest_version):
     table = table_of(served_by_engine)
     now = table.monotonic()
     table.apply_reports(
@@ -104,7 +104,7 @@
     for number in suspected:
         if number < len(served_by_engine):
             table.servers[f'i-{number}'].suspect_until = now + 1
-    requirements = Requirements(SERVICE, ENGINE, least, 2)
+    requirements = Requirements(SERVICE, ENGINE, oldest_version, 2)
     excluded = {f'i-{number}' for number in tried}
     paths = table._paths(SERVICE, ENGINE, 2)
     full_scan_choice = table._choose_from_all(requirements, paths, excluded, _context(table))
@@ -116,7 +116,7 @@
         for server in choice.servers:
             assert server.instance not in excluded
             assert not server.changing
-        assert choice.version(ENGINE.layers) >= least
+        assert choice.version(ENGINE.layers) >= oldest_version
 
 
 def _context(table):
--- a/tests/test_closed_back_ends.py
+++ b/tests/test_closed_back_ends.py
@@ -45,14 +45,14 @@
 
 @pytest.fixture
 def table(clock):
-    made = ServerTable(ZoneId('z1'), Random(1), clock)
-    made.apply_leases([lease(1), lease(2)])
-    return made
+    new_table = ServerTable(ZoneId('z1'), Random(1), clock)
+    new_table.apply_leases([lease(1), lease(2)])
+    return new_table
 
 
-def answer(table, number, told, sent_ago_s=0.0):
+def answer(table, number, signals, sent_ago_s=0.0):
     now = table.monotonic()
-    return server(table, number).availability.apply_answer(told, now - sent_ago_s, now)
+    return server(table, number).availability.apply_answer(signals, now - sent_ago_s, now)
 
 
 def closed_for(table, number):
@@ -110,8 +110,8 @@
 def test_a_daemon_reads_the_signals_of_its_engine():
     class Client:
         async def fetch(self, method, path, headers, body, timeout):
-            said = [(client_requests.SERVER_LEAVING, '1'), (client_requests.SERVER_LIMIT, '2.5')]
-            return Response(200, said, b'{"running":1,"queued":0}')
+            headers = [(client_requests.SERVER_LEAVING, '1'), (client_requests.SERVER_LIMIT, '2.5')]
+            return Response(200, headers, b'{"running":1,"queued":0}')
 
     found = curio.run(LocalEngine(PlatformAdapter(), Client()).report)
     assert found.backpressure == Backpressure(2.5, leaving=True)
@@ -120,9 +120,9 @@
 RESTS = Backpressure(rest_s=3.0)
 
 
-def reject(table, number, told=RESTS, sent_ago_s=0.0):
+def reject(table, number, signals=RESTS, sent_ago_s=0.0):
     now = table.monotonic()
-    return server(table, number).availability.apply_answer(told, now - sent_ago_s, now, True)
+    return server(table, number).availability.apply_answer(signals, now - sent_ago_s, now, True)
 
 
 def test_a_resting_back_end_is_not_used_as_last_resort(table):
@@ -191,7 +191,7 @@
 
 
 @pytest.mark.parametrize(
-    ('closure', 'least_ms'),
+    ('closure', 'min_ms'),
     [
         (Closure(ClosureReason.RESTING, 4.0), 4000),
         (Closure(ClosureReason.RESTING, 200.0), MAX_REST_MS),
@@ -199,10 +199,10 @@
         (Closure(ClosureReason.LEAVING, float('inf')), NOTHING_SERVES_MS),
     ],
 )
-def test_callers_wait_until_the_first_back_end_opens(closure, least_ms):
+def test_callers_wait_until_the_first_back_end_opens(closure, min_ms):
     waits = {closed_wait_ms(closure, Random(seed)) for seed in range(20)}
-    assert min(waits) >= least_ms
-    assert max(waits) <= least_ms + SPREAD_WAIT_MS
+    assert min(waits) >= min_ms
+    assert max(waits) <= min_ms + SPREAD_WAIT_MS
 
 
 def test_a_back_end_that_turns_requests_away_is_avoided_longer_each_time(table, clock):
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -31,19 +31,19 @@
 
 @pytest.fixture
 def fleet(tmp_path):
-    made = SeededFleet(tmp_path, entries=2)
+    new_fleet = SeededFleet(tmp_path, entries=2)
     try:
-        made.start()
+        new_fleet.start()
         for number in range(2 * TRIES + 4):
-            made.add_back_end('plain', f'i-{number}')
-        assert made.put_document(document(1, '/safe/')).status == 200
+            new_fleet.add_back_end('plain', f'i-{number}')
+        assert new_fleet.put_document(document(1, '/safe/')).status == 200
         for entry in (0, 1):
             wait_until(
-                lambda entry=entry: made.send_request(request('/safe/x'), entry).status == 200
+                lambda entry=entry: new_fleet.send_request(request('/safe/x'), entry).status == 200
             )
-        yield made
+        yield new_fleet
     finally:
-        made.close()
+        new_fleet.close()
 
 
 def crashing_request(path='/safe/x'):
@@ -94,7 +94,7 @@
     assert {reply.headers['millfork-reason'] for reply in replies} == {'quarantined'}
 
 
-def test_an_innocent_request_that_broke_off_with_it_is_served(fleet):
+def test_another_request_interrupted_by_the_end_is_served(fleet):
     """
     Another request that ran on a back end when that back end ended is sent to a further one. Its
     complete answer clears the suspicion against it at all entries.
--- a/tests/test_crashing_requests_on_listed_fleets.py
+++ b/tests/test_crashing_requests_on_listed_fleets.py
@@ -20,12 +20,12 @@
 
 @pytest.fixture(scope='module', params=[0, 50], ids=['closes at once', 'closes 50 ms late'])
 def crashing(request, tmp_path_factory):
-    made = CrashingFleet(tmp_path_factory.mktemp('crashing'), closes_after_ms=request.param)
+    new_fleet = CrashingFleet(tmp_path_factory.mktemp('crashing'), closes_after_ms=request.param)
     try:
-        made.start()
-        yield made
+        new_fleet.start()
+        yield new_fleet
     finally:
-        made.close()
+        new_fleet.close()
 
 
 @pytest.mark.parametrize('streams', [False, True])
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -54,12 +54,12 @@
         return refusal
 
 
-def run(outcomes, repeatable=False, begun=False, **settings):
+def run(outcomes, repeatable=False, has_started=False, **settings):
     dispatcher = ScriptedDispatcher(outcomes, **settings)
     deadline = dispatcher.env.monotonic() + 5
     call = Call('o', 's', 'POST', '/', [], b'', repeatable, '', '', '', 0, deadline)
     delivery = Delivery(None)
-    delivery.has_started = begun
+    delivery.has_started = has_started
     return dispatcher, curio.run(dispatcher.run, call, delivery)
 
 
@@ -91,7 +91,7 @@
 
 
 def test_no_retry_after_the_answer_has_started():
-    dispatcher, refusal = run([LOST, None], repeatable=True, begun=True)
+    dispatcher, refusal = run([LOST, None], repeatable=True, has_started=True)
     assert (len(dispatcher.tried_instances), refusal) == (1, LOST)
 
 
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -35,8 +35,8 @@
     write_examples(tmp_path)
     for name, shape in SHAPES.items():
         for file in build_examples(shape):
-            wanted = (tmp_path / name / file).read_text()
-            assert (ROOT / 'examples' / name / file).read_text() == wanted
+            expected = (tmp_path / name / file).read_text()
+            assert (ROOT / 'examples' / name / file).read_text() == expected
 
 
 @pytest.mark.parametrize('reason', Reason, ids=lambda reason: reason.value)
--- a/tests/test_drawn_deployments.py
+++ b/tests/test_drawn_deployments.py
@@ -39,8 +39,8 @@
 DEADLINE_MS = 60_000
 
 
-def run_model(shape, factor, seed, way, min_time_part):
-    model = RetryDetectionModel(shape, factor, seed, way, min_time_part)
+def run_model(shape, factor, seed, method, min_timeout_share):
+    model = RetryDetectionModel(shape, factor, seed, method, min_timeout_share)
     model.simulate()
     return model
 
@@ -63,7 +63,7 @@
 @example(MISTAKEN_RETURN_SHAPES[1], 467, 0.8402673446999119)
 @example(COMPARED_ENGINES_FULL_SHAPE, 546, 0.823290623926907)
 @given(SHAPES, SEEDS, MIN_TIME_PARTS)
-def test_nobody_is_turned_away_while_half_of_the_slots_are_free(shape, seed, min_time_part):
+def test_no_caller_is_turned_away_while_half_of_the_slots_are_free(shape, seed, min_timeout_share):
     """
     An entry turned a caller away while two thirds of the slots were free. Either of two faults
     was enough on some deployments, the first with a prompt too long to be read in time. The
@@ -74,7 +74,7 @@
     it knows before it turns a caller away.
 
     """
-    model = run_model(shape, CALM_FACTOR, seed, DetectionMethod.BUILT, min_time_part)
+    model = run_model(shape, CALM_FACTOR, seed, DetectionMethod.AS_BUILT, min_timeout_share)
     assert model.outcomes.counts['refused'] == 0
     assert model.turned_away == 0
 
@@ -85,7 +85,7 @@
 @settings(max_examples=4, deadline=DEADLINE_MS)
 @example(SPLIT_SHAPE, 13, 0.9, 1.2)
 @given(SHAPES, SEEDS, MIN_TIME_PARTS, st.sampled_from([0.9, 1.2, 1.5]))
-def test_split_knowledge_loses_no_more_than_a_stated_part(shape, seed, min_time_part, factor):
+def test_many_entries_lose_no_more_than_a_stated_share(shape, seed, min_timeout_share, factor):
     """
     Thirteen entries in front of four engines had 0.476 of first tokens in time, a single one
     0.702. Each entry used load reports up to 0.3 s old and did not see the requests that the
@@ -94,9 +94,9 @@
     these is nearly full.
 
     """
-    many_entries = run_model(shape, factor, seed, DetectionMethod.BUILT, min_time_part)
+    many_entries = run_model(shape, factor, seed, DetectionMethod.AS_BUILT, min_timeout_share)
     single_entry = run_model(
-        replace(shape, entries=1), factor, seed, DetectionMethod.KNOWN, min_time_part
+        replace(shape, entries=1), factor, seed, DetectionMethod.KNOWN, min_timeout_share
     )
     in_time = many_entries.outcomes.share('in time')
     assert in_time > single_entry.outcomes.share('in time') - MAX_SPLIT_LOSS
@@ -104,8 +104,8 @@
 
 @settings(max_examples=4, deadline=DEADLINE_MS)
 @given(SHAPES, SEEDS, MIN_TIME_PARTS, st.sampled_from([1.0, 1.5]))
-def test_no_length_of_prompt_is_starved(shape, seed, min_time_part, factor):
-    model = run_model(shape, factor, seed, DetectionMethod.BUILT, min_time_part)
+def test_no_length_of_prompt_is_starved(shape, seed, min_timeout_share, factor):
+    model = run_model(shape, factor, seed, DetectionMethod.AS_BUILT, min_timeout_share)
     by_prompt_length = sorted(model.answered)
     longest_tenth = by_prompt_length[-len(by_prompt_length) // 10 :]
     served = sum(answered for _, answered in longest_tenth) / len(longest_tenth)
--- a/tests/test_ends_after_their_callers_left.py
+++ b/tests/test_ends_after_their_callers_left.py
@@ -29,19 +29,19 @@
 
 @pytest.fixture
 def fleet(tmp_path):
-    made = SeededFleet(tmp_path, entries=ENTRIES)
+    new_fleet = SeededFleet(tmp_path, entries=ENTRIES)
     try:
-        made.start()
+        new_fleet.start()
         for number in range(BACK_ENDS):
-            made.add_back_end('plain', f'i-{number}').crash_delay_s = CRASHES_AFTER_S
-        assert made.put_document(document(1, '/safe/')).status == 200
+            new_fleet.add_back_end('plain', f'i-{number}').crash_delay_s = CRASHES_AFTER_S
+        assert new_fleet.put_document(document(1, '/safe/')).status == 200
         for entry in range(ENTRIES):
             wait_until(
-                lambda entry=entry: made.send_request(request('/safe/x'), entry).status == 200
+                lambda entry=entry: new_fleet.send_request(request('/safe/x'), entry).status == 200
             )
-        yield made
+        yield new_fleet
     finally:
-        made.close()
+        new_fleet.close()
 
 
 def call_and_leave(fleet, entry):
@@ -72,15 +72,15 @@
 
     """
     stop_event = threading.Event()
-    asking = threading.Thread(target=load_with_other_requests, args=(fleet, stop_event))
+    load_thread = threading.Thread(target=load_with_other_requests, args=(fleet, stop_event))
     if busy:
-        asking.start()
+        load_thread.start()
     try:
         make_calls_that_leave(fleet)
     finally:
         stop_event.set()
     if busy:
-        asking.join()
+        load_thread.join()
     assert count_ended(fleet) <= ENDS_BEFORE_QUARANTINE + MAX_CONCURRENT_ENDS + MAX_FURTHER_ENDS
 
 
--- a/tests/test_engines_without_daemon_reports.py
+++ b/tests/test_engines_without_daemon_reports.py
@@ -32,16 +32,16 @@
 
     """
     clock = Clock()
-    began = clock.now
+    started_at = clock.now
     table = ServerTable(ZoneId('z1'), Random(1), clock)
     table.apply_leases(
         [Lease('i-1', SERVICE, '10.0.0.1', 80, 'z1', 16, LeaseState.READY, 1, 'r', OLD)]
     )
     last = None
-    reported = began - REPORT_S
+    reported = started_at - REPORT_S
     for step in range(int(end_s * 100)):
-        clock.now = began + step / 100
-        daemon_reports = began + end_s - clock.now > daemon_silent_s
+        clock.now = started_at + step / 100
+        daemon_reports = started_at + end_s - clock.now > daemon_silent_s
         if daemon_reports and clock.now - reported >= REPORT_S:
             reported = clock.now
             state = EndpointState(
@@ -50,11 +50,11 @@
             )  # fmt: skip
             table.apply_reports([state])
         requirements = Requirements(
-            SERVICE, ENGINE, 0, 2, 900, endings=((2, began + end_s - CANCEL_MARGIN_S),)
+            SERVICE, ENGINE, 0, 2, 900, endings=((2, started_at + end_s - CANCEL_MARGIN_S),)
         )
         if table.choose(requirements, set()) is not None:
             last = clock.now
-    return began + end_s - last
+    return started_at + end_s - last
 
 
 @pytest.mark.parametrize('daemon_silent_s', [2.0, 3.0, 8.0])
--- a/tests/test_feed_client.py
+++ b/tests/test_feed_client.py
@@ -21,7 +21,7 @@
 ZONES = {'10.0.0.1:7': 'far', '10.0.0.2:7': 'near'}
 
 
-class StandInReplicas:
+class FakeReplicas:
     """
     Replicas in two zones. Tests set which ones are reachable, and the age of the near one's
     last contact with the leader.
@@ -43,11 +43,11 @@
             return Replicas('c', '', sorted(ZONES), age_ms, 1, [], ZONES[name])
         assert isinstance(message, Follow)
         self.followed.append(ZONES[name])
-        self.connections[name] = StandInConnection()
+        self.connections[name] = FakeConnection()
         return Done(True)
 
 
-class StandInConnection:
+class FakeConnection:
     closed = False
 
     async def notify(self, message):
@@ -75,7 +75,7 @@
 
 def test_a_follower_changes_to_a_replica_in_its_zone_once_one_answers(monkeypatch):
     monkeypatch.setattr(feed_client_module, 'NEARER_CHECK_PERIOD_S', 0.1)
-    replicas = StandInReplicas('10.0.0.1:7')
+    replicas = FakeReplicas('10.0.0.1:7')
     client = client_following(replicas)
 
     async def run():
@@ -90,7 +90,7 @@
 def test_a_follower_changes_directly_to_the_replica_in_its_zone(monkeypatch):
     monkeypatch.setattr(feed_client_module, 'NEARER_CHECK_PERIOD_S', 0.1)
     monkeypatch.setitem(ZONES, '10.0.0.3:7', 'far')
-    replicas = StandInReplicas('10.0.0.1:7', '10.0.0.3:7')
+    replicas = FakeReplicas('10.0.0.1:7', '10.0.0.3:7')
     client = client_following(replicas)
     client.discovery.add_replica('10.0.0.3:7')
 
@@ -105,21 +105,21 @@
 
 def test_a_follower_does_not_change_to_a_replica_without_contact_to_the_leader(monkeypatch):
     monkeypatch.setattr(feed_client_module, 'NEARER_CHECK_PERIOD_S', 0.1)
-    replicas = StandInReplicas('10.0.0.1:7', '10.0.0.2:7')
+    replicas = FakeReplicas('10.0.0.1:7', '10.0.0.2:7')
     replicas.age_ms = feed_client_module.STALE_MS + 1
     client = client_following(replicas)
 
     async def run():
         await run_until(client, replicas, lambda: replicas.followed == ['far'])
-        began = client.env.monotonic()
-        await run_until(client, replicas, lambda: client.env.monotonic() > began + 0.5)
+        started_at = client.env.monotonic()
+        await run_until(client, replicas, lambda: client.env.monotonic() > started_at + 0.5)
         assert 'near' not in replicas.followed
 
     curio.run(run)
 
 
 def test_only_the_followed_replica_sets_the_number_of_entries():
-    client = client_following(StandInReplicas())
+    client = client_following(FakeReplicas())
     client.source = InstanceId('10.0.0.1:7')
     leases = Leases(entries=6, most_entries=7)
     daemon = SimpleNamespace(feed_client=client)
--- a/tests/test_feed_relay.py
+++ b/tests/test_feed_relay.py
@@ -157,13 +157,13 @@
     async def run():
         cut_off = followers.relays[CUT].feed_client
         followers.relays[NEAR].switches = lambda: [VersionSwitch('m', 2, 3000)]
-        began = cut_off.env.monotonic()
+        started_at = cut_off.env.monotonic()
         task = await curio.spawn(followers.relays[CUT].run, daemon=True)
         await followers.wait_until(
             lambda: cut_off.version_cutoffs.cutoff_of('m', 2) is not None, (NEAR, FAR)
         )
         assert (
-            began + 3.0
+            started_at + 3.0
             <= cut_off.version_cutoffs.cutoff_of('m', 2)
             <= cut_off.env.monotonic() + 3.0
         )
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -20,12 +20,14 @@
 
 @pytest.fixture(params=[True, False], ids=['refuses-old', 'ignores-numbers'])
 def fleet(request, tmp_path):
-    made = Fleet(LANTING, tmp_path, FleetOptions(engine={'refuses_old_orders': request.param}))
-    made.start_standins()
-    made.start_backend(made.engines[0])
-    made.wait_http(f'{made.engines[0].name}.backend', made.engines[0].host, BACKEND_PORT, '/status')
-    yield made
-    made.close()
+    new_fleet = Fleet(LANTING, tmp_path, FleetOptions(engine={'refuses_old_orders': request.param}))
+    new_fleet.start_standins()
+    new_fleet.start_backend(new_fleet.engines[0])
+    new_fleet.wait_http(
+        f'{new_fleet.engines[0].name}.backend', new_fleet.engines[0].host, BACKEND_PORT, '/status'
+    )
+    yield new_fleet
+    new_fleet.close()
 
 
 def make_engine_client(instance):
--- a/tests/test_first_tries.py
+++ b/tests/test_first_tries.py
@@ -23,10 +23,10 @@
 
 
 def detector_with(deadlines):
-    made = FirstTryDetector()
+    detector = FirstTryDetector()
     for deadline_ms in deadlines:
-        made.judge('r', deadline_ms, 0.0)
-    return made
+        detector.judge('r', deadline_ms, 0.0)
+    return detector
 
 
 @pytest.fixture
@@ -60,9 +60,9 @@
 
 
 def under_load(deadlines):
-    made = FirstTryDetector()
-    made.note_turned_away(0.0)
-    return [made.judge('r', deadline_ms, 0.1) for deadline_ms in deadlines][-1]
+    detector = FirstTryDetector()
+    detector.note_turned_away(0.0)
+    return [detector.judge('r', deadline_ms, 0.1) for deadline_ms in deadlines][-1]
 
 
 def test_after_a_start_under_load_the_latest_deadlines_decide():
@@ -72,28 +72,28 @@
     assert under_load([*mixed_deadlines, 5600]) == Judgement(is_undecided=True)
 
 
-def share_taken_for_retries(least, counted):
+def share_taken_for_retries(min_timeout_share, counted):
     """
-    The share of first tries taken for retries. Callers begin with `least` to 1 times the usual
-    deadline; of the requests that each entry judges, those at the positions `counted` count.
+    The share of first tries taken for retries. Callers begin with `min_timeout_share` to 1 times
+    the usual deadline; of the requests that each entry judges, those at positions `counted` count.
 
     """
-    taken = []
+    taken_for_retry = []
     for seed in range(200):
         random = Random(seed)
         tries = FirstTryDetector()
         for judged in range(counted.stop):
-            judgement = tries.judge('r', int(6000 * random.uniform(least, 1.0)), 0.0)
+            judgement = tries.judge('r', int(6000 * random.uniform(min_timeout_share, 1.0)), 0.0)
             if judged in counted:
-                taken.append(judgement.elapsed_ms > 0)
-    return sum(taken) / len(taken)
+                taken_for_retry.append(judgement.elapsed_ms > 0)
+    return sum(taken_for_retry) / len(taken_for_retry)
 
 
-@pytest.mark.parametrize('least', [0.5, 0.6, 0.7, 0.8, 0.85, 0.9, 0.95])
+@pytest.mark.parametrize('min_timeout_share', [0.5, 0.6, 0.7, 0.8, 0.85, 0.9, 0.95])
 @pytest.mark.parametrize(
     'counted', [range(MIN_FIRST_TRIES), range(MIN_FIRST_TRIES, 3 * MIN_FIRST_TRIES)]
 )
-def test_first_tries_with_different_deadlines_are_not_taken_for_retries(least, counted):
+def test_first_tries_with_different_deadlines_are_not_taken_for_retries(min_timeout_share, counted):
     """
     A caller was turned away while two thirds of the slots were free. Its entry had judged 14
     requests of the route; six of them happened to be within 120 ms of the longest deadline, so
@@ -104,7 +104,7 @@
     they took 0.012 if callers begin with half of it or more.
 
     """
-    assert share_taken_for_retries(least, counted) < MISTAKEN
+    assert share_taken_for_retries(min_timeout_share, counted) < MISTAKEN
 
 
 def test_deadlines_of_possible_retries_are_not_learned(common_deadline):
@@ -129,8 +129,8 @@
 
 
 def test_a_few_outliers_do_not_hide_retries():
-    made = detector_with([6080] * 60 + [900, 1500])
-    assert made.judge('r', 5500, 1.0).elapsed_ms == 580
+    detector = detector_with([6080] * 60 + [900, 1500])
+    assert detector.judge('r', 5500, 1.0).elapsed_ms == 580
 
 
 def test_a_request_turned_away_is_recognised_by_its_fingerprint():
@@ -161,8 +161,8 @@
     assert not table.first_tried
 
 
-@pytest.mark.parametrize('least', [1.0, 0.85])
-def test_under_lasting_load_detected_retries_cost_no_requests_in_time(least):
+@pytest.mark.parametrize('min_timeout_share', [1.0, 0.85])
+def test_under_lasting_load_detected_retries_cost_no_requests_in_time(min_timeout_share):
     """
     Callers begin with 0.85 to 1 times the usual deadline, at 1.2 times the capacity of the
     engines. When retries were told from first tries by the longest deadline seen, 0.54 of the
@@ -170,12 +170,12 @@
 
     """
 
-    def in_time(way):
+    def in_time(method):
         found = []
         for seed in range(2):
-            model = RetryDetectionModel(SHIFTED, 1.2, seed, way, least)
+            model = RetryDetectionModel(SHIFTED, 1.2, seed, method, min_timeout_share)
             model.simulate()
             found.append(model.outcomes.share('in time'))
         return sum(found) / len(found)
 
-    assert in_time(DetectionMethod.BUILT) > in_time(DetectionMethod.KNOWN) - 0.02
+    assert in_time(DetectionMethod.AS_BUILT) > in_time(DetectionMethod.KNOWN) - 0.02
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -108,7 +108,7 @@
 
     def __init__(self, *served):
         self.clock = Clock()
-        self.least = 0
+        self.oldest_version = 0
         self.sent = []
         self.released = []
         self.servers = []
@@ -121,7 +121,7 @@
         self.clock.now += 11.0
         env = Environment(InstanceId('a:1'), ZoneId('z1'), monotonic=self.clock)
         versions = SimpleNamespace(
-            oldest_usable=lambda model: self.least, ends_at=lambda *args: None
+            oldest_usable=lambda model: self.oldest_version, ends_at=lambda *args: None
         )
         admission = SimpleNamespace(
             versions=versions,
@@ -131,14 +131,14 @@
             depends_on_first_try=lambda job, choice: False,
         )
         adapter = SimpleNamespace(back_end_headers=lambda request, orders: [])
-        book = ServerTable(ZoneId('z1'), Random(1), self.clock)
-        book.choose = self.choose
+        table = ServerTable(ZoneId('z1'), Random(1), self.clock)
+        table.choose = self.choose
         loads = SimpleNamespace(refresh=self.refresh)
         pools = SimpleNamespace(of=self.pool_of)
         fingerprints = Fingerprints(b'key', lambda: 'cluster')
         quarantine = Quarantine(SuspicionStore(self.clock), View(), fingerprints)
         self.forwarding = Forwarding(
-            env, adapter, admission, book, pools, self.budget, quarantine, None, loads
+            env, adapter, admission, table, pools, self.budget, quarantine, None, loads
         )
         route = SimpleNamespace(repeatable=False, max_attempts=2)
         exchange = SimpleNamespace(
@@ -166,7 +166,7 @@
 
     def pool_of(self, server):
         async def acquire(recently_used):
-            self.least = 2
+            self.oldest_version = 2
             self.on_connect(server)
             return SimpleNamespace(send=send, read_head=read_head, lost=False)
 
@@ -176,7 +176,7 @@
         async def read_head():
             raise SendFailed(Reason.CONNECTION_LOST, Verdict.MAY_HAVE_RUN, 'closed')
 
-        async def release(connection, keep_s):
+        async def release(connection, keep_alive_s):
             self.released.append(server.instance)
 
         return SimpleNamespace(acquire=acquire, release=release)
@@ -226,7 +226,7 @@
     scenario = EndingVersion(1, 1, 2)
     scenario.job.tried.append(InstanceId('i-9'))
     scenario.job.failures.append(FailedAttempt(Reason.BUSY, Verdict.NOT_RUN, 'full'))
-    scenario.least = 0
+    scenario.oldest_version = 0
     scenario.run()
     assert scenario.sent == ['i-2']
     assert scenario.job.tried == ['i-9', 'i-2']
--- a/tests/test_history_runs.py
+++ b/tests/test_history_runs.py
@@ -42,12 +42,12 @@
 
 @pytest.fixture(scope='module')
 def fleet(tmp_path_factory):
-    made = Fleet(DEPLOYMENT, tmp_path_factory.mktemp('fleet'), FleetOptions())
-    made.start()
-    path = made.write_declaration('organisations.yaml', made.organisations_declaration())
-    assert made.run_millfork('apply', str(path)).returncode == 0
-    yield made
-    made.close()
+    new_fleet = Fleet(DEPLOYMENT, tmp_path_factory.mktemp('fleet'), FleetOptions())
+    new_fleet.start()
+    path = new_fleet.write_declaration('organisations.yaml', new_fleet.organisations_declaration())
+    assert new_fleet.run_millfork('apply', str(path)).returncode == 0
+    yield new_fleet
+    new_fleet.close()
 
 
 def kill_and_restart(fleet, name):
--- a/tests/test_incarnation_status.py
+++ b/tests/test_incarnation_status.py
@@ -19,9 +19,9 @@
 
 
 def server(instance='i-1', incarnation=1):
-    made = Server(InstanceId(instance), ServiceName('s'), '127.0.0.1', 1, ZoneId('z1'), 16)
-    made.incarnation = Incarnation(incarnation)
-    return made
+    new_server = Server(InstanceId(instance), ServiceName('s'), '127.0.0.1', 1, ZoneId('z1'), 16)
+    new_server.incarnation = Incarnation(incarnation)
+    return new_server
 
 
 def test_the_status_is_unknown_at_first():
@@ -33,12 +33,12 @@
 
 
 @pytest.mark.parametrize('other', [server('i-2'), server(incarnation=2)])
-def test_it_has_ended_once_another_instance_or_incarnation_replaces_it(other):
+def test_a_back_end_has_ended_once_another_instance_or_incarnation_replaces_it(other):
     other.last_received_at = BROKE_AT + 1
     assert determine_status(server(), BROKE_AT, [other]) is IncarnationStatus.ENDED
 
 
-def test_it_has_ended_once_it_is_marked_replaced():
+def test_a_back_end_has_ended_once_it_is_marked_replaced():
     broken = server()
     broken.replaced = True
     assert determine_status(broken, BROKE_AT) is IncarnationStatus.ENDED
@@ -53,7 +53,7 @@
     ],
 )
 @pytest.mark.parametrize('lease_ran_out_between', [False, True])
-def test_it_lives_on_if_data_sent_later_was_received(evidence, lease_ran_out_between):
+def test_a_back_end_lives_if_data_that_it_sent_later_was_received(evidence, lease_ran_out_between):
     broken = server()
     known = server() if lease_ran_out_between else broken
     for name, value in evidence.items():
@@ -61,7 +61,7 @@
     assert determine_status(broken, BROKE_AT, [known]) is IncarnationStatus.LIVES
 
 
-def test_it_lives_on_if_its_lease_outlasts_the_usual_expiry():
+def test_a_back_end_lives_if_its_lease_outlasts_the_usual_expiry():
     """
     An entry that sent no requests there in the meantime counted an end 7.7 s after an answer
     broke off, though the back end lived on.
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -89,7 +89,7 @@
     assert registry.leases.get('i-1') == held
 
 
-def test_a_goodbye_without_incarnation_ends_the_known_one(registry):
+def test_a_leave_notice_without_incarnation_ends_the_known_one(registry):
     registry.record_heartbeat(lease(SECOND_INCARNATION, 1))
     registry.record_goodbye('i-1')
     assert state_of(registry) is LeaseState.GONE
@@ -124,46 +124,46 @@
 
 
 def test_an_entry_resets_all_state_for_the_next_incarnation(clock):
-    book = ServerTable(ZoneId('z1'), Random(1), clock)
-    book.apply_leases([lease(FIRST_INCARNATION, 9)])
-    book.apply_reports([report(FIRST_INCARNATION, 500, running=16)])
-    before = book.servers['i-1']
+    table = ServerTable(ZoneId('z1'), Random(1), clock)
+    table.apply_leases([lease(FIRST_INCARNATION, 9)])
+    table.apply_reports([report(FIRST_INCARNATION, 500, running=16)])
+    before = table.servers['i-1']
     before.own_requests = 3
     before.refused[1] = clock.now + 60
     before.note_failure(clock.now)
     before.lateness.note(500.0, clock.now)
-    assert book.apply_leases([lease(SECOND_INCARNATION, 1, served=())]) == [before]
+    assert table.apply_leases([lease(SECOND_INCARNATION, 1, served=())]) == [before]
     assert before.replaced
-    after = book.servers['i-1']
+    after = table.servers['i-1']
     assert after is not before
     assert (after.served, after.own_requests, after.reported) == ((), 0, 0)
     assert (after.failures, after.refused, after.lateness.mean_ms) == (0, {}, 0.0)
 
 
 def test_a_delayed_report_of_the_earlier_incarnation_is_not_applied_to_the_next(clock):
-    book = ServerTable(ZoneId('z1'), Random(1), clock)
-    book.apply_leases([lease(SECOND_INCARNATION, 1, served=())])
-    book.apply_reports([report(FIRST_INCARNATION, 500)])
-    assert book.choose(Requirements(ServiceName('s'), ENGINE), set()) is None
-    book.apply_reports([report(SECOND_INCARNATION, 501)])
-    assert book.choose(Requirements(ServiceName('s'), ENGINE), set()) is not None
+    table = ServerTable(ZoneId('z1'), Random(1), clock)
+    table.apply_leases([lease(SECOND_INCARNATION, 1, served=())])
+    table.apply_reports([report(FIRST_INCARNATION, 500)])
+    assert table.choose(Requirements(ServiceName('s'), ENGINE), set()) is None
+    table.apply_reports([report(SECOND_INCARNATION, 501)])
+    assert table.choose(Requirements(ServiceName('s'), ENGINE), set()) is not None
 
 
 def test_an_engine_whose_next_incarnation_already_reports_is_not_chosen(clock):
-    book = ServerTable(ZoneId('z1'), Random(1), clock)
-    book.apply_leases([lease(FIRST_INCARNATION, 9)])
-    book.apply_reports([report(SECOND_INCARNATION, 501, served=())])
-    assert book.choose(Requirements(ServiceName('s'), ENGINE), set()) is None
+    table = ServerTable(ZoneId('z1'), Random(1), clock)
+    table.apply_leases([lease(FIRST_INCARNATION, 9)])
+    table.apply_reports([report(SECOND_INCARNATION, 501, served=())])
+    assert table.choose(Requirements(ServiceName('s'), ENGINE), set()) is None
 
 
 def test_a_request_that_waits_at_an_earlier_incarnation_is_withdrawn(clock):
-    book = ServerTable(ZoneId('z1'), Random(1), clock)
-    book.apply_leases([lease(FIRST_INCARNATION, 9)])
-    attempt = Attempt(Choice(book.servers['i-1']), clock.now)
+    table = ServerTable(ZoneId('z1'), Random(1), clock)
+    table.apply_leases([lease(FIRST_INCARNATION, 9)])
+    attempt = Attempt(Choice(table.servers['i-1']), clock.now)
     job = SimpleNamespace(requirements=Requirements(ServiceName('s')))
     waiting = ResponseMonitor(Environment(InstanceId('a:1'), ZoneId('z1'), monotonic=clock), None)
     waiting.check_engine(job, attempt, None)
-    book.apply_leases([lease(SECOND_INCARNATION, 1)])
+    table.apply_leases([lease(SECOND_INCARNATION, 1)])
     with pytest.raises(SendFailed):
         waiting.check_engine(job, attempt, None)
 
@@ -240,8 +240,10 @@
     @rule(instance=BACK_ENDS, port=PORTS)
     def start_back_end(self, instance, port):
         self.clock.now += 0.1
-        taken = {heartbeat.port for name, heartbeat in self.last_sent.items() if name != instance}
-        if port in taken:
+        used_ports = {
+            heartbeat.port for name, heartbeat in self.last_sent.items() if name != instance
+        }
+        if port in used_ports:
             return
         self.last_sent[instance] = lease(int(self.clock.now * 1000), 0, instance, port)
 
@@ -257,7 +259,7 @@
             self.deliver(replica_index, heartbeat)
 
     @rule(instance=BACK_ENDS, replica_index=REPLICA_INDEXES)
-    def send_goodbye(self, instance, replica_index):
+    def send_leave(self, instance, replica_index):
         heartbeat = self.last_sent.pop(instance, None)
         if heartbeat is not None:
             self.replicas[replica_index][0].record_goodbye(instance, heartbeat.incarnation)
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -45,8 +45,10 @@
     assert set(state['items']) <= {f'organisations/{other}'}
     status = control(serving_fleet, serving_fleet.operator_tokens[other], 'GET', 'status').json()
     assert status['deployments'] == []
-    mine = control(serving_fleet, serving_fleet.operator_tokens[owner], 'GET', 'status').json()
-    assert [row['deployment'] for row in mine['deployments']] == [f'{owner}/main']
+    own_status = control(
+        serving_fleet, serving_fleet.operator_tokens[owner], 'GET', 'status'
+    ).json()
+    assert [row['deployment'] for row in own_status['deployments']] == [f'{owner}/main']
 
 
 @pytest.mark.parametrize(
@@ -67,14 +69,14 @@
 
 def test_idempotency_keys_of_two_organisations_are_separate(serving_fleet, owner, other):
     headers = {'idempotency-key': 'shared', 'nonce': 'from-owner'}
-    mine = call_service(
+    own_answer = call_service(
         serving_fleet, serving_fleet.caller_tokens[owner], 'POST', 'register-api/r', headers=headers
     )
     headers = {'idempotency-key': 'shared', 'nonce': 'from-other'}
     theirs = call_service(
         serving_fleet, serving_fleet.caller_tokens[other], 'POST', 'register-api/r', headers=headers
     )
-    assert (mine.json()['nonce'], theirs.json()['nonce']) == ('from-owner', 'from-other')
+    assert (own_answer.json()['nonce'], theirs.json()['nonce']) == ('from-owner', 'from-other')
 
 
 def test_a_repeated_idempotency_key_is_answered_and_runs_once(serving_fleet, owner):
--- a/tests/test_late_closing_back_ends.py
+++ b/tests/test_late_closing_back_ends.py
@@ -26,19 +26,19 @@
 
 @pytest.fixture
 def fleet(tmp_path):
-    made = SeededFleet(tmp_path, entries=2)
+    new_fleet = SeededFleet(tmp_path, entries=2)
     try:
-        made.start()
+        new_fleet.start()
         for number in range(BACK_ENDS):
-            made.add_back_end('plain', f'i-{number}')
-        assert made.put_document(document(1, '/safe/')).status == 200
+            new_fleet.add_back_end('plain', f'i-{number}')
+        assert new_fleet.put_document(document(1, '/safe/')).status == 200
         for entry in (0, 1):
             wait_until(
-                lambda entry=entry: made.send_request(request('/safe/x'), entry).status == 200
+                lambda entry=entry: new_fleet.send_request(request('/safe/x'), entry).status == 200
             )
-        yield made
+        yield new_fleet
     finally:
-        made.close()
+        new_fleet.close()
 
 
 @pytest.mark.parametrize('address_close_delay_s', [0.03, 0.1, 1.0])
--- a/tests/test_late_ends_at_endpoints.py
+++ b/tests/test_late_ends_at_endpoints.py
@@ -38,10 +38,10 @@
 
     def __init__(self):
         self.sent = []
-        self.gone = False
+        self.is_lost = False
 
     async def notify(self, message):
-        if self.gone:
+        if self.is_lost:
             raise PeerLost('gone')
         self.sent.append(message)
 
@@ -63,9 +63,11 @@
 
     def tracker(self, asks=True):
         env = Environment(InstanceId('e-1'), ZoneId('z'))
-        made = IncarnationTracker(env, lambda: ADDRESS, self.query_incarnation if asks else None)
-        made.record_incarnation('a', env.monotonic())
-        return made
+        new_tracker = IncarnationTracker(
+            env, lambda: ADDRESS, self.query_incarnation if asks else None
+        )
+        new_tracker.record_incarnation('a', env.monotonic())
+        return new_tracker
 
     async def query_incarnation(self):
         return self.reported_incarnation
@@ -106,10 +108,14 @@
 def test_a_late_status_is_reported_to_the_entry(monkeypatch, ended):
     async def run():
         back_end = FakeBackEnd(monkeypatch, reported_incarnation='')
-        tracker, entry, gone = back_end.tracker(), FakeEntryConnection(), FakeEntryConnection()
-        gone.gone = True
+        tracker, entry, lost_entry = (
+            back_end.tracker(),
+            FakeEntryConnection(),
+            FakeEntryConnection(),
+        )
+        lost_entry.is_lost = True
         await tracker.record_interruption(RequestId('r'), entry, tracker.number)
-        await tracker.record_interruption(RequestId('s'), gone, tracker.number)
+        await tracker.record_interruption(RequestId('s'), lost_entry, tracker.number)
         back_end.reported_incarnation = 'b' if ended else 'a'
         await wait_until(lambda: entry.sent)
         assert entry.sent == [BackEndFate('r', ended)]
--- a/tests/test_leases_after_a_freeze.py
+++ b/tests/test_leases_after_a_freeze.py
@@ -34,15 +34,17 @@
 
 @pytest.fixture
 def fleet(tmp_path):
-    made = SeededFleet(tmp_path)
+    new_fleet = SeededFleet(tmp_path)
     try:
-        made.start()
-        made.back_ends.append(SingleReplicaBackEnd(made.back_end_host, 'plain', 'i-1', made))
-        assert made.put_document(document(1, '/safe/')).status == 200
-        wait_until(lambda: made.send_request(request('/safe/x')).status == 200)
-        yield made
+        new_fleet.start()
+        new_fleet.back_ends.append(
+            SingleReplicaBackEnd(new_fleet.back_end_host, 'plain', 'i-1', new_fleet)
+        )
+        assert new_fleet.put_document(document(1, '/safe/')).status == 200
+        wait_until(lambda: new_fleet.send_request(request('/safe/x')).status == 200)
+        yield new_fleet
     finally:
-        made.close()
+        new_fleet.close()
 
 
 def test_no_lease_ends_while_its_owner_receives_heartbeats(fleet):
--- a/tests/test_limit_shares.py
+++ b/tests/test_limit_shares.py
@@ -75,9 +75,9 @@
 
 @pytest.fixture
 def table(clock):
-    made = ServerTable(ZoneId('z1'), Random(1), clock, lambda: 6, lambda: 6)
-    made.apply_leases([lease(1), lease(2)])
-    return made
+    new_table = ServerTable(ZoneId('z1'), Random(1), clock, lambda: 6, lambda: 6)
+    new_table.apply_leases([lease(1), lease(2)])
+    return new_table
 
 
 def server(table, number):
--- a/tests/test_limits_set_by_back_ends.py
+++ b/tests/test_limits_set_by_back_ends.py
@@ -22,8 +22,8 @@
 
 @pytest.fixture
 def fleet(tmp_path):
-    with loaded_fleet(tmp_path) as made:
-        yield made
+    with loaded_fleet(tmp_path) as new_fleet:
+        yield new_fleet
 
 
 def send_load(fleet):
--- a/tests/test_load_queries.py
+++ b/tests/test_load_queries.py
@@ -261,8 +261,8 @@
         tasks = [await curio.spawn(loads.current_load) for _ in range(20)]
         return [await task.join() for task in tasks]
 
-    told = curio.run(run)
-    assert told == [EngineLoad(True, 3, 2, 125, BORN)] * 20
+    results = curio.run(run)
+    assert results == [EngineLoad(True, 3, 2, 125, BORN)] * 20
     assert engine.asked == 1
     clock.now += SHARED_REPORT_S + 0.001
     engine.running = 7
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -71,8 +71,8 @@
 def test_a_drained_instance_gets_no_work_until_it_is_undone(fleet):
     name = fleet.engines[0].name
     assert fleet.run_millfork('drain', name).returncode == ExitStatus.SUCCESS
-    seen = fetch_version(fleet, 'v1')
-    callers = Callers(fleet, {seen.id: seen.key}, 4, (RequestKind.WHOLE, RequestKind.STREAM))
+    version = fetch_version(fleet, 'v1')
+    callers = Callers(fleet, {version.id: version.key}, 4, (RequestKind.WHOLE, RequestKind.STREAM))
     callers.start()
 
     def count_started():
@@ -96,15 +96,15 @@
     spec = {'model': MODEL, 'version': 'v1', 'selector': {'set': 'left'}}
     apply(fleet, deployments={'main': spec})
     wait_until(lambda: serving(fleet) == 1 and rollout(fleet, 'main')['selected'] == 1)
-    seen = fetch_version(fleet, 'v1')
-    callers = Callers(fleet, {seen.id: seen.key}, 4, (RequestKind.WHOLE, RequestKind.STREAM))
+    version = fetch_version(fleet, 'v1')
+    callers = Callers(fleet, {version.id: version.key}, 4, (RequestKind.WHOLE, RequestKind.STREAM))
     callers.start()
     wait_until(lambda: len(callers.records) > 20)
     apply(fleet, deployments={'main': {**spec, 'selector': {'set': 'right'}}})
     wait_until(lambda: [r['instance'] for r in rollout(fleet, 'main')['instances']] == [second])
     wait_until(lambda: rollout(fleet, 'main')['serving'] == 1)
-    asked = len(callers.records)
-    wait_until(lambda: len(callers.records) > asked + 40)
+    count_before = len(callers.records)
+    wait_until(lambda: len(callers.records) > count_before + 40)
     callers.stop()
-    judged = summarize_fleet_run(fleet, callers.records)
-    assert judged.is_clean, judged
+    summary = summarize_fleet_run(fleet, callers.records)
+    assert summary.is_clean, summary
--- a/tests/test_platform_foreign_messages.py
+++ b/tests/test_platform_foreign_messages.py
@@ -153,8 +153,8 @@
 
 
 @given(mutated({'model': 'm', 'version': 2}), mutated({'born': FIRST_INCARNATION}))
-def test_other_calls_are_accepted_or_refused(version, goodbye):
-    for path, body in (('/v1/version-put', version), ('/v1/Instances.Leave/i-1', goodbye)):
+def test_other_calls_are_accepted_or_refused(version, leave_body):
+    for path, body in (('/v1/version-put', version), ('/v1/Instances.Leave/i-1', leave_body)):
         try:
             parse_post(path, body)
         except InvalidMessage:
@@ -176,7 +176,7 @@
     assert ADAPTER.read_answer_head(200, [('keep-alive', 'timeout=\xb2')]).keep_alive_s is None
 
 
-def test_a_goodbye_with_a_body_names_its_incarnation():
+def test_a_leave_notice_with_a_body_names_its_incarnation():
     path = '/v1/Instances.Leave/i-1'
     assert parse_post(path, b'') == LeaveNotice('i-1', None)
     assert parse_post(path, {'born': FIRST_INCARNATION}) == LeaveNotice('i-1', FIRST_INCARNATION)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -36,13 +36,16 @@
 
 
 def test_a_fingerprint_depends_only_on_path_caller_body_key_and_cluster():
-    made = Fingerprints(b'key', lambda: 'cluster')
-    first = made.of_request(Request('POST', '/a', [('x-request-id', '1')], b'text'), 'org')
-    assert made.of_request(Request('POST', '/a', [('x-request-id', '2')], b'text'), 'org') == first
+    fingerprints = Fingerprints(b'key', lambda: 'cluster')
+    first = fingerprints.of_request(Request('POST', '/a', [('x-request-id', '1')], b'text'), 'org')
+    assert (
+        fingerprints.of_request(Request('POST', '/a', [('x-request-id', '2')], b'text'), 'org')
+        == first
+    )
     others = [
-        made.of_request(Request('POST', '/b', [], b'text'), 'org'),
-        made.of_request(Request('POST', '/a', [], b'text'), 'other'),
-        made.of_request(Request('POST', '/a', [], b'else'), 'org'),
+        fingerprints.of_request(Request('POST', '/b', [], b'text'), 'org'),
+        fingerprints.of_request(Request('POST', '/a', [], b'text'), 'other'),
+        fingerprints.of_request(Request('POST', '/a', [], b'else'), 'org'),
         Fingerprints(b'key', lambda: 'another').of_request(Request('POST', '/a'), 'org'),
         Fingerprints(b'word', lambda: 'cluster').of_request(Request('POST', '/a'), 'org'),
     ]
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -65,14 +65,14 @@
     assert registry.leases.version == version
 
 
-def test_a_goodbye_is_final(registry):
+def test_heartbeats_after_a_leave_notice_change_nothing(registry):
     registry.record_heartbeat(lease(sequence=1))
     registry.record_goodbye('i-1')
     assert registry.record_heartbeat(lease(sequence=9)) is RecordChange.NONE
     assert state_of(registry) is LeaseState.GONE
 
 
-def test_a_goodbye_of_an_unknown_back_end_is_recorded(registry):
+def test_a_leave_notice_of_an_unknown_back_end_is_recorded(registry):
     registry.record_goodbye('i-1')
     assert registry.merge_lease(lease(sequence=3)) is RecordChange.NONE
 
@@ -158,8 +158,8 @@
     """
     first = EndpointState('e:1', 'service', 'zone', '10.0.0.1', 80, 1, reachable=True)
     registry.merge_endpoint_state(first)
-    begun = msgspec.structs.replace(first, sequence=2, held=(HeldVersion('m', 2, 0, 3),))
-    assert registry.merge_endpoint_state(begun) is RecordChange.CHANGED
+    changing = msgspec.structs.replace(first, sequence=2, held=(HeldVersion('m', 2, 0, 3),))
+    assert registry.merge_endpoint_state(changing) is RecordChange.CHANGED
     further = msgspec.structs.replace(first, sequence=3, held=(HeldVersion('m', 2, 0, 9),))
     assert registry.merge_endpoint_state(further) is RecordChange.RENEWED
     assert registry.endpoints.changed_since(registry.endpoints.version - 1) == [further]
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -125,7 +125,7 @@
     assert vote('c', 3, 5)
 
 
-def test_an_empty_disk_votes_for_nobody(replica):
+def test_a_replica_with_an_empty_disk_grants_no_vote(replica):
     request = VoteRequest(CLUSTER, 5, 'a', 9, 4)
     assert not curio.run(replica.on_vote, request).granted
 
--- a/tests/test_requests_that_crash_instances.py
+++ b/tests/test_requests_that_crash_instances.py
@@ -21,12 +21,12 @@
 
 @pytest.fixture
 def crashing(tmp_path):
-    made = CrashingFleet(tmp_path, crash_after_ms=CRASH_AFTER_MS)
+    new_fleet = CrashingFleet(tmp_path, crash_after_ms=CRASH_AFTER_MS)
     try:
-        made.start()
-        yield made
+        new_fleet.start()
+        yield new_fleet
     finally:
-        made.close()
+        new_fleet.close()
 
 
 def running_instance(crashing, nonce):
--- a/tests/test_retry_after_is_kept.py
+++ b/tests/test_retry_after_is_kept.py
@@ -23,8 +23,8 @@
 
 @pytest.fixture
 def fleet(tmp_path):
-    with loaded_fleet(tmp_path) as made:
-        yield made
+    with loaded_fleet(tmp_path) as new_fleet:
+        yield new_fleet
 
 
 def test_a_back_end_gets_the_rest_that_it_asked_for(fleet):
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -182,11 +182,11 @@
     async def run():
         under_test = RolloutUnderTest(turn=0, engine=FakeEngine(running=3))
         under_test.target = replace(under_test.target, due=under_test.target.due - ended_s)
-        began = under_test.env.monotonic()
+        started_at = under_test.env.monotonic()
         task = await under_test.run()
         await under_test.until(lambda: under_test.engine.orders)
         assert under_test.engine.orders == [(2, 0, LAYERS, True, 3)]
-        assert (under_test.env.monotonic() - began > DRAIN_S) == (drain_s == DRAIN_S)
+        assert (under_test.env.monotonic() - started_at > DRAIN_S) == (drain_s == DRAIN_S)
         await task.cancel()
 
     curio.run(run)
@@ -204,8 +204,8 @@
         under_test.others = dict.fromkeys(under_test.others, served)
         task = await under_test.run()
         await under_test.until(lambda: under_test.engine.orders)
-        _, begin, end, interrupts, _ = under_test.engine.orders[0]
-        assert end - begin == first
+        _, first_layer, end_layer, interrupts, _ = under_test.engine.orders[0]
+        assert end_layer - first_layer == first
         assert interrupts == bool(served)
         await under_test.until(lambda: under_test.engine.served == (NEW,))
         await task.cancel()
@@ -405,7 +405,7 @@
     curio.run(run)
 
 
-def test_a_version_that_has_not_ended_stays():
+def test_a_version_is_not_removed_before_its_end():
     async def run():
         under_test = RolloutUnderTest(0, FakeEngine(), StalledGatherer(3))
         under_test.target = replace(under_test.target, due=float('inf'))
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -25,8 +25,8 @@
 def route(name='r', host='h', prefix='/', shares=(('s', 1),), **fields):
     parts = tuple(Share(ServiceName(service), weight) for service, weight in shares)
     kind = fields.pop('kind', RouteKind.SAFE)
-    made = Route(name, host, prefix, kind, 1000, 300, 1, parts, 2, False, False, 0)
-    return replace(made, **fields)
+    default_route = Route(name, host, prefix, kind, 1000, 300, 1, parts, 2, False, False, 0)
+    return replace(default_route, **fields)
 
 
 def document(*routes, organisations=()):
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize(
-    ('bad', 'says'),
+    ('invalid_document', 'expected_text'),
     [
         (document(route(shares=(('x', 1),))), 'unknown service'),
         (document(route('a'), route('b')), 'host and prefix'),
@@ -53,8 +53,8 @@
         (document(organisations=[organisation('a', 'k'), organisation('b', 'k')]), 'share a key'),
     ],
 )
-def test_invalid_documents_are_rejected_with_a_reason(bad, says):
-    assert any(says in problem for problem in find_problems(bad))
+def test_invalid_documents_are_rejected_with_a_reason(invalid_document, expected_text):
+    assert any(expected_text in problem for problem in find_problems(invalid_document))
 
 
 def test_the_longest_prefix_of_the_host_wins():
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -32,7 +32,7 @@
         parse(path)
 
 
-def test_a_wait_that_does_not_hold_fails_the_run(tmp_path):
+def test_a_condition_that_is_not_met_in_time_fails_the_run(tmp_path):
     runner = Runner(tmp_path)
     with pytest.raises(ScenarioFailed, match='line 7: never does not hold within 0.01 s'):
         runner._wait(steps.Wait(7, 0.01), 'never', lambda: False)
--- a/tests/test_seeded.py
+++ b/tests/test_seeded.py
@@ -32,10 +32,12 @@
 
 
 def filled_template(name, **bounds):
-    place = TemplateValues('front-1', '10.1.0.40', 'z1', 'r1', 7700, 8000, 8005, 8002, SEEDS, True)
-    place.engine, place.service = '10.1.0.44:8001', 's'
-    place.bounds.update(bounds)
-    return render_settings((ROOT / 'deploy' / 'settings' / name).read_text(), place)
+    template_values = TemplateValues(
+        'front-1', '10.1.0.40', 'z1', 'r1', 7700, 8000, 8005, 8002, SEEDS, True
+    )
+    template_values.engine, template_values.service = '10.1.0.44:8001', 's'
+    template_values.bounds.update(bounds)
+    return render_settings((ROOT / 'deploy' / 'settings' / name).read_text(), template_values)
 
 
 @pytest.mark.parametrize('role', SeededRole, ids=lambda role: role.value)
@@ -58,7 +60,7 @@
         assert (ROOT / role['run'].split()[1]).exists()
 
 
-def test_settings_without_what_their_role_needs_are_refused(tmp_path):
+def test_settings_that_lack_a_field_of_their_role_are_refused(tmp_path):
     path = tmp_path / 'settings.yaml'
     path.write_text(filled_template('entry.yaml').replace('callers:', 'other:'))
     with pytest.raises(BadFile):
--- a/tests/test_seeded_fleet.py
+++ b/tests/test_seeded_fleet.py
@@ -54,15 +54,15 @@
 
 @pytest.fixture
 def fleet(tmp_path):
-    made = SeededFleet(tmp_path)
+    new_fleet = SeededFleet(tmp_path)
     try:
-        made.start()
-        made.back_end = made.add_back_end('plain', 'i-1')
-        assert made.put_document(document(1, '/safe/', '/unsafe/')).status == 200
-        wait_until(lambda: made.send_request(request('/safe/x')).status == 200)
-        yield made
+        new_fleet.start()
+        new_fleet.back_end = new_fleet.add_back_end('plain', 'i-1')
+        assert new_fleet.put_document(document(1, '/safe/', '/unsafe/')).status == 200
+        wait_until(lambda: new_fleet.send_request(request('/safe/x')).status == 200)
+        yield new_fleet
     finally:
-        made.close()
+        new_fleet.close()
 
 
 def leader(fleet):
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -260,13 +260,15 @@
     assert table.choose(requirements, set()) is None
 
 
-@pytest.mark.parametrize(('begun', 'taken'), [(0, 4), (1, 5), (2, 14), (3, 23)])
-def test_in_a_rush_other_entries_are_assumed_to_send_as_many(table, clock, begun, taken):
+@pytest.mark.parametrize(('own_requests', 'expected_occupied'), [(0, 4), (1, 5), (2, 14), (3, 23)])
+def test_other_entries_are_assumed_to_have_sent_as_many_requests_since_the_report(
+    table, clock, own_requests, expected_occupied
+):
     table.apply_leases([lease(1)])
     table.apply_reports([report(1, running=4)])
     server = table.servers[InstanceId('i-1')]
-    server.own_requests += begun
-    assert server.likely_occupied(clock.now, 9) == taken
+    server.own_requests += own_requests
+    assert server.likely_occupied(clock.now, 9) == expected_occupied
 
 
 def test_without_a_report_other_entries_are_assumed_to_have_as_many_requests(table, clock):
@@ -284,7 +286,7 @@
     """
     running = {1: 16, 2: 16, 3: 16, 4: 2, 5: 3, 6: 4, 7: 0, 8: 0}
     table.apply_leases([lease(number) for number in running])
-    table.apply_reports([report(number, running=taken) for number, taken in running.items()])
+    table.apply_reports([report(number, running=count) for number, count in running.items()])
     requirements = Requirements(SERVICE, ENGINE, 0, 0, 900)
     freest = [
         server.instance for server in table.freest_candidates(requirements, {InstanceId('i-3')})
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -38,7 +38,7 @@
 )
 
 
-def test_a_seed_gives_the_same_faults_and_all_kinds_come():
+def test_a_seed_gives_the_same_faults_and_all_kinds_occur():
     assert plan_faults(7, 60, REPLICAS, ENTRIES, 3) == plan_faults(7, 60, REPLICAS, ENTRIES, 3)
     kinds = {
         fault.kind for seed in range(20) for fault in plan_faults(seed, 60, REPLICAS, ENTRIES, 3)
@@ -62,7 +62,7 @@
 COMPLETE_ANSWER = Answer('1', False, 200, '1', 'i-1', b'answer')
 
 
-def test_kept_promises_are_no_finding():
+def test_kept_promises_are_not_reported_as_broken():
     answers = [
         COMPLETE_ANSWER,
         Answer('2', False, 503),
--- a/tests/test_subscription.py
+++ b/tests/test_subscription.py
@@ -320,7 +320,7 @@
     'update',
     [full_update(1, a=b'old'), delta_update(0, 1, a=b'old'), Update('foreign', 0, 9, True)],
 )
-def test_a_view_never_goes_back_nor_to_another_cluster(update):
+def test_a_view_rejects_older_revisions_and_other_clusters(update):
     view = View()
     assert view.apply_update(full_update(2, a=b'1'))
     assert not view.apply_update(update)
--- a/tests/test_suspicion_gossip.py
+++ b/tests/test_suspicion_gossip.py
@@ -51,9 +51,9 @@
     def add(self, name):
         env = Environment(InstanceId(name), ZoneId('z'))
         roster = FakeRoster(self.entries)
-        made = SuspicionGossip(env, FakePeers(self), roster, SuspicionStore(env.monotonic))
-        self.entries[InstanceId(name)] = made
-        return made
+        gossip = SuspicionGossip(env, FakePeers(self), roster, SuspicionStore(env.monotonic))
+        self.entries[InstanceId(name)] = gossip
+        return gossip
 
 
 class FakeRoster:
@@ -124,7 +124,7 @@
     curio.run(run)
 
 
-def test_an_entry_that_starts_learns_what_others_know():
+def test_a_starting_entry_learns_published_suspicions():
     async def run():
         network = FakeNetwork(['entry-0', 'entry-1'])
         other = network.entries[InstanceId('entry-1')]
--- a/tests/test_suspicions.py
+++ b/tests/test_suspicions.py
@@ -73,12 +73,12 @@
     async def run():
         processes = [SuspicionStore(Clock()) for _ in range(3)]
 
-        async def tell(one, other):
-            body = encode_suspicions(list(processes[one].table.values()))
-            await processes[other].merge(decode_suspicions(body))
+        async def send_suspicions(sender, receiver):
+            body = encode_suspicions(list(processes[sender].table.values()))
+            await processes[receiver].merge(decode_suspicions(body))
 
-        for kind, one, other, number in steps:
-            suspects = processes[one]
+        for kind, sender, receiver, number in steps:
+            suspects = processes[sender]
             known = suspects.get(FINGERPRINT)
             key = IncarnationKey(f'i-{number}/1')
             if kind == 'break':
@@ -90,10 +90,10 @@
             elif kind == 'clear':
                 await suspects.withdraw(known.cleared())
             elif kind == 'tell':
-                await tell(one, other)
-        for one in (0, 1, 2, 0, 1, 2):
-            for other in range(3):
-                await tell(one, other)
+                await send_suspicions(sender, receiver)
+        for sender in (0, 1, 2, 0, 1, 2):
+            for receiver in range(3):
+                await send_suspicions(sender, receiver)
         assert len({process.get(FINGERPRINT) for process in processes}) == 1
 
     curio.run(run)
@@ -117,12 +117,12 @@
 
 
 def test_a_request_is_cleared_by_a_back_end_that_lives_on():
-    left = suspected().with_end().without_broken(IncarnationKey('i-1/1'))
-    assert suspicion_level_of(left) is SuspicionLevel.FREE
-    assert (left.epoch, left.ends, left.broken) == (1, 1, ('i-0/1', 'i-2/1'))
+    remaining = suspected().with_end().without_broken(IncarnationKey('i-1/1'))
+    assert suspicion_level_of(remaining) is SuspicionLevel.FREE
+    assert (remaining.epoch, remaining.ends, remaining.broken) == (1, 1, ('i-0/1', 'i-2/1'))
 
 
-def test_an_unpublished_suspicion_is_withdrawn_without_a_trace():
+def test_a_withdrawn_unpublished_suspicion_leaves_no_record():
     async def run():
         suspects = SuspicionStore(Clock())
         suspects.record_privately(suspected(1))
@@ -156,17 +156,17 @@
     trials = [
         TrialSchedule(random.Random(number), clock, lambda: entries) for number in range(entries)
     ]
-    begun = []
+    trial_times = []
     started_at = clock.now
     while clock.now < started_at + DURATION_S:
-        begun += [clock.now for trial in trials if trial.begin(suspected())]
+        trial_times += [clock.now for trial in trials if trial.begin(suspected())]
         clock.now += 0.05
-    assert begun[0] - started_at >= TRIAL_AFTER_S
-    assert DURATION_S / (TRIAL_AFTER_S + entries * TRIAL_SPREAD_S) * entries <= len(begun)
-    assert len(begun) <= MAX_TRIALS_PER_S * DURATION_S
+    assert trial_times[0] - started_at >= TRIAL_AFTER_S
+    assert DURATION_S / (TRIAL_AFTER_S + entries * TRIAL_SPREAD_S) * entries <= len(trial_times)
+    assert len(trial_times) <= MAX_TRIALS_PER_S * DURATION_S
 
 
-def test_news_about_a_request_postpones_its_trial():
+def test_a_changed_suspicion_postpones_the_trial():
     clock = Clock()
     trials = TrialSchedule(random.Random(1), clock, lambda: 1)
     assert not trials.begin(suspected())
@@ -210,7 +210,7 @@
     async def probe(self, server):
         return self.found
 
-    async def break_off(self, number):
+    async def interrupt_answer(self, number):
         server = Server(
             InstanceId(f'i-{number}'), ServiceName('s'), '127.0.0.1', 1, ZoneId('z1'), 16
         )
@@ -221,9 +221,9 @@
     def known(self):
         return self.suspects.get(FINGERPRINT)
 
-    async def until(self, holds):
+    async def until(self, condition):
         async with curio.timeout_after(5):
-            while not holds():
+            while not condition():
                 await curio.sleep(0.005)
 
 
@@ -232,7 +232,7 @@
     async def run():
         broken = FailingBackEnds()
         for number in range(MIN_ENDS_AT_FAULT):
-            await broken.break_off(number)
+            await broken.interrupt_answer(number)
         assert suspicion_level_of(broken.known) is SuspicionLevel.SUSPECTED
         broken.statuses = {f'i-{number}': status for number in range(MIN_ENDS_AT_FAULT)}
         await broken.until(lambda: not broken.ends.watches)
@@ -250,7 +250,7 @@
     async def run():
         broken = FailingBackEnds()
         for number in range(MIN_ENDS_AT_FAULT):
-            await broken.break_off(number)
+            await broken.interrupt_answer(number)
         await broken.until(lambda: not broken.ends.watches)
         assert broken.known.is_clear
 
--- a/tests/test_turned_away_directory.py
+++ b/tests/test_turned_away_directory.py
@@ -136,7 +136,7 @@
     assert not any(kept[name] for name in NAMES[4:])
 
 
-def test_without_an_answer_in_time_it_counts_as_a_first_try(zone):
+def test_a_request_counts_as_a_first_try_without_an_answer_in_time(zone):
     zone.turn_away(NAMES[5], zone.job())
     zone.slow = set(NAMES)
     assert zone.look_up(NAMES[4], zone.job()) == 0
--- a/tests/test_turned_away_on_listed_fleets.py
+++ b/tests/test_turned_away_on_listed_fleets.py
@@ -37,13 +37,13 @@
 @pytest.fixture(scope='module')
 def fleet(tmp_path_factory):
     options = FleetOptions(service={'answer_ms': ANSWER_MS}, backend={'slots': 16})
-    made = Fleet(LANTING, tmp_path_factory.mktemp('turned-away'), options)
+    new_fleet = Fleet(LANTING, tmp_path_factory.mktemp('turned-away'), options)
     try:
-        made.start()
-        made.apply(made.organisations_declaration())
-        yield made
+        new_fleet.start()
+        new_fleet.apply(new_fleet.organisations_declaration())
+        yield new_fleet
     finally:
-        made.close()
+        new_fleet.close()
 
 
 def load(fleet):
--- a/tests/test_version_cutoffs.py
+++ b/tests/test_version_cutoffs.py
@@ -51,10 +51,10 @@
 @given(st.lists(st.tuples(st.floats(0, 7), st.floats(0, 3)), min_size=1, max_size=6))
 def test_a_late_answer_never_gives_too_late_a_cutoff(questions):
     cutoffs = VersionCutoffs()
-    for asked_s, way_s in questions:
+    for sent_s, transit_s in questions:
         # The rest of the 8 s after the naming, when the question arrives.
-        left_s = max(SWITCH_S - asked_s - way_s, 0)
-        cutoffs.record_answer(100 + asked_s, switches_with(left_s))
+        left_s = max(SWITCH_S - sent_s - transit_s, 0)
+        cutoffs.record_answer(100 + sent_s, switches_with(left_s))
     assert cutoffs.cutoff_of('m', 2) <= 100 + SWITCH_S
 
 
--- a/tests/test_version_ends.py
+++ b/tests/test_version_ends.py
@@ -38,18 +38,18 @@
 
 @pytest.fixture
 def fleet(tmp_path):
-    made = SeededFleet(tmp_path, entries=2, version_ms=VERSION_MS)
+    new_fleet = SeededFleet(tmp_path, entries=2, version_ms=VERSION_MS)
     try:
-        made.start()
-        made.add_back_end('plain', 'i-1')
-        assert made.put_document(document(1, '/safe/')).status == 200
+        new_fleet.start()
+        new_fleet.add_back_end('plain', 'i-1')
+        assert new_fleet.put_document(document(1, '/safe/')).status == 200
         for entry in range(2):
             wait_until(
-                lambda entry=entry: made.send_request(request('/safe/x'), entry).status == 200
+                lambda entry=entry: new_fleet.send_request(request('/safe/x'), entry).status == 200
             )
-        yield made
+        yield new_fleet
     finally:
-        made.close()
+        new_fleet.close()
 
 
 def logged_cutoff(fleet, host, version):
--- a/tests/test_version_ends_after_restart.py
+++ b/tests/test_version_ends_after_restart.py
@@ -33,15 +33,15 @@
 
 @pytest.fixture
 def fleet(tmp_path):
-    made = SeededFleet(tmp_path, entries=1, version_ms=VERSION_MS)
+    new_fleet = SeededFleet(tmp_path, entries=1, version_ms=VERSION_MS)
     try:
-        made.start()
-        made.add_back_end('plain', 'i-1')
-        assert made.put_document(document(1, '/safe/')).status == 200
-        wait_until(lambda: made.send_request(request('/safe/x')).status == 200)
-        yield made
+        new_fleet.start()
+        new_fleet.add_back_end('plain', 'i-1')
+        assert new_fleet.put_document(document(1, '/safe/')).status == 200
+        wait_until(lambda: new_fleet.send_request(request('/safe/x')).status == 200)
+        yield new_fleet
     finally:
-        made.close()
+        new_fleet.close()
 
 
 def due_s(fleet, host):
@@ -55,17 +55,17 @@
 @pytest.mark.parametrize('disk', ['kept', 'lost'])
 def test_a_replica_that_was_away_past_a_cutoff_reports_no_later_one(fleet, disk):
     entry = fleet.entry_hosts[0]
-    away = fleet.replica_hosts[2]
-    fleet.kill(away)
-    (fleet.folder / f'{away}.log').unlink()
+    absent_replica = fleet.replica_hosts[2]
+    fleet.kill(absent_replica)
+    (fleet.folder / f'{absent_replica}.log').unlink()
     name_version(fleet, 2, entry)
     wait_for_seconds(VERSION_MS / 1000 + 1)
     if disk == 'lost':
-        shutil.rmtree(fleet.folder / away)
-    fleet.start_process(away)
-    wait_until(lambda: due_s(fleet, away))
+        shutil.rmtree(fleet.folder / absent_replica)
+    fleet.start_process(absent_replica)
+    wait_until(lambda: due_s(fleet, absent_replica))
     # The cutoff passed before the replica's present process started.
-    assert max(due_s(fleet, away)) <= 0
+    assert max(due_s(fleet, absent_replica)) <= 0
 
 
 def followed(fleet):
@@ -157,9 +157,9 @@
     replicas = []
     for number in range(2):
         env = Environment(InstanceId(f'r{number}:1'), ZoneId('zone'), monotonic=clock)
-        made = VersionTracker(env, views[number], SWITCH_MS, cutoffs[number])
-        made.refresh()
-        replicas.append(made)
+        tracker = VersionTracker(env, views[number], SWITCH_MS, cutoffs[number])
+        tracker.refresh()
+        replicas.append(tracker)
     for number in range(2):
         set_version(views[number], replicas[number], 2)
     true_end = clock.now + SWITCH_S
--- a/tests/test_wait_for_first_document.py
+++ b/tests/test_wait_for_first_document.py
@@ -27,21 +27,21 @@
     return CallerRequest('id', 'host', '/', deadline_ms=deadline_ms)
 
 
-async def waited_s(made, wait):
-    began = made.env.monotonic()
+async def waited_s(admitting, wait):
+    started_at = admitting.env.monotonic()
     await wait
-    return made.env.monotonic() - began
+    return admitting.env.monotonic() - started_at
 
 
 def test_a_caller_waits_for_the_first_document():
     async def run():
-        made = admission()
-        waiting = await curio.spawn(made.wait_until_ready, caller(6000))
+        admitting = admission()
+        waiting = await curio.spawn(admitting.wait_until_ready, caller(6000))
         await curio.sleep(0)
         assert not waiting.terminated
-        await made.ready_event.set()
+        await admitting.ready_event.set()
         await waiting.join()
-        assert made.env.monotonic() - made.created_at < admissions.STARTUP_WAIT_S
+        assert admitting.env.monotonic() - admitting.created_at < admissions.STARTUP_WAIT_S
 
     curio.run(run)
 
@@ -53,10 +53,10 @@
     monkeypatch.setattr(admissions, 'STARTUP_WAIT_S', 0.2)
 
     async def run():
-        made = admission()
-        took_s = await waited_s(made, made.wait_until_ready(caller(deadline_ms)))
+        admitting = admission()
+        took_s = await waited_s(admitting, admitting.wait_until_ready(caller(deadline_ms)))
         assert most_s * 0.9 < took_s < most_s + 1.0
-        again_s = await waited_s(made, made.wait_until_ready(caller(deadline_ms)))
+        again_s = await waited_s(admitting, admitting.wait_until_ready(caller(deadline_ms)))
         assert again_s < most_s + 1.0
 
     curio.run(run)
@@ -66,9 +66,9 @@
     monkeypatch.setattr(admissions, 'STARTUP_WAIT_S', 0.0)
 
     async def run():
-        made = admission()
+        admitting = admission()
         async with curio.timeout_after(5.0):
-            await made.wait_until_ready(caller(6000))
+            await admitting.wait_until_ready(caller(6000))
 
     curio.run(run)
 
@@ -82,11 +82,11 @@
 def test_the_wait_is_subtracted_from_the_deadline():
     # The deadline was counted from the end of the wait, so back ends got up to a quarter more
     # time than the caller had left: 1500 ms of 1500 after a wait of 375.
-    made = admission()
-    made.table = route_table()
-    received_at = made.env.monotonic() - 0.375
-    job = made.admit(None, caller(1500), received_at)
+    admitting = admission()
+    admitting.table = route_table()
+    received_at = admitting.env.monotonic() - 0.375
+    job = admitting.admit(None, caller(1500), received_at)
     assert job.remaining_s(received_at) == pytest.approx(1.5)
     with pytest.raises(Refused) as refused:
-        made.admit(None, caller(370), received_at)
+        admitting.admit(None, caller(370), received_at)
     assert refused.value.refusal.reason is Reason.EXPIRED
