--- a/packages/millfork-standins/millfork_standins/bench/limit_shares.py
+++ b/packages/millfork-standins/millfork_standins/bench/limit_shares.py
@@ -29,7 +29,7 @@
 # Logarithm of the highest ratio between the demands of two entries.
 DEMAND_SPREAD: Final = 2.3
 SEED_COUNT: Final = 20
-# Interval of the updates of `DemandShares`: the demand of the entries is known this late.
+# Interval of the updates of `DemandShares`: the known demand of the entries is this old.
 DEMAND_UPDATE_INTERVAL_S: Final = 0.5
 
 
--- a/packages/millfork-standins/millfork_standins/bench/turning_away.py
+++ b/packages/millfork-standins/millfork_standins/bench/turning_away.py
@@ -1,7 +1,7 @@
 """
 Compares how entries react to an engine that turns requests away at once.
 
-In the routing model, one engine turns away all or a share of the requests that reach it. They
+In the routing model, one engine turns away all or a share of the requests that reach it. These
 occupy no slot, so the load reports of the engine still show it as free.
 
 """
--- a/packages/millfork-standins/millfork_standins/callers.py
+++ b/packages/millfork-standins/millfork_standins/callers.py
@@ -41,7 +41,7 @@
     """
     How a request ended for its caller. `MIXED`: the text contains tokens of a known version
     but isn't the whole text of the version that the answer names. `NOT_RUN`: the filing was
-    refused with the verdict that it was not executed; `TOLD_UNKNOWN`: it may have been.
+    refused with the verdict that it was not executed; `MAY_HAVE_RUN`: without this verdict.
 
     """
 
@@ -49,7 +49,7 @@
     WRONG = 'wrong'
     MIXED = 'mixed'
     NOT_RUN = 'not_run'
-    TOLD_UNKNOWN = 'told_unknown'
+    MAY_HAVE_RUN = 'told_unknown'
     LOST = 'lost'
 
 
@@ -169,7 +169,7 @@
             record.outcome = CallOutcome.LOST
             if kind is RequestKind.FILING:
                 record.outcome = (
-                    CallOutcome.NOT_RUN if verdict == 'not_run' else CallOutcome.TOLD_UNKNOWN
+                    CallOutcome.NOT_RUN if verdict == 'not_run' else CallOutcome.MAY_HAVE_RUN
                 )
             return False
         if kind in (RequestKind.READ, RequestKind.FILING):
--- a/packages/millfork-standins/millfork_standins/demo.py
+++ b/packages/millfork-standins/millfork_standins/demo.py
@@ -125,7 +125,7 @@
         for record in records:
             if record.outcome not in (
                 CallOutcome.RIGHT,
-                CallOutcome.TOLD_UNKNOWN,
+                CallOutcome.MAY_HAVE_RUN,
                 CallOutcome.NOT_RUN,
             ):
                 report(f'  {record}')
--- a/packages/millfork-standins/millfork_standins/run_summary.py
+++ b/packages/millfork-standins/millfork_standins/run_summary.py
@@ -66,7 +66,7 @@
         executed_twice + executed_after_not_run,
         missing,
         outcomes[CallOutcome.NOT_RUN],
-        outcomes[CallOutcome.TOLD_UNKNOWN],
+        outcomes[CallOutcome.MAY_HAVE_RUN],
     )
 
 
--- a/packages/millfork-standins/millfork_standins/seeded.py
+++ b/packages/millfork-standins/millfork_standins/seeded.py
@@ -199,9 +199,9 @@
 
     def _close_address(self) -> None:
         if self.socket.fileno() < 0:
-            # `end` closed it already.
+            # `crash` has closed the socket already.
             return
-        # Without the shutdown it accepts connections as long as another thread polls it.
+        # Without the shutdown, the socket accepts connections while another thread polls it.
         self.socket.shutdown(socket.SHUT_RDWR)
         self.socket.close()
 
@@ -210,7 +210,7 @@
             try:
                 sock.shutdown(socket.SHUT_RDWR)
             except OSError:
-                # The caller closed it already.
+                # The caller has closed the connection already.
                 continue
 
     def _lease(self) -> Lease:
--- a/packages/millfork-standins/millfork_standins/soak/backpressure.py
+++ b/packages/millfork-standins/millfork_standins/soak/backpressure.py
@@ -23,8 +23,8 @@
 REACTION_TIME_S: Final = 3.0
 # Requests are counted in windows of this length.
 WINDOW_S: Final = 4.0
-# After a fault of an entry, it and the daemons that lost a connection to it may not know the limit.
-# Each such fault allows this many requests more, one for each caller.
+# After a fault of an entry, this entry and the daemons that lost their connection to it may not
+# know the limit. Each such fault allows this many requests more, one for each caller.
 EXTRA_REQUESTS_PER_FAULT: Final = 6
 
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -62,9 +62,9 @@
     ('is_undecided', 'expected_ms', 'running', 'hinges'),
     [
         (True, 100, 14, True),
-        # Its deadline has decided already.
+        # The deadline of the request has decided already.
         (False, 100, 14, False),
-        # It is sent, or refused, in either case.
+        # The request is sent, or refused, in either case.
         (True, 100, 3, False),
         (True, 5000, 14, False),
     ],
--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -80,11 +80,11 @@
     def __init__(self):
         self.caches = {}
         self.silent = False
-        self.asked = []
+        self.queried = []
 
     async def call(self, address, message, timeout):
         asks_digests = isinstance(message, GetManifest)
-        self.asked.append((address.instance, DIGESTS_REQUEST if asks_digests else message.index))
+        self.queried.append((address.instance, DIGESTS_REQUEST if asks_digests else message.index))
         if self.silent:
             raise PeerTimedOut('silent')
         cache = self.caches[address.instance]
@@ -235,7 +235,7 @@
         cache = cache_at('10.0.0.2:1', 'z2', origin, peers, caches)
         assert (await cache.chunk(GetChunk('m@2', 3))).data == PIECES[3]
         # One unanswered request for digests is enough.
-        assert peers.asked[0] == ('10.0.0.1:1', DIGESTS_REQUEST)
+        assert peers.queried[0] == ('10.0.0.1:1', DIGESTS_REQUEST)
 
     curio.run(run)
 
@@ -251,12 +251,12 @@
         cache.silent.monotonic = lambda: now
         for index in range(4):
             assert (await cache.chunk(GetChunk('m@2', index))).data == PIECES[index]
-        assert peers.asked == [('10.0.0.1:1', DIGESTS_REQUEST)]
+        assert peers.queried == [('10.0.0.1:1', DIGESTS_REQUEST)]
         peers.silent = False
         cache_at('10.0.0.1:1', 'z1', origin, peers, caches)
         now += SKIP_SILENT_PEER_S + 0.1
         assert (await cache.chunk(GetChunk('m@2', 4))).data == PIECES[4]
-        assert peers.asked[-1] == ('10.0.0.1:1', 4)
+        assert peers.queried[-1] == ('10.0.0.1:1', 4)
 
     curio.run(run)
 
@@ -384,7 +384,7 @@
         cache = cache_at('10.0.0.3:1', 'z1', origin, peers, caches)
         cache.prefetching.add(WeightsId('m', 2))
         assert (await cache.chunk(GetChunk('m@2', 1, draw=True))).data == PIECES[1]
-        assert peers.asked == []
+        assert peers.queried == []
 
     curio.run(run)
 
--- a/tests/test_closed_back_ends.py
+++ b/tests/test_closed_back_ends.py
@@ -63,7 +63,7 @@
 @pytest.mark.parametrize('engine', [None, ENGINE])
 def test_neither_heartbeats_nor_answers_reopen_a_leaving_back_end(table, clock, engine):
     assert [change.event for change in answer(table, 1, LEAVES)] == [SignalEvent.BEGAN]
-    # Its answer to a request that was sent earlier.
+    # The back end answers a request that was sent earlier.
     clock.now += 1
     answer(table, 1, NO_BACKPRESSURE)
     table.apply_reports([report(1, 1)])
--- a/tests/test_delayed_heartbeats.py
+++ b/tests/test_delayed_heartbeats.py
@@ -2,7 +2,7 @@
 A heartbeat that arrives after its back end has ended and another one runs at the address.
 
 A heartbeat may arrive seconds late, at any replica. A replica without a record of its sender
-took it for the first heartbeat of a new back end, and ended the lease of the live back end at
+treated it as the first heartbeat of a new back end, and ended the lease of the live back end at
 the address. It then ignored the live one's heartbeats, and callers lost that back end for
 6.0 s. This concerns back ends that don't report when their process started.
 
--- a/tests/test_drawn_deployments.py
+++ b/tests/test_drawn_deployments.py
@@ -68,7 +68,7 @@
     An entry turned a caller away while two thirds of the slots were free. Either of two faults
     was enough on some deployments, the first with a prompt too long to be read in time. The
     entry compared only three engines, which were nearly full, although others had one or two
-    requests. And it took a first try for a retry, because two requests with similar deadlines
+    requests. And it classified a first try as a retry, because two requests with similar deadlines
     seemed to show that all callers start with the same one; a retry without remaining time may
     use only the slots reserved for late requests. An entry must check the freest engines that
     it knows before it turns a caller away.
--- a/tests/test_ends_after_their_callers_left.py
+++ b/tests/test_ends_after_their_callers_left.py
@@ -19,9 +19,9 @@
 BACK_ENDS = 24
 CALLS = 20
 ENTRIES = 2
-CRASHES_AFTER_S = 0.2
-LEAVES_AFTER_S = 0.1
-OTHERS_PER_S = 100
+CRASH_DELAY_S = 0.2
+CALLER_TIMEOUT_S = 0.1
+OTHER_REQUESTS_PER_S = 100
 MAX_LOADS = 30
 # One of two entries may send the request before the other's report of the third end arrives.
 MAX_CONCURRENT_ENDS = 1
@@ -33,7 +33,7 @@
     try:
         new_fleet.start()
         for number in range(BACK_ENDS):
-            new_fleet.add_back_end('plain', f'i-{number}').crash_delay_s = CRASHES_AFTER_S
+            new_fleet.add_back_end('plain', f'i-{number}').crash_delay_s = CRASH_DELAY_S
         assert new_fleet.put_document(document(1, '/safe/')).status == 200
         for entry in range(ENTRIES):
             wait_until(
@@ -54,7 +54,7 @@
     head = ''.join(f'{name}: {value}\r\n' for name, value in headers)
     with socket.create_connection((fleet.entry_hosts[entry], CALLERS_PORT)) as sock:
         sock.sendall(f'{sent.method} {sent.path} HTTP/1.1\r\n{head}\r\n'.encode() + sent.body)
-        sock.settimeout(LEAVES_AFTER_S)
+        sock.settimeout(CALLER_TIMEOUT_S)
         try:
             sock.recv(1)
         except TimeoutError:
@@ -86,7 +86,7 @@
 
 def load_with_other_requests(fleet, stop_event):
     for number in itertools.count():
-        fleet.send_load(lambda: request('/safe/x'), OTHERS_PER_S, 1.0)
+        fleet.send_load(lambda: request('/safe/x'), OTHER_REQUESTS_PER_S, 1.0)
         if stop_event.is_set() or number > MAX_LOADS:
             return
 
--- a/tests/test_ends_of_silent_back_ends.py
+++ b/tests/test_ends_of_silent_back_ends.py
@@ -56,7 +56,7 @@
                     await curio.sleep(0.001)
         except curio.TaskTimeout:
             pass
-        # The next probe notes what is known by now.
+        # Leaves time for the next probe, which may record an end.
         await curio.sleep(0.05)
         return suspects.get(FINGERPRINT).ends
 
--- a/tests/test_feed_relay.py
+++ b/tests/test_feed_relay.py
@@ -32,7 +32,7 @@
     """
 
     def __init__(self):
-        self.asked = []
+        self.queried = []
         self.relays = {name: self.follower(name) for name in ZONES}
 
     def follower(self, name):
@@ -47,7 +47,7 @@
     async def call(self, asker, address, message, timeout):
         assert isinstance(message, AskFeed)
         name = str(address.instance)
-        self.asked.append(name)
+        self.queried.append(name)
         if name not in self.relays:
             raise PeerTimedOut(name)
         receiver = self.relays[asker].feed_client
@@ -97,7 +97,7 @@
         assert cut_off.report_target == NEAR
         neighbour.registry.merge_endpoint_state(state(2, 9))
         await followers.wait_until(lambda: running_at(cut_off) == 9, connected)
-        assert set(followers.asked) == {NEAR}
+        assert set(followers.queried) == {NEAR}
         await task.cancel()
 
     curio.run(run)
--- a/tests/test_first_tries.py
+++ b/tests/test_first_tries.py
@@ -1,5 +1,5 @@
 """
-Telling a caller's first try from a retry.
+How an entry distinguishes a caller's first try from a retry.
 
 """
 
@@ -144,7 +144,7 @@
     table = TurnedAwayRequests()
     table.note(b'a', 0, 10.0)
     table.note(b'a', 500, 10.5)
-    # Reported late, or by an entry that did not know of the first try.
+    # This rejection is reported late, or by an entry that did not know of the first try.
     table.note(b'a', 0, 10.6)
     assert table.elapsed_ms(b'a', 11.0) == pytest.approx(1000, abs=1)
 
@@ -165,7 +165,7 @@
 def test_under_lasting_load_detected_retries_cost_no_requests_in_time(min_timeout_share):
     """
     Callers begin with 0.85 to 1 times the usual deadline, at 1.2 times the capacity of the
-    engines. When retries were told from first tries by the longest deadline seen, 0.54 of the
+    engines. When entries recognised retries by the longest deadline seen, 0.54 of the
     requests were in time, against 0.70 if the retries are known exactly.
 
     """
--- a/tests/test_gathering.py
+++ b/tests/test_gathering.py
@@ -33,10 +33,10 @@
         self.not_yet = not_yet
         self.no_digests = no_digests
         self.silent = set(silent)
-        self.asked = []
+        self.queried = []
 
     async def call(self, address, message, timeout):
-        self.asked.append(str(address.instance))
+        self.queried.append(str(address.instance))
         if address.instance in self.silent:
             raise PeerTimedOut('silent')
         if isinstance(message, GetManifest) and self.no_digests:
@@ -115,7 +115,7 @@
             await gatherer.gather(held, range(len(PIECES)))
         assert held.whole
         assert gatherer.near_caches() == ['10.0.0.2:1']
-        assert peers.asked.count('10.0.0.1:1') <= 3
+        assert peers.queried.count('10.0.0.1:1') <= 3
 
     curio.run(run)
 
@@ -132,7 +132,7 @@
         async with curio.timeout_after(5):
             await gatherer.gather(held, range(len(PIECES)))
         assert held.whole
-        assert peers.asked.count(first) == 1
+        assert peers.queried.count(first) == 1
 
     curio.run(run)
 
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -1,7 +1,7 @@
 """
 Back ends that restart under the same id. Their sequence numbers start from 1 again, so
 replicas ignored their heartbeats for as long as the first process had lived, or for two
-minutes after a goodbye. Where the heartbeats were accepted, entries kept using the weights,
+minutes after a leave notice. Where the heartbeats were accepted, entries kept using the weights,
 load and failures of the process that had ended.
 
 """
--- a/tests/test_late_ends_at_endpoints.py
+++ b/tests/test_late_ends_at_endpoints.py
@@ -61,10 +61,10 @@
 
         monkeypatch.setattr(incarnation_tracking_module, 'probe_address', probe_address)
 
-    def tracker(self, asks=True):
+    def tracker(self, knows_incarnation=True):
         env = Environment(InstanceId('e-1'), ZoneId('z'))
         new_tracker = IncarnationTracker(
-            env, lambda: ADDRESS, self.query_incarnation if asks else None
+            env, lambda: ADDRESS, self.query_incarnation if knows_incarnation else None
         )
         new_tracker.record_incarnation('a', env.monotonic())
         return new_tracker
@@ -147,7 +147,7 @@
 
 def test_a_plain_service_lives_if_it_answers_a_later_request(monkeypatch):
     async def run():
-        tracker = FakeBackEnd(monkeypatch).tracker(asks=False)
+        tracker = FakeBackEnd(monkeypatch).tracker(knows_incarnation=False)
         entry = FakeEntryConnection()
         assert (
             await tracker.record_interruption(RequestId('r'), entry, tracker.number)
--- a/tests/test_load_queries.py
+++ b/tests/test_load_queries.py
@@ -55,7 +55,7 @@
             '10.0.0.1:11': EngineLoad(True, 2, 0, 100, BORN),
             '10.0.0.1:12': EngineLoad(True, 16, 4, 100, BORN),
         }
-        self.asked = []
+        self.queried = []
         self.dialled = []
         self.answering = curio.Event()
         connections = {InstanceId(name): self.connection(name) for name in self.loads}
@@ -73,7 +73,7 @@
 
     def connection(self, name):
         async def call(message, timeout):
-            self.asked.append(name)
+            self.queried.append(name)
             if self.loads[name] is None:
                 await curio.sleep(FOREVER_S)
                 raise PeerTimedOut('silent')
@@ -106,11 +106,11 @@
     0.15 s they had 0.66, and with retries known exactly 0.52. So the loss was due to engines that
     other entries had filled since their reports. `Request ended` lines show the same:
     `first_ms=784 expected_ms=144 left_ms=405 occupied=15`. In 20 s of a fleet of six engines 82
-    first tokens were late though expected in time, and 55 once daemons were asked.
+    first tokens were late though expected in time, and 55 once daemons were queried.
 
     """
     assert curio.run(fleet.choose) == 'i-1'
-    assert sorted(fleet.asked) == sorted(fleet.loads)
+    assert sorted(fleet.queried) == sorted(fleet.loads)
     assert fleet.server(0).reported == 25
     assert fleet.server(0).reported_unread == 9
 
@@ -119,7 +119,7 @@
     fleet.clock.now += 0.1
     fleet.report(running=(3, 8, 9))
     assert curio.run(fleet.choose) == 'i-0'
-    assert fleet.asked == []
+    assert fleet.queried == []
 
 
 def test_a_daemon_that_does_not_answer_is_not_waited_for(fleet):
@@ -133,17 +133,17 @@
     async def run():
         async with curio.timeout_after(FOREVER_S / 2):
             await fleet.choose()
-        # The answer is overdue; this is the entry's reaction to that.
+        # The entry marks a daemon as silent once its answer is overdue.
         fleet.queries.queries.silent.mark_silent('10.0.0.1:10')
-        fleet.asked.clear()
+        fleet.queried.clear()
         await fleet.choose()
 
     curio.run(run)
     assert [fleet.server(number).reported for number in range(3)] == [8, 2, 20]
-    assert '10.0.0.1:10' not in fleet.asked
+    assert '10.0.0.1:10' not in fleet.queried
     fleet.clock.now += PASSED_OVER_S + 0.01
     curio.run(fleet.choose)
-    assert '10.0.0.1:10' in fleet.asked
+    assert '10.0.0.1:10' in fleet.queried
 
 
 def test_a_late_answer_of_a_daemon_is_used_and_the_daemon_skipped(fleet):
@@ -182,8 +182,8 @@
 def test_a_silent_connection_is_closed_and_dialled_again(fleet):
     """
     Open connections may go silent without a reset while new ones work. Queries on such a
-    connection timed out after some milliseconds but left it open, so its daemon was asked in vain
-    until a ping failed, 13 s later.
+    connection timed out after some milliseconds but left it open, so queries to its daemon
+    failed until a ping did, 13 s later.
 
     """
     connection = fleet.peers.connections[InstanceId('10.0.0.1:10')]
@@ -221,7 +221,7 @@
     curio.run(run)
     assert [fleet.server(number).reported for number in range(3)] == [8, 2, 20]
     assert fleet.dialled == ['10.0.0.1:10']
-    assert '10.0.0.1:10' not in fleet.asked
+    assert '10.0.0.1:10' not in fleet.queried
 
 
 def test_the_load_of_another_incarnation_is_ignored(fleet):
@@ -238,10 +238,10 @@
 
     def __init__(self, running=3):
         self.running = running
-        self.asked = 0
+        self.query_count = 0
 
     async def report(self):
-        self.asked += 1
+        self.query_count += 1
         await curio.sleep(0)
         if self.running is None:
             return None
@@ -263,7 +263,7 @@
 
     results = curio.run(run)
     assert results == [EngineLoad(True, 3, 2, 125, BORN)] * 20
-    assert engine.asked == 1
+    assert engine.query_count == 1
     clock.now += SHARED_REPORT_S + 0.001
     engine.running = 7
     assert curio.run(loads.current_load).running == 7
@@ -273,4 +273,4 @@
     assert curio.run(loads_of(Engine(None), Clock()).current_load) == EngineLoad()
     engine = Engine()
     assert curio.run(loads_of(engine, Clock(), answers=False).current_load) == EngineLoad()
-    assert engine.asked == 0
+    assert engine.query_count == 0
--- a/tests/test_replica_age.py
+++ b/tests/test_replica_age.py
@@ -3,7 +3,7 @@
 
 A replica that had been away reported the time since its leader's last message, 36 ms, as its
 age, although it lacked the entries committed meanwhile. An entry that started at the same time
-followed it and took a version set long ago for a new one (`due_s=1.1`, corrected 0.2 s later to
+followed it and treated a version set long ago as new (`due_s=1.1`, corrected 0.2 s later to
 `due_s=-0.9`).
 
 """
--- a/tests/test_reports_of_earlier_incarnations.py
+++ b/tests/test_reports_of_earlier_incarnations.py
@@ -31,7 +31,7 @@
     table.apply_leases([lease('i-old', 9, WHOLE)])
     old = report(5_000_000, WHOLE)
     table.apply_reports([old])
-    # It crashed 3 s ago. Its successor's first heartbeat shows that it holds no layers.
+    # The old engine crashed 3 s ago. The first heartbeat of the new one shows no layers.
     clock.now += 3.0
     table.apply_leases([lease('i-new', 1, ())])
     table.apply_reports([old])
--- a/tests/test_retry_after_is_kept.py
+++ b/tests/test_retry_after_is_kept.py
@@ -1,5 +1,5 @@
 """
-A back end that rejects requests with `Retry-After` gets none until that time is over.
+A back end that rejects requests with `Retry-After` gets no more until that time is over.
 
 """
 
--- a/tests/test_suspicions.py
+++ b/tests/test_suspicions.py
@@ -259,7 +259,7 @@
 
 def test_simultaneous_ends_count_as_one_and_raise_suspicion():
     """
-    As in a loss of power: each request was sent before any of the ends was known.
+    As in a loss of power: each attempt was sent before the entry knew of any of the ends.
 
     """
 
@@ -281,7 +281,8 @@
 
 def test_a_back_end_that_still_answers_may_end_after_a_caller_left():
     """
-    Its answers are no evidence then: it may still run the request of the caller that left.
+    Answers of the back end to other requests are no evidence then: it may still run the request
+    of the caller that left.
 
     """
 
--- a/tests/test_turned_away_directory.py
+++ b/tests/test_turned_away_directory.py
@@ -83,7 +83,7 @@
 
         curio.run(run)
 
-    def look_up(self, name, job):
+    def elapsed_ms(self, name, job):
         return curio.run(self.entries[name].elapsed_ms, job)
 
 
@@ -113,18 +113,18 @@
 def test_a_retry_is_recognised_at_any_entry_of_its_zone(zone, retried_at):
     zone.turn_away(NAMES[5], zone.job())
     zone.clock.now += 0.4
-    assert zone.look_up(retried_at, zone.job()) == pytest.approx(400, abs=1)
+    assert zone.elapsed_ms(retried_at, zone.job()) == pytest.approx(400, abs=1)
 
 
 def test_another_request_of_the_same_caller_is_a_first_try(zone):
     zone.turn_away(NAMES[5], zone.job(b'a'))
-    assert zone.look_up(NAMES[4], zone.job(b'b')) == 0
+    assert zone.elapsed_ms(NAMES[4], zone.job(b'b')) == 0
 
 
 def test_time_since_the_first_try_includes_earlier_retries(zone):
     zone.turn_away(NAMES[5], zone.job(elapsed_ms=300))
     zone.clock.now += 0.2
-    assert zone.look_up(NAMES[4], zone.job()) == pytest.approx(500, abs=1)
+    assert zone.elapsed_ms(NAMES[4], zone.job()) == pytest.approx(500, abs=1)
 
 
 def test_only_entries_that_all_know_of_record_requests(zone):
@@ -139,7 +139,7 @@
 def test_a_request_counts_as_a_first_try_without_an_answer_in_time(zone):
     zone.turn_away(NAMES[5], zone.job())
     zone.slow = set(NAMES)
-    assert zone.look_up(NAMES[4], zone.job()) == 0
+    assert zone.elapsed_ms(NAMES[4], zone.job()) == 0
 
 
 def test_unreachable_entries_are_passed_over(zone):
@@ -150,14 +150,14 @@
     job = zone.job(b'later')
     zone.turn_away(NAMES[5], job)
     zone.clock.now += 0.3
-    assert zone.look_up(NAMES[5], job) == pytest.approx(300, abs=1)
+    assert zone.elapsed_ms(NAMES[5], job) == pytest.approx(300, abs=1)
 
 
 def test_an_entry_that_knows_no_other_records_requests_itself():
     zone = Zone(owners=0)
     zone.turn_away(NAMES[5], zone.job())
     zone.clock.now += 0.3
-    assert zone.look_up(NAMES[5], zone.job()) == pytest.approx(300, abs=1)
+    assert zone.elapsed_ms(NAMES[5], zone.job()) == pytest.approx(300, abs=1)
 
 
 def test_no_body_and_no_key_leaves_the_entry(zone):
--- a/tests/test_turned_away_on_listed_fleets.py
+++ b/tests/test_turned_away_on_listed_fleets.py
@@ -1,7 +1,8 @@
 """
 A back end that answers 503 at once without Retry-After, on a fleet with a list of instances.
 
-Its answers were relayed to callers. As it had few requests in progress it seemed the least loaded.
+Its answers were relayed to callers. It seemed the least loaded back end, as it had few requests in
+progress.
 """
 
 import itertools
--- a/tests/test_version_cutoffs.py
+++ b/tests/test_version_cutoffs.py
@@ -49,10 +49,10 @@
 
 
 @given(st.lists(st.tuples(st.floats(0, 7), st.floats(0, 3)), min_size=1, max_size=6))
-def test_a_late_answer_never_gives_too_late_a_cutoff(questions):
+def test_a_late_answer_never_gives_too_late_a_cutoff(queries):
     cutoffs = VersionCutoffs()
-    for sent_s, transit_s in questions:
-        # The rest of the 8 s after the naming, when the question arrives.
+    for sent_s, transit_s in queries:
+        # Time left of the 8 s after the naming, when the query arrives.
         left_s = max(SWITCH_S - sent_s - transit_s, 0)
         cutoffs.record_answer(100 + sent_s, switches_with(left_s))
     assert cutoffs.cutoff_of('m', 2) <= 100 + SWITCH_S
--- a/tests/test_version_ends.py
+++ b/tests/test_version_ends.py
@@ -3,12 +3,12 @@
 
 An entry was paused for 3.4 s while a version was named. Meanwhile the replica's message with
 the remaining ms was in the entry's socket, and the entry counted these ms from when it read
-the message. So it used the version before for as long after its end: two entries logged
+the message. So it used the previous version that much longer: two entries logged
 `Version named. version=2 due_s=7.1`, one at 18.04 s and the paused one at 21.30 s.
 
 An entry that started after two versions had been named knew only the second, and used its end
-as the end of the first as well: `version=3 due_s=5.6` at 22.59 s. The version before both was
-in use until 28.1 s instead of 25.1 s, with 129 first tokens after its end.
+as the end of the first as well: `version=3 due_s=5.6` at 22.59 s. The version before these two
+was in use until 28.1 s instead of 25.1 s, with 129 first tokens after its end.
 
 """
 
--- a/tests/test_version_ends_after_restart.py
+++ b/tests/test_version_ends_after_restart.py
@@ -1,7 +1,7 @@
 """
 Cutoffs of versions that a replica reports after it was away for longer than requests may
 start on an older version. The other replicas no longer list the version as recently named,
-so nothing corrects too late a cutoff at the replica that returns.
+so they don't correct a cutoff that the returning replica reports too late.
 
 """
 
@@ -90,7 +90,7 @@
 
 def test_a_starting_entry_gets_no_later_cutoff_from_a_replica_that_was_away(fleet):
     """
-    A version is named while a replica is away. After its cutoff, that replica and an entry
+    A version is named while a replica is down. After its cutoff, that replica and an entry
     start together. The replica reported its state as fresh once it had contact with the leader,
     before it had the entries committed meanwhile. The entry followed it, got the version 58 ms
     later as newly named, and could have sent requests to the ended version until the cutoff was
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -1,5 +1,5 @@
 """
-The versions of its weights that a request may begin on at a given time.
+The versions of weights on which a request may begin at a given time.
 
 """
 
