--- a/packages/millfork-standins/millfork_standins/bench/turning_away.py
+++ b/packages/millfork-standins/millfork_standins/bench/turning_away.py
@@ -29,7 +29,7 @@
     RoutingModel,
 )
 
-SMALL, GROWN, _ = SHAPES
+SMALL, MEDIUM, _ = SHAPES
 LOAD_FACTORS: Final = (0.5, 0.8)
 # Shares of its requests that the engine turns away.
 TURNED_AWAY_SHARES: Final = (1.0, 0.4)
@@ -136,7 +136,7 @@
     seconds = QUICK_DURATION_S if quick else DURATION_S
     results = ExperimentResults('turning-away', {'seconds': seconds, 'repetitions': repetitions})
     for seed in range(repetitions):
-        for shape in (SMALL, GROWN):
+        for shape in (SMALL, MEDIUM):
             for factor in LOAD_FACTORS:
                 for share in TURNED_AWAY_SHARES:
                     for name, handle_turned_away in HANDLERS.items():
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize(
-    ('is_undecided', 'expected_ms', 'running', 'hinges'),
+    ('is_undecided', 'expected_ms', 'running', 'depends'),
     [
         (True, 100, 14, True),
         # The deadline of the request has decided already.
@@ -70,12 +70,14 @@
     ],
 )
 def test_other_entries_are_queried_only_if_the_answer_decides(
-    is_undecided, expected_ms, running, hinges
+    is_undecided, expected_ms, running, depends
 ):
     admitting = admission()
     job = job_of(admitting)
     job.needs_first_try_lookup = is_undecided
-    assert admitting.depends_on_first_try(job, choice_of(admitting, expected_ms, running)) == hinges
+    assert (
+        admitting.depends_on_first_try(job, choice_of(admitting, expected_ms, running)) == depends
+    )
 
 
 def test_a_refused_caller_is_given_a_minimum_wait():
--- a/tests/test_backend_gateway.py
+++ b/tests/test_backend_gateway.py
@@ -89,7 +89,7 @@
     def __init__(self):
         self.commands = []
 
-    async def propose(self, command, patience_s):
+    async def propose(self, command, timeout_s):
         self.commands.append(decode_command(encode_command(command)))
         return b''
 
--- a/tests/test_choice_in_large_fleets.py
+++ b/tests/test_choice_in_large_fleets.py
@@ -56,11 +56,11 @@
     checks = []
     original = ServerTable._can_serve_now
 
-    def able(self, *arguments):
+    def counting_check(self, *arguments):
         checks.append(arguments)
         return original(self, *arguments)
 
-    monkeypatch.setattr(ServerTable, '_can_serve_now', able)
+    monkeypatch.setattr(ServerTable, '_can_serve_now', counting_check)
     for _ in range(50):
         assert table.choose(Requirements(SERVICE, ENGINE, 2, 2), set()) is not None
     assert len(checks) <= 50 * 2 * SAMPLE_SIZE
--- a/tests/test_drawn_deployments.py
+++ b/tests/test_drawn_deployments.py
@@ -20,7 +20,7 @@
 MAX_SPLIT_LOSS = 0.2
 CALM_FACTOR = 0.35
 # Lower bound of the served share of the longest prompts, relative to that of all prompts.
-MIN_SERVED_PART = 0.25
+MIN_SERVED_SHARE = 0.25
 
 SHAPES = st.builds(
     FleetShape,
@@ -34,7 +34,7 @@
     read_per_s=st.integers(13_000, 31_000),
     target_ms=st.integers(380, 600),
 )
-MIN_TIME_PARTS = st.floats(0.6, 1.0)
+MIN_TIMEOUT_SHARES = st.floats(0.6, 1.0)
 SEEDS = st.integers(0, 1000)
 DEADLINE_MS = 60_000
 
@@ -62,7 +62,7 @@
 @example(MISTAKEN_RETURN_SHAPES[0], 900, 0.9219497462551316)
 @example(MISTAKEN_RETURN_SHAPES[1], 467, 0.8402673446999119)
 @example(COMPARED_ENGINES_FULL_SHAPE, 546, 0.823290623926907)
-@given(SHAPES, SEEDS, MIN_TIME_PARTS)
+@given(SHAPES, SEEDS, MIN_TIMEOUT_SHARES)
 def test_no_caller_is_turned_away_while_half_of_the_slots_are_free(shape, seed, min_timeout_share):
     """
     An entry turned a caller away while two thirds of the slots were free. Either of two faults
@@ -84,7 +84,7 @@
 
 @settings(max_examples=4, deadline=DEADLINE_MS)
 @example(SPLIT_SHAPE, 13, 0.9, 1.2)
-@given(SHAPES, SEEDS, MIN_TIME_PARTS, st.sampled_from([0.9, 1.2, 1.5]))
+@given(SHAPES, SEEDS, MIN_TIMEOUT_SHARES, st.sampled_from([0.9, 1.2, 1.5]))
 def test_many_entries_lose_no_more_than_a_stated_share(shape, seed, min_timeout_share, factor):
     """
     Thirteen entries in front of four engines had 0.476 of first tokens in time, a single one
@@ -103,11 +103,11 @@
 
 
 @settings(max_examples=4, deadline=DEADLINE_MS)
-@given(SHAPES, SEEDS, MIN_TIME_PARTS, st.sampled_from([1.0, 1.5]))
+@given(SHAPES, SEEDS, MIN_TIMEOUT_SHARES, st.sampled_from([1.0, 1.5]))
 def test_no_length_of_prompt_is_starved(shape, seed, min_timeout_share, factor):
     model = run_model(shape, factor, seed, DetectionMethod.AS_BUILT, min_timeout_share)
     by_prompt_length = sorted(model.answered)
     longest_tenth = by_prompt_length[-len(by_prompt_length) // 10 :]
     served = sum(answered for _, answered in longest_tenth) / len(longest_tenth)
     overall = sum(answered for _, answered in by_prompt_length) / len(by_prompt_length)
-    assert served > MIN_SERVED_PART * overall
+    assert served > MIN_SERVED_SHARE * overall
--- a/tests/test_event_stream.py
+++ b/tests/test_event_stream.py
@@ -16,13 +16,13 @@
 def test_only_complete_events_and_all_bytes_are_passed_on(cuts):
     stream = b''.join(EVENTS)
     splitter = EventSplitter()
-    out = b''
+    passed_on = b''
     for cut in [*cuts, len(stream)]:
         events = splitter.feed(stream[:cut])
         assert not events or events.endswith(b'\n\n')
-        out += events
+        passed_on += events
         stream = stream[cut:]
-    assert out == b''.join(EVENTS)
+    assert passed_on == b''.join(EVENTS)
     assert (splitter.first_id, splitter.last_id, splitter.incomplete) == (1, 5, b'')
 
 
--- a/tests/test_first_tries.py
+++ b/tests/test_first_tries.py
@@ -19,7 +19,7 @@
 
 # The share of first tries that may be taken for retries: low enough that no caller is refused
 # because of it under low load.
-MISTAKEN = 0.002
+MAX_MISCLASSIFIED_SHARE = 0.002
 
 
 def detector_with(deadlines):
@@ -82,9 +82,9 @@
     for seed in range(200):
         random = Random(seed)
         tries = FirstTryDetector()
-        for judged in range(counted.stop):
+        for position in range(counted.stop):
             judgement = tries.judge('r', int(6000 * random.uniform(min_timeout_share, 1.0)), 0.0)
-            if judged in counted:
+            if position in counted:
                 taken_for_retry.append(judgement.elapsed_ms > 0)
     return sum(taken_for_retry) / len(taken_for_retry)
 
@@ -104,7 +104,7 @@
     they took 0.012 if callers begin with half of it or more.
 
     """
-    assert share_taken_for_retries(min_timeout_share, counted) < MISTAKEN
+    assert share_taken_for_retries(min_timeout_share, counted) < MAX_MISCLASSIFIED_SHARE
 
 
 def test_deadlines_of_possible_retries_are_not_learned(common_deadline):
--- a/tests/test_late_ends_at_endpoints.py
+++ b/tests/test_late_ends_at_endpoints.py
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize(
-    ('reported_incarnation', 'probe_result', 'fate'),
+    ('reported_incarnation', 'probe_result', 'status'),
     [
         ('a', ProbeResult.ANSWERS, IncarnationStatus.LIVES),
         ('b', ProbeResult.ANSWERS, IncarnationStatus.ENDED),
@@ -90,7 +90,7 @@
     ],
 )
 def test_status_follows_from_reported_incarnation_and_probe(
-    monkeypatch, reported_incarnation, probe_result, fate
+    monkeypatch, reported_incarnation, probe_result, status
 ):
     async def run():
         back_end = FakeBackEnd(monkeypatch, reported_incarnation)
@@ -98,7 +98,7 @@
         tracker = back_end.tracker()
         assert (
             await tracker.record_interruption(RequestId('r'), FakeEntryConnection(), tracker.number)
-            is fate
+            is status
         )
 
     curio.run(run)
--- a/tests/test_platform_foreign_messages.py
+++ b/tests/test_platform_foreign_messages.py
@@ -208,7 +208,7 @@
         self.env = Environment(InstanceId('a:1'), ZoneId('z1'), monotonic=self.clock)
         self.registry = Registry(self.env, HEARTBEAT_S)
         self.registry.record_heartbeat(lease(FIRST_INCARNATION, 5))
-        self.woken = 0
+        self.wake_count = 0
         followers = SimpleNamespace(wake=self.wake)
         self.control = Control(
             self.env, ADAPTER, View(), self.registry, followers, None, None
@@ -217,7 +217,7 @@
         self.statuses = []
 
     async def wake(self):
-        self.woken += 1
+        self.wake_count += 1
 
     def send(self, request):
         async def respond(response):
@@ -247,7 +247,7 @@
         request = Request('POST', f'{names.HEARTBEAT_PATH}{name}', [], json.dumps(body).encode())
         assert 400 <= calls.send(request) < 500
     assert list(calls.registry.leases.values()) == [held]
-    assert calls.woken == 0
+    assert calls.wake_count == 0
 
 
 def test_all_refused_calls_are_counted_and_some_are_logged(monkeypatch):
@@ -272,7 +272,7 @@
 def test_an_undeclared_service_is_refused_once_there_is_a_document():
     calls = ReplicaCalls()
     calls.control.services = None
-    beat = client_requests.heartbeat_request(lease(FIRST_INCARNATION, 6))
-    assert calls.send(beat) == 200
+    heartbeat = client_requests.heartbeat_request(lease(FIRST_INCARNATION, 6))
+    assert calls.send(heartbeat) == 200
     calls.control.services = frozenset(item.name for item in document(1).services)
     assert calls.send(client_requests.heartbeat_request(lease(FIRST_INCARNATION, 7))) == 422
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -173,7 +173,7 @@
 def list_of(entry, clock, leads=lambda: True):
     machine = StateMachine(entry.view)
 
-    async def propose(command, patience_s):
+    async def propose(command, timeout_s):
         machine.apply(command)
 
     env = Environment(InstanceId('a:1'), ZoneId('z1'))
@@ -231,7 +231,7 @@
 
 
 @pytest.fixture
-def listening():
+def listening_socket():
     with socket.create_server(('127.0.0.1', 0)) as sock:
         yield sock
 
@@ -253,8 +253,8 @@
     return curio.run(run)
 
 
-def test_a_broken_off_answer_counts_only_if_the_back_end_has_ended(listening):
-    port = listening.getsockname()[1]
+def test_a_broken_off_answer_counts_only_if_the_back_end_has_ended(listening_socket):
+    port = listening_socket.getsockname()[1]
     assert ends_after_broken_answer(port) == 0
-    listening.close()
+    listening_socket.close()
     assert ends_after_broken_answer(port) == 1
--- a/tests/test_registry_completeness.py
+++ b/tests/test_registry_completeness.py
@@ -25,7 +25,7 @@
 
 HEARTBEAT_S = 1.2
 NAMES = ['a:1', 'b:1', 'c:1']
-LONG_S = 10 * COMPLETE_AFTER_HEARTBEATS * HEARTBEAT_S
+LONG_ENOUGH_S = 10 * COMPLETE_AFTER_HEARTBEATS * HEARTBEAT_S
 
 
 def lease(instance, owner):
@@ -77,7 +77,7 @@
     for instance, owner in (('i-1', 'a:1'), ('i-2', 'b:1'), ('i-3', 'c:1')):
         entry.merge_lease(lease(instance, owner))
     restarted.registry.record_heartbeat(lease('i-1', 'a:1'))
-    restarted.pass_time(LONG_S)
+    restarted.pass_time(LONG_ENOUGH_S)
     assert not restarted.registry.is_complete
     assert restarted.instances_after_feed_to(entry) == ['i-1', 'i-2', 'i-3']
 
@@ -91,7 +91,7 @@
 
 
 def test_a_replica_is_complete_after_the_partition(restarted):
-    restarted.pass_time(LONG_S)
+    restarted.pass_time(LONG_ENOUGH_S)
     restarted.follow('c:1')
     restarted.pass_time(0.5)
     assert restarted.registry.is_complete
@@ -100,17 +100,17 @@
 def test_a_replica_with_a_closed_connection_does_not_count(restarted):
     restarted.follow('b:1')
     restarted.replica_links.followed[InstanceId('b:1')].closed = True
-    restarted.pass_time(LONG_S)
+    restarted.pass_time(LONG_ENOUGH_S)
     assert not restarted.registry.is_complete
 
 
 def test_a_single_replica_is_complete(restarted):
     restarted.replica.members = [('a:1', 'disk')]
-    restarted.pass_time(LONG_S)
+    restarted.pass_time(LONG_ENOUGH_S)
     assert restarted.registry.is_complete
 
 
 def test_a_replica_without_members_is_not_complete(restarted):
     restarted.replica.members = []
-    restarted.pass_time(LONG_S)
+    restarted.pass_time(LONG_ENOUGH_S)
     assert not restarted.registry.is_complete
--- a/tests/test_shared_budget.py
+++ b/tests/test_shared_budget.py
@@ -17,8 +17,8 @@
 from tests.test_servers import Clock
 
 SERVICE = ServiceName('pool')
-RATIO = 0.2
-SLACK = 232
+RETRY_RATIO = 0.2
+RETRY_SLACK = 232
 WINDOW_S = 10.0
 ENTRIES = 40
 TICK_S = 0.5
@@ -47,8 +47,8 @@
 
     def new_budget(self, position=None):
         return SharedBudget(
-            RATIO,
-            SLACK,
+            RETRY_RATIO,
+            RETRY_SLACK,
             WINDOW_S,
             lambda: self.known_entries,
             self.clock,
@@ -81,7 +81,7 @@
         since = self.clock.now - WINDOW_S
         requests = sum(moment > since for moment in self.requests)
         repeats = sum(moment > since for moment in self.repeats)
-        assert repeats <= RATIO * requests + SLACK
+        assert repeats <= RETRY_RATIO * requests + RETRY_SLACK
 
     def disturb(self, disturbance):
         if disturbance == 'all restart':
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -20,7 +20,7 @@
 
 REPLICAS = ['r1', 'r2', 'r3']
 ENTRIES = ['e1', 'e2']
-SHORT_S = 6.0
+RUN_S = 6.0
 # A seed whose back ends name limits, ask for rest and turn requests away.
 BACKPRESSURE_SEED = 2
 BACKPRESSURE_S = 12.0
@@ -111,7 +111,7 @@
 
 @pytest.mark.parametrize('seed', [1, *REGRESSIONS])
 def test_a_short_run_breaks_no_promise(seed, tmp_path):
-    verdict = SoakRun(tmp_path, seed, SHORT_S).run()
+    verdict = SoakRun(tmp_path, seed, RUN_S).run()
     assert verdict.broken == []
     assert verdict.faults
     assert verdict.statuses[200]
--- a/tests/test_version_ends_after_restart.py
+++ b/tests/test_version_ends_after_restart.py
@@ -28,7 +28,7 @@
 
 VERSION_MS = 3000
 # Answers contain whole ms, and take a few ms themselves.
-AGREE_S = 0.1
+TOLERANCE_S = 0.1
 
 
 @pytest.fixture
@@ -175,4 +175,4 @@
         ask(1, 0, 0.002)
         ask(0, 1, 0.002)
         clock.now += 0.5
-    assert replicas[0].ends_at('m', 1) == pytest.approx(true_end - CANCEL_MARGIN_S, abs=AGREE_S)
+    assert replicas[0].ends_at('m', 1) == pytest.approx(true_end - CANCEL_MARGIN_S, abs=TOLERANCE_S)
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -79,30 +79,30 @@
 
 def test_a_retried_request_uses_the_versions_allowed_at_the_retry(view, versions, clock):
     admission = Admission(versions.env, versions)
-    wanted = admission.with_current_versions(Requirements(ServiceName('s'), ENGINE), False)
+    requirements = admission.with_current_versions(Requirements(ServiceName('s'), ENGINE), False)
     set_version(view, versions, 2)
-    assert wanted.least_version == 0
+    assert requirements.least_version == 0
     clock.now += SWITCH_S
-    assert admission.with_current_versions(wanted, False).least_version == 2
+    assert admission.with_current_versions(requirements, False).least_version == 2
 
 
-FIGURES = replace(ENGINE, pieces=100, piece_bytes=1000)
-RATE = 20_000.0
+PIECED_ENGINE = replace(ENGINE, pieces=100, piece_bytes=1000)
+BYTES_PER_S = 20_000.0
 
 
 def new_targets(versions, clock, store, served=1):
-    return TargetChooser(versions.env, versions, store, lambda: served, RATE)
+    return TargetChooser(versions.env, versions, store, lambda: served, BYTES_PER_S)
 
 
 def test_the_newest_version_is_the_target_while_it_can_arrive_in_time(view, versions, clock):
     store = PieceStore()
     targets = new_targets(versions, clock, store)
-    assert targets.choose(FIGURES).weights.version == 1
+    assert targets.choose(PIECED_ENGINE).weights.version == 1
     set_version(view, versions, 2)
-    assert targets.choose(FIGURES).weights.version == 2
+    assert targets.choose(PIECED_ENGINE).weights.version == 2
     clock.now += 2.0
     set_version(view, versions, 3)
-    assert targets.choose(FIGURES).weights.version == 3
+    assert targets.choose(PIECED_ENGINE).weights.version == 3
 
 
 def test_an_intermediate_version_is_the_target_if_the_newest_does_not_arrive(view, versions, clock):
@@ -112,12 +112,12 @@
     store.get_or_create(WeightsId('m', 2)).pieces = dict.fromkeys(range(60), b'')
     clock.now += 3.0
     set_version(view, versions, 3)
-    assert targets.choose(FIGURES).weights.version == 3
+    assert targets.choose(PIECED_ENGINE).weights.version == 3
     clock.now += STUCK_AFTER_S / 2
-    assert targets.choose(FIGURES).weights.version == 3
+    assert targets.choose(PIECED_ENGINE).weights.version == 3
     clock.now += STUCK_AFTER_S
-    targets.choose(FIGURES)
-    target = targets.choose(FIGURES)
+    targets.choose(PIECED_ENGINE)
+    target = targets.choose(PIECED_ENGINE)
     assert target.weights.version == 2
     assert target.due < clock.now + 4.0
 
@@ -130,9 +130,9 @@
     clock.now += 5.0
     set_version(view, versions, 3)
     clock.now += 3.5
-    assert targets.choose(FIGURES).weights.version == 2
+    assert targets.choose(PIECED_ENGINE).weights.version == 2
     clock.now += 3.0
-    assert targets.choose(FIGURES).weights.version == 3
+    assert targets.choose(PIECED_ENGINE).weights.version == 3
 
 
 def test_an_intermediate_version_that_ends_too_soon_is_not_the_target(view, versions, clock):
@@ -142,12 +142,12 @@
     store.get_or_create(WeightsId('m', 2)).pieces = dict.fromkeys(range(94), b'')
     clock.now += 2.0
     set_version(view, versions, 3)
-    targets.choose(FIGURES)
+    targets.choose(PIECED_ENGINE)
     clock.now += SWITCH_S - 2.0 - LAST_SEND_BEFORE_END_S
-    targets.choose(FIGURES)
+    targets.choose(PIECED_ENGINE)
     clock.now += LAST_SEND_BEFORE_END_S + 0.4
     for _ in range(8):
-        assert targets.choose(FIGURES).weights.version == 3
+        assert targets.choose(PIECED_ENGINE).weights.version == 3
         clock.now += STUCK_AFTER_S / 5
 
 
@@ -156,7 +156,7 @@
     targets = new_targets(versions, clock, store, served=2)
     set_version(view, versions, 2)
     for _ in range(5):
-        targets.choose(FIGURES)
+        targets.choose(PIECED_ENGINE)
         clock.now += STUCK_AFTER_S
     assert targets.stuck_until == {}
 
@@ -170,7 +170,7 @@
     set_version(view, versions, 3)
     for count in range(0, 100, 5):
         store.get_or_create(WeightsId('m', 3)).pieces = dict.fromkeys(range(count), b'')
-        assert targets.choose(FIGURES).weights.version == 3
+        assert targets.choose(PIECED_ENGINE).weights.version == 3
         clock.now += 0.25
 
 
@@ -181,7 +181,7 @@
     store.get_or_create(WeightsId('m', 2)).pieces = dict.fromkeys(range(95), b'')
     clock.now += 6.0
     set_version(view, versions, 3)
-    assert targets.choose(FIGURES).weights.version == 2
+    assert targets.choose(PIECED_ENGINE).weights.version == 2
 
 
 def test_the_target_of_an_engine_that_serves_nothing_is_the_newest_version(view, versions, clock):
@@ -189,7 +189,7 @@
     set_version(view, versions, 2)
     clock.now += SWITCH_S - 1.0
     set_version(view, versions, 3)
-    assert targets.choose(FIGURES).weights.version == 3
+    assert targets.choose(PIECED_ENGINE).weights.version == 3
 
 
 def test_the_target_is_due_when_the_served_version_ends(view, versions, clock):
@@ -198,7 +198,7 @@
     set_at = clock.now
     clock.now += 2.0
     set_version(view, versions, 3)
-    assert targets.choose(FIGURES).due < set_at + SWITCH_S
+    assert targets.choose(PIECED_ENGINE).due < set_at + SWITCH_S
 
 
 class OneEngine:
@@ -213,14 +213,16 @@
         self.versions = VersionTracker(env, self.view, SWITCH_MS)
         self.served = 1
         self.newest = 1
-        self.targets = TargetChooser(env, self.versions, self.store, lambda: self.served, RATE)
+        self.targets = TargetChooser(
+            env, self.versions, self.store, lambda: self.served, BYTES_PER_S
+        )
 
     def set_next(self):
         self.newest += 1
         set_version(self.view, self.versions, self.newest)
 
     def choose(self):
-        return self.targets.choose(FIGURES)
+        return self.targets.choose(PIECED_ENGINE)
 
 
 STEPS = st.lists(
@@ -241,7 +243,7 @@
         held = engine.store.get_or_create(target.weights)
         if step == 'piece':
             held.pieces.update(dict.fromkeys(range(number * 5), b''))
-        if step == 'serve' and len(held.pieces) == FIGURES.pieces:
+        if step == 'serve' and len(held.pieces) == PIECED_ENGINE.pieces:
             engine.served = target.weights.version
 
 
@@ -254,10 +256,10 @@
         engine.clock.now += number / 4
         engine.choose()
     for _ in range(10):
-        engine.clock.now += FIGURES.pieces * FIGURES.piece_bytes / RATE
+        engine.clock.now += PIECED_ENGINE.pieces * PIECED_ENGINE.piece_bytes / BYTES_PER_S
         target = engine.choose()
         engine.store.get_or_create(target.weights).pieces = dict.fromkeys(
-            range(FIGURES.pieces), b''
+            range(PIECED_ENGINE.pieces), b''
         )
         engine.choose()
         engine.served = target.weights.version
--- a/tests/test_wait_for_first_document.py
+++ b/tests/test_wait_for_first_document.py
@@ -46,18 +46,18 @@
     curio.run(run)
 
 
-@pytest.mark.parametrize(('deadline_ms', 'most_s'), [(400, 0.1), (60_000, 0.2)])
+@pytest.mark.parametrize(('deadline_ms', 'max_s'), [(400, 0.1), (60_000, 0.2)])
 def test_the_wait_is_bounded_by_the_deadline_and_the_startup_period(
-    monkeypatch, deadline_ms, most_s
+    monkeypatch, deadline_ms, max_s
 ):
     monkeypatch.setattr(admissions, 'STARTUP_WAIT_S', 0.2)
 
     async def run():
         admitting = admission()
         took_s = await waited_s(admitting, admitting.wait_until_ready(caller(deadline_ms)))
-        assert most_s * 0.9 < took_s < most_s + 1.0
+        assert max_s * 0.9 < took_s < max_s + 1.0
         again_s = await waited_s(admitting, admitting.wait_until_ready(caller(deadline_ms)))
-        assert again_s < most_s + 1.0
+        assert again_s < max_s + 1.0
 
     curio.run(run)
 
