--- a/packages/millfork-standins/millfork_standins/history.py
+++ b/packages/millfork-standins/millfork_standins/history.py
@@ -112,7 +112,7 @@
         if put.outcome is not Outcome.UNKNOWN:
             answers_by_command[put.command].add((put.outcome, put.revision))
     return [
-        f'command {command} was answered in {len(found)} ways'
+        f'command {command} got {len(found)} different results'
         for command, found in answers_by_command.items()
         if len(found) > 1
     ]
@@ -173,7 +173,7 @@
         for other in commands:
             between = command.expect < other.revision < command.revision
             if other.key == command.key and between:
-                violations.append(f'revision {command.revision} overlooked {other.revision}')
+                violations.append(f'revision {command.revision} ignores revision {other.revision}')
     return violations
 
 
@@ -195,7 +195,7 @@
             and other.command != put.command
         ]
         if not others and not unknown:
-            violations.append(f'command {put.command} met a conflict with nobody')
+            violations.append(f'command {put.command} got a conflict without a conflicting change')
     return violations
 
 
@@ -213,7 +213,7 @@
             elif command.returned < read.invoked:
                 violations.append(f'a read at {read.revision} misses revision {command.revision}')
             if command.revision <= read.revision and command.invoked > read.returned:
-                violations.append(f'a read at {read.revision} saw the future')
+                violations.append(f'a read at {read.revision} has a change that began later')
         for key, command in newest.items():
             if read.items.get(key) != (command.value, command.revision):
                 violations.append(f'a read at {read.revision} has {key} as {read.items.get(key)}')
--- a/packages/millfork-standins/millfork_standins/soak/__main__.py
+++ b/packages/millfork-standins/millfork_standins/soak/__main__.py
@@ -26,16 +26,16 @@
         with tempfile.TemporaryDirectory(prefix='millfork-soak-') as scratch:
             folder = Path(FOLDER.value) / str(seed) if FOLDER.value else Path(scratch)
             folder.mkdir(parents=True, exist_ok=True)
-            verdict = SoakRun(folder, seed, SECONDS.value, BACKPRESSURE.value).run()
-        failed += bool(verdict.broken)
-        statuses = ' '.join(f'{status}:{n}' for status, n in sorted(verdict.statuses.items()))
+            result = SoakRun(folder, seed, SECONDS.value, BACKPRESSURE.value).run()
+        failed += bool(result.violations)
+        statuses = ' '.join(f'{status}:{n}' for status, n in sorted(result.statuses.items()))
         print(
-            f'seed {verdict.seed}: {verdict.faults} faults, answers {statuses}, '
-            f'{verdict.documents} documents, {verdict.reads} reads, '
-            f'{len(verdict.broken)} broken',
+            f'seed {result.seed}: {result.faults} faults, answers {statuses}, '
+            f'{result.documents} documents, {result.reads} reads, '
+            f'{len(result.violations)} broken',
             flush=True,
         )
-        for line in verdict.broken:
+        for line in result.violations:
             print(f'  {line}', flush=True)
     print(f'{RUNS.value - failed} passed, {failed} failed')
     return 1 if failed else 0
--- a/packages/millfork-standins/millfork_standins/soak/run.py
+++ b/packages/millfork-standins/millfork_standins/soak/run.py
@@ -56,9 +56,9 @@
 
 
 @dataclass(slots=True)
-class Verdict:
+class SoakResult:
     """
-    The counts of a run, and descriptions of what was broken.
+    The counts of a run, and descriptions of the broken promises.
 
     """
 
@@ -67,7 +67,7 @@
     statuses: Counter[int] = field(default_factory=Counter)
     documents: int = 0
     reads: int = 0
-    broken: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
 
 
 class SoakRun:
@@ -91,11 +91,11 @@
         # Hosts with a fault in progress, whose processes may be down on purpose.
         self.hosts_under_fault: set[str] = set()
         self.lock = threading.Lock()
-        self.broken: list[str] = []
+        self.violations: list[str] = []
 
-    def run(self) -> Verdict:
+    def run(self) -> SoakResult:
         """
-        Inject the faults of the seed. Returns the counts and everything that was broken.
+        Inject the faults of the seed, and check the promises.
 
         """
         try:
@@ -109,7 +109,7 @@
             )
             self._inject_faults(faults)
             self._check_recovery()
-            return self._verdict(len(faults))
+            return self._result(len(faults))
         finally:
             self.stop.set()
             for link in self.links:
@@ -226,10 +226,10 @@
         except subprocess.TimeoutExpired:
             process.kill()
             process.wait()
-            self.broken.append(f'{host} did not end in {STOP_TIMEOUT_S} s')
+            self.violations.append(f'{host} did not end in {STOP_TIMEOUT_S} s')
             return
         if status:
-            self.broken.append(f'{host} ended a planned stop with {status}')
+            self.violations.append(f'{host} ended a planned stop with {status}')
 
     def _handles_signals(self, host: str) -> bool:
         """
@@ -246,7 +246,7 @@
     def _restart_ended_processes(self) -> None:
         for host, process in list(self.fleet.processes.items()):
             if host not in self.hosts_under_fault and process.poll() is not None:
-                self.broken.append(f'{host} ended by itself with {process.returncode}')
+                self.violations.append(f'{host} ended by itself with {process.returncode}')
                 self.fleet.start_process(host)
 
     def _wait_until(self, condition: Callable[[], bool], timeout_s: float) -> bool:
@@ -272,29 +272,33 @@
             )
 
         if not self._wait_until(all_callers_served_again, RECOVERY_TIMEOUT_S):
-            self.broken.append(f'no service {RECOVERY_TIMEOUT_S} s after the last fault')
+            self.violations.append(f'no service {RECOVERY_TIMEOUT_S} s after the last fault')
         if not self._wait_until(lambda: self.operator.read() is not None, RECOVERY_TIMEOUT_S):
-            self.broken.append('the document cannot be read back')
+            self.violations.append('the document cannot be read back')
         self._restart_ended_processes()
         self.stop.set()
         for thread in (self.operator.thread, *(caller.thread for caller in self.callers)):
             thread.join(START_TIMEOUT_S)
         read_version = self.operator.read()
         if read_version is None or read_version < self.operator.acknowledged:
-            self.broken.append(
+            self.violations.append(
                 f'read back {read_version}, acknowledged {self.operator.acknowledged}'
             )
 
-    def _verdict(self, faults: int) -> Verdict:
+    def _result(self, faults: int) -> SoakResult:
         answers = [answer for caller in self.callers for answer in caller.answers]
         executed = {back_end.instance: back_end.executed_ids() for back_end in self.fleet.back_ends}
-        broken = [*self.broken, *self.operator.stale_reads, *broken_promises(answers, executed)]
-        broken += find_exceeded_limits(self.limit_periods, self.entry_faults_at)
-        return Verdict(
+        violations = [
+            *self.violations,
+            *self.operator.stale_reads,
+            *broken_promises(answers, executed),
+        ]
+        violations += find_exceeded_limits(self.limit_periods, self.entry_faults_at)
+        return SoakResult(
             self.seed,
             faults,
             Counter(answer.status for answer in answers),
             self.operator.acknowledged,
             self.operator.reads,
-            broken,
+            violations,
         )
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -29,24 +29,27 @@
 
 
 @pytest.mark.parametrize(
-    ('history', 'complaint'),
+    ('history', 'expected_text'),
     [
-        (History([FIRST_PUT, replace(FIRST_PUT, revision=2)]), 'answered in 2 ways'),
+        (History([FIRST_PUT, replace(FIRST_PUT, revision=2)]), 'got 2 different results'),
         (History([FIRST_PUT, replace(SECOND_PUT, revision=1)]), 'given twice'),
         (History([replace(FIRST_PUT, revision=3), replace(SECOND_PUT, expect=None)]), 'began'),
         (
             History([FIRST_PUT, replace(SECOND_PUT, expect=0)]),
-            'overlooked 1',
+            'ignores revision 1',
         ),
         (
             History([replace(SECOND_PUT, outcome=Outcome.CONFLICT, revision=0)]),
-            'conflict with nobody',
+            'conflict without a conflicting change',
         ),
         (
             History([FIRST_PUT, SECOND_PUT], [Read(4.0, 5.0, 1, {'k': ('a', 1)})]),
             'misses revision 2',
         ),
-        (History([FIRST_PUT, SECOND_PUT], [Read(0.5, 1.5, 2, {'k': ('b', 2)})]), 'saw the future'),
+        (
+            History([FIRST_PUT, SECOND_PUT], [Read(0.5, 1.5, 2, {'k': ('b', 2)})]),
+            'has a change that began later',
+        ),
         (
             History([FIRST_PUT, SECOND_PUT], [Read(4.0, 5.0, 2, {'k': ('a', 1)})]),
             "has k as ('a', 1)",
@@ -58,5 +61,5 @@
         ),
     ],
 )
-def test_an_impossible_history_is_rejected(history, complaint):
-    assert any(complaint in violation for violation in find_violations(history))
+def test_an_impossible_history_is_rejected(history, expected_text):
+    assert any(expected_text in violation for violation in find_violations(history))
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -88,9 +88,9 @@
 
 
 def test_a_short_run_with_backpressure_breaks_no_promise(tmp_path):
-    verdict = SoakRun(tmp_path, BACKPRESSURE_SEED, BACKPRESSURE_S, backpressure=True).run()
-    assert verdict.broken == []
-    assert verdict.statuses[200]
+    result = SoakRun(tmp_path, BACKPRESSURE_SEED, BACKPRESSURE_S, backpressure=True).run()
+    assert result.violations == []
+    assert result.statuses[200]
 
 
 def test_back_ends_say_all_there_is_and_the_faults_stay_the_same():
@@ -111,8 +111,8 @@
 
 @pytest.mark.parametrize('seed', [1, *REGRESSIONS])
 def test_a_short_run_breaks_no_promise(seed, tmp_path):
-    verdict = SoakRun(tmp_path, seed, RUN_S).run()
-    assert verdict.broken == []
-    assert verdict.faults
-    assert verdict.statuses[200]
-    assert verdict.documents > 1
+    result = SoakRun(tmp_path, seed, RUN_S).run()
+    assert result.violations == []
+    assert result.faults
+    assert result.statuses[200]
+    assert result.documents > 1
