--- a/tests/mutation.py
+++ b/tests/mutation.py
@@ -21,8 +21,8 @@
 @dataclass(frozen=True, slots=True)
 class Mutation:
     """
-    Edits that remove a mechanism, and the test that must fail without it. `name` says what the
-    mechanism ensures.
+    Edits that remove a mechanism, and the test that must fail without it. `name` states the
+    property that the mechanism ensures.
 
     """
 
@@ -31,6 +31,7 @@
     edits: tuple[Edit, ...]
 
 
+# Source folders of the packages.
 D = 'packages/millforkd/millforkd/'
 S = 'packages/millfork-state/millfork_state/'
 W = 'packages/millfork-weights/millfork_weights/'
--- a/tests/test_crashing_requests_on_listed_fleets.py
+++ b/tests/test_crashing_requests_on_listed_fleets.py
@@ -30,31 +30,31 @@
 
 @pytest.mark.parametrize('streams', [False, True])
 def test_ends_are_counted_across_entries(crashing, streams):
-    before = crashing.ended()
+    before = crashing.count_ended()
     for number in range(CALLS):
         entry = number % len(crashing.fleet.entries)
         crashing.call(entry, nonce=f'in turn {streams}', stream=streams)
-    assert crashing.ended() - before <= ENDS_BEFORE_QUARANTINE + MAX_FURTHER_ENDS
+    assert crashing.count_ended() - before <= ENDS_BEFORE_QUARANTINE + MAX_FURTHER_ENDS
 
 
 def test_ends_are_counted_at_one_entry(crashing):
-    before = crashing.ended()
+    before = crashing.count_ended()
     for _ in range(CALLS):
         crashing.call(0, nonce='one entry')
-    assert crashing.ended() - before <= ENDS_BEFORE_QUARANTINE + MAX_FURTHER_ENDS
+    assert crashing.count_ended() - before <= ENDS_BEFORE_QUARANTINE + MAX_FURTHER_ENDS
 
 
 def test_ends_under_concurrent_calls_are_counted(crashing):
-    before = crashing.ended()
+    before = crashing.count_ended()
     entries = range(len(crashing.fleet.entries))
     for _ in range(CALLS // len(entries)):
         with ThreadPoolExecutor(len(entries)) as pool:
             list(pool.map(lambda entry: crashing.call(entry, nonce='at once'), entries))
-    assert crashing.ended() - before <= ENDS_BEFORE_QUARANTINE + MAX_FURTHER_ENDS
+    assert crashing.count_ended() - before <= ENDS_BEFORE_QUARANTINE + MAX_FURTHER_ENDS
 
 
 def test_ends_are_counted_after_an_entry_restarted(crashing):
-    before = crashing.ended()
+    before = crashing.count_ended()
     entry = crashing.fleet.entries[0]
     for number in range(CALLS):
         if number in RESTARTS_BEFORE_CALLS:
@@ -62,15 +62,15 @@
             crashing.fleet.start_daemon(entry)
             crashing.fleet.wait_ready(entry)
         crashing.call(0, nonce='started again')
-    assert crashing.ended() - before <= ENDS_BEFORE_QUARANTINE + MAX_FURTHER_ENDS
+    assert crashing.count_ended() - before <= ENDS_BEFORE_QUARANTINE + MAX_FURTHER_ENDS
 
 
 def test_the_quarantine_survives_a_restart_of_all_entries(crashing):
-    known = crashing.at_fault()
+    known = crashing.fingerprints_at_fault()
     for _ in range(ENDS_BEFORE_QUARANTINE + 1):
         crashing.call(0, nonce='outlives')
     crashing.wait_for_quarantine(known)
-    before = crashing.ended()
+    before = crashing.count_ended()
     for entry in crashing.fleet.entries:
         crashing.fleet.kill(entry.name)
     for entry in crashing.fleet.entries:
@@ -78,7 +78,7 @@
     for number, entry in enumerate(crashing.fleet.entries):
         crashing.fleet.wait_ready(entry)
         assert crashing.call(number, nonce='outlives').json()['reason'] == 'quarantined'
-    assert crashing.ended() == before
+    assert crashing.count_ended() == before
 
 
 def test_ends_are_counted_after_their_callers_left(crashing):
@@ -86,7 +86,7 @@
     Callers leave after 0.1 s and retry; their request ends its engine after 0.2 s.
 
     """
-    before = crashing.ended()
+    before = crashing.count_ended()
     for number in range(CALLS):
         crashing.call_and_leave(number % len(crashing.fleet.entries), nonce='left')
-    assert crashing.ended() - before <= ENDS_BEFORE_QUARANTINE + MAX_FURTHER_ENDS
+    assert crashing.count_ended() - before <= ENDS_BEFORE_QUARANTINE + MAX_FURTHER_ENDS
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -73,10 +73,13 @@
         serving_fleet, serving_fleet.caller_tokens[owner], 'POST', 'register-api/r', headers=headers
     )
     headers = {'idempotency-key': 'shared', 'nonce': 'from-other'}
-    theirs = call_service(
+    other_answer = call_service(
         serving_fleet, serving_fleet.caller_tokens[other], 'POST', 'register-api/r', headers=headers
     )
-    assert (own_answer.json()['nonce'], theirs.json()['nonce']) == ('from-owner', 'from-other')
+    assert (own_answer.json()['nonce'], other_answer.json()['nonce']) == (
+        'from-owner',
+        'from-other',
+    )
 
 
 def test_a_repeated_idempotency_key_is_answered_and_runs_once(serving_fleet, owner):
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -135,9 +135,9 @@
         await join(line, ONE, ONE, ONE)
         return line.refusal_wait_ms(ONE, 10.0), line.refusal_wait_ms(ONE, 2.0)
 
-    patient, hasty = curio.run(run)
-    assert patient == 0
-    assert hasty == 3000
+    wait_in_time_ms, wait_too_long_ms = curio.run(run)
+    assert wait_in_time_ms == 0
+    assert wait_too_long_ms == 3000
 
 
 def test_queue_places_are_shared():
--- a/tests/test_seeded.py
+++ b/tests/test_seeded.py
@@ -48,7 +48,7 @@
     assert settings.role is role
     assert settings.seed_instances == ['10.1.0.43:7700', '10.2.0.39:7700']
     assert settings.first_start
-    # The settings name no value for it.
+    # The settings have no value for `version_ms`.
     assert settings.promises.version_ms == 8000
 
 
--- a/tests/test_turned_away_on_listed_fleets.py
+++ b/tests/test_turned_away_on_listed_fleets.py
@@ -67,7 +67,7 @@
         return [call.result().status for call in calls]
 
 
-def turned_away(fleet, instance):
+def count_turned_away(fleet, instance):
     lines = read_executions(fleet.execution_log_path(instance.name))
     return sum(line['kind'] == TURNED_AWAY for line in lines)
 
@@ -84,9 +84,9 @@
     fleet.kill(f'{full.name}.backend')
     fleet.start_backend(full, turns_away=True)
     fleet.wait_http(f'{full.name}.backend', full.host, BACKEND_PORT, '/x', status=503)
-    before = turned_away(fleet, full)
+    before = count_turned_away(fleet, full)
     statuses = load(fleet)
-    assert turned_away(fleet, full) - before <= len(statuses) / 3
+    assert count_turned_away(fleet, full) - before <= len(statuses) / 3
     assert statuses.count(200) >= 0.9 * len(statuses)
 
 
--- a/tests/utils/crashing.py
+++ b/tests/utils/crashing.py
@@ -16,7 +16,7 @@
 
 RESTART_DELAY_S = 1.0
 POLL_INTERVAL_S = 0.05
-LEAVES_AFTER_S = 0.1
+CALLER_TIMEOUT_S = 0.1
 
 
 class CrashingFleet:
@@ -73,17 +73,17 @@
 
         """
         wait_until(lambda: complete(self.fleet, self.token, entry).status == 200)
-        before = self.ended()
+        before = self.count_ended()
         body = {'model': 'main', 'prompt': CRASHING_PROMPT, 'max_tokens': 4, **fields}
         headers = {'authorization': f'Bearer {self.token}'}
         host = self.fleet.entries[entry].host
         data = json.dumps(body).encode()
         try:
-            fetch('POST', host, CALLERS_PORT, '/v1/completions', data, headers, LEAVES_AFTER_S)
+            fetch('POST', host, CALLERS_PORT, '/v1/completions', data, headers, CALLER_TIMEOUT_S)
         except TimeoutError:
-            wait_until(lambda: self.ended() > before)
+            wait_until(lambda: self.count_ended() > before)
 
-    def at_fault(self):
+    def fingerprints_at_fault(self):
         """
         Return the fingerprints of the requests that the first entry found at fault.
 
@@ -98,14 +98,14 @@
         leader has put it in quarantine.
 
         """
-        wait_until(lambda: len(self.at_fault()) > len(known_fingerprints))
-        line = f'Request in quarantine. fingerprint={self.at_fault()[-1]}'
+        wait_until(lambda: len(self.fingerprints_at_fault()) > len(known_fingerprints))
+        line = f'Request in quarantine. fingerprint={self.fingerprints_at_fault()[-1]}'
         wait_until(lambda: any(line in self.log(n) for n in range(len(self.fleet.entries))))
 
     def log(self, entry):
         return (self.fleet.folder / self.fleet.entries[entry].name / 'log').read_text()
 
-    def ended(self):
+    def count_ended(self):
         """
         Return how often an engine ended.
 
