--- a/packages/millfork-standins/millfork_standins/bench/retry_detection.py
+++ b/packages/millfork-standins/millfork_standins/bench/retry_detection.py
@@ -77,7 +77,7 @@
         # Prompt tokens of the requests that ended, and whether they were answered.
         self.answered: list[tuple[int, bool]] = []
         self.scheduler.schedule(
-            CALM_DURATION_S, partial(setattr, self, 'rate', shape.capacity * factor)
+            CALM_DURATION_S, partial(setattr, self, 'requests_per_s', shape.capacity * factor)
         )
 
     def _request_timeout_ms(self) -> int:
--- a/packages/millfork-standins/millfork_standins/bench/routing.py
+++ b/packages/millfork-standins/millfork_standins/bench/routing.py
@@ -178,7 +178,7 @@
         self,
         shape: FleetShape,
         table_type: type[ServerTable],
-        rate: float,
+        requests_per_s: float,
         seed: int,
         same_zone_report_interval_s: float = REPORT_INTERVAL_S,
         counted_from_s: float = WARM_UP_S,
@@ -188,7 +188,7 @@
         self.counted_from_s = counted_from_s
         # Interval of the reports of an engine within its zone, and of replica messages there.
         self.same_zone_report_interval_s = same_zone_report_interval_s
-        self.rate = rate
+        self.requests_per_s = requests_per_s
         self.random = Random(seed)
         self.scheduler = EventScheduler()
         self.engine_spec = _engine_spec(shape)
@@ -260,7 +260,9 @@
         )
 
     def _generate_arrivals(self) -> None:
-        self.scheduler.schedule(self.random.expovariate(self.rate), self._generate_arrivals)
+        self.scheduler.schedule(
+            self.random.expovariate(self.requests_per_s), self._generate_arrivals
+        )
         sizes = self._draw_tokens(PROMPT_TOKENS), self._draw_tokens(self.shape.answer)
         request = ModelRequest(*sizes, self.scheduler.now, self._request_timeout_ms())
         if request.created_at > self.counted_from_s:
@@ -463,8 +465,8 @@
         for shape in SHAPES:
             for factor in LOAD_FACTORS:
                 for name, table_type in TABLE_TYPES.items():
-                    rate = shape.capacity * factor
-                    outcomes = RoutingModel(shape, table_type, rate, seed).run(seconds)
+                    requests_per_s = shape.capacity * factor
+                    outcomes = RoutingModel(shape, table_type, requests_per_s, seed).run(seconds)
                     case = f'{shape.name}, {factor:.1f} x, {name}'
                     baseline = f'{shape.name}, {factor:.1f} x, random'
                     results.add(case, 'in_time', 'share', outcomes.share('in time'), baseline)
--- a/packages/millfork-standins/millfork_standins/bench/turning_away.py
+++ b/packages/millfork-standins/millfork_standins/bench/turning_away.py
@@ -86,12 +86,12 @@
     def __init__(
         self,
         shape: FleetShape,
-        rate: float,
+        requests_per_s: float,
         seed: int,
         handle_turned_away: TurnedAwayHandler,
         turned_away_share: float,
     ) -> None:
-        super().__init__(shape, ServerTable, rate, seed)
+        super().__init__(shape, ServerTable, requests_per_s, seed)
         self.handle_turned_away = handle_turned_away
         self.turned_away_share = turned_away_share
 
@@ -140,9 +140,9 @@
             for factor in LOAD_FACTORS:
                 for share in TURNED_AWAY_SHARES:
                     for name, handle_turned_away in HANDLERS.items():
-                        rate = shape.capacity * factor
+                        requests_per_s = shape.capacity * factor
                         outcomes = RefusingEngineModel(
-                            shape, rate, seed, handle_turned_away, share
+                            shape, requests_per_s, seed, handle_turned_away, share
                         ).run(seconds)
                         case = f'{shape.name}, {factor:.1f} x, {share:.1f} shed, '
                         baseline = f'{case}nothing'
--- a/tests/test_routing_model.py
+++ b/tests/test_routing_model.py
@@ -58,16 +58,19 @@
 
 @pytest.mark.parametrize('table', [RandomChoiceTable, RoundRobinTable])
 def test_more_first_tokens_are_in_time_than_with_load_blind_choices(table):
-    rate = SHAPE.capacity * 1.2
-    load_aware = RoutingModel(SHAPE, ServerTable, rate, 1).run(10.0)
-    load_blind = RoutingModel(SHAPE, table, rate, 1).run(10.0)
+    requests_per_s = SHAPE.capacity * 1.2
+    load_aware = RoutingModel(SHAPE, ServerTable, requests_per_s, 1).run(10.0)
+    load_blind = RoutingModel(SHAPE, table, requests_per_s, 1).run(10.0)
     assert load_aware.share('in time') > 1.5 * load_blind.share('in time')
 
 
 def test_under_lasting_load_slots_go_to_requests_that_can_be_in_time():
-    rate = SHAPE.capacity * 1.2
+    requests_per_s = SHAPE.capacity * 1.2
     counted = sum(
-        (RoutingModel(SHAPE, ServerTable, rate, seed).run(10.0).counts for seed in range(3)),
+        (
+            RoutingModel(SHAPE, ServerTable, requests_per_s, seed).run(10.0).counts
+            for seed in range(3)
+        ),
         Counter(),
     )
     assert counted['in time'] > 0.6 * counted['asked']
@@ -92,9 +95,9 @@
     every 0.15 s, and 0.66 with reports every 0.05 s within the zone.
 
     """
-    rate = LARGE.capacity * 1.2
+    requests_per_s = LARGE.capacity * 1.2
     usual, sooner = (
-        RoutingModel(LARGE, ServerTable, rate, 1, near_report_s).run(7.0)
+        RoutingModel(LARGE, ServerTable, requests_per_s, 1, near_report_s).run(7.0)
         for near_report_s in (REPORT_INTERVAL_S, REPORT_INTERVAL_S / 3)
     )
     assert sooner.share('in time') > usual.share('in time') + 0.02
