--- a/tests/test_repeat_budget_in_cuts.py
+++ b/tests/test_repeat_budget_in_cuts.py
@@ -11,7 +11,15 @@
 from millfork_registry.registry import Registry
 from millfork_registry.roles import ENTRY_ROLE
 from tests.test_servers import Clock
-from tests.test_shared_budget import ENTRIES, RATIO, SERVICE, SLACK, TICK_S, WINDOW_S, Fleet
+from tests.test_shared_budget import (
+    ENTRIES,
+    RETRY_RATIO,
+    RETRY_SLACK,
+    SERVICE,
+    TICK_S,
+    WINDOW_S,
+    Fleet,
+)
 
 # Each entry gets one request in this many ticks; nearly all requests are turned away.
 TICKS_PER_REQUEST = 4
@@ -33,7 +41,7 @@
                 repeats.append(fleet.clock.now)
         since = fleet.clock.now - WINDOW_S
         sent = sum(moment > since for moment in repeats)
-        assert sent <= RATIO * sum(moment > since for moment in requests) + SLACK
+        assert sent <= RETRY_RATIO * sum(moment > since for moment in requests) + RETRY_SLACK
 
 
 def allowances(fleet):
@@ -52,12 +60,12 @@
     fleet = Fleet()
     fleet.known_entries = ENTRIES // 2
     fleet.budgets = [fleet.new_budget(position) for position in range(ENTRIES)]
-    assert SLACK / 2 < allowances(fleet) <= SLACK
+    assert RETRY_SLACK / 2 < allowances(fleet) <= RETRY_SLACK
 
 
 def test_entries_on_the_other_side_keep_their_share_during_a_partition():
     fleet = Fleet()
-    assert SLACK / 2 < allowances(fleet) <= SLACK
+    assert RETRY_SLACK / 2 < allowances(fleet) <= RETRY_SLACK
     before = fleet.budgets[1].current_share(SERVICE).allowed
     fleet.known_entries = ENTRIES // 2
     fleet.clock.now += 2 * ENTRIES_REMEMBERED_S
