--- a/packages/millfork-standins/millfork_standins/bench/turning_away.py
+++ b/packages/millfork-standins/millfork_standins/bench/turning_away.py
@@ -1,7 +1,7 @@
 """
 Compares how entries react to an engine that turns requests away at once.
 
-In the routing model, one engine turns away all or a share of the requests that reach it. They
+In the routing model, one engine turns away all or a share of the requests that reach it. These
 occupy no slot, so the load reports of the engine still show it as free.
 
 """
@@ -29,7 +29,7 @@
     RoutingModel,
 )
 
-SMALL, GROWN, _ = SHAPES
+SMALL, MEDIUM, _ = SHAPES
 LOAD_FACTORS: Final = (0.5, 0.8)
 # Shares of its requests that the engine turns away.
 TURNED_AWAY_SHARES: Final = (1.0, 0.4)
@@ -86,12 +86,12 @@
     def __init__(
         self,
         shape: FleetShape,
-        rate: float,
+        requests_per_s: float,
         seed: int,
         handle_turned_away: TurnedAwayHandler,
         turned_away_share: float,
     ) -> None:
-        super().__init__(shape, ServerTable, rate, seed)
+        super().__init__(shape, ServerTable, requests_per_s, seed)
         self.handle_turned_away = handle_turned_away
         self.turned_away_share = turned_away_share
 
@@ -136,13 +136,13 @@
     seconds = QUICK_DURATION_S if quick else DURATION_S
     results = ExperimentResults('turning-away', {'seconds': seconds, 'repetitions': repetitions})
     for seed in range(repetitions):
-        for shape in (SMALL, GROWN):
+        for shape in (SMALL, MEDIUM):
             for factor in LOAD_FACTORS:
                 for share in TURNED_AWAY_SHARES:
                     for name, handle_turned_away in HANDLERS.items():
-                        rate = shape.capacity * factor
+                        requests_per_s = shape.capacity * factor
                         outcomes = RefusingEngineModel(
-                            shape, rate, seed, handle_turned_away, share
+                            shape, requests_per_s, seed, handle_turned_away, share
                         ).run(seconds)
                         case = f'{shape.name}, {factor:.1f} x, {share:.1f} shed, '
                         baseline = f'{case}nothing'
--- a/packages/millfork-standins/millfork_standins/seeded.py
+++ b/packages/millfork-standins/millfork_standins/seeded.py
@@ -199,9 +199,9 @@
 
     def _close_address(self) -> None:
         if self.socket.fileno() < 0:
-            # `end` closed it already.
+            # `crash` has closed the socket already.
             return
-        # Without the shutdown it accepts connections as long as another thread polls it.
+        # Without the shutdown, the socket accepts connections while another thread polls it.
         self.socket.shutdown(socket.SHUT_RDWR)
         self.socket.close()
 
@@ -210,7 +210,7 @@
             try:
                 sock.shutdown(socket.SHUT_RDWR)
             except OSError:
-                # The caller closed it already.
+                # The caller has closed the connection already.
                 continue
 
     def _lease(self) -> Lease:
@@ -314,7 +314,7 @@
 
     def _settings(self, host: str, first_start: bool) -> str:
         role = self._role(host)
-        place = TemplateValues(
+        template_values = TemplateValues(
             host,
             host,
             'zone',
@@ -330,9 +330,9 @@
             engine=f'{host}:{ENGINE_PORT}',
             service='engines',
         )
-        place.bounds['version_ms'] = self.version_ms
+        template_values.bounds['version_ms'] = self.version_ms
         template = ROOT / 'deploy' / 'settings' / f'{role.value}.yaml'
-        return render_settings(template.read_text(), place)
+        return render_settings(template.read_text(), template_values)
 
     def _role(self, host: str) -> SeededRole:
         if host in self.replica_hosts:
--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -80,11 +80,11 @@
     def __init__(self):
         self.caches = {}
         self.silent = False
-        self.asked = []
+        self.queried = []
 
     async def call(self, address, message, timeout):
         asks_digests = isinstance(message, GetManifest)
-        self.asked.append((address.instance, DIGESTS_REQUEST if asks_digests else message.index))
+        self.queried.append((address.instance, DIGESTS_REQUEST if asks_digests else message.index))
         if self.silent:
             raise PeerTimedOut('silent')
         cache = self.caches[address.instance]
@@ -95,9 +95,9 @@
 
 def cache_at(instance, zone, origin, peers, caches):
     env = Environment(InstanceId(instance), ZoneId(zone))
-    made = PieceCache(env, peers, origin, lambda: caches)
-    peers.caches[instance] = made
-    return made
+    cache = PieceCache(env, peers, origin, lambda: caches)
+    peers.caches[instance] = cache
+    return cache
 
 
 def cache_and_assigned_cache():
@@ -110,8 +110,8 @@
     peers = FakePeers()
     cache = cache_at('10.0.0.2:1', 'z2', FakeOrigin(), peers, caches)
     assigned = cache_at('10.0.0.1:1', 'z1', FakeOrigin(), peers, caches)
-    for made in (cache, assigned):
-        made.prefetching.add(WeightsId('m', 2))
+    for piece_cache in (cache, assigned):
+        piece_cache.prefetching.add(WeightsId('m', 2))
     return cache, assigned
 
 
@@ -121,8 +121,8 @@
     assert advertised_caches([*reversed(caches), *caches[:3]], zone) == found
     for name in ('z1', 'z2', 'z3'):
         of_zone = [cache for cache in caches if cache.zone == name]
-        most = MAX_ADVERTISED_IN_ZONE if name == zone else MAX_ADVERTISED_PER_OTHER_ZONE
-        assert sum(cache.zone == name for cache in found) == min(len(of_zone), most)
+        max_found = MAX_ADVERTISED_IN_ZONE if name == zone else MAX_ADVERTISED_PER_OTHER_ZONE
+        assert sum(cache.zone == name for cache in found) == min(len(of_zone), max_found)
 
 
 @given(CACHES, st.sampled_from(['z1', 'z2', 'z3', '']))
@@ -237,7 +237,7 @@
         cache = cache_at('10.0.0.2:1', 'z2', origin, peers, caches)
         assert (await cache.on_get_chunk(GetChunk('m@2', 3))).data == PIECES[3]
         # One unanswered request for digests is enough.
-        assert peers.asked[0] == ('10.0.0.1:1', DIGESTS_REQUEST)
+        assert peers.queried[0] == ('10.0.0.1:1', DIGESTS_REQUEST)
 
     curio.run(run)
 
@@ -253,12 +253,12 @@
         cache.silent.monotonic = lambda: now
         for index in range(4):
             assert (await cache.on_get_chunk(GetChunk('m@2', index))).data == PIECES[index]
-        assert peers.asked == [('10.0.0.1:1', DIGESTS_REQUEST)]
+        assert peers.queried == [('10.0.0.1:1', DIGESTS_REQUEST)]
         peers.silent = False
         cache_at('10.0.0.1:1', 'z1', origin, peers, caches)
         now += SKIP_SILENT_PEER_S + 0.1
         assert (await cache.on_get_chunk(GetChunk('m@2', 4))).data == PIECES[4]
-        assert peers.asked[-1] == ('10.0.0.1:1', 4)
+        assert peers.queried[-1] == ('10.0.0.1:1', 4)
 
     curio.run(run)
 
@@ -268,18 +268,18 @@
 
     async def run():
         cache, assigned = cache_and_assigned_cache()
-        here = curio.Event()
+        answer_allowed = curio.Event()
         real = assigned.origin.fetch_piece
 
         async def fetch_piece(held, index):
-            await here.wait()
+            await answer_allowed.wait()
             return await real(held, index)
 
         assigned.origin.fetch_piece = fetch_piece
         for _ in range(caching.MAX_NOT_YET_ANSWERS - 1):
             assert not (await cache.on_get_chunk(GetChunk('m@2', 3))).found
         assert cache.origin.fetched == []
-        await here.set()
+        await answer_allowed.set()
         async with curio.timeout_after(5):
             while not (await cache.on_get_chunk(GetChunk('m@2', 3))).found:
                 pass
@@ -361,7 +361,7 @@
     curio.run(run)
 
 
-def test_a_cache_answers_before_it_is_taken_for_silent():
+def test_a_cache_answers_before_it_counts_as_silent():
     assert caching.ANSWER_WITHIN_S < caching.PEER_TIMEOUT_S
     assert caching.ANSWER_WITHIN_S < gathering.CACHE_TIMEOUT_S
 
@@ -386,7 +386,7 @@
         cache = cache_at('10.0.0.3:1', 'z1', origin, peers, caches)
         cache.prefetching.add(WeightsId('m', 2))
         assert (await cache.on_get_chunk(GetChunk('m@2', 1, draw=True))).data == PIECES[1]
-        assert peers.asked == []
+        assert peers.queried == []
 
     curio.run(run)
 
@@ -450,9 +450,9 @@
             await curio.sleep(30)
 
         origin.fetch_digests, origin.fetch_piece = fetch_digests, fetch_piece
-        began = cache.env.monotonic()
+        started_at = cache.env.monotonic()
         assert (await cache.on_get_chunk(GetChunk('m@2', 0))).reason == caching.NOT_YET
-        assert cache.env.monotonic() - began < 1.7
+        assert cache.env.monotonic() - started_at < 1.7
         cache.env.ended = True
 
     curio.run(run)
--- a/tests/test_choice_in_large_fleets.py
+++ b/tests/test_choice_in_large_fleets.py
@@ -56,11 +56,11 @@
     checks = []
     original = ServerTable._can_serve_now
 
-    def able(self, *arguments):
+    def counting_check(self, *arguments):
         checks.append(arguments)
         return original(self, *arguments)
 
-    monkeypatch.setattr(ServerTable, '_can_serve_now', able)
+    monkeypatch.setattr(ServerTable, '_can_serve_now', counting_check)
     for _ in range(50):
         assert table.choose(Requirements(SERVICE, ENGINE, 2, 2), set()) is not None
     assert len(checks) <= 50 * 2 * SAMPLE_SIZE
@@ -74,15 +74,15 @@
     0.9 times the capacity of the engines.
 
     """
-    drawn = Counter()
+    used = Counter()
     share = ENTRIES_PER_ENGINE * engines // entries
     for number in range(entries):
         table = ServerTable(ZoneId(f'z{number % ZONES}'), Random(number), Clock(), lambda: entries)
         table.apply_leases(lease(number, NEW) for number in range(engines))
-        kept = [*table.index.near.get(SERVICE, []), *table.index.far.get(SERVICE, [])]
-        assert len(kept) <= max(MAX_NEAR, share) + max(MAX_FAR, share)
-        drawn.update(server.instance for server in kept)
-    assert len(drawn) == engines
+        connected = [*table.index.near.get(SERVICE, []), *table.index.far.get(SERVICE, [])]
+        assert len(connected) <= max(MAX_NEAR, share) + max(MAX_FAR, share)
+        used.update(server.instance for server in connected)
+    assert len(used) == engines
 
 
 @settings(max_examples=60, deadline=None)
--- a/tests/test_closed_back_ends.py
+++ b/tests/test_closed_back_ends.py
@@ -45,14 +45,14 @@
 
 @pytest.fixture
 def table(clock):
-    made = ServerTable(ZoneId('z1'), Random(1), clock)
-    made.apply_leases([lease(1), lease(2)])
-    return made
+    new_table = ServerTable(ZoneId('z1'), Random(1), clock)
+    new_table.apply_leases([lease(1), lease(2)])
+    return new_table
 
 
-def answer(table, number, told, sent_ago_s=0.0):
+def answer(table, number, signals, sent_ago_s=0.0):
     now = table.monotonic()
-    return server(table, number).availability.apply_answer(told, now - sent_ago_s, now)
+    return server(table, number).availability.apply_answer(signals, now - sent_ago_s, now)
 
 
 def closed_for(table, number):
@@ -63,7 +63,7 @@
 @pytest.mark.parametrize('engine', [None, ENGINE])
 def test_neither_heartbeats_nor_answers_reopen_a_leaving_back_end(table, clock, engine):
     assert [change.event for change in answer(table, 1, LEAVES)] == [SignalEvent.BEGAN]
-    # Its answer to a request that was sent earlier.
+    # The back end answers a request that was sent earlier.
     clock.now += 1
     answer(table, 1, NO_BACKPRESSURE)
     table.apply_reports([report(1, 1)])
@@ -110,8 +110,8 @@
 def test_a_daemon_reads_the_signals_of_its_engine():
     class Client:
         async def fetch(self, method, path, headers, body, timeout):
-            said = [(client_requests.SERVER_LEAVING, '1'), (client_requests.SERVER_LIMIT, '2.5')]
-            return Response(200, said, b'{"running":1,"queued":0}')
+            headers = [(client_requests.SERVER_LEAVING, '1'), (client_requests.SERVER_LIMIT, '2.5')]
+            return Response(200, headers, b'{"running":1,"queued":0}')
 
     found = curio.run(LocalEngine(PlatformAdapter(), Client()).report)
     assert found.backpressure == Backpressure(2.5, leaving=True)
@@ -120,9 +120,9 @@
 RESTS = Backpressure(rest_s=3.0)
 
 
-def reject(table, number, told=RESTS, sent_ago_s=0.0):
+def reject(table, number, signals=RESTS, sent_ago_s=0.0):
     now = table.monotonic()
-    return server(table, number).availability.apply_answer(told, now - sent_ago_s, now, True)
+    return server(table, number).availability.apply_answer(signals, now - sent_ago_s, now, True)
 
 
 def test_a_resting_back_end_is_not_used_as_last_resort(table):
--- a/tests/test_feed_relay.py
+++ b/tests/test_feed_relay.py
@@ -32,7 +32,7 @@
     """
 
     def __init__(self):
-        self.asked = []
+        self.queried = []
         self.relays = {name: self.follower(name) for name in ZONES}
 
     def follower(self, name):
@@ -47,7 +47,7 @@
     async def call(self, asker, address, message, timeout):
         assert isinstance(message, AskFeed)
         name = str(address.instance)
-        self.asked.append(name)
+        self.queried.append(name)
         if name not in self.relays:
             raise PeerTimedOut(name)
         receiver = self.relays[asker].feed_client
@@ -97,7 +97,7 @@
         assert cut_off.report_target == NEAR
         neighbour.registry.merge_endpoint_state(state(2, 9))
         await followers.wait_until(lambda: running_at(cut_off) == 9, connected)
-        assert set(followers.asked) == {NEAR}
+        assert set(followers.queried) == {NEAR}
         await task.cancel()
 
     curio.run(run)
@@ -157,13 +157,13 @@
     async def run():
         cut_off = followers.relays[CUT].feed_client
         followers.relays[NEAR].switches = lambda: [VersionSwitch('m', 2, 3000)]
-        began = cut_off.env.monotonic()
+        started_at = cut_off.env.monotonic()
         task = await curio.spawn(followers.relays[CUT].run, daemon=True)
         await followers.wait_until(
             lambda: cut_off.version_cutoffs.cutoff_of('m', 2) is not None, (NEAR, FAR)
         )
         assert (
-            began + 3.0
+            started_at + 3.0
             <= cut_off.version_cutoffs.cutoff_of('m', 2)
             <= cut_off.env.monotonic() + 3.0
         )
--- a/tests/test_first_tries.py
+++ b/tests/test_first_tries.py
@@ -19,14 +19,14 @@
 
 # The share of first tries that may be mistaken for retries: low enough that no caller is refused
 # because of it under low load.
-MISTAKEN = 0.002
+MAX_MISCLASSIFIED_SHARE = 0.002
 
 
 def detector_with(deadlines):
-    made = FirstTryDetector()
+    detector = FirstTryDetector()
     for deadline_ms in deadlines:
-        made.judge('r', deadline_ms, 0.0)
-    return made
+        detector.judge('r', deadline_ms, 0.0)
+    return detector
 
 
 @pytest.fixture
@@ -60,9 +60,9 @@
 
 
 def under_load(deadlines):
-    made = FirstTryDetector()
-    made.note_turned_away(0.0)
-    return [made.judge('r', deadline_ms, 0.1) for deadline_ms in deadlines][-1]
+    detector = FirstTryDetector()
+    detector.note_turned_away(0.0)
+    return [detector.judge('r', deadline_ms, 0.1) for deadline_ms in deadlines][-1]
 
 
 def test_after_a_start_under_load_the_latest_deadlines_decide():
@@ -82,9 +82,9 @@
     for seed in range(200):
         random = Random(seed)
         tries = FirstTryDetector()
-        for judged in range(counted.stop):
+        for position in range(counted.stop):
             judgement = tries.judge('r', int(6000 * random.uniform(min_share, 1.0)), 0.0)
-            if judged in counted:
+            if position in counted:
                 mistaken.append(judgement.elapsed_ms > 0)
     return sum(mistaken) / len(mistaken)
 
@@ -104,7 +104,7 @@
     they took 0.012 if callers begin with half of it or more.
 
     """
-    assert share_mistaken_for_retries(min_share, counted) < MISTAKEN
+    assert share_mistaken_for_retries(min_share, counted) < MAX_MISCLASSIFIED_SHARE
 
 
 def test_deadlines_of_possible_retries_are_not_learned(common_deadline):
@@ -129,8 +129,8 @@
 
 
 def test_a_few_outliers_do_not_hide_retries():
-    made = detector_with([6080] * 60 + [900, 1500])
-    assert made.judge('r', 5500, 1.0).elapsed_ms == 580
+    detector = detector_with([6080] * 60 + [900, 1500])
+    assert detector.judge('r', 5500, 1.0).elapsed_ms == 580
 
 
 def test_a_request_turned_away_is_recognised_by_its_fingerprint():
@@ -170,12 +170,12 @@
 
     """
 
-    def in_time(way):
+    def in_time(method):
         found = []
         for seed in range(2):
-            model = RetryDetectionModel(SHIFTED, 1.2, seed, way, min_share)
+            model = RetryDetectionModel(SHIFTED, 1.2, seed, method, min_share)
             model.simulate()
             found.append(model.outcomes.share('in time'))
         return sum(found) / len(found)
 
-    assert in_time(DetectionMethod.BUILT) > in_time(DetectionMethod.KNOWN) - 0.02
+    assert in_time(DetectionMethod.AS_BUILT) > in_time(DetectionMethod.KNOWN) - 0.02
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -108,7 +108,7 @@
 
     def __init__(self, *served):
         self.clock = Clock()
-        self.least = 0
+        self.oldest_version = 0
         self.sent = []
         self.released = []
         self.servers = []
@@ -121,7 +121,7 @@
         self.clock.now += 11.0
         env = Environment(InstanceId('a:1'), ZoneId('z1'), monotonic=self.clock)
         versions = SimpleNamespace(
-            oldest_usable=lambda model: self.least, ends_at=lambda *args: None
+            oldest_usable=lambda model: self.oldest_version, ends_at=lambda *args: None
         )
         admission = SimpleNamespace(
             versions=versions,
@@ -166,7 +166,7 @@
 
     def pool_of(self, server):
         async def acquire(recently_used):
-            self.least = 2
+            self.oldest_version = 2
             self.on_connect(server)
             return SimpleNamespace(send=send, read_head=read_head, lost=False)
 
@@ -176,7 +176,7 @@
         async def read_head():
             raise SendFailed(Reason.CONNECTION_LOST, Verdict.MAY_HAVE_RUN, 'closed')
 
-        async def release(connection, keep_s):
+        async def release(connection, keep_alive_s):
             self.released.append(server.instance)
 
         return SimpleNamespace(acquire=acquire, release=release)
@@ -226,7 +226,7 @@
     scenario = EndingVersion(1, 1, 2)
     scenario.job.tried.append(InstanceId('i-9'))
     scenario.job.failures.append(FailedAttempt(Reason.BUSY, Verdict.NOT_RUN, 'full'))
-    scenario.least = 0
+    scenario.oldest_version = 0
     scenario.run()
     assert scenario.sent == ['i-2']
     assert scenario.job.tried == ['i-9', 'i-2']
--- a/tests/test_incarnation_status.py
+++ b/tests/test_incarnation_status.py
@@ -1,5 +1,5 @@
 """
-Whether an entry treats a back end as ended or living after one of its answers broke off.
+Whether an entry considers a back end ended or live after one of its answers broke off.
 
 """
 
@@ -19,9 +19,9 @@
 
 
 def server(instance='i-1', incarnation=1):
-    made = Server(InstanceId(instance), ServiceName('s'), '127.0.0.1', 1, ZoneId('z1'), 16)
-    made.incarnation = Incarnation(incarnation)
-    return made
+    new_server = Server(InstanceId(instance), ServiceName('s'), '127.0.0.1', 1, ZoneId('z1'), 16)
+    new_server.incarnation = Incarnation(incarnation)
+    return new_server
 
 
 def test_the_status_is_unknown_at_first():
@@ -38,7 +38,7 @@
     assert determine_status(server(), BROKE_AT, [other]) is IncarnationStatus.ENDED
 
 
-def test_a_back_end_marked_as_replaced_has_ended():
+def test_a_back_end_has_ended_once_it_is_marked_replaced():
     broken = server()
     broken.replaced = True
     assert determine_status(broken, BROKE_AT) is IncarnationStatus.ENDED
@@ -53,7 +53,7 @@
     ],
 )
 @pytest.mark.parametrize('lease_ran_out_between', [False, True])
-def test_a_back_end_lives_on_if_data_sent_later_was_received(evidence, lease_ran_out_between):
+def test_a_back_end_lives_if_data_that_it_sent_later_was_received(evidence, lease_ran_out_between):
     broken = server()
     known = server() if lease_ran_out_between else broken
     for name, value in evidence.items():
@@ -61,10 +61,10 @@
     assert determine_status(broken, BROKE_AT, [known]) is IncarnationStatus.LIVES
 
 
-def test_a_back_end_lives_on_if_its_lease_outlasts_the_usual_expiry():
+def test_a_back_end_lives_if_its_lease_outlasts_the_usual_expiry():
     """
-    An entry that sent no requests there in the meantime counted an end 7.7 s after an answer
-    broke off, though the back end lived on.
+    An entry that sent the back end no requests in the meantime counted an end 7.7 s after an
+    answer broke off, though the back end was still running.
 
     """
     broken = server(incarnation=0)
--- a/tests/test_late_ends_at_endpoints.py
+++ b/tests/test_late_ends_at_endpoints.py
@@ -38,10 +38,10 @@
 
     def __init__(self):
         self.sent = []
-        self.gone = False
+        self.is_lost = False
 
     async def notify(self, message):
-        if self.gone:
+        if self.is_lost:
             raise PeerLost('gone')
         self.sent.append(message)
 
@@ -61,11 +61,11 @@
 
         monkeypatch.setattr(incarnation_tracking_module, 'probe_address', probe_address)
 
-    def tracker(self, asks=True):
+    def tracker(self, knows_incarnation=True):
         env = Environment(InstanceId('e-1'), ZoneId('z'))
-        made = IncarnationTracker(env, lambda: ADDRESS, self.query_incarnation if asks else None)
-        made.record_incarnation('a', env.monotonic())
-        return made
+        new_tracker = IncarnationTracker(env, lambda: ADDRESS, self.query_incarnation if knows_incarnation else None)
+        new_tracker.record_incarnation('a', env.monotonic())
+        return new_tracker
 
     async def query_incarnation(self):
         return self.reported_incarnation
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize(
-    ('reported_incarnation', 'probe_result', 'fate'),
+    ('reported_incarnation', 'probe_result', 'status'),
     [
         ('a', ProbeResult.ANSWERS, IncarnationStatus.LIVES),
         ('b', ProbeResult.ANSWERS, IncarnationStatus.ENDED),
@@ -88,7 +88,7 @@
     ],
 )
 def test_status_follows_from_reported_incarnation_and_probe(
-    monkeypatch, reported_incarnation, probe_result, fate
+    monkeypatch, reported_incarnation, probe_result, status
 ):
     async def run():
         back_end = FakeBackEnd(monkeypatch, reported_incarnation)
@@ -96,7 +96,7 @@
         tracker = back_end.tracker()
         assert (
             await tracker.record_interruption(RequestId('r'), FakeEntryConnection(), tracker.number)
-            is fate
+            is status
         )
 
     curio.run(run)
@@ -106,10 +106,10 @@
 def test_a_late_status_is_reported_to_the_entry(monkeypatch, ended):
     async def run():
         back_end = FakeBackEnd(monkeypatch, reported_incarnation='')
-        tracker, entry, gone = back_end.tracker(), FakeEntryConnection(), FakeEntryConnection()
-        gone.gone = True
+        tracker, entry, lost_entry = back_end.tracker(), FakeEntryConnection(), FakeEntryConnection()
+        lost_entry.is_lost = True
         await tracker.record_interruption(RequestId('r'), entry, tracker.number)
-        await tracker.record_interruption(RequestId('s'), gone, tracker.number)
+        await tracker.record_interruption(RequestId('s'), lost_entry, tracker.number)
         back_end.reported_incarnation = 'b' if ended else 'a'
         await wait_until(lambda: entry.sent)
         assert entry.sent == [BackEndFate('r', ended)]
@@ -141,7 +141,7 @@
 
 def test_a_plain_service_lives_if_it_answers_a_later_request(monkeypatch):
     async def run():
-        tracker = FakeBackEnd(monkeypatch).tracker(asks=False)
+        tracker = FakeBackEnd(monkeypatch).tracker(knows_incarnation=False)
         entry = FakeEntryConnection()
         assert (
             await tracker.record_interruption(RequestId('r'), entry, tracker.number)
--- a/tests/test_limit_shares.py
+++ b/tests/test_limit_shares.py
@@ -75,9 +75,9 @@
 
 @pytest.fixture
 def table(clock):
-    made = ServerTable(ZoneId('z1'), Random(1), clock, lambda: 6, lambda: 6)
-    made.apply_leases([lease(1), lease(2)])
-    return made
+    new_table = ServerTable(ZoneId('z1'), Random(1), clock, lambda: 6, lambda: 6)
+    new_table.apply_leases([lease(1), lease(2)])
+    return new_table
 
 
 def server(table, number):
@@ -141,7 +141,7 @@
     assert found.instance == 'i-1'
     assert [change.event for change in changes] == [SignalEvent.BEGAN]
     assert table.closure(server(table, 1)) is not None
-    # It arrives so soon that it was made before the engine announced its limit.
+    # The next report arrives so soon that it was made before the engine announced its limit.
     clock.now += REPORT_LAG_S / 2
     table.apply_reports([report(1, 2)])
     assert table.closure(server(table, 1)) is not None
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -36,13 +36,13 @@
 
 
 def test_a_fingerprint_depends_only_on_path_caller_body_key_and_cluster():
-    made = Fingerprints(b'key', lambda: 'cluster')
-    first = made.for_request(Request('POST', '/a', [('x-request-id', '1')], b'text'), 'org')
-    assert made.for_request(Request('POST', '/a', [('x-request-id', '2')], b'text'), 'org') == first
+    fingerprints = Fingerprints(b'key', lambda: 'cluster')
+    first = fingerprints.for_request(Request('POST', '/a', [('x-request-id', '1')], b'text'), 'org')
+    assert fingerprints.for_request(Request('POST', '/a', [('x-request-id', '2')], b'text'), 'org') == first
     others = [
-        made.for_request(Request('POST', '/b', [], b'text'), 'org'),
-        made.for_request(Request('POST', '/a', [], b'text'), 'other'),
-        made.for_request(Request('POST', '/a', [], b'else'), 'org'),
+        fingerprints.for_request(Request('POST', '/b', [], b'text'), 'org'),
+        fingerprints.for_request(Request('POST', '/a', [], b'text'), 'other'),
+        fingerprints.for_request(Request('POST', '/a', [], b'else'), 'org'),
         Fingerprints(b'key', lambda: 'another').for_request(Request('POST', '/a'), 'org'),
         Fingerprints(b'word', lambda: 'cluster').for_request(Request('POST', '/a'), 'org'),
     ]
@@ -170,7 +170,7 @@
 def list_of(entry, clock, leads=lambda: True):
     machine = StateMachine(entry.view)
 
-    async def propose(command, patience_s):
+    async def propose(command, timeout_s):
         machine.apply(command)
 
     env = Environment(InstanceId('a:1'), ZoneId('z1'))
@@ -230,7 +230,7 @@
 
 
 @pytest.fixture
-def listening():
+def listening_socket():
     with socket.create_server(('127.0.0.1', 0)) as sock:
         yield sock
 
@@ -252,8 +252,8 @@
     return curio.run(run)
 
 
-def test_a_broken_off_answer_counts_only_if_the_back_end_has_ended(listening):
-    port = listening.getsockname()[1]
+def test_a_broken_off_answer_counts_only_if_the_back_end_has_ended(listening_socket):
+    port = listening_socket.getsockname()[1]
     assert ends_after_broken_answer(port) == 0
-    listening.close()
+    listening_socket.close()
     assert ends_after_broken_answer(port) == 1
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -20,7 +20,7 @@
 
 REPLICAS = ['r1', 'r2', 'r3']
 ENTRIES = ['e1', 'e2']
-SHORT_S = 6.0
+RUN_S = 6.0
 # A seed whose back ends name limits, ask for rest and turn requests away.
 BACKPRESSURE_SEED = 2
 BACKPRESSURE_S = 12.0
@@ -38,7 +38,7 @@
 )
 
 
-def test_a_seed_gives_the_same_faults_and_all_kinds_come():
+def test_a_seed_gives_the_same_faults_and_all_kinds_occur():
     assert plan_faults(7, 60, REPLICAS, ENTRIES, 3) == plan_faults(7, 60, REPLICAS, ENTRIES, 3)
     kinds = {
         fault.kind for seed in range(20) for fault in plan_faults(seed, 60, REPLICAS, ENTRIES, 3)
@@ -62,7 +62,7 @@
 COMPLETE_ANSWER = Answer('1', False, 200, '1', 'i-1', b'answer')
 
 
-def test_kept_promises_are_no_finding():
+def test_kept_promises_are_not_reported_as_broken():
     answers = [
         COMPLETE_ANSWER,
         Answer('2', False, 503),
@@ -88,9 +88,9 @@
 
 
 def test_a_short_run_with_backpressure_breaks_no_promise(tmp_path):
-    verdict = SoakRun(tmp_path, BACKPRESSURE_SEED, BACKPRESSURE_S, backpressure=True).run()
-    assert verdict.broken == []
-    assert verdict.statuses[200]
+    result = SoakRun(tmp_path, BACKPRESSURE_SEED, BACKPRESSURE_S, backpressure=True).run()
+    assert result.violations == []
+    assert result.statuses[200]
 
 
 def test_back_ends_say_all_there_is_and_the_faults_stay_the_same():
@@ -111,8 +111,8 @@
 
 @pytest.mark.parametrize('seed', [1, *REGRESSIONS])
 def test_a_short_run_breaks_no_promise(seed, tmp_path):
-    verdict = SoakRun(tmp_path, seed, SHORT_S).run()
-    assert verdict.broken == []
-    assert verdict.faults
-    assert verdict.statuses[200]
-    assert verdict.documents > 1
+    result = SoakRun(tmp_path, seed, RUN_S).run()
+    assert result.violations == []
+    assert result.faults
+    assert result.statuses[200]
+    assert result.documents > 1
--- a/tests/test_suspicion_gossip.py
+++ b/tests/test_suspicion_gossip.py
@@ -51,9 +51,9 @@
     def add(self, name):
         env = Environment(InstanceId(name), ZoneId('z'))
         roster = FakeRoster(self.entries)
-        made = SuspicionGossip(env, FakePeers(self), roster, SuspicionStore(env.monotonic))
-        self.entries[InstanceId(name)] = made
-        return made
+        gossip = SuspicionGossip(env, FakePeers(self), roster, SuspicionStore(env.monotonic))
+        self.entries[InstanceId(name)] = gossip
+        return gossip
 
 
 class FakeRoster:
--- a/tests/test_turned_away_on_listed_fleets.py
+++ b/tests/test_turned_away_on_listed_fleets.py
@@ -1,7 +1,8 @@
 """
 A back end that answers 503 at once without Retry-After, on a fleet with a list of instances.
 
-Its answers were relayed to callers. As it had few requests in progress it seemed the least loaded.
+Its answers were relayed to callers. It seemed the least loaded back end, as it had few requests in
+progress.
 """
 
 import itertools
@@ -37,13 +38,13 @@
 @pytest.fixture(scope='module')
 def fleet(tmp_path_factory):
     options = FleetOptions(service={'answer_ms': ANSWER_MS}, backend={'slots': 16})
-    made = Fleet(LANTING, tmp_path_factory.mktemp('turned-away'), options)
+    new_fleet = Fleet(LANTING, tmp_path_factory.mktemp('turned-away'), options)
     try:
-        made.start()
-        made.apply(made.organisations_declaration())
-        yield made
+        new_fleet.start()
+        new_fleet.apply(new_fleet.organisations_declaration())
+        yield new_fleet
     finally:
-        made.close()
+        new_fleet.close()
 
 
 def load(fleet):
@@ -66,7 +67,7 @@
         return [call.result().status for call in calls]
 
 
-def turned_away(fleet, instance):
+def count_turned_away(fleet, instance):
     lines = read_executions(fleet.execution_log_path(instance.name))
     return sum(line['kind'] == TURNED_AWAY for line in lines)
 
@@ -83,9 +84,9 @@
     fleet.kill(f'{full.name}.backend')
     fleet.start_backend(full, turns_away=True)
     fleet.wait_http(f'{full.name}.backend', full.host, BACKEND_PORT, '/x', status=503)
-    before = turned_away(fleet, full)
+    before = count_turned_away(fleet, full)
     statuses = load(fleet)
-    assert turned_away(fleet, full) - before <= len(statuses) / 3
+    assert count_turned_away(fleet, full) - before <= len(statuses) / 3
     assert statuses.count(200) >= 0.9 * len(statuses)
 
 
