--- a/tests/test_faults_left_open.py
+++ b/tests/test_faults_left_open.py
@@ -112,9 +112,15 @@
     13 entries in front of four engines. With two of 200 other seeds the loss exceeds 0.2.
 
     """
-    built = drawn.run_model(drawn.SPLIT_SHAPE, LOAD_FACTOR, seed, DetectionMethod.AS_BUILT, MIN_TIMEOUT_SHARE)
+    built = drawn.run_model(
+        drawn.SPLIT_SHAPE, LOAD_FACTOR, seed, DetectionMethod.AS_BUILT, MIN_TIMEOUT_SHARE
+    )
     single = drawn.run_model(
-        replace(drawn.SPLIT_SHAPE, entries=1), LOAD_FACTOR, seed, DetectionMethod.KNOWN, MIN_TIMEOUT_SHARE
+        replace(drawn.SPLIT_SHAPE, entries=1),
+        LOAD_FACTOR,
+        seed,
+        DetectionMethod.KNOWN,
+        MIN_TIMEOUT_SHARE,
     )
     in_time = built.outcomes.share('in time')
     assert in_time > single.outcomes.share('in time') - drawn.MAX_SPLIT_LOSS
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -240,7 +240,9 @@
     @rule(instance=BACK_ENDS, port=PORTS)
     def start_back_end(self, instance, port):
         self.clock.now += 0.1
-        used_ports = {heartbeat.port for name, heartbeat in self.last_sent.items() if name != instance}
+        used_ports = {
+            heartbeat.port for name, heartbeat in self.last_sent.items() if name != instance
+        }
         if port in used_ports:
             return
         self.last_sent[instance] = lease(int(self.clock.now * 1000), 0, instance, port)
--- a/tests/test_late_ends_at_endpoints.py
+++ b/tests/test_late_ends_at_endpoints.py
@@ -63,7 +63,9 @@
 
     def tracker(self, knows_incarnation=True):
         env = Environment(InstanceId('e-1'), ZoneId('z'))
-        new_tracker = IncarnationTracker(env, lambda: ADDRESS, self.query_incarnation if knows_incarnation else None)
+        new_tracker = IncarnationTracker(
+            env, lambda: ADDRESS, self.query_incarnation if knows_incarnation else None
+        )
         new_tracker.record_incarnation('a', env.monotonic())
         return new_tracker
 
@@ -106,7 +108,11 @@
 def test_a_late_status_is_reported_to_the_entry(monkeypatch, ended):
     async def run():
         back_end = FakeBackEnd(monkeypatch, reported_incarnation='')
-        tracker, entry, lost_entry = back_end.tracker(), FakeEntryConnection(), FakeEntryConnection()
+        tracker, entry, lost_entry = (
+            back_end.tracker(),
+            FakeEntryConnection(),
+            FakeEntryConnection(),
+        )
         lost_entry.is_lost = True
         await tracker.record_interruption(RequestId('r'), entry, tracker.number)
         await tracker.record_interruption(RequestId('s'), lost_entry, tracker.number)
--- a/tests/test_load_queries.py
+++ b/tests/test_load_queries.py
@@ -16,7 +16,7 @@
 from millfork_scheduling.server_table import ServerTable
 from millfork_wire.connection import PeerTimedOut, PeerUnreachable
 from millfork_wire.messages import EngineLoad
-from millforkd.proxy.load_queries import SKIP_UNANSWERED_S, MAX_WAIT_S, LoadQueries
+from millforkd.proxy.load_queries import MAX_WAIT_S, SKIP_UNANSWERED_S, LoadQueries
 from millforkd.proxy.peer_queries import MIN_SILENCE_S
 from millforkd.sidecar.load import SHARED_REPORT_S, EngineLoads
 from tests.test_servers import ENGINE, Clock
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -38,7 +38,10 @@
 def test_a_fingerprint_depends_only_on_path_caller_body_key_and_cluster():
     fingerprints = Fingerprints(b'key', lambda: 'cluster')
     first = fingerprints.for_request(Request('POST', '/a', [('x-request-id', '1')], b'text'), 'org')
-    assert fingerprints.for_request(Request('POST', '/a', [('x-request-id', '2')], b'text'), 'org') == first
+    assert (
+        fingerprints.for_request(Request('POST', '/a', [('x-request-id', '2')], b'text'), 'org')
+        == first
+    )
     others = [
         fingerprints.for_request(Request('POST', '/b', [], b'text'), 'org'),
         fingerprints.for_request(Request('POST', '/a', [], b'text'), 'other'),
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -261,7 +261,9 @@
 
 
 @pytest.mark.parametrize(('started', 'expected'), [(0, 4), (1, 5), (2, 14), (3, 23)])
-def test_other_entries_are_assumed_to_have_sent_as_many_requests_since_the_report(table, clock, started, expected):
+def test_other_entries_are_assumed_to_have_sent_as_many_requests_since_the_report(
+    table, clock, started, expected
+):
     table.apply_leases([lease(1)])
     table.apply_reports([report(1, running=4)])
     server = table.servers[InstanceId('i-1')]
