--- a/tests/test_faults_left_open.py
+++ b/tests/test_faults_left_open.py
@@ -106,6 +106,16 @@
     assert statistics.mean(used_shares) >= 0.5
 
 
+def test_no_caller_is_turned_away_on_a_drawn_deployment():
+    """
+    Four engines, 35% of their capacity in use: one of 29 callers is turned away.
+
+    """
+    shape = drawn.FleetShape('drawn', 4, 6, 11, 1, (138, 0.7, 271), 13.0, 13_000, 380)
+    model = drawn.run_model(shape, drawn.CALM_FACTOR, 339, DetectionMethod.AS_BUILT, 1.0)
+    assert model.turned_away == 0
+
+
 @pytest.mark.parametrize('seed', [22, 70])
 def test_split_knowledge_loses_no_more_than_a_stated_part_with_other_seeds(seed):
     """
