--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -61,7 +61,7 @@
     base = fetch_version(fleet, 'v1')
     adapter = fetch_version(fleet, 'a1', 'quiz-style')
     assert answer.headers['millfork-version'] == f'{base.id}+{adapter.id}'
-    key = weights_key([base.whole, adapter.whole])
+    key = weights_key([base.weights_digest, adapter.weights_digest])
     assert answer.json()['choices'][0]['text'] == answer_text(key, 'p', 3)
     fleet.run_millfork('remove', 'quizzes', f'--organisation={fleet.shape.organisations[0]}')
     wait_until(lambda: complete(fleet, caller_token(fleet), model='quizzes').status == 404)
