--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -378,7 +378,8 @@
         (
             Edit(
                 D + 'sidecar/expiry.py',
-                'if not self.rollout.staged_checked or self.rollout.staged_weights == target.weights:',
+                'if not self.rollout.staged_checked'
+                ' or self.rollout.staged_weights == target.weights:',
                 'if False:',
             ),
         ),
