--- a/packages/millforkd/millforkd/__init__.py
+++ b/packages/millforkd/millforkd/__init__.py
@@ -1,4 +1,4 @@
 """
-The daemon: entry and endpoint roles.
+The daemon `millforkd` in all its roles: entry, endpoint and replica.
 
 """
--- a/packages/millforkd/millforkd/cli/definition.py
+++ b/packages/millforkd/millforkd/cli/definition.py
@@ -8,7 +8,7 @@
 from absl import flags
 
 FLAGS: Final = flags.FLAGS
-USAGE: Final = """millforkd: the daemon of millfork, role entry or endpoint by its settings.
+USAGE: Final = """millforkd: the daemon of millfork, in the role that its settings give.
 
 usage: millforkd --settings=FILE [--check]
 
--- a/packages/millforkd/millforkd/core.py
+++ b/packages/millforkd/millforkd/core.py
@@ -2,7 +2,7 @@
 Runs `millforkd`: chooses the kind of fleet and maps errors to exit statuses.
 
 The code of each kind of fleet, and of each role in a seeded one, is imported only where it
-runs: imports take half of a daemon's start, during which it serves nothing.
+runs: imports take half of a daemon's start-up time, during which it serves nothing.
 
 """
 
--- a/packages/millforkd/millforkd/end_watch.py
+++ b/packages/millforkd/millforkd/end_watch.py
@@ -1,5 +1,5 @@
 """
-Probes a back end whose answers broke off until it is known whether it ended.
+Probes a back end after its answers broke off, until it is known whether it ended.
 
 """
 
--- a/packages/millforkd/millforkd/endpoint/backend_gateway.py
+++ b/packages/millforkd/millforkd/endpoint/backend_gateway.py
@@ -109,7 +109,7 @@
             self.leaving = leaving
             await self.load_changed.set()
 
-    # Messages of entries.
+    # Messages from entries.
 
     async def on_reserve(self, connection: Connection, request: Reserve) -> Reserved:
         """
@@ -145,7 +145,8 @@
 
     async def on_start(self, connection: Connection, message: Start) -> None:
         """
-        Let a reserved request run, as its entry sent `Start`.
+        Let a reserved request run once it has a slot. A request without a reservation of this
+        connection is answered with an `End` that says EXPIRED and NOT_RUN.
 
         """
         reservation = self.reservations.get(message.request_id)
@@ -176,8 +177,8 @@
 
     async def on_closed(self, connection: Connection) -> None:
         """
-        Cancel requests of an entry whose connection closed, as their answers
-        can't be delivered: those not yet sent to the back end, and all of an engine.
+        Cancel the requests of an entry whose connection closed, as their answers can't be
+        delivered. Requests that were already sent to a plain service continue.
 
         """
         if self.entries.get(connection.peer) is connection:
@@ -188,7 +189,7 @@
             if reservation.stage is not Stage.SENT or self.is_engine:
                 await reservation.task.cancel(blocking=False)
 
-    # One request.
+    # Processing of one request.
 
     async def _serve(self, reservation: Reservation) -> None:
         try:
@@ -209,8 +210,8 @@
 
     async def _settle(self, reservation: Reservation) -> None:
         """
-        Record the answer in place of an entry that may be gone. An endpoint
-        never releases a key: the entry may be alive and try another endpoint.
+        Record the answer under the request's idempotency key, as the entry may be gone. An
+        endpoint never releases a key: the entry may be alive and try another endpoint.
 
         """
         request = reservation.request
@@ -295,7 +296,7 @@
             if reservation.request.attempt:
                 body += data
             if coalesce_s:
-                # Everything that the engine sends meanwhile becomes the next piece.
+                # Everything that the engine sends during this wait becomes the next part.
                 await curio.sleep(coalesce_s)
         if reservation.request.attempt:
             reservation.response = Response(reply.status, reply.headers, bytes(body))
@@ -303,8 +304,8 @@
 
     async def _send(self, reservation: Reservation, message: Head | Part) -> None:
         """
-        Send a piece to the entry. The answer to a request with a key is read
-        to its end even if the entry is gone, as its outcome is recorded.
+        Send a message to the entry. The answer to a request with an idempotency key is read to
+        its end even if the entry is gone, as its outcome is recorded.
 
         """
         try:
@@ -315,7 +316,8 @@
 
     def _check_head(self, reservation: Reservation, reply: Reply) -> Refusal | None:
         """
-        Refuse an answer to another request, or by another version of the weights.
+        Return a refusal if the answer belongs to another request, or if the engine has not loaded
+        the requested version or answered with another one; else None.
 
         """
         echoed = reply.header(REQUEST_ID_HEADER)
--- a/packages/millforkd/millforkd/endpoint/daemon.py
+++ b/packages/millforkd/millforkd/endpoint/daemon.py
@@ -103,6 +103,11 @@
             await self.env.spawn_essential(self._run_rollout)
 
     async def _run_rollout(self) -> None:
+        """
+        Run the rollout once this instance is ready: with an older configuration than the zone's,
+        nothing is loaded or served.
+
+        """
         assert self.rollout is not None
         while not self.member.ready_check():
             await curio.sleep(UPDATE_INTERVAL_S)
--- a/packages/millforkd/millforkd/endpoint/engine_client.py
+++ b/packages/millforkd/millforkd/endpoint/engine_client.py
@@ -21,7 +21,7 @@
 
 ORDER_TIMEOUT_S: Final = 120.0
 STATUS_TIMEOUT_S: Final = 2.0
-# Timeout of a probe whether the engine is still alive.
+# Timeout of the query that checks whether the engine is still alive.
 PROBE_TIMEOUT_S: Final = 0.4
 OK_STATUS: Final = 200
 REFUSED_ORDER_STATUS: Final = 409
@@ -90,7 +90,7 @@
 
     async def load(self, version: str, parts: list[dict[str, str]]) -> None:
         """
-        Order the engine to load a version: base first, then adapters.
+        Order the engine to load a version. `parts` lists the base model first, then the adapters.
 
         :raises OrderFailed: if the engine did not load it.
 
--- a/packages/millforkd/millforkd/endpoint/incarnation_tracking.py
+++ b/packages/millforkd/millforkd/endpoint/incarnation_tracking.py
@@ -31,7 +31,8 @@
 class InterruptedRequest:
     """
     A request whose answer was interrupted, with the connection to its entry. `number` is the
-    incarnation that it was sent to. A status that becomes known late is sent to the entry.
+    incarnation that it was sent to. `is_awaited` is set while `record_interruption` waits for
+    the status; a status that becomes known later is sent to the entry.
 
     """
 
@@ -46,7 +47,7 @@
 
 class IncarnationTracker:
     """
-    Numbers the incarnations of one back end.
+    Numbers the incarnations of one back end and determines whether one has ended.
 
     `query_incarnation` asks an engine for its incarnation; a plain service reports none.
 
@@ -127,8 +128,8 @@
         self, request_id: RequestId, connection: Connection, number: int
     ) -> None:
         """
-        Record a cancelled request; the entry is notified whether its incarnation ends soon
-        after.
+        Record a cancelled request. The entry is later notified whether the incarnation ended
+        within `CALLER_LEFT_WATCH_S`.
 
         """
         interrupted = InterruptedRequest(
--- a/packages/millforkd/millforkd/endpoint/rollout.py
+++ b/packages/millforkd/millforkd/endpoint/rollout.py
@@ -78,7 +78,7 @@
         """
         await self.env.spawn_essential(self._wake_after_changes)
         while True:
-            # Without a configuration as new as the zone's, nothing is loaded or served.
+            # Until a configuration is received, nothing is loaded or served.
             if self.view.cluster:
                 await self._reconcile()
             self.wake_event.clear()
@@ -218,8 +218,8 @@
 
     async def _serve_loaded(self) -> None:
         """
-        Serve the wanted version once it is loaded; until then keep serving the
-        version that is.
+        Serve the wanted version once it is loaded. Until then, keep serving the current
+        version if it is still loaded.
 
         """
         served = {}
@@ -234,8 +234,8 @@
 
     async def _unload_unwanted(self) -> None:
         """
-        Unload versions that are not wanted, served or in use by a request, then
-        delete weights that no remaining version needs.
+        Unload versions that are not wanted, served or in use by a request. Once all wanted
+        versions are served and no others are loaded, delete the weights that they don't need.
 
         """
         wanted = {deployment.version for deployment in self.wanted_deployments.values()}
--- a/packages/millforkd/millforkd/quarantine.py
+++ b/packages/millforkd/millforkd/quarantine.py
@@ -30,8 +30,8 @@
 
 class Quarantine(Generic[RequestT]):
     """
-    Decides by the suspicions in memory and by the quarantine list in the replicated state,
-    which survives a loss of power of the whole fleet.
+    Decides which requests are blocked, by the suspicions in memory and by the quarantine list
+    in the replicated state, which survives a loss of power of the whole fleet.
 
     """
 
--- a/packages/millforkd/millforkd/seeded_fleet.py
+++ b/packages/millforkd/millforkd/seeded_fleet.py
@@ -53,12 +53,12 @@
         ','.join(settings.seeds),
         settings.first_start,
     )
-    for figure in settings.promises.replaced:
+    for value in settings.promises.replaced:
         log.warning(
             'Setting {} cannot be used as given: {!r}. Using {:g} instead.',
-            figure.key,
-            figure.given,
-            figure.used,
+            value.key,
+            value.given,
+            value.used,
         )
     return await run_daemon(env, lambda: build(env, settings, adapter), path)
 
