--- a/packages/millfork-core/millfork_core/ids.py
+++ b/packages/millfork-core/millfork_core/ids.py
@@ -1,5 +1,5 @@
 """
-Distinct types for ids, so that the type checker finds confused ones.
+Distinct types for ids, so that the type checker finds ids that are mixed up.
 
 """
 
--- a/packages/millfork-core/millfork_core/logs.py
+++ b/packages/millfork-core/millfork_core/logs.py
@@ -19,8 +19,8 @@
 )
 
 
-# Rate and burst of log lines of a process: more lines than one entry serves requests in a
-# second, few enough to cost no noticeable time.
+# Rate and burst limits of a process's log lines: more lines per second than an entry serves
+# requests, and few enough to cost no noticeable time.
 MAX_LINES_PER_S: Final = 150
 MAX_BURST_LINES: Final = 300
 
@@ -108,7 +108,7 @@
 
 def set_up_bounded(level: str, on_line: Callable[[str], None]) -> None:
     """
-    Send log lines at or above `level` to standard output, by a `BoundedHandler`.
+    Send log lines at or above `level` to standard output, through a `BoundedHandler`.
 
     """
     BoundedHandler(sys.stdout.fileno(), level.upper(), on_line).push_application()
@@ -125,8 +125,8 @@
 
 
 def _redirect_event_loop_logs() -> None:
-    # Curio logs by the standard library. Its warnings are left out: they report late time-outs
-    # and tasks that are never joined, both of which are intended here.
+    # Curio logs through the standard library. Its warnings are left out: they report late
+    # timeouts and tasks that are never joined, both of which are intended here.
     logging.getLogger('curio').addHandler(RedirectLoggingHandler())
     logging.getLogger('curio').setLevel(logging.ERROR)
     logging.getLogger('curio').propagate = False
--- a/packages/millfork-core/millfork_core/signals.py
+++ b/packages/millfork-core/millfork_core/signals.py
@@ -13,7 +13,7 @@
 
 def _ignore_signal(number: int, frame: object) -> None:
     """
-    Replace the default action; the signal's number arrives by the wake-up descriptor.
+    Replace the default action; the signal's number arrives through the wake-up descriptor.
 
     """
 
--- a/packages/millfork-core/millfork_core/verdicts.py
+++ b/packages/millfork-core/millfork_core/verdicts.py
@@ -107,8 +107,8 @@
 @dataclass(frozen=True, slots=True)
 class Refusal:
     """
-    The final refusal of a request: the reason, whether the request may have run, and when to
-    try again (milliseconds; 0: the default for the reason).
+    The refusal of a request or attempt: the reason, whether the request may have run, and when
+    to try again (milliseconds; 0: the default for the reason).
 
     """
 
--- a/packages/millfork-core/millfork_core/windows.py
+++ b/packages/millfork-core/millfork_core/windows.py
@@ -1,14 +1,14 @@
 """
-Figures over a sliding window of time.
+The maximum of values and the rate of events over a sliding window of time.
 
 """
 
 from collections import deque
 from typing import Final
 
-# Replicas count an entry for this long after they last saw it, and so do other entries (there
-# in time with contact to a majority of the replicas). After a loss of power a zone's machines
-# return within minutes, and regions lose contact with each other for about as long.
+# Replicas and entries count an entry for this long after they last saw it. An entry without
+# contact to a majority of the replicas keeps counting the others. After a loss of power a zone's
+# machines return within minutes, and regions lose contact with each other for about as long.
 ENTRIES_REMEMBERED_S: Final = 600.0
 
 
--- a/packages/millfork-settings/millfork_settings/seeded.py
+++ b/packages/millfork-settings/millfork_settings/seeded.py
@@ -189,8 +189,8 @@
     return None if math.isnan(number) else number
 
 
-# The promises that the code of each role reads; the settings file must contain them. While the
-# default replaced a missing one, an entire fleet stopped using old versions 2 s too early.
+# The promises that the code of each role reads; the settings file must contain them. When a
+# default was used for a missing one, an entire fleet stopped using old versions 2 s too early.
 REQUIRED_PROMISES: Final = {
     SeededRole.ENTRY: (
         'heartbeat_ms',
--- a/packages/millfork-web/millfork_web/__init__.py
+++ b/packages/millfork-web/millfork_web/__init__.py
@@ -1,4 +1,4 @@
 """
-HTTP/1.1 on curio by h11: server, client, problem bodies.
+HTTP/1.1 with h11 on curio: server, client, problem bodies.
 
 """
--- a/packages/millfork-weights/millfork_weights/transfer.py
+++ b/packages/millfork-weights/millfork_weights/transfer.py
@@ -159,8 +159,8 @@
     async def _find_manifest(self, name: str, version: str, digest: Digest) -> Manifest:
         """
         Return the manifest from a peer, from the files of an earlier run, or from the origin.
-        If peers and files do not have it, roots request it from the origin in the first round,
-        other instances only after `PEER_ROUNDS_BEFORE_ORIGIN` rounds.
+        If peers and files do not have it, roots and instances without peers request it from the
+        origin in the first round, other instances only after `PEER_ROUNDS_BEFORE_ORIGIN` rounds.
 
         """
         own = self.env.instance
--- a/packages/millfork-wire/millfork_wire/connection.py
+++ b/packages/millfork-wire/millfork_wire/connection.py
@@ -171,7 +171,8 @@
 
     async def write_frames(self) -> None:
         """
-        The writing task: sends all frames that are queued together in one write.
+        The writing task: combines the frames that are queued into one write, up to
+        `MAX_SEND_BATCH_BYTES`.
 
         """
         try:
--- a/packages/millfork-wire/millfork_wire/messages/feed.py
+++ b/packages/millfork-wire/millfork_wire/messages/feed.py
@@ -123,7 +123,7 @@
 @dataclass(slots=True)
 class AskSuspicions(Message):
     """
-    Sent to other entries by an entry that starts, on a fleet with a list of instances. The
-    answer is a `SuspicionReport` with all suspicions of the other entry.
+    Sent to other entries by an entry that starts, in a listed fleet. The answer is a
+    `SuspicionReport` with all suspicions of the other entry.
 
     """
