--- a/packages/millfork-adapter/millfork_adapter/adapter.py
+++ b/packages/millfork-adapter/millfork_adapter/adapter.py
@@ -30,7 +30,7 @@
         """
         Parse a call to a replica; a call of an unknown kind yields `UnknownCall`.
 
-        :raises InvalidMessage: if the call can not be parsed.
+        :raises InvalidMessage: if the call cannot be parsed.
 
         """
 
@@ -50,7 +50,7 @@
         """
         Parse the operator's document.
 
-        :raises InvalidMessage: if any part of the document can not be parsed.
+        :raises InvalidMessage: if any part of the document cannot be parsed.
 
         """
 
@@ -64,7 +64,7 @@
         """
         Parse the request line and headers of a caller's request.
 
-        :raises InvalidMessage: if a header is missing or can not be parsed.
+        :raises InvalidMessage: if a header is missing or cannot be parsed.
 
         """
 
@@ -103,7 +103,7 @@
         """
         Parse an engine's report of its state.
 
-        :raises InvalidMessage: if the report can not be parsed.
+        :raises InvalidMessage: if the report cannot be parsed.
 
         """
 
@@ -117,7 +117,7 @@
         """
         Parse the origin's list of digests.
 
-        :raises InvalidMessage: if the list can not be parsed or a digest is malformed.
+        :raises InvalidMessage: if the list cannot be parsed or a digest is malformed.
 
         """
 
--- a/packages/millfork-adapter/millfork_adapter/calls.py
+++ b/packages/millfork-adapter/millfork_adapter/calls.py
@@ -12,7 +12,7 @@
 
 class InvalidMessage(Exception):
     """
-    A call, request, report or document can not be parsed; the error's text says why.
+    A call, request, report or document cannot be parsed; the error's text says why.
 
     """
 
--- a/packages/millfork-adapter/millfork_adapter/exchange.py
+++ b/packages/millfork-adapter/millfork_adapter/exchange.py
@@ -108,8 +108,9 @@
 class EngineReport:
     """
     An engine's state. Each entry of `served` holds a model, its version, the first layer and
-    the exclusive end of the layers (None: all layers). A changed `incarnation` means that the
-    engine restarted: its memory and the orders sent to it are lost.
+    the exclusive end of the layers (None: all layers). The engine is slower than its declared
+    speed if `pace` is above 1, and is carrying out an order if `busy` is set. A changed
+    `incarnation` means that the engine restarted: its memory and the orders sent to it are lost.
 
     """
 
