--- a/packages/millforkd/millforkd/endpoint/rollout.py
+++ b/packages/millforkd/millforkd/endpoint/rollout.py
@@ -186,7 +186,7 @@
         self.transfers.pop(part.manifest, None)
         await self.wake_event.set()
 
-    def _is_whole(self, deployment: Deployment) -> bool:
+    def _has_complete_weights(self, deployment: Deployment) -> bool:
         for part in deployment.parts:
             stored = self.store.stored_versions.get(part.manifest)
             if stored is None or not stored.is_complete:
@@ -198,7 +198,7 @@
     async def _load_wanted(self) -> None:
         for deployment in self.wanted_deployments.values():
             version = deployment.version
-            if version in self.engine.status.loaded or not self._is_whole(deployment):
+            if version in self.engine.status.loaded or not self._has_complete_weights(deployment):
                 continue
             parts = [
                 {
