--- a/packages/millfork-settings/millfork_settings/seeded.py
+++ b/packages/millfork-settings/millfork_settings/seeded.py
@@ -37,12 +37,12 @@
     ENDPOINT = 'endpoint'
 
 
-def socket_pair(socket: str) -> tuple[str, int]:
+def split_host_port(text: str) -> tuple[str, int]:
     """
-    Host and port of `HOST:PORT`.
+    Split `HOST:PORT` into host and port.
 
     """
-    host, _, port = socket.rpartition(':')
+    host, _, port = text.rpartition(':')
     return host, int(port)
 
 
@@ -251,7 +251,7 @@
         The ids of the seeds.
 
         """
-        return [f'{socket_pair(seed)[0]}:{self.ports.wire}' for seed in self.seeds]
+        return [f'{split_host_port(seed)[0]}:{self.ports.wire}' for seed in self.seeds]
 
     @model_validator(mode='after')
     def check_role(self) -> Self:
--- a/packages/millforkd/millforkd/proxy/daemon.py
+++ b/packages/millforkd/millforkd/proxy/daemon.py
@@ -23,7 +23,7 @@
 from millfork_scheduling.availability import SignalSource
 from millfork_scheduling.quarantine import TrialSchedule
 from millfork_scheduling.server_table import ServerTable
-from millfork_settings.seeded import SeededSettings, socket_pair
+from millfork_settings.seeded import SeededSettings, split_host_port
 from millfork_web.models import Response
 from millfork_web.problem import problem
 from millfork_web.server import Exchange, Server
@@ -116,7 +116,7 @@
         origin = Origin(env, adapter, str(settings.address), lambda: find_origin(self.document))
         self.cache = PieceCache(env, self.peers, origin, self.discovery.caches)
         self.server = Server(
-            *socket_pair(settings.listen.callers),
+            *split_host_port(settings.listen.callers),
             self.forwarding.answer,
             on_refusal=lambda reason: env.metrics.refused(reason, 'http'),
             spawn=env.spawn,
@@ -124,7 +124,7 @@
         self.ready_server = None
         if settings.listen.ready is not None:
             self.ready_server = Server(
-                *socket_pair(settings.listen.ready), self._answer_ready, spawn=env.spawn
+                *split_host_port(settings.listen.ready), self._answer_ready, spawn=env.spawn
             )
         self.admin = Admin(env, settings, self.is_ready)
         self.stopping = False
--- a/packages/millforkd/millforkd/replica/daemon.py
+++ b/packages/millforkd/millforkd/replica/daemon.py
@@ -18,7 +18,7 @@
 from millfork_registry.records import decode_state
 from millfork_registry.registry import RecordChange, Registry
 from millfork_registry.suspicion_store import decode_suspicions
-from millfork_settings.seeded import SeededSettings, socket_pair
+from millfork_settings.seeded import SeededSettings, split_host_port
 from millfork_state.formation import Seeds
 from millfork_state.leader_client import LeaderClient
 from millfork_state.message_handler import StateMessageHandler
@@ -121,7 +121,7 @@
             self.leader_client,
         )
         self.server = Server(
-            *socket_pair(settings.listen.control), self.control.answer, spawn=env.spawn
+            *split_host_port(settings.listen.control), self.control.answer, spawn=env.spawn
         )
         self.admin = Admin(env, settings, self.is_ready)
 
--- a/packages/millforkd/millforkd/sidecar/daemon.py
+++ b/packages/millforkd/millforkd/sidecar/daemon.py
@@ -17,7 +17,7 @@
 from millfork_registry.records import EndpointState, HeldVersion, ServedVersion
 from millfork_registry.roles import ENDPOINT_ROLE
 from millfork_routing.documents import Document, EngineSpec
-from millfork_settings.seeded import SeededSettings, socket_pair
+from millfork_settings.seeded import SeededSettings, split_host_port
 from millfork_web.client import Client
 from millfork_weights.links import Link
 from millfork_wire import messages
@@ -70,7 +70,7 @@
         self.settings = settings
         self.adapter = adapter
         self.service = settings.beside.service
-        self.engine_address = socket_pair(settings.beside.address)
+        self.engine_address = split_host_port(settings.beside.address)
         feed = build_feed(env, settings, ENDPOINT_ROLE, self.handle)
         self.peers = feed.peers
         self.discovery = feed.discovery
