--- a/packages/millfork-settings/millfork_settings/seeded.py
+++ b/packages/millfork-settings/millfork_settings/seeded.py
@@ -23,7 +23,7 @@
 MAX_DURATION_S: Final = 86_400
 MAX_DURATION_MS: Final = 1000 * MAX_DURATION_S
 
-Socket = Annotated[str, Field(pattern=r'^[0-9.]+:[0-9]+$')]
+HostPort = Annotated[str, Field(pattern=r'^[0-9.]+:[0-9]+$')]
 
 
 class SeededRole(Enum):
@@ -62,11 +62,11 @@
 
     """
 
-    callers: Socket | None = Field(None, description='For callers (entry).')
-    ready: Socket | None = Field(
+    callers: HostPort | None = Field(None, description='For callers (entry).')
+    ready: HostPort | None = Field(
         None, description="For the load balancer's readiness check (entry)."
     )
-    control: Socket | None = Field(None, description='For back ends and operators (replica).')
+    control: HostPort | None = Field(None, description='For back ends and operators (replica).')
 
 
 class BesideSettings(StrictModel):
@@ -75,7 +75,7 @@
 
     """
 
-    address: Socket = Field(description='Socket that it listens on.')
+    address: HostPort = Field(description='Socket that it listens on.')
     service: str = Field(description='The service it belongs to.')
 
 
@@ -224,7 +224,7 @@
     listen: Listen = Field(
         default_factory=Listen, description='Sockets for other processes than millfork.'
     )
-    seeds: list[Socket] = Field(
+    seeds: list[HostPort] = Field(
         description='Up to three replicas. Only the host is used; the port is the wire port.'
     )
     first_start: bool = Field(
