--- a/packages/millfork-core/millfork_core/windows.py
+++ b/packages/millfork-core/millfork_core/windows.py
@@ -7,7 +7,7 @@
 from typing import Final
 
 # Replicas and entries count an entry for this long after they last saw it. An entry without
-# contact to a majority of the replicas keeps counting the others. After a loss of power a zone's
+# contact with a majority of the replicas keeps counting the others. After a loss of power a zone's
 # machines return within minutes, and regions lose contact with each other for about as long.
 ENTRIES_REMEMBERED_S: Final = 600.0
 
--- a/packages/millforkd/millforkd/versions.py
+++ b/packages/millforkd/millforkd/versions.py
@@ -114,7 +114,8 @@
     def _named_at(self, key: str, version: int, now: float) -> float:
         """
         When a version was named, as far as this process can tell: when its log entry arrived,
-        which precedes the commit by the time to commit it, or now if that isn't known.
+        which precedes the naming by at most the time to commit the entry; `now` if that time
+        isn't known.
 
         """
         if not self.started:
