--- a/packages/millforkd/millforkd/end_watch.py
+++ b/packages/millforkd/millforkd/end_watch.py
@@ -20,7 +20,7 @@
 GROUPING_DELAY_S: Final = 0.01
 PROBES_BEFORE_RETURN: Final = 2
 # Watches that aren't urgent start with the probe interval that follows this many probes.
-UNHURRIED_PROBES: Final = 4
+INITIAL_PROBES_NOT_URGENT: Final = 4
 # Zones are a few milliseconds apart. A timeout proves nothing, as a network partition also
 # causes one.
 PROBE_TIMEOUT_S: Final = 0.4
@@ -111,7 +111,7 @@
     async def add(self, key: str, subject: Subject, at_once: bool = True) -> None:
         """
         Add an interruption that happens now; it replaces an earlier one with the same key.
-        Without `at_once` the next probe isn't hurried, as the back end may end only later.
+        Without `at_once` the next probe isn't brought forward, as the back end may end only later.
 
         """
         was_idle = not self.interruptions
@@ -122,7 +122,7 @@
             await self.probe_now.set()
             return
         if was_idle:
-            self.probes = UNHURRIED_PROBES
+            self.probes = INITIAL_PROBES_NOT_URGENT
 
     async def wait_until_probed(self) -> None:
         """
--- a/packages/millforkd/millforkd/versions.py
+++ b/packages/millforkd/millforkd/versions.py
@@ -47,7 +47,7 @@
 
 def never_leads() -> bool:
     """
-    For `leads` of a process that follows the replicas.
+    The value of `leads` for a process that follows the replicas.
 
     """
     return False
