--- a/packages/millfork-settings/millfork_settings/seeded.py
+++ b/packages/millfork-settings/millfork_settings/seeded.py
@@ -23,7 +23,7 @@
 MAX_DURATION_S: Final = 86_400
 MAX_DURATION_MS: Final = 1000 * MAX_DURATION_S
 
-Socket = Annotated[str, Field(pattern=r'^[0-9.]+:[0-9]+$')]
+HostPort = Annotated[str, Field(pattern=r'^[0-9.]+:[0-9]+$')]
 
 
 class SeededRole(Enum):
@@ -37,12 +37,12 @@
     ENDPOINT = 'endpoint'
 
 
-def socket_pair(socket: str) -> tuple[str, int]:
+def split_host_port(text: str) -> tuple[str, int]:
     """
-    Host and port of `HOST:PORT`.
+    Split `HOST:PORT` into host and port.
 
     """
-    host, _, port = socket.rpartition(':')
+    host, _, port = text.rpartition(':')
     return host, int(port)
 
 
@@ -62,11 +62,11 @@
 
     """
 
-    callers: Socket | None = Field(None, description='For callers (entry).')
-    ready: Socket | None = Field(
+    callers: HostPort | None = Field(None, description='For callers (entry).')
+    ready: HostPort | None = Field(
         None, description="For the load balancer's readiness check (entry)."
     )
-    control: Socket | None = Field(None, description='For back ends and operators (replica).')
+    control: HostPort | None = Field(None, description='For back ends and operators (replica).')
 
 
 class BesideSettings(StrictModel):
@@ -75,7 +75,7 @@
 
     """
 
-    address: Socket = Field(description='Socket that it listens on.')
+    address: HostPort = Field(description='Socket that it listens on.')
     service: str = Field(description='The service it belongs to.')
 
 
@@ -189,8 +189,8 @@
     return None if math.isnan(number) else number
 
 
-# The promises that the code of each role reads; the settings file must contain them. While the
-# default replaced a missing one, an entire fleet stopped using old versions 2 s too early.
+# The promises that the code of each role reads; the settings file must contain them. When a
+# default was used for a missing one, an entire fleet stopped using old versions 2 s too early.
 REQUIRED_PROMISES: Final = {
     SeededRole.ENTRY: (
         'heartbeat_ms',
@@ -224,7 +224,7 @@
     listen: Listen = Field(
         default_factory=Listen, description='Sockets for other processes than millfork.'
     )
-    seeds: list[Socket] = Field(
+    seeds: list[HostPort] = Field(
         description='Up to three replicas. Only the host is used; the port is the wire port.'
     )
     first_start: bool = Field(
@@ -251,7 +251,7 @@
         The ids of the seeds.
 
         """
-        return [f'{socket_pair(seed)[0]}:{self.ports.wire}' for seed in self.seeds]
+        return [f'{split_host_port(seed)[0]}:{self.ports.wire}' for seed in self.seeds]
 
     @model_validator(mode='after')
     def check_role(self) -> Self:
--- a/packages/millforkd/millforkd/versions.py
+++ b/packages/millforkd/millforkd/versions.py
@@ -47,7 +47,7 @@
 
 def never_leads() -> bool:
     """
-    For `leads` of a process that follows the replicas.
+    The value of `leads` for a process that follows the replicas.
 
     """
     return False
@@ -113,8 +113,9 @@
 
     def _named_at(self, key: str, version: int, now: float) -> float:
         """
-        When a version was named, as far as this process can tell. The result precedes the
-        real time by at most the time to commit the entry.
+        When a version was named, as far as this process can tell: when its log entry arrived,
+        which precedes the naming by at most the time to commit the entry; `now` if that time
+        isn't known.
 
         """
         if not self.started:
