--- a/packages/millfork-standins/millfork_standins/scenario/fleet_status.py
+++ b/packages/millfork-standins/millfork_standins/scenario/fleet_status.py
@@ -1,5 +1,5 @@
 """
-Reads the status of a running fleet and sets its options for scenarios.
+Reads the status of a running fleet, and sets the options of a fleet from text.
 
 """
 
--- a/packages/millfork-standins/millfork_standins/scenario/runner.py
+++ b/packages/millfork-standins/millfork_standins/scenario/runner.py
@@ -96,7 +96,7 @@
                 return
             time.sleep(POLL_S)
         raise ScenarioFailed(
-            f'line {step.line}: {description} does not hold within {step.timeout_s} s'
+            f'line {step.line}: condition not met within {step.timeout_s} s: {description}'
         )
 
     # Steps.
--- a/packages/millfork-standins/millfork_standins/scenario/steps.py
+++ b/packages/millfork-standins/millfork_standins/scenario/steps.py
@@ -47,85 +47,130 @@
 
 @dataclass(frozen=True, slots=True)
 class StartInstance(OnProcess):
-    """Start a daemon, or a back end (`NAME.backend`)."""
+    """
+    Start a daemon, or a back end (`NAME.backend`).
+
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class Stop(OnProcess):
-    """Send SIGTERM to a process without waiting for its end."""
+    """
+    Send SIGTERM to a process without waiting for its end.
+
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class Kill(OnProcess):
-    """Send SIGKILL to a process."""
+    """
+    Send SIGKILL to a process.
+
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class Freeze(OnProcess):
-    """Send SIGSTOP to a process."""
+    """
+    Send SIGSTOP to a process.
+
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class Thaw(OnProcess):
-    """Send SIGCONT to a process."""
+    """
+    Send SIGCONT to a process.
+
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class LoseDisk(OnProcess):
-    """Remove the data folder of a stopped daemon."""
+    """
+    Remove the data folder of a stopped daemon.
+
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class TearLog(OnProcess):
-    """Remove the last bytes of a stopped replica's log."""
+    """
+    Remove the last bytes of a stopped replica's log.
+
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class Leave(OnProcess):
-    """Mark an instance as leaving in the platform's list."""
+    """
+    Mark an instance as leaving in the platform's list.
+
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class Deafen(OnProcess):
-    """Show an instance no further changes of the platform's list."""
+    """
+    Show an instance no further changes of the platform's list.
+
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class Cut(Step):
-    """Cut the links between these pairs of zones and restore all others."""
+    """
+    Cut the links between these pairs of zones and restore all others.
+
+    """
 
     pairs: tuple[tuple[int, int], ...]
 
 
 @dataclass(frozen=True, slots=True)
 class StallLinks(Step):
-    """Stop the traffic between these pairs of zones; connections stay open."""
+    """
+    Stop the traffic between these pairs of zones; connections stay open.
+
+    """
 
     pairs: tuple[tuple[int, int], ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Heal(Step):
-    """Restore the links between all zones."""
+    """
+    Restore the links between all zones.
+
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class Corrupt(Step):
-    """Corrupt this share of the chunks that the origin sends."""
+    """
+    Corrupt this share of the chunks that the origin sends.
+
+    """
 
     share: float
 
 
 @dataclass(frozen=True, slots=True)
 class StallOrigin(Step):
-    """Stop the origin from sending, or let it send again."""
+    """
+    Stop the origin from sending, or let it send again.
+
+    """
 
     stalled: bool
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeVersion(Step):
-    """Replace the bytes of a version at the origin."""
+    """
+    Replace the bytes of a version at the origin.
+
+    """
 
     version: str
     seed: int
@@ -133,26 +178,38 @@
 
 @dataclass(frozen=True, slots=True)
 class Organisations(Step):
-    """Apply the organisations of the shape."""
+    """
+    Apply the organisations of the shape.
+
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class Apply(Step):
-    """Apply the deployment of a version to all engines."""
+    """
+    Apply the deployment of a version to all engines.
+
+    """
 
     version: str
 
 
 @dataclass(frozen=True, slots=True)
 class ApplyMany(Step):
-    """Apply `count` changes of a label in sequence."""
+    """
+    Apply `count` changes of a label in sequence.
+
+    """
 
     count: int
 
 
 @dataclass(frozen=True, slots=True)
 class StartCallers(Step):
-    """Start callers with requests of all kinds or of the named ones."""
+    """
+    Start callers with requests of all kinds or of the named ones.
+
+    """
 
     count: int
     kinds: tuple[str, ...]
@@ -160,12 +217,18 @@
 
 @dataclass(frozen=True, slots=True)
 class HaltCallers(Step):
-    """Stop the callers and wait for their last answers."""
+    """
+    Stop the callers and wait for their last answers.
+
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class Call(Step):
-    """Send one request to an entry and store the answer."""
+    """
+    Send one request to an entry and store the answer.
+
+    """
 
     kind: str
     entry: str
@@ -173,14 +236,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Wait(Step):
-    """Base of all waits."""
+    """
+    Base of all waits.
+
+    """
 
     timeout_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class WaitServing(Wait):
-    """Wait until `count` endpoints serve a version."""
+    """
+    Wait until at least `count` endpoints serve a version.
+
+    """
 
     version: str
     count: int
@@ -188,66 +257,96 @@
 
 @dataclass(frozen=True, slots=True)
 class WaitReady(Wait):
-    """Wait until a daemon is ready."""
+    """
+    Wait until a daemon is ready.
+
+    """
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class WaitExit(Wait):
-    """Wait until a stopping daemon has ended; its exit status must be 0."""
+    """
+    Wait until a stopping daemon has ended; its exit status must be 0.
+
+    """
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class WaitInForce(Wait):
-    """Wait until the last accepted revision is in force on all or on the named instances."""
+    """
+    Wait until the last accepted revision is in force on all or on the named instances.
+
+    """
 
     names: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class WaitVoters(Wait):
-    """Wait until `count` running replicas are voters."""
+    """
+    Wait until at least `count` running replicas are voters.
+
+    """
 
     count: int
 
 
 @dataclass(frozen=True, slots=True)
 class WaitAnswers(Wait):
-    """Wait until the callers have received `count` more right answers."""
+    """
+    Wait until the callers have received `count` more right answers.
+
+    """
 
     count: int
 
 
 @dataclass(frozen=True, slots=True)
 class WaitIdle(Wait):
-    """Wait until an endpoint has started no request for half a second."""
+    """
+    Wait until an endpoint has started no request for half a second.
+
+    """
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class ExpectClean(Step):
-    """Expect at least one right answer, and none wrong, mixed, lost, doubled or missing."""
+    """
+    Expect at least one right answer, and none wrong, mixed, lost, doubled or missing.
+
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class ExpectUncut(Step):
-    """Expect that no connection of a caller ended without a whole answer."""
+    """
+    Expect that no connection of a caller ended without a whole answer.
+
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class ExpectNoLeader(Step):
-    """Expect that `attempts` linearizable reads in a row are refused."""
+    """
+    Expect that `attempts` linearizable reads in a row are refused.
+
+    """
 
     attempts: int
 
 
 @dataclass(frozen=True, slots=True)
 class ExpectCopies(Step):
-    """Compare the copies of a version that the origin sent with a number."""
+    """
+    Compare the copies of a version that the origin sent with a number.
+
+    """
 
     version: str
     operator: str
@@ -256,14 +355,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ExpectAnswer(Step):
-    """Expect this status or reason in the stored answer."""
+    """
+    Expect this status or reason in the stored answer.
+
+    """
 
     answer: str
 
 
 @dataclass(frozen=True, slots=True)
 class ExpectNewWork(Step):
-    """Expect that an endpoint started at most `max_requests` requests since `wait idle`."""
+    """
+    Expect that an endpoint started at most `max_requests` requests since `wait idle`.
+
+    """
 
     name: str
     max_requests: int
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -34,5 +34,5 @@
 
 def test_a_condition_that_is_not_met_in_time_fails_the_run(tmp_path):
     runner = Runner(tmp_path)
-    with pytest.raises(ScenarioFailed, match='line 7: never does not hold within 0.01 s'):
+    with pytest.raises(ScenarioFailed, match='line 7: condition not met within 0.01 s: never'):
         runner._wait(steps.Wait(7, 0.01), 'never', lambda: False)
