--- a/packages/millfork-standins/millfork_standins/callers.py
+++ b/packages/millfork-standins/millfork_standins/callers.py
@@ -18,7 +18,7 @@
 from millfork_standins.weights import answer_text
 
 MAX_TOKENS: Final = 6
-MAX_SENDINGS: Final = 12
+MAX_ATTEMPTS: Final = 12
 PAUSE_S: Final = 0.1
 MAX_RETRY_AFTER_S: Final = 1.0
 PROMPTS: Final = ('summarise the lecture', 'outline the chapter', 'draft the quiz')
@@ -56,7 +56,7 @@
 @dataclass(slots=True)
 class CallRecord:
     """
-    One request of a caller with all its sendings. `cut_off` counts the sendings whose
+    One request of a caller with all its attempts. `cut_off` counts the attempts whose
     connection ended without a whole answer.
 
     """
@@ -65,7 +65,7 @@
     nonce: str
     outcome: CallOutcome
     version: str = ''
-    sendings: int = 1
+    attempts: int = 1
     cut_off: int = 0
     seconds: float = 0.0
     detail: str = ''
@@ -116,14 +116,14 @@
 
     def send_until_answered(self, kind: RequestKind, rng: random.Random) -> CallRecord:
         """
-        Send a request until it is answered with status 200, at most `MAX_SENDINGS` times.
+        Send a request until it is answered with status 200, at most `MAX_ATTEMPTS` times.
 
         """
         nonce = uuid.uuid4().hex
         record = CallRecord(kind, nonce, CallOutcome.LOST)
         prompt = f'{rng.choice(PROMPTS)} {rng.randrange(20)}'
-        for sending in range(MAX_SENDINGS):
-            record.sendings = sending + 1
+        for attempt in range(MAX_ATTEMPTS):
+            record.attempts = attempt + 1
             entry = rng.choice(self.fleet.entries)
             try:
                 answer = self.send(entry, kind, nonce, prompt)
--- a/packages/millfork-standins/millfork_standins/fleet.py
+++ b/packages/millfork-standins/millfork_standins/fleet.py
@@ -276,7 +276,7 @@
 
     def apply(self, declaration: dict[str, Any], timeout: float = APPLY_TIMEOUT_S) -> int:
         """
-        Apply a declaration through any entry and return the revision. All sendings carry the
+        Apply a declaration through any entry and return the revision. All attempts carry the
         same command id, so that a resent declaration is applied once.
 
         :raises FleetError: if no entry accepts it in time.
--- a/packages/millfork-standins/millfork_standins/history.py
+++ b/packages/millfork-standins/millfork_standins/history.py
@@ -25,8 +25,8 @@
 @dataclass(frozen=True, slots=True)
 class Put:
     """
-    One sending of a change; all sendings of a command carry its id. Times are seconds on one
-    clock; `returned` is not used if the outcome is unknown.
+    One attempt to make a change; all attempts of a command carry its id. Times are in seconds
+    on one clock; `returned` is not used if the outcome is unknown.
 
     """
 
@@ -104,7 +104,7 @@
 
 def _check_resends(history: History) -> list[str]:
     """
-    Find commands whose sendings got different outcomes or revisions.
+    Find commands whose attempts got different outcomes or revisions.
 
     """
     answers_by_command: dict[str, set[tuple[Outcome, int]]] = defaultdict(set)
@@ -146,7 +146,8 @@
 
 def _check_order(commands: list[_Command]) -> list[str]:
     """
-    Find revisions that were given twice or contradict real time.
+    Find revisions that were given to two changes, and changes whose revisions contradict the
+    order of their times.
 
     """
     violations = []
@@ -156,7 +157,7 @@
     latest_invoked = 0.0
     for command in commands:
         if command.returned < latest_invoked:
-            violations.append(f'revision {command.revision} ended before an earlier one began')
+            violations.append(f'revision {command.revision} was accepted before a lower one began')
         latest_invoked = max(latest_invoked, command.invoked)
     return violations
 
@@ -211,12 +212,17 @@
             if command.revision <= read.revision:
                 newest[command.key] = command
             elif command.returned < read.invoked:
-                violations.append(f'a read at {read.revision} misses revision {command.revision}')
+                violations.append(
+                    f'a read at revision {read.revision} misses revision {command.revision}'
+                )
             if command.revision <= read.revision and command.invoked > read.returned:
-                violations.append(f'a read at {read.revision} has a change that began later')
+                violations.append(
+                    f'a read at revision {read.revision} has a change that began later'
+                )
         for key, command in newest.items():
             if read.items.get(key) != (command.value, command.revision):
-                violations.append(f'a read at {read.revision} has {key} as {read.items.get(key)}')
+                found = read.items.get(key)
+                violations.append(f'a read at revision {read.revision} returned {found} for {key}')
     return violations
 
 
