--- a/packages/millfork-standins/millfork_standins/soak/__main__.py
+++ b/packages/millfork-standins/millfork_standins/soak/__main__.py
@@ -1,5 +1,5 @@
 """
-Runs the soak: `python -m millfork_standins.soak --seed=1 --runs=5 --seconds=20`.
+Runs the soak test: `python -m millfork_standins.soak --seed=1 --runs=5 --seconds=20`.
 
 """
 
--- a/packages/millfork-standins/millfork_standins/soak/backpressure.py
+++ b/packages/millfork-standins/millfork_standins/soak/backpressure.py
@@ -1,7 +1,8 @@
 """
 Backpressure signals of back ends, drawn by seed, and a check that entries keep to the limits.
 
-The signals have their own random numbers, so that a seed gives the same faults without them.
+The signals are drawn from a random generator of their own, so that a seed gives the same faults
+with and without signals.
 
 """
 
@@ -17,25 +18,26 @@
 MAX_GAP_S: Final = 4.0
 MIN_SIGNAL_S: Final = 4.0
 MAX_SIGNAL_S: Final = 9.0
-LIMITS_PER_S: Final = (0.5, 5.0)
-RESTS_S: Final = (0.5, 3.0)
+LIMIT_RANGE_PER_S: Final = (0.5, 5.0)
+RETRY_AFTER_RANGE_S: Final = (0.5, 3.0)
 # Entries may take this long to apply an announced limit.
 REACTION_TIME_S: Final = 3.0
 # Requests are counted in windows of this length.
 WINDOW_S: Final = 4.0
 # After a fault of an entry, this entry and the daemons that lost their connection to it may not
-# know the limit. Each such fault allows this many requests more, one for each caller.
+# know the limit. Each such fault allows this many more requests, one for each caller.
 EXTRA_REQUESTS_PER_FAULT: Final = 6
 
 
 class SignalKind(Enum):
     """
-    The backpressure signal that a back end sends with all its answers.
+    The backpressure signal that a back end sends with all its answers: a limit, or a 503 with
+    (`RETRY_AFTER`) or without (`TURNED_AWAY`) a retry-after time.
 
     """
 
     LIMIT = 'limit'
-    REST = 'rest'
+    RETRY_AFTER = 'rest'
     TURNED_AWAY = 'turned_away'
 
 
@@ -43,7 +45,7 @@
 class PlannedSignal:
     """
     A signal of one back end, `at_s` after the start of the run. `value` is a limit in
-    requests/s, or a rest in seconds.
+    requests/s or a retry-after time in seconds; it is not used with `TURNED_AWAY`.
 
     """
 
@@ -71,7 +73,9 @@
         if at_s < available_at[back_end]:
             continue
         kind = random.choice(list(SignalKind))
-        value = random.uniform(*(LIMITS_PER_S if kind is SignalKind.LIMIT else RESTS_S))
+        value = random.uniform(
+            *(LIMIT_RANGE_PER_S if kind is SignalKind.LIMIT else RETRY_AFTER_RANGE_S)
+        )
         duration_s = random.uniform(MIN_SIGNAL_S, MAX_SIGNAL_S)
         available_at[back_end] = at_s + duration_s
         signals.append(PlannedSignal(at_s, duration_s, kind, back_end, value))
@@ -86,7 +90,7 @@
         back_end.extra_headers = {client_requests.SERVER_LIMIT: f'{planned.value:.3f}'}
         return
     back_end.turns_away = True
-    if planned.kind is SignalKind.REST:
+    if planned.kind is SignalKind.RETRY_AFTER:
         back_end.extra_headers = {client_requests.RETRY_AFTER: f'{planned.value:.3f}'}
 
 
@@ -138,8 +142,8 @@
             )
             if count > allowed:
                 violations.append(
-                    f'{period.back_end.instance} named {period.limit_per_s:.2f} a second and got '
-                    f'{count} requests in {WINDOW_S:g} s, allowed {allowed:.0f}'
+                    f'{period.back_end.instance} announced {period.limit_per_s:.2f} requests/s '
+                    f'and got {count} requests in {WINDOW_S:g} s, allowed {allowed:.0f}'
                 )
                 break
     return violations
--- a/packages/millfork-standins/millfork_standins/soak/callers.py
+++ b/packages/millfork-standins/millfork_standins/soak/callers.py
@@ -147,7 +147,7 @@
             self.reads += 1
             if read_version < acknowledged_before:
                 self.stale_reads.append(
-                    f'read {read_version} after {acknowledged_before} was acknowledged'
+                    f'read version {read_version} after {acknowledged_before} was acknowledged'
                 )
 
 
--- a/packages/millfork-standins/millfork_standins/soak/fault_plan.py
+++ b/packages/millfork-standins/millfork_standins/soak/fault_plan.py
@@ -8,11 +8,11 @@
 from random import Random
 from typing import Final
 
-# The gaps are shorter than the faults last, so that faults overlap.
+# The gaps between faults are shorter on average than the faults, so that faults overlap.
 MAX_GAP_S: Final = 1.2
 MAX_DURATION_S: Final = 4.0
-# The fleet tolerates the loss of one disk: the next is lost only when the replica that lost the
-# first one has caught up.
+# The fleet tolerates the loss of one disk at a time. In this gap, the replica that lost its disk
+# can catch up before the next loss.
 MIN_DISK_LOSS_GAP_S: Final = 15.0
 
 
--- a/packages/millfork-standins/millfork_standins/soak/link_proxy.py
+++ b/packages/millfork-standins/millfork_standins/soak/link_proxy.py
@@ -11,6 +11,7 @@
 
 READ_BYTES: Final = 64 * 1024
 POLL_INTERVAL_S: Final = 0.02
+# Value of `SO_LINGER` with which a close sends a reset: on, with a timeout of 0 s.
 RESET_ON_CLOSE: Final = struct.pack('ii', 1, 0)
 
 
@@ -77,7 +78,7 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             sock.shutdown(socket.SHUT_RDWR)
         except OSError:
-            # The peer had closed the connection.
+            # The connection is closed already.
             pass
         sock.close()
         self.open_sockets.discard(sock)
--- a/packages/millfork-standins/millfork_standins/soak/run.py
+++ b/packages/millfork-standins/millfork_standins/soak/run.py
@@ -34,12 +34,12 @@
 ENTRIES: Final = 2
 CALLERS: Final = 6
 START_TIMEOUT_S: Final = 20.0
-# The service must recover within this time after the last fault (the bound of the platform).
+# The platform requires that callers are served again within this time after the last fault.
 RECOVERY_TIMEOUT_S: Final = 12.0
 POLL_INTERVAL_S: Final = 0.1
 STOP_TIMEOUT_S: Final = 10.0
 LINK_DELAY_S: Final = 0.3
-# Largest size of a file while the disk is full.
+# A full disk is simulated by this limit on the size of the files that a process writes.
 FULL_DISK_FILE_BYTES: Final = 1
 
 
@@ -58,7 +58,8 @@
 @dataclass(slots=True)
 class SoakResult:
     """
-    The counts of a run, and descriptions of the broken promises.
+    The counts of a run, and descriptions of the broken promises. `documents` is the version of
+    the last acknowledged document.
 
     """
 
@@ -125,11 +126,11 @@
             back_end.advertised = link.address
             self.links.append(link)
         if not self._wait_until(self.operator.put_next, START_TIMEOUT_S):
-            raise RuntimeError('the fleet accepts no document')
+            raise RuntimeError(f'no replica accepted a document within {START_TIMEOUT_S} s')
         self.operator.thread.start()
         self.callers = [Caller(number, self.fleet, self.stop) for number in range(CALLERS)]
         if not self._wait_until(self._all_callers_served, START_TIMEOUT_S):
-            raise RuntimeError('the fleet does not serve')
+            raise RuntimeError(f'not all callers are served within {START_TIMEOUT_S} s')
 
     def _inject_faults(self, faults: list[Fault]) -> None:
         started_at = time.monotonic()
@@ -226,10 +227,10 @@
         except subprocess.TimeoutExpired:
             process.kill()
             process.wait()
-            self.violations.append(f'{host} did not end in {STOP_TIMEOUT_S} s')
+            self.violations.append(f'{host} did not exit within {STOP_TIMEOUT_S} s of SIGTERM')
             return
         if status:
-            self.violations.append(f'{host} ended a planned stop with {status}')
+            self.violations.append(f'{host} exited with status {status} after SIGTERM')
 
     def _handles_signals(self, host: str) -> bool:
         """
@@ -246,7 +247,7 @@
     def _restart_ended_processes(self) -> None:
         for host, process in list(self.fleet.processes.items()):
             if host not in self.hosts_under_fault and process.poll() is not None:
-                self.violations.append(f'{host} ended by itself with {process.returncode}')
+                self.violations.append(f'{host} exited by itself with status {process.returncode}')
                 self.fleet.start_process(host)
 
     def _wait_until(self, condition: Callable[[], bool], timeout_s: float) -> bool:
@@ -272,7 +273,9 @@
             )
 
         if not self._wait_until(all_callers_served_again, RECOVERY_TIMEOUT_S):
-            self.violations.append(f'no service {RECOVERY_TIMEOUT_S} s after the last fault')
+            self.violations.append(
+                f'not all callers are served {RECOVERY_TIMEOUT_S} s after the last fault'
+            )
         if not self._wait_until(lambda: self.operator.read() is not None, RECOVERY_TIMEOUT_S):
             self.violations.append('the document cannot be read back')
         self._restart_ended_processes()
@@ -282,7 +285,8 @@
         read_version = self.operator.read()
         if read_version is None or read_version < self.operator.acknowledged:
             self.violations.append(
-                f'read back {read_version}, acknowledged {self.operator.acknowledged}'
+                f'the last read returned version {read_version}, '
+                f'acknowledged was {self.operator.acknowledged}'
             )
 
     def _result(self, faults: int) -> SoakResult:
