--- a/packages/millfork-standins/millfork_standins/bench/baselines.py
+++ b/packages/millfork-standins/millfork_standins/bench/baselines.py
@@ -39,7 +39,9 @@
     One binary tree for all chunks, in the order of rank.
 
     """
-    names = sorted((h.instance for h in receivers), key=lambda name: rank(digest, name))
+    names = sorted(
+        (receiver.instance for receiver in receivers), key=lambda name: rank(digest, name)
+    )
     parents: dict[InstanceId, InstanceId | None] = {
         name: names[(position - 1) // 2] if position else None
         for position, name in enumerate(names)
--- a/packages/millfork-standins/millfork_standins/bench/capacity.py
+++ b/packages/millfork-standins/millfork_standins/bench/capacity.py
@@ -16,8 +16,8 @@
 from millfork_standins.bench.results import RESULTS_FOLDER
 from millfork_weights.trees import Receiver, plan_trees
 
-# The size planned for two years ahead.
-DAEMONS: Final = 380
+# The size planned for two years ahead. Each server runs one endpoint daemon.
+ENTRIES: Final = 380
 SERVERS: Final = 2800
 ZONES: Final = 11
 CHANGES_PER_DAY: Final = 9400
@@ -130,7 +130,7 @@
             'claim of an idempotency key',
         )
     }
-    listed_instances = DAEMONS + SERVERS
+    listed_instances = ENTRIES + SERVERS
     available_mib = MEMORY_BUDGET_MIB - medians.median('replica', 'memory', LARGE)
     claims = available_mib * 1024 * 1024 / bytes_each['claim of an idempotency key']
     mib = 1024 * 1024
@@ -151,7 +151,7 @@
 
 def _requests_table(medians: CostMedians) -> list[str]:
     values = medians.values
-    entry_requests_per_s = REQUESTS_PER_S / DAEMONS
+    entry_requests_per_s = REQUESTS_PER_S / ENTRIES
     endpoint_requests_per_s = REQUESTS_PER_S / SERVERS
     token_entry_cpu_s = values[('streamed token', 'entry_cpu')] / 1e6
     token_endpoint_cpu_s = values[('streamed token', 'endpoint_cpu')] / 1e6
@@ -162,7 +162,7 @@
         '|---|---|---|---|',
     ]
     for role, requests_per_s, request, token, count in (
-        ('entry', entry_requests_per_s, request_entry_cpu_s, token_entry_cpu_s, DAEMONS),
+        ('entry', entry_requests_per_s, request_entry_cpu_s, token_entry_cpu_s, ENTRIES),
         (
             'endpoint',
             endpoint_requests_per_s,
--- a/packages/millfork-standins/millfork_standins/bench/cost.py
+++ b/packages/millfork-standins/millfork_standins/bench/cost.py
@@ -69,7 +69,8 @@
 
 def _daemons_by_role(fleet: Fleet) -> dict[str, list[str]]:
     """
-    Names of daemons by role, the leader apart from the other replicas, at most 12 endpoints.
+    Names of daemons by role, with the leader apart from the other replicas and at most 12
+    endpoints.
 
     """
     leader = _find_leader(fleet)
@@ -86,7 +87,7 @@
         text = fetch('GET', replica.host, ADMIN_PORT, '/metrics').body.decode()
         if 'millfork_leader 1' in text:
             return replica.name
-    raise RuntimeError('no replica leads')
+    raise RuntimeError('no replica is the leader')
 
 
 def measure_control(results: ExperimentResults, endpoints: int) -> None:
@@ -202,7 +203,7 @@
             machine.apply(SettleKey(key, f'{number:032x}', False, 200, headers, b'x' * 100))
         return machine
 
-    def build_roster() -> Any:
+    def build_instance_list() -> Any:
         return {
             f'instance-{number}': InstanceFacts(
                 InstanceId(f'instance-{number}'),
@@ -219,7 +220,7 @@
     builders: dict[str, Callable[[], Any]] = {
         'key of the configuration': build_view,
         'claim of an idempotency key': build_claims,
-        'listed instance': build_roster,
+        'listed instance': build_instance_list,
     }
     for name, build in builders.items():
         tracemalloc.start()
--- a/packages/millfork-standins/millfork_standins/bench/distribution.py
+++ b/packages/millfork-standins/millfork_standins/bench/distribution.py
@@ -142,7 +142,7 @@
         if case.fault == 'kill' and number % 10 == 1:
             spec.trouble = 'kill'
         if case.fault == 'cut':
-            # Every node must stop its connections to the other zones.
+            # A cut affects every node: each closes its connections to the other zones.
             spec.trouble = 'cut'
         specs.append(spec)
     return specs
--- a/packages/millfork-standins/millfork_standins/bench/engine_model.py
+++ b/packages/millfork-standins/millfork_standins/bench/engine_model.py
@@ -2,7 +2,8 @@
 A model of engines that batch requests, in simulated time.
 
 An engine works in passes. In each pass it reads a limited number of prompt tokens and writes
-a few answer tokens of every request whose prompt is read. Requests without a slot wait in a queue.
+a few answer tokens of every request whose prompt has been read. Requests without a slot wait in a
+queue.
 
 """
 
@@ -83,7 +84,7 @@
 
     def submit(self, generation: Generation) -> None:
         """
-        Queue a request; starts a pass if the engine is idle.
+        Queue a request, and start a pass if the engine is idle.
 
         """
         self.queue.append(generation)
--- a/packages/millfork-standins/millfork_standins/bench/limit_shares.py
+++ b/packages/millfork-standins/millfork_standins/bench/limit_shares.py
@@ -24,12 +24,12 @@
 DURATION_S: Final = 60.0
 STEP_S: Final = 0.02
 WINDOW_S: Final = 4.0
-# Back ends count requests only after entries have had time to apply an announced limit.
+# Requests are counted from this time on, when entries have had time to apply the limit.
 COUNTED_FROM_S: Final = 3.0
 # Logarithm of the highest ratio between the demands of two entries.
 DEMAND_SPREAD: Final = 2.3
 SEED_COUNT: Final = 20
-# Interval of the updates of `DemandShares`: the known demand of the entries is this old.
+# Interval at which `DemandShares` recomputes the shares from the demand of the entries.
 DEMAND_UPDATE_INTERVAL_S: Final = 0.5
 
 
--- a/packages/millfork-standins/millfork_standins/bench/limits.py
+++ b/packages/millfork-standins/millfork_standins/bench/limits.py
@@ -131,7 +131,7 @@
 
 def run(repetitions: int, quick: bool) -> Path:
     """
-    The experiment.
+    Run the experiment.
 
     """
     settings = {'capacity': CAPACITY_PER_S, 'seconds': DURATION_S, 'repetitions': repetitions}
--- a/packages/millfork-standins/millfork_standins/bench/load_generator.py
+++ b/packages/millfork-standins/millfork_standins/bench/load_generator.py
@@ -1,5 +1,5 @@
 """
-Open-loop load on a fleet: requests arrive at drawn times, whether or not earlier ones ended.
+Open-loop load on a fleet: requests arrive at random times, whether or not earlier ones ended.
 
 """
 
--- a/packages/millfork-standins/millfork_standins/bench/retry_detection.py
+++ b/packages/millfork-standins/millfork_standins/bench/retry_detection.py
@@ -1,11 +1,16 @@
 """
-Compares methods to distinguish first tries from retries, under lasting load.
+Compares methods to distinguish first tries from retries, under sustained load.
 
-Callers begin with different timeouts. The methods run on the routing model: as the entries do
-(learned timeouts of first tries, and the requests that entries of the zone remember turning
-away), the longest remaining time seen, the learned timeouts alone, no detection, and exact
-knowledge, which no real entry has. A period of low load comes first, as on a fleet that was in
-use before its load rose.
+Callers begin with different timeouts. Each method runs on the routing model:
+
+- the method of the entries: learned timeouts of first tries, and the requests that entries of the
+  zone remember turning away;
+- the learned timeouts alone;
+- the longest remaining time seen;
+- no detection;
+- exact knowledge, which no real entry has.
+
+A period of low load comes first, as on a fleet that was in use before its load rose.
 
 """
 
--- a/packages/millfork-standins/millfork_standins/bench/routing.py
+++ b/packages/millfork-standins/millfork_standins/bench/routing.py
@@ -1,5 +1,5 @@
 """
-Compares the routing of requests to engines with random choice and round robin.
+Compares the entries' choice of engines with random choice and round robin.
 
 The entries run the real code for choice, prediction and admission; the engines are modelled in
 simulated time. Load reports reach the entries with a delay, as on a real fleet.
@@ -42,7 +42,7 @@
 # One-way network delays within a zone and between zones.
 SAME_ZONE_DELAY_S: Final = 0.0015
 CROSS_ZONE_DELAY_S: Final = 0.004
-# From the arrival of a load query at the sidecar daemon until it has read the engine's load.
+# Time from the arrival of a load query at the sidecar daemon until it has read the engine's load.
 LOAD_READ_DELAY_S: Final = 0.002
 # Lengths of prompts in tokens: mean, standard deviation of the logarithm, maximum.
 PROMPT_TOKENS: Final = (930, 0.83, 3900)
@@ -186,7 +186,8 @@
         self.shape = shape
         self.load_read_delay_s = LOAD_READ_DELAY_S
         self.counted_from_s = counted_from_s
-        # Interval of the reports of an engine within its zone, and of replica messages there.
+        # Interval of the load reports of engines, and of the messages of replicas to entries,
+        # within a zone.
         self.same_zone_report_interval_s = same_zone_report_interval_s
         self.requests_per_s = requests_per_s
         self.random = Random(seed)
--- a/packages/millfork-standins/millfork_standins/bench/turning_away.py
+++ b/packages/millfork-standins/millfork_standins/bench/turning_away.py
@@ -1,5 +1,5 @@
 """
-Compares how entries react to an engine that turns requests away at once.
+Compares how entries react to an engine that turns requests away immediately.
 
 In the routing model, one engine turns away all or a share of the requests that reach it. These
 occupy no slot, so the load reports of the engine still show it as free.
@@ -40,7 +40,7 @@
 
 def ignore(server: Server, sent_at: float, now: float) -> None:
     """
-    Record nothing, the baseline.
+    Record nothing (the baseline).
 
     """
 
--- a/packages/millfork-standins/millfork_standins/bench/weight_node.py
+++ b/packages/millfork-standins/millfork_standins/bench/weight_node.py
@@ -51,8 +51,9 @@
 class Plan(msgspec.Struct):
     """
     All nodes of a run, and in `mine` the names of those that this process runs. `versions` are
-    (name, version, digest); the second replaces the first `second_s` after the start. Transfers use
-    `share` of the link, on which both directions compete if `together` is set.
+    (name, version, digest); the second replaces the first `second_s` after the common start, which
+    is at `start_at` (monotonic seconds). Transfers use `share` of the link, on which both
+    directions compete if `together` is set.
 
     """
 
@@ -133,8 +134,8 @@
 
     async def run(self) -> dict[str, Any]:
         """
-        Fetch the last version. The result has the seconds since the common start, or None for a
-        node that was killed.
+        Fetch the last version. The result has the seconds since the common start (None for a
+        node that was killed), and the seconds that live answers waited.
 
         """
         listening = await curio.spawn(self.peers.listen, daemon=True)
@@ -186,8 +187,8 @@
 
     async def _send_live_answers(self) -> None:
         """
-        Measure how long live answers wait on the outward link, with one answer after each pause
-        of 0.1 s. They must not wait behind transfers.
+        Measure how long live answers wait for the outbound link, with a pause of 0.1 s between
+        answers. They must not wait behind transfers.
 
         """
         size = self.plan.live_bytes_per_s / 10
