--- a/packages/millfork-standins/millfork_standins/demo.py
+++ b/packages/millfork-standins/millfork_standins/demo.py
@@ -72,13 +72,13 @@
             rows = [r for r in self.fetch_rollouts() if r['version'] == self.versions[version].id]
             serving = rows[0]['serving'] if rows else 0
             if serving != last_reported:
-                report(f'  {version} serves on {serving} of {replicas}')
+                report(f'  {serving} of {replicas} replicas serve {version}')
                 last_reported = serving
             if serving >= replicas:
                 return time.monotonic() - started_at
             time.sleep(POLL_S)
         raise FleetError(
-            f'{version} serves on {last_reported} of {replicas} after {ROLLOUT_TIMEOUT_S} s'
+            f'{last_reported} of {replicas} replicas serve {version} after {ROLLOUT_TIMEOUT_S} s'
         )
 
     def run(self) -> dict[str, Any]:
@@ -95,7 +95,7 @@
         self.apply('v1.yaml', fleet.deployment_declaration('v1'))
         first_s = self.wait_until_serving('v1', replicas, started_at)
         copies = self._count_copies('v1')
-        report(f'  v1 serves on all after {first_s:.2f} s; origin sent {copies:.2f} copies')
+        report(f'  all replicas serve v1 after {first_s:.2f} s; origin sent {copies:.2f} copies')
         report('Starting the callers. Rollout of v2 under their load.')
         self.callers.start()
         started_at = time.monotonic()
@@ -110,7 +110,7 @@
         fleet.start_daemon(fleet.replicas[1])
         second_s = self.wait_until_serving('v2', replicas, started_at)
         copies = self._count_copies('v2')
-        report(f'  v2 serves on all after {second_s:.2f} s; origin sent {copies:.2f} copies')
+        report(f'  all replicas serve v2 after {second_s:.2f} s; origin sent {copies:.2f} copies')
         time.sleep(LOAD_AFTER_ROLLOUT_S)
         self.callers.stop()
         return self._summary(replicas, first_s, second_s)
--- a/packages/millfork-standins/millfork_standins/deployments.py
+++ b/packages/millfork-standins/millfork_standins/deployments.py
@@ -22,7 +22,7 @@
 class Shape:
     """
     The zones of a deployment and the number of servers of each service. `network_number` is the
-    second number of its loopback addresses, `disks` the number of entries with a data folder.
+    second octet of its loopback addresses, `disks` the number of entries with a data folder.
 
     """
 
--- a/packages/millfork-standins/millfork_standins/engine.py
+++ b/packages/millfork-standins/millfork_standins/engine.py
@@ -1,5 +1,5 @@
 """
-A stand-in of a model engine with continuous batching, a prefix cache, priorities and orders.
+A stand-in for a model engine with continuous batching, a prefix cache, priorities and orders.
 
 Its tokens are computed from the bytes that it loaded, so that a caller notices an answer from
 partial or mixed weights.
@@ -103,6 +103,7 @@
     def _is_published(self, event: dict[str, Any]) -> bool:
         lag_s = self.settings.event_lag_ms / 1000
         number = int(event['number'])
+        # Multiples of the golden ratio spread the events that are never published evenly.
         has_gap = (number * 0.618) % 1 < self.settings.event_gap_share
         return not has_gap and _now() - float(event['at']) > lag_s
 
--- a/packages/millfork-standins/millfork_standins/layout.py
+++ b/packages/millfork-standins/millfork_standins/layout.py
@@ -212,7 +212,7 @@
 
 def _reserve_network_number(first: int) -> tuple[int, socket.socket]:
     """
-    Reserve the second number of the fleet's addresses. The returned socket stays bound while
+    Reserve the second octet of the fleet's addresses. The returned socket stays bound while
     the fleet exists, so that fleets running at the same time choose other numbers.
 
     """
--- a/packages/millfork-standins/millfork_standins/origin.py
+++ b/packages/millfork-standins/millfork_standins/origin.py
@@ -1,5 +1,5 @@
 """
-A stand-in of the origin of weights, with a limited rate and faults on request.
+A stand-in for the origin of weights, with a limited rate and faults on request.
 
 """
 
@@ -29,7 +29,7 @@
 
     def __init__(self, settings: OriginSettings) -> None:
         self.settings = settings
-        self.pace = RateLimiter(settings.bytes_per_s, time.monotonic)
+        self.rate_limiter = RateLimiter(settings.bytes_per_s, time.monotonic)
         self.random = random.Random(0)
         self.corrupt_share = 0.0
         self.stalled = False
@@ -92,7 +92,7 @@
         self, exchange: Exchange, key: tuple[str, str], start: int, stop: int
     ) -> None:
         data = self.weights[key][start:stop]
-        await self.pace.acquire(len(data))
+        await self.rate_limiter.acquire(len(data))
         self.bytes_sent += len(data)
         name = '/'.join(key)
         self.bytes_by_version[name] = self.bytes_by_version.get(name, 0) + len(data)
--- a/packages/millfork-standins/millfork_standins/platform.py
+++ b/packages/millfork-standins/millfork_standins/platform.py
@@ -1,5 +1,5 @@
 """
-A stand-in of the platform's instance list, which shows changes with a delay.
+A stand-in for the platform's instance list that shows changes with a delay.
 
 """
 
--- a/packages/millfork-standins/millfork_standins/relay.py
+++ b/packages/millfork-standins/millfork_standins/relay.py
@@ -3,7 +3,7 @@
 
 `POST /cut/1-2,1-3` closes the connections between these pairs of zones and refuses new ones.
 `POST /freeze/1-2` stops the bytes but leaves the connections open. Each call replaces the pairs
-of the call before.
+of the previous call of its kind.
 
 """
 
@@ -27,7 +27,7 @@
 
 class Relay:
     """
-    One relay process; `open_sockets` are kept by pair of zones.
+    One relay process; `open_sockets` holds the open sockets by pair of zones.
 
     """
 
@@ -57,7 +57,8 @@
 
     async def _control(self, sock: Any, target: str) -> None:
         """
-        Cut or freeze the pairs of zones in `target`, and restore all others.
+        Cut or freeze the links between the pairs of zones in `target`. All other links that an
+        earlier call of the same kind cut or froze are restored.
 
         """
         kind, _, pairs_text = target.strip('/').partition('/')
--- a/packages/millfork-standins/millfork_standins/seeded.py
+++ b/packages/millfork-standins/millfork_standins/seeded.py
@@ -149,17 +149,19 @@
         self.executed: list[dict[str, str]] = []
         # Arrival time of each request, in monotonic seconds.
         self.arrived_at: list[float] = []
-        # Number of requests that crash this back end, and time until the crash.
+        # Number of requests that crashed this back end, and seconds from their arrival until the
+        # crash.
         self.crash_request_count = 0
         self.crash_delay_s = 0.0
         # Headers added to all answers.
         self.extra_headers: dict[str, str] = {}
         self.service_time_s = 0.0
         self.drops_requests = False
-        # Time between the close of the connections and of the listening address in a crash.
+        # Seconds between the close of the connections and of the listening address in a crash.
         self.address_close_delay_s = 0.0
         # Answers all requests with 503 and the header that they were not run.
         self.turns_away = False
+        # Requests wait for this event before they are answered.
         self.release = threading.Event()
         self.release.set()
         self.ended = threading.Event()
@@ -230,7 +232,8 @@
 
     def max_arrivals_within(self, seconds: float, since: float) -> int:
         """
-        The highest number of requests that arrived in any interval of `seconds` after `since`.
+        The highest number of requests that arrived in any interval of `seconds` that begins at
+        or after `since` (monotonic seconds).
 
         """
         times = [at for at in list(self.arrived_at) if at >= since]
@@ -285,7 +288,7 @@
         endpoints: int = 0,
     ) -> None:
         self.folder = folder
-        # Time during which requests may still be started on an older version of weights.
+        # Milliseconds in which requests may still be started on an older version of weights.
         self.version_ms = version_ms
         # Tests that run at the same time need different addresses.
         network = f'127.{100 + os.getpid() % 100}'
--- a/packages/millfork-standins/millfork_standins/service.py
+++ b/packages/millfork-standins/millfork_standins/service.py
@@ -1,5 +1,5 @@
 """
-A stand-in of a plain service that echoes requests and logs their execution.
+A stand-in for a plain service that echoes requests and logs their execution.
 
 """
 
--- a/packages/millfork-standins/millfork_standins/settings.py
+++ b/packages/millfork-standins/millfork_standins/settings.py
@@ -28,9 +28,10 @@
     cached_prefixes: int = 64
     load_lag_ms: float = 200
     event_lag_ms: float = 500
+    # Share of the cache events that are never published.
     event_gap_share: float = 0.1
     # Time that the engine works on a request that crashes it, and time between the close of its
-    # connections and the close of its listening address.
+    # connections and the close of its listening address (0: they close together).
     crash_after_ms: float = 200
     closes_after_ms: float = 0
 
@@ -87,7 +88,7 @@
 
 class RelaySettings(StrictModel):
     """
-    Settings of the proxy between zones. The third number of an address is its zone.
+    Settings of the proxy between zones. The third octet of an address is its zone number.
 
     """
 
--- a/packages/millfork-standins/millfork_standins/versions.py
+++ b/packages/millfork-standins/millfork_standins/versions.py
@@ -1,5 +1,5 @@
 """
-Ids and keys of versions, by which callers check answers, read from the origin.
+Reads the ids and keys of versions from the origin; callers check answers with them.
 
 """
 
@@ -17,8 +17,8 @@
 @dataclass(frozen=True, slots=True)
 class KnownVersion:
     """
-    The id of a version in answers, the digest of its weights, and the key of an engine that
-    loaded no other weights.
+    The id by which answers name a version, the digest of its weights, and the key (see
+    `weights_key`) of an engine that loaded only these weights.
 
     """
 
@@ -29,7 +29,7 @@
 
 def fetch_version(fleet: Fleet, version: str, model: str = '') -> KnownVersion:
     """
-    Read the version's current manifest from the origin.
+    Read the version's current manifest from the origin and compute its id and key.
 
     """
     path = f'/models/{model or fleet.shape.model}/{version}/manifest'
--- a/packages/millfork-standins/millfork_standins/weights.py
+++ b/packages/millfork-standins/millfork_standins/weights.py
@@ -11,7 +11,8 @@
 
 def make_weights(spec: VersionSettings, base: bytes = b'', chunk_bytes: int = 1) -> bytes:
     """
-    Generate the bytes of a version; its first chunks are copied from `base`.
+    Generate the bytes of a version. If `base` is given, the first chunks are copied from it, a
+    share of `spec.kept` rounded down to whole chunks.
 
     """
     generated = random.Random(f'{spec.name}/{spec.version}/{spec.seed}').randbytes(spec.size)
