--- a/packages/millfork-standins/millfork_standins/bench/retry_detection.py
+++ b/packages/millfork-standins/millfork_standins/bench/retry_detection.py
@@ -80,7 +80,7 @@
         self.classifications: Counter[tuple[bool, bool]] = Counter()
         self.turned_away = 0
         # Prompt tokens of the requests that ended, and whether they were answered.
-        self.answered: list[tuple[int, bool]] = []
+        self.ended_requests: list[tuple[int, bool]] = []
         self.scheduler.schedule(
             CALM_DURATION_S, partial(setattr, self, 'requests_per_s', shape.capacity * factor)
         )
@@ -122,7 +122,7 @@
     def _count(self, request: ModelRequest, outcome: str) -> None:
         super()._count(request, outcome)
         if request.created_at > CALM_DURATION_S:
-            self.answered.append((request.prompt_tokens, outcome != 'refused'))
+            self.ended_requests.append((request.prompt_tokens, outcome != 'refused'))
 
     def simulate(self) -> None:
         """
--- a/tests/test_drawn_deployments.py
+++ b/tests/test_drawn_deployments.py
@@ -106,7 +106,7 @@
 @given(SHAPES, SEEDS, MIN_TIMEOUT_SHARES, st.sampled_from([1.0, 1.5]))
 def test_no_length_of_prompt_is_starved(shape, seed, min_timeout_share, factor):
     model = run_model(shape, factor, seed, DetectionMethod.AS_BUILT, min_timeout_share)
-    by_prompt_length = sorted(model.answered)
+    by_prompt_length = sorted(model.ended_requests)
     longest_tenth = by_prompt_length[-len(by_prompt_length) // 10 :]
     served = sum(answered for _, answered in longest_tenth) / len(longest_tenth)
     overall = sum(answered for _, answered in by_prompt_length) / len(by_prompt_length)
