--- a/packages/millfork-standins/millfork_standins/history.py
+++ b/packages/millfork-standins/millfork_standins/history.py
@@ -222,7 +222,7 @@
         for key, command in newest.items():
             if read.items.get(key) != (command.value, command.revision):
                 found = read.items.get(key)
-                violations.append(f'a read at revision {read.revision} returned {found} for {key}')
+                violations.append(f'a read at revision {read.revision} has {key} as {found}')
     return violations
 
 
