--- a/packages/millfork-standins/millfork_standins/bench/retry_detection.py
+++ b/packages/millfork-standins/millfork_standins/bench/retry_detection.py
@@ -1,11 +1,16 @@
 """
-Compares methods to distinguish first tries from retries, under lasting load.
+Compares methods to distinguish first tries from retries, under sustained load.
 
-Callers begin with different timeouts. The methods run on the routing model: as the entries do
-(learned timeouts of first tries, and the requests that entries of the zone remember turning
-away), the longest remaining time seen, the learned timeouts alone, no detection, and exact
-knowledge, which no real entry has. A period of low load comes first, as on a fleet that was in
-use before its load rose.
+Callers begin with different timeouts. Each method runs on the routing model:
+
+- the method of the entries: learned timeouts of first tries, and the requests that entries of the
+  zone remember turning away;
+- the learned timeouts alone;
+- the longest remaining time seen;
+- no detection;
+- exact knowledge, which no real entry has.
+
+A period of low load comes first, as on a fleet that was in use before its load rose.
 
 """
 
@@ -75,7 +80,7 @@
         self.classifications: Counter[tuple[bool, bool]] = Counter()
         self.turned_away = 0
         # Prompt tokens of the requests that ended, and whether they were answered.
-        self.answered: list[tuple[int, bool]] = []
+        self.ended_requests: list[tuple[int, bool]] = []
         self.scheduler.schedule(
             CALM_DURATION_S, partial(setattr, self, 'requests_per_s', shape.capacity * factor)
         )
@@ -117,7 +122,7 @@
     def _count(self, request: ModelRequest, outcome: str) -> None:
         super()._count(request, outcome)
         if request.created_at > CALM_DURATION_S:
-            self.answered.append((request.prompt_tokens, outcome != 'refused'))
+            self.ended_requests.append((request.prompt_tokens, outcome != 'refused'))
 
     def simulate(self) -> None:
         """
