--- a/tests/test_faults_left_open.py
+++ b/tests/test_faults_left_open.py
@@ -35,7 +35,7 @@
 STEP_S = 30
 
 
-def test_a_request_that_only_ran_beside_the_one_at_fault_is_tried_again_within_a_day():
+def test_a_request_that_only_ran_beside_a_crashing_one_is_tried_again_within_half_a_day():
     """
     Three back ends ended one after another. All requests that ran on them are suspected, and only
     a complete answer clears one; without a trial there can be none.
