--- a/tests/test_faults_left_open.py
+++ b/tests/test_faults_left_open.py
@@ -78,8 +78,10 @@
 clock = heartbeats.clock
 
 
-@pytest.mark.parametrize(('late', 'live'), [(0, 0), (1, 2)], ids=['start-not-told', 'start-told'])
-def test_a_late_first_heartbeat_of_one_that_has_ended_ends_no_lease(replica, clock, late, live):
+@pytest.mark.parametrize(
+    ('late', 'live'), [(0, 0), (1, 2)], ids=['without-incarnation', 'with-incarnation']
+)
+def test_a_late_first_heartbeat_of_an_ended_back_end_ends_no_lease(replica, clock, late, live):
     """
     If the heartbeats carry incarnations, the live process has the later one, which decides.
 
