--- a/tests/test_faults_left_open.py
+++ b/tests/test_faults_left_open.py
@@ -119,7 +119,7 @@
 
 
 @pytest.mark.parametrize('seed', [22, 70])
-def test_split_knowledge_loses_no_more_than_a_stated_part_with_other_seeds(seed):
+def test_many_entries_lose_no_more_than_a_stated_share_with_other_seeds(seed):
     """
     13 entries in front of four engines. With two of 200 other seeds the loss exceeds 0.2.
 
