--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -93,7 +93,7 @@
     assert result.statuses[200]
 
 
-def test_back_ends_say_all_there_is_and_the_faults_stay_the_same():
+def test_a_seed_gives_the_same_signals_and_all_kinds_occur():
     planned_signals = [item for seed in range(20) for item in plan_signals(seed, 20, 3)]
     assert {item.kind for item in planned_signals} == set(SignalKind)
     assert plan_signals(7, 20, 3) == plan_signals(7, 20, 3)
