--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -140,7 +140,7 @@
     assert [item.instance for item in registry.leases.values()] == ['i-2']
 
 
-def test_only_changes_of_load_are_not_announced_without_delay(registry):
+def test_a_change_of_load_alone_is_not_announced_immediately(registry):
     state = EndpointState('e:1', 'service', 'zone', '10.0.0.1', 80, 1, reachable=True)
     assert registry.merge_endpoint_state(state) is RecordChange.CHANGED
     busier = msgspec.structs.replace(state, sequence=2, running=9)
