--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -150,10 +150,10 @@
     assert registry.merge_endpoint_state(state) is RecordChange.NONE
 
 
-def test_transfer_progress_is_not_announced_without_delay(registry):
+def test_transfer_progress_is_not_announced_immediately(registry):
     """
-    While weights change, each daemon receives a chunk every 0.05 s. Announced without delay,
-    each chunk would make a replica send to all its followers.
+    While weights change, each daemon receives a chunk every 0.05 s. If each chunk were announced
+    immediately, a replica would send a message to all its followers each time.
 
     """
     first = EndpointState('e:1', 'service', 'zone', '10.0.0.1', 80, 1, reachable=True)
