--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -90,7 +90,7 @@
     assert waiting.connection.lost
 
 
-def test_answers_to_requests_of_another_rank_do_not_end_the_wait():
+def test_answers_to_requests_of_another_urgency_do_not_end_the_wait():
     waiting = WaitingRequest()
     waiting.clock.now += TOO_LONG_S
     waiting.answer_other(OVERTAKEN_S * 2, urgency=1)
