--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -65,7 +65,7 @@
     assert table.find('other', '/a/') is None
 
 
-def test_organisations_are_found_by_key_and_determine_the_rank():
+def test_organisations_are_found_by_key_and_determine_the_priority():
     first = organisation('a', 'k', 'l', priority=0)
     table = RouteTable(document(route(), organisations=[first]))
     assert table.organisation_of_key('l') is first
