--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -171,7 +171,7 @@
     assert curio.run(run) == (0, 0, {})
 
 
-def test_one_organisation_has_a_ceiling_on_an_entry():
+def test_concurrent_requests_of_one_organisation_at_an_entry_are_limited():
     count = InFlightCounter(1)
     assert count.try_acquire(ONE)
     assert not count.try_acquire(ONE)
