--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -116,7 +116,7 @@
 
 
 @given(CACHES, st.sampled_from(['z1', 'z2', 'z3']))
-def test_the_named_caches_of_a_zone_do_not_depend_on_their_order(caches, zone):
+def test_the_advertised_caches_of_a_zone_do_not_depend_on_their_order(caches, zone):
     found = advertised_caches(caches, zone)
     assert advertised_caches([*reversed(caches), *caches[:3]], zone) == found
     for name in ('z1', 'z2', 'z3'):
