--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -50,7 +50,7 @@
     return request(path, 'POST', body=CRASHING_BODY)
 
 
-def ask_until(fleet, condition):
+def send_until(fleet, condition):
     """
     Send the request to the entries in turn until `condition` is true. An entry doesn't count an
     end before it learns of it, so this may take one end more than three.
@@ -69,7 +69,7 @@
 
 
 def test_no_entry_sends_a_request_that_ended_back_ends(fleet):
-    ask_until(fleet, lambda: count_ended(fleet) >= ENDS_BEFORE_QUARANTINE)
+    send_until(fleet, lambda: count_ended(fleet) >= ENDS_BEFORE_QUARANTINE)
     wait_for_seconds(KNOWN_TO_ALL_AFTER_S)
     before = count_ended(fleet)
     replies = [fleet.send_request(crashing_request(), number % 2) for number in range(TRIES)]
@@ -80,7 +80,7 @@
 
 
 def test_the_quarantine_outlives_all_processes_at_once(fleet):
-    ask_until(fleet, lambda: is_quarantined(fleet))
+    send_until(fleet, lambda: is_quarantined(fleet))
     before = count_ended(fleet)
     hosts = list(fleet.processes)
     for host in hosts:
