--- a/tests/test_late_closing_back_ends.py
+++ b/tests/test_late_closing_back_ends.py
@@ -21,7 +21,7 @@
 BACK_ENDS = 24
 CALLS = 20
 # Of two entries, one may send before it learns of the third end at the other one.
-MAX_CROSSING_ENDS = 1
+MAX_CONCURRENT_ENDS = 1
 
 
 @pytest.fixture
@@ -46,7 +46,7 @@
     for back_end in fleet.back_ends:
         back_end.address_close_delay_s = address_close_delay_s
     replies = [fleet.send_request(crashing_request(), number % 2) for number in range(CALLS)]
-    assert count_ended(fleet) <= ENDS_BEFORE_QUARANTINE + MAX_CROSSING_ENDS + MAX_FURTHER_ENDS
+    assert count_ended(fleet) <= ENDS_BEFORE_QUARANTINE + MAX_CONCURRENT_ENDS + MAX_FURTHER_ENDS
     assert all(reply.status in (502, 503) for reply in replies)
 
 
