--- a/tests/test_drawn_deployments.py
+++ b/tests/test_drawn_deployments.py
@@ -48,7 +48,7 @@
 TURNED_AWAY_SHAPE = FleetShape(
     'drawn', 13, 6, 24, 2, (131, 0.7, 254), 6.997504161593848, 30_259, 406
 )
-MISTAKEN_RETURN_SHAPES = (
+MISTAKEN_RETRY_SHAPES = (
     FleetShape('drawn', 10, 6, 36, 1, (80, 0.7, 296), 13.897545887471175, 13_553, 394),
     FleetShape('drawn', 23, 7, 35, 1, (140, 0.7, 227), 9.783064543903913, 16_534, 554),
 )
@@ -59,8 +59,8 @@
 
 @settings(max_examples=4, deadline=DEADLINE_MS)
 @example(TURNED_AWAY_SHAPE, 506, 0.7812783069805206)
-@example(MISTAKEN_RETURN_SHAPES[0], 900, 0.9219497462551316)
-@example(MISTAKEN_RETURN_SHAPES[1], 467, 0.8402673446999119)
+@example(MISTAKEN_RETRY_SHAPES[0], 900, 0.9219497462551316)
+@example(MISTAKEN_RETRY_SHAPES[1], 467, 0.8402673446999119)
 @example(COMPARED_ENGINES_FULL_SHAPE, 546, 0.823290623926907)
 @given(SHAPES, SEEDS, MIN_TIMEOUT_SHARES)
 def test_no_caller_is_turned_away_while_half_of_the_slots_are_free(shape, seed, min_timeout_share):
