--- a/tests/test_drawn_deployments.py
+++ b/tests/test_drawn_deployments.py
@@ -18,7 +18,7 @@
 # Share of all first tokens that many entries may lose against a single one: each knows only its
 # own choices and load reports up to 0.3 s old.
 MAX_SPLIT_LOSS = 0.2
-CALM_FACTOR = 0.35
+LOW_LOAD_FACTOR = 0.35
 # Lower bound of the served share of the longest prompts, relative to that of all prompts.
 MIN_SERVED_SHARE = 0.25
 
@@ -74,7 +74,7 @@
     it knows before it turns a caller away.
 
     """
-    model = run_model(shape, CALM_FACTOR, seed, DetectionMethod.AS_BUILT, min_timeout_share)
+    model = run_model(shape, LOW_LOAD_FACTOR, seed, DetectionMethod.AS_BUILT, min_timeout_share)
     assert model.outcomes.counts['refused'] == 0
     assert model.turned_away == 0
 
--- a/tests/test_faults_left_open.py
+++ b/tests/test_faults_left_open.py
@@ -114,7 +114,7 @@
 
     """
     shape = drawn.FleetShape('drawn', 4, 6, 11, 1, (138, 0.7, 271), 13.0, 13_000, 380)
-    model = drawn.run_model(shape, drawn.CALM_FACTOR, 339, DetectionMethod.AS_BUILT, 1.0)
+    model = drawn.run_model(shape, drawn.LOW_LOAD_FACTOR, 339, DetectionMethod.AS_BUILT, 1.0)
     assert model.turned_away == 0
 
 
