--- a/tests/test_faults_left_open.py
+++ b/tests/test_faults_left_open.py
@@ -56,7 +56,7 @@
     curio.run(run)
 
 
-def test_an_older_version_ends_in_time_if_all_replicas_lose_power_after_a_new_one_is_named(tmp_path):
+def test_a_superseded_version_ends_in_time_if_all_replicas_lose_power(tmp_path):
     """
     The leader acknowledged the new version, but no other replica had learned of the commit. After
     the power loss no replica knows for how long all were down.
