--- a/tests/test_faults_left_open.py
+++ b/tests/test_faults_left_open.py
@@ -29,6 +29,7 @@
 from tests.test_versions import SWITCH_S
 
 DOWN_S = 3.0
+# Offered load relative to the capacity of the engines.
 LOAD_FACTOR = 1.2
 MIN_TIMEOUT_SHARE = 0.9
 DAY_S = 24 * 3600
@@ -37,8 +38,8 @@
 
 def test_a_request_that_only_ran_beside_a_crashing_one_is_tried_again_within_half_a_day():
     """
-    Three back ends ended one after another. All requests that ran on them are suspected, and only
-    a complete answer clears one; without a trial there can be none.
+    Three back ends end one after another. Every request that ran on them is suspected, and only a
+    complete answer clears it. A quarantined request isn't sent again, so it never gets one.
 
     """
 
@@ -51,7 +52,7 @@
             clock.now += STEP_S
             if entry.quarantine.blocking_level(entry.job) is None:
                 return
-        pytest.fail('it was refused for half a day, and never tried')
+        pytest.fail('the request was refused for half a day and never tried again')
 
     curio.run(run)
 
@@ -74,6 +75,7 @@
     assert versions.ends_at('m', 1) <= acknowledged_at + SWITCH_S - CANCEL_MARGIN_S
 
 
+# Fixtures of the other module, which pytest finds only by a name in this one.
 replica = heartbeats.replica
 clock = heartbeats.clock
 
@@ -95,7 +97,7 @@
 @pytest.mark.parametrize('entries', [6, 98, 380])
 def test_entries_together_use_most_of_a_small_limit(entries):
     """
-    Callers send twenty times what the back end accepts; 20 simulations for each number of entries.
+    Callers send 20 times what the back end accepts. The used share is the mean of 20 simulations.
 
     """
     limit_per_s = 1.0
