--- a/tests/test_drawn_deployments.py
+++ b/tests/test_drawn_deployments.py
@@ -18,6 +18,7 @@
 # Share of all first tokens that many entries may lose against a single one: each knows only its
 # own choices and load reports up to 0.3 s old.
 MAX_SPLIT_LOSS = 0.2
+# Offered load relative to the capacity of the engines.
 LOW_LOAD_FACTOR = 0.35
 # Lower bound of the served share of the longest prompts, relative to that of all prompts.
 MIN_SERVED_SHARE = 0.25
@@ -34,6 +35,7 @@
     read_per_s=st.integers(13_000, 31_000),
     target_ms=st.integers(380, 600),
 )
+# The shortest time-out of a caller relative to the usual one.
 MIN_TIMEOUT_SHARES = st.floats(0.6, 1.0)
 SEEDS = st.integers(0, 1000)
 DEADLINE_MS = 60_000
