--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -24,8 +24,7 @@
 from millforkd.proxy.fingerprints import Fingerprints
 from millforkd.proxy.forwarding import Forwarding
 from millforkd.proxy.job import Attempt, FailedAttempt, Job
-from millforkd.proxy.response_monitor import OVERTAKEN_S, SILENT_SERVER_S
-from millforkd.proxy.response_monitor import ResponseMonitor as ResponseMonitor
+from millforkd.proxy.response_monitor import OVERTAKEN_S, SILENT_SERVER_S, ResponseMonitor
 from millforkd.quarantine import Quarantine
 from tests.test_servers import ENGINE, Clock
 
@@ -100,9 +99,9 @@
 
 class EndingVersion:
     """
-    An entry whose connections open so slowly that version 1 has ended for new requests by
-    then. Its engines are chosen in order; an engine that receives a request closes the
-    connection.
+    An entry that connects so slowly that version 1 has ended for new requests once the
+    connection is open. Its engines are chosen in order; an engine that receives a request
+    closes the connection.
 
     """
 
--- a/tests/test_gathering.py
+++ b/tests/test_gathering.py
@@ -17,8 +17,7 @@
 from millforkd.sidecar.gathering import PieceGatherer
 from millforkd.sidecar.pieces import PieceStore, WeightsId
 from millforkd.sidecar.pushing import PiecePusher
-from millforkd.sidecar.sources import DIGESTS_INDEX as DIGESTS_INDEX
-from millforkd.sidecar.sources import request_order
+from millforkd.sidecar.sources import DIGESTS_INDEX, request_order
 from tests.test_caches import DIGESTS, PIECES, FakeOrigin
 
 
--- a/tests/test_suspicions.py
+++ b/tests/test_suspicions.py
@@ -40,7 +40,7 @@
     suspicion_level_of,
 )
 from millfork_scheduling.server import Server
-from millforkd.proxy import end_detection as end_detection
+from millforkd.proxy import end_detection
 from millforkd.proxy.end_detection import EndDetector, ProbeResult
 from tests.test_servers import Clock
 
