--- a/tests/test_first_tries.py
+++ b/tests/test_first_tries.py
@@ -59,7 +59,11 @@
     assert mixed_deadlines.judge('r', 4900, 1.0).elapsed_ms > 500
 
 
-def under_load(deadlines):
+def last_judgement_under_load(deadlines):
+    """
+    The judgement of the last request, at an entry that turned one away when it started.
+
+    """
     detector = FirstTryDetector()
     detector.note_turned_away(0.0)
     return [detector.judge('r', deadline_ms, 0.1) for deadline_ms in deadlines][-1]
@@ -67,9 +71,9 @@
 
 def test_after_a_start_under_load_the_latest_deadlines_decide():
     random = Random(1)
-    assert under_load([6080, 6078, 5700, 6079, 5600, 6075, 5650]).elapsed_ms == 430
+    assert last_judgement_under_load([6080, 6078, 5700, 6079, 5600, 6075, 5650]).elapsed_ms == 430
     mixed_deadlines = [random.randint(5190, 6080) for _ in range(12)]
-    assert under_load([*mixed_deadlines, 5600]) == Judgement(is_undecided=True)
+    assert last_judgement_under_load([*mixed_deadlines, 5600]) == Judgement(is_undecided=True)
 
 
 def share_mistaken_for_retries(min_share, counted):
