--- a/tests/test_wait_for_first_document.py
+++ b/tests/test_wait_for_first_document.py
@@ -13,7 +13,7 @@
 from millfork_routing.documents import Document, Route, RouteKind, Service, Share
 from millfork_routing.routes import RouteTable
 from millfork_state.view import View
-from millforkd.proxy import admission as admissions
+from millforkd.proxy import admission as admission_module
 from millforkd.proxy.admission import Admission
 from millforkd.versions import VersionTracker
 
@@ -41,7 +41,7 @@
         assert not waiting.terminated
         await admitting.ready_event.set()
         await waiting.join()
-        assert admitting.env.monotonic() - admitting.created_at < admissions.STARTUP_WAIT_S
+        assert admitting.env.monotonic() - admitting.created_at < admission_module.STARTUP_WAIT_S
 
     curio.run(run)
 
@@ -50,7 +50,7 @@
 def test_the_wait_is_bounded_by_the_deadline_and_the_startup_period(
     monkeypatch, deadline_ms, max_s
 ):
-    monkeypatch.setattr(admissions, 'STARTUP_WAIT_S', 0.2)
+    monkeypatch.setattr(admission_module, 'STARTUP_WAIT_S', 0.2)
 
     async def run():
         admitting = admission()
@@ -63,7 +63,7 @@
 
 
 def test_no_caller_waits_after_the_startup_period(monkeypatch):
-    monkeypatch.setattr(admissions, 'STARTUP_WAIT_S', 0.0)
+    monkeypatch.setattr(admission_module, 'STARTUP_WAIT_S', 0.0)
 
     async def run():
         admitting = admission()
@@ -81,7 +81,7 @@
 
 def test_the_wait_is_subtracted_from_the_deadline():
     # The deadline was counted from the end of the wait, so back ends got up to a quarter more
-    # time than the caller had left: 1500 ms of 1500 after a wait of 375.
+    # time than the caller had left: 1500 ms of 1500 ms after a wait of 375 ms.
     admitting = admission()
     admitting.table = route_table()
     received_at = admitting.env.monotonic() - 0.375
