--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -122,13 +122,13 @@
         engines = Service(ServiceName('engines'), 64, ENGINE)
         assert fleet.put_document(Document(1, services=(engines,))).status == 200
         assert fleet.control(client_requests.set_version_request('m', 2)).status == 200
-        named = datetime.now().timestamp()
+        named_at = datetime.now().timestamp()
         hosts = (*fleet.replica_hosts, *fleet.entry_hosts, *fleet.endpoint_hosts)
         for host in hosts:
             wait_until(lambda host=host: logged_cutoff(fleet, host) is not None)
             wait_until(
                 lambda host=host: (
-                    abs(logged_cutoff(fleet, host) - named - version_ms / 1000) < TOLERANCE_S
+                    abs(logged_cutoff(fleet, host) - named_at - version_ms / 1000) < TOLERANCE_S
                 )
             )
     finally:
