--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -80,12 +80,12 @@
 
 
 def test_equal_prompts_go_to_one_endpoint_until_it_is_loaded():
-    names = [backend(str(number)) for number in range(6)]
-    first = pick(names, affinity='org/prompt')
-    assert {pick(names, affinity='org/prompt') for _ in range(5)} == {first}
-    preferred = next(b for b in names if b.instance == first)
+    backends = [backend(str(number)) for number in range(6)]
+    first = pick(backends, affinity='org/prompt')
+    assert {pick(backends, affinity='org/prompt') for _ in range(5)} == {first}
+    preferred = next(b for b in backends if b.instance == first)
     preferred.own_requests = 3
-    assert pick(names, affinity='org/prompt') != first
+    assert pick(backends, affinity='org/prompt') != first
 
 
 def queue(slots=2, waiting=4, shares=None, clock=None):
