--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -1,8 +1,8 @@
 """
-A request that ends each back end that runs it, and whose callers send it again to any entry
+A request that crashes every back end that runs it, and whose callers send it again to any entry
 with another id.
 
-The entries didn't recognise the repeated request, so each try ended as many back ends as its
+The entries didn't recognise the repeated request, so each call ended as many back ends as its
 route allows attempts. On a fleet of six engines one such request ended ten engines within 14 s,
 another 14 within 10 s, and with each end the answers of up to 17 other callers broke off.
 
@@ -96,8 +96,8 @@
 
 def test_another_request_interrupted_by_the_end_is_served(fleet):
     """
-    Another request that ran on a back end when that back end ended is sent to a further one. Its
-    complete answer clears the suspicion against it at all entries.
+    A request that was running on a back end when it ended, without being the cause, is sent to
+    another back end and answered.
 
     """
     for back_end in fleet.back_ends:
--- a/tests/test_crashing_requests_listed.py
+++ b/tests/test_crashing_requests_listed.py
@@ -1,5 +1,5 @@
 """
-A request that ends the back ends that run it, on a fleet with a list of instances.
+A request that crashes the back ends that run it, on a fleet with a list of instances.
 
 Attempts were counted by call, and a caller that retries makes a new call: in 8 calls one request
 was sent 18 times and ended an engine each time. Ends are now counted by the content of a call.
--- a/tests/test_crashing_requests_on_listed_fleets.py
+++ b/tests/test_crashing_requests_on_listed_fleets.py
@@ -1,5 +1,5 @@
 """
-A request that ends the engines that run it, on the daemons of a fleet with a list of instances.
+A request that crashes the engines that run it, on a fleet of daemons with a list of instances.
 
 Each entry counted ends alone, with its own fingerprint key, and started again at zero. Callers
 that used six entries in turn ended 18 engines, also with streams, and 12 at one entry that was
--- a/tests/test_ends_after_their_callers_left.py
+++ b/tests/test_ends_after_their_callers_left.py
@@ -1,5 +1,5 @@
 """
-A request that ends the back ends that run it, whose callers leave before the end.
+A request that crashes the back ends that run it, and whose callers leave before the crash.
 
 An end was counted only if it interrupted an answer to a caller. Callers that left after 0.1 s
 and retried a request that ends its back end after 0.2 s ended one back end with each call.
@@ -22,6 +22,7 @@
 CRASH_DELAY_S = 0.2
 CALLER_TIMEOUT_S = 0.1
 OTHER_REQUESTS_PER_S = 100
+# The load thread stops after this many loads of 1 s, even if the test hangs.
 MAX_LOADS = 30
 # One of two entries may send the request before the other's report of the third end arrives.
 MAX_CONCURRENT_ENDS = 1
--- a/tests/test_late_closing_back_ends.py
+++ b/tests/test_late_closing_back_ends.py
@@ -1,6 +1,6 @@
 """
-A request that ends the back ends that run it, where an address closes later than its
-connections, as happens while the system tears down a large process.
+A request that crashes the back ends that run it, where the listening socket closes later than
+the connections, as happens while the kernel tears down a large process.
 
 An entry probed the address twice within some 20 ms, concluded from an answer that the back end
 was still alive, and did not probe again. No end was counted, and the request was sent to others.
@@ -20,7 +20,7 @@
 
 BACK_ENDS = 24
 CALLS = 20
-# Of two entries, one may send before it learns of the third end at the other one.
+# One of two entries may send the request before the other's report of the third end arrives.
 MAX_CONCURRENT_ENDS = 1
 
 
--- a/tests/test_requests_that_crash_instances.py
+++ b/tests/test_requests_that_crash_instances.py
@@ -1,5 +1,5 @@
 """
-A request that ends whole instances, the endpoint daemon together with the engine.
+A request that crashes whole instances: the endpoint daemon together with the engine.
 
 The endpoint that would report the end of its engine has ended too. If an entry doesn't count a
 lost connection to an endpoint as an end, it sends the request to one instance after another.
--- a/tests/utils/crashing.py
+++ b/tests/utils/crashing.py
@@ -1,5 +1,5 @@
 """
-A fleet with a list of instances whose engines end under one request.
+A fleet with a list of instances, on which one request crashes the engines that run it.
 
 """
 
@@ -21,7 +21,8 @@
 
 class CrashingFleet:
     """
-    A fleet that restarts ended engines after a second; they end 0.2 s into a request.
+    A fleet that restarts engines 1 s after they ended. They end 0.2 s into the request, unless
+    `crash_after_ms` says otherwise.
 
     """
 
@@ -56,8 +57,8 @@
 
     def call(self, entry=0, prompt=CRASHING_PROMPT, **fields):
         """
-        Make one call of the request, once its entry has an engine that serves; return None if
-        the answer is interrupted.
+        Send the crashing request once the entry answers other requests. Returns None if the
+        answer is interrupted.
 
         """
         wait_until(lambda: complete(self.fleet, self.token, entry).status == 200)
@@ -69,7 +70,8 @@
 
     def call_and_leave(self, entry, **fields):
         """
-        Make one call whose caller leaves; return once the engine that ran it has ended.
+        Send the crashing request from a caller that leaves after `CALLER_TIMEOUT_S`. Returns
+        once the engine that runs it has ended, or the caller is answered.
 
         """
         wait_until(lambda: complete(self.fleet, self.token, entry).status == 200)
@@ -85,7 +87,7 @@
 
     def fingerprints_at_fault(self):
         """
-        Return the fingerprints of the requests that the first entry found at fault.
+        Return the fingerprints of the requests that the first entry considers at fault, by its log.
 
         """
         return re.findall(
@@ -94,8 +96,8 @@
 
     def wait_for_quarantine(self, known_fingerprints):
         """
-        Wait until the first entry finds another request at fault than `known_fingerprints`, and a
-        leader has put it in quarantine.
+        Wait until the first entry considers a request at fault that is not among
+        `known_fingerprints`, and a leader has put that request in quarantine.
 
         """
         wait_until(lambda: len(self.fingerprints_at_fault()) > len(known_fingerprints))
