--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -1,5 +1,5 @@
 """
-Attempts: an incomplete or late answer is never delivered, and verdicts are true.
+Attempts: an incomplete or late answer is never delivered, and verdicts are correct.
 
 """
 
--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -1,5 +1,5 @@
 """
-Entries as caches of pieces: which caches are named, and which fetches from the origin.
+Entries as caches of pieces: which caches are advertised, and which of them use the origin.
 
 """
 
@@ -321,7 +321,7 @@
     async def run():
         cache, assigned = cache_and_assigned_cache()
         real = assigned.origin.fetch_piece
-        # Two assigned caches share the origin's rate: four pieces of eight bytes each.
+        # Two assigned caches share the origin's rate: four pieces of eight bytes a second each.
         assigned.origin.bytes_per_s = cache.origin.bytes_per_s = 64.0
 
         async def fetch_piece(held, index):
--- a/tests/test_closed_back_ends.py
+++ b/tests/test_closed_back_ends.py
@@ -1,5 +1,5 @@
 """
-Back ends that close themselves by backpressure signals, and when they open again.
+Back ends that are closed to requests by their backpressure signals, and when they open again.
 
 """
 
--- a/tests/test_ends_after_their_callers_left.py
+++ b/tests/test_ends_after_their_callers_left.py
@@ -22,7 +22,7 @@
 CRASH_DELAY_S = 0.2
 CALLER_TIMEOUT_S = 0.1
 OTHER_REQUESTS_PER_S = 100
-# The load thread stops after this many loads of 1 s, even if the test hangs.
+# The load thread stops after about this many loads of 1 s, even if the test hangs.
 MAX_LOADS = 30
 # One of two entries may send the request before the other's report of the third end arrives.
 MAX_CONCURRENT_ENDS = 1
--- a/tests/test_late_ends_at_endpoints.py
+++ b/tests/test_late_ends_at_endpoints.py
@@ -1,5 +1,6 @@
 """
-How endpoints determine the status of a back end after interruptions, and entries apply it.
+How endpoints find out whether a back end ended after an interrupted answer, and how entries
+use their reports.
 
 """
 
--- a/tests/test_retry_after_is_kept.py
+++ b/tests/test_retry_after_is_kept.py
@@ -16,7 +16,7 @@
 # is over.
 MAX_SENDS_PER_ENTRY = 2
 TOLERANCE_S = 0.5
-# Time until each entry has sent a request to the back end and was rejected.
+# Time until each entry has sent a request to the back end and has been rejected.
 ALL_REJECTED_S = 0.5
 LOAD_S = 4.0
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -21,17 +21,17 @@
 REPLICAS = ['r1', 'r2', 'r3']
 ENTRIES = ['e1', 'e2']
 RUN_S = 6.0
-# A seed whose back ends name limits, ask for rest and turn requests away.
+# A seed with which back ends announce limits, ask for rest and turn requests away.
 BACKPRESSURE_SEED = 2
 BACKPRESSURE_S = 12.0
 # Seeds that failed in the past, with the cause of each.
 REGRESSIONS = (
-    # SIGHUP or SIGTERM while a daemon started: the signal ended it.
+    # SIGHUP or SIGTERM arrived while a daemon started, and killed it.
     18,
     19,
-    # A replica that had lost its disk ended when it started while the new one refused writes.
+    # A replica that had lost its disk exited at its start, as the new disk refused writes.
     20,
-    # A frame arrived while a replica stopped: it ended with status 1.
+    # A frame arrived while a replica stopped, and the replica exited with status 1.
     21,
     # The soak waited only for the SIGHUP handler and sent SIGTERM before its handler was set.
     70,
--- a/tests/test_turned_away_at_once.py
+++ b/tests/test_turned_away_at_once.py
@@ -8,7 +8,7 @@
 from tests.test_seeded_fleet import request
 from tests.utils.loaded import LOAD_PER_S, loaded_fleet
 
-# The two other back ends can serve the whole load.
+# With this service time, the two other back ends can serve the whole load.
 SERVICE_TIME_S = 0.3
 LOAD_S = 6.0
 
--- a/tests/test_turned_away_on_listed_fleets.py
+++ b/tests/test_turned_away_on_listed_fleets.py
@@ -29,7 +29,7 @@
 
 SERVICE = 'portal-assets'
 ANSWER_MS = 300
-# The two other back ends can serve the whole load.
+# The two other back ends can serve this load.
 LOAD_PER_S = 45
 LOAD_S = 6.0
 THREADS = 48
--- a/tests/test_version_ends_after_restart.py
+++ b/tests/test_version_ends_after_restart.py
@@ -94,7 +94,7 @@
     start together. The replica reported its state as fresh once it had contact with the leader,
     before it had the entries committed meanwhile. The entry followed it, got the version 58 ms
     later as newly named, and could have sent requests to the ended version until the cutoff was
-    corrected 0.2 s later. It happened in 4 of 15 runs, five at a time beside other load. A
+    corrected 0.2 s later. This happened in 4 of 15 runs, five at a time under other load. A
     replica's age now counts from when it holds all committed entries.
 
     """
--- a/tests/utils/fleets.py
+++ b/tests/utils/fleets.py
@@ -1,5 +1,5 @@
 """
-Steps on a fleet that several tests share.
+Operations on a fleet that several tests use.
 
 """
 
--- a/tests/utils/loaded.py
+++ b/tests/utils/loaded.py
@@ -1,5 +1,5 @@
 """
-Three entries in front of three back ends, one of which could serve most of the load.
+Three entries in front of three back ends, each of which could serve most of the load alone.
 
 """
 
