--- a/tests/test_subscription.py
+++ b/tests/test_subscription.py
@@ -3,9 +3,9 @@
 
 An entry that followed a replica with a stalled link applied a change 6.5 s after it was
 accepted, others after 0.0 s (log: 'Following entry-2' 6.5 s after the stall): an upstream counted
-as silent after 5 s, which was checked every 2 s. An entry that followed a replica cut off from the leader
-didn't apply the change within 30 s (no second 'Following'): a replica was left only for
-silence, whatever the age of its configuration.
+as silent after 5 s, which was checked every 2 s. An entry that followed a replica cut off from
+the leader didn't apply the change within 30 s (no second 'Following'): a replica was left only
+for silence, whatever the age of its configuration.
 
 """
 
