--- a/deploy/millforkd.py
+++ b/deploy/millforkd.py
@@ -11,8 +11,8 @@
 import sys
 from pathlib import Path
 
-# These handlers are used until the daemon installs its own, after 0.3 s. A reload is ignored, as the
-# settings are not read yet. A stop exits at once, as nothing is in progress. The handlers must
+# These handlers are used until the daemon installs its own, after 0.3 s. A reload is ignored, as
+# the settings are not read yet. A stop exits at once, as nothing is in progress. The handlers must
 # not raise: C libraries crashed when an exception interrupted their import (2 of 60 stops
 # ended by signal 11).
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
