--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -1,5 +1,5 @@
 """
-Entries as caches of pieces: which caches are named, and which fetches from the origin.
+Entries as caches of pieces: which caches are advertised, and which of them use the origin.
 
 """
 
@@ -116,7 +116,7 @@
 
 
 @given(CACHES, st.sampled_from(['z1', 'z2', 'z3']))
-def test_the_named_caches_of_a_zone_do_not_depend_on_their_order(caches, zone):
+def test_the_advertised_caches_of_a_zone_do_not_depend_on_their_order(caches, zone):
     found = advertised_caches(caches, zone)
     assert advertised_caches([*reversed(caches), *caches[:3]], zone) == found
     for name in ('z1', 'z2', 'z3'):
@@ -321,7 +321,7 @@
     async def run():
         cache, assigned = cache_and_assigned_cache()
         real = assigned.origin.fetch_piece
-        # Two assigned caches share the origin's rate: four pieces of eight bytes each.
+        # Two assigned caches share the origin's rate: four pieces of eight bytes a second each.
         assigned.origin.bytes_per_s = cache.origin.bytes_per_s = 64.0
 
         async def fetch_piece(held, index):
--- a/tests/test_drawn_deployments.py
+++ b/tests/test_drawn_deployments.py
@@ -18,7 +18,8 @@
 # Share of all first tokens that many entries may lose against a single one: each knows only its
 # own choices and load reports up to 0.3 s old.
 MAX_SPLIT_LOSS = 0.2
-CALM_FACTOR = 0.35
+# Offered load relative to the capacity of the engines.
+LOW_LOAD_FACTOR = 0.35
 # Lower bound of the served share of the longest prompts, relative to that of all prompts.
 MIN_SERVED_SHARE = 0.25
 
@@ -34,6 +35,7 @@
     read_per_s=st.integers(13_000, 31_000),
     target_ms=st.integers(380, 600),
 )
+# The shortest time-out of a caller relative to the usual one.
 MIN_TIMEOUT_SHARES = st.floats(0.6, 1.0)
 SEEDS = st.integers(0, 1000)
 DEADLINE_MS = 60_000
@@ -48,7 +50,7 @@
 TURNED_AWAY_SHAPE = FleetShape(
     'drawn', 13, 6, 24, 2, (131, 0.7, 254), 6.997504161593848, 30_259, 406
 )
-MISTAKEN_RETURN_SHAPES = (
+MISTAKEN_RETRY_SHAPES = (
     FleetShape('drawn', 10, 6, 36, 1, (80, 0.7, 296), 13.897545887471175, 13_553, 394),
     FleetShape('drawn', 23, 7, 35, 1, (140, 0.7, 227), 9.783064543903913, 16_534, 554),
 )
@@ -59,8 +61,8 @@
 
 @settings(max_examples=4, deadline=DEADLINE_MS)
 @example(TURNED_AWAY_SHAPE, 506, 0.7812783069805206)
-@example(MISTAKEN_RETURN_SHAPES[0], 900, 0.9219497462551316)
-@example(MISTAKEN_RETURN_SHAPES[1], 467, 0.8402673446999119)
+@example(MISTAKEN_RETRY_SHAPES[0], 900, 0.9219497462551316)
+@example(MISTAKEN_RETRY_SHAPES[1], 467, 0.8402673446999119)
 @example(COMPARED_ENGINES_FULL_SHAPE, 546, 0.823290623926907)
 @given(SHAPES, SEEDS, MIN_TIMEOUT_SHARES)
 def test_no_caller_is_turned_away_while_half_of_the_slots_are_free(shape, seed, min_timeout_share):
@@ -74,7 +76,7 @@
     it knows before it turns a caller away.
 
     """
-    model = run_model(shape, CALM_FACTOR, seed, DetectionMethod.AS_BUILT, min_timeout_share)
+    model = run_model(shape, LOW_LOAD_FACTOR, seed, DetectionMethod.AS_BUILT, min_timeout_share)
     assert model.outcomes.counts['refused'] == 0
     assert model.turned_away == 0
 
--- a/tests/test_faults_left_open.py
+++ b/tests/test_faults_left_open.py
@@ -29,16 +29,17 @@
 from tests.test_versions import SWITCH_S
 
 DOWN_S = 3.0
+# Offered load relative to the capacity of the engines.
 LOAD_FACTOR = 1.2
 MIN_TIMEOUT_SHARE = 0.9
 DAY_S = 24 * 3600
 STEP_S = 30
 
 
-def test_a_request_that_only_ran_beside_the_one_at_fault_is_tried_again_within_a_day():
+def test_a_request_that_only_ran_beside_a_crashing_one_is_tried_again_within_half_a_day():
     """
-    Three back ends ended one after another. All requests that ran on them are suspected, and only
-    a complete answer clears one; without a trial there can be none.
+    Three back ends end one after another. Every request that ran on them is suspected, and only a
+    complete answer clears it. A quarantined request isn't sent again, so it never gets one.
 
     """
 
@@ -51,12 +52,12 @@
             clock.now += STEP_S
             if entry.quarantine.blocking_level(entry.job) is None:
                 return
-        pytest.fail('it was refused for half a day, and never tried')
+        pytest.fail('the request was refused for half a day and never tried again')
 
     curio.run(run)
 
 
-def test_a_version_ends_in_time_where_all_replicas_lose_power_after_its_naming(tmp_path):
+def test_a_superseded_version_ends_in_time_if_all_replicas_lose_power(tmp_path):
     """
     The leader acknowledged the new version, but no other replica had learned of the commit. After
     the power loss no replica knows for how long all were down.
@@ -74,12 +75,15 @@
     assert versions.ends_at('m', 1) <= acknowledged_at + SWITCH_S - CANCEL_MARGIN_S
 
 
+# Fixtures of the other module, which pytest finds only by a name in this one.
 replica = heartbeats.replica
 clock = heartbeats.clock
 
 
-@pytest.mark.parametrize(('late', 'live'), [(0, 0), (1, 2)], ids=['start-not-told', 'start-told'])
-def test_a_late_first_heartbeat_of_one_that_has_ended_ends_no_lease(replica, clock, late, live):
+@pytest.mark.parametrize(
+    ('late', 'live'), [(0, 0), (1, 2)], ids=['without-incarnation', 'with-incarnation']
+)
+def test_a_late_first_heartbeat_of_an_ended_back_end_ends_no_lease(replica, clock, late, live):
     """
     If the heartbeats carry incarnations, the live process has the later one, which decides.
 
@@ -93,7 +97,7 @@
 @pytest.mark.parametrize('entries', [6, 98, 380])
 def test_entries_together_use_most_of_a_small_limit(entries):
     """
-    Callers send twenty times what the back end accepts; 20 simulations for each number of entries.
+    Callers send 20 times what the back end accepts. The used share is the mean of 20 simulations.
 
     """
     limit_per_s = 1.0
@@ -112,12 +116,12 @@
 
     """
     shape = drawn.FleetShape('drawn', 4, 6, 11, 1, (138, 0.7, 271), 13.0, 13_000, 380)
-    model = drawn.run_model(shape, drawn.CALM_FACTOR, 339, DetectionMethod.AS_BUILT, 1.0)
+    model = drawn.run_model(shape, drawn.LOW_LOAD_FACTOR, 339, DetectionMethod.AS_BUILT, 1.0)
     assert model.turned_away == 0
 
 
 @pytest.mark.parametrize('seed', [22, 70])
-def test_split_knowledge_loses_no_more_than_a_stated_part_with_other_seeds(seed):
+def test_many_entries_lose_no_more_than_a_stated_share_with_other_seeds(seed):
     """
     13 entries in front of four engines. With two of 200 other seeds the loss exceeds 0.2.
 
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -24,8 +24,7 @@
 from millforkd.proxy.fingerprints import Fingerprints
 from millforkd.proxy.forwarding import Forwarding
 from millforkd.proxy.job import Attempt, FailedAttempt, Job
-from millforkd.proxy.response_monitor import OVERTAKEN_S, SILENT_SERVER_S
-from millforkd.proxy.response_monitor import ResponseMonitor as ResponseMonitor
+from millforkd.proxy.response_monitor import OVERTAKEN_S, SILENT_SERVER_S, ResponseMonitor
 from millforkd.quarantine import Quarantine
 from tests.test_servers import ENGINE, Clock
 
@@ -90,7 +89,7 @@
     assert waiting.connection.lost
 
 
-def test_answers_to_requests_of_another_rank_do_not_end_the_wait():
+def test_answers_to_requests_of_another_urgency_do_not_end_the_wait():
     waiting = WaitingRequest()
     waiting.clock.now += TOO_LONG_S
     waiting.answer_other(OVERTAKEN_S * 2, urgency=1)
@@ -100,9 +99,9 @@
 
 class EndingVersion:
     """
-    An entry whose connections open so slowly that version 1 has ended for new requests by
-    then. Its engines are chosen in order; an engine that receives a request closes the
-    connection.
+    An entry that connects so slowly that version 1 has ended for new requests once the
+    connection is open. Its engines are chosen in order; an engine that receives a request
+    closes the connection.
 
     """
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -80,12 +80,12 @@
 
 
 def test_equal_prompts_go_to_one_endpoint_until_it_is_loaded():
-    names = [backend(str(number)) for number in range(6)]
-    first = pick(names, affinity='org/prompt')
-    assert {pick(names, affinity='org/prompt') for _ in range(5)} == {first}
-    preferred = next(b for b in names if b.instance == first)
+    backends = [backend(str(number)) for number in range(6)]
+    first = pick(backends, affinity='org/prompt')
+    assert {pick(backends, affinity='org/prompt') for _ in range(5)} == {first}
+    preferred = next(b for b in backends if b.instance == first)
     preferred.own_requests = 3
-    assert pick(names, affinity='org/prompt') != first
+    assert pick(backends, affinity='org/prompt') != first
 
 
 def queue(slots=2, waiting=4, shares=None, clock=None):
@@ -171,7 +171,7 @@
     assert curio.run(run) == (0, 0, {})
 
 
-def test_one_organisation_has_a_ceiling_on_an_entry():
+def test_concurrent_requests_of_one_organisation_at_an_entry_are_limited():
     count = InFlightCounter(1)
     assert count.try_acquire(ONE)
     assert not count.try_acquire(ONE)
