--- a/packages/millfork-state/millfork_state/config.py
+++ b/packages/millfork-state/millfork_state/config.py
@@ -24,7 +24,7 @@
 @dataclass(frozen=True, slots=True)
 class Organisation:
     """
-    An organisation's token hashes (SHA-256, hex), services and share.
+    An organisation's token hashes (SHA-256, hex), services, and weight in fair queues (`share`).
 
     """
 
--- a/packages/millfork-state/millfork_state/distribution_tree.py
+++ b/packages/millfork-state/millfork_state/distribution_tree.py
@@ -56,9 +56,10 @@
     zone: ZoneId,
 ) -> list[PeerAddress]:
     """
-    Peers to subscribe to, best first: ancestors in the zone, up to FANOUT other entries
-    that precede the instance in it, then every replica, those of the own zone first. Last come
-    the zone's other entries, which may be the only reachable peers in a zone that is cut off.
+    Peers to subscribe to, best first: ancestors in the zone's tree, up to FANOUT entries
+    that precede the instance in the tree's order, then every replica, those of the instance's
+    zone first. Last come the zone's other entries, which may be the only reachable peers in a
+    zone that is cut off.
 
     """
     replica_ids = {address.instance for address in replicas}
--- a/packages/millfork-state/millfork_state/election.py
+++ b/packages/millfork-state/millfork_state/election.py
@@ -1,5 +1,5 @@
 """
-Elections: a replica without contact to a leader requests votes.
+Elections: a replica that has lost contact with the leader requests votes.
 
 """
 
@@ -15,6 +15,7 @@
 from millfork_wire.messages import VoteReply, VoteRequest
 from millfork_wire.peers import PeerAddress
 
+# Of the election timeout.
 VOTE_TIMEOUT_FRACTION: Final = 0.5
 
 log = logger(Component.STATE)
--- a/packages/millfork-state/millfork_state/leader_client.py
+++ b/packages/millfork-state/millfork_state/leader_client.py
@@ -57,8 +57,8 @@
         Return the encoded result of a command. The command is sent again for up to `timeout_s`
         seconds, which is harmless, as commands are idempotent.
 
-        :raises Refused: NO_QUORUM, with the verdict on the command, or the leader's other
-            reason for refusing it.
+        :raises Refused: NO_QUORUM, with the verdict whether the command may have run, or the
+            other reason for which the leader refused the command.
 
         """
         data = encode_command(command)
--- a/packages/millfork-state/millfork_state/leadership.py
+++ b/packages/millfork-state/millfork_state/leadership.py
@@ -1,5 +1,6 @@
 """
-The leader's side of the log: one task for each other replica, one for its own log.
+The leader's tasks: writing its own log, replication to each other replica, detecting the loss of
+the quorum, and changes of the membership.
 
 """
 
--- a/packages/millfork-state/millfork_state/node.py
+++ b/packages/millfork-state/millfork_state/node.py
@@ -26,7 +26,7 @@
 
 PROPOSE_TIMEOUT_S: Final = 2.5
 
-
+# Instance, incarnation, sequence number and body of a report.
 ReportRow = tuple[str, int, int, bytes]
 
 
--- a/packages/millfork-state/millfork_state/pending.py
+++ b/packages/millfork-state/millfork_state/pending.py
@@ -22,8 +22,8 @@
 
 class PendingProposal:
     """
-    A proposed command. `settled` is set once it is applied with a result, or its outcome
-    is unknown to this replica.
+    A proposed command. `settled` is set once the command is applied and `result` is known, or
+    once this replica no longer leads. `applied` is then False, and the command may be committed.
 
     """
 
@@ -41,7 +41,7 @@
 
 def with_timestamp(command: AnyCommand) -> AnyCommand:
     """
-    A copy of the command with the current time, if its type has a time.
+    A copy of the command with the current time, or the command itself if its type has no time.
 
     """
     at_ms = int(time.time() * 1000)
--- a/packages/millfork-state/millfork_state/replica.py
+++ b/packages/millfork-state/millfork_state/replica.py
@@ -37,6 +37,7 @@
 )
 from millfork_wire.peers import PeerAddress, Peers
 
+# The random part of an election timeout: at most this fraction of the configured timeout.
 ELECTION_SPREAD_FRACTION: Final = 0.5
 SNAPSHOT_SLACK_ENTRIES: Final = 200
 # The age of a state that was never up to date: the largest that a message can carry.
@@ -262,7 +263,7 @@
 
     async def step_down(self) -> None:
         """
-        Become a follower. The outcome of proposals in the log here becomes unknown.
+        Become a follower. The outcomes of proposals in this replica's log become unknown.
 
         """
         if self.state is ReplicaState.LEADER:
@@ -294,7 +295,7 @@
 
     async def on_vote(self, request: VoteRequest) -> VoteReply:
         """
-        Vote for at most one candidate a term, and only if its log is up to date.
+        Vote for at most one candidate a term, and only if the candidate's log is up to date.
 
         """
         async with self.lock:
@@ -330,7 +331,7 @@
 
     async def on_append(self, request: AppendRequest) -> AppendReply:
         """
-        Store entries from the leader. Answers only once they are durable.
+        Store entries from the leader, and answer only once they are durable.
 
         """
         async with self.lock:
@@ -401,7 +402,7 @@
 
         Contact with the leader isn't enough: a replica that returned after a partition was in
         contact immediately, and for 0.2 s it reported old versions to newly started entries as
-        just named. A leader counts as current only once an entry of its own term is applied, as
+        just named. A leader counts as up to date only once an entry of its own term is applied, as
         earlier entries may be committed without its knowledge.
 
         """
--- a/packages/millfork-state/millfork_state/roster.py
+++ b/packages/millfork-state/millfork_state/roster.py
@@ -24,7 +24,7 @@
 
 class PlatformDelta(msgspec.Struct):
     """
-    The changes to the platform's list since a version, or the `full` list.
+    The changes to the platform's list since a version or, if `full`, the whole list.
 
     """
 
@@ -58,7 +58,7 @@
 
     async def poll(self) -> bool:
         """
-        Fetch the changes from the platform. False if it gave no valid answer.
+        Fetch the changes from the platform. False if the platform gave no valid answer.
 
         """
         bytes_before = self.client.bytes_transferred
@@ -99,7 +99,7 @@
 
     def entries(self, zone: ZoneId) -> list[InstanceFacts]:
         """
-        The entries of one availability zone, by id.
+        The entries of one availability zone, sorted by id.
 
         """
         found = [
@@ -111,7 +111,7 @@
 
     def all_entries(self) -> list[InstanceFacts]:
         """
-        The entries of all availability zones, by id.
+        The entries of all availability zones, sorted by id.
 
         """
         found = [facts for facts in self.instances.values() if facts.role == ENTRY_ROLE]
--- a/packages/millfork-state/millfork_state/selection.py
+++ b/packages/millfork-state/millfork_state/selection.py
@@ -10,7 +10,7 @@
 
 def deployments(view: View) -> dict[str, Deployment]:
     """
-    The deployments in force, by `ORG/NAME`.
+    The deployments in force, keyed by `ORG/NAME`.
 
     """
     return {
@@ -35,7 +35,7 @@
     view: View, roster: Roster, name: str, deployment: Deployment
 ) -> list[InstanceFacts]:
     """
-    The endpoints that a deployment selects, by id.
+    The endpoints that a deployment selects, sorted by id.
 
     """
     found = [facts for facts in roster.endpoints() if is_selected(view, name, deployment, facts)]
--- a/packages/millfork-state/millfork_state/state_machine.py
+++ b/packages/millfork-state/millfork_state/state_machine.py
@@ -30,8 +30,8 @@
 MAX_REMEMBERED_COMMANDS: Final = 20_000
 MAX_REMEMBERED_REMOVALS: Final = 20_000
 CLAIM_LIFETIME_MS: Final = 24 * 3600 * 1000
-# The entry that claimed the key for an attempt counts as lost if the attempt is still open
-# after this time.
+# If an attempt has not been settled after this time, the entry that claimed the key for it
+# counts as lost.
 CLAIM_OPEN_TIMEOUT_MS: Final = 120_000
 
 
--- a/packages/millfork-state/millfork_state/storage.py
+++ b/packages/millfork-state/millfork_state/storage.py
@@ -64,7 +64,7 @@
 
 class Vote(msgspec.Struct):
     """
-    The disk's id, the cluster, the current term and the vote in it, kept over restarts.
+    The disk's id, the cluster, the current term and the vote in it, kept across restarts.
 
     """
 
--- a/packages/millfork-state/millfork_state/subscription.py
+++ b/packages/millfork-state/millfork_state/subscription.py
@@ -39,8 +39,8 @@
 # it well before the processes below them count as stale, so that those keep their upstreams.
 REPLICA_STALE_AGE_MS: Final = 3_000
 # A process that started before its zone's entries follows another zone's replica. At this
-# interval it checks for an upstream that precedes the present one: a replica in another zone
-# may be cut off from the leader while the own zone is not.
+# interval it checks for a candidate that precedes the present upstream: a replica in another
+# zone may be cut off from the leader while this process's zone is not.
 NEARER_CHECK_INTERVAL_S: Final = 10.0
 
 log = logger(Component.SUBSCRIPTION)
@@ -86,10 +86,10 @@
         self.upstream_age_ms = 0
         self.min_revision = 0
         self.has_gap = False
-        # The upstream to try first: the current one for which the last upstream was left.
+        # The upstream to try first: the up-to-date peer for which the last upstream was left.
         self.preferred_upstream = NO_INSTANCE
-        # The last upstream, if it was silent or stale. It is tried last, as its connection
-        # may be open without an answer.
+        # The last upstream, if it was silent or stale. It is tried last, as it may be connected
+        # without answering.
         self.unresponsive_upstream = NO_INSTANCE
         self.next_nearer_check_at = 0.0
         self.next_fresher_check_at = 0.0
@@ -158,8 +158,8 @@
     def _candidates_to_try(self) -> list[PeerAddress]:
         found = self._ordered_candidates()
         if self.replica is None and self.last_update_at and self.age_ms() > STALE_AGE_MS:
-            # The tree is stale, perhaps because old instance lists form a loop: try the
-            # replicas first.
+            # The tree is stale, perhaps because processes with outdated instance lists follow each
+            # other in a loop: try the replicas first.
             found.sort(key=lambda address: address not in self.replicas)
         found.sort(key=lambda address: address.instance == self.unresponsive_upstream)
         return sorted(found, key=lambda address: address.instance != self.preferred_upstream)
@@ -244,8 +244,8 @@
         """
         Whether the configuration's age exceeds its limit and another upstream may be fresher.
 
-        A replica is left only for another one that is current. If no replica is, as in a zone
-        that is cut off, the process keeps its upstream.
+        A replica is left only for another replica that is up to date. If there is none, as in a
+        zone that is cut off, the process keeps its upstream.
 
         """
         if not self._upstream_is_replica():
@@ -260,14 +260,14 @@
         found = await self._first_current(others)
         self.next_fresher_check_at = self.env.monotonic() + HEARTBEAT_S
         if self.upstream_age_ms < REPLICA_STALE_AGE_MS:
-            # The upstream became current again while the others were queried.
+            # The upstream became up to date again while the others were queried.
             return False
         self.preferred_upstream = found
         return found != NO_INSTANCE
 
     async def _finds_nearer(self) -> bool:
         """
-        Whether a candidate that precedes the present upstream is current.
+        Whether a candidate that precedes the present upstream is up to date.
 
         """
         if self.env.monotonic() < self.next_nearer_check_at:
@@ -283,8 +283,8 @@
 
     async def _first_current(self, addresses: list[PeerAddress]) -> InstanceId:
         """
-        The first of `addresses` that is current, or NO_INSTANCE. All are queried concurrently, as
-        each silent one takes its full timeout.
+        The first of `addresses` that is up to date, or NO_INSTANCE. All are queried concurrently,
+        as each silent one takes its full timeout.
 
         """
         async with curio.TaskGroup() as group:
@@ -295,6 +295,11 @@
         return NO_INSTANCE
 
     async def _is_current(self, address: PeerAddress) -> bool:
+        """
+        Whether a peer answers that it has this cluster's configuration and that the age of the
+        configuration is below the limit.
+
+        """
         reply = await self._query_revision(address)
         if reply is None or reply.cluster != self.view.cluster:
             return False
--- a/packages/millfork-state/millfork_state/view.py
+++ b/packages/millfork-state/millfork_state/view.py
@@ -82,7 +82,7 @@
 
     async def wait_for_change(self, position: tuple[ClusterId, Revision], timeout: float) -> bool:
         """
-        Wait until the view has left `position`. False after `timeout` seconds.
+        Wait until the view is no longer at `position`. False after `timeout` seconds.
 
         """
         try:
@@ -122,7 +122,7 @@
         Apply an update from the upstream.
 
         Returns False, without any change, if the update is of another cluster, not newer than
-        the view, or a delta that starts after the view's revision.
+        the view, or a delta that starts after the view's revision or comes before any full update.
 
         """
         if self.cluster and update.cluster != self.cluster:
