--- a/packages/millforkd/millforkd/sidecar/engine.py
+++ b/packages/millforkd/millforkd/sidecar/engine.py
@@ -91,8 +91,8 @@
 
     async def start(self, model: str, version: int, first: int, end: int, interrupts: bool) -> bool:
         """
-        Order the engine to load layers from its staged pieces, after running requests have
-        finished or, if `interrupts` is set, by ending them. False if it refuses the order.
+        Order the engine to load layers from its staged pieces. It lets running requests finish
+        first, or ends them if `interrupts` is set. False if it does not accept the order.
 
         """
         try:
--- a/packages/millforkd/millforkd/sidecar/fleet.py
+++ b/packages/millforkd/millforkd/sidecar/fleet.py
@@ -97,7 +97,8 @@
 
     def own_assignment(self, weights: WeightsId) -> LayerAssignment:
         """
-        This daemon's layer assignment among the daemons whose engines lack a version.
+        This daemon's layer assignment among the daemons whose engines lack a version. If its own
+        engine lacks nothing, all layers.
 
         """
         own = self.own_state()
--- a/packages/millforkd/millforkd/sidecar/gathering.py
+++ b/packages/millforkd/millforkd/sidecar/gathering.py
@@ -31,7 +31,7 @@
 # Concurrent requests to caches: one piece on the link and one request on its way to the
 # cache and back. More would queue in a slow link ahead of the engine's requests.
 CACHE_WINDOW_PIECES: Final = 2
-# Consecutive rounds of requests to caches without a piece, before daemons ask peers and
+# Consecutive rounds of requests to caches without a piece, before a daemon asks peers and
 # the origin. Caches themselves retry an origin that is down for some seconds as soon as
 # it is back.
 MAX_FAILED_CACHE_ROUNDS: Final = 20
@@ -280,8 +280,8 @@
 
     async def obtain_digests(self, held: PieceSet) -> bool:
         """
-        Fetch the digests: from caches, and after `MAX_FAILED_DIGEST_REQUESTS` failures or
-        without caches from peers or the origin. False if they could not be fetched.
+        Fetch the digests from caches. If there are none, or after `MAX_FAILED_DIGEST_REQUESTS`
+        failures, fetch them from peers or the origin. False if they could not be fetched.
 
         """
         if held.digests:
--- a/packages/millforkd/millforkd/sidecar/load.py
+++ b/packages/millforkd/millforkd/sidecar/load.py
@@ -13,7 +13,7 @@
 from millfork_wire.messages import EngineLoad
 from millforkd.sidecar.engine import LocalEngine
 
-# Entries that ask within this time, which a pass of the engine takes, get the same report.
+# Entries that ask within this time, about one forward pass of the engine, get the same report.
 SHARED_REPORT_S: Final = 0.005
 PERCENT: Final = 100
 
--- a/packages/millforkd/millforkd/sidecar/rollout.py
+++ b/packages/millforkd/millforkd/sidecar/rollout.py
@@ -3,8 +3,9 @@
 
 An engine that serves an older version loads all layers of the new one in one step. The
 engines change in turns, a third of them at a time. An engine that serves nothing first
-loads its assigned half of the layers, then the rest while it serves. Without caches every
-engine does so, since the links between engines are too slow to transfer all pieces in time.
+loads its assigned half of the layers, then the rest while it serves. Without caches, engines
+that serve an older version also start with half of the layers, since the links between engines
+are too slow to transfer all pieces in time.
 
 """
 
@@ -29,7 +30,7 @@
 # Entries stop sending to this engine within this time after its state was announced.
 ANNOUNCE_S: Final = 0.15
 # Requests that run on a changing engine may finish within this time. Streams of 100 tokens
-# take 1 s, so about a third of them remains, and continues at other engines.
+# take 1 s, so about a third of the requests remain, and continue at other engines.
 DRAIN_S: Final = 0.9
 DRAIN_POLL_S: Final = 0.03
 # Shorter limit once the old version has ended: the capacity of the changing engines then
@@ -42,7 +43,7 @@
 # After this many mismatching pieces and no matching one, the staged pieces are assumed to
 # be of another version.
 MAX_STAGED_MISMATCHES: Final = 3
-# Time from the order until the engine serves, which includes the end of running requests.
+# Limit of the time from the order until the engine serves, in which running requests end too.
 START_TIMEOUT_S: Final = 6.0
 
 log = logger(Component.WEIGHTS)
@@ -141,8 +142,8 @@
 
     def is_emptied(self, target: Target) -> bool:
         """
-        Whether the engine holds neither the first nor the last layer. Paths have two engines
-        and include both layers, so such an engine gets no requests.
+        Whether the engine holds neither the first nor the last layer. A request runs on a path
+        of two engines, which hold these two layers, so such an engine gets no requests.
 
         """
         return all(
@@ -284,8 +285,9 @@
 
     async def _wait_for_drain(self, target: Target) -> None:
         """
-        Wait until the engine has no requests, for up to `DRAIN_S` but not beyond the end of
-        its version, when no request may start on it; if that is near, up to `LATE_DRAIN_S`.
+        Wait until the engine has no requests. The wait is limited to `DRAIN_S` and to the end of
+        the engine's version, from which no request may start on it, but the limit is never
+        shorter than `LATE_DRAIN_S`.
 
         """
         now = self.env.monotonic()
--- a/packages/millforkd/millforkd/sidecar/silent_peers.py
+++ b/packages/millforkd/millforkd/sidecar/silent_peers.py
@@ -24,7 +24,7 @@
 
     def mark_silent(self, instance: str) -> None:
         """
-        Skip a peer that did not answer for the next `skip_s` seconds.
+        For the next `skip_s` seconds, skip a peer that did not answer.
 
         """
         self.skipped_until[instance] = self.monotonic() + self.skip_s
--- a/packages/millforkd/millforkd/sidecar/sources.py
+++ b/packages/millforkd/millforkd/sidecar/sources.py
@@ -2,8 +2,8 @@
 Chooses the daemons from which a piece is fetched.
 
 A piece that some daemons hold is fetched from them. A piece that no daemon holds is fetched
-from the origin by one of the daemons whose first layers need it (`layer_assignment.py`),
-which then sends it to the others of these.
+from the origin by one of the daemons whose first layers need it (`layer_assignment.py`).
+This daemon then sends it to the others that need it.
 
 Each daemon computes the same order from the endpoints that it knows.
 
@@ -61,7 +61,7 @@
     candidates: list[EndpointState], zone: str, lacking_in_zone: int
 ) -> list[str]:
     """
-    The holders to request a piece from: those of the own zone if at least as many hold
+    The holders to request a piece from: those in `zone` if at least as many daemons hold
     the piece there as lack it, since otherwise their links are too slow; else all holders.
 
     """
--- a/packages/millforkd/millforkd/sidecar/target.py
+++ b/packages/millforkd/millforkd/sidecar/target.py
@@ -24,7 +24,7 @@
 # engine works at a third of its rate.
 VERSION_CHANGE_S: Final = 1.0
 # A version of which no piece arrived for this long counts as stuck. A piece takes 0.2 s on a
-# link that is throttled to a quarter.
+# link that is throttled to a quarter of its rate.
 STUCK_AFTER_S: Final = 1.0
 # A version counts as stuck for this long.
 STUCK_FOR_S: Final = 1.5
