--- a/packages/millforkd/millforkd/entry/access_control.py
+++ b/packages/millforkd/millforkd/entry/access_control.py
@@ -36,7 +36,7 @@
 
 class AccessControl:
     """
-    The token hashes and organisations of the current configuration.
+    Authenticates requests by the token hashes and organisations of the current configuration.
 
     """
 
--- a/packages/millforkd/millforkd/entry/caller_requests.py
+++ b/packages/millforkd/millforkd/entry/caller_requests.py
@@ -1,5 +1,5 @@
 """
-Handles callers' requests: completions by models, and calls of plain services.
+Handles callers' requests: completions by models, and calls to plain services.
 
 """
 
@@ -98,7 +98,7 @@
 
     async def _answer_until_caller_leaves(self, exchange: Exchange, call: Call) -> None:
         """
-        Run the call until it is answered or the caller is gone. A call with an
+        Run the call until it is answered or the caller disconnects. A call with an
         idempotency key continues, so that the outcome is recorded for its key.
 
         """
@@ -237,7 +237,8 @@
 
 def _is_repeatable(request: Request) -> bool:
     """
-    Decide by the caller's header, or by the method (RFC 9110, section 9.2.2) without one.
+    Whether the request may be repeated: as the caller's header says or, without one, if its
+    method is idempotent (RFC 9110, section 9.2.2).
 
     """
     mark = request.header(REPEATABLE_HEADER)
--- a/packages/millforkd/millforkd/entry/crash_tracking.py
+++ b/packages/millforkd/millforkd/entry/crash_tracking.py
@@ -74,7 +74,8 @@
 
 class CrashTracker:
     """
-    Counts the back ends that ended, by fingerprint. A complete answer clears a call.
+    Counts, by fingerprint of the call, the back ends that ended. A complete answer clears the
+    suspicion of its call.
 
     """
 
@@ -198,7 +199,7 @@
 
     def _log_end(self, before: Suspicion) -> None:
         log.info(
-            'A back end ended under a request. fingerprint={} ends={}',
+            'A back end ended while it ran a request. fingerprint={} ends={}',
             before.fingerprint,
             self.suspicion_store.get(before.fingerprint).ends,
         )
--- a/packages/millforkd/millforkd/entry/delivery.py
+++ b/packages/millforkd/millforkd/entry/delivery.py
@@ -1,5 +1,5 @@
 """
-Delivers an answer to the caller: event streams piece by piece, other answers complete.
+Delivers an answer to the caller: event streams piece by piece, other answers as a whole.
 
 """
 
@@ -34,7 +34,8 @@
 
     async def deliver(self, attempt: Attempt, deadline: float) -> Refusal | None:
         """
-        Relay one attempt's answer, or return the refusal if there is none.
+        Relay one attempt's event stream, or keep its complete answer in `response`. Returns a
+        refusal if the answer is incomplete or the back end turned the request away.
 
         """
         head = await attempt.receive_head(deadline)
--- a/packages/millforkd/millforkd/entry/dispatcher.py
+++ b/packages/millforkd/millforkd/entry/dispatcher.py
@@ -21,9 +21,11 @@
 from millforkd.entry.delivery import Delivery
 from millforkd.entry.endpoint_connections import EndpointConnections
 
+# An endpoint is avoided for this long after a refusal for one of AVOIDANCE_REASONS.
 AVOIDANCE_S: Final = 3.0
 # Length of the random key that is used where entries share no fingerprints.
 FINGERPRINT_KEY_BYTES: Final = 32
+# An endpoint that answered BUSY counts as busy for the organisation for this long.
 BUSY_RETENTION_S: Final = 0.05
 AVOIDANCE_REASONS: Final = frozenset({Reason.UNREACHABLE, Reason.TIMED_OUT, Reason.CONNECTION_LOST})
 
--- a/packages/millforkd/millforkd/entry/endpoint_connections.py
+++ b/packages/millforkd/millforkd/entry/endpoint_connections.py
@@ -22,6 +22,7 @@
 from millfork_wire.peers import PeerAddress, Peers
 
 CONNECT_INTERVAL_S: Final = 0.5
+# The endpoints of other zones are at least this fraction of the subset: 1 / REMOTE_DIVISOR.
 REMOTE_DIVISOR: Final = 4
 
 log = logger(Component.ENTRY)
@@ -112,7 +113,7 @@
     def _subset(self, group: list[InstanceFacts]) -> list[InstanceFacts]:
         """
         Return a stable subset of the group: endpoints of this zone first, then
-        enough of other zones to take over when these are full.
+        enough of other zones to take over when those of this zone are full.
 
         """
         ranked = sorted(group, key=lambda facts: self._rank(facts.instance))
--- a/packages/millforkd/millforkd/entry/key_claims.py
+++ b/packages/millforkd/millforkd/entry/key_claims.py
@@ -49,7 +49,8 @@
 
     async def settle(self, call: Call, response: Response | None, verdict: Verdict) -> None:
         """
-        Record how the attempt ended. After MAY_HAVE_RUN the key stays claimed.
+        Store the response, or release the key if nothing ran. If the request may have run and
+        there is no response, the key stays claimed.
 
         """
         if response is None and verdict is not Verdict.NOT_RUN:
--- a/packages/millforkd/millforkd/entry/operator_requests.py
+++ b/packages/millforkd/millforkd/entry/operator_requests.py
@@ -46,8 +46,9 @@
 
 class ApplyRequest(msgspec.Struct, forbid_unknown_fields=True):
     """
-    The body of an apply: a declaration as JSON, the command's id, and the
-    revision that must still be current, if the operator gave one.
+    The body of an apply: a declaration as JSON, the command's id, and the deployments to
+    remove. If the operator gives a revision in `expect`, the command is refused if one of
+    its keys was set or removed after that revision.
 
     """
 
@@ -59,7 +60,7 @@
 
 class OperatorRequests:
     """
-    Answers operators. Operators see and change only what belongs to their organisation.
+    Answers operators. An organisation's operators see and change only what belongs to it.
 
     """
 
--- a/packages/millforkd/millforkd/entry/suspicion_gossip.py
+++ b/packages/millforkd/millforkd/entry/suspicion_gossip.py
@@ -24,7 +24,7 @@
 REPORT_TIMEOUT_S: Final = 0.3
 # Delay before a report that was not accepted is sent again.
 RESEND_INTERVAL_S: Final = 0.5
-# An entry that starts asks this many others, and serves after the timeout without an answer.
+# An entry that starts asks this many others. It serves after the timeout even if none answers.
 MAX_ENTRIES_ASKED: Final = 3
 ASK_TIMEOUT_S: Final = 1.0
 ROSTER_POLL_INTERVAL_S: Final = 0.05
@@ -35,7 +35,8 @@
 def gossip_targets(order: list[InstanceId], instance: InstanceId) -> list[InstanceId]:
     """
     Return the entries that an entry reports to: those 1, 2, 4, ... places after it in an order
-    that all entries share. Each of N entries reports to log N, and is reached in log N steps.
+    that all entries share. Each of N entries reports to log2(N) others, and a report reaches all
+    entries in log2(N) steps. An entry that isn't in the order reports to its first entry.
 
     """
     if instance not in order:
@@ -62,7 +63,7 @@
         self.peers = peers
         self.roster = roster
         self.suspicion_store = suspicion_store
-        # Whether other entries were asked for their suspicions.
+        # Whether the other entries that were asked at the start have answered or timed out.
         self.has_asked_others = False
         # The fingerprints that each target has not accepted yet.
         self.undelivered: dict[InstanceId, set[Fingerprint]] = {}
--- a/tests/utils/crashing.py
+++ b/tests/utils/crashing.py
@@ -89,7 +89,7 @@
 
         """
         return re.findall(
-            r'A back end ended under a request\. fingerprint=(\w+) ends=3', self.log(0)
+            r'A back end ended while it ran a request\. fingerprint=(\w+) ends=3', self.log(0)
         )
 
     def wait_for_quarantine(self, known_fingerprints):
