--- a/packages/millfork-state/millfork_state/replica.py
+++ b/packages/millfork-state/millfork_state/replica.py
@@ -401,8 +401,8 @@
         Milliseconds since this replica was known to have applied all committed entries.
 
         Contact with the leader isn't enough: a replica that returned after a partition was in
-        contact immediately, and for 0.2 s it reported old versions to newly started entries as
-        just named. A leader counts as up to date only once an entry of its own term is applied, as
+        contact immediately, and for 0.2 s it reported old versions as just named to newly started
+        entries. A leader counts as up to date only once an entry of its own term is applied, as
         earlier entries may be committed without its knowledge.
 
         """
--- a/packages/millfork-state/millfork_state/roster.py
+++ b/packages/millfork-state/millfork_state/roster.py
@@ -70,8 +70,8 @@
             log.debug('Could not fetch the instance list: {}.', error)
             self.env.metrics.count(self.env.metrics.state, event='platform_silent')
             return False
-        moved = self.client.bytes_transferred - bytes_before
-        self.env.metrics.count(self.env.metrics.wire_bytes, moved, way='platform')
+        transferred = self.client.bytes_transferred - bytes_before
+        self.env.metrics.count(self.env.metrics.wire_bytes, transferred, way='platform')
         version_before = self.version
         self.apply_delta(delta)
         if self.version != version_before:
--- a/packages/millfork-state/millfork_state/storage.py
+++ b/packages/millfork-state/millfork_state/storage.py
@@ -206,6 +206,7 @@
         self.snapshot = self._load_snapshot()
         self.entries: list[LogEntry] = []
         self.torn_bytes = 0
+        # The highest committed index that the log records. Later entries may be committed too.
         self.commit_hint = self._load_log()
         # The last index known durable. Entries in memory may be ahead of it.
         self.durable_index = int(self.last_index)
--- a/packages/millforkd/millforkd/entry/crash_tracking.py
+++ b/packages/millforkd/millforkd/entry/crash_tracking.py
@@ -1,5 +1,6 @@
 """
-Tracks calls that end the back ends that run them, on a fleet with a list of instances.
+Tracks calls that make the back ends that run them end (crash), on a fleet with a list of
+instances.
 
 A caller that retries makes a new call, so calls are identified by a fingerprint of their content:
 organisation, service, method, path and body.
@@ -103,7 +104,7 @@
 
     def block_refusal(self, call: Call) -> Refusal | None:
         """
-        Return a refusal if a call ends back ends or is suspected to; None if it may run.
+        Return a refusal if a call is found or suspected to make back ends end; None if it may run.
 
         """
         level = self.quarantine.blocking_level(call)
--- a/packages/millforkd/millforkd/entry/dispatcher.py
+++ b/packages/millforkd/millforkd/entry/dispatcher.py
@@ -124,7 +124,8 @@
 
     def _no_endpoint_refusal(self, call: Call) -> Refusal:
         """
-        Return why no endpoint was chosen, with the shortest wait until one may be.
+        Return why no endpoint was chosen. If endpoints are busy, the refusal has the shortest
+        time after which to retry.
 
         """
         now = self.env.monotonic()
--- a/packages/millforkd/millforkd/entry/suspicion_gossip.py
+++ b/packages/millforkd/millforkd/entry/suspicion_gossip.py
@@ -1,5 +1,6 @@
 """
-Gossip between the entries of a fleet with a list of instances about requests that end back ends.
+Gossip between the entries of a fleet with a list of instances, about requests that are suspected
+to make back ends end (crash).
 
 Each entry sends new suspicions to a few others, which forward those that are new to them. An
 entry that starts asks some others for their suspicions.
--- a/packages/millforkd/millforkd/sidecar/fleet.py
+++ b/packages/millforkd/millforkd/sidecar/fleet.py
@@ -76,9 +76,9 @@
 
     def _snapshot_for(self, weights: WeightsId) -> _FleetSnapshot:
         now = self.env.monotonic()
-        held = self.snapshot
-        if held is not None and held.weights == weights and now - held.at < SNAPSHOT_MAX_AGE_S:
-            return held
+        last = self.snapshot
+        if last is not None and last.weights == weights and now - last.at < SNAPSHOT_MAX_AGE_S:
+            return last
         layers, _ = self.model_shape()
         members = self.members()
         lacking = daemons_lacking(members, weights, self.service, layers)
--- a/packages/millforkd/millforkd/sidecar/rollout.py
+++ b/packages/millforkd/millforkd/sidecar/rollout.py
@@ -142,8 +142,9 @@
 
     def is_emptied(self, target: Target) -> bool:
         """
-        Whether the engine holds neither the first nor the last layer. A request runs on a path
-        of two engines, which hold these two layers, so such an engine gets no requests.
+        Whether the engine holds neither the first nor the last layer. A request runs on one engine
+        with all layers, or on a path of two engines that starts with the first layer and ends with
+        the last one, so such an engine gets no requests.
 
         """
         return all(
--- a/packages/millforkd/millforkd/sidecar/target.py
+++ b/packages/millforkd/millforkd/sidecar/target.py
@@ -50,7 +50,7 @@
 
 class TargetChooser:
     """
-    Chooses the target among the versions that were named.
+    Chooses the target among the versions that the leader has named.
 
     """
 
