--- a/packages/millforkd/millforkd/entry/crash_tracking.py
+++ b/packages/millforkd/millforkd/entry/crash_tracking.py
@@ -1,5 +1,6 @@
 """
-Tracks calls that end the back ends that run them, on a fleet with a list of instances.
+Tracks calls that make the back ends that run them end (crash), on a fleet with a list of
+instances.
 
 A caller that retries makes a new call, so calls are identified by a fingerprint of their content:
 organisation, service, method, path and body.
@@ -74,7 +75,8 @@
 
 class CrashTracker:
     """
-    Counts the back ends that ended, by fingerprint. A complete answer clears a call.
+    Counts, by fingerprint of the call, the back ends that ended. A complete answer clears the
+    suspicion of its call.
 
     """
 
@@ -102,7 +104,7 @@
 
     def block_refusal(self, call: Call) -> Refusal | None:
         """
-        Return a refusal if a call ends back ends or is suspected to; None if it may run.
+        Return a refusal if a call is found or suspected to make back ends end; None if it may run.
 
         """
         level = self.quarantine.blocking_level(call)
@@ -198,7 +200,7 @@
 
     def _log_end(self, before: Suspicion) -> None:
         log.info(
-            'A back end ended under a request. fingerprint={} ends={}',
+            'A back end ended while it ran a request. fingerprint={} ends={}',
             before.fingerprint,
             self.suspicion_store.get(before.fingerprint).ends,
         )
