--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -134,7 +134,7 @@
             Edit(
                 C + 'placement.py',
                 'VERSION_END_MARGIN_WITHOUT_DAEMON_S if has_no_daemon',
-                'VERSION_END_MARGIN_S if unguarded',
+                'VERSION_END_MARGIN_S if has_no_daemon',
             ),
         ),
     ),
@@ -191,7 +191,7 @@
             Edit(
                 C + 'server_table.py',
                 'if occupied >= MAX_OCCUPIED_SHARE * sum(',
-                'if taken >= 0 * sum(',
+                'if occupied >= 0 * sum(',
             ),
         ),
     ),
