--- a/packages/millfork-scheduling/millfork_scheduling/availability.py
+++ b/packages/millfork-scheduling/millfork_scheduling/availability.py
@@ -91,7 +91,7 @@
         """
         return max(self.until - now, self.probed_at + PROBE_TIMEOUT_S - now, 0.0)
 
-    def note_sent(self, now: float) -> None:
+    def record_sent(self, now: float) -> None:
         """
         Record that a request was sent, which probes whether the rest is over.
 
@@ -230,13 +230,13 @@
             return None
         return Closure(ClosureReason.LIMITED, self.limit.expected_wait_s(now, entries))
 
-    def note_sent(self, now: float, entries: int) -> None:
+    def record_sent(self, now: float, entries: int) -> None:
         """
         Record a request that is sent.
 
         """
         if self.rest is not None:
-            self.rest.note_sent(now)
+            self.rest.record_sent(now)
         if self.limit is not None:
             self.limit.consume(now, entries)
 
--- a/packages/millfork-scheduling/millfork_scheduling/server_table.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server_table.py
@@ -371,13 +371,13 @@
         """
         return server.availability.closure(self.monotonic(), max(self.peak_entries(), 1))
 
-    def note_sent(self, servers: Iterable[Server]) -> None:
+    def record_sent(self, servers: Iterable[Server]) -> None:
         """
         Record a request that is sent through the given back ends.
 
         """
         for server in servers:
-            server.availability.note_sent(self.monotonic(), max(self.peak_entries(), 1))
+            server.availability.record_sent(self.monotonic(), max(self.peak_entries(), 1))
 
     def first_to_open(self, requirements: Requirements) -> Closure | None:
         """
--- a/packages/millforkd/millforkd/endpoint/rest_tracking.py
+++ b/packages/millforkd/millforkd/endpoint/rest_tracking.py
@@ -47,7 +47,7 @@
 
         """
         if self.rest_period is not None:
-            self.rest_period.note_sent(now)
+            self.rest_period.record_sent(now)
 
     def record_answer(self, reply: Reply, sent_at: float) -> None:
         """
--- a/packages/millforkd/millforkd/proxy/request_sender.py
+++ b/packages/millforkd/millforkd/proxy/request_sender.py
@@ -186,7 +186,7 @@
         if not job.tried:
             self.budget.note_request(job.requirements.service)
         job.tried += [used.instance for used in attempt.choice.servers]
-        self.server_table.note_sent(attempt.choice.servers)
+        self.server_table.record_sent(attempt.choice.servers)
         headers = self.adapter.back_end_headers(request, forward_options)
         self._note_version(job, version)
         job.pending_servers = tuple(attempt.choice.servers)
--- a/tests/test_closed_back_ends.py
+++ b/tests/test_closed_back_ends.py
@@ -152,25 +152,25 @@
     reject(table, 1)
     clock.now += 3.1
     assert closed_for(table, 1) is None
-    table.note_sent([server(table, 1)])
+    table.record_sent([server(table, 1)])
     assert closed_for(table, 1) is ClosureReason.RESTING
     clock.now += 0.1
     ended = answer(table, 1, NO_BACKPRESSURE, sent_ago_s=0.1)
     assert [change.event for change in ended] == [SignalEvent.ENDED]
-    table.note_sent([server(table, 1)])
+    table.record_sent([server(table, 1)])
     assert closed_for(table, 1) is None
 
 
 def test_the_probe_of_a_rest_may_be_turned_away_or_lost(table, clock):
     reject(table, 1)
     clock.now += 3.1
-    table.note_sent([server(table, 1)])
+    table.record_sent([server(table, 1)])
     clock.now += 0.1
     reject(table, 1, sent_ago_s=0.1)
     clock.now += 2.9
     assert closed_for(table, 1) is ClosureReason.RESTING
     clock.now += 0.2
-    table.note_sent([server(table, 1)])
+    table.record_sent([server(table, 1)])
     clock.now += PROBE_TIMEOUT_S + 0.01
     assert closed_for(table, 1) is None
 
--- a/tests/test_limit_shares.py
+++ b/tests/test_limit_shares.py
@@ -132,7 +132,7 @@
     changed = announce_limit(table, 1, 0.6, clock.now - 0.1)
     assert [change.event for change in changed] == [SignalEvent.CHANGED]
     assert table.closure(server(table, 1)) is None
-    table.note_sent([server(table, 1)])
+    table.record_sent([server(table, 1)])
     assert table.closure(server(table, 1)) is not None
 
 
