--- a/packages/millfork-routing/millfork_routing/balance.py
+++ b/packages/millfork-routing/millfork_routing/balance.py
@@ -77,7 +77,7 @@
         busy = self.busy.get(organisation)
         return busy if busy is not None and busy.until > now else None
 
-    def note_turned_away(self, sent_at: float, now: float) -> None:
+    def record_turned_away(self, sent_at: float, now: float) -> None:
         """
         Record that its back end turned away a request sent at `sent_at`. Rejected requests
         occupy no place, so the endpoint would otherwise look the least loaded.
--- a/packages/millfork-scheduling/millfork_scheduling/first_tries.py
+++ b/packages/millfork-scheduling/millfork_scheduling/first_tries.py
@@ -86,7 +86,7 @@
         self.deadlines_by_route: dict[str, RouteDeadlines] = {}
         self.turned_away_at = float('-inf')
 
-    def note_turned_away(self, now: float) -> None:
+    def record_turned_away(self, now: float) -> None:
         """
         Record that a caller was turned away and may come back.
 
--- a/packages/millfork-scheduling/millfork_scheduling/server.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server.py
@@ -245,7 +245,7 @@
         self.avoided_until = now + wait
         self.note_outcome(failed=True)
 
-    def note_turned_away(self, sent_at: float, now: float) -> None:
+    def record_turned_away(self, sent_at: float, now: float) -> None:
         """
         Record that a request sent at `sent_at` was turned away; the back end is avoided for a
         while. As rejected requests occupy no slots, it would otherwise seem to be the freest.
--- a/packages/millfork-standins/millfork_standins/bench/retry_detection.py
+++ b/packages/millfork-standins/millfork_standins/bench/retry_detection.py
@@ -111,7 +111,7 @@
         return judgement.elapsed_ms
 
     def _note_turned_away(self, table: ServerTable) -> None:
-        self.first_tries[table].note_turned_away(self.scheduler.now)
+        self.first_tries[table].record_turned_away(self.scheduler.now)
         self.turned_away += self.scheduler.now > CALM_DURATION_S
 
     def _count(self, request: ModelRequest, outcome: str) -> None:
--- a/packages/millfork-standins/millfork_standins/bench/turning_away.py
+++ b/packages/millfork-standins/millfork_standins/bench/turning_away.py
@@ -50,7 +50,7 @@
     Avoid the engine for a period that grows each time, as entries do.
 
     """
-    server.note_turned_away(sent_at, now)
+    server.record_turned_away(sent_at, now)
 
 
 def count_as_failure(server: Server, sent_at: float, now: float) -> None:
--- a/packages/millforkd/millforkd/entry/dispatcher.py
+++ b/packages/millforkd/millforkd/entry/dispatcher.py
@@ -163,7 +163,7 @@
             backend.note_accepted(sent_at)
             return None
         if isinstance(refusal, TurnedAway):
-            backend.note_turned_away(sent_at, self.env.monotonic())
+            backend.record_turned_away(sent_at, self.env.monotonic())
             return refusal
         self._apply_refusal(call, backend, refusal)
         return refusal
--- a/packages/millforkd/millforkd/proxy/backpressure.py
+++ b/packages/millforkd/millforkd/proxy/backpressure.py
@@ -47,7 +47,7 @@
         if not head.not_run:
             server.note_accepted(sent_at)
         elif not head.misdirected:
-            server.note_turned_away(sent_at, now)
+            server.record_turned_away(sent_at, now)
 
     def note(
         self,
--- a/packages/millforkd/millforkd/proxy/forwarding.py
+++ b/packages/millforkd/millforkd/proxy/forwarding.py
@@ -155,7 +155,7 @@
         Record the refusal, as a caller that retries may send a shorter deadline.
 
         """
-        self.admission.first_tries.note_turned_away(self.env.monotonic())
+        self.admission.first_tries.record_turned_away(self.env.monotonic())
         if job.requirements.engine is not None:
             await self.turned_away.note(job)
 
--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -75,7 +75,7 @@
         (
             Edit(
                 D + 'proxy/backpressure.py',
-                'server.note_turned_away(sent_at, now)',
+                'server.record_turned_away(sent_at, now)',
                 'pass',
             ),
         ),
--- a/tests/test_closed_back_ends.py
+++ b/tests/test_closed_back_ends.py
@@ -209,12 +209,12 @@
     found = server(table, 1)
     pauses = []
     for _ in range(8):
-        found.note_turned_away(clock.now, clock.now)
+        found.record_turned_away(clock.now, clock.now)
         pauses.append(found.avoided_until - clock.now)
         clock.now = found.avoided_until
     assert pauses == pytest.approx([0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 2.0, 2.0])
     found.note_accepted(clock.now)
-    found.note_turned_away(clock.now, clock.now)
+    found.record_turned_away(clock.now, clock.now)
     assert found.avoided_until - clock.now == pytest.approx(0.05)
 
 
@@ -223,13 +223,13 @@
     sent_at = clock.now
     clock.now += 0.05
     for _ in range(5):
-        found.note_turned_away(sent_at, clock.now)
+        found.record_turned_away(sent_at, clock.now)
     assert found.turned_away == 1
 
 
 def test_back_ends_are_still_tried_if_all_turn_requests_away(table, clock):
     for number in (1, 2):
-        server(table, number).note_turned_away(clock.now, clock.now)
+        server(table, number).record_turned_away(clock.now, clock.now)
     assert table.choose(Requirements(SERVICE), set()) is not None
 
 
--- a/tests/test_first_tries.py
+++ b/tests/test_first_tries.py
@@ -61,7 +61,7 @@
 
 def under_load(deadlines):
     detector = FirstTryDetector()
-    detector.note_turned_away(0.0)
+    detector.record_turned_away(0.0)
     return [detector.judge('r', deadline_ms, 0.1) for deadline_ms in deadlines][-1]
 
 
@@ -108,7 +108,7 @@
 
 
 def test_deadlines_of_possible_retries_are_not_learned(common_deadline):
-    common_deadline.note_turned_away(10.0)
+    common_deadline.record_turned_away(10.0)
     for _ in range(200):
         common_deadline.judge('r', 5600, 10.5)
     assert common_deadline.judge('r', 5600, 10.6).elapsed_ms > 400
--- a/tests/test_turned_away_on_listed_fleets.py
+++ b/tests/test_turned_away_on_listed_fleets.py
@@ -120,13 +120,13 @@
     backend = Backend(InstanceId('a'), ZoneId('z'))
     waits = []
     for sent_at in (10, 20, 30, 40, 50, 60, 70, 80):
-        backend.note_turned_away(sent_at, sent_at + 1)
+        backend.record_turned_away(sent_at, sent_at + 1)
         waits.append(backend.passed_over_until - sent_at - 1)
     assert waits == sorted(waits)
     assert waits[0] == pytest.approx(FIRST_PASSED_OVER_S)
     assert waits[-1] == pytest.approx(MAX_PASSED_OVER_S)
     until = backend.passed_over_until
-    backend.note_turned_away(70, 82)
+    backend.record_turned_away(70, 82)
     assert backend.passed_over_until == until
     backend.note_accepted(70)
     assert backend.turned_away
@@ -136,7 +136,7 @@
 
 def test_back_ends_are_still_used_if_all_turn_away():
     first, second = (Backend(InstanceId(name), ZoneId('z')) for name in 'ab')
-    first.note_turned_away(1, 2)
+    first.record_turned_away(1, 2)
     assert choose([first, second], ZoneId('z'), 'o', '', set(), 2) is second
-    second.note_turned_away(1, 2)
+    second.record_turned_away(1, 2)
     assert choose([first, second], ZoneId('z'), 'o', '', set(), 2) is not None
