--- a/packages/millfork-routing/millfork_routing/balance.py
+++ b/packages/millfork-routing/millfork_routing/balance.py
@@ -91,7 +91,7 @@
         self.turned_away += 1
         self.turned_away_at = now
 
-    def note_accepted(self, sent_at: float) -> None:
+    def record_accepted(self, sent_at: float) -> None:
         """
         Record that its back end accepted a request sent at `sent_at`.
 
--- a/packages/millfork-scheduling/millfork_scheduling/server.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server.py
@@ -259,7 +259,7 @@
         self.turned_away_at = now
         self.avoided_until = max(self.avoided_until, now + wait)
 
-    def note_accepted(self, sent_at: float) -> None:
+    def record_accepted(self, sent_at: float) -> None:
         """
         Record that the back end accepted a request sent at `sent_at`.
 
--- a/packages/millfork-standins/millfork_standins/bench/turning_away.py
+++ b/packages/millfork-standins/millfork_standins/bench/turning_away.py
@@ -102,7 +102,7 @@
         )
         self._count(request, 'sends')
         if not is_turned_away:
-            server.note_accepted(self.scheduler.now)
+            server.record_accepted(self.scheduler.now)
             super()._start(request, table, choice)
             return
         self._count(request, 'turned away')
--- a/packages/millforkd/millforkd/entry/dispatcher.py
+++ b/packages/millforkd/millforkd/entry/dispatcher.py
@@ -160,7 +160,7 @@
             else:
                 self._record_cancellation(call, attempt)
         if refusal is None:
-            backend.note_accepted(sent_at)
+            backend.record_accepted(sent_at)
             return None
         if isinstance(refusal, TurnedAway):
             backend.record_turned_away(sent_at, self.env.monotonic())
--- a/packages/millforkd/millforkd/proxy/backpressure.py
+++ b/packages/millforkd/millforkd/proxy/backpressure.py
@@ -45,7 +45,7 @@
         changes = server.availability.apply_answer(signals, sent_at, now, head.not_run)
         self.note(server, changes, SignalSource.ANSWER, job.caller.request_id)
         if not head.not_run:
-            server.note_accepted(sent_at)
+            server.record_accepted(sent_at)
         elif not head.misdirected:
             server.record_turned_away(sent_at, now)
 
--- a/tests/test_closed_back_ends.py
+++ b/tests/test_closed_back_ends.py
@@ -213,7 +213,7 @@
         pauses.append(found.avoided_until - clock.now)
         clock.now = found.avoided_until
     assert pauses == pytest.approx([0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 2.0, 2.0])
-    found.note_accepted(clock.now)
+    found.record_accepted(clock.now)
     found.record_turned_away(clock.now, clock.now)
     assert found.avoided_until - clock.now == pytest.approx(0.05)
 
--- a/tests/test_turned_away_on_listed_fleets.py
+++ b/tests/test_turned_away_on_listed_fleets.py
@@ -128,9 +128,9 @@
     until = backend.passed_over_until
     backend.record_turned_away(70, 82)
     assert backend.passed_over_until == until
-    backend.note_accepted(70)
+    backend.record_accepted(70)
     assert backend.turned_away
-    backend.note_accepted(90)
+    backend.record_accepted(90)
     assert not backend.turned_away
 
 
