--- a/packages/millfork-routing/millfork_routing/retries.py
+++ b/packages/millfork-routing/millfork_routing/retries.py
@@ -58,7 +58,7 @@
             self.windows[(organisation, service)] = window
         return window
 
-    def note_request(self, organisation: OrganisationId, service: str) -> None:
+    def record_request(self, organisation: OrganisationId, service: str) -> None:
         """
         Count a first attempt, which adds `ratio` to the allowed retries.
 
--- a/packages/millfork-routing/millfork_routing/shared_budget.py
+++ b/packages/millfork-routing/millfork_routing/shared_budget.py
@@ -95,7 +95,7 @@
         self.peak_entries = WindowMax(ENTRIES_REMEMBERED_S)
         self.windows: dict[ServiceName, _Window] = {}
 
-    def note_request(self, service: ServiceName) -> None:
+    def record_request(self, service: ServiceName) -> None:
         """
         Count a request when it is sent for the first time.
 
--- a/packages/millforkd/millforkd/entry/dispatcher.py
+++ b/packages/millforkd/millforkd/entry/dispatcher.py
@@ -85,7 +85,7 @@
         tried: set[InstanceId] = set()
         last_refusal: Refusal | None = None
         may_have_run = False
-        self.budget.note_request(call.organisation, call.service)
+        self.budget.record_request(call.organisation, call.service)
         while True:
             blocked = self.crashes.block_refusal(call)
             if blocked is not None:
--- a/packages/millforkd/millforkd/proxy/request_sender.py
+++ b/packages/millforkd/millforkd/proxy/request_sender.py
@@ -184,7 +184,7 @@
             _path_parts(attempt.choice, job.requirements.engine),
         )
         if not job.tried:
-            self.budget.note_request(job.requirements.service)
+            self.budget.record_request(job.requirements.service)
         job.tried += [used.instance for used in attempt.choice.servers]
         self.server_table.record_sent(attempt.choice.servers)
         headers = self.adapter.back_end_headers(request, forward_options)
--- a/tests/test_repeat_budget_in_cuts.py
+++ b/tests/test_repeat_budget_in_cuts.py
@@ -35,7 +35,7 @@
         fleet.clock.now += TICK_S
         for budget in fleet.budgets:
             if tick % TICKS_PER_REQUEST == 0:
-                budget.note_request(SERVICE)
+                budget.record_request(SERVICE)
                 requests.append(fleet.clock.now)
             while budget.spend(SERVICE):
                 repeats.append(fleet.clock.now)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -198,7 +198,7 @@
     clock = Clock()
     budget = RetryBudget(0.1, 2, clock)
     for _ in range(30):
-        budget.note_request(ONE, 'service')
+        budget.record_request(ONE, 'service')
     assert [budget.spend(ONE, 'service') for _ in range(6)] == [True] * 5 + [False]
     assert budget.spend(TWO, 'service')
     clock.now += 11
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -164,7 +164,7 @@
     for position, step in enumerate(steps):
         budget = budgets[position % entries]
         if step == 'request':
-            budget.note_request(SERVICE)
+            budget.record_request(SERVICE)
             requests.append(clock.now)
         if step == 'repeat' and budget.spend(SERVICE):
             repeats.append(clock.now)
--- a/tests/test_shared_budget.py
+++ b/tests/test_shared_budget.py
@@ -74,7 +74,7 @@
             self.known_entries = ENTRIES
         for budget in self.budgets:
             for _ in range(REQUESTS):
-                budget.note_request(SERVICE)
+                budget.record_request(SERVICE)
                 self.requests.append(self.clock.now)
                 if spends and budget.spend(SERVICE):
                     self.repeats.append(self.clock.now)
