--- a/packages/millfork-scheduling/millfork_scheduling/server.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server.py
@@ -225,7 +225,7 @@
             self.pace,
         )
 
-    def note_service_time(self, seconds: float) -> None:
+    def record_service_time(self, seconds: float) -> None:
         """
         Add the time of one request at the back end to the mean.
 
--- a/packages/millfork-standins/millfork_standins/bench/routing.py
+++ b/packages/millfork-standins/millfork_standins/bench/routing.py
@@ -379,7 +379,7 @@
             )
 
         def on_end() -> None:
-            choice.server.note_service_time(self.scheduler.now - attempt.started_at)
+            choice.server.record_service_time(self.scheduler.now - attempt.started_at)
             attempt.end()
 
         generation = Generation(
--- a/packages/millforkd/millforkd/proxy/request_sender.py
+++ b/packages/millforkd/millforkd/proxy/request_sender.py
@@ -89,7 +89,7 @@
                 connection = await pool.acquire(recently_used=not job.route.repeatable)
                 keep_s = await self._exchange(job, attempt, connection)
             job.pending_servers = ()
-            server.note_service_time(self.env.monotonic() - attempt.started_at)
+            server.record_service_time(self.env.monotonic() - attempt.started_at)
             if connection.reusable:
                 await self.quarantine.clear_suspicion(job)
             return None
