--- a/packages/millfork-scheduling/millfork_scheduling/server.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server.py
@@ -235,7 +235,7 @@
             return
         self.service_s += SERVICE_TIME_WEIGHT * (seconds - self.service_s)
 
-    def note_failure(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """
         Record a failure; the back end is avoided for a while.
 
--- a/packages/millfork-standins/millfork_standins/bench/turning_away.py
+++ b/packages/millfork-standins/millfork_standins/bench/turning_away.py
@@ -58,7 +58,7 @@
     Count a failure, as for an answer that broke off.
 
     """
-    server.note_failure(now)
+    server.record_failure(now)
 
 
 def count_in_failure_rate(server: Server, sent_at: float, now: float) -> None:
--- a/packages/millforkd/millforkd/proxy/request_sender.py
+++ b/packages/millforkd/millforkd/proxy/request_sender.py
@@ -115,7 +115,7 @@
             silent = reason is Reason.TIMED_OUT and server.last_received_at < job.received_at
             # An engine that changes its weights was ordered to interrupt running requests.
             if (silent or reason in BROKEN) and not server.changing:
-                server.note_failure(now)
+                server.record_failure(now)
         return FailedAttempt(reason, verdict, detail)
 
     def _note_version(self, job: Job, version: int | None) -> None:
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -130,7 +130,7 @@
     before = server_table.servers['i-1']
     before.own_requests = 3
     before.refused[1] = clock.now + 60
-    before.note_failure(clock.now)
+    before.record_failure(clock.now)
     before.lateness.note(500.0, clock.now)
     assert server_table.apply_leases([lease(SECOND_INCARNATION, 1, served=())]) == [before]
     assert before.replaced
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -93,7 +93,7 @@
 
 def test_a_failing_back_end_is_avoided_unless_there_is_no_other(table, clock):
     table.apply_leases([lease(1), lease(2)])
-    table.servers[InstanceId('i-1')].note_failure(clock.now)
+    table.servers[InstanceId('i-1')].record_failure(clock.now)
     assert {chosen(table) for _ in range(20)} == {'i-2'}
     assert chosen(table, tried=['i-2']) == 'i-1'
 
@@ -102,10 +102,10 @@
     table.apply_leases([lease(1)])
     server = table.servers[InstanceId('i-1')]
     for _ in range(9):
-        server.note_failure(clock.now)
+        server.record_failure(clock.now)
     assert server.avoided_until == clock.now + MAX_AVOIDANCE_S
     server.note_outcome(failed=False)
-    server.note_failure(clock.now)
+    server.record_failure(clock.now)
     assert server.avoided_until < clock.now + MAX_AVOIDANCE_S
 
 
