--- a/packages/millfork-scheduling/millfork_scheduling/server.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server.py
@@ -243,7 +243,7 @@
         wait = min(FIRST_AVOIDANCE_S * 2**self.failures, MAX_AVOIDANCE_S)
         self.failures += 1
         self.avoided_until = now + wait
-        self.note_outcome(failed=True)
+        self.record_outcome(failed=True)
 
     def record_turned_away(self, sent_at: float, now: float) -> None:
         """
@@ -267,7 +267,7 @@
         if sent_at >= self.turned_away_at:
             self.turned_away = 0
 
-    def note_outcome(self, failed: bool) -> None:
+    def record_outcome(self, failed: bool) -> None:
         """
         Add the outcome of one request to the failure rate.
 
--- a/packages/millfork-standins/millfork_standins/bench/turning_away.py
+++ b/packages/millfork-standins/millfork_standins/bench/turning_away.py
@@ -66,7 +66,7 @@
     Count a failure in the failure rate only.
 
     """
-    server.note_outcome(failed=True)
+    server.record_outcome(failed=True)
 
 
 HANDLERS: Final[dict[str, TurnedAwayHandler]] = {
--- a/packages/millforkd/millforkd/proxy/request_sender.py
+++ b/packages/millforkd/millforkd/proxy/request_sender.py
@@ -208,7 +208,7 @@
             raise SendFailed(Reason.BUSY, Verdict.NOT_RUN, f'the server answered {head.status}')
         if head.status >= 500 and job.route.repeatable and not job.answer_started:
             job.held_answer = await self.response_relay.read_failure(connection)
-            server.note_outcome(failed=True)
+            server.record_outcome(failed=True)
             raise SendFailed(
                 Reason.BACKEND_FAILED, Verdict.RAN, f'the server answered {head.status}'
             )
@@ -217,7 +217,7 @@
             await self.response_relay.stream(job, attempt, connection)
         else:
             await self.response_relay.relay(job, connection)
-        server.note_outcome(failed=head.status >= 500)
+        server.record_outcome(failed=head.status >= 500)
         return 0.0 if head.closes_connection else head.keep_alive_s
 
 
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -104,7 +104,7 @@
     for _ in range(9):
         server.record_failure(clock.now)
     assert server.avoided_until == clock.now + MAX_AVOIDANCE_S
-    server.note_outcome(failed=False)
+    server.record_outcome(failed=False)
     server.record_failure(clock.now)
     assert server.avoided_until < clock.now + MAX_AVOIDANCE_S
 
