--- a/packages/millfork-scheduling/millfork_scheduling/server.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server.py
@@ -276,7 +276,7 @@
         if not failed:
             self.failures = 0
 
-    def note_answered(self, urgency: int | None, sent_at: float) -> None:
+    def record_answered(self, urgency: int | None, sent_at: float) -> None:
         """
         Record that the answer to a request of this urgency, sent at `sent_at`, has begun.
 
--- a/packages/millforkd/millforkd/proxy/request_sender.py
+++ b/packages/millforkd/millforkd/proxy/request_sender.py
@@ -193,7 +193,7 @@
         await connection.send(request.method, request.path, headers, request.body)
         await self.response_monitor.read_head(job, attempt, connection, version)
         server.last_received_at = self.env.monotonic()
-        server.note_answered(job.urgency, attempt.started_at)
+        server.record_answered(job.urgency, attempt.started_at)
         head = self.adapter.read_answer_head(connection.status, connection.headers)
         if head.request_id and head.request_id != job.caller.request_id:
             raise SendFailed(
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -56,7 +56,7 @@
 
         """
         self.server.last_received_at = self.clock.now
-        self.server.note_answered(urgency, self.attempt.started_at + sent_later_s)
+        self.server.record_answered(urgency, self.attempt.started_at + sent_later_s)
 
 
 def test_a_request_waits_while_its_back_end_answers_earlier_ones():
