--- a/packages/millfork-scheduling/millfork_scheduling/server_table.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server_table.py
@@ -399,7 +399,7 @@
         found = [closure for closure in closures if closure is not None]
         return min(found, key=lambda closure: closure.opens_in_s, default=None)
 
-    def note_first_token(self, server: Server, late_ms: float) -> None:
+    def record_first_token(self, server: Server, late_ms: float) -> None:
         """
         Add the lateness of one first token against the prediction from the engine spec to
         the means of the back end and of its service.
--- a/packages/millfork-standins/millfork_standins/bench/routing.py
+++ b/packages/millfork-standins/millfork_standins/bench/routing.py
@@ -372,7 +372,7 @@
 
         def on_first_token() -> None:
             elapsed_ms = (self.scheduler.now + one_way_s - attempt.started_at) * 1000
-            table.note_first_token(choice.server, elapsed_ms - choice.spec_first_token_ms)
+            table.record_first_token(choice.server, elapsed_ms - choice.spec_first_token_ms)
             attempt.mark_first_token()
             self._record_first_token(
                 request, (self.scheduler.now + one_way_s - request.created_at) * 1000
--- a/packages/millforkd/millforkd/proxy/response_relay.py
+++ b/packages/millforkd/millforkd/proxy/response_relay.py
@@ -109,7 +109,7 @@
         if attempt.awaiting_first_token and job.requirements.engine is not None and not resumed:
             first_token_ms = (self.env.monotonic() - attempt.started_at) * 1000
             late_ms = first_token_ms - attempt.choice.spec_first_token_ms
-            self.server_table.note_first_token(attempt.server, late_ms)
+            self.server_table.record_first_token(attempt.server, late_ms)
         attempt.mark_first_token()
 
     async def _event_bytes(self, job: Job, connection: ServerConnection) -> bytes:
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -217,7 +217,7 @@
     requirements = Requirements(SERVICE, ENGINE, 0, 0, 900)
     usual = table.choose(requirements, set()).first_token_ms
     for _ in range(50):
-        table.note_first_token(server, 5000)
+        table.record_first_token(server, 5000)
     late = table.choose(requirements, set()).first_token_ms
     assert late > usual + 500
     clock.now += 10
@@ -226,7 +226,7 @@
 
 def test_a_slow_engine_is_avoided_after_one_late_token(table):
     table.apply_leases([lease(1), lease(2)])
-    table.note_first_token(table.servers[InstanceId('i-1')], 2000)
+    table.record_first_token(table.servers[InstanceId('i-1')], 2000)
     requirements = Requirements(SERVICE, ENGINE, 0, 0, 900)
     assert {chosen(table, requirements) for _ in range(20)} == {'i-2'}
 
@@ -251,7 +251,7 @@
 def test_a_slow_engine_gets_no_request_that_would_begin_after_its_version_ends(table, clock):
     table.apply_leases([lease('quick'), lease('slow')])
     for _ in range(5):
-        table.note_first_token(table.servers[InstanceId('i-slow')], 800.0)
+        table.record_first_token(table.servers[InstanceId('i-slow')], 800.0)
     cancel_times = ((2, clock.now + 1.2),)
     requirements = Requirements(SERVICE, ENGINE, newest_version=2, cancel_times=cancel_times)
     assert table.choose(requirements, set()).server.instance == 'i-quick'
