--- a/packages/millforkd/millforkd/proxy/end_detection.py
+++ b/packages/millforkd/millforkd/proxy/end_detection.py
@@ -83,7 +83,7 @@
         # The last abandonment of each request whose caller left.
         self.abandoned: dict[Fingerprint, AbandonedRequest] = {}
 
-    async def note_caller_left(self, server: Server, before: Suspicion) -> None:
+    async def record_caller_left(self, server: Server, before: Suspicion) -> None:
         """
         Note that a caller left, or that its deadline passed, before the back end answered. No
         answer breaks off then if the back end ends, so from the second time on the back end is
--- a/packages/millforkd/millforkd/proxy/forwarding.py
+++ b/packages/millforkd/millforkd/proxy/forwarding.py
@@ -227,7 +227,7 @@
 
     async def _note_callers_left(self, job: Job, before: Suspicion) -> None:
         for server in job.pending_servers:
-            await self.end_detector.note_caller_left(server, before)
+            await self.end_detector.record_caller_left(server, before)
 
     async def _choose(self, job: Job) -> Choice | None:
         """
--- a/tests/test_suspicions.py
+++ b/tests/test_suspicions.py
@@ -291,7 +291,7 @@
         broken.statuses = {'i-0': IncarnationStatus.LIVES}
         server = Server(InstanceId('i-0'), ServiceName('s'), '127.0.0.1', 1, ZoneId('z1'), 16)
         for _ in range(2):
-            await broken.ends.note_caller_left(server, broken.known)
+            await broken.ends.record_caller_left(server, broken.known)
         await curio.sleep(0.05)
         broken.statuses = {'i-0': IncarnationStatus.ENDED}
         await broken.until(lambda: broken.known.ends == 1)
