--- a/packages/millforkd/millforkd/entry/crash_tracking.py
+++ b/packages/millforkd/millforkd/entry/crash_tracking.py
@@ -191,7 +191,7 @@
                 pending.before.fingerprint, pending.incarnation
             )
         if ended:
-            await self.suspicion_updater.note_end(pending.before, pending.incarnation)
+            await self.suspicion_updater.record_end(pending.before, pending.incarnation)
             self._log_end(pending.before)
             return
         await self.suspicion_updater.note_no_end(pending.before.fingerprint, pending.incarnation)
--- a/packages/millforkd/millforkd/proxy/end_detection.py
+++ b/packages/millforkd/millforkd/proxy/end_detection.py
@@ -165,7 +165,7 @@
             if status is IncarnationStatus.ENDED:
                 if item.subject.caller_left:
                     await self.suspicion_updater.note_broken(item.subject.before.fingerprint, key)
-                await self.suspicion_updater.note_end(item.subject.before, key)
+                await self.suspicion_updater.record_end(item.subject.before, key)
                 continue
             await self.suspicion_updater.note_no_end(item.subject.before.fingerprint, key)
 
--- a/packages/millforkd/millforkd/suspicion_updates.py
+++ b/packages/millforkd/millforkd/suspicion_updates.py
@@ -39,7 +39,7 @@
         if not known.is_clear or self.immediate_reports.try_acquire(self.env.monotonic()):
             await self.suspicion_store.publish(fingerprint)
 
-    async def note_end(self, before: Suspicion, incarnation: IncarnationKey) -> None:
+    async def record_end(self, before: Suspicion, incarnation: IncarnationKey) -> None:
         """
         Note that the incarnation has ended; `before` is the suspicion of the request at the
         time when it was sent there.
