--- a/packages/millforkd/millforkd/entry/crash_tracking.py
+++ b/packages/millforkd/millforkd/entry/crash_tracking.py
@@ -194,7 +194,7 @@
             await self.suspicion_updater.record_end(pending.before, pending.incarnation)
             self._log_end(pending.before)
             return
-        await self.suspicion_updater.note_no_end(pending.before.fingerprint, pending.incarnation)
+        await self.suspicion_updater.record_no_end(pending.before.fingerprint, pending.incarnation)
 
     def _log_end(self, before: Suspicion) -> None:
         log.info(
--- a/packages/millforkd/millforkd/proxy/end_detection.py
+++ b/packages/millforkd/millforkd/proxy/end_detection.py
@@ -167,7 +167,7 @@
                     await self.suspicion_updater.note_broken(item.subject.before.fingerprint, key)
                 await self.suspicion_updater.record_end(item.subject.before, key)
                 continue
-            await self.suspicion_updater.note_no_end(item.subject.before.fingerprint, key)
+            await self.suspicion_updater.record_no_end(item.subject.before.fingerprint, key)
 
     def _log_end(self, key: IncarnationKey, interruptions: list[Interruption[SentRequest]]) -> None:
         log.info(
--- a/packages/millforkd/millforkd/suspicion_updates.py
+++ b/packages/millforkd/millforkd/suspicion_updates.py
@@ -54,7 +54,7 @@
         # The suspicion was cleared after the request broke off.
         await self.suspicion_store.record(before.with_end())
 
-    async def note_no_end(self, fingerprint: Fingerprint, incarnation: IncarnationKey) -> None:
+    async def record_no_end(self, fingerprint: Fingerprint, incarnation: IncarnationKey) -> None:
         """
         Note that the incarnation is alive, or that its state stayed unknown for too long.
 
