--- a/packages/millforkd/millforkd/entry/crash_tracking.py
+++ b/packages/millforkd/millforkd/entry/crash_tracking.py
@@ -129,7 +129,9 @@
 
     @_record_refusal.register
     async def _(self, outcome: InterruptedAttempt, before: Suspicion) -> None:
-        await self.suspicion_updater.note_broken(before.fingerprint, outcome.incarnation)
+        await self.suspicion_updater.record_broken_connection(
+            before.fingerprint, outcome.incarnation
+        )
         pending = PendingAttempt(
             before, outcome.incarnation, self.env.monotonic(), outcome.lost_endpoint
         )
@@ -187,7 +189,7 @@
 
     async def _settle(self, pending: PendingAttempt, ended: bool) -> None:
         if ended and pending.is_cancelled:
-            await self.suspicion_updater.note_broken(
+            await self.suspicion_updater.record_broken_connection(
                 pending.before.fingerprint, pending.incarnation
             )
         if ended:
--- a/packages/millforkd/millforkd/proxy/end_detection.py
+++ b/packages/millforkd/millforkd/proxy/end_detection.py
@@ -101,14 +101,16 @@
         if now - last.at < CALLER_LEFT_WATCH_S:
             await self._add(last.server, SentRequest(last.before, caller_left=True))
 
-    async def note_broken(self, server: Server, before: Suspicion) -> None:
+    async def record_broken_connection(self, server: Server, before: Suspicion) -> None:
         """
         Note that an answer of a back end broke off; `before` is the suspicion of the request
         when it was sent there. Returns once the back end was probed, or soon after a timeout.
 
         """
         watch = await self._add(server, SentRequest(before))
-        await self.suspicion_updater.note_broken(before.fingerprint, incarnation_key(server))
+        await self.suspicion_updater.record_broken_connection(
+            before.fingerprint, incarnation_key(server)
+        )
         await watch.wait_until_probed()
 
     async def _add(self, server: Server, sent: SentRequest) -> EndWatch[SentRequest]:
@@ -164,7 +166,9 @@
         for item in interruptions:
             if status is IncarnationStatus.ENDED:
                 if item.subject.caller_left:
-                    await self.suspicion_updater.note_broken(item.subject.before.fingerprint, key)
+                    await self.suspicion_updater.record_broken_connection(
+                        item.subject.before.fingerprint, key
+                    )
                 await self.suspicion_updater.record_end(item.subject.before, key)
                 continue
             await self.suspicion_updater.record_no_end(item.subject.before.fingerprint, key)
--- a/packages/millforkd/millforkd/proxy/forwarding.py
+++ b/packages/millforkd/millforkd/proxy/forwarding.py
@@ -220,7 +220,7 @@
             return None
         if failed.verdict is not Verdict.NOT_RUN and failed.reason in BROKEN:
             for server in choice.servers:
-                await self.end_detector.note_broken(server, before)
+                await self.end_detector.record_broken_connection(server, before)
         if failed.reason is Reason.TIMED_OUT:
             await self._note_callers_left(job, before)
         return failed
--- a/packages/millforkd/millforkd/suspicion_updates.py
+++ b/packages/millforkd/millforkd/suspicion_updates.py
@@ -29,7 +29,9 @@
         self.suspicion_store = suspicion_store
         self.immediate_reports = RateLimit(IMMEDIATE_REPORTS, IMMEDIATE_REPORTS_WINDOW_S)
 
-    async def note_broken(self, fingerprint: Fingerprint, incarnation: IncarnationKey) -> None:
+    async def record_broken_connection(
+        self, fingerprint: Fingerprint, incarnation: IncarnationKey
+    ) -> None:
         """
         Note that a request broke off at an incarnation of a back end.
 
--- a/tests/mutations_listed.py
+++ b/tests/mutations_listed.py
@@ -65,7 +65,7 @@
         (
             Edit(
                 D + 'entry/crash_tracking.py',
-                'await self.suspicion_updater.note_broken(before.fingerprint, outcome.incarnation)',
+                'await self.suspicion_updater.record_broken_connection(before.fingerprint, outcome.incarnation)',
                 'pass',
             ),
         ),
--- a/tests/test_ends_of_silent_back_ends.py
+++ b/tests/test_ends_of_silent_back_ends.py
@@ -49,7 +49,7 @@
             return remaining_results.pop(0) if len(remaining_results) > 1 else remaining_results[0]
 
         end_detector.probe = probe
-        await end_detector.note_broken(server, Suspicion(FINGERPRINT))
+        await end_detector.record_broken_connection(server, Suspicion(FINGERPRINT))
         try:
             async with curio.timeout_after(TIMEOUT_S):
                 while not suspicion_store.get(FINGERPRINT).ends and len(remaining_results) > 1:
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -249,7 +249,7 @@
         suspicion_store = SuspicionStore(env.monotonic)
         ends = EndDetector(env, suspicion_store)
         server = Server(InstanceId('i-1'), ServiceName('s'), '127.0.0.1', port, ZoneId('z1'), 16)
-        await ends.note_broken(server, Suspicion(FINGERPRINT))
+        await ends.record_broken_connection(server, Suspicion(FINGERPRINT))
         return suspicion_store.get(FINGERPRINT).ends
 
     return curio.run(run)
--- a/tests/test_suspicions.py
+++ b/tests/test_suspicions.py
@@ -215,7 +215,7 @@
             InstanceId(f'i-{number}'), ServiceName('s'), '127.0.0.1', 1, ZoneId('z1'), 16
         )
         server.incarnation = Incarnation(1)
-        await self.ends.note_broken(server, self.known)
+        await self.ends.record_broken_connection(server, self.known)
 
     @property
     def known(self):
@@ -271,7 +271,7 @@
             server = Server(
                 InstanceId(f'i-{number}'), ServiceName('s'), '127.0.0.1', 1, ZoneId('z1'), 16
             )
-            await broken.ends.note_broken(server, before)
+            await broken.ends.record_broken_connection(server, before)
         await broken.until(lambda: not broken.ends.watches)
         assert broken.known.ends == 1
         assert suspicion_level_of(broken.known) is SuspicionLevel.SUSPECTED
