--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -263,7 +263,7 @@
         heartbeat = self.last_sent.pop(instance, None)
         if heartbeat is not None:
             self.replicas[replica_index][0].record_leave(instance, heartbeat.incarnation)
-            self.note_incarnation(heartbeat)
+            self.record_incarnation(heartbeat)
 
     @rule(replica_index=REPLICA_INDEXES, data=st.data())
     def deliver_late(self, replica_index, data):
@@ -272,9 +272,9 @@
 
     def deliver(self, replica_index, heartbeat):
         self.replicas[replica_index][0].record_heartbeat(heartbeat)
-        self.note_incarnation(heartbeat)
+        self.record_incarnation(heartbeat)
 
-    def note_incarnation(self, heartbeat):
+    def record_incarnation(self, heartbeat):
         newest = self.newest.get(heartbeat.instance, 0)
         self.newest[heartbeat.instance] = max(newest, heartbeat.incarnation)
 
