--- a/packages/millfork-standins/millfork_standins/bench/retry_detection.py
+++ b/packages/millfork-standins/millfork_standins/bench/retry_detection.py
@@ -110,7 +110,7 @@
             return true_elapsed_ms
         return judgement.elapsed_ms
 
-    def _note_turned_away(self, table: ServerTable) -> None:
+    def _record_turned_away(self, table: ServerTable) -> None:
         self.first_tries[table].record_turned_away(self.scheduler.now)
         self.turned_away += self.scheduler.now > CALM_DURATION_S
 
--- a/packages/millfork-standins/millfork_standins/bench/routing.py
+++ b/packages/millfork-standins/millfork_standins/bench/routing.py
@@ -279,7 +279,7 @@
         """
         return int((self.scheduler.now - request.created_at) * 1000)
 
-    def _note_turned_away(self, table: ServerTable) -> None:
+    def _record_turned_away(self, table: ServerTable) -> None:
         """
         Called when an entry turned a caller away.
 
@@ -350,7 +350,7 @@
         if not wait_ms:
             self._start(request, table, choice)
             return
-        self._note_turned_away(table)
+        self._record_turned_away(table)
         if request.is_retry:
             self._count(request, 'refused')
             return
--- a/packages/millforkd/millforkd/proxy/forwarding.py
+++ b/packages/millforkd/millforkd/proxy/forwarding.py
@@ -138,7 +138,7 @@
         if refusal is None:
             self.outcomes.record(job, 'served')
             return
-        await self._note_turned_away(job)
+        await self._record_turned_away(job)
         if job.answer_started:
             await job.exchange.abort()
             self.outcomes.record(job, 'broken_off', refusal)
@@ -150,7 +150,7 @@
         await self.outcomes.refuse(job.exchange, job.caller.request_id, refusal)
         self.outcomes.record(job, 'refused', refusal)
 
-    async def _note_turned_away(self, job: Job) -> None:
+    async def _record_turned_away(self, job: Job) -> None:
         """
         Record the refusal, as a caller that retries may send a shorter deadline.
 
