--- a/packages/millforkd/millforkd/proxy/request_sender.py
+++ b/packages/millforkd/millforkd/proxy/request_sender.py
@@ -118,7 +118,7 @@
                 server.record_failure(now)
         return FailedAttempt(reason, verdict, detail)
 
-    def _note_version(self, job: Job, version: int | None) -> None:
+    def _record_version(self, job: Job, version: int | None) -> None:
         engine = job.requirements.engine
         if engine is None or version is None:
             return
@@ -188,7 +188,7 @@
         job.tried += [used.instance for used in attempt.choice.servers]
         self.server_table.record_sent(attempt.choice.servers)
         headers = self.adapter.back_end_headers(request, forward_options)
-        self._note_version(job, version)
+        self._record_version(job, version)
         job.pending_servers = tuple(attempt.choice.servers)
         await connection.send(request.method, request.path, headers, request.body)
         await self.response_monitor.read_head(job, attempt, connection, version)
