--- a/packages/millforkd/millforkd/proxy/event_stream.py
+++ b/packages/millforkd/millforkd/proxy/event_stream.py
@@ -45,10 +45,10 @@
             return b''
         complete_events = data[:end]
         self.incomplete = data[end:]
-        self._note_ids(complete_events)
+        self._record_ids(complete_events)
         return complete_events
 
-    def _note_ids(self, complete_events: bytes) -> None:
+    def _record_ids(self, complete_events: bytes) -> None:
         if self.first_id is None:
             self.first_id = _first_id(complete_events)
         at = complete_events.rfind(b'\n' + ID_FIELD)
