--- a/packages/millforkd/millforkd/proxy/response_relay.py
+++ b/packages/millforkd/millforkd/proxy/response_relay.py
@@ -94,7 +94,7 @@
                 raise SendFailed(Reason.TRUNCATED, Verdict.RAN, str(error)) from error
             if not events:
                 continue
-            self._note_first_token(job, attempt, resumed)
+            self._record_first_token(job, attempt, resumed)
             if resumed:
                 _check_resumed(job, splitter)
                 resumed = False
@@ -105,7 +105,7 @@
             await self._write(job, connection, splitter.incomplete)
         await job.exchange.finish()
 
-    def _note_first_token(self, job: Job, attempt: Attempt, resumed: bool) -> None:
+    def _record_first_token(self, job: Job, attempt: Attempt, resumed: bool) -> None:
         if attempt.awaiting_first_token and job.requirements.engine is not None and not resumed:
             first_token_ms = (self.env.monotonic() - attempt.started_at) * 1000
             late_ms = first_token_ms - attempt.choice.spec_first_token_ms
