--- a/packages/millforkd/millforkd/proxy/forwarding.py
+++ b/packages/millforkd/millforkd/proxy/forwarding.py
@@ -214,7 +214,7 @@
         try:
             failed = await self.request_sender.send(job, choice)
         except (curio.TaskCancelled, CallerGone):
-            await self._note_callers_left(job, before)
+            await self._record_callers_left(job, before)
             raise
         if failed is None:
             return None
@@ -222,10 +222,10 @@
             for server in choice.servers:
                 await self.end_detector.record_broken_connection(server, before)
         if failed.reason is Reason.TIMED_OUT:
-            await self._note_callers_left(job, before)
+            await self._record_callers_left(job, before)
         return failed
 
-    async def _note_callers_left(self, job: Job, before: Suspicion) -> None:
+    async def _record_callers_left(self, job: Job, before: Suspicion) -> None:
         for server in job.pending_servers:
             await self.end_detector.record_caller_left(server, before)
 
