--- a/packages/millfork-scheduling/millfork_scheduling/server.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server.py
@@ -59,7 +59,7 @@
     def now_ms(self, now: float) -> float:
         return self.mean_ms * math.exp2((self.updated_at - now) / LATENESS_HALF_LIFE_S)
 
-    def note(self, late_ms: float, now: float) -> None:
+    def record(self, late_ms: float, now: float) -> None:
         """
         Add the lateness of one first token to the mean.
 
--- a/packages/millfork-scheduling/millfork_scheduling/server_table.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server_table.py
@@ -406,8 +406,8 @@
 
         """
         now = self.monotonic()
-        server.lateness.note(late_ms, now)
-        self._lateness_of(server.service).note(late_ms, now)
+        server.lateness.record(late_ms, now)
+        self._lateness_of(server.service).record(late_ms, now)
 
     def _lateness_of(self, service: ServiceName) -> Lateness:
         return self.lateness.setdefault(service, Lateness(LATENESS_WEIGHT))
--- a/packages/millfork-scheduling/millfork_scheduling/turned_away.py
+++ b/packages/millfork-scheduling/millfork_scheduling/turned_away.py
@@ -25,7 +25,7 @@
         self.first_tried: dict[bytes, float] = {}
         self.noted_at: dict[bytes, float] = {}
 
-    def note(self, fingerprint: bytes, elapsed_ms: int, now: float) -> None:
+    def record(self, fingerprint: bytes, elapsed_ms: int, now: float) -> None:
         """
         Record a request that was turned away `elapsed_ms` after its first try.
 
--- a/packages/millforkd/millforkd/proxy/backpressure.py
+++ b/packages/millforkd/millforkd/proxy/backpressure.py
@@ -43,13 +43,13 @@
             )
         now = self.env.monotonic()
         changes = server.availability.apply_answer(signals, sent_at, now, head.not_run)
-        self.note(server, changes, SignalSource.ANSWER, job.caller.request_id)
+        self.record(server, changes, SignalSource.ANSWER, job.caller.request_id)
         if not head.not_run:
             server.record_accepted(sent_at)
         elif not head.misdirected:
             server.record_turned_away(sent_at, now)
 
-    def note(
+    def record(
         self,
         server: Server,
         changes: Iterable[SignalChange],
--- a/packages/millforkd/millforkd/proxy/forwarding.py
+++ b/packages/millforkd/millforkd/proxy/forwarding.py
@@ -157,7 +157,7 @@
         """
         self.admission.first_tries.record_turned_away(self.env.monotonic())
         if job.requirements.engine is not None:
-            await self.turned_away.note(job)
+            await self.turned_away.record(job)
 
     async def _attempt(self, job: Job) -> Refusal | None:
         """
--- a/packages/millforkd/millforkd/proxy/turned_away_directory.py
+++ b/packages/millforkd/millforkd/proxy/turned_away_directory.py
@@ -55,7 +55,7 @@
         self.requests = TurnedAwayRequests()
         self.queries = PeerQueries(env, peers, 'first_try_unknown')
 
-    async def note(self, job: Job) -> None:
+    async def record(self, job: Job) -> None:
         """
         Record that a job was turned away; returns at once.
 
@@ -85,7 +85,7 @@
         Record a request that another entry turned away.
 
         """
-        self.requests.note(message.fingerprint, message.elapsed_ms, self.env.monotonic())
+        self.requests.record(message.fingerprint, message.elapsed_ms, self.env.monotonic())
 
     def on_ask(self, message: AskTurnedAway) -> TurnedAwayBefore:
         """
--- a/tests/test_first_tries.py
+++ b/tests/test_first_tries.py
@@ -135,25 +135,25 @@
 
 def test_a_request_turned_away_is_recognised_by_its_fingerprint():
     table = TurnedAwayRequests()
-    table.note(b'a', 0, 10.0)
+    table.record(b'a', 0, 10.0)
     assert table.elapsed_ms(b'a', 10.4) == pytest.approx(400, abs=1)
     assert table.elapsed_ms(b'b', 10.4) is None
 
 
 def test_the_time_counts_from_the_first_try_after_several_rejections():
     table = TurnedAwayRequests()
-    table.note(b'a', 0, 10.0)
-    table.note(b'a', 500, 10.5)
+    table.record(b'a', 0, 10.0)
+    table.record(b'a', 500, 10.5)
     # Reported late, or by an entry that did not know of the first try.
-    table.note(b'a', 0, 10.6)
+    table.record(b'a', 0, 10.6)
     assert table.elapsed_ms(b'a', 11.0) == pytest.approx(1000, abs=1)
 
 
 def test_old_rejections_are_forgotten_and_their_number_is_bounded():
     table = TurnedAwayRequests()
-    table.note(b'old', 0, 0.0)
+    table.record(b'old', 0, 0.0)
     for number in range(MAX_REMEMBERED + 10):
-        table.note(number.to_bytes(4, 'big'), 0, 1.0)
+        table.record(number.to_bytes(4, 'big'), 0, 1.0)
     assert len(table.first_tried) <= MAX_REMEMBERED
     assert table.elapsed_ms(b'old', 1.0) is None
     assert table.elapsed_ms((MAX_REMEMBERED).to_bytes(4, 'big'), 1.0) == 0
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -131,7 +131,7 @@
     before.own_requests = 3
     before.refused[1] = clock.now + 60
     before.record_failure(clock.now)
-    before.lateness.note(500.0, clock.now)
+    before.lateness.record(500.0, clock.now)
     assert server_table.apply_leases([lease(SECOND_INCARNATION, 1, served=())]) == [before]
     assert before.replaced
     after = server_table.servers['i-1']
--- a/tests/test_turned_away_directory.py
+++ b/tests/test_turned_away_directory.py
@@ -76,7 +76,7 @@
     def turn_away(self, name, job):
         async def run():
             entry = self.entries[name]
-            await entry.note(job)
+            await entry.record(job)
             # A task sends the record.
             await curio.sleep(0)
             await curio.sleep(0)
