--- a/tests/mutations_listed.py
+++ b/tests/mutations_listed.py
@@ -65,7 +65,8 @@
         (
             Edit(
                 D + 'entry/crash_tracking.py',
-                'await self.suspicion_updater.record_broken_connection(before.fingerprint, outcome.incarnation)',
+                'await self.suspicion_updater.record_broken_connection(\n'
+                '            before.fingerprint, outcome.incarnation\n        )',
                 'pass',
             ),
         ),
