--- a/packages/millforkd/millforkd/proxy/response_monitor.py
+++ b/packages/millforkd/millforkd/proxy/response_monitor.py
@@ -20,7 +20,7 @@
 # If a server answers requests that were sent this much later, it has skipped this request, or
 # this request's connection is dead while others work: requests of one rank start in order, and
 # reading the longest prompt takes 0.2 s.
-OVERTAKEN_S: Final = 0.3
+REORDER_THRESHOLD_S: Final = 0.3
 
 
 class ResponseMonitor:
@@ -82,7 +82,7 @@
         now = self.env.monotonic()
         server = attempt.server
         silent_s = now - max(attempt.started_at, server.last_received_at)
-        if server.answered_since(job.urgency, attempt.started_at + OVERTAKEN_S):
+        if server.answered_since(job.urgency, attempt.started_at + REORDER_THRESHOLD_S):
             silent_s = now - attempt.started_at
         if silent_s > SILENT_SERVER_S:
             connection.lost = True
--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -284,7 +284,7 @@
         (
             Edit(
                 D + 'proxy/response_monitor.py',
-                'if server.answered_since(job.urgency, attempt.started_at + OVERTAKEN_S):',
+                'if server.answered_since(job.urgency, attempt.started_at + REORDER_THRESHOLD_S):',
                 'if False:',
             ),
         ),
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -24,7 +24,7 @@
 from millforkd.proxy.fingerprints import Fingerprints
 from millforkd.proxy.forwarding import Forwarding
 from millforkd.proxy.job import Attempt, FailedAttempt, Job
-from millforkd.proxy.response_monitor import OVERTAKEN_S, SILENT_SERVER_S
+from millforkd.proxy.response_monitor import REORDER_THRESHOLD_S, SILENT_SERVER_S
 from millforkd.proxy.response_monitor import ResponseMonitor as ResponseMonitor
 from millforkd.quarantine import Quarantine
 from tests.test_servers import ENGINE, Clock
@@ -63,7 +63,7 @@
     waiting = WaitingRequest()
     waiting.clock.now += TOO_LONG_S
     waiting.answer_other(-0.5)
-    waiting.answer_other(OVERTAKEN_S / 2)
+    waiting.answer_other(REORDER_THRESHOLD_S / 2)
     waiting.check()
     assert not waiting.connection.lost
 
@@ -84,7 +84,7 @@
 def test_a_silent_connection_to_a_working_back_end_is_given_up():
     waiting = WaitingRequest()
     waiting.clock.now += TOO_LONG_S
-    waiting.answer_other(OVERTAKEN_S * 2)
+    waiting.answer_other(REORDER_THRESHOLD_S * 2)
     with pytest.raises(SendFailed):
         waiting.check()
     assert waiting.connection.lost
@@ -93,7 +93,7 @@
 def test_answers_to_requests_of_another_rank_do_not_end_the_wait():
     waiting = WaitingRequest()
     waiting.clock.now += TOO_LONG_S
-    waiting.answer_other(OVERTAKEN_S * 2, urgency=1)
+    waiting.answer_other(REORDER_THRESHOLD_S * 2, urgency=1)
     waiting.check()
     assert not waiting.connection.lost
 
