--- a/packages/millfork-scheduling/millfork_scheduling/limit_share.py
+++ b/packages/millfork-scheduling/millfork_scheduling/limit_share.py
@@ -24,7 +24,7 @@
 TOLERATED_REQUESTS: Final = 5
 # The share of the limit that entries use when they draw, as the sum of random draws varies.
 DRAWN_SHARE: Final = 0.8
-DRAW_INTERVAL_S: Final = 1.0
+RANDOM_PERMIT_INTERVAL_S: Final = 1.0
 # The lowest rate: a back end that receives no requests could never signal the end of its limit.
 MIN_PER_S: Final = 0.1
 
@@ -47,7 +47,7 @@
         self.limit_per_s = max(self.limit_per_s, MIN_PER_S)
         self.saved = 0.0
         # Spreads the draws of entries that learn of the limit at the same moment.
-        self.counted_at -= self.random.random() * DRAW_INTERVAL_S
+        self.counted_at -= self.random.random() * RANDOM_PERMIT_INTERVAL_S
 
     def set_limit(self, limit_per_s: float) -> bool:
         """
@@ -100,9 +100,11 @@
             self.counted_at = now
             self.saved = min(self.saved + elapsed_s * rate, max(rate, 1.0))
             return
-        if elapsed_s < DRAW_INTERVAL_S:
+        if elapsed_s < RANDOM_PERMIT_INTERVAL_S:
             return
-        self.counted_at += math.floor(elapsed_s / DRAW_INTERVAL_S) * DRAW_INTERVAL_S
-        expected = rate * DRAWN_SHARE * DRAW_INTERVAL_S
+        self.counted_at += (
+            math.floor(elapsed_s / RANDOM_PERMIT_INTERVAL_S) * RANDOM_PERMIT_INTERVAL_S
+        )
+        expected = rate * DRAWN_SHARE * RANDOM_PERMIT_INTERVAL_S
         guaranteed = math.floor(expected)
         self.saved = guaranteed + (self.random.random() < expected - guaranteed)
