--- a/packages/millfork-scheduling/millfork_scheduling/limit_share.py
+++ b/packages/millfork-scheduling/millfork_scheduling/limit_share.py
@@ -23,7 +23,7 @@
 TOLERATED_RATIO: Final = 1.5
 TOLERATED_REQUESTS: Final = 5
 # The share of the limit that entries use when they draw, as the sum of random draws varies.
-DRAWN_SHARE: Final = 0.8
+RANDOM_PERMIT_SHARE: Final = 0.8
 RANDOM_PERMIT_INTERVAL_S: Final = 1.0
 # The lowest rate: a back end that receives no requests could never signal the end of its limit.
 MIN_PER_S: Final = 0.1
@@ -85,7 +85,7 @@
         rate = self.limit_per_s / max(entries, 1)
         if self._saves(entries):
             return (1 - self.saved) / rate
-        return 1 / (rate * DRAWN_SHARE)
+        return 1 / (rate * RANDOM_PERMIT_SHARE)
 
     def _saves(self, entries: int) -> bool:
         rate = self.limit_per_s / max(entries, 1)
@@ -105,6 +105,6 @@
         self.counted_at += (
             math.floor(elapsed_s / RANDOM_PERMIT_INTERVAL_S) * RANDOM_PERMIT_INTERVAL_S
         )
-        expected = rate * DRAWN_SHARE * RANDOM_PERMIT_INTERVAL_S
+        expected = rate * RANDOM_PERMIT_SHARE * RANDOM_PERMIT_INTERVAL_S
         guaranteed = math.floor(expected)
         self.saved = guaranteed + (self.random.random() < expected - guaranteed)
