--- a/packages/millforkd/millforkd/proxy/forwarding.py
+++ b/packages/millforkd/millforkd/proxy/forwarding.py
@@ -26,7 +26,7 @@
 from millforkd.proxy.job import FailedAttempt, Job
 from millforkd.proxy.load_queries import LoadQueries
 from millforkd.proxy.outcomes import RequestOutcomes
-from millforkd.proxy.request_sender import BROKEN, REFUSAL_MARGIN_S, RequestSender
+from millforkd.proxy.request_sender import CONNECTION_FAILURES, REFUSAL_MARGIN_S, RequestSender
 from millforkd.proxy.response_relay import ResponseRelay
 from millforkd.proxy.turned_away_directory import TurnedAwayDirectory
 from millforkd.quarantine import Quarantine
@@ -218,7 +218,7 @@
             raise
         if failed is None:
             return None
-        if failed.verdict is not Verdict.NOT_RUN and failed.reason in BROKEN:
+        if failed.verdict is not Verdict.NOT_RUN and failed.reason in CONNECTION_FAILURES:
             for server in choice.servers:
                 await self.end_detector.record_broken_connection(server, before)
         if failed.reason is Reason.TIMED_OUT:
--- a/packages/millforkd/millforkd/proxy/request_sender.py
+++ b/packages/millforkd/millforkd/proxy/request_sender.py
@@ -28,7 +28,9 @@
 # A version that a server refused isn't requested from it again for this long; its next report
 # arrives meanwhile.
 REFUSED_VERSION_S: Final = 0.5
-BROKEN: Final = frozenset({Reason.UNREACHABLE, Reason.CONNECTION_LOST, Reason.TRUNCATED})
+CONNECTION_FAILURES: Final = frozenset(
+    {Reason.UNREACHABLE, Reason.CONNECTION_LOST, Reason.TRUNCATED}
+)
 
 
 class NotSent(SendFailed):
@@ -114,7 +116,7 @@
                 job.tried.append(server.instance)
             silent = reason is Reason.TIMED_OUT and server.last_received_at < job.received_at
             # An engine that changes its weights was ordered to interrupt running requests.
-            if (silent or reason in BROKEN) and not server.changing:
+            if (silent or reason in CONNECTION_FAILURES) and not server.changing:
                 server.record_failure(now)
         return FailedAttempt(reason, verdict, detail)
 
