--- a/packages/millforkd/millforkd/proxy/request_sender.py
+++ b/packages/millforkd/millforkd/proxy/request_sender.py
@@ -183,7 +183,7 @@
             version,
             job.urgency,
             job.resume_after if job.last_event is not None else None,
-            _path_parts(attempt.choice, job.requirements.engine),
+            _path_segments(attempt.choice, job.requirements.engine),
         )
         if not job.tried:
             self.budget.record_request(job.requirements.service)
@@ -223,7 +223,7 @@
         return 0.0 if head.closes_connection else head.keep_alive_s
 
 
-def _path_parts(choice: Choice, engine: EngineSpec | None) -> tuple[PathSegment, ...]:
+def _path_segments(choice: Choice, engine: EngineSpec | None) -> tuple[PathSegment, ...]:
     """
     The engines of a pipelined choice and their layer ranges, as sent to the back end.
 
