--- a/packages/millfork-scheduling/millfork_scheduling/turned_away.py
+++ b/packages/millfork-scheduling/millfork_scheduling/turned_away.py
@@ -23,7 +23,7 @@
 
     def __init__(self) -> None:
         self.first_tried: dict[bytes, float] = {}
-        self.noted_at: dict[bytes, float] = {}
+        self.recorded_at: dict[bytes, float] = {}
 
     def record(self, fingerprint: bytes, elapsed_ms: int, now: float) -> None:
         """
@@ -33,9 +33,9 @@
         self._forget_old(now)
         first = now - elapsed_ms / 1000
         known = self.first_tried.pop(fingerprint, first)
-        self.noted_at.pop(fingerprint, None)
+        self.recorded_at.pop(fingerprint, None)
         self.first_tried[fingerprint] = min(first, known)
-        self.noted_at[fingerprint] = now
+        self.recorded_at[fingerprint] = now
 
     def elapsed_ms(self, fingerprint: bytes, now: float) -> int | None:
         """
@@ -47,8 +47,11 @@
         return int((now - first) * 1000) if first is not None else None
 
     def _forget_old(self, now: float) -> None:
-        while self.noted_at:
-            oldest = next(iter(self.noted_at))
-            if now - self.noted_at[oldest] <= REMEMBERED_S and len(self.noted_at) < MAX_REMEMBERED:
+        while self.recorded_at:
+            oldest = next(iter(self.recorded_at))
+            if (
+                now - self.recorded_at[oldest] <= REMEMBERED_S
+                and len(self.recorded_at) < MAX_REMEMBERED
+            ):
                 return
-            del self.noted_at[oldest], self.first_tried[oldest]
+            del self.recorded_at[oldest], self.first_tried[oldest]
