--- a/packages/millforkd/millforkd/proxy/forwarding.py
+++ b/packages/millforkd/millforkd/proxy/forwarding.py
@@ -262,11 +262,11 @@
         """
         if job.remaining_s(self.env.monotonic()) < REFUSAL_MARGIN_S:
             return self._final_refusal(job, Reason.TIMED_OUT if job.tried else Reason.EXPIRED)
-        standing = self.quarantine.blocking_level(job)
-        if standing is SuspicionLevel.AT_FAULT:
+        suspicion_level = self.quarantine.blocking_level(job)
+        if suspicion_level is SuspicionLevel.AT_FAULT:
             detail = 'back ends ended while running this request'
             return self._final_refusal(job, Reason.QUARANTINED, detail)
-        if standing is SuspicionLevel.SUSPECTED:
+        if suspicion_level is SuspicionLevel.SUSPECTED:
             detail = 'back ends broke off while running this request'
             return self._final_refusal(job, Reason.SUSPECTED, detail)
         if not job.failures:
