--- a/packages/millfork-scheduling/millfork_scheduling/first_tries.py
+++ b/packages/millfork-scheduling/millfork_scheduling/first_tries.py
@@ -72,8 +72,8 @@
         Whether callers seem to begin with the same deadline, judged by the latest requests.
 
         """
-        alike = sum(time_ms >= self.longest - SAME_DEADLINE_MS for time_ms in self.latest)
-        return alike >= max(MIN_COMMON_DEADLINES, COMMON_DEADLINE_SHARE * len(self.latest))
+        with_longest = sum(time_ms >= self.longest - SAME_DEADLINE_MS for time_ms in self.latest)
+        return with_longest >= max(MIN_COMMON_DEADLINES, COMMON_DEADLINE_SHARE * len(self.latest))
 
 
 class FirstTryDetector:
@@ -106,10 +106,10 @@
         if deadline_ms >= deadlines.longest - DEADLINE_TOLERANCE_MS:
             return Judgement()
         if len(deadlines.first) < MIN_FIRST_TRIES:
-            alike = deadlines.share_one_deadline()
+            share_one = deadlines.share_one_deadline()
             return (
                 Judgement(deadlines.longest - deadline_ms)
-                if alike
+                if share_one
                 else Judgement(is_undecided=True)
             )
         ordered = sorted(deadlines.first)
