--- a/packages/millfork-scheduling/millfork_scheduling/admission.py
+++ b/packages/millfork-scheduling/millfork_scheduling/admission.py
@@ -24,8 +24,8 @@
     The expected start of a request at an engine.
 
     `expected_ms` is the time to the first token, `remaining_ms` the time left until the target
-    (negative if it has passed), `occupied` the number of requests there, and `load_age_ms` the
-    age of the last known load (infinity if there is none).
+    (negative if it has passed), `occupied` the number of requests there, `slots` the engine's
+    number of slots, and `load_age_ms` the age of the last known load (infinity if there is none).
 
     """
 
@@ -41,7 +41,8 @@
 
 def overdue_ms(start_estimate: StartEstimate) -> float:
     """
-    The expected lateness of the first token, in ms; 0 or less if it is in time.
+    By how much the expected time to the first token exceeds `FIRST_TOKEN_SHARE` of the time
+    left, in ms; 0 or less if the request would be in time.
 
     """
     return start_estimate.expected_ms - max(start_estimate.remaining_ms, 0.0) * FIRST_TOKEN_SHARE
--- a/packages/millfork-scheduling/millfork_scheduling/limit_share.py
+++ b/packages/millfork-scheduling/millfork_scheduling/limit_share.py
@@ -2,12 +2,12 @@
 One entry's share of the requests per second that a back end accepts from all entries together.
 
 Entries don't coordinate before a request, so each keeps to an equal share. The sum of all
-entries has to stay near the limit over some seconds, including requests saved up before:
+entries has to stay near the limit over some seconds, including permits saved from earlier:
 
-- Few entries: each saves at most one request, or as many as its share allows in a second.
-- Many entries: the saved requests of all would together exceed what a back end tolerates, so
-  none are saved. Each second an entry draws at random, with its share as the probability,
-  whether it may send a request.
+- Few entries: each saves at most one permit, or as many as its share gives in a second.
+- Many entries: the saved permits of all would together exceed what a back end tolerates, so
+  none are saved. Once per second each entry gets a random number of permits, whose mean is
+  proportional to its share; they replace the unused ones.
 
 """
 
@@ -16,13 +16,13 @@
 from random import Random
 from typing import Final
 
-# In each window a back end tolerates this multiple of its limit plus a number of requests.
-# Requests sent within the margin before a window may arrive in it.
+# In each window of WINDOW_S a back end tolerates TOLERATED_RATIO times its limit, plus
+# TOLERATED_REQUESTS. Requests sent up to ARRIVAL_MARGIN_S before a window may arrive in it.
 WINDOW_S: Final = 4.0
 ARRIVAL_MARGIN_S: Final = 0.4
 TOLERATED_RATIO: Final = 1.5
 TOLERATED_REQUESTS: Final = 5
-# The share of the limit that entries use when they draw, as the sum of random draws varies.
+# The share of the limit that random permits use on average, as their sum varies.
 RANDOM_PERMIT_SHARE: Final = 0.8
 RANDOM_PERMIT_INTERVAL_S: Final = 1.0
 # The lowest rate: a back end that receives no requests could never signal the end of its limit.
@@ -39,19 +39,19 @@
     random: Random
     # Requests per second from all entries together.
     limit_per_s: float
-    # When `saved` was last updated, in monotonic seconds.
-    counted_at: float
-    saved: float = field(init=False)
+    # When `permits` was last updated, in monotonic seconds.
+    refilled_at: float
+    permits: float = field(init=False)
 
     def __post_init__(self) -> None:
         self.limit_per_s = max(self.limit_per_s, MIN_PER_S)
-        self.saved = 0.0
-        # Spreads the draws of entries that learn of the limit at the same moment.
-        self.counted_at -= self.random.random() * RANDOM_PERMIT_INTERVAL_S
+        self.permits = 0.0
+        # Spreads the first random permits of entries that learn of the limit at the same moment.
+        self.refilled_at -= self.random.random() * RANDOM_PERMIT_INTERVAL_S
 
     def set_limit(self, limit_per_s: float) -> bool:
         """
-        Set the limit and return whether it changed; saved requests are kept.
+        Set the limit and return whether it changed; unused permits are kept.
 
         """
         before, self.limit_per_s = self.limit_per_s, max(limit_per_s, MIN_PER_S)
@@ -62,17 +62,17 @@
         Whether a request may be sent now, with this number of entries in the fleet.
 
         """
-        self._count(now, entries)
-        return self.saved >= 1
+        self._refill(now, entries)
+        return self.permits >= 1
 
     def consume(self, now: float, entries: int) -> bool:
         """
-        Use up the permission for one request; returns False if there is none.
+        Use one permit; returns False if there is none.
 
         """
         if not self.can_send(now, entries):
             return False
-        self.saved -= 1
+        self.permits -= 1
         return True
 
     def expected_wait_s(self, now: float, entries: int) -> float:
@@ -83,28 +83,33 @@
         if self.can_send(now, entries):
             return 0.0
         rate = self.limit_per_s / max(entries, 1)
-        if self._saves(entries):
-            return (1 - self.saved) / rate
+        if self._saves_permits(entries):
+            return (1 - self.permits) / rate
         return 1 / (rate * RANDOM_PERMIT_SHARE)
 
-    def _saves(self, entries: int) -> bool:
+    def _saves_permits(self, entries: int) -> bool:
+        """
+        Whether a back end tolerates the requests that all entries could send in one window if
+        they saved permits.
+
+        """
         rate = self.limit_per_s / max(entries, 1)
         each = math.floor(max(rate, 1.0) + rate * (WINDOW_S + ARRIVAL_MARGIN_S))
         tolerated = TOLERATED_RATIO * self.limit_per_s * WINDOW_S + TOLERATED_REQUESTS
         return entries * each <= tolerated
 
-    def _count(self, now: float, entries: int) -> None:
+    def _refill(self, now: float, entries: int) -> None:
         rate = self.limit_per_s / max(entries, 1)
-        elapsed_s = now - self.counted_at
-        if self._saves(entries):
-            self.counted_at = now
-            self.saved = min(self.saved + elapsed_s * rate, max(rate, 1.0))
+        elapsed_s = now - self.refilled_at
+        if self._saves_permits(entries):
+            self.refilled_at = now
+            self.permits = min(self.permits + elapsed_s * rate, max(rate, 1.0))
             return
         if elapsed_s < RANDOM_PERMIT_INTERVAL_S:
             return
-        self.counted_at += (
+        self.refilled_at += (
             math.floor(elapsed_s / RANDOM_PERMIT_INTERVAL_S) * RANDOM_PERMIT_INTERVAL_S
         )
         expected = rate * RANDOM_PERMIT_SHARE * RANDOM_PERMIT_INTERVAL_S
         guaranteed = math.floor(expected)
-        self.saved = guaranteed + (self.random.random() < expected - guaranteed)
+        self.permits = guaranteed + (self.random.random() < expected - guaranteed)
--- a/packages/millfork-scheduling/millfork_scheduling/placement.py
+++ b/packages/millfork-scheduling/millfork_scheduling/placement.py
@@ -147,8 +147,8 @@
     random: Random,
 ) -> Choice | None:
     """
-    The engine with the earliest expected first token, among a random sample of `servers`; the
-    own zone is preferred. None if no engine would begin before its version ends.
+    The engine with the lowest cost, mainly the expected time to the first token, among a random
+    sample of `servers`. None if no engine would begin before its version ends.
 
     """
     by_first = {path.first.instance: path for path in paths}
--- a/packages/millfork-scheduling/millfork_scheduling/quarantine.py
+++ b/packages/millfork-scheduling/millfork_scheduling/quarantine.py
@@ -62,7 +62,8 @@
 
 def count_ends(before: Suspicion, now: Suspicion, ended: IncarnationKey) -> int:
     """
-    The number of successive ends under a request, including a new one at `ended`.
+    The number of back ends that ended one after another while they ran a request, including
+    `ended`.
 
     `before` is the suspicion when the request was sent there, `now` the present one.
     Incarnations whose answers broke off before but that are known to live on don't count.
@@ -92,7 +93,8 @@
 
     def start_trial(self, suspicion: Suspicion) -> bool:
         """
-        Whether a suspected request may be sent now. If so, its next trial is scheduled.
+        Whether a suspected request may be sent now as a trial; its next trial is scheduled then.
+        A request whose suspicion is new or has changed isn't sent; only its trial is scheduled.
 
         """
         now = self.monotonic()
--- a/packages/millfork-scheduling/millfork_scheduling/server.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server.py
@@ -30,6 +30,7 @@
 FAILURE_WEIGHT: Final = 0.1
 # Weight of one request in the mean service time of an engine.
 SERVICE_TIME_WEIGHT: Final = 0.1
+# The mean lateness halves in this time while no first token arrives.
 LATENESS_HALF_LIFE_S: Final = 0.7
 # Weight of one first token in a back end's mean lateness. An entry sees about one a second from
 # each back end, so a slow back end is recognised after its first token.
@@ -57,6 +58,10 @@
     updated_at: float = 0.0
 
     def now_ms(self, now: float) -> float:
+        """
+        The mean after its decay until `now`.
+
+        """
         return self.mean_ms * math.exp2((self.updated_at - now) / LATENESS_HALF_LIFE_S)
 
     def record(self, late_ms: float, now: float) -> None:
@@ -269,7 +274,7 @@
 
     def record_outcome(self, failed: bool) -> None:
         """
-        Add the outcome of one request to the failure rate.
+        Add the outcome of one request to the failure rate; a success resets `failures`.
 
         """
         self.failure_rate += FAILURE_WEIGHT * (float(failed) - self.failure_rate)
--- a/packages/millfork-scheduling/millfork_scheduling/turned_away.py
+++ b/packages/millfork-scheduling/millfork_scheduling/turned_away.py
@@ -17,7 +17,7 @@
 
 class TurnedAwayRequests:
     """
-    When each request was first tried, in monotonic seconds; the last recorded come last.
+    When each request was first tried, in monotonic seconds, ordered by when it was last recorded.
 
     """
 
