--- a/packages/millfork-routing/millfork_routing/balance.py
+++ b/packages/millfork-routing/millfork_routing/balance.py
@@ -11,6 +11,7 @@
 
 # The preferred endpoint is skipped once its load exceeds the mean by this factor.
 BOUNDED_LOAD: Final = 1.25
+# The number of requests that an endpoint is assumed to take before its first load report.
 DEFAULT_LIMIT: Final = 8
 # An endpoint that turns a request away is skipped for this time, doubled with each rejection in a
 # row: it may be full for a moment, or reject everything.
@@ -33,7 +34,7 @@
 @dataclass(slots=True)
 class Backend:
     """
-    One endpoint as known to an entry.
+    One endpoint as known to an entry; times are monotonic seconds.
 
     """
 
@@ -51,6 +52,7 @@
     turned_away_at: float = float('-inf')
     passed_over_until: float = float('-inf')
     busy: dict[OrganisationId, BusyNotice] = field(default_factory=dict)
+    # The version that it serves of each service, from its last load report.
     served: dict[str, str] = field(default_factory=dict)
     # When its process started, in ns since 1970; 0 if unknown.
     start: int = 0
--- a/packages/millfork-routing/millfork_routing/documents.py
+++ b/packages/millfork-routing/millfork_routing/documents.py
@@ -71,12 +71,13 @@
 @dataclass(frozen=True, slots=True)
 class EngineSpec:
     """
-    The capacity and speed of the engines of a service. Times are ms, memory is tokens.
+    The capacity and speed of the engines of a service. Times are ms, except for `warm_s`.
 
     A step generates one token for each running request and takes `step_ms`, plus
     `per_sequence_ms` for each request and `per_context_ms` for each 1,000 tokens of its context.
-    Prompts are read at `read_per_s` tokens a second. `steps_per_event` steps pass between two
-    events of a stream.
+    Prompts are read at `read_per_s` tokens a second; reading takes `pairs_ms_per_million` longer
+    for each million pairs of prompt tokens. `steps_per_event` steps pass between two events of a
+    stream. `tokens` is the size of the memory; `usual_prompt` and `usual_answer` are tokens too.
 
     """
 
--- a/packages/millfork-routing/millfork_routing/limits.py
+++ b/packages/millfork-routing/millfork_routing/limits.py
@@ -13,7 +13,9 @@
 
 from millfork_core.ids import OrganisationId
 
+# Weight of one request in the mean service time.
 SERVICE_TIME_WEIGHT: Final = 0.1
+# The mean service time that is assumed before the first request has ended.
 FIRST_SERVICE_TIME_S: Final = 0.2
 MIN_RETRY_AFTER_MS: Final = 100
 MAX_ORGANISATIONS_REMEMBERED: Final = 10_000
@@ -88,7 +90,8 @@
 
     def _queue_capacity(self, organisation: OrganisationId) -> int:
         """
-        The number of requests that one organisation may queue: its share of all places.
+        The number of requests that one organisation may queue: its share of `max_waiting`, at
+        least 1; while a slot is free, all slots and places.
 
         """
         if self.running < self.slots:
@@ -161,7 +164,7 @@
         if not queue:
             del self.queues[organisation]
         if waiter.until < self.monotonic():
-            # The waiting task ends by its own time-out, so a slot would be wasted on it.
+            # The waiting task ends by its own timeout, so a slot would be wasted on it.
             return None
         return waiter
 
--- a/packages/millfork-routing/millfork_routing/retries.py
+++ b/packages/millfork-routing/millfork_routing/retries.py
@@ -1,5 +1,5 @@
 """
-Whether a refused attempt may be retried: the verdict, and the budget of each organisation.
+Whether a refused attempt may be retried, by its verdict and by each organisation's budget.
 
 """
 
@@ -80,7 +80,7 @@
 def may_retry(refusal: Refusal, repeatable: bool) -> bool:
     """
     Whether a refused request may be sent again: the reason must be retriable, and the request
-    must not have run or be repeatable.
+    must either not have run or be repeatable.
 
     """
     if refusal.reason not in RETRIABLE_REASONS:
--- a/packages/millfork-routing/millfork_routing/shared_budget.py
+++ b/packages/millfork-routing/millfork_routing/shared_budget.py
@@ -10,9 +10,9 @@
 - The allowance is divided by the highest recent number of entries: entries that are
   partitioned off or restarting use their share of it nevertheless.
 - An entry has no share of the allowance until it was in contact with a majority of the replicas
-  for a whole window. Only one side of a partition is, so the two sides can't both divide the
-  whole allowance by the entries that they see. Without this rule, two halves of 40 entries that
-  all started during a partition sent 320 repeats of 272 allowed.
+  for a whole window. Only one side of a partition has that contact, so the two sides can't both
+  divide the whole allowance by the entries that they see. Without this rule, two halves of 40
+  entries that all started during a partition sent 320 repeats of 272 allowed.
 
 Without these rules, 40 entries that were killed three times in 10 s sent 844 repeats of 736
 allowed, while servers turned four of five requests away.
@@ -66,7 +66,8 @@
 
 class SharedBudget:
     """
-    One entry's share of the budget, for each service.
+    One entry's share of the budget, for each service: `ratio` of its requests within `window_s`
+    seconds, and its part of `slack`, the fixed allowance.
 
     `entries` returns the number of entries known to the entry's replica, `has_quorum` whether
     that replica is in contact with a majority of the replicas now.
