--- a/packages/millfork-registry/millfork_registry/feed_client.py
+++ b/packages/millfork-registry/millfork_registry/feed_client.py
@@ -37,13 +37,15 @@
 # More than six heartbeats of the feed; the follower leaves a replica that is silent for longer.
 SILENT_AFTER_S: Final = 1.0
 FOLLOW_TIMEOUT_S: Final = 0.6
+# How often the state of the followed replica is checked.
 SOURCE_CHECK_PERIOD_S: Final = 0.25
 RETRY_PAUSE_S: Final = 0.1
+# How often the followed replica is asked for the replicas it knows and for named versions.
 REPLICA_QUERY_PERIOD_S: Final = 2.0
 # A follower of a replica in another zone checks this often for a replica in its own zone.
 NEARER_CHECK_PERIOD_S: Final = 3.0
-# A replica without contact to its leader for this long may hold old configuration.
-# Elections are shorter.
+# A replica that hasn't been known to be current for this long, as without contact to its leader,
+# may hold old configuration. Elections are shorter.
 STALE_MS: Final = 1500
 
 log = logger(Component.REGISTRY)
@@ -72,6 +74,8 @@
         self.discovery = discovery
         self.source = NO_INSTANCE
         self.source_contact_at = 0.0
+        # Age of the followed replica's configuration: the time since the replica was known to have
+        # applied all committed entries.
         self.age_ms = 0
         # Number of entries that the replica knows now, and the greatest recent number.
         self.entries = 1
@@ -83,6 +87,7 @@
         self.relay = ''
         self.pending_relay = ''
         self.version_cutoffs = VersionCutoffs()
+        # When the followed replica was last asked for the replicas it knows.
         self.asked_at = 0.0
         # Set whenever leases or configuration changed.
         self.changed = curio.Event()
@@ -99,7 +104,7 @@
     @property
     def connected(self) -> bool:
         """
-        Whether the followed replica sent a message recently and is in contact with its leader.
+        Whether the followed replica sent a message recently and its configuration isn't stale.
 
         """
         silent_s = self.env.monotonic() - self.source_contact_at
@@ -178,7 +183,7 @@
 
     async def _fresher_replica_exists(self, address: PeerAddress, age_ms: int) -> bool:
         """
-        Whether another replica has had more recent contact with the leader.
+        Whether another replica holds more recent configuration and isn't stale itself.
 
         """
         for other in self.discovery.addresses():
@@ -232,8 +237,8 @@
 
     async def _nearer_replica_exists(self, address: PeerAddress) -> bool:
         """
-        Whether the followed replica is in another zone while a replica in this process's
-        zone is in contact with its leader.
+        Whether the followed replica is in another zone while one in this process's zone answers
+        and is in contact with its leader.
 
         """
         own = str(self.env.zone)
--- a/packages/millfork-registry/millfork_registry/followers.py
+++ b/packages/millfork-registry/millfork_registry/followers.py
@@ -63,6 +63,7 @@
         self.env = env
         self.replica = replica
         self.registry = registry
+        # By instance id of the follower.
         self.rows: dict[str, Follower] = {}
         # Numbers of entries that follow other replicas, by replica.
         self.entries_by_other_replica: dict[str, int] = {}
@@ -109,7 +110,7 @@
 
     async def wake(self) -> None:
         """
-        Send changes to all followers without waiting for the next heartbeat.
+        Have changes sent to all followers without waiting for the next heartbeat.
 
         """
         for follower in list(self.rows.values()):
--- a/packages/millfork-registry/millfork_registry/records.py
+++ b/packages/millfork-registry/millfork_registry/records.py
@@ -68,7 +68,7 @@
     def order(self) -> tuple[Incarnation, bool, int, bool]:
         """
         Sort key: the newer of two records of a back end has the greater key. The incarnation
-        is first, because sequences of different incarnations can't be compared.
+        comes first, because sequences of different incarnations can't be compared.
 
         """
         return (
--- a/packages/millfork-registry/millfork_registry/registry.py
+++ b/packages/millfork-registry/millfork_registry/registry.py
@@ -26,12 +26,14 @@
 # An ended record is kept this long, so that a delayed heartbeat of the same
 # incarnation changes nothing.
 ENDED_RETENTION_S: Final = 120.0
-# An unknown back end that doesn't report its start, at the address of a live one, is accepted by
-# its first heartbeat, or by two heartbeats at least this share of the heartbeat period apart: a
-# process that has ended sends no second one, and two delayed heartbeats arrive together.
+# If incarnations aren't reported, an unknown back end at the address of a live one is accepted
+# only with its first heartbeat (FIRST_SEQUENCE), or with a later one that arrives at least
+# MIN_GAP_SHARE of the heartbeat period after the first one received: a process that has ended
+# sends no more heartbeats, and two delayed ones arrive together.
 FIRST_SEQUENCE: Final = 1
 MIN_GAP_SHARE: Final = 0.5
-# An endpoint daemon reports at least once a second.
+# An endpoint daemon that has sent no report for this long is dropped; it reports at least once a
+# second.
 REPORT_LIFETIME_S: Final = 3.5
 ENDED_STATES: Final = (LeaseState.GONE, LeaseState.EXPIRED)
 
@@ -112,7 +114,7 @@
     def _may_be_delayed(self, lease: Lease, other: Lease) -> bool:
         """
         Whether a heartbeat of an unknown back end may be a delayed one, from a process that ran
-        at the address before the known back end.
+        at the address before the back end with the `other` lease.
 
         """
         if (lease.incarnation and other.incarnation) or lease.sequence <= FIRST_SEQUENCE:
@@ -224,7 +226,7 @@
 
     def merge_endpoint_state(self, state: EndpointState) -> RecordChange:
         """
-        Store an endpoint daemon's state if it is newer than the held one.
+        Store an endpoint daemon's state from any source if it is newer than the held one.
 
         """
         held = self.endpoints.get(state.instance)
--- a/packages/millfork-registry/millfork_registry/suspicion_store.py
+++ b/packages/millfork-registry/millfork_registry/suspicion_store.py
@@ -255,7 +255,7 @@
 
     def _oldest_dispensable(self) -> Fingerprint:
         """
-        Return the least recently changed record that is clear, or else of all records.
+        Return the least recently changed one of the clear records, or of all if none is clear.
 
         """
         for suspicion in self.table.values():
--- a/packages/millfork-registry/millfork_registry/version_cutoffs.py
+++ b/packages/millfork-registry/millfork_registry/version_cutoffs.py
@@ -2,10 +2,10 @@
 Cutoffs of model versions: the times from which no request may begin on an older version.
 
 The leader of the replicas knows when a version was named. The other replicas ask the
-leader, and followers ask their replica. An answer is given after its question was asked,
-so its remaining time is counted from the time of the question: a process that was paused
-or reads from a slow link can only compute too early a cutoff. When the time was counted from
-the reading of the answer, a process stopped for 3.4 s computed a cutoff 3.4 s too late.
+leader, and followers ask their replica. An answer gives the time that remains until the
+cutoff. It is counted from the moment of the question, so a process that was paused or reads
+from a slow link can only compute too early a cutoff. When it was counted from the reading of
+the answer, a process stopped for 3.4 s computed a cutoff 3.4 s too late.
 
 """
 
