--- a/packages/millforkd/millforkd/proxy/backpressure.py
+++ b/packages/millforkd/millforkd/proxy/backpressure.py
@@ -1,5 +1,5 @@
 """
-Records backpressure signals of back ends: applies, logs and counts them.
+Applies, logs and counts the backpressure signals of back ends.
 
 """
 
@@ -36,7 +36,7 @@
                 self.env.metrics.backpressure, signal='unread', event='', told_by='answer'
             )
             log.warning(
-                'A backpressure signal can not be read. server={} id={} {}',
+                'A backpressure signal cannot be read. server={} id={} {}',
                 server.instance,
                 job.caller.request_id,
                 signals.invalid_headers,
--- a/packages/millforkd/millforkd/proxy/cache.py
+++ b/packages/millforkd/millforkd/proxy/cache.py
@@ -46,8 +46,8 @@
 MAX_ORIGIN_ATTEMPTS: Final = 2
 # The pause after a prefetch round that fetched nothing.
 RETRY_S: Final = 0.2
-# A version without a request for this long is not needed at the moment: a daemon that needs
-# one repeats its request after 0.5 s and a pause of RETRY_S.
+# A version that was not requested for this long is not needed at the moment: a daemon that needs
+# a piece repeats its request after 0.5 s and a pause of RETRY_S.
 IDLE_S: Final = 1.2
 NOT_YET: Final = 'not yet'
 ORIGIN_FAILS: Final = 'the origin does not answer'
@@ -177,7 +177,7 @@
         self, weights: WeightsId, index: int, direct: bool, deadline: float
     ) -> None:
         """
-        Fetch a missing piece (`direct`: from the origin); returns by `deadline`.
+        Fetch a missing piece, with `direct` only from the origin; returns by `deadline`.
 
         """
         held = self.store.get_or_create(weights)
@@ -192,7 +192,8 @@
         *args: object,
     ) -> None:
         """
-        Fetch pieces or digests, or wait for a fetch in progress, until `deadline` at most.
+        Start a fetch of a piece or of the digests, unless it is already in progress, and wait for
+        it until `deadline` at most.
 
         """
         pending = self.pending.get(key)
@@ -230,8 +231,9 @@
 
     async def _fetch_from_cache(self, held: PieceSet, index: int) -> bool:
         """
-        Request a piece (or the digests) from its fetcher, and from the next one if that is
-        silent; False if this cache has to fetch it from the origin.
+        Request a piece, or the digests, from its fetcher, and from the next one if that is
+        silent. False if this cache has to fetch it from the origin; True otherwise, also if the
+        fetcher doesn't have it yet.
 
         """
         key = (held.weights, index)
@@ -260,7 +262,7 @@
             await held.set_digests(decode_digests(reply.body))
         except msgspec.DecodeError as error:
             log.warning(
-                'Digests of {} from {} can not be decoded: {}.', held.weights, fetcher, error
+                'Digests of {} from {} cannot be decoded: {}.', held.weights, fetcher, error
             )
             return False
         return True
--- a/packages/millforkd/millforkd/proxy/connections.py
+++ b/packages/millforkd/millforkd/proxy/connections.py
@@ -37,7 +37,7 @@
 
 class SendFailed(Exception):
     """
-    No complete answer was received; reason and verdict say what is known of the request.
+    No complete answer was received; `reason` says why, `verdict` whether the request has run.
 
     """
 
--- a/packages/millforkd/millforkd/proxy/daemon.py
+++ b/packages/millforkd/millforkd/proxy/daemon.py
@@ -303,13 +303,13 @@
     @on.register
     async def _(self, message: messages.SuspicionReport, connection: Connection) -> Message:
         """
-        Note the suspicions of an entry that can't reach the replicas, and publish them.
+        Record the suspicions of an entry that can't reach the replicas, and publish them.
 
         """
         try:
             suspicions = decode_suspicions(message.body)
         except msgspec.DecodeError as error:
-            log.warning('Suspicions of {} can not be decoded: {}.', connection.peer, error)
+            log.warning('Suspicions of {} cannot be decoded: {}.', connection.peer, error)
             return messages.Done(False)
         for suspicion in suspicions:
             await self.registry.suspicion_store.record(suspicion)
--- a/packages/millforkd/millforkd/proxy/end_detection.py
+++ b/packages/millforkd/millforkd/proxy/end_detection.py
@@ -85,8 +85,8 @@
 
     async def record_caller_left(self, server: Server, before: Suspicion) -> None:
         """
-        Note that a caller left, or that its deadline passed, before the back end answered. No
-        answer breaks off then if the back end ends, so from the second time on the back end is
+        Record that a caller left, or that its deadline passed, before the back end answered. If
+        the back end then ends, no answer breaks off, so from the second time on the back end is
         watched.
 
         """
@@ -103,8 +103,8 @@
 
     async def record_broken_connection(self, server: Server, before: Suspicion) -> None:
         """
-        Note that an answer of a back end broke off; `before` is the suspicion of the request
-        when it was sent there. Returns once the back end was probed, or soon after a timeout.
+        Record that an answer of a back end broke off; `before` is the suspicion of the request
+        when it was sent there. Returns once the back end was probed, or after a timeout.
 
         """
         watch = await self._add(server, SentRequest(before))
--- a/packages/millforkd/millforkd/proxy/forwarding.py
+++ b/packages/millforkd/millforkd/proxy/forwarding.py
@@ -152,7 +152,7 @@
 
     async def _record_turned_away(self, job: Job) -> None:
         """
-        Record the refusal, as a caller that retries may send a shorter deadline.
+        Record that the caller was turned away. If it retries, its deadline is shorter.
 
         """
         self.admission.first_tries.record_turned_away(self.env.monotonic())
@@ -207,7 +207,8 @@
 
     async def _send(self, job: Job, choice: Choice, before: Suspicion) -> FailedAttempt | None:
         """
-        Make one attempt and note failed back ends; None if the caller received its answer.
+        Make one attempt and record the back ends that may have ended; None if the caller received
+        its answer.
 
         """
         job.pending_servers = ()
@@ -241,8 +242,8 @@
 
     def _choose_among_freest(self, job: Job) -> Choice | None:
         """
-        Choose among the back ends with most free slots, for a job that all back ends compared
-        so far were too busy for.
+        Choose among the back ends with the most free slots, after all back ends compared so far
+        were too busy for a job.
 
         """
         tried = set(job.tried)
--- a/packages/millforkd/millforkd/proxy/job.py
+++ b/packages/millforkd/millforkd/proxy/job.py
@@ -42,7 +42,7 @@
 
     def mark_first_token(self) -> None:
         """
-        Note that the first token has arrived, so the prompt has been read.
+        Record that the first token has arrived, so the prompt has been read.
 
         """
         if self.awaiting_first_token:
@@ -97,7 +97,8 @@
     received_at: float
     deadline: float
     document_version: int
-    # The time since the caller's first try, as far as known; 0: this is the first try.
+    # The time between the caller's first try and `received_at`, as far as known; 0: this is the
+    # first try.
     elapsed_ms: int = 0
     # Whether the remaining deadline doesn't show if this is the first try, and the turned-away
     # directory wasn't asked yet.
--- a/packages/millforkd/millforkd/proxy/load_queries.py
+++ b/packages/millforkd/millforkd/proxy/load_queries.py
@@ -26,7 +26,7 @@
 MAX_WAIT_S: Final = 0.02
 # After this time the next report has arrived, so an answer adds nothing.
 ANSWER_TIMEOUT_S: Final = 0.15
-# How long a daemon that didn't answer in time isn't queried.
+# How long a daemon isn't queried after it didn't answer within MAX_WAIT_S.
 SKIP_UNANSWERED_S: Final = 0.5
 
 log = logger(Component.PROXY)
--- a/packages/millforkd/millforkd/proxy/peer_queries.py
+++ b/packages/millforkd/millforkd/proxy/peer_queries.py
@@ -2,9 +2,9 @@
 Queries to other processes, sent while a caller's request waits for the answer.
 
 The waits are short: a query doesn't wait for a new connection, an answer is given up after
-milliseconds, and a peer that didn't answer is not queried for a while. A connection without
-received data for long may be dead without a reset, while a new one would work: it is closed
-with the first query that isn't answered on it.
+milliseconds, and a peer that didn't answer is not queried for a while. A connection on which
+nothing was received for long may be dead without a reset, while a new one would work: it is
+closed when a query on it times out.
 
 """
 
--- a/packages/millforkd/millforkd/proxy/request_sender.py
+++ b/packages/millforkd/millforkd/proxy/request_sender.py
@@ -28,6 +28,7 @@
 # A version that a server refused isn't requested from it again for this long; its next report
 # arrives meanwhile.
 REFUSED_VERSION_S: Final = 0.5
+# The reasons for which the back end, or the connection to it, may have failed.
 CONNECTION_FAILURES: Final = frozenset(
     {Reason.UNREACHABLE, Reason.CONNECTION_LOST, Reason.TRUNCATED}
 )
@@ -225,7 +226,8 @@
 
 def _path_segments(choice: Choice, engine: EngineSpec | None) -> tuple[PathSegment, ...]:
     """
-    The engines of a pipelined choice and their layer ranges, as sent to the back end.
+    The engines of a path and their layer ranges, as sent to its first engine; empty without a
+    path.
 
     """
     path = choice.path
--- a/packages/millforkd/millforkd/proxy/response_monitor.py
+++ b/packages/millforkd/millforkd/proxy/response_monitor.py
@@ -17,9 +17,9 @@
 HEAD_POLL_S: Final = 0.25
 # A loaded server sends data to this entry many times within this period.
 SILENT_SERVER_S: Final = 1.2
-# If a server answers requests that were sent this much later, it has skipped this request, or
-# this request's connection is dead while others work: requests of one rank start in order, and
-# reading the longest prompt takes 0.2 s.
+# If a server answers requests of the same rank that were sent this much later, it has skipped this
+# request, or this request's connection is dead while others work: requests of one rank start in
+# order, and reading the longest prompt takes 0.2 s.
 REORDER_THRESHOLD_S: Final = 0.3
 
 
@@ -40,6 +40,8 @@
         Wait for the head of an answer. A repeatable request is withdrawn from a back end that
         won't start it soon.
 
+        :raises SendFailed: if no answer arrives, or a repeatable request is withdrawn.
+
         """
         if not job.route.repeatable:
             await connection.read_head()
--- a/packages/millforkd/millforkd/proxy/response_relay.py
+++ b/packages/millforkd/millforkd/proxy/response_relay.py
@@ -137,6 +137,8 @@
     """
     Check that a resumed stream continues with the next event.
 
+    :raises SendFailed: if it doesn't.
+
     """
     if job.last_event is None or splitter.first_id == job.last_event + 1:
         return
--- a/packages/millforkd/millforkd/proxy/turned_away_directory.py
+++ b/packages/millforkd/millforkd/proxy/turned_away_directory.py
@@ -82,7 +82,7 @@
 
     def on_note(self, message: NoteTurnedAway) -> None:
         """
-        Record a request that another entry turned away.
+        Record a request that an entry of this zone turned away.
 
         """
         self.requests.record(message.fingerprint, message.elapsed_ms, self.env.monotonic())
--- a/packages/millforkd/millforkd/replica/control.py
+++ b/packages/millforkd/millforkd/replica/control.py
@@ -43,7 +43,8 @@
 PROPOSAL_TIMEOUT_S: Final = 0.9
 # Documents are text; at this level, compression takes 1 ms and halves their size in the log.
 COMPRESSION_LEVEL: Final = 1
-# A foreign client may call at any rate, so refusals are logged at most this often per reason.
+# A client of another system may call at any rate, so refusals are logged at most this often per
+# reason.
 REFUSAL_LOG_PERIOD_S: Final = 1.0
 MAX_LOGGED_CHARS: Final = 100
 
@@ -126,8 +127,9 @@
 
     def _check_service(self, service: str) -> None:
         """
-        Refuse a heartbeat of an undeclared service, as it comes from another system. If
-        accepted, it would end the lease of a back end with the same id or address.
+        Check that the service of a heartbeat is declared. Otherwise the heartbeat comes from
+        another system and, if accepted, could end the lease of a back end with the same id or
+        address.
 
         :raises Refused: if the document doesn't declare the service.
 
--- a/packages/millforkd/millforkd/replica/daemon.py
+++ b/packages/millforkd/millforkd/replica/daemon.py
@@ -179,13 +179,14 @@
 
     async def drain(self) -> None:
         """
-        Prepare a planned stop: a leader steps down, so that the others needn't wait for its
-        silence, and calls in progress end.
+        Prepare a planned stop: a leader steps down, so that the others needn't wait until it is
+        silent for an election timeout, and calls in progress end.
 
         """
         self.server.closing = True
         async with self.replica.lock:
             await self.replica.step_down()
+            # A replica whose disk failed doesn't stand for election for one election timeout.
             self.replica.disk_failed_at = self.env.monotonic()
         while self.server.active:
             await curio.sleep(STOP_PAUSE_S)
--- a/packages/millforkd/millforkd/replica/quarantine.py
+++ b/packages/millforkd/millforkd/replica/quarantine.py
@@ -1,5 +1,5 @@
 """
-The replicas' side of the quarantine: a list in the replicated state.
+The replicas' side of the quarantine: a list of requests in the replicated state.
 
 Suspicions are kept in memory, so a loss of power of the whole fleet would lose them, and a
 request that had ended three back ends would end three more. The leader therefore lists
@@ -25,7 +25,7 @@
 
 RECONCILE_PERIOD_S: Final = 0.25
 PROPOSAL_TIMEOUT_S: Final = 0.9
-# A request leaves the list after a day, as software that fails on a request gets replaced.
+# A request leaves the list after a day, as software that fails on a request is replaced by then.
 LISTED_MAX_AGE_MS: Final = 24 * 3600 * 1000
 # At this size the list takes 0.1 MB of state, with keys and values of about ten bytes each.
 MAX_LISTED: Final = 1000
@@ -58,7 +58,7 @@
 
     async def run(self) -> None:
         """
-        Task that adds requests to the list and removes them.
+        Task that forgets old suspicions and, on the leader, updates the list.
 
         """
         while True:
--- a/packages/millforkd/millforkd/replica/replica_links.py
+++ b/packages/millforkd/millforkd/replica/replica_links.py
@@ -29,7 +29,7 @@
 FOLLOW_TIMEOUT_S: Final = 0.6
 # A back end that reports its drain or leave waits one second for the answer.
 MAJORITY_TIMEOUT_S: Final = 0.7
-# An owner that was silent for this long no longer expires its leases.
+# An owner that was silent for this long is considered lost, and the others expire its leases.
 OWNER_LOST_AFTER_S: Final = 2.0
 # Rounds start every half second; a gap of this length shows that this process was paused.
 MAX_ROUND_GAP_S: Final = 1.5
@@ -202,8 +202,8 @@
 
     def on_find(self, message: FindReplicas, zone: str) -> Replicas:
         """
-        Answer a process of `zone` that looks for replicas; a replica that asks is
-        added to the known ones.
+        Answer a process of `zone` that looks for replicas; if it is a replica, it is added to the
+        known ones.
 
         """
         caches = self.followers.local_caches()
--- a/packages/millforkd/millforkd/suspicion_updates.py
+++ b/packages/millforkd/millforkd/suspicion_updates.py
@@ -33,7 +33,7 @@
         self, fingerprint: Fingerprint, incarnation: IncarnationKey
     ) -> None:
         """
-        Note that a request broke off at an incarnation of a back end.
+        Record that a request broke off at an incarnation of a back end.
 
         """
         known = self.suspicion_store.get(fingerprint)
@@ -43,7 +43,7 @@
 
     async def record_end(self, before: Suspicion, incarnation: IncarnationKey) -> None:
         """
-        Note that the incarnation has ended; `before` is the suspicion of the request at the
+        Record that the incarnation has ended; `before` is the suspicion of the request at the
         time when it was sent there.
 
         """
@@ -58,7 +58,7 @@
 
     async def record_no_end(self, fingerprint: Fingerprint, incarnation: IncarnationKey) -> None:
         """
-        Note that the incarnation is alive, or that its state stayed unknown for too long.
+        Record that the incarnation is alive, or that its state stayed unknown for too long.
 
         """
         known = self.suspicion_store.get(fingerprint)
