--- a/packages/millfork-standins/millfork_standins/bench/routing.py
+++ b/packages/millfork-standins/millfork_standins/bench/routing.py
@@ -343,10 +343,10 @@
             self._count(request, 'refused')
             return
         job = self._make_job(requirements, self._elapsed_ms(request, table))
-        wait_ms = 0 if self.admits_all else self.admissions[table].return_after_ms(job, choice)
+        wait_ms = 0 if self.admits_all else self.admissions[table].retry_after_ms(job, choice)
         if wait_ms and (freest := table.freest_candidates(requirements, set())):
             choice = table.choose(requirements, set(), freest) or choice
-            wait_ms = self.admissions[table].return_after_ms(job, choice)
+            wait_ms = self.admissions[table].retry_after_ms(job, choice)
         if not wait_ms:
             self._start(request, table, choice)
             return
--- a/packages/millforkd/millforkd/proxy/admission.py
+++ b/packages/millforkd/millforkd/proxy/admission.py
@@ -152,7 +152,7 @@
         age_ms = (now - choice.server.reported_at) * 1000
         return StartEstimate(choice.first_token_ms, left_ms, occupied, choice.server.slots, age_ms)
 
-    def return_after_ms(self, job: Job, choice: Choice) -> int:
+    def retry_after_ms(self, job: Job, choice: Choice) -> int:
         """
         0 if a request is worth sending, otherwise the milliseconds until its caller may retry.
 
--- a/packages/millforkd/millforkd/proxy/forwarding.py
+++ b/packages/millforkd/millforkd/proxy/forwarding.py
@@ -176,10 +176,10 @@
                 return self._no_server_refusal(job)
             if not job.tried and not job.answer_started:
                 await self._look_up_first_try(job, choice)
-                wait_ms = self.admission.return_after_ms(job, choice)
+                wait_ms = self.admission.retry_after_ms(job, choice)
                 if wait_ms:
                     choice = self._choose_among_freest(job) or choice
-                    wait_ms = self.admission.return_after_ms(job, choice)
+                    wait_ms = self.admission.retry_after_ms(job, choice)
                 if wait_ms:
                     return Refusal(Reason.BUSY, Verdict.NOT_RUN, 'all servers are busy', wait_ms)
             if job.tried and not budget_spent and not self.budget.spend(job.requirements.service):
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -42,20 +42,20 @@
     return Choice(server, expected_ms, expected_ms)
 
 
-def return_after_ms(expected_ms, elapsed_ms=0, engine=ENGINE, running=16):
+def retry_after_ms(expected_ms, elapsed_ms=0, engine=ENGINE, running=16):
     admitting = admission()
     job = job_of(admitting, elapsed_ms, engine)
-    return admitting.return_after_ms(job, choice_of(admitting, expected_ms, running))
+    return admitting.retry_after_ms(job, choice_of(admitting, expected_ms, running))
 
 
 @pytest.mark.parametrize(('expected_ms', 'admitted'), [(100, True), (290, True), (320, False)])
 def test_a_first_try_is_sent_only_if_it_is_expected_in_time(expected_ms, admitted):
-    assert (return_after_ms(expected_ms) == 0) == admitted
+    assert (retry_after_ms(expected_ms) == 0) == admitted
 
 
 @pytest.mark.parametrize(('elapsed_ms', 'admitted'), [(150, True), (300, False), (900, False)])
 def test_a_retry_is_measured_from_its_first_try(elapsed_ms, admitted):
-    assert (return_after_ms(100, elapsed_ms) == 0) == admitted
+    assert (retry_after_ms(100, elapsed_ms) == 0) == admitted
 
 
 @pytest.mark.parametrize(
@@ -81,14 +81,14 @@
 
 
 def test_a_refused_caller_is_given_a_minimum_wait():
-    assert return_after_ms(500) >= MIN_WAIT_MS
+    assert retry_after_ms(500) >= MIN_WAIT_MS
 
 
 @pytest.mark.parametrize(('running', 'admitted'), [(3, True), (11, True), (12, False)])
 def test_late_requests_get_only_spare_slots(running, admitted):
-    assert (return_after_ms(5000, running=running) == 0) == admitted
-    assert (return_after_ms(100, elapsed_ms=900, running=running) == 0) == admitted
+    assert (retry_after_ms(5000, running=running) == 0) == admitted
+    assert (retry_after_ms(100, elapsed_ms=900, running=running) == 0) == admitted
 
 
 def test_a_service_without_engines_admits_every_request():
-    assert return_after_ms(5000, engine=None) == 0
+    assert retry_after_ms(5000, engine=None) == 0
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -127,7 +127,7 @@
             versions=versions,
             table=None,
             with_current_versions=lambda wanted, last_send: wanted,
-            return_after_ms=lambda job, choice: 0,
+            retry_after_ms=lambda job, choice: 0,
             depends_on_first_try=lambda job, choice: False,
         )
         adapter = SimpleNamespace(back_end_headers=lambda request, orders: [])
