--- a/packages/millfork-scheduling/millfork_scheduling/retry_after.py
+++ b/packages/millfork-scheduling/millfork_scheduling/retry_after.py
@@ -19,7 +19,7 @@
 SPREAD_WAIT_MS: Final = 250
 # The wait while no back end can serve a request: engines change their weights within two
 # seconds, and servers are replaced within some seconds.
-NOTHING_SERVES_MS: Final = 1500
+NO_SERVER_WAIT_MS: Final = 1500
 # The longest wait for back ends that asked for a rest; others may have joined by then.
 MAX_REST_MS: Final = 10_000
 NOTHING_SERVES_SPREAD_MS: Final = 400
@@ -53,7 +53,7 @@
     The wait of a caller that no back end can serve, in ms.
 
     """
-    return NOTHING_SERVES_MS + int(random.random() * NOTHING_SERVES_SPREAD_MS)
+    return NO_SERVER_WAIT_MS + int(random.random() * NOTHING_SERVES_SPREAD_MS)
 
 
 def closed_wait_ms(closure: Closure, random: Random) -> int:
@@ -63,7 +63,7 @@
     lower, as other back ends may start to serve, or another entry may be able to send.
 
     """
-    max_ms = MAX_REST_MS if closure.closure_reason is ClosureReason.RESTING else NOTHING_SERVES_MS
+    max_ms = MAX_REST_MS if closure.closure_reason is ClosureReason.RESTING else NO_SERVER_WAIT_MS
     wait_ms = min(max(closure.opens_in_s * 1000, MIN_WAIT_MS), max_ms)
     return int(wait_ms + random.random() * SPREAD_WAIT_MS)
 
--- a/tests/test_closed_back_ends.py
+++ b/tests/test_closed_back_ends.py
@@ -23,7 +23,7 @@
 from millfork_scheduling.placement import Requirements
 from millfork_scheduling.retry_after import (
     MAX_REST_MS,
-    NOTHING_SERVES_MS,
+    NO_SERVER_WAIT_MS,
     SPREAD_WAIT_MS,
     closed_wait_ms,
 )
@@ -196,7 +196,7 @@
         (Closure(ClosureReason.RESTING, 4.0), 4000),
         (Closure(ClosureReason.RESTING, 200.0), MAX_REST_MS),
         (Closure(ClosureReason.LIMITED, 0.5), 500),
-        (Closure(ClosureReason.LEAVING, float('inf')), NOTHING_SERVES_MS),
+        (Closure(ClosureReason.LEAVING, float('inf')), NO_SERVER_WAIT_MS),
     ],
 )
 def test_callers_wait_until_the_first_back_end_opens(closure, min_ms):
