--- a/packages/millfork-scheduling/millfork_scheduling/retry_after.py
+++ b/packages/millfork-scheduling/millfork_scheduling/retry_after.py
@@ -22,7 +22,7 @@
 NO_SERVER_WAIT_MS: Final = 1500
 # The longest wait for back ends that asked for a rest; others may have joined by then.
 MAX_REST_MS: Final = 10_000
-NOTHING_SERVES_SPREAD_MS: Final = 400
+NO_SERVER_SPREAD_MS: Final = 400
 # Waits after other refusals, by reason. They are short, as a slot comes free in a fraction of
 # a second.
 AFTER_REFUSAL_MS: Final[dict[Reason, int]] = {
@@ -53,7 +53,7 @@
     The wait of a caller that no back end can serve, in ms.
 
     """
-    return NO_SERVER_WAIT_MS + int(random.random() * NOTHING_SERVES_SPREAD_MS)
+    return NO_SERVER_WAIT_MS + int(random.random() * NO_SERVER_SPREAD_MS)
 
 
 def closed_wait_ms(closure: Closure, random: Random) -> int:
