--- a/packages/millfork-scheduling/millfork_scheduling/retry_after.py
+++ b/packages/millfork-scheduling/millfork_scheduling/retry_after.py
@@ -48,7 +48,7 @@
     return int(MIN_WAIT_MS + late_ms + random.random() * SPREAD_WAIT_MS)
 
 
-def nothing_serves_wait_ms(random: Random) -> int:
+def no_server_wait_ms(random: Random) -> int:
     """
     The wait of a caller that no back end can serve, in ms.
 
--- a/packages/millforkd/millforkd/proxy/forwarding.py
+++ b/packages/millforkd/millforkd/proxy/forwarding.py
@@ -16,7 +16,7 @@
 from millfork_routing.shared_budget import SharedBudget
 from millfork_scheduling.placement import Choice
 from millfork_scheduling.quarantine import SuspicionLevel
-from millfork_scheduling.retry_after import closed_wait_ms, nothing_serves_wait_ms, refusal_wait_ms
+from millfork_scheduling.retry_after import closed_wait_ms, no_server_wait_ms, refusal_wait_ms
 from millfork_scheduling.server_table import ServerTable
 from millfork_web.server import CallerGone, Exchange
 from millforkd.proxy.admission import Admission
@@ -290,7 +290,7 @@
             wait_ms = closed_wait_ms(closure, self.env.random)
             reason = Reason(closure.closure_reason.value)
             return Refusal(reason, Verdict.NOT_RUN, 'no server takes more requests', wait_ms)
-        wait_ms = nothing_serves_wait_ms(self.env.random)
+        wait_ms = no_server_wait_ms(self.env.random)
         return Refusal(Reason.NO_ENDPOINT, Verdict.NOT_RUN, 'no server is available', wait_ms)
 
     def _final_refusal(self, job: Job, reason: Reason, explanation: str = '') -> Refusal:
