--- a/packages/millfork-routing/millfork_routing/shared_budget.py
+++ b/packages/millfork-routing/millfork_routing/shared_budget.py
@@ -1,5 +1,5 @@
 """
-The budget of repeats that all entries share without communicating about it.
+The budget of retries that all entries share without communicating about it.
 
 Each entry may use its share: a ratio of its own requests, and an equal share of the fixed
 allowance. The shares sum to less than the whole budget, even if entries know little of each
@@ -12,9 +12,9 @@
 - An entry has no share of the allowance until it was in contact with a majority of the replicas
   for a whole window. Only one side of a partition has that contact, so the two sides can't both
   divide the whole allowance by the entries that they see. Without this rule, two halves of 40
-  entries that all started during a partition sent 320 repeats of 272 allowed.
+  entries that all started during a partition sent 320 retries of 272 allowed.
 
-Without these rules, 40 entries that were killed three times in 10 s sent 844 repeats of 736
+Without these rules, 40 entries that were killed three times in 10 s sent 844 retries of 736
 allowed, while servers turned four of five requests away.
 
 """
@@ -38,14 +38,14 @@
 @dataclass(slots=True)
 class _Window:
     requests: deque[float] = field(default_factory=deque)
-    repeats: deque[float] = field(default_factory=deque)
+    retries: deque[float] = field(default_factory=deque)
 
 
 @dataclass(frozen=True, slots=True)
 class BudgetShare:
     """
-    One entry's share of the budget for a service: repeats sent and requests within the window,
-    the repeats allowed, and the number of entries that the fixed allowance was divided by (0:
+    One entry's share of the budget for a service: retries sent and requests within the window,
+    the retries allowed, and the number of entries that the fixed allowance was divided by (0:
     this process has no share of it).
 
     """
@@ -107,13 +107,13 @@
 
     def spend(self, service: ServiceName) -> bool:
         """
-        Take one repeat from the budget; returns False if none is left.
+        Take one retry from the budget; returns False if none is left.
 
         """
         share = self.current_share(service)
         if share.spent + 1 > share.allowed:
             return False
-        self.windows[service].repeats.append(self.monotonic())
+        self.windows[service].retries.append(self.monotonic())
         return True
 
     def current_share(self, service: ServiceName) -> BudgetShare:
@@ -132,7 +132,7 @@
             allowed += USED_SHARE * self.slack / entries
         else:
             entries = 0
-        return BudgetShare(len(window.repeats), len(window.requests), allowed, entries)
+        return BudgetShare(len(window.retries), len(window.requests), allowed, entries)
 
     def count_entries(self) -> int:
         """
@@ -162,7 +162,7 @@
     def _window(self, service: ServiceName) -> _Window:
         window = self.windows.setdefault(service, _Window())
         since = self.monotonic() - self.window_s
-        for times in (window.requests, window.repeats):
+        for times in (window.requests, window.retries):
             while times and times[0] < since:
                 times.popleft()
         return window
--- a/packages/millfork-scheduling/millfork_scheduling/server.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server.py
@@ -94,7 +94,8 @@
 @dataclass(slots=True, eq=False)
 class Server:
     """
-    One back end as this entry sees it.
+    One back end as this entry sees it. Moments (`..._at`, `..._since`, `..._until`) are monotonic
+    seconds.
 
     """
 
--- a/packages/millforkd/millforkd/proxy/connections.py
+++ b/packages/millforkd/millforkd/proxy/connections.py
@@ -21,8 +21,8 @@
 READ_BYTES: Final = 64 * 1024
 # SO_LINGER on with a timeout of 0 s: closing discards unsent data and resets the connection.
 RESET_ON_CLOSE: Final = struct.pack('ii', 1, 0)
-# Zones are a few milliseconds apart. A lost SYN is repeated only after a second, which is too
-# late for most requests.
+# The latency between zones is a few milliseconds. A lost SYN is retransmitted only after a second,
+# which is too late for most requests.
 CONNECT_TIMEOUT_S: Final = 0.4
 # Idle connections are closed this long before their server would close them.
 KEEP_MARGIN_S: Final = 1.0
--- a/packages/millforkd/millforkd/proxy/daemon.py
+++ b/packages/millforkd/millforkd/proxy/daemon.py
@@ -133,8 +133,8 @@
         self.applied_leases_version = -1
         # The version of the endpoint reports that the server table has.
         self.applied_reports_version = 0
-        # The last logged number of repeats within the window, by service.
-        self.repeats_logged: dict[ServiceName, int] = {}
+        # The last logged number of retries within the window, by service.
+        self.retries_logged: dict[ServiceName, int] = {}
 
     def peak_entries(self) -> int:
         """
@@ -240,21 +240,21 @@
             self.budget.count_entries()
             self.registry.suspicion_store.forget_expired()
             await self.registry.suspicion_store.publish_overdue()
-            self._log_repeats()
+            self._log_retries()
 
-    def _log_repeats(self) -> None:
+    def _log_retries(self) -> None:
         for service in list(self.budget.windows):
-            allowance = self.budget.current_share(service)
-            if allowance.spent == self.repeats_logged.get(service, 0):
+            share = self.budget.current_share(service)
+            if share.spent == self.retries_logged.get(service, 0):
                 continue
-            self.repeats_logged[service] = allowance.spent
+            self.retries_logged[service] = share.spent
             log.info(
                 'Repeats. service={} spent={} allowed={:.1f} requests={} entries={}',
                 service,
-                allowance.spent,
-                allowance.allowed,
-                allowance.requests,
-                allowance.entries,
+                share.spent,
+                share.allowed,
+                share.requests,
+                share.entries,
             )
 
     async def _answer_ready(self, exchange: Exchange) -> None:
--- a/packages/millforkd/millforkd/proxy/end_detection.py
+++ b/packages/millforkd/millforkd/proxy/end_detection.py
@@ -104,7 +104,7 @@
     async def record_broken_connection(self, server: Server, before: Suspicion) -> None:
         """
         Record that an answer of a back end broke off; `before` is the suspicion of the request
-        when it was sent there. Returns once the back end was probed, or after a timeout.
+        when it was sent there. Returns once the back end was probed, or after a short timeout.
 
         """
         watch = await self._add(server, SentRequest(before))
--- a/packages/millforkd/millforkd/proxy/response_monitor.py
+++ b/packages/millforkd/millforkd/proxy/response_monitor.py
@@ -15,7 +15,8 @@
 
 # How often a request that waits for its answer is checked.
 HEAD_POLL_S: Final = 0.25
-# A loaded server sends data to this entry many times within this period.
+# A server that sends this entry nothing for this long is considered lost: a loaded one sends data
+# many times within this period.
 SILENT_SERVER_S: Final = 1.2
 # If a server answers requests of the same rank that were sent this much later, it has skipped this
 # request, or this request's connection is dead while others work: requests of one rank start in
--- a/packages/millforkd/millforkd/replica/daemon.py
+++ b/packages/millforkd/millforkd/replica/daemon.py
@@ -141,10 +141,10 @@
         """
         view = self.replica.view
         while True:
-            mark = view.position
+            position = view.position
             if self.replica.cluster:
                 self.versions.refresh()
-            await view.wait_for_change(mark, VERSION_CHECK_PERIOD_S)
+            await view.wait_for_change(position, VERSION_CHECK_PERIOD_S)
 
     @property
     def in_progress(self) -> int:
