--- a/packages/millfork-routing/millfork_routing/documents.py
+++ b/packages/millfork-routing/millfork_routing/documents.py
@@ -71,12 +71,13 @@
 @dataclass(frozen=True, slots=True)
 class EngineSpec:
     """
-    The capacity and speed of the engines of a service. Times are ms, memory is tokens.
+    The capacity and speed of the engines of a service. Times are ms, except for `warm_s`.
 
     A step generates one token for each running request and takes `step_ms`, plus
     `per_sequence_ms` for each request and `per_context_ms` for each 1,000 tokens of its context.
-    Prompts are read at `read_per_s` tokens a second. `steps_per_event` steps pass between two
-    events of a stream.
+    Prompts are read at `read_per_s` tokens a second; reading takes `pairs_ms_per_million` longer
+    for each million pairs of prompt tokens. `steps_per_event` steps pass between two events of a
+    stream. `tokens` is the size of the memory; `usual_prompt` and `usual_answer` are tokens too.
 
     """
 
@@ -185,7 +186,7 @@
             problems.append(f'route {route.name}: another route has its host and prefix')
         places.add(place)
         if route.timeout_ms <= 0:
-            problems.append(f'route {route.name}: the time-out must be positive')
+            problems.append(f'route {route.name}: the timeout must be positive')
         if sum(share.weight for share in route.shares) <= 0:
             problems.append(f'route {route.name}: the weights sum to 0')
         if any(share.weight < 0 for share in route.shares):
--- a/packages/millfork-routing/millfork_routing/shared_budget.py
+++ b/packages/millfork-routing/millfork_routing/shared_budget.py
@@ -1,5 +1,5 @@
 """
-The budget of repeats that all entries share without communicating about it.
+The budget of retries that all entries share without communicating about it.
 
 Each entry may use its share: a ratio of its own requests, and an equal share of the fixed
 allowance. The shares sum to less than the whole budget, even if entries know little of each
@@ -10,11 +10,11 @@
 - The allowance is divided by the highest recent number of entries: entries that are
   partitioned off or restarting use their share of it nevertheless.
 - An entry has no share of the allowance until it was in contact with a majority of the replicas
-  for a whole window. Only one side of a partition is, so the two sides can't both divide the
-  whole allowance by the entries that they see. Without this rule, two halves of 40 entries that
-  all started during a partition sent 320 repeats of 272 allowed.
+  for a whole window. Only one side of a partition has that contact, so the two sides can't both
+  divide the whole allowance by the entries that they see. Without this rule, two halves of 40
+  entries that all started during a partition sent 320 retries of 272 allowed.
 
-Without these rules, 40 entries that were killed three times in 10 s sent 844 repeats of 736
+Without these rules, 40 entries that were killed three times in 10 s sent 844 retries of 736
 allowed, while servers turned four of five requests away.
 
 """
@@ -38,14 +38,14 @@
 @dataclass(slots=True)
 class _Window:
     requests: deque[float] = field(default_factory=deque)
-    repeats: deque[float] = field(default_factory=deque)
+    retries: deque[float] = field(default_factory=deque)
 
 
 @dataclass(frozen=True, slots=True)
 class BudgetShare:
     """
-    One entry's share of the budget for a service: repeats sent and requests within the window,
-    the repeats allowed, and the number of entries that the fixed allowance was divided by (0:
+    One entry's share of the budget for a service: retries sent and requests within the window,
+    the retries allowed, and the number of entries that the fixed allowance was divided by (0:
     this process has no share of it).
 
     """
@@ -66,7 +66,8 @@
 
 class SharedBudget:
     """
-    One entry's share of the budget, for each service.
+    One entry's share of the budget, for each service: `ratio` of its requests within `window_s`
+    seconds, and its part of `slack`, the fixed allowance.
 
     `entries` returns the number of entries known to the entry's replica, `has_quorum` whether
     that replica is in contact with a majority of the replicas now.
@@ -95,7 +96,7 @@
         self.peak_entries = WindowMax(ENTRIES_REMEMBERED_S)
         self.windows: dict[ServiceName, _Window] = {}
 
-    def note_request(self, service: ServiceName) -> None:
+    def record_request(self, service: ServiceName) -> None:
         """
         Count a request when it is sent for the first time.
 
@@ -106,13 +107,13 @@
 
     def spend(self, service: ServiceName) -> bool:
         """
-        Take one repeat from the budget; returns False if none is left.
+        Take one retry from the budget; returns False if none is left.
 
         """
         share = self.current_share(service)
         if share.spent + 1 > share.allowed:
             return False
-        self.windows[service].repeats.append(self.monotonic())
+        self.windows[service].retries.append(self.monotonic())
         return True
 
     def current_share(self, service: ServiceName) -> BudgetShare:
@@ -131,7 +132,7 @@
             allowed += USED_SHARE * self.slack / entries
         else:
             entries = 0
-        return BudgetShare(len(window.repeats), len(window.requests), allowed, entries)
+        return BudgetShare(len(window.retries), len(window.requests), allowed, entries)
 
     def count_entries(self) -> int:
         """
@@ -161,7 +162,7 @@
     def _window(self, service: ServiceName) -> _Window:
         window = self.windows.setdefault(service, _Window())
         since = self.monotonic() - self.window_s
-        for times in (window.requests, window.repeats):
+        for times in (window.requests, window.retries):
             while times and times[0] < since:
                 times.popleft()
         return window
--- a/packages/millfork-scheduling/millfork_scheduling/server.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server.py
@@ -30,6 +30,7 @@
 FAILURE_WEIGHT: Final = 0.1
 # Weight of one request in the mean service time of an engine.
 SERVICE_TIME_WEIGHT: Final = 0.1
+# The mean lateness halves in this time while no first token arrives.
 LATENESS_HALF_LIFE_S: Final = 0.7
 # Weight of one first token in a back end's mean lateness. An entry sees about one a second from
 # each back end, so a slow back end is recognised after its first token.
@@ -57,9 +58,13 @@
     updated_at: float = 0.0
 
     def now_ms(self, now: float) -> float:
+        """
+        The mean after its decay until `now`.
+
+        """
         return self.mean_ms * math.exp2((self.updated_at - now) / LATENESS_HALF_LIFE_S)
 
-    def note(self, late_ms: float, now: float) -> None:
+    def record(self, late_ms: float, now: float) -> None:
         """
         Add the lateness of one first token to the mean.
 
@@ -89,7 +94,8 @@
 @dataclass(slots=True, eq=False)
 class Server:
     """
-    One back end as this entry sees it.
+    One back end as this entry sees it. Moments (`..._at`, `..._since`, `..._until`) are monotonic
+    seconds.
 
     """
 
@@ -225,7 +231,7 @@
             self.pace,
         )
 
-    def note_service_time(self, seconds: float) -> None:
+    def record_service_time(self, seconds: float) -> None:
         """
         Add the time of one request at the back end to the mean.
 
@@ -235,7 +241,7 @@
             return
         self.service_s += SERVICE_TIME_WEIGHT * (seconds - self.service_s)
 
-    def note_failure(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """
         Record a failure; the back end is avoided for a while.
 
@@ -243,9 +249,9 @@
         wait = min(FIRST_AVOIDANCE_S * 2**self.failures, MAX_AVOIDANCE_S)
         self.failures += 1
         self.avoided_until = now + wait
-        self.note_outcome(failed=True)
+        self.record_outcome(failed=True)
 
-    def note_turned_away(self, sent_at: float, now: float) -> None:
+    def record_turned_away(self, sent_at: float, now: float) -> None:
         """
         Record that a request sent at `sent_at` was turned away; the back end is avoided for a
         while. As rejected requests occupy no slots, it would otherwise seem to be the freest.
@@ -259,7 +265,7 @@
         self.turned_away_at = now
         self.avoided_until = max(self.avoided_until, now + wait)
 
-    def note_accepted(self, sent_at: float) -> None:
+    def record_accepted(self, sent_at: float) -> None:
         """
         Record that the back end accepted a request sent at `sent_at`.
 
@@ -267,16 +273,16 @@
         if sent_at >= self.turned_away_at:
             self.turned_away = 0
 
-    def note_outcome(self, failed: bool) -> None:
+    def record_outcome(self, failed: bool) -> None:
         """
-        Add the outcome of one request to the failure rate.
+        Add the outcome of one request to the failure rate; a success resets `failures`.
 
         """
         self.failure_rate += FAILURE_WEIGHT * (float(failed) - self.failure_rate)
         if not failed:
             self.failures = 0
 
-    def note_answered(self, urgency: int | None, sent_at: float) -> None:
+    def record_answered(self, urgency: int | None, sent_at: float) -> None:
         """
         Record that the answer to a request of this urgency, sent at `sent_at`, has begun.
 
--- a/packages/millfork-scheduling/millfork_scheduling/server_table.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server_table.py
@@ -371,13 +371,13 @@
         """
         return server.availability.closure(self.monotonic(), max(self.peak_entries(), 1))
 
-    def note_sent(self, servers: Iterable[Server]) -> None:
+    def record_sent(self, servers: Iterable[Server]) -> None:
         """
         Record a request that is sent through the given back ends.
 
         """
         for server in servers:
-            server.availability.note_sent(self.monotonic(), max(self.peak_entries(), 1))
+            server.availability.record_sent(self.monotonic(), max(self.peak_entries(), 1))
 
     def first_to_open(self, requirements: Requirements) -> Closure | None:
         """
@@ -399,15 +399,15 @@
         found = [closure for closure in closures if closure is not None]
         return min(found, key=lambda closure: closure.opens_in_s, default=None)
 
-    def note_first_token(self, server: Server, late_ms: float) -> None:
+    def record_first_token(self, server: Server, late_ms: float) -> None:
         """
         Add the lateness of one first token against the prediction from the engine spec to
         the means of the back end and of its service.
 
         """
         now = self.monotonic()
-        server.lateness.note(late_ms, now)
-        self._lateness_of(server.service).note(late_ms, now)
+        server.lateness.record(late_ms, now)
+        self._lateness_of(server.service).record(late_ms, now)
 
     def _lateness_of(self, service: ServiceName) -> Lateness:
         return self.lateness.setdefault(service, Lateness(LATENESS_WEIGHT))
--- a/packages/millfork-standins/millfork_standins/bench/routing.py
+++ b/packages/millfork-standins/millfork_standins/bench/routing.py
@@ -280,7 +280,7 @@
         """
         return int((self.scheduler.now - request.created_at) * 1000)
 
-    def _note_turned_away(self, table: ServerTable) -> None:
+    def _record_turned_away(self, table: ServerTable) -> None:
         """
         Called when an entry turned a caller away.
 
@@ -344,14 +344,14 @@
             self._count(request, 'refused')
             return
         job = self._make_job(requirements, self._elapsed_ms(request, table))
-        wait_ms = 0 if self.admits_all else self.admissions[table].return_after_ms(job, choice)
+        wait_ms = 0 if self.admits_all else self.admissions[table].retry_after_ms(job, choice)
         if wait_ms and (freest := table.freest_candidates(requirements, set())):
             choice = table.choose(requirements, set(), freest) or choice
-            wait_ms = self.admissions[table].return_after_ms(job, choice)
+            wait_ms = self.admissions[table].retry_after_ms(job, choice)
         if not wait_ms:
             self._start(request, table, choice)
             return
-        self._note_turned_away(table)
+        self._record_turned_away(table)
         if request.is_retry:
             self._count(request, 'refused')
             return
@@ -373,14 +373,14 @@
 
         def on_first_token() -> None:
             elapsed_ms = (self.scheduler.now + one_way_s - attempt.started_at) * 1000
-            table.note_first_token(choice.server, elapsed_ms - choice.spec_first_token_ms)
+            table.record_first_token(choice.server, elapsed_ms - choice.spec_first_token_ms)
             attempt.mark_first_token()
             self._record_first_token(
                 request, (self.scheduler.now + one_way_s - request.created_at) * 1000
             )
 
         def on_end() -> None:
-            choice.server.note_service_time(self.scheduler.now - attempt.started_at)
+            choice.server.record_service_time(self.scheduler.now - attempt.started_at)
             attempt.end()
 
         generation = Generation(
--- a/packages/millfork-standins/millfork_standins/bench/turning_away.py
+++ b/packages/millfork-standins/millfork_standins/bench/turning_away.py
@@ -50,7 +50,7 @@
     Avoid the engine for a period that grows each time, as entries do.
 
     """
-    server.note_turned_away(sent_at, now)
+    server.record_turned_away(sent_at, now)
 
 
 def count_as_failure(server: Server, sent_at: float, now: float) -> None:
@@ -58,7 +58,7 @@
     Count a failure, as for an answer that broke off.
 
     """
-    server.note_failure(now)
+    server.record_failure(now)
 
 
 def count_in_failure_rate(server: Server, sent_at: float, now: float) -> None:
@@ -66,7 +66,7 @@
     Count a failure in the failure rate only.
 
     """
-    server.note_outcome(failed=True)
+    server.record_outcome(failed=True)
 
 
 HANDLERS: Final[dict[str, TurnedAwayHandler]] = {
@@ -102,7 +102,7 @@
         )
         self._count(request, 'sends')
         if not is_turned_away:
-            server.note_accepted(self.scheduler.now)
+            server.record_accepted(self.scheduler.now)
             super()._start(request, table, choice)
             return
         self._count(request, 'turned away')
--- a/packages/millforkd/millforkd/entry/crash_tracking.py
+++ b/packages/millforkd/millforkd/entry/crash_tracking.py
@@ -131,7 +131,9 @@
 
     @_record_refusal.register
     async def _(self, outcome: InterruptedAttempt, before: Suspicion) -> None:
-        await self.suspicion_updater.note_broken(before.fingerprint, outcome.incarnation)
+        await self.suspicion_updater.record_broken_connection(
+            before.fingerprint, outcome.incarnation
+        )
         pending = PendingAttempt(
             before, outcome.incarnation, self.env.monotonic(), outcome.lost_endpoint
         )
@@ -189,14 +191,14 @@
 
     async def _settle(self, pending: PendingAttempt, ended: bool) -> None:
         if ended and pending.is_cancelled:
-            await self.suspicion_updater.note_broken(
+            await self.suspicion_updater.record_broken_connection(
                 pending.before.fingerprint, pending.incarnation
             )
         if ended:
-            await self.suspicion_updater.note_end(pending.before, pending.incarnation)
+            await self.suspicion_updater.record_end(pending.before, pending.incarnation)
             self._log_end(pending.before)
             return
-        await self.suspicion_updater.note_no_end(pending.before.fingerprint, pending.incarnation)
+        await self.suspicion_updater.record_no_end(pending.before.fingerprint, pending.incarnation)
 
     def _log_end(self, before: Suspicion) -> None:
         log.info(
--- a/packages/millforkd/millforkd/entry/dispatcher.py
+++ b/packages/millforkd/millforkd/entry/dispatcher.py
@@ -87,7 +87,7 @@
         tried: set[InstanceId] = set()
         last_refusal: Refusal | None = None
         may_have_run = False
-        self.budget.note_request(call.organisation, call.service)
+        self.budget.record_request(call.organisation, call.service)
         while True:
             blocked = self.crashes.block_refusal(call)
             if blocked is not None:
@@ -163,10 +163,10 @@
             else:
                 self._record_cancellation(call, attempt)
         if refusal is None:
-            backend.note_accepted(sent_at)
+            backend.record_accepted(sent_at)
             return None
         if isinstance(refusal, TurnedAway):
-            backend.note_turned_away(sent_at, self.env.monotonic())
+            backend.record_turned_away(sent_at, self.env.monotonic())
             return refusal
         self._apply_refusal(call, backend, refusal)
         return refusal
--- a/packages/millforkd/millforkd/proxy/backpressure.py
+++ b/packages/millforkd/millforkd/proxy/backpressure.py
@@ -1,5 +1,5 @@
 """
-Records backpressure signals of back ends: applies, logs and counts them.
+Applies, logs and counts the backpressure signals of back ends.
 
 """
 
@@ -36,20 +36,20 @@
                 self.env.metrics.backpressure, signal='unread', event='', told_by='answer'
             )
             log.warning(
-                'A backpressure signal can not be read. server={} id={} {}',
+                'A backpressure signal cannot be read. server={} id={} {}',
                 server.instance,
                 job.caller.request_id,
                 signals.invalid_headers,
             )
         now = self.env.monotonic()
         changes = server.availability.apply_answer(signals, sent_at, now, head.not_run)
-        self.note(server, changes, SignalSource.ANSWER, job.caller.request_id)
+        self.record(server, changes, SignalSource.ANSWER, job.caller.request_id)
         if not head.not_run:
-            server.note_accepted(sent_at)
+            server.record_accepted(sent_at)
         elif not head.misdirected:
-            server.note_turned_away(sent_at, now)
+            server.record_turned_away(sent_at, now)
 
-    def note(
+    def record(
         self,
         server: Server,
         changes: Iterable[SignalChange],
--- a/packages/millforkd/millforkd/proxy/end_detection.py
+++ b/packages/millforkd/millforkd/proxy/end_detection.py
@@ -83,10 +83,10 @@
         # The last abandonment of each request whose caller left.
         self.abandoned: dict[Fingerprint, AbandonedRequest] = {}
 
-    async def note_caller_left(self, server: Server, before: Suspicion) -> None:
+    async def record_caller_left(self, server: Server, before: Suspicion) -> None:
         """
-        Note that a caller left, or that its deadline passed, before the back end answered. No
-        answer breaks off then if the back end ends, so from the second time on the back end is
+        Record that a caller left, or that its deadline passed, before the back end answered. If
+        the back end then ends, no answer breaks off, so from the second time on the back end is
         watched.
 
         """
@@ -101,14 +101,16 @@
         if now - last.at < CALLER_LEFT_WATCH_S:
             await self._add(last.server, SentRequest(last.before, caller_left=True))
 
-    async def note_broken(self, server: Server, before: Suspicion) -> None:
+    async def record_broken_connection(self, server: Server, before: Suspicion) -> None:
         """
-        Note that an answer of a back end broke off; `before` is the suspicion of the request
-        when it was sent there. Returns once the back end was probed, or soon after a timeout.
+        Record that an answer of a back end broke off; `before` is the suspicion of the request
+        when it was sent there. Returns once the back end was probed, or after a short timeout.
 
         """
         watch = await self._add(server, SentRequest(before))
-        await self.suspicion_updater.note_broken(before.fingerprint, incarnation_key(server))
+        await self.suspicion_updater.record_broken_connection(
+            before.fingerprint, incarnation_key(server)
+        )
         await watch.wait_until_probed()
 
     async def _add(self, server: Server, sent: SentRequest) -> EndWatch[SentRequest]:
@@ -164,10 +166,12 @@
         for item in interruptions:
             if status is IncarnationStatus.ENDED:
                 if item.subject.caller_left:
-                    await self.suspicion_updater.note_broken(item.subject.before.fingerprint, key)
-                await self.suspicion_updater.note_end(item.subject.before, key)
+                    await self.suspicion_updater.record_broken_connection(
+                        item.subject.before.fingerprint, key
+                    )
+                await self.suspicion_updater.record_end(item.subject.before, key)
                 continue
-            await self.suspicion_updater.note_no_end(item.subject.before.fingerprint, key)
+            await self.suspicion_updater.record_no_end(item.subject.before.fingerprint, key)
 
     def _log_end(self, key: IncarnationKey, interruptions: list[Interruption[SentRequest]]) -> None:
         log.info(
--- a/packages/millforkd/millforkd/proxy/forwarding.py
+++ b/packages/millforkd/millforkd/proxy/forwarding.py
@@ -16,7 +16,7 @@
 from millfork_routing.shared_budget import SharedBudget
 from millfork_scheduling.placement import Choice
 from millfork_scheduling.quarantine import SuspicionLevel
-from millfork_scheduling.retry_after import closed_wait_ms, nothing_serves_wait_ms, refusal_wait_ms
+from millfork_scheduling.retry_after import closed_wait_ms, no_server_wait_ms, refusal_wait_ms
 from millfork_scheduling.server_table import ServerTable
 from millfork_web.server import CallerGone, Exchange
 from millforkd.proxy.admission import Admission
@@ -26,7 +26,7 @@
 from millforkd.proxy.job import FailedAttempt, Job
 from millforkd.proxy.load_queries import LoadQueries
 from millforkd.proxy.outcomes import RequestOutcomes
-from millforkd.proxy.request_sender import BROKEN, REFUSAL_MARGIN_S, RequestSender
+from millforkd.proxy.request_sender import CONNECTION_FAILURES, REFUSAL_MARGIN_S, RequestSender
 from millforkd.proxy.response_relay import ResponseRelay
 from millforkd.proxy.turned_away_directory import TurnedAwayDirectory
 from millforkd.quarantine import Quarantine
@@ -138,7 +138,7 @@
         if refusal is None:
             self.outcomes.record(job, 'served')
             return
-        await self._note_turned_away(job)
+        await self._record_turned_away(job)
         if job.answer_started:
             await job.exchange.abort()
             self.outcomes.record(job, 'broken_off', refusal)
@@ -150,14 +150,14 @@
         await self.outcomes.refuse(job.exchange, job.caller.request_id, refusal)
         self.outcomes.record(job, 'refused', refusal)
 
-    async def _note_turned_away(self, job: Job) -> None:
+    async def _record_turned_away(self, job: Job) -> None:
         """
-        Record the refusal, as a caller that retries may send a shorter deadline.
+        Record that the caller was turned away. If it retries, its deadline is shorter.
 
         """
-        self.admission.first_tries.note_turned_away(self.env.monotonic())
+        self.admission.first_tries.record_turned_away(self.env.monotonic())
         if job.requirements.engine is not None:
-            await self.turned_away.note(job)
+            await self.turned_away.record(job)
 
     async def _attempt(self, job: Job) -> Refusal | None:
         """
@@ -176,10 +176,10 @@
                 return self._no_server_refusal(job)
             if not job.tried and not job.answer_started:
                 await self._look_up_first_try(job, choice)
-                wait_ms = self.admission.return_after_ms(job, choice)
+                wait_ms = self.admission.retry_after_ms(job, choice)
                 if wait_ms:
                     choice = self._choose_among_freest(job) or choice
-                    wait_ms = self.admission.return_after_ms(job, choice)
+                    wait_ms = self.admission.retry_after_ms(job, choice)
                 if wait_ms:
                     return Refusal(Reason.BUSY, Verdict.NOT_RUN, 'all servers are busy', wait_ms)
             if job.tried and not budget_spent and not self.budget.spend(job.requirements.service):
@@ -207,27 +207,28 @@
 
     async def _send(self, job: Job, choice: Choice, before: Suspicion) -> FailedAttempt | None:
         """
-        Make one attempt and note failed back ends; None if the caller received its answer.
+        Make one attempt and record the back ends that may have ended; None if the caller received
+        its answer.
 
         """
         job.pending_servers = ()
         try:
             failed = await self.request_sender.send(job, choice)
         except (curio.TaskCancelled, CallerGone):
-            await self._note_callers_left(job, before)
+            await self._record_callers_left(job, before)
             raise
         if failed is None:
             return None
-        if failed.verdict is not Verdict.NOT_RUN and failed.reason in BROKEN:
+        if failed.verdict is not Verdict.NOT_RUN and failed.reason in CONNECTION_FAILURES:
             for server in choice.servers:
-                await self.end_detector.note_broken(server, before)
+                await self.end_detector.record_broken_connection(server, before)
         if failed.reason is Reason.TIMED_OUT:
-            await self._note_callers_left(job, before)
+            await self._record_callers_left(job, before)
         return failed
 
-    async def _note_callers_left(self, job: Job, before: Suspicion) -> None:
+    async def _record_callers_left(self, job: Job, before: Suspicion) -> None:
         for server in job.pending_servers:
-            await self.end_detector.note_caller_left(server, before)
+            await self.end_detector.record_caller_left(server, before)
 
     async def _choose(self, job: Job) -> Choice | None:
         """
@@ -241,8 +242,8 @@
 
     def _choose_among_freest(self, job: Job) -> Choice | None:
         """
-        Choose among the back ends with most free slots, for a job that all back ends compared
-        so far were too busy for.
+        Choose among the back ends with the most free slots, after all back ends compared so far
+        were too busy for a job.
 
         """
         tried = set(job.tried)
@@ -262,11 +263,11 @@
         """
         if job.remaining_s(self.env.monotonic()) < REFUSAL_MARGIN_S:
             return self._final_refusal(job, Reason.TIMED_OUT if job.tried else Reason.EXPIRED)
-        standing = self.quarantine.blocking_level(job)
-        if standing is SuspicionLevel.AT_FAULT:
+        suspicion_level = self.quarantine.blocking_level(job)
+        if suspicion_level is SuspicionLevel.AT_FAULT:
             detail = 'back ends ended while running this request'
             return self._final_refusal(job, Reason.QUARANTINED, detail)
-        if standing is SuspicionLevel.SUSPECTED:
+        if suspicion_level is SuspicionLevel.SUSPECTED:
             detail = 'back ends broke off while running this request'
             return self._final_refusal(job, Reason.SUSPECTED, detail)
         if not job.failures:
@@ -289,7 +290,7 @@
             wait_ms = closed_wait_ms(closure, self.env.random)
             reason = Reason(closure.closure_reason.value)
             return Refusal(reason, Verdict.NOT_RUN, 'no server takes more requests', wait_ms)
-        wait_ms = nothing_serves_wait_ms(self.env.random)
+        wait_ms = no_server_wait_ms(self.env.random)
         return Refusal(Reason.NO_ENDPOINT, Verdict.NOT_RUN, 'no server is available', wait_ms)
 
     def _final_refusal(self, job: Job, reason: Reason, explanation: str = '') -> Refusal:
--- a/packages/millforkd/millforkd/proxy/request_sender.py
+++ b/packages/millforkd/millforkd/proxy/request_sender.py
@@ -28,7 +28,10 @@
 # A version that a server refused isn't requested from it again for this long; its next report
 # arrives meanwhile.
 REFUSED_VERSION_S: Final = 0.5
-BROKEN: Final = frozenset({Reason.UNREACHABLE, Reason.CONNECTION_LOST, Reason.TRUNCATED})
+# The reasons for which the back end, or the connection to it, may have failed.
+CONNECTION_FAILURES: Final = frozenset(
+    {Reason.UNREACHABLE, Reason.CONNECTION_LOST, Reason.TRUNCATED}
+)
 
 
 class NotSent(SendFailed):
@@ -89,7 +92,7 @@
                 connection = await pool.acquire(recently_used=not job.route.repeatable)
                 keep_s = await self._exchange(job, attempt, connection)
             job.pending_servers = ()
-            server.note_service_time(self.env.monotonic() - attempt.started_at)
+            server.record_service_time(self.env.monotonic() - attempt.started_at)
             if connection.reusable:
                 await self.quarantine.clear_suspicion(job)
             return None
@@ -114,11 +117,11 @@
                 job.tried.append(server.instance)
             silent = reason is Reason.TIMED_OUT and server.last_received_at < job.received_at
             # An engine that changes its weights was ordered to interrupt running requests.
-            if (silent or reason in BROKEN) and not server.changing:
-                server.note_failure(now)
+            if (silent or reason in CONNECTION_FAILURES) and not server.changing:
+                server.record_failure(now)
         return FailedAttempt(reason, verdict, detail)
 
-    def _note_version(self, job: Job, version: int | None) -> None:
+    def _record_version(self, job: Job, version: int | None) -> None:
         engine = job.requirements.engine
         if engine is None or version is None:
             return
@@ -181,19 +184,19 @@
             version,
             job.urgency,
             job.resume_after if job.last_event is not None else None,
-            _path_parts(attempt.choice, job.requirements.engine),
+            _path_segments(attempt.choice, job.requirements.engine),
         )
         if not job.tried:
-            self.budget.note_request(job.requirements.service)
+            self.budget.record_request(job.requirements.service)
         job.tried += [used.instance for used in attempt.choice.servers]
-        self.server_table.note_sent(attempt.choice.servers)
+        self.server_table.record_sent(attempt.choice.servers)
         headers = self.adapter.back_end_headers(request, forward_options)
-        self._note_version(job, version)
+        self._record_version(job, version)
         job.pending_servers = tuple(attempt.choice.servers)
         await connection.send(request.method, request.path, headers, request.body)
         await self.response_monitor.read_head(job, attempt, connection, version)
         server.last_received_at = self.env.monotonic()
-        server.note_answered(job.urgency, attempt.started_at)
+        server.record_answered(job.urgency, attempt.started_at)
         head = self.adapter.read_answer_head(connection.status, connection.headers)
         if head.request_id and head.request_id != job.caller.request_id:
             raise SendFailed(
@@ -208,7 +211,7 @@
             raise SendFailed(Reason.BUSY, Verdict.NOT_RUN, f'the server answered {head.status}')
         if head.status >= 500 and job.route.repeatable and not job.answer_started:
             job.held_answer = await self.response_relay.read_failure(connection)
-            server.note_outcome(failed=True)
+            server.record_outcome(failed=True)
             raise SendFailed(
                 Reason.BACKEND_FAILED, Verdict.RAN, f'the server answered {head.status}'
             )
@@ -217,13 +220,14 @@
             await self.response_relay.stream(job, attempt, connection)
         else:
             await self.response_relay.relay(job, connection)
-        server.note_outcome(failed=head.status >= 500)
+        server.record_outcome(failed=head.status >= 500)
         return 0.0 if head.closes_connection else head.keep_alive_s
 
 
-def _path_parts(choice: Choice, engine: EngineSpec | None) -> tuple[PathSegment, ...]:
+def _path_segments(choice: Choice, engine: EngineSpec | None) -> tuple[PathSegment, ...]:
     """
-    The engines of a pipelined choice and their layer ranges, as sent to the back end.
+    The engines of a path and their layer ranges, as sent to its first engine; empty without a
+    path.
 
     """
     path = choice.path
--- a/packages/millforkd/millforkd/proxy/response_monitor.py
+++ b/packages/millforkd/millforkd/proxy/response_monitor.py
@@ -15,12 +15,13 @@
 
 # How often a request that waits for its answer is checked.
 HEAD_POLL_S: Final = 0.25
-# A loaded server sends data to this entry many times within this period.
+# A server that sends this entry nothing for this long is considered lost: a loaded one sends data
+# many times within this period.
 SILENT_SERVER_S: Final = 1.2
-# If a server answers requests that were sent this much later, it has skipped this request, or
-# this request's connection is dead while others work: requests of one rank start in order, and
-# reading the longest prompt takes 0.2 s.
-OVERTAKEN_S: Final = 0.3
+# If a server answers requests of the same rank that were sent this much later, it has skipped this
+# request, or this request's connection is dead while others work: requests of one rank start in
+# order, and reading the longest prompt takes 0.2 s.
+REORDER_THRESHOLD_S: Final = 0.3
 
 
 class ResponseMonitor:
@@ -40,6 +41,8 @@
         Wait for the head of an answer. A repeatable request is withdrawn from a back end that
         won't start it soon.
 
+        :raises SendFailed: if no answer arrives, or a repeatable request is withdrawn.
+
         """
         if not job.route.repeatable:
             await connection.read_head()
@@ -82,7 +85,7 @@
         now = self.env.monotonic()
         server = attempt.server
         silent_s = now - max(attempt.started_at, server.last_received_at)
-        if server.answered_since(job.urgency, attempt.started_at + OVERTAKEN_S):
+        if server.answered_since(job.urgency, attempt.started_at + REORDER_THRESHOLD_S):
             silent_s = now - attempt.started_at
         if silent_s > SILENT_SERVER_S:
             connection.lost = True
--- a/packages/millforkd/millforkd/proxy/response_relay.py
+++ b/packages/millforkd/millforkd/proxy/response_relay.py
@@ -94,7 +94,7 @@
                 raise SendFailed(Reason.TRUNCATED, Verdict.RAN, str(error)) from error
             if not events:
                 continue
-            self._note_first_token(job, attempt, resumed)
+            self._record_first_token(job, attempt, resumed)
             if resumed:
                 _check_resumed(job, splitter)
                 resumed = False
@@ -105,11 +105,11 @@
             await self._write(job, connection, splitter.incomplete)
         await job.exchange.finish()
 
-    def _note_first_token(self, job: Job, attempt: Attempt, resumed: bool) -> None:
+    def _record_first_token(self, job: Job, attempt: Attempt, resumed: bool) -> None:
         if attempt.awaiting_first_token and job.requirements.engine is not None and not resumed:
             first_token_ms = (self.env.monotonic() - attempt.started_at) * 1000
             late_ms = first_token_ms - attempt.choice.spec_first_token_ms
-            self.server_table.note_first_token(attempt.server, late_ms)
+            self.server_table.record_first_token(attempt.server, late_ms)
         attempt.mark_first_token()
 
     async def _event_bytes(self, job: Job, connection: ServerConnection) -> bytes:
@@ -137,6 +137,8 @@
     """
     Check that a resumed stream continues with the next event.
 
+    :raises SendFailed: if it doesn't.
+
     """
     if job.last_event is None or splitter.first_id == job.last_event + 1:
         return
--- a/packages/millforkd/millforkd/suspicion_updates.py
+++ b/packages/millforkd/millforkd/suspicion_updates.py
@@ -29,9 +29,11 @@
         self.suspicion_store = suspicion_store
         self.immediate_reports = RateLimit(IMMEDIATE_REPORTS, IMMEDIATE_REPORTS_WINDOW_S)
 
-    async def note_broken(self, fingerprint: Fingerprint, incarnation: IncarnationKey) -> None:
+    async def record_broken_connection(
+        self, fingerprint: Fingerprint, incarnation: IncarnationKey
+    ) -> None:
         """
-        Note that a request broke off at an incarnation of a back end.
+        Record that a request broke off at an incarnation of a back end.
 
         """
         known = self.suspicion_store.get(fingerprint)
@@ -39,9 +41,9 @@
         if not known.is_clear or self.immediate_reports.try_acquire(self.env.monotonic()):
             await self.suspicion_store.publish(fingerprint)
 
-    async def note_end(self, before: Suspicion, incarnation: IncarnationKey) -> None:
+    async def record_end(self, before: Suspicion, incarnation: IncarnationKey) -> None:
         """
-        Note that the incarnation has ended; `before` is the suspicion of the request at the
+        Record that the incarnation has ended; `before` is the suspicion of the request at the
         time when it was sent there.
 
         """
@@ -54,9 +56,9 @@
         # The suspicion was cleared after the request broke off.
         await self.suspicion_store.record(before.with_end())
 
-    async def note_no_end(self, fingerprint: Fingerprint, incarnation: IncarnationKey) -> None:
+    async def record_no_end(self, fingerprint: Fingerprint, incarnation: IncarnationKey) -> None:
         """
-        Note that the incarnation is alive, or that its state stayed unknown for too long.
+        Record that the incarnation is alive, or that its state stayed unknown for too long.
 
         """
         known = self.suspicion_store.get(fingerprint)
--- a/tests/test_closed_back_ends.py
+++ b/tests/test_closed_back_ends.py
@@ -23,7 +23,7 @@
 from millfork_scheduling.placement import Requirements
 from millfork_scheduling.retry_after import (
     MAX_REST_MS,
-    NOTHING_SERVES_MS,
+    NO_SERVER_WAIT_MS,
     SPREAD_WAIT_MS,
     closed_wait_ms,
 )
@@ -152,25 +152,25 @@
     reject(table, 1)
     clock.now += 3.1
     assert closed_for(table, 1) is None
-    table.note_sent([server(table, 1)])
+    table.record_sent([server(table, 1)])
     assert closed_for(table, 1) is ClosureReason.RESTING
     clock.now += 0.1
     ended = answer(table, 1, NO_BACKPRESSURE, sent_ago_s=0.1)
     assert [change.event for change in ended] == [SignalEvent.ENDED]
-    table.note_sent([server(table, 1)])
+    table.record_sent([server(table, 1)])
     assert closed_for(table, 1) is None
 
 
 def test_the_probe_of_a_rest_may_be_turned_away_or_lost(table, clock):
     reject(table, 1)
     clock.now += 3.1
-    table.note_sent([server(table, 1)])
+    table.record_sent([server(table, 1)])
     clock.now += 0.1
     reject(table, 1, sent_ago_s=0.1)
     clock.now += 2.9
     assert closed_for(table, 1) is ClosureReason.RESTING
     clock.now += 0.2
-    table.note_sent([server(table, 1)])
+    table.record_sent([server(table, 1)])
     clock.now += PROBE_TIMEOUT_S + 0.01
     assert closed_for(table, 1) is None
 
@@ -196,7 +196,7 @@
         (Closure(ClosureReason.RESTING, 4.0), 4000),
         (Closure(ClosureReason.RESTING, 200.0), MAX_REST_MS),
         (Closure(ClosureReason.LIMITED, 0.5), 500),
-        (Closure(ClosureReason.LEAVING, float('inf')), NOTHING_SERVES_MS),
+        (Closure(ClosureReason.LEAVING, float('inf')), NO_SERVER_WAIT_MS),
     ],
 )
 def test_callers_wait_until_the_first_back_end_opens(closure, min_ms):
@@ -209,12 +209,12 @@
     found = server(table, 1)
     pauses = []
     for _ in range(8):
-        found.note_turned_away(clock.now, clock.now)
+        found.record_turned_away(clock.now, clock.now)
         pauses.append(found.avoided_until - clock.now)
         clock.now = found.avoided_until
     assert pauses == pytest.approx([0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 2.0, 2.0])
-    found.note_accepted(clock.now)
-    found.note_turned_away(clock.now, clock.now)
+    found.record_accepted(clock.now)
+    found.record_turned_away(clock.now, clock.now)
     assert found.avoided_until - clock.now == pytest.approx(0.05)
 
 
@@ -223,13 +223,13 @@
     sent_at = clock.now
     clock.now += 0.05
     for _ in range(5):
-        found.note_turned_away(sent_at, clock.now)
+        found.record_turned_away(sent_at, clock.now)
     assert found.turned_away == 1
 
 
 def test_back_ends_are_still_tried_if_all_turn_requests_away(table, clock):
     for number in (1, 2):
-        server(table, number).note_turned_away(clock.now, clock.now)
+        server(table, number).record_turned_away(clock.now, clock.now)
     assert table.choose(Requirements(SERVICE), set()) is not None
 
 
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -24,7 +24,7 @@
 from millforkd.proxy.fingerprints import Fingerprints
 from millforkd.proxy.forwarding import Forwarding
 from millforkd.proxy.job import Attempt, FailedAttempt, Job
-from millforkd.proxy.response_monitor import OVERTAKEN_S, SILENT_SERVER_S, ResponseMonitor
+from millforkd.proxy.response_monitor import REORDER_THRESHOLD_S, SILENT_SERVER_S, ResponseMonitor
 from millforkd.quarantine import Quarantine
 from tests.test_servers import ENGINE, Clock
 
@@ -55,14 +55,14 @@
 
         """
         self.server.last_received_at = self.clock.now
-        self.server.note_answered(urgency, self.attempt.started_at + sent_later_s)
+        self.server.record_answered(urgency, self.attempt.started_at + sent_later_s)
 
 
 def test_a_request_waits_while_its_back_end_answers_earlier_ones():
     waiting = WaitingRequest()
     waiting.clock.now += TOO_LONG_S
     waiting.answer_other(-0.5)
-    waiting.answer_other(OVERTAKEN_S / 2)
+    waiting.answer_other(REORDER_THRESHOLD_S / 2)
     waiting.check()
     assert not waiting.connection.lost
 
@@ -83,7 +83,7 @@
 def test_a_silent_connection_to_a_working_back_end_is_given_up():
     waiting = WaitingRequest()
     waiting.clock.now += TOO_LONG_S
-    waiting.answer_other(OVERTAKEN_S * 2)
+    waiting.answer_other(REORDER_THRESHOLD_S * 2)
     with pytest.raises(SendFailed):
         waiting.check()
     assert waiting.connection.lost
@@ -92,7 +92,7 @@
 def test_answers_to_requests_of_another_urgency_do_not_end_the_wait():
     waiting = WaitingRequest()
     waiting.clock.now += TOO_LONG_S
-    waiting.answer_other(OVERTAKEN_S * 2, urgency=1)
+    waiting.answer_other(REORDER_THRESHOLD_S * 2, urgency=1)
     waiting.check()
     assert not waiting.connection.lost
 
@@ -126,7 +126,7 @@
             versions=versions,
             table=None,
             with_current_versions=lambda wanted, last_send: wanted,
-            return_after_ms=lambda job, choice: 0,
+            retry_after_ms=lambda job, choice: 0,
             depends_on_first_try=lambda job, choice: False,
         )
         adapter = SimpleNamespace(back_end_headers=lambda request, orders: [])
