--- a/packages/millfork-routing/millfork_routing/documents.py
+++ b/packages/millfork-routing/millfork_routing/documents.py
@@ -186,7 +186,7 @@
             problems.append(f'route {route.name}: another route has its host and prefix')
         places.add(place)
         if route.timeout_ms <= 0:
-            problems.append(f'route {route.name}: the timeout must be positive')
+            problems.append(f'route {route.name}: the time-out must be positive')
         if sum(share.weight for share in route.shares) <= 0:
             problems.append(f'route {route.name}: the weights sum to 0')
         if any(share.weight < 0 for share in route.shares):
--- a/tests/test_drawn_deployments.py
+++ b/tests/test_drawn_deployments.py
@@ -35,7 +35,7 @@
     read_per_s=st.integers(13_000, 31_000),
     target_ms=st.integers(380, 600),
 )
-# The shortest time-out of a caller relative to the usual one.
+# The shortest timeout of a caller relative to the usual one.
 MIN_TIMEOUT_SHARES = st.floats(0.6, 1.0)
 SEEDS = st.integers(0, 1000)
 DEADLINE_MS = 60_000
