--- a/packages/millforkd/millforkd/endpoint/backend_gateway.py
+++ b/packages/millforkd/millforkd/endpoint/backend_gateway.py
@@ -1,5 +1,5 @@
 """
-Admits requests to the back end, sends them and relays its answers to the entries.
+Admits requests to the back end, sends them, and relays the answers to the entries.
 
 """
 
@@ -44,7 +44,7 @@
 VERSION_HEADER: Final = 'millfork-version'
 # Statuses with which an engine reports that the requested version is not loaded.
 NOT_LOADED_STATUSES: Final = frozenset({404, 409})
-PLAIN_VERSION: Final = ''
+PLAIN_SERVICE_VERSION: Final = ''
 STREAM_TYPE: Final = 'text/event-stream'
 
 log = logger(Component.ENDPOINT)
@@ -52,7 +52,7 @@
 
 class BackendGateway:
     """
-    Handles all requests to one back end.
+    Handles all requests to the back end of one endpoint.
 
     """
 
@@ -78,7 +78,7 @@
         self.entries: dict[str, Connection] = {}
         self.load_changed = curio.Event()
         if not self.is_engine:
-            self.served = {settings.service: PLAIN_VERSION}
+            self.served = {settings.service: PLAIN_SERVICE_VERSION}
 
     def share(self, organisation: OrganisationId) -> int:
         return self.shares.get(organisation, 1)
@@ -92,11 +92,12 @@
         Return whether a request in progress was admitted to this version.
 
         """
-        return any(held.version == version for held in self.reservations.values())
+        return any(reservation.version == version for reservation in self.reservations.values())
 
     async def set_served(self, served: dict[str, str]) -> None:
         """
-        Set the versions that requests are admitted to, by service.
+        Set the versions that requests are admitted to, by service, and report a change to the
+        entries.
 
         """
         if served != self.served:
@@ -113,7 +114,8 @@
 
     async def on_reserve(self, connection: Connection, request: Reserve) -> Reserved:
         """
-        Reserve a slot, or refuse at once with a time after which to retry.
+        Reserve a slot, or a place in the queue for one, or refuse the request at once. If the
+        slots and the queue are full, the refusal says when to retry.
 
         """
         organisation = OrganisationId(request.organisation)
@@ -145,7 +147,7 @@
 
     async def on_start(self, connection: Connection, message: Start) -> None:
         """
-        Let a reserved request run once it has a slot. A request without a reservation of this
+        Let a reserved request run once it has a slot. A request that was not reserved over this
         connection is answered with an `End` that says EXPIRED and NOT_RUN.
 
         """
@@ -304,8 +306,8 @@
 
     async def _send(self, reservation: Reservation, message: Head | Part) -> None:
         """
-        Send a message to the entry. The answer to a request with an idempotency key is read to
-        its end even if the entry is gone, as its outcome is recorded.
+        Send a message to the entry. If the entry is gone, the answer to a request with an
+        idempotency key is still read to its end, as it is stored under the key.
 
         """
         try:
@@ -362,7 +364,7 @@
 
     async def subscribe_to_load(self, connection: Connection) -> Load:
         """
-        Subscribe an entry to load reports and return the present load.
+        Subscribe an entry to load reports and return the current load.
 
         """
         self.entries[connection.peer] = connection
@@ -370,8 +372,8 @@
 
     async def report_load(self) -> None:
         """
-        Send load reports to the entries, when the load changes and as a
-        heartbeat.
+        Send load reports to the subscribed entries after each change of the load, and every
+        LOAD_HEARTBEAT_INTERVAL_S without a change.
 
         """
         while True:
@@ -391,7 +393,7 @@
 
     async def wait_until_idle(self, timeout: float) -> bool:
         """
-        Wait at most `timeout` seconds for the requests in progress; False if some remain.
+        Wait up to `timeout` seconds for the requests in progress to end; return whether all did.
 
         """
         try:
--- a/packages/millforkd/millforkd/endpoint/backend_requests.py
+++ b/packages/millforkd/millforkd/endpoint/backend_requests.py
@@ -15,8 +15,8 @@
 
 def build_backend_request(reservation: Reservation, is_engine: bool) -> tuple[Headers, bytes]:
     """
-    Return headers and body. Requests to an engine also carry the priority and the version of
-    the weights that the request was admitted to.
+    Return the headers and body to send. Requests to an engine also carry their priority and, as
+    `model`, the version of the weights that they were admitted to.
 
     """
     request = reservation.request
--- a/packages/millforkd/millforkd/endpoint/daemon.py
+++ b/packages/millforkd/millforkd/endpoint/daemon.py
@@ -28,7 +28,7 @@
 from millforkd.member import Member
 from millforkd.report import EndpointReport
 
-POLL_INTERVAL_S: Final = 5.0
+ROSTER_POLL_INTERVAL_S: Final = 5.0
 UPDATE_INTERVAL_S: Final = 0.25
 WEIGHTS_FOLDER: Final = 'weights'
 SHARE_STEPS: Final = 8
@@ -38,7 +38,7 @@
 
 class EndpointDaemon:
     """
-    Builds the parts of one endpoint instance and routes messages to them.
+    Builds the components of one endpoint and passes peers' messages to them.
 
     """
 
@@ -46,7 +46,7 @@
         assert settings.backend is not None
         self.env = env
         self.settings = settings
-        self.member = Member(env, settings, self.handle, POLL_INTERVAL_S)
+        self.member = Member(env, settings, self.handle, ROSTER_POLL_INTERVAL_S)
         host = str(settings.address)
         leader_client = LeaderClient(env, self.member.peers, self.member.replicas, None)
         self.gateway = BackendGateway(env, settings.backend, host, leader_client)
@@ -104,8 +104,8 @@
 
     async def _run_rollout(self) -> None:
         """
-        Run the rollout once this instance is ready: with an older configuration than the zone's,
-        nothing is loaded or served.
+        Run the rollout once this instance is ready, so that it never loads or serves weights by
+        a configuration older than the newest one known in its zone.
 
         """
         assert self.rollout is not None
@@ -115,7 +115,8 @@
 
     async def drain(self) -> None:
         """
-        Prepare for a planned stop: refuse new requests and wait for those in progress.
+        Prepare for a planned stop: refuse new requests and wait up to `routing.drain_ms` for
+        those in progress.
 
         """
         self.stopping = True
@@ -127,7 +128,8 @@
 
     async def _update_periodically(self) -> None:
         """
-        Apply drains and shares of the configuration, and report the state of this endpoint.
+        Apply the drains and the organisations' shares in the configuration, and report the state
+        of this endpoint, every UPDATE_INTERVAL_S.
 
         """
         while True:
@@ -167,8 +169,9 @@
 
     def _held_shares(self) -> dict[str, float]:
         """
-        Return the share of each wanted version that is held. Shares are rounded
-        down to coarse steps, so that not every chunk causes a report.
+        Return, for each wanted version, the share of its weights that this instance holds: the
+        lowest among its parts, rounded down to a multiple of 1 / SHARE_STEPS so that not every
+        chunk causes a report.
 
         """
         if self.rollout is None or self.store is None:
--- a/packages/millforkd/millforkd/endpoint/engine_client.py
+++ b/packages/millforkd/millforkd/endpoint/engine_client.py
@@ -1,10 +1,10 @@
 """
-Sends orders to the model engine, with a fencing number.
+Sends load and unload orders to the model engine, each with a fencing number.
 
-Only the endpoint sends orders: it holds the wire port of its address, so a
-second endpoint can't run at the same address, even while the first is frozen.
-A new endpoint takes a number above the highest that the engine has seen; an
-engine that refuses old numbers then refuses late orders of a predecessor.
+Only the endpoint sends orders: it holds the wire port of its address, so a second endpoint can't
+run at the same address, even while the first is frozen. A new endpoint process takes a number
+above the highest that the engine has seen; an engine that refuses lower numbers then refuses late
+orders of the previous process.
 
 """
 
@@ -21,7 +21,7 @@
 
 ORDER_TIMEOUT_S: Final = 120.0
 STATUS_TIMEOUT_S: Final = 2.0
-# Timeout of the query that checks whether the engine is still alive.
+# Timeout of the query for the incarnation, which shows whether the engine is still alive.
 PROBE_TIMEOUT_S: Final = 0.4
 OK_STATUS: Final = 200
 REFUSED_ORDER_STATUS: Final = 409
@@ -32,7 +32,8 @@
 @dataclass(slots=True)
 class EngineStatus:
     """
-    The status that the engine reports; `incarnation` changes with each start.
+    The status that the engine reports. `incarnation` changes with each start of the engine,
+    `fencing_number` is the highest that it has seen, `loaded` lists the loaded versions.
 
     """
 
@@ -43,14 +44,14 @@
 
 class OrderFailed(Exception):
     """
-    Raised when the engine did not carry out an order.
+    Raised when the engine did not confirm a load or unload order.
 
     """
 
 
 class EngineClient:
     """
-    Polls one engine and sends it orders.
+    Polls the status of one engine and sends it load and unload orders.
 
     """
 
@@ -63,7 +64,8 @@
 
     async def poll(self) -> bool:
         """
-        Fetch the engine's status; return False if it does not answer.
+        Fetch the engine's status; return False if there is no valid answer. Without a fencing
+        number, take one above the highest that the engine has seen.
 
         """
         try:
@@ -78,7 +80,7 @@
 
     async def query_incarnation(self) -> str:
         """
-        Return the incarnation that the engine reports now; empty without an answer.
+        Return the incarnation that the engine reports now, an empty string without a valid answer.
 
         """
         try:
@@ -92,7 +94,7 @@
         """
         Order the engine to load a version. `parts` lists the base model first, then the adapters.
 
-        :raises OrderFailed: if the engine did not load it.
+        :raises OrderFailed: if the engine did not confirm that it loaded the version.
 
         """
         await self._order({'action': 'load', 'version': version, 'parts': parts})
@@ -101,7 +103,7 @@
         """
         Order the engine to unload a version.
 
-        :raises OrderFailed: if the engine did not unload it.
+        :raises OrderFailed: if the engine did not confirm that it unloaded the version.
 
         """
         await self._order({'action': 'unload', 'version': version})
--- a/packages/millforkd/millforkd/endpoint/incarnation_tracking.py
+++ b/packages/millforkd/millforkd/endpoint/incarnation_tracking.py
@@ -1,5 +1,5 @@
 """
-Determines whether the back end of an endpoint has ended or only its connections were lost.
+Determines whether the back end of an endpoint ended or only connections to it were lost.
 
 """
 
@@ -30,9 +30,10 @@
 @dataclass(slots=True)
 class InterruptedRequest:
     """
-    A request whose answer was interrupted, with the connection to its entry. `number` is the
-    incarnation that it was sent to. `is_awaited` is set while `record_interruption` waits for
-    the status; a status that becomes known later is sent to the entry.
+    A request that was interrupted or cancelled, with the connection to its entry. `number` is the
+    number of the back end's incarnation that the request was sent to, and `status` the status of
+    that incarnation. `is_awaited` is set while `record_interruption` waits for the status; a
+    status that becomes known later is sent to the entry.
 
     """
 
@@ -47,9 +48,11 @@
 
 class IncarnationTracker:
     """
-    Numbers the incarnations of one back end and determines whether one has ended.
+    Numbers the incarnations of one back end and determines, for each interrupted request, whether
+    the incarnation that ran it has ended.
 
-    `query_incarnation` asks an engine for its incarnation; a plain service reports none.
+    `query_incarnation` asks an engine for its incarnation; it is None for a plain service, which
+    reports none.
 
     """
 
@@ -62,12 +65,14 @@
         self.env = env
         self.address = address
         self.query_incarnation = query_incarnation
-        # When this process started (ns): its incarnation numbers start again at 0.
+        # When this endpoint process started (ns since 1970). Incarnation keys contain it, as each
+        # process numbers the incarnations from 0.
         self.start = time.time_ns()
         self.number = 0
         # The incarnation that the back end reported; empty if unknown.
         self.reported_incarnation = UNKNOWN_INCARNATION
-        # When the latest request that the back end answered was sent, in monotonic seconds.
+        # The latest time at which a request was sent that the back end answered (monotonic
+        # seconds).
         self.last_answered_sent_at = float('-inf')
         self.watch_keys = itertools.count(1)
         self.watch: EndWatch[InterruptedRequest] = EndWatch(
@@ -87,7 +92,8 @@
 
     def record_incarnation(self, incarnation: str, asked_at: float) -> None:
         """
-        Record the incarnation that the back end reported to a query at `asked_at`.
+        Record the incarnation that the back end reported to a query sent at `asked_at` (monotonic
+        seconds). A changed one means that the earlier incarnation ended.
 
         """
         if incarnation == self.reported_incarnation:
@@ -106,8 +112,9 @@
         self, request_id: RequestId, connection: Connection, number: int
     ) -> IncarnationStatus:
         """
-        Record an interrupted request and return the status of its incarnation after the first
-        probe. A status that becomes known later is sent to the entry.
+        Record an interrupted request, wait for the first probes of the back end, and return the
+        status of the incarnation that ran the request. If it is still UNKNOWN, the result is sent
+        to the entry later.
 
         """
         interrupted = InterruptedRequest(request_id, connection, number)
@@ -128,8 +135,8 @@
         self, request_id: RequestId, connection: Connection, number: int
     ) -> None:
         """
-        Record a cancelled request. The entry is later notified whether the incarnation ended
-        within `CALLER_LEFT_WATCH_S`.
+        Record a cancelled request. The entry is later notified whether the incarnation that ran
+        the request ended within `CALLER_LEFT_WATCH_S` after the cancellation.
 
         """
         interrupted = InterruptedRequest(
--- a/packages/millforkd/millforkd/endpoint/reservations.py
+++ b/packages/millforkd/millforkd/endpoint/reservations.py
@@ -18,7 +18,7 @@
 
 class Stage(Enum):
     """
-    The progress of a request at this endpoint.
+    How far a request has progressed at this endpoint.
 
     """
 
@@ -30,9 +30,10 @@
 @dataclass(slots=True)
 class Reservation:
     """
-    One request from its `Reserve` to its `End`. `deadline` is in monotonic
-    seconds of this process, `version` the version of the weights that the request
-    was admitted to, `response` the answer to a request with an idempotency key.
+    One request from its `Reserve` to its `End`. `deadline` is in monotonic seconds of this
+    process. `version` is the version of the weights that the request was admitted to. `response`
+    is the complete answer, kept only for a request with an idempotency key. `parts` and `bytes`
+    count what was sent to the entry.
 
     """
 
@@ -49,14 +50,14 @@
     response: Response | None = None
     # The number of the back end's incarnation that the request was sent to.
     incarnation_number: int = 0
-    # The back end's incarnation, if it ended or may have ended during the answer.
+    # The incarnation of the back end, if the answer broke off and it ended or may have ended.
     interrupted_incarnation: IncarnationKey = NO_INCARNATION
 
     @property
     def verdict(self) -> Verdict:
         """
-        The verdict if the request ends now: NOT_RUN until it is sent to the
-        back end.
+        The verdict if the request is cancelled at its present stage: NOT_RUN unless it was sent
+        to the back end.
 
         """
         return Verdict.MAY_HAVE_RUN if self.stage is Stage.SENT else Verdict.NOT_RUN
--- a/packages/millforkd/millforkd/endpoint/rest_tracking.py
+++ b/packages/millforkd/millforkd/endpoint/rest_tracking.py
@@ -17,8 +17,8 @@
 
 class RestTracker:
     """
-    Reads rest periods from answers. Requests are refused at once during a rest period; after
-    it one request is sent to find out whether the back end accepts requests again.
+    Reads rest periods from answers. Requests are refused at once during a rest period; after the
+    period, one request is sent to find out whether the back end accepts requests again.
 
     """
 
@@ -28,22 +28,24 @@
 
     def current_refusal(self) -> Refusal | None:
         """
-        Return a refusal while the back end rests, else None.
+        Return a refusal during a rest period, and while the answer to the request that probes
+        whether the back end accepts requests again is awaited; else None.
 
         """
-        rest_s = (
+        wait_s = (
             self.rest_period.opens_in_s(self.env.monotonic())
             if self.rest_period is not None
             else 0.0
         )
-        if not rest_s:
+        if not wait_s:
             return None
         detail = 'the back end asked for a rest period'
-        return Refusal(Reason.RESTING, detail=detail, retry_after_ms=math.ceil(rest_s * 1000))
+        return Refusal(Reason.RESTING, detail=detail, retry_after_ms=math.ceil(wait_s * 1000))
 
     def record_sent(self, now: float) -> None:
         """
-        Record that a request is sent at `now` (monotonic seconds).
+        Record that a request is sent at `now` (monotonic seconds). After a rest period, that
+        request probes whether the back end accepts requests again.
 
         """
         if self.rest_period is not None:
@@ -51,7 +53,8 @@
 
     def record_answer(self, reply: Reply, sent_at: float) -> None:
         """
-        Record the head of the answer to a request sent at `sent_at` (monotonic seconds).
+        Begin, extend or end the rest period as the head of an answer says; the request was sent
+        at `sent_at` (monotonic seconds).
 
         """
         if reply.status not in REJECTION_STATUSES:
--- a/packages/millforkd/millforkd/endpoint/rollout.py
+++ b/packages/millforkd/millforkd/endpoint/rollout.py
@@ -32,7 +32,8 @@
 
 class Rollout:
     """
-    Reconciles the held weights and the loaded and served versions with the configuration.
+    Reconciles the weights that this instance holds, the versions that its engine has loaded and
+    the versions that are served with the configuration.
 
     """
 
@@ -73,7 +74,8 @@
 
     async def run(self) -> None:
         """
-        Reconcile on each change and at regular intervals.
+        Reconcile after each change of the configuration, after each transfer, and every
+        RECONCILE_INTERVAL_S.
 
         """
         await self.env.spawn_essential(self._wake_after_changes)
@@ -125,7 +127,7 @@
 
     def _receivers(self, part: WeightPart) -> list[Receiver]:
         """
-        Return all instances that should hold a weight part.
+        Return all instances that the deployments with this weight part select.
 
         """
         holders: dict[str, Receiver] = {}
@@ -218,8 +220,8 @@
 
     async def _serve_loaded(self) -> None:
         """
-        Serve the wanted version once it is loaded. Until then, keep serving the current
-        version if it is still loaded.
+        Serve the wanted version of each deployment once the engine has loaded it. Until then,
+        keep serving the current version if the engine still has it loaded.
 
         """
         served = {}
@@ -235,7 +237,7 @@
     async def _unload_unwanted(self) -> None:
         """
         Unload versions that are not wanted, served or in use by a request. Once all wanted
-        versions are served and no others are loaded, delete the weights that they don't need.
+        versions are served and no others are loaded, delete all other weights from the disk.
 
         """
         wanted = {deployment.version for deployment in self.wanted_deployments.values()}
--- a/packages/millforkd/millforkd/entry/access_control.py
+++ b/packages/millforkd/millforkd/entry/access_control.py
@@ -19,7 +19,7 @@
 @dataclass(frozen=True, slots=True)
 class Operator:
     """
-    An authenticated operator: of one organisation, or of the fleet (None).
+    An authenticated operator; `organisation` is None for the administrator of the fleet.
 
     """
 
@@ -36,7 +36,8 @@
 
 class AccessControl:
     """
-    Authenticates requests by the token hashes and organisations of the current configuration.
+    Authenticates requests by the token hashes that the current configuration holds for each
+    organisation, and the administrator by the token from the settings.
 
     """
 
@@ -64,9 +65,9 @@
 
     def authenticate_caller(self, request: Request) -> OrganisationId:
         """
-        Return the organisation of a caller.
+        Return the organisation whose caller token the request carries.
 
-        :raises Refused: if the token is unknown.
+        :raises Refused: if the token is missing or unknown.
 
         """
         self._refresh()
@@ -81,7 +82,7 @@
         """
         Return the operator that sent a control request.
 
-        :raises Refused: if the token is unknown.
+        :raises Refused: if the token is missing or unknown.
 
         """
         self._refresh()
--- a/packages/millforkd/millforkd/entry/attempts.py
+++ b/packages/millforkd/millforkd/entry/attempts.py
@@ -1,9 +1,9 @@
 """
-One attempt of a request at one endpoint, in two steps.
+Sends a request to one endpoint in two steps, `Reserve` and `Start`: one attempt of a call.
 
-The endpoint first reserves a slot and runs nothing before `Start`. As long
-as this entry has not sent `Start`, the request can't have run, even if the
-endpoint fails; the verdict NOT_RUN relies on this.
+After `Reserve` the endpoint keeps a slot but runs nothing. As long as this entry has not sent
+`Start`, the request can't have run, even if the endpoint fails; the verdict NOT_RUN relies on
+this.
 
 """
 
@@ -51,8 +51,9 @@
 @dataclass(frozen=True, slots=True)
 class Call:
     """
-    One caller's request after parsing. `claim` identifies the claim on its
-    idempotency key, once claimed; `deadline` is in monotonic seconds.
+    One caller's request after parsing. `key` is its idempotency key, empty without one; `claim`
+    is the id under which this entry claims the key, empty until then. Calls with the same
+    `affinity` prefer the same endpoint. `deadline` is in monotonic seconds.
 
     """
 
@@ -73,21 +74,21 @@
 @dataclass(frozen=True, slots=True)
 class InterruptedAttempt(Refusal):
     """
-    An attempt that was interrupted because its back end ended or may have ended.
+    The outcome of an attempt whose answer broke off and whose back end ended or may have ended.
 
     """
 
     request_id: RequestId = RequestId('')
     incarnation: IncarnationKey = NO_INCARNATION
-    # The endpoint, if the connection to it was lost: it sends nothing more for this attempt.
+    # The endpoint, if the connection to it was lost: it sends nothing more about this attempt.
     lost_endpoint: InstanceId = NO_INSTANCE
 
 
 @dataclass(frozen=True, slots=True)
 class TurnedAway(Refusal):
     """
-    An attempt whose back end answered that it accepts no requests now (429 or 503). The caller
-    gets this answer if no other back end gives a better one.
+    The outcome of an attempt whose back end answered that it accepts no requests now (429 or
+    503). The caller gets `response` only if no other attempt gives a better outcome.
 
     """
 
@@ -104,7 +105,7 @@
 
 def endpoint_incarnation(instance: InstanceId, start: int) -> IncarnationKey:
     """
-    Return the key of one run of an endpoint's process; `start` is when it started (ns).
+    Return the incarnation key of an endpoint's process that started at `start` (ns since 1970).
 
     """
     return IncarnationKey(f'{instance}/{start}')
@@ -112,14 +113,14 @@
 
 class ConnectionLost(Message):
     """
-    Marks the end of the connection in the queue of events.
+    Queued as the last event of an attempt when the connection to its endpoint closes.
 
     """
 
 
 class Attempt:
     """
-    One attempt; `events` holds the messages that the endpoint sent for it.
+    One attempt of a call; `events` queues what the endpoint sends about it.
 
     """
 
@@ -140,12 +141,13 @@
         self.ended = False
         self.next_sequence = 0
         self.received_bytes = 0
-        # The incarnation of the back end that was running the request when it was cancelled.
+        # The incarnation of the back end that was running the request when the entry cancelled
+        # the request; empty if none was.
         self.cancelled_incarnation = NO_INCARNATION
 
     async def enqueue(self, message: Message) -> None:
         """
-        Append an event from the endpoint; events are read in this order.
+        Queue an event; events are read in the order in which they were queued.
 
         """
         if isinstance(message, Part):
@@ -154,7 +156,8 @@
 
     async def reserve(self, call: Call, timeout: float) -> Refusal | None:
         """
-        Reserve a slot. A refusal at this step always has the verdict NOT_RUN.
+        Reserve a slot; return None if the endpoint granted it, else the refusal. The verdict of
+        a refusal at this step is always NOT_RUN.
 
         """
         remaining_s = call.deadline - self.env.monotonic()
@@ -194,7 +197,8 @@
 
     async def start(self) -> Refusal | None:
         """
-        Send `Start`. From here on the request may have run.
+        Send `Start`, after which the request may have run. Return a refusal if the connection
+        was lost before.
 
         """
         try:
@@ -206,7 +210,8 @@
 
     async def receive_head(self, deadline: float) -> Head | Refusal:
         """
-        Wait until `deadline` for the status and headers of the answer.
+        Return the status and headers of the answer, or a refusal if the attempt failed or
+        `deadline` (monotonic seconds) passed.
 
         """
         message = await self._next_event(deadline)
@@ -216,7 +221,8 @@
 
     async def receive_part(self, deadline: float) -> bytes | Refusal | None:
         """
-        Return the next piece of the answer, or None once the answer is complete.
+        Return the next part of the body, None once the answer is complete, or a refusal if the
+        attempt failed or `deadline` (monotonic seconds) passed.
 
         """
         message = await self._next_event(deadline)
@@ -276,7 +282,8 @@
 
     async def _cancel_at_deadline(self) -> Refusal:
         """
-        Cancel at the endpoint, whose reply may say that nothing ran.
+        Cancel the request after its deadline. The verdict is NOT_RUN only if the endpoint
+        confirms it.
 
         """
         verdict = await self.cancel()
@@ -284,7 +291,8 @@
 
     async def cancel(self) -> Verdict:
         """
-        Cancel the request and return whether it may have run.
+        Cancel the request at the endpoint and return whether it may have run: MAY_HAVE_RUN if
+        the endpoint does not reply.
 
         """
         self.ended = True
--- a/packages/millforkd/millforkd/entry/caller_requests.py
+++ b/packages/millforkd/millforkd/entry/caller_requests.py
@@ -79,7 +79,8 @@
 
     async def handle(self, exchange: Exchange) -> None:
         """
-        Answer one request with a response, or refuse it at once.
+        Answer one request. It is refused at once if it is not valid or not authenticated, or if
+        its organisation has too many requests in progress.
 
         """
         try:
@@ -98,8 +99,8 @@
 
     async def _answer_until_caller_leaves(self, exchange: Exchange, call: Call) -> None:
         """
-        Run the call until it is answered or the caller disconnects. A call with an
-        idempotency key continues, so that the outcome is recorded for its key.
+        Run the call until it is answered or the caller disconnects. A call with an idempotency
+        key continues after its caller disconnects, so that its outcome is recorded.
 
         """
         answering = await self.env.spawn(self._answer_call, exchange, call)
@@ -136,7 +137,8 @@
 
     async def _run_claimed(self, call: Call, delivery: Delivery) -> Refusal | None:
         """
-        Claim the idempotency key of a call, then run the call and settle the key.
+        Claim the idempotency key of a call, run the call, and store its outcome under the key. If
+        an earlier request with the key has a stored answer, deliver that answer instead.
 
         """
         call = replace(call, claim=uuid.uuid4().hex)
@@ -237,15 +239,15 @@
 
 def _is_repeatable(request: Request) -> bool:
     """
-    Whether the request may be repeated: as the caller's header says or, without one, if its
-    method is idempotent (RFC 9110, section 9.2.2).
+    Return whether the request may be sent more than once: as REPEATABLE_HEADER says or, without
+    that header, if the method is idempotent (RFC 9110, section 9.2.2).
 
     """
-    mark = request.header(REPEATABLE_HEADER)
-    if mark not in ('', 'yes', 'no'):
+    value = request.header(REPEATABLE_HEADER)
+    if value not in ('', 'yes', 'no'):
         raise _bad_request(f'{REPEATABLE_HEADER}: yes or no expected')
-    if mark:
-        return mark == 'yes'
+    if value:
+        return value == 'yes'
     return request.method in REPEATABLE_METHODS
 
 
--- a/packages/millforkd/millforkd/entry/crash_tracking.py
+++ b/packages/millforkd/millforkd/entry/crash_tracking.py
@@ -1,9 +1,10 @@
 """
-Tracks calls that make the back ends that run them end (crash), on a fleet with a list of
-instances.
+Tracks calls that crash the back ends that run them, on a listed fleet (one whose instances are
+all listed in the deploy file).
 
 A caller that retries makes a new call, so calls are identified by a fingerprint of their content:
-organisation, service, method, path and body.
+organisation, service, method, path and body. The suspicion of a call is the record of the back
+ends that ended one after another while they ran a call with its fingerprint.
 
 """
 
@@ -34,7 +35,8 @@
     SuspicionLevel.SUSPECTED: Reason.SUSPECTED,
 }
 
-# An endpoint watches its back end for 20 s; an endpoint that is gone sends no result.
+# An attempt whose back end's status is not reported within this time is treated as if the back
+# end had not ended. An endpoint watches its back end for 20 s; one that is gone reports nothing.
 PENDING_RETENTION_S: Final = 30.0
 MAX_EARLY_STATUSES: Final = 256
 
@@ -44,23 +46,26 @@
 @dataclass(frozen=True, slots=True)
 class PendingAttempt:
     """
-    An interrupted attempt whose endpoint does not yet know whether the back end ended.
-    `interrupted_at` is in monotonic seconds; `before` is the suspicion when the call was sent.
+    An interrupted or cancelled attempt for which this entry does not know yet whether the back
+    end ended. `before` is the suspicion of the call when the attempt was sent, or when it was
+    cancelled; `interrupted_at` is in monotonic seconds.
 
     """
 
     before: Suspicion
     incarnation: IncarnationKey
     interrupted_at: float
-    # The endpoint, if the connection to it was lost.
+    # The endpoint, if the connection to it was lost; else empty.
     lost_endpoint: InstanceId = NO_INSTANCE
-    # Whether the attempt was cancelled; it is suspected only once its back end has ended.
+    # Whether the entry cancelled the attempt. A cancelled attempt makes its call suspected only
+    # if the back end ends.
     is_cancelled: bool = False
 
 
 class CallFingerprints:
     """
-    Computes the fingerprints of calls; all entries of a fleet compute the same ones.
+    Computes the fingerprints of calls. All entries of a fleet have the same key and compute the
+    same fingerprint for the same content.
 
     """
 
@@ -75,8 +80,8 @@
 
 class CrashTracker:
     """
-    Counts, by fingerprint of the call, the back ends that ended. A complete answer clears the
-    suspicion of its call.
+    Counts the back ends that ended while they ran a call, by the fingerprint of the call. A
+    complete answer clears the suspicion of its call.
 
     """
 
@@ -87,6 +92,7 @@
         self.suspicion_store = SuspicionStore(env.monotonic)
         self.suspicion_updater = SuspicionUpdater(env, self.suspicion_store)
         self.pending: dict[RequestId, PendingAttempt] = {}
+        # Whether the back end ended, for reports that arrived before their attempt was recorded.
         self.early_statuses: dict[RequestId, bool] = {}
         self.quarantine = Quarantine(
             self.suspicion_store,
@@ -97,14 +103,15 @@
 
     def suspicion_of(self, call: Call) -> Suspicion:
         """
-        Return the present suspicion of a call.
+        Return the suspicion of a call as this entry knows it now.
 
         """
         return self.quarantine.suspicion_of(call)
 
     def block_refusal(self, call: Call) -> Refusal | None:
         """
-        Return a refusal if a call is found or suspected to make back ends end; None if it may run.
+        Return the refusal of a call that is quarantined or suspected of crashing back ends; None
+        if the call may be sent. A suspected call is sent now and then as a trial.
 
         """
         level = self.quarantine.blocking_level(call)
@@ -114,7 +121,8 @@
 
     async def record_outcome(self, call: Call, before: Suspicion, outcome: Refusal | None) -> None:
         """
-        Record how an attempt ended; `before` is the suspicion of its call when it was sent.
+        Record the outcome of an attempt, None after a complete answer. `before` is the suspicion
+        of the call when the attempt was sent.
 
         """
         if outcome is None:
@@ -150,8 +158,8 @@
         self, call: Call, request_id: RequestId, incarnation: IncarnationKey
     ) -> None:
         """
-        Record an attempt that was cancelled because its caller left or its deadline passed.
-        Its back end may still end because of the request.
+        Record an attempt that was cancelled because its caller left or its deadline passed. The
+        back end may still crash because of the request.
 
         """
         now = self.env.monotonic()
@@ -161,13 +169,14 @@
 
     async def apply_back_end_status(self, message: BackEndFate) -> None:
         """
-        Apply an endpoint's report of whether its back end ended.
+        Apply an endpoint's report of whether its back end ended after an interrupted or cancelled
+        request.
 
         """
         request_id = RequestId(message.request_id)
         pending = self.pending.pop(request_id, None)
         if pending is None:
-            # The report may arrive before the `End` of its attempt, which another task handles.
+            # The report may be handled before the `End` of its attempt: another task handles `End`.
             self.early_statuses[request_id] = message.ended
             while len(self.early_statuses) > MAX_EARLY_STATUSES:
                 del self.early_statuses[next(iter(self.early_statuses))]
@@ -176,9 +185,9 @@
 
     async def apply_endpoint_start(self, instance: InstanceId, start: int) -> None:
         """
-        Settle attempts that lost their connection to an endpoint, once it is reached again.
-        A new `start` of its process means that the earlier process ended; with the same
-        `start`, only the connection was lost.
+        Settle the attempts that lost their connection to an endpoint, now that the endpoint is
+        connected again. Its process started at `start`: a later start than before means that the
+        earlier process ended; with the same start, only the connection was lost.
 
         """
         for request_id, pending in list(self.pending.items()):
@@ -209,7 +218,8 @@
 
     async def expire(self) -> None:
         """
-        Remove expired suspicions, publish overdue ones and give up on old pending attempts.
+        Remove expired suspicions, send private suspicions that are overdue, and settle attempts
+        that are pending for longer than PENDING_RETENTION_S as if their back end had not ended.
 
         """
         self.suspicion_store.forget_expired()
--- a/packages/millforkd/millforkd/entry/daemon.py
+++ b/packages/millforkd/millforkd/entry/daemon.py
@@ -37,9 +37,9 @@
 from millforkd.member import Member
 from millforkd.replica.quarantine import QuarantineList
 
-POLL_INTERVAL_S: Final = 1.5
+ROSTER_POLL_INTERVAL_S: Final = 1.5
 STATE_FOLDER: Final = 'state'
-# Time for the load balancer to see that this entry is no longer ready.
+# Time that the load balancer gets to notice that this entry is no longer ready.
 BALANCER_GRACE_S: Final = 1.0
 DRAIN_POLL_INTERVAL_S: Final = 0.05
 EXPIRY_INTERVAL_S: Final = 0.5
@@ -49,14 +49,14 @@
 
 class EntryDaemon:
     """
-    Builds the parts of one entry instance and routes requests and messages to them.
+    Builds the components of one entry and passes requests and peers' messages to them.
 
     """
 
     def __init__(self, env: Environment, settings: Settings) -> None:
         self.env = env
         self.settings = settings
-        self.member = Member(env, settings, self.handle, POLL_INTERVAL_S)
+        self.member = Member(env, settings, self.handle, ROSTER_POLL_INTERVAL_S)
         self.node = self._build_node() if settings.is_replica else None
         self.state_messages = StateMessageHandler(self.node) if self.node is not None else None
         view = self.member.view
@@ -87,7 +87,7 @@
             self.dispatcher,
             KeyClaims(env, self.leader_client),
         )
-        self.quarantine = self._build_quarantine(suspicion_store)
+        self.quarantine_list = self._build_quarantine_list(suspicion_store)
         self.operator_requests = OperatorRequests(
             env,
             view,
@@ -120,7 +120,7 @@
         )
         return StateNode(replica, self.member.reports)
 
-    def _build_quarantine(self, suspicion_store: SuspicionStore) -> QuarantineList | None:
+    def _build_quarantine_list(self, suspicion_store: SuspicionStore) -> QuarantineList | None:
         node = self.node
         if node is None:
             return None
@@ -139,7 +139,8 @@
 
     async def start(self) -> None:
         """
-        Start all tasks of the entry.
+        Start all tasks of the entry, after the replica of the state on this instance, if any, has
+        recovered from its disk.
 
         """
         if self.node is not None:
@@ -149,8 +150,8 @@
         if self.node is not None:
             await self.env.spawn_essential(self.node.run)
             await self.env.spawn_essential(self.node.take_snapshots)
-        if self.quarantine is not None:
-            await self.env.spawn_essential(self.quarantine.run)
+        if self.quarantine_list is not None:
+            await self.env.spawn_essential(self.quarantine_list.run)
         await self.env.spawn_essential(self.suspicion_gossip.run)
         await self.env.spawn_essential(self._expire_crashes)
         await self.env.spawn_essential(self.endpoints.run)
@@ -158,9 +159,8 @@
 
     async def drain(self) -> None:
         """
-        Prepare for a planned stop: wait until the load balancer sends no more
-        requests, refuse new ones, and wait for those in progress, at most for
-        `routing.drain_ms`.
+        Prepare for a planned stop: report that this entry is not ready, refuse new requests
+        after BALANCER_GRACE_S, and wait up to `routing.drain_ms` for those in progress.
 
         """
         self.server.closing = True
--- a/packages/millforkd/millforkd/entry/delivery.py
+++ b/packages/millforkd/millforkd/entry/delivery.py
@@ -1,5 +1,5 @@
 """
-Delivers an answer to the caller: event streams piece by piece, other answers as a whole.
+Delivers an answer to the caller: event streams part by part, other answers as a whole.
 
 """
 
@@ -21,9 +21,8 @@
 
 class Delivery:
     """
-    Delivers answers to one caller. A streamed answer is started only once. If
-    it can't be completed, the connection is aborted, so that the caller sees
-    that the answer is incomplete.
+    Delivers the answer of one call to its caller. If a streamed answer can't be completed, the
+    connection is aborted, so that the caller sees that the answer is incomplete.
 
     """
 
@@ -34,8 +33,9 @@
 
     async def deliver(self, attempt: Attempt, deadline: float) -> Refusal | None:
         """
-        Relay one attempt's event stream, or keep its complete answer in `response`. Returns a
-        refusal if the answer is incomplete or the back end turned the request away.
+        Relay the answer of an attempt if it is an event stream; store any other answer in
+        `response`. Return None if the answer is complete, else a refusal. A back end that turned
+        the request away (429 or 503, not streamed) gives the refusal TurnedAway.
 
         """
         head = await attempt.receive_head(deadline)
@@ -59,14 +59,14 @@
             return first
         self.has_started = True
         await self.exchange.start(status, headers)
-        piece = first
-        while piece is not None:
-            await self.exchange.write(piece)
-            next_piece = await attempt.receive_part(deadline)
-            if isinstance(next_piece, Refusal):
+        part = first
+        while part is not None:
+            await self.exchange.write(part)
+            next_part = await attempt.receive_part(deadline)
+            if isinstance(next_part, Refusal):
                 await self.exchange.abort()
-                return next_piece
-            piece = next_piece
+                return next_part
+            part = next_part
         await self.exchange.finish()
         return None
 
@@ -75,12 +75,12 @@
     ) -> Refusal | None:
         body = bytearray()
         while True:
-            piece = await attempt.receive_part(deadline)
-            if isinstance(piece, Refusal):
-                return piece
-            if piece is None:
+            part = await attempt.receive_part(deadline)
+            if isinstance(part, Refusal):
+                return part
+            if part is None:
                 break
-            body += piece
+            body += part
             if len(body) > MAX_UNSTREAMED_BYTES:
                 return Refusal(Reason.TOO_LARGE, Verdict.MAY_HAVE_RUN, 'the answer is too large')
         self.response = Response(status, headers, bytes(body))
--- a/packages/millforkd/millforkd/entry/dispatcher.py
+++ b/packages/millforkd/millforkd/entry/dispatcher.py
@@ -1,5 +1,5 @@
 """
-Dispatches calls to endpoints: chooses a back end, makes attempts and retries by verdict.
+Dispatches calls to endpoints: chooses a back end for each attempt and decides about retries.
 
 """
 
@@ -23,16 +23,17 @@
 
 # An endpoint is avoided for this long after a refusal for one of AVOIDANCE_REASONS.
 AVOIDANCE_S: Final = 3.0
-# Length of the random key that is used where entries share no fingerprints.
+# Length of the random fingerprint key of a dispatcher that is built without a crash tracker; its
+# fingerprints mean nothing to other entries.
 FINGERPRINT_KEY_BYTES: Final = 32
-# An endpoint that answered BUSY counts as busy for the organisation for this long.
+# An endpoint that refused a call as BUSY gets no calls of the same organisation for this long.
 BUSY_RETENTION_S: Final = 0.05
 AVOIDANCE_REASONS: Final = frozenset({Reason.UNREACHABLE, Reason.TIMED_OUT, Reason.CONNECTION_LOST})
 
 
 class Dispatcher:
     """
-    Runs calls and keeps their attempts in progress, by request id.
+    Runs calls; `attempts` holds the attempts in progress, by request id.
 
     """
 
@@ -56,8 +57,8 @@
 
     async def on_event(self, connection: Connection, message: Head | Part | End) -> None:
         """
-        Give an endpoint's event to its attempt. An event that arrives after
-        the attempt ended is dropped.
+        Pass a message from an endpoint to its attempt. A message that arrives after the attempt
+        ended, or over another connection, is dropped.
 
         """
         attempt = self.attempts.get(message.request_id)
@@ -73,8 +74,8 @@
 
     async def run(self, call: Call, delivery: Delivery) -> Refusal | None:
         """
-        Deliver an answer to the call. A returned refusal is final; its verdict
-        says whether any attempt may have run.
+        Run a call. Return None if it is answered; the answer is delivered, or `delivery.response`
+        holds it. A returned refusal is final; its verdict says whether any attempt may have run.
 
         """
         refusal = await self._run_attempts(call, delivery)
@@ -101,11 +102,11 @@
                 refusal = replace(last_refusal, reason=Reason.RETRY_BUDGET)
                 break
             suspicion = self.crashes.suspicion_of(call)
-            refusal_or_none = await self._attempt(call, backend, delivery)
-            await self.crashes.record_outcome(call, suspicion, refusal_or_none)
-            if refusal_or_none is None:
+            outcome = await self._attempt(call, backend, delivery)
+            await self.crashes.record_outcome(call, suspicion, outcome)
+            if outcome is None:
                 return None
-            last_refusal = refusal_or_none
+            last_refusal = outcome
             refusal = last_refusal
             may_have_run = may_have_run or last_refusal.verdict is not Verdict.NOT_RUN
             tried.add(backend.instance)
@@ -124,8 +125,8 @@
 
     def _no_endpoint_refusal(self, call: Call) -> Refusal:
         """
-        Return why no endpoint was chosen. If endpoints are busy, the refusal has the shortest
-        time after which to retry.
+        Return the refusal of a call for which no endpoint can be chosen: BUSY with the shortest
+        of their retry times if endpoints are busy, else NO_ENDPOINT.
 
         """
         now = self.env.monotonic()
--- a/packages/millforkd/millforkd/entry/endpoint_connections.py
+++ b/packages/millforkd/millforkd/entry/endpoint_connections.py
@@ -22,7 +22,8 @@
 from millfork_wire.peers import PeerAddress, Peers
 
 CONNECT_INTERVAL_S: Final = 0.5
-# The endpoints of other zones are at least this fraction of the subset: 1 / REMOTE_DIVISOR.
+# An entry connects to at least `subset` / REMOTE_DIVISOR endpoints of other zones for each
+# service, if there are as many.
 REMOTE_DIVISOR: Final = 4
 
 log = logger(Component.ENTRY)
@@ -30,7 +31,8 @@
 
 class EndpointConnections:
     """
-    Keeps connections to a subset of endpoints, and the latest load report of each.
+    Keeps connections to the endpoints that this entry uses, and the latest load report of each.
+    `subset` limits the endpoints of a service that are used.
 
     """
 
@@ -51,7 +53,7 @@
         self.connections: dict[InstanceId, Connection] = {}
         self.dialling: set[InstanceId] = set()
         self.notified_leaving: set[InstanceId] = set()
-        # Called with each endpoint that was reached and the start of its process (ns).
+        # Called after each new connection, with the endpoint and when its process started (ns).
         self.endpoint_reached_hooks: list[Callable[[InstanceId, int], Awaitable[None]]] = []
         self.all_dialled = False
         self.targets_computed_from: tuple[object, int] | None = None
@@ -59,7 +61,8 @@
 
     async def run(self) -> None:
         """
-        Keep the connections open and notify endpoints that are listed as leaving.
+        Connect to the endpoints that this entry uses, reconnect after losses, and notify
+        endpoints that are listed as leaving.
 
         """
         while True:
@@ -79,7 +82,8 @@
 
     def _check_all_dialled(self) -> None:
         """
-        Set `all_dialled` once the list of instances is known and no dial is in progress.
+        Set `all_dialled` once the list of instances is known and no connection attempt is in
+        progress, whether or not the attempts succeeded.
 
         """
         if self.roster.version >= 0 and not self.dialling:
@@ -87,8 +91,8 @@
 
     def _connection_targets(self) -> list[InstanceFacts]:
         """
-        Return the endpoints to connect to, computed again only when the
-        configuration or the list of instances has changed.
+        Return the endpoints to connect to. They are computed again only after a change of the
+        configuration or of the list of instances.
 
         """
         targets_computed_from = (self.view.position, self.roster.version)
@@ -145,7 +149,7 @@
 
     def apply_load(self, connection: Connection, load: Load) -> None:
         """
-        Apply an endpoint's load report.
+        Update the state of a connected endpoint from its load report.
 
         """
         backend = self.backends.get(connection.peer)
@@ -167,9 +171,8 @@
 
     async def _notify_leaving_endpoints(self) -> None:
         """
-        Notify endpoints that the platform lists as leaving. An endpoint then
-        refuses new requests of every entry, including entries whose list
-        does not show it as leaving yet.
+        Notify endpoints that the platform lists as leaving. A notified endpoint refuses new
+        requests of every entry, also of entries whose list does not show it as leaving yet.
 
         """
         for instance, connection in list(self.connections.items()):
--- a/packages/millforkd/millforkd/entry/key_claims.py
+++ b/packages/millforkd/millforkd/entry/key_claims.py
@@ -1,5 +1,5 @@
 """
-Claims idempotency keys in the replicated state before a request may run.
+Claims idempotency keys in the replicated state before the requests that have them may run.
 
 """
 
@@ -20,7 +20,7 @@
 
 class KeyClaims:
     """
-    Claims and settles keys by a quorum of the replicated state.
+    Claims and settles idempotency keys; each step needs a quorum of the replicas.
 
     """
 
@@ -30,10 +30,11 @@
 
     async def claim(self, call: Call) -> Response | None:
         """
-        Claim the call's key for `call.claim`. Return None if the claim is
-        granted, or the stored answer of the first request with this key.
+        Claim the call's key under the id `call.claim`. Return None if the claim is granted, or
+        the stored answer of the first request with this key.
 
-        :raises Refused: if another request holds the key, or no quorum answers.
+        :raises Refused: if the first request with this key has another content or no stored
+            answer, or if no quorum answers.
 
         """
         command = ClaimKey(replicated_key(call), call.claim, _fingerprint(call))
@@ -49,8 +50,8 @@
 
     async def settle(self, call: Call, response: Response | None, verdict: Verdict) -> None:
         """
-        Store the response, or release the key if nothing ran. If the request may have run and
-        there is no response, the key stays claimed.
+        Store the response under the call's key, or release the key if nothing ran. If the request
+        may have run and there is no response, the key stays claimed.
 
         """
         if response is None and verdict is not Verdict.NOT_RUN:
--- a/packages/millforkd/millforkd/entry/operator_requests.py
+++ b/packages/millforkd/millforkd/entry/operator_requests.py
@@ -1,5 +1,5 @@
 """
-Handles operators' requests: apply, state and status.
+Handles operators' requests: apply a declaration, read the state, read the rollout status.
 
 """
 
@@ -46,9 +46,9 @@
 
 class ApplyRequest(msgspec.Struct, forbid_unknown_fields=True):
     """
-    The body of an apply: a declaration as JSON, the command's id, and the deployments to
-    remove. If the operator gives a revision in `expect`, the command is refused if one of
-    its keys was set or removed after that revision.
+    The body of an apply request: a declaration, the names of the deployments to remove, and the
+    command's id, which is generated if empty. With a revision in `expect`, the request is refused
+    if a key that it would set or remove was set or removed after that revision.
 
     """
 
@@ -60,7 +60,8 @@
 
 class OperatorRequests:
     """
-    Answers operators. An organisation's operators see and change only what belongs to it.
+    Answers operators. An organisation's operators see and change only the state of their own
+    organisation.
 
     """
 
@@ -155,14 +156,14 @@
 
     async def _pin_deployment(self, spec: DeploymentSpec) -> Deployment:
         """
-        Return the deployment with the digests of the manifests that the origin
-        has now, so that exactly these weights are accepted.
+        Return the deployment with the digests of the manifests that the origin has now, so that
+        instances accept exactly these weights.
 
         """
-        named = [(spec.model, spec.version)]
-        named += [(adapter.name, adapter.version) for adapter in spec.adapters]
+        weights = [(spec.model, spec.version)]
+        weights += [(adapter.name, adapter.version) for adapter in spec.adapters]
         parts = []
-        for name, version in named:
+        for name, version in weights:
             parts.append(await self._pin_weights(name, version))
         return Deployment(parts, dict(spec.selector))
 
@@ -178,7 +179,7 @@
             raise Refused(Refusal(Reason.INVALID, detail=detail)) from error
         return WeightPart(name, version, digest_of(body))
 
-    # Read.
+    # State and status.
 
     async def _state(self, operator: Operator) -> Response:
         body = await self.leader_client.read_state()
@@ -215,14 +216,15 @@
         self, name: str, deployment: Deployment, reports: Mapping[str, Report]
     ) -> dict[str, Any]:
         """
-        Return the progress of one deployment's rollout according to the reports.
+        Return the progress of one deployment's rollout, by the latest report of each selected
+        endpoint that isn't leaving.
 
         """
-        chosen = [
+        selected = [
             f for f in select_endpoints(self.view, self.roster, name, deployment) if not f.leaving
         ]
         instances = []
-        for facts in chosen:
+        for facts in selected:
             report = EndpointReport.from_report(reports.get(facts.instance))
             instances.append(
                 {
@@ -237,7 +239,7 @@
             'version': deployment.version,
             'model': deployment.parts[0].name,
             'model_version': deployment.parts[0].version,
-            'selected': len(chosen),
+            'selected': len(selected),
             'serving': sum(row['serving'] for row in instances),
             'instances': instances,
         }
--- a/packages/millforkd/millforkd/entry/suspicion_gossip.py
+++ b/packages/millforkd/millforkd/entry/suspicion_gossip.py
@@ -1,9 +1,9 @@
 """
-Gossip between the entries of a fleet with a list of instances, about requests that are suspected
-to make back ends end (crash).
+Gossip between the entries of a listed fleet (one whose instances are all listed in the deploy
+file) about requests that are suspected of crashing back ends.
 
-Each entry sends new suspicions to a few others, which forward those that are new to them. An
-entry that starts asks some others for their suspicions.
+Each entry sends new suspicions to a few other entries, which forward those that are new to them.
+An entry that starts asks some other entries for their suspicions.
 
 """
 
@@ -21,11 +21,12 @@
 from millfork_wire.messages import AskSuspicions, Done, SuspicionReport
 from millfork_wire.peers import PeerAddress, Peers
 
-# A report may cross two regions.
+# Wait for the reply to a report of suspicions. The report may cross two regions.
 REPORT_TIMEOUT_S: Final = 0.3
 # Delay before a report that was not accepted is sent again.
 RESEND_INTERVAL_S: Final = 0.5
-# An entry that starts asks this many others. It serves after the timeout even if none answers.
+# An entry that starts asks this many others for their suspicions. It serves after ASK_TIMEOUT_S
+# even if none answers.
 MAX_ENTRIES_ASKED: Final = 3
 ASK_TIMEOUT_S: Final = 1.0
 ROSTER_POLL_INTERVAL_S: Final = 0.05
@@ -35,9 +36,10 @@
 
 def gossip_targets(order: list[InstanceId], instance: InstanceId) -> list[InstanceId]:
     """
-    Return the entries that an entry reports to: those 1, 2, 4, ... places after it in an order
-    that all entries share. Each of N entries reports to log2(N) others, and a report reaches all
-    entries in log2(N) steps. An entry that isn't in the order reports to its first entry.
+    Return the entries that the entry `instance` reports to: those 1, 2, 4, ... places after it in
+    `order`, a list that is the same at all entries. Each of N entries reports to log2(N) others,
+    and a report reaches all entries in log2(N) steps. An entry that isn't in the list reports to
+    the first one in it.
 
     """
     if instance not in order:
@@ -53,7 +55,7 @@
 
 class SuspicionGossip:
     """
-    Sends suspicions of this entry to others and merges theirs.
+    Sends the suspicions of this entry to other entries and merges those that they send.
 
     """
 
@@ -64,9 +66,9 @@
         self.peers = peers
         self.roster = roster
         self.suspicion_store = suspicion_store
-        # Whether the other entries that were asked at the start have answered or timed out.
+        # Whether the entries that were asked for suspicions at the start answered or timed out.
         self.has_asked_others = False
-        # The fingerprints that each target has not accepted yet.
+        # By receiving entry: fingerprints of the suspicions that it has not accepted yet.
         self.undelivered: dict[InstanceId, set[Fingerprint]] = {}
         self.sending_to: set[InstanceId] = set()
 
@@ -117,7 +119,8 @@
 
     async def apply_report(self, connection: Connection, message: SuspicionReport) -> Done:
         """
-        Merge another entry's suspicions and forward the new ones.
+        Merge another entry's suspicions and forward those that were new to this entry. The reply
+        says whether the report could be decoded.
 
         """
         return Done(await self._merge_report(str(connection.peer), message))
@@ -136,7 +139,7 @@
 
     def list_suspicions(self) -> SuspicionReport:
         """
-        Return all published suspicions, for an entry that starts.
+        Return all suspicions that may be sent to others, for an entry that starts and asks.
 
         """
         return SuspicionReport(encode_suspicions(self.suspicion_store.published()))
--- a/tests/test_accepting_at_limits.py
+++ b/tests/test_accepting_at_limits.py
@@ -1,8 +1,8 @@
 """
 A server whose callers' idle connections use all file descriptors of its process.
 
-The server accepted no connection until the idle timeout (30 s in the usual document), while it
-reported that it was ready.
+Guards against a server that accepts no new connection until the idle timeout (30 s in the usual
+deploy file) closes an old one, while it reports that it is ready.
 
 """
 
@@ -66,8 +66,9 @@
 
 async def serve_callers(path):
     """
-    Connect `CALLERS` callers that keep their connections open, after a first one that requests
-    `path`. Returns the number of answered callers, the first answer, and the failed accepts.
+    Connect a first caller that requests `path`, then `CALLERS` callers that keep their
+    connections open. Returns how many of the latter were answered, the answer to the first
+    caller, and the number of failed accepts.
 
     """
     listener, open_connections = FakeListener(), []
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -53,7 +53,7 @@
 
 async def collect(attempt_under_test, messages):
     """
-    Enqueue messages and read the answer: return its pieces, and the refusal or None.
+    Enqueue messages and read the answer. Returns the parts of its body, and the refusal or None.
 
     """
     for message in messages:
@@ -62,12 +62,12 @@
     head = await attempt_under_test.receive_head(deadline)
     if isinstance(head, Refusal):
         return [], head
-    pieces = []
+    parts = []
     while True:
-        piece = await attempt_under_test.receive_part(deadline)
-        if not isinstance(piece, bytes):
-            return pieces, piece
-        pieces.append(piece)
+        part = await attempt_under_test.receive_part(deadline)
+        if not isinstance(part, bytes):
+            return parts, part
+        parts.append(part)
 
 
 def test_a_complete_answer_is_delivered():
--- a/tests/test_backend_gateway.py
+++ b/tests/test_backend_gateway.py
@@ -1,5 +1,5 @@
 """
-The endpoint's gateway to its back end: admission, runs, withheld answers and verdicts.
+The endpoint's gateway to its back end: admission of requests, withheld answers and verdicts.
 
 """
 
@@ -26,7 +26,7 @@
 
 class FakeReply:
     """
-    An answer of the back end, complete from the start.
+    An answer of the back end whose body has arrived completely.
 
     """
 
@@ -94,7 +94,7 @@
         return b''
 
 
-class Scene:
+class GatewayHarness:
     """
     A gateway between a fake entry and a fake back end.
 
@@ -138,39 +138,39 @@
         return [message for message in self.connection.sent if isinstance(message, End)]
 
 
-def run_steps(scene, *steps):
+def run_steps(harness, *steps):
     async def run():
         last_result = None
         for step in steps:
             last_result = await step()
-            await scene.run_pending_tasks()
+            await harness.run_pending_tasks()
         return last_result
 
     return curio.run(run)
 
 
 def test_no_request_runs_before_its_start_message():
-    scene = Scene()
-    assert run_steps(scene, scene.reserve).ok
-    assert scene.backend.ran == []
+    harness = GatewayHarness()
+    assert run_steps(harness, harness.reserve).ok
+    assert harness.backend.ran == []
 
 
 def test_an_answer_is_relayed_with_its_version():
-    scene = Scene()
-    run_steps(scene, scene.reserve, scene.start, scene.backend.gate.set)
-    head, part, end = scene.connection.sent
+    harness = GatewayHarness()
+    run_steps(harness, harness.reserve, harness.start, harness.backend.gate.set)
+    head, part, end = harness.connection.sent
     assert isinstance(head, Head) and isinstance(part, Part)
     assert [h.value for h in head.headers if h.name == 'millfork-version'] == [VERSION]
     assert (end.parts, end.bytes, end.reason) == (1, len(part.data), '')
-    assert json.loads(scene.backend.ran[0][1])['model'] == VERSION
-    assert scene.gateway.in_progress == 0
+    assert json.loads(harness.backend.ran[0][1])['model'] == VERSION
+    assert harness.gateway.in_progress == 0
 
 
 def test_a_start_without_a_reservation_is_refused():
-    scene = Scene()
-    run_steps(scene, scene.start)
-    assert scene.backend.ran == []
-    assert [(e.reason, e.verdict) for e in scene.ends()] == [('expired', 'not_run')]
+    harness = GatewayHarness()
+    run_steps(harness, harness.start)
+    assert harness.backend.ran == []
+    assert [(e.reason, e.verdict) for e in harness.ends()] == [('expired', 'not_run')]
 
 
 @pytest.mark.parametrize(
@@ -182,125 +182,127 @@
     ],
 )
 def test_an_answer_from_other_weights_is_withheld(version, status, reason, verdict):
-    scene = Scene(version=version, status=status)
-    run_steps(scene, scene.reserve, scene.start, scene.backend.gate.set)
-    assert [type(message) for message in scene.connection.sent] == [End]
-    assert [(e.reason, e.verdict) for e in scene.ends()] == [(reason, verdict)]
+    harness = GatewayHarness(version=version, status=status)
+    run_steps(harness, harness.reserve, harness.start, harness.backend.gate.set)
+    assert [type(message) for message in harness.connection.sent] == [End]
+    assert [(e.reason, e.verdict) for e in harness.ends()] == [(reason, verdict)]
 
 
 def test_leaving_and_unservable_requests_are_refused_at_once():
-    scene = Scene()
+    harness = GatewayHarness()
 
     async def leave():
-        await scene.gateway.set_leaving(True)
+        await harness.gateway.set_leaving(True)
 
-    assert run_steps(scene, leave, scene.reserve).reason == Reason.LEAVING.value
-    scene = Scene()
-    scene.service = 'org/other'
-    assert run_steps(scene, scene.reserve).reason == Reason.NOT_SERVABLE.value
+    assert run_steps(harness, leave, harness.reserve).reason == Reason.LEAVING.value
+    harness = GatewayHarness()
+    harness.service = 'org/other'
+    assert run_steps(harness, harness.reserve).reason == Reason.NOT_SERVABLE.value
 
 
 def test_a_full_queue_refuses_with_a_retry_after_time():
-    scene = Scene()
+    harness = GatewayHarness()
 
     async def reserve_many():
-        return [await scene.reserve(f'r{number}') for number in range(4)]
+        return [await harness.reserve(f'r{number}') for number in range(4)]
 
-    replies = run_steps(scene, reserve_many)
+    replies = run_steps(harness, reserve_many)
     assert [reply.ok for reply in replies] == [True, True, False, False]
     assert replies[-1].reason == Reason.BUSY.value
     assert replies[-1].retry_after_ms >= 100
 
 
 def test_a_cancel_reports_whether_the_request_may_have_run():
-    async def cancel(scene):
-        return await scene.gateway.on_cancel(scene.connection, Cancel('r'))
+    async def cancel(harness):
+        return await harness.gateway.on_cancel(harness.connection, Cancel('r'))
 
-    early = Scene()
+    early = GatewayHarness()
     assert run_steps(early, early.reserve, lambda: cancel(early)).verdict == Verdict.NOT_RUN.value
     assert run_steps(early, early.start, early.backend.gate.set) is None
     assert early.backend.ran == []
-    late = Scene()
+    late = GatewayHarness()
     steps = (late.reserve, late.start, lambda: cancel(late))
     assert run_steps(late, *steps).verdict == Verdict.MAY_HAVE_RUN.value
 
 
-async def lose_entry(scene):
-    scene.connection.closed = True
-    await scene.gateway.on_closed(scene.connection)
+async def lose_entry(harness):
+    harness.connection.closed = True
+    await harness.gateway.on_closed(harness.connection)
 
 
 def test_engine_requests_are_cancelled_when_their_entry_is_lost():
-    scene = Scene()
-    run_steps(scene, scene.reserve, scene.start, lambda: lose_entry(scene))
-    assert scene.gateway.in_progress == 0
+    harness = GatewayHarness()
+    run_steps(harness, harness.reserve, harness.start, lambda: lose_entry(harness))
+    assert harness.gateway.in_progress == 0
 
 
 def test_the_outcome_of_a_keyed_request_is_recorded_when_its_entry_is_lost():
-    scene = Scene(BackendKind.PLAIN)
+    harness = GatewayHarness(BackendKind.PLAIN)
 
     async def reserve():
-        return await scene.reserve(key='org/pool/k', attempt='claim')
+        return await harness.reserve(key='org/pool/k', attempt='claim')
 
-    run_steps(scene, reserve, scene.start, lambda: lose_entry(scene), scene.backend.gate.set)
-    (command,) = scene.leader_client.commands
+    run_steps(
+        harness, reserve, harness.start, lambda: lose_entry(harness), harness.backend.gate.set
+    )
+    (command,) = harness.leader_client.commands
     assert isinstance(command, SettleKey)
     assert (command.key, command.attempt, command.released) == ('org/pool/k', 'claim', False)
     assert command.body == b'answer'
 
 
 def test_a_key_is_never_released_by_an_endpoint():
-    scene = Scene(BackendKind.PLAIN)
+    harness = GatewayHarness(BackendKind.PLAIN)
 
     async def reserve():
-        return await scene.reserve(key='org/pool/k', attempt='claim')
+        return await harness.reserve(key='org/pool/k', attempt='claim')
 
-    run_steps(scene, reserve, lambda: lose_entry(scene))
-    assert scene.gateway.in_progress == 0
-    assert scene.leader_client.commands == []
+    run_steps(harness, reserve, lambda: lose_entry(harness))
+    assert harness.gateway.in_progress == 0
+    assert harness.leader_client.commands == []
 
 
 def test_one_trial_request_is_sent_after_a_rest_period():
     clock = Clock()
-    scene = Scene(BackendKind.PLAIN, status=503, clock=clock)
-    scene.backend.response.headers.append(('retry-after', '3'))
+    harness = GatewayHarness(BackendKind.PLAIN, status=503, clock=clock)
+    harness.backend.response.headers.append(('retry-after', '3'))
 
     async def run():
-        await scene.backend.gate.set()
-        assert (await scene.reserve('a')).ok
-        await scene.start('a')
-        await scene.run_pending_tasks()
-        refused = await scene.reserve('b')
+        await harness.backend.gate.set()
+        assert (await harness.reserve('a')).ok
+        await harness.start('a')
+        await harness.run_pending_tasks()
+        refused = await harness.reserve('b')
         assert (refused.ok, refused.reason) == (False, Reason.RESTING.value)
         assert refused.retry_after_ms == pytest.approx(3000, abs=1)
         clock.now += 3.01
-        scene.backend.gate = curio.Event()
-        scene.backend.response = Response(200, [], b'answer')
-        assert (await scene.reserve('c')).ok
-        await scene.start('c')
-        await scene.run_pending_tasks()
-        assert not (await scene.reserve('d')).ok
-        await scene.backend.gate.set()
-        await scene.run_pending_tasks()
-        assert (await scene.reserve('e')).ok
+        harness.backend.gate = curio.Event()
+        harness.backend.response = Response(200, [], b'answer')
+        assert (await harness.reserve('c')).ok
+        await harness.start('c')
+        await harness.run_pending_tasks()
+        assert not (await harness.reserve('d')).ok
+        await harness.backend.gate.set()
+        await harness.run_pending_tasks()
+        assert (await harness.reserve('e')).ok
 
     curio.run(run)
-    assert len(scene.backend.ran) == 2
+    assert len(harness.backend.ran) == 2
 
 
 def test_queued_requests_are_not_sent_to_a_resting_back_end():
-    scene = Scene(BackendKind.PLAIN, status=503)
-    scene.backend.response.headers.append(('retry-after', '3'))
+    harness = GatewayHarness(BackendKind.PLAIN, status=503)
+    harness.backend.response.headers.append(('retry-after', '3'))
 
     async def run():
         for name in ('a', 'b'):
-            assert (await scene.reserve(name)).ok
-            await scene.start(name)
-        await scene.run_pending_tasks()
-        await scene.backend.gate.set()
-        await scene.run_pending_tasks()
+            assert (await harness.reserve(name)).ok
+            await harness.start(name)
+        await harness.run_pending_tasks()
+        await harness.backend.gate.set()
+        await harness.run_pending_tasks()
 
     curio.run(run)
-    assert len(scene.backend.ran) == 1
-    end = scene.ends()[-1]
+    assert len(harness.backend.ran) == 1
+    end = harness.ends()[-1]
     assert (end.reason, end.verdict) == (Reason.RESTING.value, Verdict.NOT_RUN.value)
--- a/tests/test_crashing_requests_listed.py
+++ b/tests/test_crashing_requests_listed.py
@@ -1,8 +1,9 @@
 """
-A request that crashes the back ends that run it, on a fleet with a list of instances.
+A request that crashes the back ends that run it, on a listed fleet.
 
-Attempts were counted by call, and a caller that retries makes a new call: in 8 calls one request
-was sent 18 times and ended an engine each time. Ends are now counted by the content of a call.
+Guards against counting crashes separately for each call: a caller that retries makes a new call,
+so one request was sent 18 times in 8 calls and crashed an engine each time. Crashes are counted
+by the content of a call.
 
 """
 
@@ -15,7 +16,7 @@
 
 BROKE_OFF = Refusal(Reason.BACKEND_FAILED, Verdict.MAY_HAVE_RUN, 'the back end broke off')
 CALLS = 8
-ENDS = 3
+ENDS_BEFORE_QUARANTINE = 3
 MAX_RUNS_AFTER_QUARANTINE = 3
 
 
@@ -29,4 +30,4 @@
             await dispatcher.run(call, Delivery(None))
 
     curio.run(run)
-    assert len(dispatcher.tried_instances) <= ENDS + MAX_RUNS_AFTER_QUARANTINE
+    assert len(dispatcher.tried_instances) <= ENDS_BEFORE_QUARANTINE + MAX_RUNS_AFTER_QUARANTINE
--- a/tests/test_crashing_requests_on_listed_fleets.py
+++ b/tests/test_crashing_requests_on_listed_fleets.py
@@ -1,10 +1,15 @@
 """
-A request that crashes the engines that run it, on a fleet of daemons with a list of instances.
+A request that crashes the engines that run it, on a listed fleet of daemons.
+
+Guards against these failures:
+
+- Each entry counted crashes alone, with its own fingerprint key: callers that used six entries in
+  turn crashed 18 engines, also with streams.
+- Entries lost their counts in a restart: callers crashed 12 engines at one entry that was
+  restarted three times.
+- No crash was detected if connections closed 50 ms before the engine's address: 22 of 24 calls.
+- Simultaneous crashes counted as one: concurrent callers crashed 7 and 8 engines.
 
-Each entry counted ends alone, with its own fingerprint key, and started again at zero. Callers
-that used six entries in turn ended 18 engines, also with streams, and 12 at one entry that was
-restarted three times. Where connections closed 50 ms before the engine's address did, no end was
-detected: 22 of 24 calls. Concurrent callers ended 7 and 8, as simultaneous ends counted as one.
 """
 
 from concurrent.futures import ThreadPoolExecutor
@@ -83,7 +88,7 @@
 
 def test_ends_are_counted_after_their_callers_left(crashing):
     """
-    Callers leave after 0.1 s and retry; their request ends its engine after 0.2 s.
+    Callers leave after 0.1 s and retry; their request crashes its engine after 0.2 s.
 
     """
     before = crashing.count_ended()
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -36,7 +36,7 @@
 
 class ScriptedDispatcher(Dispatcher):
     """
-    Takes the outcome of each attempt from a list.
+    A dispatcher that takes the outcome of each attempt from a list instead of making it.
 
     """
 
--- a/tests/test_ends_at_endpoints.py
+++ b/tests/test_ends_at_endpoints.py
@@ -11,7 +11,7 @@
 from millfork_web.client import ExchangeFailed
 from millforkd.entry.attempts import Call
 from millforkd.entry.delivery import Delivery
-from tests.test_backend_gateway import Scene
+from tests.test_backend_gateway import GatewayHarness
 from tests.test_dispatcher import ScriptedDispatcher
 
 ENDED = Refusal(Reason.BACKEND_FAILED, Verdict.MAY_HAVE_RUN, 'the back end ended')
@@ -32,32 +32,32 @@
     ('listens', 'reason'), [(True, Reason.TRUNCATED), (False, Reason.BACKEND_FAILED)]
 )
 def test_only_a_back_end_whose_address_refuses_has_ended(listens, reason):
-    scene = Scene()
-    scene.gateway.client = BreakingBackend()
+    harness = GatewayHarness()
+    harness.gateway.client = BreakingBackend()
 
     async def run():
         sock = curio.tcp_server_socket('127.0.0.1', 0)
         host, port = sock.getsockname()
-        scene.gateway.settings = scene.gateway.settings.model_copy(
+        harness.gateway.settings = harness.gateway.settings.model_copy(
             update={'address': Address(host=host, port=port)}
         )
         if not listens:
             await sock.close()
-        assert (await scene.reserve()).ok
-        await scene.start()
+        assert (await harness.reserve()).ok
+        await harness.start()
         async with curio.timeout_after(5):
-            while not scene.ends():
+            while not harness.ends():
                 await curio.sleep(0.01)
         await sock.close()
 
     curio.run(run)
-    [end] = scene.ends()
+    [end] = harness.ends()
     assert (end.reason, end.verdict) == (reason.value, Verdict.MAY_HAVE_RUN.value)
 
 
 class Callers:
     """
-    Callers of one entry; each call makes one attempt, with the next outcome of a list.
+    Callers of one entry. Each call makes at most one attempt, whose outcome is the next in a list.
 
     """
 
--- a/tests/test_late_ends_at_endpoints.py
+++ b/tests/test_late_ends_at_endpoints.py
@@ -1,6 +1,6 @@
 """
-How endpoints find out whether a back end ended after an interrupted answer, and how entries
-use their reports.
+How endpoints find out whether a back end ended after an interrupted answer, and how entries use
+the reports of the endpoints.
 
 """
 
@@ -49,7 +49,7 @@
 
 class FakeBackEnd:
     """
-    A back end with a scripted incarnation and result of probes.
+    A back end whose reported incarnation and probe result are set by the test.
 
     """
 
@@ -160,9 +160,10 @@
     curio.run(run)
 
 
-class InterruptedCalls:
+class InterruptedCall:
     """
-    Calls of an entry that are interrupted at one endpoint after another.
+    A call whose attempts are interrupted at one endpoint after another, and the crash tracker of
+    its entry.
 
     """
 
@@ -193,39 +194,37 @@
 
 def test_a_call_is_suspected_until_the_status_of_its_back_ends_is_reported():
     async def run():
-        interrupted_calls = InterruptedCalls()
+        interrupted_call = InterruptedCall()
         for number in range(MIN_ENDS_AT_FAULT):
-            assert interrupted_calls.block_reason is None
-            await interrupted_calls.interrupt_attempt(number)
-        assert interrupted_calls.block_reason is Reason.SUSPECTED
+            assert interrupted_call.block_reason is None
+            await interrupted_call.interrupt_attempt(number)
+        assert interrupted_call.block_reason is Reason.SUSPECTED
         for number in range(MIN_ENDS_AT_FAULT):
-            await interrupted_calls.report_status(number, ended=True)
-        assert interrupted_calls.block_reason is Reason.QUARANTINED
+            await interrupted_call.report_status(number, ended=True)
+        assert interrupted_call.block_reason is Reason.QUARANTINED
 
     curio.run(run)
 
 
 def test_a_report_that_arrives_before_the_end_of_its_attempt_counts():
     async def run():
-        interrupted_calls = InterruptedCalls()
+        interrupted_call = InterruptedCall()
         for number in range(MIN_ENDS_AT_FAULT):
-            await interrupted_calls.report_status(number, ended=number > 0)
-            await interrupted_calls.interrupt_attempt(number)
+            await interrupted_call.report_status(number, ended=number > 0)
+            await interrupted_call.interrupt_attempt(number)
         assert (
-            interrupted_calls.crashes.suspicion_of(interrupted_calls.call).ends
+            interrupted_call.crashes.suspicion_of(interrupted_call.call).ends
             == MIN_ENDS_AT_FAULT - 1
         )
-        assert (
-            not interrupted_calls.crashes.early_statuses and not interrupted_calls.crashes.pending
-        )
+        assert not interrupted_call.crashes.early_statuses and not interrupted_call.crashes.pending
 
     curio.run(run)
 
 
 def test_concurrent_ends_count_once_and_make_the_call_suspected():
     async def run():
-        interrupted_calls = InterruptedCalls()
-        suspicion = interrupted_calls.crashes.suspicion_of(interrupted_calls.call)
+        interrupted_call = InterruptedCall()
+        suspicion = interrupted_call.crashes.suspicion_of(interrupted_call.call)
         for number in range(MIN_ENDS_AT_FAULT):
             outcome = InterruptedAttempt(
                 Reason.BACKEND_FAILED,
@@ -233,11 +232,9 @@
                 request_id=RequestId(f'r-{number}'),
                 incarnation=IncarnationKey(f'e-{number}/1.0'),
             )
-            await interrupted_calls.crashes.record_outcome(
-                interrupted_calls.call, suspicion, outcome
-            )
-        assert interrupted_calls.crashes.suspicion_of(interrupted_calls.call).ends == 1
-        assert interrupted_calls.block_reason is Reason.SUSPECTED
+            await interrupted_call.crashes.record_outcome(interrupted_call.call, suspicion, outcome)
+        assert interrupted_call.crashes.suspicion_of(interrupted_call.call).ends == 1
+        assert interrupted_call.block_reason is Reason.SUSPECTED
 
     curio.run(run)
 
@@ -245,27 +242,25 @@
 @pytest.mark.parametrize('ended', [True, False])
 def test_a_lost_endpoint_has_ended_if_its_process_was_replaced(ended):
     async def run():
-        interrupted_calls = InterruptedCalls()
+        interrupted_call = InterruptedCall()
         endpoints = [
             Backend(InstanceId(f'e-{n}'), ZoneId('z'), start=1) for n in range(MIN_ENDS_AT_FAULT)
         ]
         for endpoint in endpoints:
             attempt = Attempt(
-                interrupted_calls.env, RequestId(f'r-{endpoint.instance}'), endpoint, None
+                interrupted_call.env, RequestId(f'r-{endpoint.instance}'), endpoint, None
             )
             await attempt.enqueue(ConnectionLost())
-            suspicion = interrupted_calls.crashes.suspicion_of(interrupted_calls.call)
-            outcome = await attempt.receive_head(interrupted_calls.env.monotonic() + 1)
+            suspicion = interrupted_call.crashes.suspicion_of(interrupted_call.call)
+            outcome = await attempt.receive_head(interrupted_call.env.monotonic() + 1)
             assert outcome.reason is Reason.CONNECTION_LOST
-            await interrupted_calls.crashes.record_outcome(
-                interrupted_calls.call, suspicion, outcome
-            )
-        assert interrupted_calls.block_reason is Reason.SUSPECTED
+            await interrupted_call.crashes.record_outcome(interrupted_call.call, suspicion, outcome)
+        assert interrupted_call.block_reason is Reason.SUSPECTED
         for endpoint in endpoints:
-            await interrupted_calls.crashes.apply_endpoint_start(
+            await interrupted_call.crashes.apply_endpoint_start(
                 endpoint.instance, 2 if ended else 1
             )
-        assert interrupted_calls.block_reason is (Reason.QUARANTINED if ended else None)
+        assert interrupted_call.block_reason is (Reason.QUARANTINED if ended else None)
 
     curio.run(run)
 
@@ -274,12 +269,12 @@
     monkeypatch.setattr(crash_tracking_module, 'PENDING_RETENTION_S', 0.0)
 
     async def run():
-        interrupted_calls = InterruptedCalls()
+        interrupted_call = InterruptedCall()
         for number in range(MIN_ENDS_AT_FAULT):
-            await interrupted_calls.interrupt_attempt(number)
+            await interrupted_call.interrupt_attempt(number)
         await curio.sleep(0.001)
-        await interrupted_calls.crashes.expire()
-        assert interrupted_calls.block_reason is None
+        await interrupted_call.crashes.expire()
+        assert interrupted_call.block_reason is None
 
     curio.run(run)
 
@@ -302,23 +297,24 @@
 @pytest.mark.parametrize('ended', [True, False])
 def test_a_timed_out_call_counts_if_its_back_end_ends(ended):
     async def run():
-        interrupted_calls = InterruptedCalls()
+        interrupted_call = InterruptedCall()
         for number in range(MIN_ENDS_AT_FAULT):
             request_id = RequestId(f'r-{number}')
             incarnation = IncarnationKey(f'e-{number}/1.0')
-            interrupted_calls.crashes.record_cancellation(
-                interrupted_calls.call, request_id, incarnation
+            interrupted_call.crashes.record_cancellation(
+                interrupted_call.call, request_id, incarnation
             )
-            assert interrupted_calls.block_reason is None
-            await interrupted_calls.report_status(number, ended)
-        assert interrupted_calls.block_reason is (Reason.QUARANTINED if ended else None)
+            assert interrupted_call.block_reason is None
+            await interrupted_call.report_status(number, ended)
+        assert interrupted_call.block_reason is (Reason.QUARANTINED if ended else None)
 
     curio.run(run)
 
 
 class FakeTimedOutConnection:
     """
-    The connection to an endpoint that answers only reservations and cancellations.
+    The connection to an endpoint that replies to `Reserve` and `Cancel` but never sends an answer
+    of its back end.
 
     """
 
--- a/tests/test_turned_away_on_listed_fleets.py
+++ b/tests/test_turned_away_on_listed_fleets.py
@@ -1,8 +1,9 @@
 """
-A back end that answers 503 at once without Retry-After, on a fleet with a list of instances.
+A back end that answers 503 at once without Retry-After, on a listed fleet.
+
+Guards against relaying these answers to callers, and against preferring this back end because it
+seems the least loaded: a back end that turns requests away has few in progress.
 
-Its answers were relayed to callers. It seemed the least loaded back end, as it had few requests in
-progress.
 """
 
 import itertools
@@ -29,7 +30,7 @@
 
 SERVICE = 'portal-assets'
 ANSWER_MS = 300
-# The two other back ends can serve this load.
+# Requests per second from callers; the two other back ends can serve this load.
 LOAD_PER_S = 45
 LOAD_S = 6.0
 THREADS = 48
@@ -47,9 +48,10 @@
         new_fleet.close()
 
 
-def load(fleet):
+def send_load(fleet):
     """
-    Statuses of callers' repeatable requests at an even pace, spread over the entries.
+    Send repeatable requests at an even pace, spread over the entries, and return the statuses of
+    the answers.
 
     """
     token = fleet.caller_tokens[LANTING.organisations[0]]
@@ -80,13 +82,13 @@
                 call_service(fleet, token, 'GET', f'{SERVICE}/x', entry).status == 200
             )
         )
-    full = fleet.instances[f'{SERVICE}-1']
-    fleet.kill(f'{full.name}.backend')
-    fleet.start_backend(full, turns_away=True)
-    fleet.wait_http(f'{full.name}.backend', full.host, BACKEND_PORT, '/x', status=503)
-    before = count_turned_away(fleet, full)
-    statuses = load(fleet)
-    assert count_turned_away(fleet, full) - before <= len(statuses) / 3
+    rejecting = fleet.instances[f'{SERVICE}-1']
+    fleet.kill(f'{rejecting.name}.backend')
+    fleet.start_backend(rejecting, turns_away=True)
+    fleet.wait_http(f'{rejecting.name}.backend', rejecting.host, BACKEND_PORT, '/x', status=503)
+    before = count_turned_away(fleet, rejecting)
+    statuses = send_load(fleet)
+    assert count_turned_away(fleet, rejecting) - before <= len(statuses) / 3
     assert statuses.count(200) >= 0.9 * len(statuses)
 
 
