--- a/packages/millforkd/millforkd/endpoint/backend_gateway.py
+++ b/packages/millforkd/millforkd/endpoint/backend_gateway.py
@@ -92,7 +92,7 @@
         Return whether a request in progress was admitted to this version.
 
         """
-        return any(reservation.version == version for reservation in self.reservations.values())
+        return any(admitted.version == version for admitted in self.reservations.values())
 
     async def set_served(self, served: dict[str, str]) -> None:
         """
--- a/packages/millforkd/millforkd/endpoint/incarnation_tracking.py
+++ b/packages/millforkd/millforkd/endpoint/incarnation_tracking.py
@@ -93,7 +93,7 @@
     def record_incarnation(self, incarnation: str, asked_at: float) -> None:
         """
         Record the incarnation that the back end reported to a query sent at `asked_at` (monotonic
-        seconds). A changed one means that the earlier incarnation ended.
+        seconds). A changed incarnation means that the earlier one ended.
 
         """
         if incarnation == self.reported_incarnation:
@@ -112,9 +112,9 @@
         self, request_id: RequestId, connection: Connection, number: int
     ) -> IncarnationStatus:
         """
-        Record an interrupted request, wait for the first probes of the back end, and return the
-        status of the incarnation that ran the request. If it is still UNKNOWN, the result is sent
-        to the entry later.
+        Record an interrupted request, wait briefly for the first probes of the back end, and
+        return the status of the incarnation that ran the request. If the status is still
+        UNKNOWN, the later result is sent to the entry.
 
         """
         interrupted = InterruptedRequest(request_id, connection, number)
--- a/packages/millforkd/millforkd/endpoint/reservations.py
+++ b/packages/millforkd/millforkd/endpoint/reservations.py
@@ -50,7 +50,7 @@
     response: Response | None = None
     # The number of the back end's incarnation that the request was sent to.
     incarnation_number: int = 0
-    # The incarnation of the back end, if the answer broke off and it ended or may have ended.
+    # The incarnation that ended or may have ended when the answer broke off; else empty.
     interrupted_incarnation: IncarnationKey = NO_INCARNATION
 
     @property
--- a/packages/millforkd/millforkd/endpoint/rollout.py
+++ b/packages/millforkd/millforkd/endpoint/rollout.py
@@ -32,8 +32,8 @@
 
 class Rollout:
     """
-    Reconciles the weights that this instance holds, the versions that its engine has loaded and
-    the versions that are served with the configuration.
+    Makes this instance hold, load and serve the versions of weights that the configuration
+    assigns to it, and drop all others.
 
     """
 
--- a/packages/millforkd/millforkd/entry/attempts.py
+++ b/packages/millforkd/millforkd/entry/attempts.py
@@ -51,9 +51,9 @@
 @dataclass(frozen=True, slots=True)
 class Call:
     """
-    One caller's request after parsing. `key` is its idempotency key, empty without one; `claim`
-    is the id under which this entry claims the key, empty until then. Calls with the same
-    `affinity` prefer the same endpoint. `deadline` is in monotonic seconds.
+    One caller's request after parsing. `key` is its idempotency key, empty if it has none or
+    is repeatable; `claim` is the id under which this entry claims the key, empty until then.
+    Calls with the same `affinity` prefer the same endpoint. `deadline` is in monotonic seconds.
 
     """
 
@@ -142,7 +142,7 @@
         self.next_sequence = 0
         self.received_bytes = 0
         # The incarnation of the back end that was running the request when the entry cancelled
-        # the request; empty if none was.
+        # the request; empty if no back end was running it.
         self.cancelled_incarnation = NO_INCARNATION
 
     async def enqueue(self, message: Message) -> None:
--- a/packages/millforkd/millforkd/entry/crash_tracking.py
+++ b/packages/millforkd/millforkd/entry/crash_tracking.py
@@ -186,8 +186,8 @@
     async def apply_endpoint_start(self, instance: InstanceId, start: int) -> None:
         """
         Settle the attempts that lost their connection to an endpoint, now that the endpoint is
-        connected again. Its process started at `start`: a later start than before means that the
-        earlier process ended; with the same start, only the connection was lost.
+        connected again. Its process started at `start`: a different start than before means that
+        the earlier process ended; with the same start, only the connection was lost.
 
         """
         for request_id, pending in list(self.pending.items()):
--- a/packages/millforkd/millforkd/entry/daemon.py
+++ b/packages/millforkd/millforkd/entry/daemon.py
@@ -159,8 +159,9 @@
 
     async def drain(self) -> None:
         """
-        Prepare for a planned stop: report that this entry is not ready, refuse new requests
-        after BALANCER_GRACE_S, and wait up to `routing.drain_ms` for those in progress.
+        Prepare for a planned stop: report that this entry is not ready, give the load balancer
+        BALANCER_GRACE_S to stop sending requests, then refuse new ones and wait up to
+        `routing.drain_ms` for those in progress.
 
         """
         self.server.closing = True
