--- a/packages/millfork-registry/millfork_registry/caches.py
+++ b/packages/millfork-registry/millfork_registry/caches.py
@@ -1,8 +1,8 @@
 """
 Choice of the entries that cache chunks of weights for the endpoint daemons.
 
-Every entry can be a cache. Replicas advertise a few of each zone, and replicas
-that know the same entries advertise the same ones.
+Every entry can be a cache. Replicas advertise a few entries of each zone as caches, and replicas
+that know the same entries advertise the same caches.
 
 """
 
@@ -12,17 +12,19 @@
 from millfork_core.ranks import rank
 from millfork_wire.messages import CacheAddress
 
-# Four entries' links of 20 Mbit/s each then serve the 12 engines of a zone of a grown fleet at
-# 3.65 Mbit/s each, and leave two thirds of each link for callers.
+# How many caches of its own zone a daemon is told. In a grown fleet, the links of four entries
+# (20 Mbit/s each) serve the 12 engines of a zone at 3.65 Mbit/s each, and leave two thirds of each
+# link for callers.
 MAX_ADVERTISED_IN_ZONE: Final = 4
-# Of other zones, only the caches that download from the origin matter.
+# How many caches of each other zone a daemon is told. Of those zones, only the caches that download
+# from the origin (the weight store) matter.
 MAX_ADVERTISED_PER_OTHER_ZONE: Final = 2
 
 
 def advertised_caches(caches: Iterable[CacheAddress], zone: str | None) -> list[CacheAddress]:
     """
-    Return the caches to advertise to a daemon of `zone`, in order of rank within
-    each zone. Without a zone, every zone gets the limit of a daemon's own zone.
+    Return the caches to advertise to a daemon in `zone`, in order of rank within each zone. If
+    `zone` is None, the limit for a daemon's own zone applies to every zone.
 
     """
     found = _best_first_by_zone(caches)
@@ -35,8 +37,8 @@
 
 def caches_near_origin(caches: Iterable[CacheAddress], origin_zone: str) -> list[CacheAddress]:
     """
-    Return the caches that download from the origin: those of its zone, because
-    traffic between zones costs money, or those of another zone if it has none.
+    Return the caches that download from the origin: caches of the origin's zone, because
+    traffic between zones costs money, or of another zone if the origin's zone has none.
 
     """
     found = _best_first_by_zone(caches)
--- a/packages/millfork-registry/millfork_registry/discovery.py
+++ b/packages/millfork-registry/millfork_registry/discovery.py
@@ -1,7 +1,8 @@
 """
-Discovery of the replicas without a configured list: from seeds, and from each other.
+Discovery of the replicas by a process that has no list of them.
 
-A seed may be wrong, slow or gone. Each replica that answers lists the others it knows.
+The process asks its seeds, which are a few replica addresses in its settings. Each replica that
+answers lists the other replicas that it knows. A seed may be wrong, slow or gone.
 
 """
 
@@ -16,6 +17,7 @@
 from millfork_wire.messages import CacheAddress, FindReplicas, Replicas
 from millfork_wire.peers import PeerAddress, Peers
 
+# Timeout of one question to a replica.
 ASK_TIMEOUT_S: Final = 0.6
 # A replica that didn't answer this process for this long is forgotten, as it may have
 # been replaced. Seeds are never forgotten.
@@ -26,7 +28,7 @@
 
 def address_of(instance: str) -> PeerAddress:
     """
-    Parse the address in an instance's id, which is `HOST:PORT` of its wire port.
+    Parse an instance's id, which is `HOST:PORT`, the address at which it listens for peers.
 
     :raises ValueError: if the id has another form.
 
@@ -40,7 +42,7 @@
 @dataclass(slots=True)
 class KnownReplica:
     """
-    A replica's address, the time of its last answer, and that answer.
+    A replica's address, its last answer, and when that answer arrived (monotonic seconds).
 
     Until the first answer, `answered_at` is the time when the replica became known.
 
@@ -70,7 +72,7 @@
 
     def set_seeds(self, seeds: list[str]) -> None:
         """
-        Replace the seeds, at start or when the settings change.
+        Replace the seeds. Replicas that were seeds before stay known while they answer.
 
         """
         self.seeds = [address_of(seed) for seed in seeds if seed != self.env.instance]
@@ -79,7 +81,8 @@
 
     def add_replica(self, instance: str) -> None:
         """
-        Add a replica by its id; an id without an address is logged and ignored.
+        Add a replica by its id, if it isn't known yet. An id that is not of the form `HOST:PORT`
+        is logged and ignored.
 
         """
         if instance == self.env.instance or InstanceId(instance) in self.known:
@@ -93,9 +96,9 @@
 
     def addresses(self) -> list[PeerAddress]:
         """
-        Return the replicas in this process's order of preference: first those known to be in
-        its zone, because traffic between zones costs money. Within each group, the order
-        differs from process to process, which distributes the load.
+        Return the known replicas, the preferred ones first. Replicas known to be in this
+        process's zone come before all others, because traffic between zones costs money. Within
+        both groups, the order differs from process to process, which distributes the load.
 
         """
         own = str(self.env.instance)
@@ -131,7 +134,8 @@
 
     def caches(self) -> list[CacheAddress]:
         """
-        Return the caches of weights listed in the latest answer of any replica.
+        Return the caches of weights listed in the latest answer that any replica gave; empty
+        before the first answer.
 
         """
         answered = [known for known in self.known.values() if known.answer is not None]
@@ -147,7 +151,8 @@
 
     async def ask(self, address: PeerAddress, question: FindReplicas) -> Replicas | None:
         """
-        Ask a replica for the replicas it knows, and record the answer; None without an answer.
+        Ask a replica which replicas it knows, record the answer and add those replicas. Returns
+        None if there is no answer; a replica that has not answered for long is then forgotten.
 
         """
         try:
--- a/packages/millfork-registry/millfork_registry/feed_client.py
+++ b/packages/millfork-registry/millfork_registry/feed_client.py
@@ -1,8 +1,9 @@
 """
-A follower's side of the feed: choice of the replica to follow, and its messages.
+A follower's side of the feed: it chooses the replica to follow and applies the messages of that
+replica's feed.
 
-With no replica in reach, a follower keeps using the last configuration and the
-last leases that it received.
+While a follower reaches no replica, it keeps using the last configuration and the last leases
+that it received.
 
 """
 
@@ -34,18 +35,22 @@
 )
 from millfork_wire.peers import PeerAddress, Peers
 
-# More than six heartbeats of the feed; the follower leaves a replica that is silent for longer.
+# A follower leaves a replica that sends nothing for this long, which is more than six heartbeat
+# periods of the feed.
 SILENT_AFTER_S: Final = 1.0
+# Timeout of a request to follow a replica.
 FOLLOW_TIMEOUT_S: Final = 0.6
 # How often the state of the followed replica is checked.
 SOURCE_CHECK_PERIOD_S: Final = 0.25
+# Pause before the follower tries the known replicas again.
 RETRY_PAUSE_S: Final = 0.1
-# How often the followed replica is asked for the replicas it knows and for named versions.
+# How often the followed replica is asked for the replicas it knows and for the cutoffs of model
+# versions.
 REPLICA_QUERY_PERIOD_S: Final = 2.0
 # A follower of a replica in another zone checks this often for a replica in its own zone.
 NEARER_CHECK_PERIOD_S: Final = 3.0
-# A replica that hasn't been known to be current for this long, as without contact to its leader,
-# may hold old configuration. Elections are shorter.
+# A replica that was last known to be current longer ago than this, for example because it has no
+# contact with its leader, may hold old configuration. Elections take less time.
 STALE_MS: Final = 1500
 
 log = logger(Component.REGISTRY)
@@ -53,7 +58,7 @@
 
 class FeedClient:
     """
-    Follows one replica at a time, and applies the messages of its feed.
+    Follows one replica at a time, and applies the messages of that replica's feed.
 
     """
 
@@ -74,29 +79,30 @@
         self.discovery = discovery
         self.source = NO_INSTANCE
         self.source_contact_at = 0.0
-        # Age of the followed replica's configuration: the time since the replica was known to have
-        # applied all committed entries.
+        # Age of the followed replica's configuration: the time since that replica was last known to
+        # have applied all committed log entries.
         self.age_ms = 0
-        # Number of entries that the replica knows now, and the greatest recent number.
+        # The number of entries that the followed replica knows now, and the greatest number that
+        # it knew in recent minutes.
         self.entries = 1
         self.peak_entries = 1
         # Whether any replica has reported the number of entries.
         self.entries_known = False
-        # The follower that relays the feed while no replica is in reach, and the follower
-        # that was last asked to do so.
+        # The follower that relays the feed while no replica can be reached, and the follower
+        # that was last asked to relay it.
         self.relay = ''
         self.pending_relay = ''
         self.version_cutoffs = VersionCutoffs()
         # When the followed replica was last asked for the replicas it knows.
         self.asked_at = 0.0
-        # Set whenever leases or configuration changed.
+        # Set whenever the configuration, leases, endpoint states or version cutoffs changed.
         self.changed = curio.Event()
 
     @property
     def report_target(self) -> str:
         """
-        The process that receives this process's reports: the replica that it follows, or a
-        relay that passes them on.
+        The process to which this process sends its reports: the followed replica or, if there
+        is one, the relay, which passes the reports on.
 
         """
         return self.relay or str(self.source)
@@ -112,14 +118,15 @@
 
     async def run(self) -> None:
         """
-        Task that follows a replica, and another one once that is lost.
+        Task that follows a replica and, whenever that is left, chooses the next one. The replica
+        followed last is tried last.
 
         """
         while True:
             for address in self._candidates():
                 if await self._start_following(address):
                     await self._watch_source(address)
-                    # Start over: a nearer replica may have become known meanwhile.
+                    # Start over: a replica nearer to this process may have become known.
                     break
             await curio.sleep(RETRY_PAUSE_S)
 
@@ -150,8 +157,8 @@
 
     async def _ask(self, address: PeerAddress) -> Replicas | None:
         """
-        Ask a replica for the replicas it knows and for recently named versions; None without
-        an answer.
+        Ask a replica for the replicas it knows and for the cutoffs of model versions, and
+        record both. Returns None if there is no answer.
 
         """
         asked_at = self.env.monotonic()
@@ -162,7 +169,8 @@
 
     async def record_switches(self, asked_at: float, switches: list[VersionSwitch]) -> None:
         """
-        Record the recently named versions in an answer to a question asked at `asked_at`.
+        Record the version cutoffs in an answer to a question asked at `asked_at` (monotonic
+        seconds).
 
         """
         if self.version_cutoffs.record_answer(asked_at, switches):
@@ -170,7 +178,7 @@
 
     def _lacks_a_cutoff(self) -> bool:
         """
-        Whether the configuration names a version whose cutoff no answer has reported yet.
+        Whether the configuration sets a model version whose cutoff no answer has reported yet.
 
         """
         return any(
@@ -183,7 +191,8 @@
 
     async def _fresher_replica_exists(self, address: PeerAddress, age_ms: int) -> bool:
         """
-        Whether another replica holds more recent configuration and isn't stale itself.
+        Whether another replica answers that its configuration is younger than `age_ms` and not
+        stale.
 
         """
         for other in self.discovery.addresses():
@@ -196,8 +205,9 @@
 
     async def _watch_source(self, address: PeerAddress) -> None:
         """
-        Return once the followed replica is silent, disconnected or stale, or a replica of
-        this process's zone answers.
+        Return once this process has left the followed replica, because that is silent or
+        disconnected, is stale while another replica is fresher, or is in another zone while a
+        current replica of this process's zone answers.
 
         """
         nearer_checked_at = self.env.monotonic()
@@ -237,8 +247,8 @@
 
     async def _nearer_replica_exists(self, address: PeerAddress) -> bool:
         """
-        Whether the followed replica is in another zone while one in this process's zone answers
-        and is in contact with its leader.
+        Whether the followed replica is in another zone, while a replica in this process's zone
+        answers and isn't stale.
 
         """
         own = str(self.env.zone)
@@ -260,7 +270,7 @@
 
     async def handle_feed_message(self, peer: InstanceId, message: Message) -> bool:
         """
-        Apply a message of the feed; False if the message isn't one of the feed.
+        Apply a message of the feed. Returns False for any other message.
 
         """
         if isinstance(message, Update):
--- a/packages/millfork-registry/millfork_registry/feed_relay.py
+++ b/packages/millfork-registry/millfork_registry/feed_relay.py
@@ -1,10 +1,11 @@
 """
 Relaying of the feed by another follower, to a process that is cut off from all replicas.
 
-Without a relay, an entry that is cut off balances by loads that are seconds old: four of
-nine entries in that state made half of all first tokens late, with spare capacity.
-Followers of the same zone are asked first, entries before endpoint daemons, whose links
-have little bandwidth. Only a follower connected to a replica relays, so no cycles arise.
+Without a relay, an entry that is cut off chooses engines by loads that are seconds old: when
+four of nine entries were cut off, half of all first tokens were late despite spare capacity.
+Followers of the same zone are asked first; within a zone, entries come before endpoint daemons,
+whose links have little bandwidth. Only a follower connected to a replica relays, so relays form
+no cycles.
 
 """
 
@@ -22,10 +23,11 @@
 from millfork_wire.connection import Connection, PeerError, PeerLost
 from millfork_wire.messages import AskFeed, FeedSent, Leases, VersionSwitch
 
-# The heartbeat period of a replica's feed.
+# How often the feed is requested from a relay. Equals the heartbeat period of a replica's feed.
 REQUEST_PERIOD_S: Final = 0.15
+# Timeout of one request for the feed.
 REQUEST_TIMEOUT_S: Final = 0.3
-# A feed counts as lost after four of its heartbeat periods.
+# A replica's feed counts as lost after this long without a message: four heartbeat periods.
 FEED_LOST_AFTER_S: Final = 0.6
 # Additional pause before the next round of requests if no follower answered.
 NO_RELAY_PAUSE_S: Final = 0.5
@@ -35,20 +37,22 @@
 
 class FeedRelay:
     """
-    Requests the feed from other followers while it is lost, and answers such requests.
+    Requests the feed from other followers while no replica sends it, and answers their requests
+    for the feed.
 
     """
 
     def __init__(self, env: Environment, feed_client: FeedClient) -> None:
         self.env = env
         self.feed_client = feed_client
+        # The relay's last reply, with the versions of its tables that this process has received.
         self.received_versions = FeedSent()
-        # Returns the recently named versions known to this process.
+        # Returns the model versions set recently, and how long older versions may still be used.
         self.switches: Callable[[], list[VersionSwitch]] = list
 
     async def run(self) -> None:
         """
-        Task that gets the feed from a relay while no replica sends it.
+        Task that gets the feed from other followers while no replica sends it.
 
         """
         while True:
@@ -72,8 +76,8 @@
 
     async def _request_from_any(self) -> bool:
         """
-        Request the feed from the present relay, or else from other followers; False if none
-        answers.
+        Request the feed from the present relay and, if that doesn't send it, from the other
+        followers until one sends it. Returns False if none does.
 
         """
         for name in self._candidates():
@@ -116,7 +120,7 @@
     def _candidates(self) -> list[str]:
         """
         Return the followers to ask: the present relay, then followers of this process's zone,
-        then the others; entries come before endpoint daemons.
+        then those of other zones. In both groups, entries come before endpoint daemons.
 
         """
         own = str(self.env.instance)
@@ -135,7 +139,9 @@
 
     async def answer(self, connection: Connection, question: AskFeed) -> FeedSent:
         """
-        Send a follower that is cut off what this process has received since the last request.
+        Send a follower that is cut off the changes since its last request, and return the
+        versions of the tables up to which it was sent them. Send nothing, and return a reply
+        that isn't `ok`, if this process isn't connected to a replica either.
 
         """
         feed_client = self.feed_client
--- a/packages/millfork-registry/millfork_registry/followers.py
+++ b/packages/millfork-registry/millfork_registry/followers.py
@@ -1,8 +1,9 @@
 """
-A replica's side of the feed, which sends configuration and leases to its followers.
+A replica's side of the feed, which sends the configuration and the registry's records to the
+replica's followers.
 
-One task serves each follower. Changes that occur together are sent together. Without
-changes, a follower gets a heartbeat with the configuration's age.
+One task serves each follower. Changes that occur within moments are sent together. While nothing
+changes, a follower gets heartbeats with the age of the replica's configuration.
 
 """
 
@@ -21,10 +22,10 @@
 from millfork_wire.connection import Connection, PeerLost
 from millfork_wire.messages import CacheAddress, Follow, Leases
 
-# A follower without messages for several of these periods changes to another replica.
-# Entries also receive the engines' load this often.
+# The longest time between two messages of the feed. A follower that gets none for several of
+# these periods follows another replica. Entries also receive the engines' load this often.
 HEARTBEAT_S: Final = 0.15
-# Changes within this time are sent in one message.
+# After a change, a feed waits this long so that it sends further changes in the same message.
 BATCH_DELAY_S: Final = 0.02
 ROLES_SENT_SUSPICIONS: Final = (ENTRY_ROLE, REPLICA_ROLE)
 
@@ -34,7 +35,8 @@
 
 class Follower:
     """
-    One process that follows this replica, and the versions of the tables last sent to it.
+    One process that follows this replica, and up to which versions of the registry's tables it
+    was sent the records.
 
     """
 
@@ -63,18 +65,22 @@
         self.env = env
         self.replica = replica
         self.registry = registry
-        # By instance id of the follower.
-        self.rows: dict[str, Follower] = {}
-        # Numbers of entries that follow other replicas, by replica.
+        # By the follower's instance id.
+        self.by_instance: dict[str, Follower] = {}
+        # By instance id of each other replica: the number of entries that follow it.
         self.entries_by_other_replica: dict[str, int] = {}
-        # The entries divide a fixed allowance of retries. Entries that start during a network
-        # partition must count those on the other side too, or else each side would use the
-        # full allowance.
+        # The greatest number of entries in recent minutes, by which the entries divide a fixed
+        # retry budget. Entries that start during a network partition must count the entries on
+        # the other side too; otherwise each side would use the full budget.
         self.peak_entries = WindowMax(ENTRIES_REMEMBERED_S)
 
     @property
     def local_entries(self) -> int:
-        return sum(1 for follower in self.rows.values() if follower.role == ENTRY_ROLE)
+        """
+        The number of entries that follow this replica.
+
+        """
+        return sum(1 for follower in self.by_instance.values() if follower.role == ENTRY_ROLE)
 
     def local_caches(self) -> list[CacheAddress]:
         """
@@ -83,37 +89,41 @@
         """
         return [
             CacheAddress(peer, follower.connection.hello.zone)
-            for peer, follower in self.rows.items()
+            for peer, follower in self.by_instance.items()
             if follower.role == ENTRY_ROLE
         ]
 
     @property
     def entries(self) -> int:
+        """
+        The number of entries that follow any replica, as far as this replica knows.
+
+        """
         return self.local_entries + sum(self.entries_by_other_replica.values())
 
     async def add(self, connection: Connection, message: Follow) -> None:
         """
-        Add a follower; it replaces an earlier feed to the same process. A message without a
-        role only ends that feed.
+        Start a feed to the process at the other end of the connection. An earlier feed to that
+        process ends; if the message has no role, no new one starts.
 
         """
-        before = self.rows.get(connection.peer)
+        before = self.by_instance.get(connection.peer)
         if before is not None:
             before.replaced = True
             await before.wake.set()
         if not message.role:
-            self.rows.pop(connection.peer, None)
+            self.by_instance.pop(connection.peer, None)
             return
         follower = Follower(connection, message.role)
-        self.rows[connection.peer] = follower
+        self.by_instance[connection.peer] = follower
         await self.env.spawn(self._feed, follower, message)
 
     async def wake(self) -> None:
         """
-        Have changes sent to all followers without waiting for the next heartbeat.
+        Make all feeds send their changes without waiting for the next heartbeat.
 
         """
-        for follower in list(self.rows.values()):
+        for follower in list(self.by_instance.values()):
             await follower.wake.set()
 
     async def wake_on_configuration(self) -> None:
@@ -144,8 +154,8 @@
         except PeerLost:
             pass
         finally:
-            if self.rows.get(follower.connection.peer) is follower:
-                del self.rows[follower.connection.peer]
+            if self.by_instance.get(follower.connection.peer) is follower:
+                del self.by_instance[follower.connection.peer]
                 log.info('Follower {} is gone. role={}', follower.connection.peer, follower.role)
 
     async def _pause(self, follower: Follower) -> None:
@@ -158,8 +168,9 @@
 
     def _next_leases_message(self, follower: Follower) -> Leases:
         """
-        Return the records that the follower lacks. After the first message, which holds all
-        records, another replica is sent only the records owned here.
+        Return a message with the records that the follower lacks, and count them as sent. The
+        first message of a feed holds all records. After that, a follower that is a replica gets
+        only those leases and endpoint states that are owned here.
 
         """
         registry = self.registry
--- a/packages/millfork-registry/millfork_registry/records.py
+++ b/packages/millfork-registry/millfork_registry/records.py
@@ -21,7 +21,7 @@
     DRAINING = 'draining'
     # The heartbeats stopped; a later heartbeat renews the lease.
     EXPIRED = 'expired'
-    # The back end announced that it leaves; only another incarnation of its id can return.
+    # The back end announced that it leaves. Only a later incarnation replaces this lease.
     GONE = 'gone'
 
 
@@ -47,8 +47,9 @@
 
 class Lease(msgspec.Struct, frozen=True, array_like=True):
     """
-    One incarnation of a back end. `sequence` increases with each heartbeat and restarts
-    with the next incarnation; `owner` is the replica that received the last heartbeat.
+    The lease of one incarnation of a back end. `sequence` increases with each heartbeat and
+    restarts with the next incarnation. `owner` is the replica that received the last heartbeat
+    or leave notice, or that expired the lease.
 
     """
 
@@ -80,7 +81,7 @@
 
     def needs_announcement_after(self, older: 'Lease') -> bool:
         """
-        Whether this record must be sent to others, given that they have `older`.
+        Whether this lease must be sent to processes that have `older`.
 
         """
         return (
@@ -128,8 +129,9 @@
     """
     The state that an endpoint daemon reports of itself and of the engine beside it.
 
-    `sequence` is the daemon's monotonic clock in ms; `tokens_used` and `tokens_total`
-    describe the engine's memory.
+    `sequence` is the time of the report by the daemon's monotonic clock, in ms. `tokens_used`
+    and `tokens_total` are the used and the whole memory of the engine, in tokens. The engine is
+    slower than its declared speed if `pace` is above 1.
 
     """
 
@@ -148,11 +150,11 @@
     pace: float = 1.0
     served: tuple[ServedVersion, ...] = ()
     held: tuple[HeldVersion, ...] = ()
-    # The version that the engine is changing to at this moment, 0 if none.
+    # The version of the weights that the engine is changing to now, 0 if none.
     changing_to: int = 0
-    # The layers of a version in transfer that the daemon loads into its engine first.
+    # While a version is transferred: the layers that the daemon loads into its engine first.
     goal: ServedVersion | None = None
-    # The engine's incarnation.
+    # The incarnation of the engine, not of the daemon.
     incarnation: Incarnation = UNKNOWN_INCARNATION
     # Requests per second that the engine accepts from all entries together, if it has a limit.
     limit_per_s: float | None = None
@@ -165,9 +167,10 @@
 
     def needs_announcement_after(self, older: 'EndpointState | None') -> bool:
         """
-        Whether this state must reach others without delay. Changes of the load and of the
-        progress of a transfer may wait: sent without delay, each received chunk made a
-        replica send to all its followers, also in other regions, up to 50 times a second.
+        Whether this state must be sent without delay to processes that have `older`. Changes
+        of the load and of the progress of a transfer may wait: when they were sent without
+        delay, each chunk that a daemon received made a replica send a message to all its
+        followers, also in other regions, up to 50 times a second.
 
         """
         return older is None or self._announced_fields != older._announced_fields
@@ -181,15 +184,15 @@
             held,
             self.changing_to,
             self.goal,
-            # The limit's value is left out: it can change with each answer, and each change
-            # would be sent to all followers.
+            # Only whether there is a limit, not its value: the value can change with each answer
+            # of the engine, and each change would be sent to all followers without delay.
             self.limit_per_s is not None,
             self.leaving,
         )
 
 
-_LEASES = msgspec.msgpack.Decoder(list[Lease])
-_STATES = msgspec.msgpack.Decoder(list[EndpointState])
+_LEASES_DECODER = msgspec.msgpack.Decoder(list[Lease])
+_STATES_DECODER = msgspec.msgpack.Decoder(list[EndpointState])
 
 
 def encode_records(records: list[Lease] | list[EndpointState]) -> bytes:
@@ -203,7 +206,7 @@
     :raises msgspec.DecodeError: if the data is malformed.
 
     """
-    return _LEASES.decode(data) if data else []
+    return _LEASES_DECODER.decode(data) if data else []
 
 
 def decode_states(data: bytes) -> list[EndpointState]:
@@ -213,7 +216,7 @@
     :raises msgspec.DecodeError: if the data is malformed.
 
     """
-    return _STATES.decode(data) if data else []
+    return _STATES_DECODER.decode(data) if data else []
 
 
 def decode_state(data: bytes) -> EndpointState:
--- a/packages/millfork-registry/millfork_registry/registry.py
+++ b/packages/millfork-registry/millfork_registry/registry.py
@@ -2,10 +2,11 @@
 The leases of back ends and the states of endpoint daemons: soft state, kept in
 memory by every replica and follower.
 
-A lease is owned by the replica that received its last heartbeat. Only changes
-are sent to others, so an idle fleet causes no traffic between replicas. The
-owner expires a lease. If the owner is lost, each replica expires the owner's
-leases by itself, unless the back end has found another owner.
+A lease is owned by the replica that received its last heartbeat. Replicas send each other
+changes of leases but not renewals, so an idle fleet causes no traffic between replicas. The owner
+expires a lease whose heartbeats stop. If the owner is lost, each other replica expires the
+owner's leases by itself, except those of back ends that send their heartbeats to another replica
+by then.
 
 """
 
@@ -23,17 +24,18 @@
 
 # A lease expires after this many heartbeat periods without a heartbeat.
 MISSED_HEARTBEATS: Final = 3.5
-# An ended record is kept this long, so that a delayed heartbeat of the same
-# incarnation changes nothing.
+# An expired or gone lease is kept this long, so that a delayed heartbeat of the same incarnation
+# changes nothing.
 ENDED_RETENTION_S: Final = 120.0
-# If incarnations aren't reported, an unknown back end at the address of a live one is accepted
-# only with its first heartbeat (FIRST_SEQUENCE), or with a later one that arrives at least
-# MIN_GAP_SHARE of the heartbeat period after the first one received: a process that has ended
-# sends no more heartbeats, and two delayed ones arrive together.
+# The sequence number of a back end's first heartbeat.
 FIRST_SEQUENCE: Final = 1
+# If back ends don't report incarnations, an unknown back end at the address of a live one is
+# accepted only with its first heartbeat, or with a heartbeat that arrives at least this share of
+# the heartbeat period after an earlier one: a process that has ended sends no more heartbeats, and
+# two delayed ones arrive together.
 MIN_GAP_SHARE: Final = 0.5
-# An endpoint daemon that has sent no report for this long is dropped; it reports at least once a
-# second.
+# The state of an endpoint daemon that has sent no report for this long is dropped. A daemon
+# reports at least once a second.
 REPORT_LIFETIME_S: Final = 3.5
 ENDED_STATES: Final = (LeaseState.GONE, LeaseState.EXPIRED)
 
@@ -42,7 +44,8 @@
 
 class RecordChange(Enum):
     """
-    The effect of a record on the registry; only `CHANGED` must reach others without delay.
+    The effect of a received record on the registry. Only `CHANGED` must be sent to other
+    processes without delay.
 
     """
 
@@ -64,13 +67,15 @@
         self.leases: VersionedTable[Lease] = VersionedTable()
         self.endpoints: VersionedTable[EndpointState] = VersionedTable()
         self.suspicion_store = SuspicionStore(env.monotonic)
+        # By instance, of leases and endpoint states: when the last record arrived.
         self.last_received_at: dict[str, float] = {}
         self.ended_at_by_instance: dict[str, float] = {}
-        # The back end that was last known to run at an address.
+        # The back end that was last known to run at each address (host and port).
         self.instance_by_address: dict[tuple[str, int], str] = {}
-        # Unknown back ends at the address of a live one: the first heartbeat's sequence and time.
+        # Unknown back ends at the address of a live one, whose heartbeats are ignored until
+        # confirmed: the sequence and arrival time of the first heartbeat.
         self.unconfirmed: dict[str, tuple[int, float]] = {}
-        # Whether a back end without a record here is known not to exist.
+        # Whether this registry holds all leases, so that a back end without one doesn't exist.
         self.is_complete = False
 
     def record_heartbeat(self, lease: Lease) -> RecordChange:
@@ -114,7 +119,8 @@
     def _may_be_delayed(self, lease: Lease, other: Lease) -> bool:
         """
         Whether a heartbeat of an unknown back end may be a delayed one, from a process that ran
-        at the address before the back end with the `other` lease.
+        at the address before the back end with the `other` lease. The first such heartbeat is
+        recorded; a later one shows that the process is alive.
 
         """
         if (lease.incarnation and other.incarnation) or lease.sequence <= FIRST_SEQUENCE:
@@ -128,7 +134,7 @@
 
     def _live_lease_at_address(self, lease: Lease) -> Lease | None:
         """
-        Return the live lease of another back end at the same address.
+        Return the live lease of another back end at the address in `lease`, or None.
 
         """
         instance = self.instance_by_address.get((lease.host, lease.port), lease.instance)
@@ -141,13 +147,13 @@
 
     def record_leave(self, instance: str, incarnation: Incarnation | None = None) -> RecordChange:
         """
-        Record that a back end leaves: the given incarnation, or else the known one.
+        Record that an incarnation of a back end leaves; if None is given, the known incarnation.
 
         """
         held = self.leases.get(instance)
         owner = str(self.env.instance)
         if held is None:
-            # Other replicas may know the back end, so its leaving is recorded nevertheless.
+            # Other replicas may know the back end and must learn that it leaves.
             leaving = incarnation or UNKNOWN_INCARNATION
             gone = Lease(instance, '', '', 0, '', 0, LeaseState.GONE, 0, owner, incarnation=leaving)
             return self.merge_lease(gone)
@@ -159,7 +165,7 @@
 
     def merge_lease(self, lease: Lease) -> RecordChange:
         """
-        Store a record from any source if it is newer than the held one.
+        Store a lease from any source if it is newer than the held one.
 
         """
         held = self.leases.get(lease.instance)
@@ -198,7 +204,7 @@
 
     def _is_wrongly_ended(self, held: Lease, reported: Lease) -> bool:
         """
-        Whether another process expired a lease that this process owns and still renews.
+        Whether another process reports as expired a lease that is owned here and live.
 
         """
         owned = held.owner == str(self.env.instance) and held.state not in ENDED_STATES
@@ -207,8 +213,9 @@
 
     def _announce_again(self, held: Lease) -> RecordChange:
         """
-        Send a held lease to others once more. Renewals are not sent, so others know only an
-        older sequence and would treat the back end as gone until its state changes.
+        Have a held lease sent to other processes once more. Renewals are not sent, so the other
+        processes know only an older sequence of the lease, and would treat the back end as ended
+        until its state changes.
 
         """
         log.info('Lease announced again. instance={} sequence={}', held.instance, held.sequence)
@@ -217,7 +224,8 @@
 
     def restart_expiry_timers(self) -> None:
         """
-        Restart the expiry time of every lease, because this process did not run until now.
+        Restart the expiry time of every lease, after a pause in which this process could not
+        receive heartbeats.
 
         """
         now = self.env.monotonic()
@@ -240,7 +248,8 @@
 
     def retain_only(self, leases: set[str], endpoints: set[str]) -> None:
         """
-        Drop every record that a replica with complete records doesn't have.
+        Drop all records except those of the given instances, which are all that a replica with
+        complete records has.
 
         """
         for key in [key for key in self.leases.rows if key not in leases]:
@@ -251,8 +260,8 @@
 
     def expire(self, lost_owners: set[str]) -> list[Lease]:
         """
-        Expire leases without recent heartbeats, both those owned here and
-        those of lost owners; returns the expired ones.
+        Expire the leases without recent heartbeats that are owned here or by a lost owner, and
+        return them. Also forget leases that ended `ENDED_RETENTION_S` ago.
 
         """
         now = self.env.monotonic()
@@ -262,7 +271,7 @@
                 continue
             owned_here = lease.owner == str(self.env.instance)
             if not owned_here and lease.owner not in lost_owners:
-                # The owner expires it; silence counts here from the owner's loss.
+                # The owner expires this lease. If the owner is lost, silence counts from then.
                 self.last_received_at[lease.instance] = now
                 continue
             if now - self.last_received_at.get(lease.instance, now) < self.lease_s:
@@ -306,7 +315,8 @@
 
 def _is_of_earlier_process(lease: Lease, other: Lease, held: Lease | None) -> bool:
     """
-    Whether a heartbeat's process ran at the address before that of the `other` lease.
+    Whether the process that sent the heartbeat `lease` ran at its address before the process of
+    the `other` lease. `held` is the known lease of the back end that sent the heartbeat.
 
     """
     if lease.incarnation and other.incarnation:
@@ -318,7 +328,8 @@
 
 def _is_of_later_process(lease: Lease, other: Lease, held: Lease | None) -> bool:
     """
-    Whether a heartbeat shows that the process of the `other` lease at its address has ended.
+    Whether the heartbeat `lease` shows that the process of the `other` lease, at the same address,
+    has ended. `held` is the known lease of the back end that sent the heartbeat.
 
     """
     if lease.incarnation and other.incarnation:
--- a/packages/millfork-registry/millfork_registry/roles.py
+++ b/packages/millfork-registry/millfork_registry/roles.py
@@ -1,5 +1,5 @@
 """
-The values of a follower's role in messages of the feed.
+The roles of followers, as a follower gives its own in the `Follow` message.
 
 """
 
--- a/packages/millfork-registry/millfork_registry/suspicion_store.py
+++ b/packages/millfork-registry/millfork_registry/suspicion_store.py
@@ -1,10 +1,11 @@
 """
-Suspicions: counts of back ends that ended while they ran a request, shared by all entries
-and replicas.
+Suspicions: records of the back ends that ended one after another while they ran a request,
+shared by all entries and replicas.
 
-A suspicion belongs to the fingerprint of a request's content, so it outlives the attempts
-and the entries that made them. Two processes merge what they know: the later epoch wins,
-and within an epoch both records are combined. The order and number of merges don't matter.
+A suspicion belongs to the fingerprint of a request's content, so it outlives the attempts to
+send the request, and the entries that made these attempts. Two processes merge their records of
+a fingerprint: the record of the later epoch wins, and records of the same epoch are combined.
+The order and number of merges don't matter.
 
 """
 
@@ -18,15 +19,20 @@
 from millfork_core.logs import Component, logger
 from millfork_registry.versioned_table import VersionedTable
 
-# An hourly job may end one back end with each of its attempts, so records must outlive an hour.
+# A suspicion is dropped this long after its last change. An hourly job may crash one back end
+# with each of its attempts, so suspicions must be kept for more than an hour.
 SUSPICION_RETENTION_S: Final = 24 * 3600.0
-# A caller that varies its body creates one record for each back end that it ends. 4,096 records
-# take 1.5 MB; 200 engines with 16 requests each have fewer in progress if all end at once.
+# The number of suspicions that one process keeps. A caller that varies the body of its request
+# creates one for each back end that it crashes. 4,096 suspicions take 1.5 MB. Even if 200 engines
+# with 16 requests each end at once, there are fewer.
 MAX_SUSPICIONS: Final = 4096
-# More incarnations for one request would not change any decision; each takes about 40 bytes.
+# The number of incarnations kept in a suspicion's `broken`. More would not change any decision
+# about the request; each takes about 40 bytes.
 MAX_BROKEN_INCARNATIONS: Final = 4
-# A private suspicion that is not withdrawn within this time is sent to other processes.
+# A private suspicion is one that this process doesn't send to others yet, because it may be
+# withdrawn within moments. If it isn't withdrawn within this time, it is sent.
 MAX_PRIVATE_S: Final = 1.5
+# Size of an epoch in the replicated state.
 EPOCH_BYTES: Final = 8
 
 log = logger(Component.REGISTRY)
@@ -34,15 +40,15 @@
 
 class Suspicion(msgspec.Struct, frozen=True, array_like=True):
     """
-    How many back ends ended one after another while they ran a request. A complete answer
-    clears the suspicion: the next `epoch` starts with zero ends.
+    How many back ends ended one after another while they ran a request (`ends`). A complete
+    answer clears the suspicion: the next `epoch` starts with zero ends.
 
-    An attempt sets `ends` to one more than the count known when the attempt was sent. Back
-    ends that run the same request and end at the same moment, as in a loss of power,
-    therefore count as one.
+    If the back end ends during an attempt to send the request, `ends` becomes one more than the
+    count known when the attempt was sent. Back ends that run the request and end at the same
+    moment, as in a loss of power, therefore count as one.
 
     `broken` holds the incarnations that broke off an answer to the request and either ended
-    or may have ended. Once one of them is known to live on, the next epoch starts without it.
+    or may have ended. Once one of them is known to be alive, the next epoch starts without it.
 
     """
 
@@ -70,7 +76,8 @@
 
     def without_broken(self, incarnation: IncarnationKey) -> 'Suspicion':
         """
-        Return the next epoch's suspicion, once an incarnation is known to live on.
+        Return the suspicion of the next epoch, which starts because this incarnation is known
+        to be alive. There can't be more `ends` than incarnations that remain in `broken`.
 
         """
         broken = tuple(key for key in self.broken if key != incarnation)
@@ -78,7 +85,7 @@
 
     def merged_with(self, other: 'Suspicion') -> 'Suspicion':
         """
-        Return the suspicion that results from combining this one with another process's.
+        Return this suspicion merged with another process's suspicion of the request.
 
         """
         if self.epoch != other.epoch:
@@ -90,7 +97,7 @@
         return Suspicion(self.fingerprint, self.epoch + 1)
 
 
-_SUSPICIONS = msgspec.msgpack.Decoder(list[Suspicion])
+_SUSPICIONS_DECODER = msgspec.msgpack.Decoder(list[Suspicion])
 
 
 def encode_suspicions(suspicions: list[Suspicion]) -> bytes:
@@ -104,13 +111,13 @@
     :raises msgspec.DecodeError: if the data is malformed.
 
     """
-    return _SUSPICIONS.decode(data) if data else []
+    return _SUSPICIONS_DECODER.decode(data) if data else []
 
 
 def encode_epoch(epoch: int) -> bytes:
     """
-    Encode, for the replicated state, the epoch in which a request was put on the quarantine
-    list.
+    Encode the epoch in which a request was put on the quarantine list, as the replicated state
+    stores it.
 
     """
     return epoch.to_bytes(EPOCH_BYTES, 'big')
@@ -122,20 +129,19 @@
 
 class SuspicionStore:
     """
-    The suspicions known to one process, and which of them it still has to send to others.
+    The suspicions known to one process, and which of them it has yet to send to others.
 
     """
 
     def __init__(self, monotonic: Callable[[], float]) -> None:
         self.monotonic = monotonic
         self.table: VersionedTable[Suspicion] = VersionedTable()
+        # When each suspicion last changed (monotonic seconds).
         self.changed_at: dict[Fingerprint, float] = {}
-        # Suspicions that the process at the other end of the feed may lack. Code that adds one
-        # sets `unsent_event`.
+        # Suspicions that other processes may lack. Code that adds one sets `unsent_event`.
         self.unsent: dict[Fingerprint, Suspicion] = {}
         self.unsent_event = curio.Event()
-        # When each suspicion became known that is not yet sent to others, because it may be
-        # withdrawn within moments.
+        # When each private suspicion became known (monotonic seconds).
         self.private_since: dict[Fingerprint, float] = {}
 
     def get(self, fingerprint: Fingerprint) -> Suspicion:
@@ -143,7 +149,8 @@
 
     async def record(self, suspicion: Suspicion) -> None:
         """
-        Record a suspicion that this process found, and schedule it for sending.
+        Record a suspicion that this process found, and schedule it for sending if
+        it changes the known one.
 
         """
         if self._merge_one(suspicion):
@@ -151,8 +158,9 @@
 
     def record_privately(self, suspicion: Suspicion) -> None:
         """
-        Record a suspicion that this process found. It is sent only with the next change of the
-        same request's suspicion.
+        Record a suspicion that this process found, without scheduling it for sending. If it is
+        the first suspicion of the request, it stays private until `publish`, `publish_overdue`
+        or its next change schedules it.
 
         """
         fingerprint = suspicion.fingerprint
@@ -162,7 +170,7 @@
 
     async def publish(self, fingerprint: Fingerprint) -> None:
         """
-        Schedule a private suspicion for sending.
+        Schedule the suspicion of a request for sending, if it is private.
 
         """
         if fingerprint in self.private_since:
@@ -170,18 +178,18 @@
 
     async def publish_overdue(self) -> None:
         """
-        Schedule the private suspicions for sending that were not withdrawn in time.
+        Schedule the suspicions for sending that have been private for `MAX_PRIVATE_S`.
 
         """
-        since = self.monotonic() - MAX_PRIVATE_S
-        for fingerprint, kept_since in list(self.private_since.items()):
-            if kept_since < since:
+        overdue_before = self.monotonic() - MAX_PRIVATE_S
+        for fingerprint, since in list(self.private_since.items()):
+            if since < overdue_before:
                 await self.mark_unsent(fingerprint)
 
     async def withdraw(self, suspicion: Suspicion) -> None:
         """
-        Record that a request is less suspected, or not at all. A private suspicion that is
-        cleared is dropped without sending.
+        Record a suspicion that was reduced or cleared. If it is clear and the recorded one is
+        private, the record is dropped and nothing is sent.
 
         """
         if suspicion.fingerprint in self.private_since and suspicion.is_clear:
@@ -191,7 +199,7 @@
 
     async def mark_unsent(self, fingerprint: Fingerprint) -> None:
         """
-        Schedule the suspicion of a request for sending.
+        Schedule the suspicion of a request for sending. It is private no longer.
 
         """
         self.private_since.pop(fingerprint, None)
@@ -200,29 +208,30 @@
 
     async def merge(self, suspicions: list[Suspicion]) -> list[Fingerprint]:
         """
-        Merge another process's suspicions; returns the fingerprints whose record changed.
+        Merge another process's suspicions. Returns the fingerprints whose records changed here,
+        and schedules the merged records for sending that the other process lacks.
 
         """
-        new = []
+        changed = []
         for suspicion in suspicions:
             if self._merge_one(suspicion):
-                new.append(suspicion)
+                changed.append(suspicion)
                 self.private_since.pop(suspicion.fingerprint, None)
             held = self.get(suspicion.fingerprint)
             if held == suspicion:
                 self.unsent.pop(suspicion.fingerprint, None)
                 continue
-            # The other process lacks part of the record: it, and those that learn from it, may
-            # have restarted.
+            # The other process lacks part of the merged record. That process and those that
+            # learn from it may have restarted.
             await self.mark_unsent(suspicion.fingerprint)
-        if new:
+        if changed:
             log.info(
                 'Suspicions received. requests={} most_ends={} most_broken={}',
-                len(new),
-                max(suspicion.ends for suspicion in new),
-                max(len(suspicion.broken) for suspicion in new),
+                len(changed),
+                max(suspicion.ends for suspicion in changed),
+                max(len(suspicion.broken) for suspicion in changed),
             )
-        return [suspicion.fingerprint for suspicion in new]
+        return [suspicion.fingerprint for suspicion in changed]
 
     def published(self) -> list[Suspicion]:
         """
@@ -233,8 +242,8 @@
 
     async def mark_all_unsent(self) -> None:
         """
-        Schedule all suspicions that are not private for sending, because the replica that this
-        process now follows may have restarted.
+        Schedule all suspicions for sending except the private ones. A process that starts to
+        follow a replica does this, because the replica may have restarted.
 
         """
         for suspicion in self.published():
@@ -255,7 +264,8 @@
 
     def _oldest_dispensable(self) -> Fingerprint:
         """
-        Return the least recently changed one of the clear records, or of all if none is clear.
+        Return the fingerprint of the clear record that changed least recently or, if none is
+        clear, of the record that changed least recently.
 
         """
         for suspicion in self.table.values():
@@ -265,13 +275,13 @@
 
     def forget_expired(self) -> None:
         """
-        Drop records that have not changed for `SUSPICION_RETENTION_S`.
+        Drop the suspicions that have not changed for `SUSPICION_RETENTION_S`.
 
         """
-        since = self.monotonic() - SUSPICION_RETENTION_S
+        oldest_kept = self.monotonic() - SUSPICION_RETENTION_S
         for suspicion in list(self.table.values()):
-            if self.changed_at[suspicion.fingerprint] > since:
-                # The table is ordered by last change, so all that follow are newer.
+            if self.changed_at[suspicion.fingerprint] > oldest_kept:
+                # The table is ordered by last change, so all further ones changed later.
                 return
             self._forget(suspicion.fingerprint)
 
--- a/packages/millfork-registry/millfork_registry/version_cutoffs.py
+++ b/packages/millfork-registry/millfork_registry/version_cutoffs.py
@@ -1,11 +1,12 @@
 """
 Cutoffs of model versions: the times from which no request may begin on an older version.
 
-The leader of the replicas knows when a version was named. The other replicas ask the
-leader, and followers ask their replica. An answer gives the time that remains until the
-cutoff. It is counted from the moment of the question, so a process that was paused or reads
-from a slow link can only compute too early a cutoff. When it was counted from the reading of
-the answer, a process stopped for 3.4 s computed a cutoff 3.4 s too late.
+The leader of the replicas knows when a version was set in the configuration. The other replicas
+ask the leader, and followers ask their replica. An answer gives the time that remains until the
+cutoff. This time is counted from the moment of the question, so a process that was paused, or
+that reads from a slow link, can only compute a cutoff that is too early. When the time was
+counted from the reading of the answer, a process stopped for 3.4 s computed a cutoff 3.4 s too
+late.
 
 """
 
@@ -19,7 +20,7 @@
 
 class VersionCutoffs:
     """
-    The cutoffs by model and version, in monotonic seconds.
+    The known cutoffs by model and version, in monotonic seconds.
 
     """
 
@@ -28,7 +29,8 @@
 
     def record_answer(self, asked_at: float, switches: Iterable[VersionSwitch]) -> bool:
         """
-        Record an answer to a question asked at `asked_at`; True if it changed a cutoff.
+        Record the cutoffs in an answer to a question asked at `asked_at` (monotonic seconds).
+        Returns whether a known cutoff changed or a new one was added.
 
         """
         changes = [self._record_switch(switch, asked_at) for switch in switches]
@@ -38,9 +40,9 @@
         key = (switch.model, switch.version)
         cutoff = asked_at + switch.left_ms / MS_PER_S
         known = self.cutoffs.get(key)
-        # Each answer's cutoff is early by the time that the answer took, so the latest is
-        # the most accurate. A cutoff that has passed stays, because a replica that was away
-        # may report a later one.
+        # The cutoff computed from an answer is early by the time that the answer took, so the
+        # latest cutoff is the most accurate. A cutoff that has passed stays, because a replica
+        # that was cut off may report a later one.
         if known is not None and (known <= asked_at or cutoff <= known):
             return False
         self.cutoffs[key] = cutoff
@@ -48,7 +50,8 @@
 
     def cutoff_of(self, model: str, version: int) -> float | None:
         """
-        Return when requests may no longer begin on versions before this one, if known.
+        Return when requests may no longer begin on versions before this one (monotonic
+        seconds), or None if that isn't known.
 
         """
         return self.cutoffs.get((model, version))
--- a/packages/millfork-registry/millfork_registry/versioned_table.py
+++ b/packages/millfork-registry/millfork_registry/versioned_table.py
@@ -1,5 +1,5 @@
 """
-A table of records by key, each with the table version of its last change.
+A table of records by key, which keeps the table version of each record's last change.
 
 """
 
@@ -12,8 +12,8 @@
 
 class VersionedTable(Generic[Record]):
     """
-    Records ordered by their last change, so that finding the records changed
-    since a version reads only those.
+    Records ordered by their last change, so that `changed_since` reads only the records that it
+    returns.
 
     """
 
@@ -30,7 +30,7 @@
 
     def put(self, key: str, record: Record) -> None:
         """
-        Set a record as a new change, which `changed_since` reports.
+        Store a record and count that as a change, which `changed_since` reports.
 
         """
         self.version += 1
@@ -39,14 +39,15 @@
 
     def put_unannounced(self, key: str, record: Record) -> None:
         """
-        Replace a record without counting a change, so others aren't sent it.
+        Replace an existing record without counting that as a change.
 
         """
         self.rows[key] = (record, self.rows[key][1])
 
     def remove(self, key: str) -> None:
         """
-        Remove a record. This increases the version, but `changed_since` doesn't report it.
+        Remove a record, if there is one. A removal increases the version, but `changed_since`
+        doesn't report removals.
 
         """
         if self.rows.pop(key, None) is not None:
@@ -62,8 +63,8 @@
 
         """
         found = []
-        for record, changed in reversed(self.rows.values()):
-            if changed <= version:
+        for record, changed_at in reversed(self.rows.values()):
+            if changed_at <= version:
                 break
             found.append(record)
         found.reverse()
--- a/packages/millforkd/millforkd/replica/__init__.py
+++ b/packages/millforkd/millforkd/replica/__init__.py
@@ -1,4 +1,5 @@
 """
-The replica role: replicated state, leases, and the calls of back ends and operators.
+The replica role: keeps the replicated state and the leases, and answers the calls of back ends
+and operators.
 
 """
--- a/packages/millforkd/millforkd/replica/control.py
+++ b/packages/millforkd/millforkd/replica/control.py
@@ -39,13 +39,15 @@
 from millforkd.document import find_new_document
 from millforkd.replica.replica_links import ReplicaLinks
 
-# An operator's client changes to another replica after one second.
+# Timeout of a call to the leader: after one second, an operator's client tries another replica.
 PROPOSAL_TIMEOUT_S: Final = 0.9
-# Documents are text; at this level, compression takes 1 ms and halves their size in the log.
+# zlib level for documents, which are text: it takes 1 ms and halves their size in the replicated
+# log.
 COMPRESSION_LEVEL: Final = 1
-# A client of another system may call at any rate, so refusals are logged at most this often per
-# reason.
+# A client of another system may call at any rate, so refused calls are logged at most this often
+# for each reason.
 REFUSAL_LOG_PERIOD_S: Final = 1.0
+# The name of an undeclared service is cut to this length in the refusal.
 MAX_LOGGED_CHARS: Final = 100
 
 log = logger(Component.CONTROL)
@@ -74,18 +76,18 @@
         self.followers = followers
         self.replica_links = replica_links
         self.leader_client = leader_client
-        # The declared services; None as long as there is no document.
+        # The services that the operator's document declares; None while there is no document.
         self.services: frozenset[ServiceName] | None = None
         self.services_revision = 0
-        # By reason: the time of the last logged refusal, and the number of refusals since.
-        self.refused_logged: dict[Reason, float] = {}
-        self.refused_unlogged: Counter[Reason] = Counter()
-        # Drains and leave notices of back ends that a majority of the replicas has.
-        self.endings_at_majority: set[tuple[str, Incarnation, LeaseState]] = set()
+        # By reason: when a refusal was last logged, and the number of refusals since.
+        self.last_refusal_logged_at: dict[Reason, float] = {}
+        self.unlogged_refusals: Counter[Reason] = Counter()
+        # Drains and leave notices that a majority of the replicas has already received.
+        self.departures_at_majority: set[tuple[str, Incarnation, LeaseState]] = set()
 
     async def answer(self, exchange: Exchange) -> None:
         """
-        Answer one call.
+        Read one call, carry it out and send the response.
 
         """
         try:
@@ -99,16 +101,19 @@
 
     def _refuse(self, refusal: Refusal) -> Response:
         self.env.metrics.refused(refusal.reason, 'control')
-        self.refused_unlogged[refusal.reason] += 1
+        self.unlogged_refusals[refusal.reason] += 1
         now = self.env.monotonic()
-        if now - self.refused_logged.get(refusal.reason, float('-inf')) >= REFUSAL_LOG_PERIOD_S:
+        if (
+            now - self.last_refusal_logged_at.get(refusal.reason, float('-inf'))
+            >= REFUSAL_LOG_PERIOD_S
+        ):
             log.warning(
                 'Refused a call. reason={} detail={} calls={}',
                 refusal.reason.value,
                 refusal.detail,
-                self.refused_unlogged.pop(refusal.reason),
+                self.unlogged_refusals.pop(refusal.reason),
             )
-            self.refused_logged[refusal.reason] = now
+            self.last_refusal_logged_at[refusal.reason] = now
         return problem(refusal)
 
     @singledispatchmethod
@@ -116,7 +121,7 @@
         """
         Carry out one call.
 
-        :raises Refused: if it can't be done.
+        :raises Refused: if the call can't be carried out.
 
         """
         raise Refused(Refusal(Reason.NOT_FOUND))
@@ -127,9 +132,9 @@
 
     def _check_service(self, service: str) -> None:
         """
-        Check that the service of a heartbeat is declared. Otherwise the heartbeat comes from
-        another system and, if accepted, could end the lease of a back end with the same id or
-        address.
+        Check that the operator's document declares the service of a heartbeat. A heartbeat for
+        any other service comes from another system and, if accepted, could end the lease of a
+        back end with the same id or address.
 
         :raises Refused: if the document doesn't declare the service.
 
@@ -150,7 +155,7 @@
         if change is RecordChange.CHANGED:
             await self.followers.wake()
         if lease.state is LeaseState.DRAINING:
-            await self._send_ending_to_majority(lease.instance)
+            await self._send_departure_to_majority(lease.instance)
         return self.adapter.accepted_response()
 
     @on.register
@@ -159,36 +164,36 @@
             raise Refused(Refusal(Reason.NOT_READY, detail='the back end is not known here yet'))
         if self.registry.record_leave(call.instance, call.incarnation) is RecordChange.CHANGED:
             await self.followers.wake()
-        await self._send_ending_to_majority(call.instance)
+        await self._send_departure_to_majority(call.instance)
         return self.adapter.accepted_response()
 
     def _may_be_of_another_incarnation(self, call: LeaveNotice) -> bool:
         """
-        Whether other replicas may know an incarnation that this leave notice doesn't end, as the
-        notice names none and none is known here. Requests would reach that incarnation after
-        the notice is acknowledged.
+        Whether a leave notice may be meant for an incarnation that only other replicas know: the
+        notice gives no incarnation, and none is known here. If the notice were acknowledged,
+        requests would still reach that incarnation.
 
         """
         known = self.registry.leases.get(call.instance) is not None
         return call.incarnation is None and not known and not self.registry.is_complete
 
-    async def _send_ending_to_majority(self, instance: str) -> None:
+    async def _send_departure_to_majority(self, instance: str) -> None:
         """
-        Send a back end's drain or leave notice to a majority of the replicas before it
+        Send a back end's drain or leave notice to a majority of the replicas before the notice
         is acknowledged, as the back end relies on the acknowledgement.
 
-        :raises Refused: if too few replicas confirmed it in time.
+        :raises Refused: if too few replicas confirmed the notice in time.
 
         """
         lease = self.registry.leases.get(instance)
         if lease is None or lease.state is LeaseState.READY:
             return
         key = (instance, lease.incarnation, lease.state)
-        if key in self.endings_at_majority:
+        if key in self.departures_at_majority:
             return
         if not await self.replica_links.send_to_majority(lease):
             raise Refused(Refusal(Reason.NO_QUORUM, detail='too few replicas acknowledged it'))
-        self.endings_at_majority.add(key)
+        self.departures_at_majority.add(key)
 
     @on.register
     async def _(self, call: PutDocument) -> Response:
@@ -237,7 +242,8 @@
         if held is not None:
             version = decode_versioned(held.value).version
             if command.version <= version:
-                # The state applied here is committed, and versions never decrease.
+                # The state applied here is committed and versions never decrease, so the leader
+                # would answer the same.
                 return RaiseResult(False, version)
         data = await self.leader_client.propose(command, PROPOSAL_TIMEOUT_S)
         return msgspec.msgpack.decode(data, type=RaiseResult)
--- a/packages/millforkd/millforkd/replica/daemon.py
+++ b/packages/millforkd/millforkd/replica/daemon.py
@@ -39,9 +39,10 @@
 from millforkd.versions import VersionTracker
 
 STATE_FOLDER: Final = 'state'
-# Interval of checks for calls in progress during a stop.
+# How often a stopping replica checks whether calls are still in progress.
 STOP_PAUSE_S: Final = 0.1
-# New versions are checked for at least this often, in case a change notification is missed.
+# New model versions are looked for at least this often, in case a notification of a change of the
+# configuration is missed.
 VERSION_CHECK_PERIOD_S: Final = 0.15
 # Timeout of one call to the leader.
 LEADER_TIMEOUT_S: Final = 0.8
@@ -51,7 +52,7 @@
 
 class ReplicaDaemon:
     """
-    Builds the parts of one replica, starts their tasks and answers peers' messages.
+    Builds the parts of one replica, starts their tasks and answers the messages of peers.
 
     """
 
@@ -136,7 +137,8 @@
 
     async def _record_new_versions(self) -> None:
         """
-        Task that records when a version is named, as its cutoff counts from that time.
+        Task that records when the configuration sets a model version, as the cutoff of the
+        versions before it counts from that time.
 
         """
         view = self.replica.view
@@ -155,7 +157,7 @@
 
     async def start(self) -> None:
         """
-        Recover the replica's state and start all its tasks.
+        Recover the replica's state from disk and start all tasks of the replica.
 
         """
         await self.replica.recover()
@@ -172,21 +174,22 @@
 
     async def reload(self, settings: SeededSettings) -> None:
         """
-        Apply changed settings; only the seeds can change.
+        Apply changed settings. Only a change of the seeds has an effect.
 
         """
         self.discovery.set_seeds(settings.seed_instances)
 
     async def drain(self) -> None:
         """
-        Prepare a planned stop: a leader steps down, so that the others needn't wait until it is
-        silent for an election timeout, and calls in progress end.
+        Prepare a planned stop: if this replica leads, it steps down, so that the others needn't
+        wait for an election timeout. Returns once no calls are in progress.
 
         """
         self.server.closing = True
         async with self.replica.lock:
             await self.replica.step_down()
-            # A replica whose disk failed doesn't stand for election for one election timeout.
+            # Like a replica whose disk failed, this replica then doesn't stand for election for one
+            # election timeout.
             self.replica.disk_failed_at = self.env.monotonic()
         while self.server.active:
             await curio.sleep(STOP_PAUSE_S)
@@ -195,7 +198,7 @@
 
     async def handle(self, connection: Connection, message: Message) -> Message | None:
         """
-        Answer a peer's message.
+        Handle a peer's message. Returns the reply, or None if there is none.
 
         """
         reply: Message | None = await self.on(message, connection)
--- a/packages/millforkd/millforkd/replica/quarantine.py
+++ b/packages/millforkd/millforkd/replica/quarantine.py
@@ -1,9 +1,10 @@
 """
-The replicas' side of the quarantine: a list of requests in the replicated state.
+The replicas' side of the quarantine: the list, in the replicated state, of the requests that are
+refused because they crash back ends.
 
 Suspicions are kept in memory, so a loss of power of the whole fleet would lose them, and a
-request that had ended three back ends would end three more. The leader therefore lists
-the requests at fault in the replicated state, and removes those that an answer clears.
+request that had crashed three back ends would crash three more. The leader therefore lists the
+requests at fault in the replicated state, and removes those that a complete answer clears.
 
 """
 
@@ -23,12 +24,17 @@
 from millfork_state.leader_client import LeaderClient
 from millfork_state.view import StoredValue, View
 
+# How often the leader compares the list with the suspicions.
 RECONCILE_PERIOD_S: Final = 0.25
+# Timeout of one change of the list.
 PROPOSAL_TIMEOUT_S: Final = 0.9
-# A request leaves the list after a day, as software that fails on a request is replaced by then.
+# A request is removed from the list after a day: by then, software that crashes on the request has
+# been replaced.
 LISTED_MAX_AGE_MS: Final = 24 * 3600 * 1000
-# At this size the list takes 0.1 MB of state, with keys and values of about ten bytes each.
+# The greatest length of the list. At this length, with keys and values of about ten bytes each, the
+# list takes 0.1 MB of the replicated state.
 MAX_LISTED: Final = 1000
+# Size of the random id of a command to the replicated state.
 ID_BITS: Final = 128
 
 log = logger(Component.CONTROL)
@@ -36,7 +42,7 @@
 
 class QuarantineList:
     """
-    Maintains the quarantine list in the replicated state; only the leader changes it.
+    Maintains the quarantine list in the replicated state. Only the leader changes the list.
 
     """
 
@@ -69,7 +75,7 @@
 
     async def reconcile(self) -> None:
         """
-        Update the list in the replicated state from the present suspicions.
+        Add the requests at fault to the list, and remove those that were cleared or are too old.
 
         """
         for suspicion in list(self.suspicion_store.table.values()):
@@ -101,9 +107,9 @@
         held = self.view.values_with_prefix(QUARANTINE_PREFIX)
         listed_at_ms = {key: decode_versioned(value).version for key, value in held.items()}
         oldest_first = sorted(listed_at_ms, key=lambda key: listed_at_ms[key])
-        over = len(listed_at_ms) - MAX_LISTED
+        excess = len(listed_at_ms) - MAX_LISTED
         for number, key in enumerate(oldest_first):
-            if number >= over and self.now_ms() - listed_at_ms[key] < LISTED_MAX_AGE_MS:
+            if number >= excess and self.now_ms() - listed_at_ms[key] < LISTED_MAX_AGE_MS:
                 return
             await self._remove(Fingerprint(key.removeprefix(QUARANTINE_PREFIX)), 'old')
 
--- a/packages/millforkd/millforkd/replica/replica_links.py
+++ b/packages/millforkd/millforkd/replica/replica_links.py
@@ -25,20 +25,25 @@
 from millfork_wire.messages import FindReplicas, Follow, Leases, Replicas, VersionSwitch
 from millfork_wire.peers import PeerAddress, Peers
 
+# Pause between two rounds, in each of which all other replicas are contacted.
 ROUND_PERIOD_S: Final = 0.5
+# Timeout of a request to follow another replica.
 FOLLOW_TIMEOUT_S: Final = 0.6
-# A back end that reports its drain or leave waits one second for the answer.
+# How long a drain or leave notice may take to reach a majority of the replicas: the back end waits
+# one second for the answer.
 MAJORITY_TIMEOUT_S: Final = 0.7
-# An owner that was silent for this long is considered lost, and the others expire its leases.
+# A replica that was silent for this long is considered lost, and the others expire the leases that
+# it owns.
 OWNER_LOST_AFTER_S: Final = 2.0
 # Rounds start every half second; a gap of this length shows that this process was paused.
 MAX_ROUND_GAP_S: Final = 1.5
-# Replicas that answered within this time are listed in answers to others.
+# A replica lists in its answers the replicas that answered it within this time.
 ADVERTISE_WITHIN_S: Final = 20.0
-# Replicas ask each other twice a second; the caches in an answer are valid for this long.
+# The caches listed in a replica's answer are used for this long. Replicas ask each other twice a
+# second.
 CACHES_VALID_S: Final = 2.0
-# Within this many heartbeat periods, a starting replica has received a heartbeat of each back
-# end that reaches it.
+# Within this many heartbeat periods, a starting replica receives a heartbeat of each back end that
+# can reach it.
 COMPLETE_AFTER_HEARTBEATS: Final = 2.5
 
 log = logger(Component.REGISTRY)
@@ -46,7 +51,7 @@
 
 class _MajorityCount:
     """
-    Counts acknowledgements, and sets an event once there are enough.
+    Counts acknowledgements, and sets `reached` once there are `needed`.
 
     """
 
@@ -79,8 +84,8 @@
         switches: Callable[[], list[VersionSwitch]] = list,
     ) -> None:
         self.env = env
-        # Returns the recently named versions with their remaining times. A process that starts,
-        # or learns of a version late, doesn't know by itself when the version was named.
+        # Returns the model versions set recently, and how long older versions may still be used.
+        # A process that starts, or learns of a version late, doesn't know when it was set.
         self.switches = switches
         self.version_cutoffs = VersionCutoffs()
         self.peers = peers
@@ -90,10 +95,11 @@
         self.followers = followers
         self.complete_after_s = heartbeat_s * COMPLETE_AFTER_HEARTBEATS
         self.started_at = env.monotonic()
+        # The connections over which this replica follows others.
         self.followed: dict[InstanceId, Connection] = {}
         self.last_contact_at: dict[str, float] = {}
-        # Replicas that are being asked, each in its own task: asking a frozen replica takes 2 s
-        # to fail, and must not delay the others.
+        # Replicas that are being contacted, each in its own task: to contact a frozen replica takes
+        # 2 s to fail, and must not delay the contact with the others.
         self.contacting: set[InstanceId] = set()
         self.last_round_at = env.monotonic()
 
@@ -117,9 +123,9 @@
 
     def update_completeness(self) -> None:
         """
-        Mark the registry as complete once it must hold all leases: some heartbeat periods
-        have brought those of the back ends that reach this replica, and a majority of the
-        replicas those of all others. A replica that is cut off has no majority.
+        Mark the registry as complete once it must hold all leases. Back ends that reach this
+        replica have sent heartbeats after some heartbeat periods. The leases of all others come
+        from a majority of the replicas, which a replica that is cut off doesn't reach.
 
         """
         if self.registry.is_complete:
@@ -202,8 +208,8 @@
 
     def on_find(self, message: FindReplicas, zone: str) -> Replicas:
         """
-        Answer a process of `zone` that looks for replicas; if it is a replica, it is added to the
-        known ones.
+        Answer a process in `zone` that looks for replicas. If that process is a replica, it is
+        added to the replicas known here.
 
         """
         caches = self.followers.local_caches()
@@ -230,7 +236,7 @@
 
     async def on_leases(self, peer: InstanceId, message: Leases) -> None:
         """
-        Merge another replica's records, and send changes on to followers.
+        Merge the records in another replica's message, and send changes on to the followers.
 
         """
         self.last_contact_at[str(peer)] = self.env.monotonic()
@@ -251,12 +257,12 @@
 
     async def send_to_majority(self, lease: Lease) -> bool:
         """
-        Send a lease to the other replicas without delay; True once a majority,
-        including this replica, has it.
+        Send a lease to the other replicas without delay. Returns True once a majority of the
+        replicas, including this one, has the lease; False after `MAJORITY_TIMEOUT_S`.
 
         """
         members = {instance for instance, _ in self.replica.members}
-        others = [a for a in self.replica.others if a.instance in members]
+        others = [address for address in self.replica.others if address.instance in members]
         count = _MajorityCount(len(members) // 2 + 1)
         await count.add()
         message = Leases(leases=encode_records([lease]))
--- a/tests/test_delayed_heartbeats.py
+++ b/tests/test_delayed_heartbeats.py
@@ -1,10 +1,11 @@
 """
 A heartbeat that arrives after its back end has ended and another one runs at the address.
 
-A heartbeat may arrive seconds late, at any replica. A replica without a record of its sender
-treated it as the first heartbeat of a new back end, and ended the lease of the live back end at
-the address. It then ignored the live one's heartbeats, and callers lost that back end for
-6.0 s. This concerns back ends that don't report when their process started.
+A heartbeat may arrive seconds late, at any replica. A replica without a lease of the sender
+treated the late heartbeat as the first one of a new back end, and ended the lease of the live back
+end at the address. The replica then ignored the heartbeats of the live back end, and callers lost
+that back end for 6.0 s. This concerns back ends that don't report an incarnation, the time when
+their process started.
 
 """
 
@@ -52,7 +53,7 @@
 
 def test_a_repeated_delayed_heartbeat_ends_no_lease(replica, clock):
     """
-    A back end without an answer within a second sends the same heartbeat to another replica.
+    A back end that gets no answer within a second sends the heartbeat again to another replica.
 
     """
     replica.record_heartbeat(lease('i-2', 5))
--- a/tests/test_ends_after_an_election.py
+++ b/tests/test_ends_after_an_election.py
@@ -1,8 +1,9 @@
 """
-The end of a version whose successor is set just before the leader is lost.
+Until when requests may begin on a version, if the leader is lost just after it acknowledged the
+next version.
 
-A leader acknowledged version 2 at 0.0 s and was lost. The next leader had the entry in its log,
-but applied it only on its commit 1.5 s later, and counted the end of version 1 from then
+A leader acknowledged version 2 at 0.0 s and was lost. The next leader had the log entry, but
+applied it only when it committed it 1.5 s later, and counted the end of version 1 from then
 (`Version named. version=2 due_s=7.1`). Requests could have begun on version 1 until 9.5 s after
 the acknowledgement instead of 8 s.
 
@@ -59,7 +60,7 @@
 
 def win_election(replica, term=2):
     """
-    Make a replica the leader of `term`, and commit its log with an entry of that term.
+    Make a replica the leader of `term`, and commit its log by appending an entry of that term.
 
     """
     curio.run(replica.enter_term, term)
--- a/tests/test_feed_relay.py
+++ b/tests/test_feed_relay.py
@@ -1,5 +1,5 @@
 """
-Relaying of the feed by another follower, while no replica can be reached.
+Relaying of the feed by another follower to one that can reach no replica.
 
 """
 
@@ -63,8 +63,8 @@
             feed_client.source = InstanceId('10.9.0.1:7')
             feed_client.source_contact_at = feed_client.env.monotonic()
 
-    async def wait_until(self, condition, connected, bound_s=5.0):
-        async with curio.timeout_after(bound_s):
+    async def wait_until(self, condition, connected, timeout_s=5.0):
+        async with curio.timeout_after(timeout_s):
             while not condition():
                 self.connect_to_replica(*connected)
                 await curio.sleep(0.01)
@@ -79,7 +79,7 @@
     return EndpointState('10.0.0.8:7', 's', 'here', 'h', 80, sequence, '', True, running)
 
 
-def running_at(feed_client):
+def running_requests(feed_client):
     found = feed_client.registry.endpoints.get('10.0.0.8:7')
     return found.running if found is not None else None
 
@@ -92,11 +92,11 @@
         neighbour.registry.merge_endpoint_state(state(1, 5))
         task = await curio.spawn(followers.relays[CUT].run, daemon=True)
         connected = (NEAR, FAR)
-        await followers.wait_until(lambda: running_at(cut_off) == 5, connected)
+        await followers.wait_until(lambda: running_requests(cut_off) == 5, connected)
         assert cut_off.view.items['key'].value == b'new'
         assert cut_off.report_target == NEAR
         neighbour.registry.merge_endpoint_state(state(2, 9))
-        await followers.wait_until(lambda: running_at(cut_off) == 9, connected)
+        await followers.wait_until(lambda: running_requests(cut_off) == 9, connected)
         assert set(followers.queried) == {NEAR}
         await task.cancel()
 
@@ -108,7 +108,7 @@
         cut_off = followers.relays[CUT].feed_client
         followers.relays[FAR].feed_client.registry.merge_endpoint_state(state(1, 5))
         task = await curio.spawn(followers.relays[CUT].run, daemon=True)
-        await followers.wait_until(lambda: running_at(cut_off) == 5, (FAR,))
+        await followers.wait_until(lambda: running_requests(cut_off) == 5, (FAR,))
         assert cut_off.report_target == FAR
         await task.cancel()
 
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -1,8 +1,10 @@
 """
-Back ends that restart under the same id. Their sequence numbers start from 1 again, so
-replicas ignored their heartbeats for as long as the first process had lived, or for two
-minutes after a leave notice. Where the heartbeats were accepted, entries kept using the weights,
-load and failures of the process that had ended.
+Back ends that restart under the same id.
+
+The sequence numbers of their heartbeats start from 1 again. Replicas that compared only sequence
+numbers ignored the heartbeats of the new process for as long as the first process had lived, or
+for two minutes after a leave notice. Where the heartbeats were accepted, entries kept using the
+weights, load and failures recorded for the process that had ended.
 
 """
 
@@ -161,11 +163,11 @@
     server_table.apply_leases([lease(FIRST_INCARNATION, 9)])
     attempt = Attempt(Choice(server_table.servers['i-1']), clock.now)
     job = SimpleNamespace(requirements=Requirements(ServiceName('s')))
-    waiting = ResponseMonitor(Environment(InstanceId('a:1'), ZoneId('z1'), monotonic=clock), None)
-    waiting.check_engine(job, attempt, None)
+    monitor = ResponseMonitor(Environment(InstanceId('a:1'), ZoneId('z1'), monotonic=clock), None)
+    monitor.check_engine(job, attempt, None)
     server_table.apply_leases([lease(SECOND_INCARNATION, 1)])
     with pytest.raises(SendFailed):
-        waiting.check_engine(job, attempt, None)
+        monitor.check_engine(job, attempt, None)
 
 
 # The daemon beside an engine.
@@ -183,7 +185,7 @@
         rollout.staged_weights = WeightsId('m', 2)
         expiry = ExpiryWatcher(rollout.env, rollout.engine, rollout.store, rollout)
         expiry.emptied_for = (rollout.incarnation, 2)
-        target = ended_target(rollout)
+        target = overdue_target(rollout)
         assert not expiry._has_ended(target)
         rollout.record_report(None)
         rollout.record_report(engine_report(SECOND_INCARNATION))
@@ -197,9 +199,9 @@
     curio.run(run)
 
 
-def ended_target(rollout):
+def overdue_target(rollout):
     """
-    The rollout's target with a predecessor whose time has ended.
+    The rollout's target, with the time by which the engine must change to it in the past.
 
     """
     target = rollout.target()
@@ -216,8 +218,8 @@
 
 class RestartingBackEnds(RuleBasedStateMachine):
     """
-    Two back ends at two addresses that end and restart, while their messages are
-    delayed, duplicated, or lost to some replicas.
+    Two back ends that stop and restart at two addresses, while their messages arrive late, more
+    than once, or not at all at some replicas.
 
     """
 
--- a/tests/test_leases_after_a_freeze.py
+++ b/tests/test_leases_after_a_freeze.py
@@ -1,6 +1,6 @@
 """
-One replica is frozen for longer than a lease lasts. Neither the other replicas nor that one, once
-it resumes, may end a lease whose owner received heartbeats all the time.
+One replica is frozen for longer than a lease lasts. Neither the other replicas nor the frozen one,
+once it resumes, may expire a lease whose owner received heartbeats all the time.
 
 """
 
@@ -20,7 +20,7 @@
 
 class SingleReplicaBackEnd(BackEnd):
     """
-    Sends its heartbeats only to the first replica, which is never frozen.
+    A back end that sends its heartbeats only to the first replica, which is never frozen.
 
     """
 
@@ -55,7 +55,7 @@
         wait_for_seconds(frozen_s)
         fleet.signal(frozen, signal.SIGCONT)
         wait_for_seconds(1.3)
-    # Long enough for a lease that was ended wrongly to be restored.
+    # Long enough for a wrongly expired lease to be restored.
     wait_for_seconds(10.0)
     lease_lines = [
         f'{host} {line}'
--- a/tests/test_leases_of_lost_owners.py
+++ b/tests/test_leases_of_lost_owners.py
@@ -1,8 +1,9 @@
 """
-A replica that wrongly considers another one lost (it was frozen, or only the link between
-the two was cut) expires the other's leases. A third replica, connected to both, accepted the
-expiry, because renewals aren't sent and its copy had the same sequence. The owner, which has
-a higher sequence, ignored the expiry, so nothing ever corrected the third replica.
+A replica that wrongly considers another one lost (because it was frozen itself, or only the link
+between the two was cut) expires the leases that the other one owns. A third replica, connected to
+both, accepted the expiry: renewals aren't sent to other replicas, so its copy of the lease had
+the same sequence as the expired one. The owner, whose copy has a higher sequence, ignored the
+expiry, so nothing ever corrected the third replica.
 
 """
 
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -152,8 +152,8 @@
 
 def test_transfer_progress_is_not_announced_immediately(registry):
     """
-    While weights change, each daemon receives a chunk every 0.05 s. If each chunk were announced
-    immediately, a replica would send a message to all its followers each time.
+    While the weights of a version are transferred, each daemon receives a chunk every 0.05 s. If
+    each chunk were announced immediately, a replica would send all its followers a message for it.
 
     """
     first = EndpointState('e:1', 'service', 'zone', '10.0.0.1', 80, 1, reachable=True)
@@ -197,12 +197,12 @@
 @given(st.lists(st.tuples(st.sampled_from('abc'), st.integers(0, 9)), max_size=20))
 def test_a_table_returns_exactly_the_records_changed_since_a_version(changes):
     table = VersionedTable()
-    seen = 0
-    copy = {}
+    read_version = 0
+    reader_copy = {}
     for position, (key, value) in enumerate(changes):
         table.put(key, (key, value))
         if position % 3 == 2:
-            copy.update({item[0]: item for item in table.changed_since(seen)})
-            seen = table.version
-    copy.update({item[0]: item for item in table.changed_since(seen)})
-    assert copy == {item[0]: item for item in table.values()}
+            reader_copy.update({item[0]: item for item in table.changed_since(read_version)})
+            read_version = table.version
+    reader_copy.update({item[0]: item for item in table.changed_since(read_version)})
+    assert reader_copy == {item[0]: item for item in table.values()}
--- a/tests/test_registry_completeness.py
+++ b/tests/test_registry_completeness.py
@@ -1,9 +1,9 @@
 """
 When a starting replica may claim to know all leases.
 
-Followers of a replica with that claim drop every lease that it doesn't have. A replica that
-restarted while it was cut off from the others claimed completeness after 2.5 heartbeat
-periods. An entry that then followed it kept only one of three back ends, though it reached
+Followers of a replica that claims this drop every lease that the replica doesn't have. A replica
+that restarted while it was cut off from the others claimed it after 2.5 heartbeat periods. An
+entry that then followed this replica kept only one of three back ends, though the entry reached
 all three.
 
 """
@@ -50,7 +50,7 @@
 
     def follow(self, *names):
         """
-        Connect this replica to other replicas.
+        Make this replica follow other replicas.
 
         """
         for name in names:
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -23,7 +23,7 @@
 
 class CountingStorage(Storage):
     """
-    Counts syncs, and cancels the next one if `cancel_next` is set.
+    Storage that counts its syncs, and cancels the next sync if `cancel_next` is set.
 
     """
 
--- a/tests/test_replica_age.py
+++ b/tests/test_replica_age.py
@@ -1,10 +1,10 @@
 """
-The age of a replica's state, which it reports to processes that may follow it.
+The age of a replica's state, which the replica reports to processes that may follow it.
 
-A replica that had been away reported the time since its leader's last message, 36 ms, as its
-age, although it lacked the entries committed meanwhile. An entry that started at the same time
-followed it and treated a version set long ago as new (`due_s=1.1`, corrected 0.2 s later to
-`due_s=-0.9`).
+A replica that had been cut off reported as its age the time since its leader's last message,
+36 ms, although it lacked the log entries committed meanwhile. A front proxy that started then
+followed this replica, and treated a version set long ago as new (`due_s=1.1`, corrected 0.2 s
+later to `due_s=-0.9`).
 
 """
 
@@ -65,7 +65,7 @@
     clock.now += 0.4
     curio.run(replica.enter_term, 2)
     replica.state = ReplicaState.LEADER
-    # The second entry may be committed without this replica's knowledge.
+    # The second log entry may be committed without this replica's knowledge.
     assert replica.age_ms() == pytest.approx(400, abs=1)
     curio.run(replica.write, [LogEntry(2, 3, entry(3).payload)])
     curio.run(replica.advance_commit, 3)
@@ -75,13 +75,13 @@
 def test_a_version_received_before_the_feed_is_current_is_due_at_once(clock):
     view, current = View(), False
     env = Environment(InstanceId('a:1'), ZoneId('zone'), monotonic=clock)
-    entry = VersionTracker(
+    versions = VersionTracker(
         env, view, SWITCH_MS, unknown_cutoff_ms=2000, leads=never_leads, is_current=lambda: current
     )
-    entry.refresh()
-    set_version(view, entry, 2)
-    assert entry.oldest_usable('m') == 2
+    versions.refresh()
+    set_version(view, versions, 2)
+    assert versions.oldest_usable('m') == 2
     current = True
-    entry.refresh()
-    set_version(view, entry, 3)
-    assert entry.oldest_usable('m') == 2
+    versions.refresh()
+    set_version(view, versions, 3)
+    assert versions.oldest_usable('m') == 2
--- a/tests/test_reports_of_earlier_incarnations.py
+++ b/tests/test_reports_of_earlier_incarnations.py
@@ -1,5 +1,5 @@
 """
-Old reports about an engine that had the same address before.
+Delayed reports about an engine that has ended, after a new engine started at its address.
 
 """
 
@@ -31,7 +31,7 @@
     table.apply_leases([lease('i-old', 9, WHOLE)])
     old = report(5_000_000, WHOLE)
     table.apply_reports([old])
-    # The old engine crashed 3 s ago. The first heartbeat of the new one shows no layers.
+    # The old engine crashed 3 s ago. The first heartbeat of the new engine lists no layers.
     clock.now += 3.0
     table.apply_leases([lease('i-new', 1, ())])
     table.apply_reports([old])
@@ -45,7 +45,7 @@
     old = report(5_000_000, WHOLE, changing_to=2)
     table.apply_reports([old])
     table.apply_leases([lease('i-new', 1, ())])
-    # The registry drops the last report of the old incarnation only after 3.5 s.
+    # The registry drops the last report about the old engine only after 3.5 s.
     table.apply_reports([old])
     for second in range(60):
         clock.now += 1.0
--- a/tests/test_suspicion_gossip.py
+++ b/tests/test_suspicion_gossip.py
@@ -1,5 +1,5 @@
 """
-Gossip about suspicions between the entries of a fleet with a list of instances.
+Gossip about suspicions between the entries of a fleet whose deploy file lists all instances.
 
 """
 
@@ -115,8 +115,12 @@
         network.unreachable = {InstanceId('entry-1'), InstanceId('entry-4')}
         first = network.entries[InstanceId('entry-0')]
         await first.suspicion_store.record(Suspicion(FINGERPRINT, 0, 1))
-        reached = [e for name, e in network.entries.items() if name not in network.unreachable]
-        await wait_until(lambda: all(e.suspicion_store.get(FINGERPRINT).ends == 1 for e in reached))
+        reached = [
+            entry for name, entry in network.entries.items() if name not in network.unreachable
+        ]
+        await wait_until(
+            lambda: all(entry.suspicion_store.get(FINGERPRINT).ends == 1 for entry in reached)
+        )
         network.unreachable = set()
         await wait_until(lambda: all_know(network, 1))
         await wait_until(lambda: not any(entry.sending_to for entry in network.entries.values()))
--- a/tests/test_suspicions.py
+++ b/tests/test_suspicions.py
@@ -1,6 +1,6 @@
 """
-Suspicions against requests whose answers broke off, until it is known whether their back ends
-ended.
+Suspicions of requests whose answers broke off, until it is known whether the back ends that ran
+these requests have ended.
 
 """
 
@@ -107,13 +107,13 @@
 
 
 def test_only_successive_ends_count_and_each_incarnation_once():
-    now = suspected()
-    assert count_ends(Suspicion(FINGERPRINT), now, IncarnationKey('i-0/1')) == 1
-    assert count_ends(suspected(2), now, IncarnationKey('i-2/1')) == MIN_ENDS_AT_FAULT
-    assert count_ends(suspected(2), now, IncarnationKey('i-1/1')) == 2
-    lives_on = now.without_broken(IncarnationKey('i-0/1'))
+    current = suspected()
+    assert count_ends(Suspicion(FINGERPRINT), current, IncarnationKey('i-0/1')) == 1
+    assert count_ends(suspected(2), current, IncarnationKey('i-2/1')) == MIN_ENDS_AT_FAULT
+    assert count_ends(suspected(2), current, IncarnationKey('i-1/1')) == 2
+    lives_on = current.without_broken(IncarnationKey('i-0/1'))
     assert count_ends(suspected(2), lives_on, IncarnationKey('i-2/1')) == 2
-    assert count_ends(suspected(0).with_end(), now, IncarnationKey('i-2/1')) == 2
+    assert count_ends(suspected(0).with_end(), current, IncarnationKey('i-2/1')) == 2
 
 
 def test_a_request_is_cleared_by_a_back_end_that_lives_on():
@@ -192,7 +192,7 @@
 
 class FailingBackEnds:
     """
-    Back ends at which the answers to the same request break off one after another.
+    Back ends at which the answers to one request break off, one after another.
 
     """
 
@@ -200,28 +200,28 @@
         self.env = Environment(InstanceId('a:1'), ZoneId('z1'))
         self.suspicion_store = SuspicionStore(self.env.monotonic)
         self.statuses = {}
-        self.ends = EndDetector(self.env, self.suspicion_store, self.status)
-        self.found = ProbeResult.ANSWERS
-        self.ends.probe = self.probe
+        self.end_detector = EndDetector(self.env, self.suspicion_store, self.status)
+        self.probe_result = ProbeResult.ANSWERS
+        self.end_detector.probe = self.probe
 
     def status(self, server, since):
         return self.statuses.get(server.instance, IncarnationStatus.UNKNOWN)
 
     async def probe(self, server):
-        return self.found
+        return self.probe_result
 
     async def interrupt_answer(self, number):
         server = Server(
             InstanceId(f'i-{number}'), ServiceName('s'), '127.0.0.1', 1, ZoneId('z1'), 16
         )
         server.incarnation = Incarnation(1)
-        await self.ends.record_broken_connection(server, self.known)
+        await self.end_detector.record_broken_connection(server, self.known)
 
     @property
     def known(self):
         return self.suspicion_store.get(FINGERPRINT)
 
-    async def until(self, condition):
+    async def wait_until(self, condition):
         async with curio.timeout_after(5):
             while not condition():
                 await curio.sleep(0.005)
@@ -230,16 +230,16 @@
 @pytest.mark.parametrize('status', [IncarnationStatus.ENDED, IncarnationStatus.LIVES])
 def test_a_request_is_suspected_until_the_status_of_its_back_ends_is_known(status):
     async def run():
-        broken = FailingBackEnds()
+        back_ends = FailingBackEnds()
         for number in range(MIN_ENDS_AT_FAULT):
-            await broken.interrupt_answer(number)
-        assert suspicion_level_of(broken.known) is SuspicionLevel.SUSPECTED
-        broken.statuses = {f'i-{number}': status for number in range(MIN_ENDS_AT_FAULT)}
-        await broken.until(lambda: not broken.ends.watches)
+            await back_ends.interrupt_answer(number)
+        assert suspicion_level_of(back_ends.known) is SuspicionLevel.SUSPECTED
+        back_ends.statuses = {f'i-{number}': status for number in range(MIN_ENDS_AT_FAULT)}
+        await back_ends.wait_until(lambda: not back_ends.end_detector.watches)
         level = (
             SuspicionLevel.AT_FAULT if status is IncarnationStatus.ENDED else SuspicionLevel.FREE
         )
-        assert suspicion_level_of(broken.known) is level
+        assert suspicion_level_of(back_ends.known) is level
 
     curio.run(run)
 
@@ -248,52 +248,52 @@
     monkeypatch.setattr(end_detection, 'MAX_WATCH_S', 0.1)
 
     async def run():
-        broken = FailingBackEnds()
+        back_ends = FailingBackEnds()
         for number in range(MIN_ENDS_AT_FAULT):
-            await broken.interrupt_answer(number)
-        await broken.until(lambda: not broken.ends.watches)
-        assert broken.known.is_clear
+            await back_ends.interrupt_answer(number)
+        await back_ends.wait_until(lambda: not back_ends.end_detector.watches)
+        assert back_ends.known.is_clear
 
     curio.run(run)
 
 
 def test_simultaneous_ends_count_as_one_and_raise_suspicion():
     """
-    As in a loss of power: each attempt was sent before the entry knew of any of the ends.
+    In a loss of power, each attempt was sent before the entry knew that any back end had ended.
 
     """
 
     async def run():
-        broken = FailingBackEnds()
-        broken.found = ProbeResult.REFUSES
-        before = broken.known
+        back_ends = FailingBackEnds()
+        back_ends.probe_result = ProbeResult.REFUSES
+        before = back_ends.known
         for number in range(2 * MIN_ENDS_AT_FAULT):
             server = Server(
                 InstanceId(f'i-{number}'), ServiceName('s'), '127.0.0.1', 1, ZoneId('z1'), 16
             )
-            await broken.ends.record_broken_connection(server, before)
-        await broken.until(lambda: not broken.ends.watches)
-        assert broken.known.ends == 1
-        assert suspicion_level_of(broken.known) is SuspicionLevel.SUSPECTED
+            await back_ends.end_detector.record_broken_connection(server, before)
+        await back_ends.wait_until(lambda: not back_ends.end_detector.watches)
+        assert back_ends.known.ends == 1
+        assert suspicion_level_of(back_ends.known) is SuspicionLevel.SUSPECTED
 
     curio.run(run)
 
 
 def test_a_back_end_that_still_answers_may_end_after_a_caller_left():
     """
-    Answers of the back end to other requests are no evidence then: it may still run the request
-    of the caller that left.
+    Answers of the back end to other requests don't clear the request of the caller that left: the
+    back end may still run that request.
 
     """
 
     async def run():
-        broken = FailingBackEnds()
-        broken.statuses = {'i-0': IncarnationStatus.LIVES}
+        back_ends = FailingBackEnds()
+        back_ends.statuses = {'i-0': IncarnationStatus.LIVES}
         server = Server(InstanceId('i-0'), ServiceName('s'), '127.0.0.1', 1, ZoneId('z1'), 16)
         for _ in range(2):
-            await broken.ends.record_caller_left(server, broken.known)
+            await back_ends.end_detector.record_caller_left(server, back_ends.known)
         await curio.sleep(0.05)
-        broken.statuses = {'i-0': IncarnationStatus.ENDED}
-        await broken.until(lambda: broken.known.ends == 1)
+        back_ends.statuses = {'i-0': IncarnationStatus.ENDED}
+        await back_ends.wait_until(lambda: back_ends.known.ends == 1)
 
     curio.run(run)
