--- a/packages/millfork-registry/millfork_registry/feed_client.py
+++ b/packages/millfork-registry/millfork_registry/feed_client.py
@@ -94,7 +94,7 @@
         self.pending_relay = ''
         self.version_cutoffs = VersionCutoffs()
         # When the followed replica was last asked for the replicas it knows.
-        self.asked_at = 0.0
+        self.replicas_asked_at = 0.0
         # Set whenever the configuration, leases, endpoint states or version cutoffs changed.
         self.changed = curio.Event()
 
@@ -118,8 +118,8 @@
 
     async def run(self) -> None:
         """
-        Task that follows a replica and, whenever that is left, chooses the next one. The replica
-        followed last is tried last.
+        Task that follows one replica at a time. When this process has left a replica, it chooses
+        the next one; the replica followed last is tried last.
 
         """
         while True:
@@ -149,7 +149,7 @@
             log.info('Cannot follow replica {}: {}.', address.instance, error)
             return False
         self.source_contact_at = self.env.monotonic()
-        self.asked_at = self.source_contact_at
+        self.replicas_asked_at = self.source_contact_at
         self.age_ms = reply.age_ms
         log.info('Following replica {}. age_ms={}', address.instance, reply.age_ms)
         await self.registry.suspicion_store.mark_all_unsent()
@@ -205,9 +205,9 @@
 
     async def _watch_source(self, address: PeerAddress) -> None:
         """
-        Return once this process has left the followed replica, because that is silent or
-        disconnected, is stale while another replica is fresher, or is in another zone while a
-        current replica of this process's zone answers.
+        Return once this process has left the followed replica. It leaves a replica that is
+        silent or disconnected, that is stale while another replica is fresher, or that is in
+        another zone while a current replica of this process's zone answers.
 
         """
         nearer_checked_at = self.env.monotonic()
@@ -222,8 +222,8 @@
                 reason = 'silent'
                 await connection.close()
                 break
-            if now - self.asked_at > REPLICA_QUERY_PERIOD_S or self._lacks_a_cutoff():
-                self.asked_at = now
+            if now - self.replicas_asked_at > REPLICA_QUERY_PERIOD_S or self._lacks_a_cutoff():
+                self.replicas_asked_at = now
                 await self._ask(address)
             if now - nearer_checked_at > NEARER_CHECK_PERIOD_S:
                 nearer_checked_at = now
--- a/packages/millfork-registry/millfork_registry/followers.py
+++ b/packages/millfork-registry/millfork_registry/followers.py
@@ -47,7 +47,9 @@
         self.lease_version = 0
         self.endpoint_version = 0
         self.suspicion_version = 0
+        # Whether a message with all records was sent.
         self.sent_full = False
+        # Whether this feed ends, because the process asked for another feed or for none.
         self.replaced = False
 
     @property
--- a/packages/millfork-registry/millfork_registry/registry.py
+++ b/packages/millfork-registry/millfork_registry/registry.py
@@ -67,7 +67,7 @@
         self.leases: VersionedTable[Lease] = VersionedTable()
         self.endpoints: VersionedTable[EndpointState] = VersionedTable()
         self.suspicion_store = SuspicionStore(env.monotonic)
-        # By instance, of leases and endpoint states: when the last record arrived.
+        # When the last lease or endpoint state of each instance arrived (monotonic seconds).
         self.last_received_at: dict[str, float] = {}
         self.ended_at_by_instance: dict[str, float] = {}
         # The back end that was last known to run at each address (host and port).
@@ -204,7 +204,8 @@
 
     def _is_wrongly_ended(self, held: Lease, reported: Lease) -> bool:
         """
-        Whether another process reports as expired a lease that is owned here and live.
+        Whether `reported` is another process's wrong expiry of the lease `held`, which is owned
+        here and live.
 
         """
         owned = held.owner == str(self.env.instance) and held.state not in ENDED_STATES
--- a/packages/millfork-registry/millfork_registry/roles.py
+++ b/packages/millfork-registry/millfork_registry/roles.py
@@ -1,5 +1,5 @@
 """
-The roles of followers, as a follower gives its own in the `Follow` message.
+The values of `Follow.role`, the role of a process that follows a replica.
 
 """
 
--- a/packages/millfork-registry/millfork_registry/suspicion_store.py
+++ b/packages/millfork-registry/millfork_registry/suspicion_store.py
@@ -23,8 +23,8 @@
 # with each of its attempts, so suspicions must be kept for more than an hour.
 SUSPICION_RETENTION_S: Final = 24 * 3600.0
 # The number of suspicions that one process keeps. A caller that varies the body of its request
-# creates one for each back end that it crashes. 4,096 suspicions take 1.5 MB. Even if 200 engines
-# with 16 requests each end at once, there are fewer.
+# creates one for each back end that it crashes. 4,096 suspicions take 1.5 MB; 200 engines with 16
+# requests each have fewer requests in progress if all end at once.
 MAX_SUSPICIONS: Final = 4096
 # The number of incarnations kept in a suspicion's `broken`. More would not change any decision
 # about the request; each takes about 40 bytes.
@@ -43,8 +43,8 @@
     How many back ends ended one after another while they ran a request (`ends`). A complete
     answer clears the suspicion: the next `epoch` starts with zero ends.
 
-    If the back end ends during an attempt to send the request, `ends` becomes one more than the
-    count known when the attempt was sent. Back ends that run the request and end at the same
+    If a back end ends while it runs the request, `ends` becomes one more than the count known when
+    the request was sent to that back end. Back ends that run the request and end at the same
     moment, as in a loss of power, therefore count as one.
 
     `broken` holds the incarnations that broke off an answer to the request and either ended
@@ -77,7 +77,7 @@
     def without_broken(self, incarnation: IncarnationKey) -> 'Suspicion':
         """
         Return the suspicion of the next epoch, which starts because this incarnation is known
-        to be alive. There can't be more `ends` than incarnations that remain in `broken`.
+        to be alive. `ends` becomes at most the number of incarnations that remain in `broken`.
 
         """
         broken = tuple(key for key in self.broken if key != incarnation)
@@ -149,8 +149,8 @@
 
     async def record(self, suspicion: Suspicion) -> None:
         """
-        Record a suspicion that this process found, and schedule it for sending if
-        it changes the known one.
+        Record a suspicion that this process found, and schedule it for sending if it changes the
+        known one.
 
         """
         if self._merge_one(suspicion):
--- a/packages/millforkd/millforkd/replica/replica_links.py
+++ b/packages/millforkd/millforkd/replica/replica_links.py
@@ -98,8 +98,8 @@
         # The connections over which this replica follows others.
         self.followed: dict[InstanceId, Connection] = {}
         self.last_contact_at: dict[str, float] = {}
-        # Replicas that are being contacted, each in its own task: to contact a frozen replica takes
-        # 2 s to fail, and must not delay the contact with the others.
+        # Replicas that are being contacted, each in its own task: contact with a frozen replica
+        # fails only after 2 s, which must not delay the contact with others.
         self.contacting: set[InstanceId] = set()
         self.last_round_at = env.monotonic()
 
@@ -123,9 +123,10 @@
 
     def update_completeness(self) -> None:
         """
-        Mark the registry as complete once it must hold all leases. Back ends that reach this
-        replica have sent heartbeats after some heartbeat periods. The leases of all others come
-        from a majority of the replicas, which a replica that is cut off doesn't reach.
+        Mark the registry as complete once it must hold all leases: after some heartbeat periods,
+        all back ends that reach this replica have sent a heartbeat, and the leases of the other
+        back ends come from a majority of the replicas. A replica that is cut off reaches no
+        majority.
 
         """
         if self.registry.is_complete:
--- a/tests/test_ends_after_an_election.py
+++ b/tests/test_ends_after_an_election.py
@@ -3,7 +3,7 @@
 next version.
 
 A leader acknowledged version 2 at 0.0 s and was lost. The next leader had the log entry, but
-applied it only when it committed it 1.5 s later, and counted the end of version 1 from then
+committed and applied the entry only 1.5 s later, and counted the end of version 1 from then
 (`Version named. version=2 due_s=7.1`). Requests could have begun on version 1 until 9.5 s after
 the acknowledgement instead of 8 s.
 
--- a/tests/test_registry_completeness.py
+++ b/tests/test_registry_completeness.py
@@ -1,10 +1,10 @@
 """
 When a starting replica may claim to know all leases.
 
-Followers of a replica that claims this drop every lease that the replica doesn't have. A replica
-that restarted while it was cut off from the others claimed it after 2.5 heartbeat periods. An
-entry that then followed this replica kept only one of three back ends, though the entry reached
-all three.
+Followers of a replica that claims to know all leases drop every lease that the replica doesn't
+have. A replica that restarted while it was cut off from the others claimed this after 2.5
+heartbeat periods. An entry that then followed the replica kept only one of three back ends, though
+the entry reached all three.
 
 """
 
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -114,8 +114,8 @@
 def test_one_vote_per_term_and_none_for_an_outdated_log(replica):
     append(replica, [genesis(replica), entry(2)])
 
-    def vote(candidate, term, last):
-        request = VoteRequest(CLUSTER, term, candidate, last, 1)
+    def vote(candidate, term, last_index):
+        request = VoteRequest(CLUSTER, term, candidate, last_index, 1)
         return curio.run(replica.on_vote, request).granted
 
     assert not vote('a', 2, 1)
