--- a/packages/millfork-registry/millfork_registry/records.py
+++ b/packages/millfork-registry/millfork_registry/records.py
@@ -66,7 +66,7 @@
     incarnation: Incarnation = UNKNOWN_INCARNATION
 
     @property
-    def order(self) -> tuple[Incarnation, bool, int, bool]:
+    def sort_key(self) -> tuple[Incarnation, bool, int, bool]:
         """
         Sort key: the newer of two records of a back end has the greater key. The incarnation
         comes first, because sequences of different incarnations can't be compared.
@@ -162,7 +162,7 @@
     leaving: bool = False
 
     @property
-    def order(self) -> int:
+    def sort_key(self) -> int:
         return self.sequence
 
     def needs_announcement_after(self, older: 'EndpointState | None') -> bool:
--- a/packages/millfork-registry/millfork_registry/registry.py
+++ b/packages/millfork-registry/millfork_registry/registry.py
@@ -169,7 +169,7 @@
 
         """
         held = self.leases.get(lease.instance)
-        if held is not None and lease.order <= held.order:
+        if held is not None and lease.sort_key <= held.sort_key:
             return (
                 self._announce_again(held)
                 if self._is_wrongly_ended(held, lease)
@@ -239,7 +239,7 @@
 
         """
         held = self.endpoints.get(state.instance)
-        if held is not None and state.order <= held.order:
+        if held is not None and state.sort_key <= held.sort_key:
             return RecordChange.NONE
         self.last_received_at[state.instance] = self.env.monotonic()
         self.endpoints.put(state.instance, state)
--- a/packages/millfork-registry/millfork_registry/suspicion_store.py
+++ b/packages/millfork-registry/millfork_registry/suspicion_store.py
@@ -58,7 +58,7 @@
     broken: tuple[IncarnationKey, ...] = ()
 
     @property
-    def order(self) -> tuple[int, int]:
+    def sort_key(self) -> tuple[int, int]:
         return (self.epoch, self.ends)
 
     @property
--- a/packages/millforkd/millforkd/proxy/end_detection.py
+++ b/packages/millforkd/millforkd/proxy/end_detection.py
@@ -122,7 +122,7 @@
             self.watches[key] = watch
         earlier = watch.interruptions.get(sent.before.fingerprint)
         if earlier is not None:
-            before = max(earlier.subject.before, sent.before, key=lambda item: item.order)
+            before = max(earlier.subject.before, sent.before, key=lambda item: item.sort_key)
             sent = SentRequest(before, sent.caller_left and earlier.subject.caller_left)
         await watch.add(sent.before.fingerprint, sent, at_once=not sent.caller_left)
         if is_new:
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -134,13 +134,13 @@
             else:
                 body = encode_suspicions(list(processes[sender].table.values()))
                 await processes[receiver].merge(decode_suspicions(body))
-        newest = max((p.get(FINGERPRINT) for p in processes), key=lambda item: item.order)
+        newest = max((p.get(FINGERPRINT) for p in processes), key=lambda item: item.sort_key)
         for process in processes:
             await process.merge([newest])
             assert process.get(FINGERPRINT) == newest
             older = Suspicion(FINGERPRINT, newest.epoch, newest.ends - 1)
             assert not await process.merge([older])
-            assert newest.order == (0, 0) or process.unsent[FINGERPRINT] == newest
+            assert newest.sort_key == (0, 0) or process.unsent[FINGERPRINT] == newest
 
     curio.run(run)
 
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -187,7 +187,7 @@
         registry = Registry(env, HEARTBEAT_S)
         for item in items:
             registry.merge_lease(item)
-        return {key: registry.leases.get(key).order for key in registry.leases.rows}
+        return {key: registry.leases.get(key).sort_key for key in registry.leases.rows}
 
     shuffled = list(records)
     random.shuffle(shuffled)
