--- a/packages/millfork-registry/millfork_registry/feed_client.py
+++ b/packages/millfork-registry/millfork_registry/feed_client.py
@@ -82,8 +82,8 @@
         # Age of the followed replica's configuration: the time since that replica was last known to
         # have applied all committed log entries.
         self.age_ms = 0
-        # The number of entries that the followed replica knows now, and the greatest number that
-        # it knew in recent minutes.
+        # The number of entries (front proxies) that the followed replica knows now, and the
+        # greatest number that it knew in recent minutes.
         self.entries = 1
         self.peak_entries = 1
         # Whether any replica has reported the number of entries.
--- a/packages/millfork-registry/millfork_registry/feed_relay.py
+++ b/packages/millfork-registry/millfork_registry/feed_relay.py
@@ -29,7 +29,7 @@
 REQUEST_TIMEOUT_S: Final = 0.3
 # A replica's feed counts as lost after this long without a message: four heartbeat periods.
 FEED_LOST_AFTER_S: Final = 0.6
-# Additional pause before the next round of requests if no follower answered.
+# Additional pause before the next round of requests if no follower relayed the feed.
 NO_RELAY_PAUSE_S: Final = 0.5
 
 log = logger(Component.REGISTRY)
--- a/packages/millfork-registry/millfork_registry/followers.py
+++ b/packages/millfork-registry/millfork_registry/followers.py
@@ -79,7 +79,7 @@
     @property
     def local_entries(self) -> int:
         """
-        The number of entries that follow this replica.
+        The number of entries (front proxies) that follow this replica.
 
         """
         return sum(1 for follower in self.by_instance.values() if follower.role == ENTRY_ROLE)
--- a/tests/test_reports_of_earlier_incarnations.py
+++ b/tests/test_reports_of_earlier_incarnations.py
@@ -1,5 +1,5 @@
 """
-Delayed reports about an engine that has ended, after a new engine started at its address.
+Reports about an engine that has ended, after a new engine started at the same address.
 
 """
 
