--- a/packages/millfork-registry/millfork_registry/roles.py
+++ b/packages/millfork-registry/millfork_registry/roles.py
@@ -1,5 +1,5 @@
 """
-The values of a follower's role in messages of the feed.
+The values of `Follow.role`, the role of a process that follows a replica.
 
 """
 
