--- a/packages/millfork-state/millfork_state/arrival_times.py
+++ b/packages/millfork-state/millfork_state/arrival_times.py
@@ -1,9 +1,10 @@
 """
-When the entries that raise a key to a version arrived in a replica's log.
+The times at which log entries that set a version (`Raise`) arrived at a replica.
 
-The time limits of a version count from when it was acknowledged. A leader elected after that
-applies the entry only as it commits it, up to an election later. The entry itself arrived
-before the acknowledgement, or later only by the time that messages take.
+A version's time limits count from the moment at which its `Raise` was acknowledged. A leader
+elected after that applies the log entry only when it commits the entry, up to an election later.
+The arrival of the entry is closer to that moment: before it, or later only by the time that
+messages take.
 
 """
 
@@ -12,45 +13,46 @@
 
 from millfork_state.commands import AnyCommand, Raise
 
-# Versions and documents change some ten thousand times a day. An entry is committed, or
-# replaced, within seconds.
+# The most arrival times that are kept. Versions and documents change about ten thousand times a
+# day, and a log entry is committed or replaced within seconds.
 MAX_ARRIVAL_TIMES: Final = 256
 
 
 class ArrivalTimes:
     """
-    The log index and arrival time (monotonic seconds) of entries, by key and version.
+    The log index and arrival time (monotonic seconds) of `Raise` entries, by key and version.
 
     """
 
     def __init__(self, monotonic: Callable[[], float]) -> None:
         self.monotonic = monotonic
-        self.received: dict[tuple[str, int], tuple[int, float]] = {}
+        self.arrivals: dict[tuple[str, int], tuple[int, float]] = {}
 
     def record(self, index: int, command: AnyCommand) -> None:
         """
-        Record the arrival of an entry. Only the first for a key and version counts.
+        Record that a log entry with `command` arrived now. Commands other than `Raise` are ignored,
+        and only the first entry for a key and version counts.
 
         """
         if not isinstance(command, Raise):
             return
-        if len(self.received) >= MAX_ARRIVAL_TIMES:
-            del self.received[next(iter(self.received))]
-        self.received.setdefault((command.key, command.version), (index, self.monotonic()))
+        if len(self.arrivals) >= MAX_ARRIVAL_TIMES:
+            del self.arrivals[next(iter(self.arrivals))]
+        self.arrivals.setdefault((command.key, command.version), (index, self.monotonic()))
 
     def discard_from(self, index: int) -> None:
         """
-        Discard the entries from an index on, which another leader replaced.
+        Discard the times of log entries from `index` on, which another leader replaced.
 
         """
-        self.received = {
-            key: arrival for key, arrival in self.received.items() if arrival[0] < index
+        self.arrivals = {
+            key: arrival for key, arrival in self.arrivals.items() if arrival[0] < index
         }
 
     def find(self, key: str, version: int) -> float | None:
         """
-        The arrival time of the entry that raised a key to a version, or None if unknown.
+        The arrival time of the log entry that sets a key to a version, or None if unknown.
 
         """
-        arrival = self.received.get((key, version))
+        arrival = self.arrivals.get((key, version))
         return arrival[1] if arrival is not None else None
--- a/packages/millfork-state/millfork_state/commands.py
+++ b/packages/millfork-state/millfork_state/commands.py
@@ -1,8 +1,8 @@
 """
 Commands to the replicated state, and their results.
 
-Commands are idempotent: `Apply` carries an id, a claim its attempt, and a raise its version.
-Times are milliseconds since the epoch, set by the leader.
+Commands are idempotent: `Apply` carries a command id, `ClaimKey` and `SettleKey` the id of an
+attempt, and `Raise` a version. Times are milliseconds since the epoch, set by the leader.
 
 """
 
@@ -20,8 +20,8 @@
 
 class Change(msgspec.Struct, frozen=True):
     """
-    Set one key, or remove it if `value` is None. With `expect`, the change conflicts if the key
-    was set or removed after that revision.
+    Set one key, or remove it if `value` is None. If `expect` is a revision, the change conflicts
+    if the key was set or removed after that revision.
 
     """
 
@@ -32,7 +32,7 @@
 
 class Noop(Command, frozen=True):
     """
-    The first entry of a new leader's term. It changes nothing.
+    The command of the first log entry in a leader's term. It changes nothing.
 
     """
 
@@ -60,7 +60,7 @@
 
 class ClaimKey(Command, frozen=True):
     """
-    Claim an idempotency key for one attempt.
+    Claim an idempotency key for one attempt to run a request.
 
     """
 
@@ -72,7 +72,8 @@
 
 class SettleKey(Command, frozen=True):
     """
-    Record how a claimed attempt ended. If `released`, it did not run and the key is free again.
+    Record the answer of the attempt that claimed an idempotency key. If `released`, the attempt
+    did not run, and the key can be claimed again.
 
     """
 
@@ -87,8 +88,8 @@
 
 class Raise(Command, frozen=True):
     """
-    Set one key to a value of a higher version. A version not above the stored
-    one changes nothing.
+    Set one key to a value with a version. The command changes nothing if the stored version is
+    equal or higher.
 
     """
 
@@ -102,7 +103,8 @@
 
 class ApplyResult(msgspec.Struct, frozen=True):
     """
-    The outcome of `Apply`: the revision after it, or the keys in conflict.
+    The outcome of `Apply`: whether its changes were made, the revision in force afterwards, and the
+    keys in conflict.
 
     """
 
@@ -113,7 +115,11 @@
 
 class ClaimState(Enum):
     """
-    The state of an idempotency key, as a claim of it finds it.
+    The answer to a claim of an idempotency key.
+
+    GRANTED: the attempt holds the key. IN_PROGRESS: another attempt holds it. MAY_HAVE_RUN: another
+    attempt holds it and was not settled in time. DONE: another attempt has an answer. REUSED: the
+    key was claimed for a request with another fingerprint.
 
     """
 
@@ -126,7 +132,7 @@
 
 class ClaimResult(msgspec.Struct, frozen=True):
     """
-    The outcome of `ClaimKey`. A DONE key carries the answer of its first attempt.
+    The outcome of `ClaimKey`. If DONE, it contains the answer of the attempt that held the key.
 
     """
 
@@ -148,7 +154,7 @@
 
 class Versioned(msgspec.Struct, frozen=True, array_like=True):
     """
-    The value of a key that `Raise` sets.
+    A value that `Raise` set, with its version.
 
     """
 
@@ -164,7 +170,7 @@
     """
     Decode a versioned value.
 
-    :raises msgspec.ValidationError: if `data` isn't one.
+    :raises msgspec.ValidationError: if `data` isn't a versioned value.
 
     """
     return msgspec.msgpack.decode(data, type=Versioned)
@@ -181,7 +187,7 @@
     """
     Decode a command.
 
-    :raises msgspec.ValidationError: if `data` isn't one.
+    :raises msgspec.ValidationError: if `data` isn't a command.
 
     """
     return msgspec.msgpack.decode(data, type=AnyCommand)
--- a/packages/millfork-state/millfork_state/config.py
+++ b/packages/millfork-state/millfork_state/config.py
@@ -1,5 +1,5 @@
 """
-Types of the values that the keys of the accepted configuration hold.
+Keys of the accepted configuration, and the types of their values.
 
 Keys are paths: `organisations/ORG`, `labels/ORG/INSTANCE`,
 `deployments/ORG/NAME`, `drains/INSTANCE`.
@@ -59,7 +59,8 @@
     @property
     def version(self) -> str:
         """
-        The id of exactly these weights, which engines and answers carry.
+        The id of this combination of weights: the start of each manifest's digest, joined by `+`.
+        Engines report it and answers name it.
 
         """
         return '+'.join(part.manifest[:16] for part in self.parts)
@@ -68,7 +69,7 @@
 @dataclass(frozen=True, slots=True)
 class InstanceFacts:
     """
-    An instance as the platform's list describes it.
+    An instance as the platform's list of instances describes it.
 
     """
 
@@ -106,7 +107,8 @@
 
 def matches(selector: dict[str, str | list[str]], labels: dict[str, str]) -> bool:
     """
-    Whether the labels meet every term of the selector. A list allows any of its values.
+    Whether the labels match the selector: each of its keys needs a label with the given value, or
+    with one of a list of values.
 
     """
     for key, required in selector.items():
--- a/packages/millfork-state/millfork_state/distribution_tree.py
+++ b/packages/millfork-state/millfork_state/distribution_tree.py
@@ -2,8 +2,8 @@
 The peers that a process may take the configuration from.
 
 Every availability zone is one tree: replicas first, then the other entries,
-then the endpoints, in an order that every process computes alike. The parent of
-position p is (p - 1) // FANOUT, so a parent always precedes its children. The load
+then the endpoints. Every process computes the same order. The parent of position p
+is (p - 1) // FANOUT, so a parent always precedes its children. A process's load
 doesn't grow with the fleet, as each process has at most FANOUT children.
 
 """
@@ -21,7 +21,7 @@
 
 def zone_order(roster: Roster, zone: ZoneId, replicas: set[InstanceId]) -> list[InstanceId]:
     """
-    The zone's instances in tree order.
+    The zone's instances in the order of the zone's tree.
 
     """
 
--- a/packages/millfork-state/millfork_state/election.py
+++ b/packages/millfork-state/millfork_state/election.py
@@ -15,7 +15,7 @@
 from millfork_wire.messages import VoteReply, VoteRequest
 from millfork_wire.peers import PeerAddress
 
-# Of the election timeout.
+# Timeout of a vote request, as a fraction of the election timeout.
 VOTE_TIMEOUT_FRACTION: Final = 0.5
 
 log = logger(Component.STATE)
@@ -89,7 +89,8 @@
 
 async def _gather_votes(replica: Replica, request: VoteRequest) -> bool:
     """
-    Whether a majority of voters, each with the disk id of its membership, grants the request.
+    Whether a majority of the voters grants the request. A vote counts only if it comes from the
+    disk that is listed in the membership.
 
     """
     granted = {(replica.env.instance, replica.storage.disk)} & set(replica.members)
--- a/packages/millfork-state/millfork_state/formation.py
+++ b/packages/millfork-state/millfork_state/formation.py
@@ -1,8 +1,8 @@
 """
-The first start of the replicated state.
+Formation of the replicated state when a fleet starts for the first time.
 
 The replica with the lowest id waits until every replica answers that its disk is
-empty, and then writes the first entry. A replica that lost its disk finds others
+empty, and then writes the first log entry. A replica that lost its disk finds others
 that are not empty, so it can never form a second state.
 
 """
@@ -31,7 +31,7 @@
 
 def identity_of(replica: Replica) -> Identity:
     """
-    The replica's disk id and cluster. `empty`: the replica has neither a cluster nor log entries.
+    The replica's disk id, its cluster, and whether it is empty: without a cluster and log entries.
 
     """
     empty = not replica.cluster and replica.storage.last_index == 0
@@ -41,8 +41,8 @@
 @dataclass(frozen=True, slots=True)
 class Seeds:
     """
-    The other replicas that form the state together with this one (further replicas join it
-    later), and whether this process may form it at this start.
+    The other replicas that are needed to form the state, and whether this process may form it at
+    this start. Replicas that aren't listed here join the state later.
 
     """
 
@@ -51,7 +51,7 @@
 
     def writes_first_entry(self, instance: InstanceId) -> bool:
         """
-        Whether the replica on `instance` is the one that writes the first entry.
+        Whether the replica on `instance` may form the state and has the lowest id.
 
         """
         return self.may_form and all(instance < other.instance for other in self.others)
@@ -104,8 +104,8 @@
     members: list[tuple[str, str]],
 ) -> bool:
     """
-    Write the first entry, if this disk is empty and one of the members. True if this
-    replica belongs to the cluster afterwards.
+    Write the first log entry if this replica is empty and its disk is one of `members`. True if
+    the replica belongs to `cluster` afterwards.
 
     """
     async with replica.lock:
@@ -122,8 +122,9 @@
 
 async def distribute_genesis(replica: Replica) -> None:
     """
-    Send the first entry to every other replica, and retry until each has answered. Replicas
-    that aren't empty ignore it.
+    Send the members in the first log entry to every other replica, and retry until each has
+    answered. Replicas that aren't empty ignore the message. Nothing is sent if a snapshot has
+    replaced the first log entry.
 
     """
     if replica.storage.snapshot is not None or not replica.storage.entries:
--- a/packages/millfork-state/millfork_state/keys.py
+++ b/packages/millfork-state/millfork_state/keys.py
@@ -7,16 +7,17 @@
 
 from millfork_core.ids import Fingerprint
 
-# The operator's document, compressed, at the document's own version.
+# Key of the operator's document, which is stored compressed and with its version.
 DOCUMENT_KEY: Final = 'document'
+# Prefix of the keys that hold the weights version to serve, one key per model.
 VERSION_PREFIX: Final = 'weights/'
-# Requests that are no longer sent to back ends, by fingerprint.
+# Prefix of the keys of requests that are no longer sent to back ends. The fingerprint follows.
 QUARANTINE_PREFIX: Final = 'quarantine/'
 
 
 def version_key(model: str) -> str:
     """
-    The key of the weights version that engines are to serve for a model.
+    The key that holds the weights version that engines serve for a model.
 
     """
     return f'{VERSION_PREFIX}{model}'
@@ -24,7 +25,7 @@
 
 def quarantine_key(fingerprint: Fingerprint) -> str:
     """
-    The key of a request on the quarantine list.
+    The key of a quarantined request, which is no longer sent to back ends.
 
     """
     return f'{QUARANTINE_PREFIX}{fingerprint}'
--- a/packages/millfork-state/millfork_state/leader_client.py
+++ b/packages/millfork-state/millfork_state/leader_client.py
@@ -24,7 +24,7 @@
 
 class LeaderClient:
     """
-    Finds the leader and sends it commands and reads, or handles them itself if it leads.
+    Finds the leader and sends it commands and reads, or handles them locally if this process leads.
 
     """
 
@@ -38,7 +38,7 @@
     ) -> None:
         self.env = env
         self.peers = peers
-        # The list belongs to the code that passed it, and may grow.
+        # Not copied, as the caller adds replicas to the list when it learns of them.
         self.addresses = replicas
         self.node = node
         self.call_timeout_s = call_timeout_s
@@ -57,8 +57,8 @@
         Return the encoded result of a command. The command is sent again for up to `timeout_s`
         seconds, which is harmless, as commands are idempotent.
 
-        :raises Refused: NO_QUORUM, with the verdict whether the command may have run, or the
-            other reason for which the leader refused the command.
+        :raises Refused: NO_QUORUM if no leader committed the command in time, with a verdict on
+            whether it may have run; otherwise the leader's reason to refuse it.
 
         """
         data = encode_command(command)
@@ -81,7 +81,7 @@
 
     async def _propose_once(self, message: Propose) -> Proposed | None:
         """
-        Send a command once. None if its outcome is unknown.
+        Send a command once, or handle it locally. None if the command's outcome is unknown.
 
         """
         if self.node is not None and (self.node.leads or self.leader == self.env.instance):
--- a/packages/millfork-state/millfork_state/leadership.py
+++ b/packages/millfork-state/millfork_state/leadership.py
@@ -1,6 +1,6 @@
 """
-The leader's tasks: writing its own log, replication to each other replica, detecting the loss of
-the quorum, and changes of the membership.
+The leader's tasks: it writes its own log, replicates it to the other replicas, steps down if the
+quorum is lost, and changes the membership.
 
 """
 
@@ -18,11 +18,13 @@
 from millfork_wire.messages import AppendReply, AppendRequest, Entry, InstallRequest, Message
 from millfork_wire.peers import PeerAddress
 
+# The most log entries per disk sync and per append request.
 MAX_BATCH_ENTRIES: Final = 256
 CALL_TIMEOUT_S: Final = 2.0
-# More voters would only slow each commit.
+# The most voters of the state. More would only slow each commit.
 MAX_VOTERS: Final = 9
-# Longer than two elections, so that a restarting voter is not removed.
+# The leader may remove a voter that has not answered for this time, which is longer than two
+# elections, so that a restarting voter is kept.
 SILENT_VOTER_TIMEOUT_S: Final = 4.0
 
 log = logger(Component.STATE)
@@ -31,8 +33,9 @@
 @dataclass(slots=True)
 class Progress:
     """
-    The leader's record of one other replica: its disk id, the next index to send, the highest
-    index known durable there, and when the last answered request was sent (monotonic seconds).
+    The leader's record of one other replica: the replica's disk id, the next log index to send, the
+    highest index known to be durable there, and when the last answered request was sent (monotonic
+    seconds).
 
     """
 
@@ -96,9 +99,9 @@
         replica = self.replica
         while True:
             await curio.sleep(replica.heartbeat_s)
-            followed = {progress.address for progress in self.progress}
+            known_addresses = {progress.address for progress in self.progress}
             for address in replica.others:
-                if address in followed:
+                if address in known_addresses:
                     continue
                 next_index = replica.storage.last_index + 1
                 progress = Progress(address, next_index, acked_at=replica.env.monotonic())
@@ -124,8 +127,8 @@
 
     async def _append(self, batch: list[PendingProposal], entries: list[LogEntry]) -> None:
         """
-        Append proposals in one batch with one disk sync, which runs while
-        the other replicas receive the entries.
+        Append `entries` and the commands of `batch` to the log with one disk sync, which runs while
+        the other replicas receive them. If this term's leadership has ended, reject the batch.
 
         """
         replica = self.replica
@@ -151,8 +154,8 @@
 
     async def _advance_commit(self) -> None:
         """
-        Commit the highest index that a majority of voters holds durably, if
-        its entry is of this term.
+        Commit the highest log index that a majority of voters holds durably, if the log entry there
+        is of this term.
 
         """
         replica = self.replica
@@ -173,7 +176,7 @@
                 return progress.match
         return 0
 
-    # The other replicas.
+    # Replication to the other replicas.
 
     async def _replicate(self, progress: Progress) -> None:
         while self.active:
@@ -278,8 +281,8 @@
 
     async def confirm_leadership(self, timeout: float) -> bool:
         """
-        Whether a majority answered a request sent after this call started, and
-        all entries committed in earlier terms are applied here.
+        Whether a majority answered requests sent after this call started, and all log entries
+        committed in earlier terms are applied here. False after `timeout` seconds.
 
         """
         replica = self.replica
@@ -303,8 +306,8 @@
     async def _maintain_members(self) -> None:
         """
         Add replicas that have caught up and remove silent voters. A voter whose instance
-        returned with another disk is replaced by two entries: the first removes the old disk,
-        the second adds the new one.
+        returned with another disk is replaced by two log entries: the first removes the old
+        disk, the second adds the new one.
 
         """
         replica = self.replica
@@ -338,9 +341,10 @@
 
     def _without_silent_voter(self) -> list[tuple[str, str]] | None:
         """
-        The voters without one that has been silent for `SILENT_VOTER_TIMEOUT_S`, or None.
+        The voters without one that has been silent for `SILENT_VOTER_TIMEOUT_S`.
 
-        None, too, if the remaining voters could not tolerate the losses that the settings require.
+        None if no voter is silent, if the settings require no tolerance of losses, or if the
+        remaining voters could not tolerate the required number.
 
         """
         replica = self.replica
--- a/packages/millfork-state/millfork_state/message_handler.py
+++ b/packages/millfork-state/millfork_state/message_handler.py
@@ -1,5 +1,5 @@
 """
-How a replica of the state answers messages of other processes.
+Answers of a replica of the state to messages from other processes.
 
 """
 
--- a/packages/millfork-state/millfork_state/node.py
+++ b/packages/millfork-state/millfork_state/node.py
@@ -42,7 +42,7 @@
 
 class StateBody(msgspec.Struct):
     """
-    The configuration: each key's value and revision.
+    The configuration as a read returns it: each key's value and the revision that set it.
 
     """
 
@@ -93,7 +93,7 @@
 
     async def take_snapshots(self) -> None:
         """
-        The task that replaces a long log by a snapshot, also on a follower.
+        The task that replaces a long log by a snapshot, on the leader and on followers.
 
         """
         while True:
@@ -111,8 +111,8 @@
         """
         Commit a command as leader and return its result.
 
-        :raises Refused: NOT_RUN if this replica isn't the leader, else
-            MAY_HAVE_RUN, as the command may still be committed.
+        :raises Refused: with NOT_RUN if this replica isn't the leader; with MAY_HAVE_RUN if the
+            outcome isn't known in time, as the command may still be committed.
 
         """
         if not self.leads:
@@ -146,8 +146,8 @@
 
     async def read(self, target: ReadTarget, timeout: float) -> bytes | None:
         """
-        The state or the reports as JSON, or None unless this replica leads and a majority
-        confirms that its view is the newest.
+        The state or the reports as JSON. None if this replica doesn't lead, or if no majority
+        confirms within `timeout` seconds that it still leads.
 
         """
         leadership = self.leadership
@@ -161,7 +161,7 @@
 
     async def answer_read(self, message: ReadState) -> StateView:
         """
-        Answer a read of another process. The answer names the leader known here.
+        Answer a read of another process. The answer names the leader that this replica knows.
 
         """
         body = await self.read(ReadTarget(message.what), PROPOSE_TIMEOUT_S)
--- a/packages/millfork-state/millfork_state/pending.py
+++ b/packages/millfork-state/millfork_state/pending.py
@@ -23,7 +23,8 @@
 class PendingProposal:
     """
     A proposed command. `settled` is set once the command is applied and `result` is known, or
-    once this replica no longer leads. `applied` is then False, and the command may be committed.
+    once this replica no longer leads. In the latter case, `applied` is False, and the command may
+    still be committed.
 
     """
 
--- a/packages/millfork-state/millfork_state/replica.py
+++ b/packages/millfork-state/millfork_state/replica.py
@@ -1,5 +1,5 @@
 """
-One replica of the state: terms, votes and the follower's side of the log.
+One replica of the replicated state: terms, votes and the follower's side of the log.
 
 The algorithm is Raft with pre-votes and single-step membership changes. A
 voter is a pair of instance and disk id, so a replica that lost its disk can't
@@ -39,8 +39,9 @@
 
 # The random part of an election timeout: at most this fraction of the configured timeout.
 ELECTION_SPREAD_FRACTION: Final = 0.5
+# A snapshot is due this many log entries later than the setting `snapshot_entries` says.
 SNAPSHOT_SLACK_ENTRIES: Final = 200
-# The age of a state that was never up to date: the largest that a message can carry.
+# The age of a configuration that was never up to date: the largest that a message can carry.
 MAX_AGE_MS: Final = 2**32 - 1
 
 log = logger(Component.STATE)
@@ -83,11 +84,11 @@
         self.state = ReplicaState.FOLLOWER
         self.leader: InstanceId = NO_INSTANCE
         self.leader_contact_at = env.monotonic()
-        # The election timeout counts from this time or from the leader's last contact, whichever
-        # is later. It is kept apart from the latter, as a candidate that failed still
-        # votes for others.
+        # The election timeout counts from this time or from `leader_contact_at`, whichever is
+        # later. A replica that gets no majority of pre-votes sets only this time, so that it still
+        # grants pre-votes to other candidates.
         self.campaign_delay_from = self.leader_contact_at
-        # When this replica last had applied all entries that its leader had committed.
+        # When this replica last had applied all log entries that its leader had committed.
         self.caught_up_at = float('-inf')
         self.commit = 0
         self.applied = 0
@@ -96,14 +97,16 @@
         self.stepped_down = curio.Event()
         self.pending: dict[int, PendingProposal] = {}
         self.proposals: curio.Queue = curio.Queue()
-        # When a write last failed. A replica doesn't campaign within an election timeout of it.
+        # When a write to disk last failed. The replica doesn't campaign for an election timeout
+        # after that.
         self.disk_failed_at = -settings.election_ms / 1000
         self.heartbeat_s = settings.heartbeat_ms / 1000
         self.election_s = settings.election_ms / 1000
 
     def add_address(self, address: PeerAddress) -> bool:
         """
-        Add the address of another replica. False if it is known or this replica's own.
+        Add the address of another replica. False if the address is known already or
+        is this replica's own.
 
         """
         if address.instance == self.env.instance or address in self.others:
@@ -130,7 +133,7 @@
 
     async def recover(self) -> None:
         """
-        Restore the state from the files, up to the last entry known to be committed.
+        Restore the state from the files, up to the last log entry known to be committed.
 
         """
         snapshot = self.storage.snapshot
@@ -153,7 +156,7 @@
 
     def _update_members(self) -> None:
         """
-        Use the newest membership in the log, which is valid before it is committed.
+        Use the newest membership in the log, which counts even before it is committed.
 
         """
         self.members = self._members_at(self.storage.last_index)
@@ -161,26 +164,26 @@
 
     async def write(self, entries: list[LogEntry]) -> None:
         """
-        Write entries to the log, record their arrival and update the membership.
+        Write entries to the log (not yet durably), record their arrival and update the membership.
 
         """
-        replaced = bool(entries) and entries[0].index <= self.storage.last_index
+        replaces_tail = bool(entries) and entries[0].index <= self.storage.last_index
         self.storage.write_entries(entries)
-        if replaced:
+        if replaces_tail:
             self.arrival_times.discard_from(entries[0].index)
-        membership = False
+        changes_members = False
         for entry in entries:
             command = decode_command(entry.payload)
             self.arrival_times.record(entry.index, command)
-            membership = membership or isinstance(command, SetMembers)
-        if replaced or membership:
+            changes_members = changes_members or isinstance(command, SetMembers)
+        if replaces_tail or changes_members:
             self._update_members()
 
     # Commit and apply.
 
     async def advance_commit(self, index: int) -> None:
         """
-        Mark entries up to `index` as committed and apply them.
+        Mark log entries up to `index` as committed and apply them.
 
         """
         index = min(index, self.storage.last_index)
@@ -208,7 +211,7 @@
 
     def record_disk_failure(self, error: OSError) -> None:
         """
-        Record that a write failed just now.
+        Record that a write to disk failed just now.
 
         """
         self.disk_failed_at = self.env.monotonic()
@@ -225,7 +228,7 @@
 
     async def snapshot_if_due(self) -> None:
         """
-        Replace the applied entries by a snapshot if the log is long enough.
+        Replace the applied log entries by a snapshot if there are enough of them.
 
         """
         if (
@@ -255,7 +258,8 @@
 
     async def enter_term(self, term: int, voted_for: str = '', cluster: str = '') -> None:
         """
-        Store a later term, and step down as leader of the earlier one.
+        Store a new term and the vote in it, and become a follower. An empty `cluster` keeps the
+        stored one.
 
         """
         await self.storage.save_vote(term, voted_for, cluster)
@@ -263,7 +267,8 @@
 
     async def step_down(self) -> None:
         """
-        Become a follower. The outcomes of proposals in this replica's log become unknown.
+        Become a follower. Proposals in this replica's log that aren't applied yet are settled as
+        unknown: they may still be committed.
 
         """
         if self.state is ReplicaState.LEADER:
@@ -295,7 +300,7 @@
 
     async def on_vote(self, request: VoteRequest) -> VoteReply:
         """
-        Vote for at most one candidate a term, and only if the candidate's log is up to date.
+        Vote for at most one candidate in each term, and only if the candidate's log is up to date.
 
         """
         async with self.lock:
@@ -345,11 +350,11 @@
                 index = min(request.prev_index - 1, self.storage.last_index)
                 return AppendReply(self.term, False, max(index, self.commit), self.storage.disk)
             await self._store_entries(request.entries)
-            match = request.prev_index + len(request.entries)
-            await self.advance_commit(min(request.commit, match))
+            match_index = request.prev_index + len(request.entries)
+            await self.advance_commit(min(request.commit, match_index))
             if self.applied >= request.commit:
                 self.caught_up_at = self.env.monotonic()
-            return AppendReply(self.term, True, match, self.storage.disk)
+            return AppendReply(self.term, True, match_index, self.storage.disk)
 
     async def _store_entries(self, entries: list[Entry]) -> None:
         new = [item for item in entries if self.storage.term_at(item.index) != item.term]
@@ -398,12 +403,12 @@
 
     def age_ms(self) -> int:
         """
-        Milliseconds since this replica was known to have applied all committed entries.
+        Milliseconds since this replica was known to have applied all committed log entries.
 
         Contact with the leader isn't enough: a replica that returned after a partition was in
-        contact immediately, and for 0.2 s it reported old versions as just named to newly started
-        entries. A leader counts as up to date only once an entry of its own term is applied, as
-        earlier entries may be committed without its knowledge.
+        contact immediately, and for 0.2 s it told newly started front proxies that old versions
+        had just been set. A leader counts as up to date only once it has applied a log entry of
+        its own term, as it may not know which earlier log entries are committed.
 
         """
         is_leader = self.state is ReplicaState.LEADER
--- a/packages/millfork-state/millfork_state/reports.py
+++ b/packages/millfork-state/millfork_state/reports.py
@@ -1,5 +1,5 @@
 """
-The instances' reports of themselves, which are passed up the distribution tree.
+Reports that instances make about themselves, which are passed up the distribution tree.
 
 """
 
@@ -40,7 +40,7 @@
 
     async def merge(self, reports: list[Report]) -> None:
         """
-        Keep the reports that are newer than the known ones of their instances.
+        Store each report that is newer than the stored one of its instance.
 
         """
         has_changed = False
--- a/packages/millfork-state/millfork_state/roster.py
+++ b/packages/millfork-state/millfork_state/roster.py
@@ -36,7 +36,7 @@
 
 class Roster:
     """
-    Instances by id. The list lags behind the real state of the instances.
+    The platform's instances by id. The list lags behind their real state.
 
     """
 
@@ -49,7 +49,7 @@
 
     async def poll_periodically(self, interval_s: float) -> None:
         """
-        The task that polls the platform.
+        The task that polls the platform every `interval_s` seconds.
 
         """
         while True:
@@ -58,7 +58,8 @@
 
     async def poll(self) -> bool:
         """
-        Fetch the changes from the platform. False if the platform gave no valid answer.
+        Fetch the changes from the platform and apply them. False if the platform gave no valid
+        answer.
 
         """
         bytes_before = self.client.bytes_transferred
--- a/packages/millfork-state/millfork_state/state_machine.py
+++ b/packages/millfork-state/millfork_state/state_machine.py
@@ -27,17 +27,20 @@
 )
 from millfork_state.view import StoredValue, View
 
+# The most results of `Apply` that are kept to answer resent commands.
 MAX_REMEMBERED_COMMANDS: Final = 20_000
+# The most removed keys whose revision is kept to detect conflicts.
 MAX_REMEMBERED_REMOVALS: Final = 20_000
+# Claims of idempotency keys are forgotten after this time.
 CLAIM_LIFETIME_MS: Final = 24 * 3600 * 1000
-# If an attempt has not been settled after this time, the entry that claimed the key for it
-# counts as lost.
+# An attempt that is not settled within this time may have run: the entry (front proxy) that
+# claimed the idempotency key for the attempt counts as lost.
 CLAIM_OPEN_TIMEOUT_MS: Final = 120_000
 
 
 class Claim(msgspec.Struct):
     """
-    The attempt that holds an idempotency key, and its answer once it is done.
+    The attempt that holds an idempotency key, and the attempt's answer once `done`.
 
     """
 
@@ -79,7 +82,7 @@
 
     def apply(self, command: AnyCommand) -> Result:
         """
-        Apply one command and return its result.
+        Apply one command and return its result, or None if the command has no result.
 
         """
         if isinstance(command, Apply):
@@ -202,7 +205,7 @@
 
     def restore(self, data: bytes) -> list[tuple[str, str]]:
         """
-        Replace the state by that of a dump, and return the dump's voters.
+        Replace the whole state by the one in a dump, and return the dump's voters.
 
         """
         dump = msgspec.msgpack.decode(data, type=Dump)
--- a/packages/millfork-state/millfork_state/storage.py
+++ b/packages/millfork-state/millfork_state/storage.py
@@ -22,13 +22,14 @@
 from millfork_core.ids import ClusterId, DiskId, LogIndex, Term
 from millfork_core.logs import Component, logger
 
+# The length and the CRC-32 checksum of a record's body.
 RECORD_HEADER: Final = struct.Struct('>II')
 MAX_RECORD_BYTES: Final = 64 * 1024 * 1024
 VOTE_FILE: Final = 'vote'
 SNAPSHOT_FILE: Final = 'snapshot'
 LOG_FILE: Final = 'log'
-# A disk that is full or failing when a replica starts may recover within seconds.
-# A replica that can't start for longer than OPEN_TIMEOUT_S needs an operator.
+# Errors of a disk that is full or failing. It may recover within seconds, so a starting replica
+# retries after these errors. One that can't start for OPEN_TIMEOUT_S needs an operator.
 RETRIED_DISK_ERRORS: Final = frozenset({errno.ENOSPC, errno.EDQUOT, errno.EFBIG, errno.EIO})
 OPEN_RETRY_DELAY_S: Final = 0.5
 OPEN_TIMEOUT_S: Final = 60.0
@@ -76,7 +77,7 @@
 
 class Snapshot(msgspec.Struct, frozen=True):
     """
-    The dump of the state machine after it applied the entry at `index`.
+    The dump of the state machine after it applied the log entry at `index`, and the voters then.
 
     """
 
@@ -160,7 +161,7 @@
 
 def _append_entry(entries: list[LogEntry], entry: LogEntry) -> None:
     """
-    Append an entry. It replaces the entry at its index and all later ones.
+    Append a log entry, which replaces the entry at its index and all later ones.
 
     """
     while entries and entries[-1].index >= entry.index:
@@ -208,7 +209,7 @@
         self.torn_bytes = 0
         # The highest committed index that the log records. Later entries may be committed too.
         self.commit_hint = self._load_log()
-        # The last index known durable. Entries in memory may be ahead of it.
+        # The last log index known to be durable. `entries` may go beyond it.
         self.durable_index = int(self.last_index)
         self.file = self.log_path.open('ab', buffering=0)
         self.size = self.log_path.stat().st_size
@@ -265,7 +266,8 @@
 
     def term_at(self, index: int) -> int | None:
         """
-        The term of the entry at `index`, or None if the log doesn't hold it.
+        The term of the log entry at `index`, or None if the index is after the end of the log or
+        before the last one that the snapshot covers. The term at index 0 is 0.
 
         """
         if index == self.snapshot_index:
@@ -340,7 +342,7 @@
     async def save_snapshot(self, snapshot: Snapshot) -> None:
         """
         Store a snapshot durably, then remove the entries that it covers from the log. If the
-        log disagrees with the snapshot, all its entries are removed.
+        log doesn't reach the snapshot, or has another term there, all its entries are removed.
 
         """
         body = msgspec.msgpack.encode(snapshot)
--- a/packages/millfork-state/millfork_state/subscription.py
+++ b/packages/millfork-state/millfork_state/subscription.py
@@ -1,6 +1,6 @@
 """
-Distribution of accepted configuration down the tree to every process, and of reports up the
-tree.
+Distribution of the accepted configuration down the distribution tree to every process, and of
+reports up the tree.
 
 """
 
@@ -22,25 +22,28 @@
 from millfork_wire.messages import Reports as ReportsMessage
 from millfork_wire.peers import PeerAddress, Peers
 
+# A process sends its subscribers an update at least this often, even if nothing changed.
 HEARTBEAT_S: Final = 2.0
-# One heartbeat interval and a second of delay. With 5 s, checked every 2 s, a process whose
-# upstream's link stalled applied a change 6.5 s after it was accepted
-# (tests/test_upstreams.py).
+# An upstream without an update for this time is left. It is one heartbeat interval and a second of
+# delay. With 5 s, checked every 2 s, a process whose upstream's link stalled applied a change
+# 6.5 s after the change was accepted (tests/test_upstreams.py).
 SILENCE_TIMEOUT_S: Final = 3.0
-# The interval of the checks for silence and age. It adds to the time above.
+# The interval of the checks for a silent or stale upstream. It adds to SILENCE_TIMEOUT_S.
 CHECK_INTERVAL_S: Final = 0.5
 SUBSCRIBE_TIMEOUT_S: Final = 2.0
 RETRY_DELAY_S: Final = 0.3
 QUERY_TIMEOUT_S: Final = 1.0
-# Each of the tree's four levels adds up to one heartbeat to the configuration's age.
+# A configuration older than this is stale. Each of the tree's four levels adds up to one heartbeat
+# interval to the age.
 STALE_AGE_MS: Final = 10_000
-# A replica gets a message from its leader every 0.5 s, and from a new leader after an
-# election of at most 2.3 s with the default settings. Processes that follow a replica leave
-# it well before the processes below them count as stale, so that those keep their upstreams.
+# A replica's configuration older than this is stale. With the default settings, a replica gets a
+# message from its leader every 0.5 s, and from a new leader after an election of at most 2.3 s.
+# The limit is well below STALE_AGE_MS, so that a process leaves a stale replica before its own
+# subscribers turn stale and leave the process.
 REPLICA_STALE_AGE_MS: Final = 3_000
-# A process that started before its zone's entries follows another zone's replica. At this
-# interval it checks for a candidate that precedes the present upstream: a replica in another
-# zone may be cut off from the leader while this process's zone is not.
+# The interval at which a process checks for a candidate that precedes its upstream. A process that
+# started before its zone's entries follows a replica in another zone, which may be cut off from the
+# leader while the process's own zone is not.
 NEARER_CHECK_INTERVAL_S: Final = 10.0
 
 log = logger(Component.SUBSCRIPTION)
@@ -48,7 +51,7 @@
 
 class LeaveReason(Enum):
     """
-    Why the process leaves its upstream. The value is the label of the counted event.
+    Why the process leaves its upstream. The value is the `event` label in the metric.
 
     """
 
@@ -86,22 +89,22 @@
         self.upstream_age_ms = 0
         self.min_revision = 0
         self.has_gap = False
-        # The upstream to try first: the up-to-date peer for which the last upstream was left.
+        # The peer to try first: an up-to-date one for which the last upstream was left.
         self.preferred_upstream = NO_INSTANCE
-        # The last upstream, if it was silent or stale. It is tried last, as it may be connected
-        # without answering.
+        # The last upstream, if it was left as silent or stale. It is tried last, as it may accept
+        # connections without answering.
         self.unresponsive_upstream = NO_INSTANCE
         self.next_nearer_check_at = 0.0
         self.next_fresher_check_at = 0.0
-        # Set on a replica, which takes configuration only from its log and
-        # follows the leader only to report.
+        # This process's replica, if it has one. Such a process takes configuration only from the
+        # replica's log, and follows the leader only to send reports.
         self.replica: Replica | None = None
 
     # Downstream.
 
     async def on_subscribe(self, connection: Connection, request: Subscribe) -> Update:
         """
-        Answer a new subscriber and send it updates while it is connected.
+        Answer a new subscriber, and start to send it updates while it is connected.
 
         """
         update = self.view.update_since(request.cluster, request.revision)
@@ -132,7 +135,7 @@
 
     def on_ask_revision(self) -> RevisionIs:
         """
-        The cluster and revision in force here, and the configuration's age.
+        The cluster and revision in force in this process, and the configuration's age.
 
         """
         return RevisionIs(self.view.cluster, self.view.revision, self.age_ms())
@@ -242,10 +245,11 @@
 
     async def _is_stale(self) -> bool:
         """
-        Whether the configuration's age exceeds its limit and another upstream may be fresher.
+        Whether the configuration is too old and another upstream may be fresher.
 
-        A replica is left only for another replica that is up to date. If there is none, as in a
-        zone that is cut off, the process keeps its upstream.
+        An upstream that is a replica is left only for another replica that is up to date, which
+        becomes `preferred_upstream`. If there is none, as in a zone that is cut off, the process
+        keeps its upstream.
 
         """
         if not self._upstream_is_replica():
@@ -267,7 +271,8 @@
 
     async def _finds_nearer(self) -> bool:
         """
-        Whether a candidate that precedes the present upstream is up to date.
+        Whether a candidate that precedes the present upstream is up to date. The first such one
+        becomes `preferred_upstream`.
 
         """
         if self.env.monotonic() < self.next_nearer_check_at:
@@ -314,7 +319,8 @@
 
     async def on_update(self, connection: Connection, update: Update) -> None:
         """
-        Apply an update from the upstream if it is newer than the view.
+        Apply an update if it comes from the upstream and is newer than the view. A process with a
+        replica notes only the upstream's age.
 
         """
         if connection.peer != self.upstream:
@@ -327,7 +333,7 @@
             return
         if not self.view.apply_update(update):
             self.env.metrics.count(self.env.metrics.state, event='update_not_newer')
-            # A delta that starts after the view's revision: updates before it were lost.
+            # Updates were lost: a delta starts after the view's revision, or before any full one.
             self.has_gap = not self.view.cluster or update.from_revision > self.view.revision
             if self.has_gap:
                 await self.reports.changed.set()
@@ -339,8 +345,8 @@
 
     async def query_min_revision(self) -> None:
         """
-        Query the revisions of the zone's entries, so that this process doesn't serve from an
-        older one. Entries that don't answer are ignored.
+        Set `min_revision` to the newest revision at the zone's other entries, so that this process
+        doesn't serve from an older one. Entries that don't answer are ignored.
 
         """
         others = [f for f in self.roster.entries(self.env.zone) if f.instance != self.env.instance]
--- a/packages/millfork-state/millfork_state/view.py
+++ b/packages/millfork-state/millfork_state/view.py
@@ -12,6 +12,7 @@
 from millfork_core.ids import ClusterId, Revision
 from millfork_wire.messages import Item, Update
 
+# The number of revisions for which subscribers can get a delta instead of the whole configuration.
 MAX_HISTORY_REVISIONS: Final = 1024
 
 
@@ -36,6 +37,7 @@
         self.cluster = ClusterId('')
         self.revision = Revision(0)
         self.items: dict[str, StoredValue] = {}
+        # The latest revisions, each with the keys that it set or removed.
         self.history: deque[tuple[int, tuple[str, ...]]] = deque(maxlen=MAX_HISTORY_REVISIONS)
         self.changed = curio.Condition()
 
@@ -75,14 +77,15 @@
     @property
     def position(self) -> tuple[ClusterId, Revision]:
         """
-        The cluster and its revision that are in force.
+        The cluster and the revision in force.
 
         """
         return self.cluster, self.revision
 
     async def wait_for_change(self, position: tuple[ClusterId, Revision], timeout: float) -> bool:
         """
-        Wait until the view is no longer at `position`. False after `timeout` seconds.
+        Wait until the view is no longer at `position`. False if it is still there after `timeout`
+        seconds.
 
         """
         try:
@@ -108,7 +111,12 @@
         if full:
             items = [Item(key, stored.value, stored.revision) for key, stored in self.items.items()]
             return Update(self.cluster, 0, self.revision, True, items)
-        keys = {key for set_by, changed in self.history if set_by > revision for key in changed}
+        keys = {
+            key
+            for history_revision, changed in self.history
+            if history_revision > revision
+            for key in changed
+        }
         items = [
             Item(key, self.items[key].value, self.items[key].revision)
             for key in keys
