--- a/tests/test_feed_client.py
+++ b/tests/test_feed_client.py
@@ -1,5 +1,5 @@
 """
-Choice of the replica that a process follows: one in its own zone if possible.
+Choice of the replica whose feed a process follows: one in the process's zone if possible.
 
 """
 
@@ -23,8 +23,8 @@
 
 class FakeReplicas:
     """
-    Replicas in two zones. Tests set which ones are reachable, and the age of the near one's
-    last contact with the leader.
+    Replicas in two zones. Tests set which ones are reachable, and the age of the state that the
+    near replica reports.
 
     """
 
@@ -125,7 +125,7 @@
     daemon = SimpleNamespace(feed_client=client)
 
     async def run():
-        # From another follower, which relays the feed.
+        # This message comes from another follower, which relays the feed.
         await client.handle_feed_message(InstanceId('10.0.0.8:7'), leases)
         assert ProxyDaemon.peak_entries(daemon) == DEFAULT_ENTRY_COUNT
         await client.handle_feed_message(client.source, leases)
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -1,5 +1,6 @@
 """
-Orders to the engine come from one process, with increasing fencing numbers.
+An engine obeys only one endpoint: each endpoint that takes over has a higher fencing number, and
+no second endpoint starts beside a running one.
 
 """
 
@@ -58,7 +59,7 @@
 def test_engines_that_check_numbers_refuse_old_orders(fleet):
     instance = fleet.engines[0]
 
-    async def order_late():
+    async def send_late_order():
         first = make_engine_client(instance)
         await first.poll()
         second = make_engine_client(instance)
@@ -69,9 +70,9 @@
     refuses = fleet.options.engine['refuses_old_orders']
     if refuses:
         with pytest.raises(OrderFailed, match='higher fencing number'):
-            curio.run(order_late)
+            curio.run(send_late_order)
     else:
-        curio.run(order_late)
+        curio.run(send_late_order)
     late = [
         line for line in read_executions(fleet.execution_log_path(instance.name)) if line['old']
     ]
--- a/tests/test_gathering.py
+++ b/tests/test_gathering.py
@@ -23,8 +23,8 @@
 
 class FakeCachePeers:
     """
-    Caches that answer `not_yet` requests for pieces and `no_digests` requests for digests
-    without data before they succeed. Those in `silent` never answer.
+    Caches that answer the first `not_yet` requests for pieces and the first `no_digests` requests
+    for digests without data. Caches in `silent` never answer.
 
     """
 
--- a/tests/test_history_runs.py
+++ b/tests/test_history_runs.py
@@ -1,5 +1,5 @@
 """
-Histories of concurrent operators on a fleet of processes with failures.
+Configuration changes of concurrent operators are linearizable while replicas fail.
 
 """
 
--- a/tests/test_subscription.py
+++ b/tests/test_subscription.py
@@ -1,11 +1,11 @@
 """
-Configuration updates from an upstream: only newer ones, and never with a gap.
+Which updates from an upstream are applied, and when a process leaves its upstream.
 
-An entry that followed a replica with a stalled link applied a change 6.5 s after it was
-accepted, others after 0.0 s (log: 'Following entry-2' 6.5 s after the stall): an upstream counted
-as silent after 5 s, which was checked every 2 s. An entry that followed a replica cut off from
-the leader didn't apply the change within 30 s (no second 'Following'): a replica was left only
-for silence, whatever the age of its configuration.
+The tests guard against two faults. An upstream counted as silent only after 5 s, checked every
+2 s: an entry that followed a replica with a stalled link applied a change 6.5 s after the change
+was accepted (log: 'Following entry-2' 6.5 s after the stall), other entries after 0.0 s. And a
+replica was left only for silence, whatever the age of its configuration: an entry that followed a
+replica cut off from the leader didn't apply a change within 30 s (no second 'Following').
 
 """
 
@@ -41,8 +41,8 @@
 
 class Upstream:
     """
-    A connection to an upstream that answers with the next of its replies. The `early`
-    updates arrive before the first reply.
+    A connection to an upstream that answers each subscription with the next of `replies`. The
+    `early` updates arrive before the first reply.
 
     """
 
@@ -115,7 +115,7 @@
 
 class TwoPeers:
     """
-    An entry of the own zone, reachable if `near_up`, and a replica in another zone.
+    An entry in the subscriber's zone, reachable if `near_up`, and a replica in another zone.
 
     """
 
@@ -400,7 +400,7 @@
 
 class ZonePeers:
     """
-    The zone's entries, each at a revision, or silent if that is None.
+    The zone's entries, each with its revision. Entries with revision None don't answer.
 
     """
 
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -1,11 +1,11 @@
 """
-Configuration reaches entries that follow a replica which is cut off.
+Configuration changes reach entries that follow a replica which is cut off.
 
-In the scenario `control_cut_off_silently`, entry-5 follows entry-1, because entry-2 of its
-own zone started later, and the links of entry-1 stall. If entry-3 leads, changes are accepted
-at once, but entry-5 got them only after 6.5 s, of 5 s allowed. If entry-1 leads, the election
-hides this delay. If only the link between entry-1 and the leader stalled, entry-4 got no
-change within 30 s. These tests fix which replica leads and which one each entry follows.
+In the scenario `control_cut_off_silently`, entry-5 follows entry-1, because entry-2 in
+entry-5's zone started later, and the links of entry-1 stall. If entry-3 leads, changes are
+accepted at once, but entry-5 got them only after 6.5 s, where 5 s are allowed. If entry-1 leads,
+the election hides this delay. If only the link between entry-1 and the leader stalled, entry-4
+got no change within 30 s. These tests fix which replica leads and which one each entry follows.
 
 """
 
@@ -26,9 +26,10 @@
 LATE_ELECTION_MS = 5000
 MAX_ELECTIONS = 20
 LEADER_LINE = re.compile(r' Leader of term (\d+)')
-# As in the scenario.
+# The time allowed for a change to reach an entry, as in the scenario.
 APPLY_TIMEOUT_S = 5.0
-# Followers learn the age of a replica every 2 s, and verify it once the age is over 3 s.
+# The time allowed if the followed replica is only stale, not silent: entries learn the replica's
+# age every 2 s, and look for a fresher replica once the age is over 3 s.
 STALE_APPLY_TIMEOUT_S = 10.0
 
 
@@ -80,7 +81,7 @@
 
     def leader(self):
         """
-        The winner of the latest term by the logs; empty if there is none yet.
+        The replica that won the latest term according to the logs, or '' if none has won yet.
 
         """
         elected = [(0, '')]
@@ -91,7 +92,8 @@
 
     def apply(self, generation):
         """
-        Apply a change at entry-3, whose links never stall here, and return its revision.
+        Apply a change at entry-3, which is never cut off from a majority of the replicas here, and
+        return the change's revision.
 
         """
         labels = {'millfork-pool-1': {'generation': str(generation)}}
--- a/tests/test_version_ends_after_restart.py
+++ b/tests/test_version_ends_after_restart.py
@@ -1,7 +1,7 @@
 """
-Cutoffs of versions that a replica reports after it was away for longer than requests may
-start on an older version. The other replicas no longer list the version as recently named,
-so they don't correct a cutoff that the returning replica reports too late.
+Version cutoffs (the times from which no request may begin on an older version) that a replica
+reports after it was away until a cutoff had passed. By then, the other replicas no longer list the
+version as recently set, so they don't correct a cutoff that the returning replica reports too late.
 
 """
 
@@ -27,7 +27,7 @@
 from tests.utils.fleets import wait_until
 
 VERSION_MS = 3000
-# Answers contain whole ms, and take a few ms themselves.
+# Answers give times in whole ms, and take a few ms to arrive.
 TOLERANCE_S = 0.1
 
 
@@ -46,7 +46,7 @@
 
 def due_s(fleet, host):
     """
-    The `due_s` of each line about version 2 in a process's log.
+    The seconds until the cutoff (`due_s`) in each line about version 2 of a process's log.
 
     """
     return [float(found[3]) for found in CUTOFF_LINE.finditer(fleet.log(host)) if found[2] == '2']
@@ -70,7 +70,7 @@
 
 def followed(fleet):
     """
-    The replica that the entry follows at present.
+    The replica that the entry follows at present, according to the entry's log.
 
     """
     return re.findall(r'Following replica ([\d.]+)', fleet.log(fleet.entry_hosts[0]))[-1]
@@ -84,18 +84,19 @@
     log = folder / STATE_FOLDER / LOG_FILE
     data = log.read_bytes()
     at = data.rindex(b'\xa4type\xa1c')
-    # The mark's record is a header of fixed size and a map with two items.
+    # The record consists of a header of fixed size and a map with two items, which starts one byte
+    # before its first key.
     log.write_bytes(data[: at - 1 - RECORD_HEADER.size])
 
 
 def test_a_starting_entry_gets_no_later_cutoff_from_a_replica_that_was_away(fleet):
     """
-    A version is named while a replica is down. After its cutoff, that replica and an entry
-    start together. The replica reported its state as fresh once it had contact with the leader,
-    before it had the entries committed meanwhile. The entry followed it, got the version 58 ms
-    later as newly named, and could have sent requests to the ended version until the cutoff was
-    corrected 0.2 s later. This happened in 4 of 15 runs, five at a time under other load. A
-    replica's age now counts from when it holds all committed entries.
+    A version is set while a replica is down. After the version's cutoff, the replica and an entry
+    start together. The replica used to report its state as fresh once it had contact with the
+    leader, before it had the log entries committed meanwhile. The entry followed it, got the
+    version 58 ms later as newly set, and could have sent requests to the ended version until the
+    cutoff was corrected 0.2 s later. This happened in 4 of 15 runs, five at a time under other
+    load. A replica's age now counts from when it holds all committed log entries.
 
     """
     entry = fleet.entry_hosts[0]
@@ -126,7 +127,7 @@
     (fleet.folder / f'{first}.log').unlink()
     fleet.start_process(first)
     wait_until(lambda: due_s(fleet, first))
-    # The entry returns to the replica that it prefers.
+    # With the other replica stopped, the entry returns to the first one.
     fleet.signal(other, signal.SIGSTOP)
     try:
         wait_until(lambda: followed(fleet) == first)
@@ -140,13 +141,13 @@
     clock, view, cutoffs = Clock(), View(), VersionCutoffs()
     env = Environment(InstanceId('a:1'), ZoneId('zone'), monotonic=clock)
     entry = VersionTracker(env, view, SWITCH_MS, cutoffs, UNKNOWN_CUTOFF_MS, never_leads)
-    named = VersionSwitch('m', 2, SWITCH_MS)
-    cutoffs.record_answer(clock.now, [named])
+    switch = VersionSwitch('m', 2, SWITCH_MS)
+    cutoffs.record_answer(clock.now, [switch])
     set_version(view, entry, 2)
     clock.now += SWITCH_S + 60
     assert entry.oldest_usable('m') == 2
-    # The restarted replica reports the version as newly named.
-    cutoffs.record_answer(clock.now, [named])
+    # The restarted replica reports the version as newly set.
+    cutoffs.record_answer(clock.now, [switch])
     assert entry.oldest_usable('m') == 2
 
 
@@ -164,15 +165,15 @@
         set_version(views[number], replicas[number], 2)
     true_end = clock.now + SWITCH_S
 
-    def ask(asker, answerer, took_s):
+    def query(asker, answerer, took_s):
         asked_at = clock.now
         clock.now += took_s
         cutoffs[asker].record_answer(asked_at, replicas[answerer].switches())
 
-    # One question takes half a second; all others are answered immediately.
-    ask(0, 1, 0.5)
+    # The first answer takes half a second, all others 2 ms.
+    query(0, 1, 0.5)
     for _ in range(4):
-        ask(1, 0, 0.002)
-        ask(0, 1, 0.002)
+        query(1, 0, 0.002)
+        query(0, 1, 0.002)
         clock.now += 0.5
     assert replicas[0].ends_at('m', 1) == pytest.approx(true_end - CANCEL_MARGIN_S, abs=TOLERANCE_S)
