--- a/packages/millfork-state/millfork_state/leadership.py
+++ b/packages/millfork-state/millfork_state/leadership.py
@@ -41,7 +41,7 @@
 
     address: PeerAddress
     next_index: int
-    match: int = 0
+    match_index: int = 0
     disk: str = ''
     acked_at: float = 0.0
     wake: curio.Event = field(default_factory=curio.Event)
@@ -173,7 +173,7 @@
             return self.replica.storage.durable_index if disk == self.replica.storage.disk else 0
         for progress in self.progress:
             if progress.address.instance == instance and progress.disk == disk:
-                return progress.match
+                return progress.match_index
         return 0
 
     # Replication to the other replicas.
@@ -234,15 +234,15 @@
             return True
         if progress.disk != reply.disk:
             progress.disk = reply.disk
-            progress.match = 0
+            progress.match_index = 0
         progress.acked_at = sent_at
         async with self.acked:
             await self.acked.notify_all()
         if not reply.ok:
             progress.next_index = min(reply.match + 1, max(progress.next_index - 1, 1))
             return True
-        progress.match = max(progress.match, reply.match)
-        progress.next_index = progress.match + 1
+        progress.match_index = max(progress.match_index, reply.match)
+        progress.next_index = progress.match_index + 1
         async with replica.lock:
             if self.active:
                 await self._advance_commit()
@@ -329,7 +329,7 @@
         members = self.replica.members
         for progress in self.progress:
             instance = progress.address.instance
-            caught_up = progress.match >= self.replica.commit > 0
+            caught_up = progress.match_index >= self.replica.commit > 0
             if not progress.disk or not caught_up or (instance, progress.disk) in members:
                 continue
             others = [member for member in members if member[0] != instance]
--- a/tests/test_seeded.py
+++ b/tests/test_seeded.py
@@ -99,7 +99,7 @@
     leadership = Leadership(replica)
     for progress in leadership.progress:
         progress.disk = f'disk-{progress.address.instance}'
-        progress.match = 1
+        progress.match_index = 1
     return leadership
 
 
@@ -116,7 +116,7 @@
 def add_replica(leadership, name, match=1):
     leadership.replica.add_address(address_of(name))
     progress = Leadership(leadership.replica).progress[-1]
-    progress.disk, progress.match = f'disk-{name}', match
+    progress.disk, progress.match_index = f'disk-{name}', match
     leadership.progress.append(progress)
 
 
@@ -124,7 +124,7 @@
     leadership = leadership_of(tmp_path, ['b:1', 'c:1'])
     add_replica(leadership, 'd:1', match=0)
     assert leadership._next_members() is None
-    leadership.progress[-1].match = 1
+    leadership.progress[-1].match_index = 1
     assert names(leadership._next_members()) == ['a:1', 'b:1', 'c:1', 'd:1']
 
 
