--- a/packages/millfork-state/millfork_state/formation.py
+++ b/packages/millfork-state/millfork_state/formation.py
@@ -49,7 +49,7 @@
     others: list[PeerAddress]
     may_form: bool
 
-    def writes_first_entry(self, instance: InstanceId) -> bool:
+    def writes_first_log_entry(self, instance: InstanceId) -> bool:
         """
         Whether the replica on `instance` may form the state and has the lowest id.
 
@@ -63,7 +63,7 @@
 
     """
     while not replica.cluster:
-        if seeds.writes_first_entry(replica.env.instance):
+        if seeds.writes_first_log_entry(replica.env.instance):
             members = await _find_empty_members(replica, seeds.others)
             if members is not None and await _form_cluster(replica, members):
                 return
--- a/tests/test_seeded.py
+++ b/tests/test_seeded.py
@@ -69,9 +69,9 @@
 
 def test_exactly_one_seed_forms_the_state_and_only_at_the_first_start():
     others = [address_of('10.0.0.2:1'), address_of('10.0.0.3:1')]
-    assert Seeds(others, may_form=True).writes_first_entry(InstanceId('10.0.0.1:1'))
-    assert not Seeds(others, may_form=True).writes_first_entry(InstanceId('10.0.0.9:1'))
-    assert not Seeds(others, may_form=False).writes_first_entry(InstanceId('10.0.0.1:1'))
+    assert Seeds(others, may_form=True).writes_first_log_entry(InstanceId('10.0.0.1:1'))
+    assert not Seeds(others, may_form=True).writes_first_log_entry(InstanceId('10.0.0.9:1'))
+    assert not Seeds(others, may_form=False).writes_first_log_entry(InstanceId('10.0.0.1:1'))
 
 
 def replica_at(folder, instance='a:1', losses=1):
