--- a/packages/millfork-state/millfork_state/config.py
+++ b/packages/millfork-state/millfork_state/config.py
@@ -59,7 +59,7 @@
     @property
     def version(self) -> str:
         """
-        The id of this combination of weights: the start of each manifest's digest, joined by `+`.
+        The id of this combination of weights, made of the digests of the parts' manifests.
         Engines report it and answers name it.
 
         """
--- a/packages/millfork-state/millfork_state/formation.py
+++ b/packages/millfork-state/millfork_state/formation.py
@@ -31,7 +31,7 @@
 
 def identity_of(replica: Replica) -> Identity:
     """
-    The replica's disk id, its cluster, and whether it is empty: without a cluster and log entries.
+    The replica's disk id, its cluster, and whether it is empty: it has neither cluster nor log.
 
     """
     empty = not replica.cluster and replica.storage.last_index == 0
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -1,6 +1,6 @@
 """
-An engine obeys only one endpoint: each endpoint that takes over has a higher fencing number, and
-no second endpoint starts beside a running one.
+Only one endpoint controls an engine: a successor has a higher fencing number, by which the engine
+can refuse its predecessor, and no second endpoint starts beside a running one.
 
 """
 
