--- a/tests/test_seeded.py
+++ b/tests/test_seeded.py
@@ -69,9 +69,9 @@
 
 def test_exactly_one_seed_forms_the_state_and_only_at_the_first_start():
     others = [address_of('10.0.0.2:1'), address_of('10.0.0.3:1')]
-    assert Seeds(others, may_form=True).writes_first_entry(InstanceId('10.0.0.1:1'))
-    assert not Seeds(others, may_form=True).writes_first_entry(InstanceId('10.0.0.9:1'))
-    assert not Seeds(others, may_form=False).writes_first_entry(InstanceId('10.0.0.1:1'))
+    assert Seeds(others, may_form=True).writes_first_log_entry(InstanceId('10.0.0.1:1'))
+    assert not Seeds(others, may_form=True).writes_first_log_entry(InstanceId('10.0.0.9:1'))
+    assert not Seeds(others, may_form=False).writes_first_log_entry(InstanceId('10.0.0.1:1'))
 
 
 def replica_at(folder, instance='a:1', losses=1):
@@ -99,7 +99,7 @@
     leadership = Leadership(replica)
     for progress in leadership.progress:
         progress.disk = f'disk-{progress.address.instance}'
-        progress.match = 1
+        progress.match_index = 1
     return leadership
 
 
@@ -116,7 +116,7 @@
 def add_replica(leadership, name, match=1):
     leadership.replica.add_address(address_of(name))
     progress = Leadership(leadership.replica).progress[-1]
-    progress.disk, progress.match = f'disk-{name}', match
+    progress.disk, progress.match_index = f'disk-{name}', match
     leadership.progress.append(progress)
 
 
@@ -124,7 +124,7 @@
     leadership = leadership_of(tmp_path, ['b:1', 'c:1'])
     add_replica(leadership, 'd:1', match=0)
     assert leadership._next_members() is None
-    leadership.progress[-1].match = 1
+    leadership.progress[-1].match_index = 1
     assert names(leadership._next_members()) == ['a:1', 'b:1', 'c:1', 'd:1']
 
 
