--- a/packages/millfork-adapter/millfork_adapter/__init__.py
+++ b/packages/millfork-adapter/millfork_adapter/__init__.py
@@ -1,4 +1,5 @@
 """
-The interface that a platform adapter implements, and its typed messages.
+The interface that the adapter of a platform implements, and the typed messages it exchanges with
+the daemons.
 
 """
--- a/packages/millfork-adapter/millfork_adapter/adapter.py
+++ b/packages/millfork-adapter/millfork_adapter/adapter.py
@@ -22,13 +22,14 @@
 
 class Adapter(Protocol):
     """
-    Translates between the wire format of a platform and the typed messages.
+    Translates between the wire format of a platform and the types of this package.
 
     """
 
     def read_call(self, request: Request) -> Call:
         """
-        Parse a call to a replica; a call of an unknown kind yields `UnknownCall`.
+        Parse a call by a back end or operator to a replica. A call of an unknown kind is returned
+        as `UnknownCall`.
 
         :raises InvalidMessage: if the call cannot be parsed.
 
@@ -36,13 +37,13 @@
 
     def accepted_response(self) -> Response:
         """
-        The response to a call that was carried out.
+        Return the response to a call that was carried out.
 
         """
 
     def document_response(self, body: bytes) -> Response:
         """
-        The response to `ReadDocument`; `body` is the document as the operator sent it.
+        Return the response to `ReadDocument`; `body` is the document as the operator sent it.
 
         """
 
@@ -56,7 +57,7 @@
 
     def is_readiness_check(self, request: Request) -> bool:
         """
-        Whether a request is a readiness check.
+        Whether a request is the readiness check of the platform's load balancer.
 
         """
 
@@ -70,7 +71,7 @@
 
     def back_end_headers(self, request: Request, options: ForwardOptions) -> Headers:
         """
-        The headers of a caller's request as they are sent to a back end.
+        Return the headers with which a caller's request is sent to a back end.
 
         """
 
@@ -82,20 +83,20 @@
 
     def caller_headers(self, headers: Headers) -> Headers:
         """
-        The headers of a back end's response as they are sent to the caller.
+        Return the headers with which a back end's response is sent to the caller.
 
         """
 
     def refusal_headers(self, request_id: str, wait_ms: int) -> Headers:
         """
-        The headers of a refusal by the entry itself. `request_id` may be empty; `wait_ms` is the
-        time after which the caller may try again (0: unspecified).
+        Return the headers of a refusal by the entry itself. `request_id` may be empty; `wait_ms`
+        is the time after which the caller may try again (0: unspecified).
 
         """
 
     def report_request(self) -> Request:
         """
-        The request that asks an engine for its state.
+        Return the request that asks an engine for its state.
 
         """
 
@@ -109,13 +110,13 @@
 
     def piece_list_request(self, model: str, version: int) -> Request:
         """
-        The request that asks the origin for the digests of a version's pieces.
+        Return the request that asks the origin for the digests of a version's pieces.
 
         """
 
     def read_piece_list(self, body: bytes) -> PieceList:
         """
-        Parse the origin's list of digests.
+        Parse the origin's list of the digests of a version's pieces.
 
         :raises InvalidMessage: if the list cannot be parsed or a digest is malformed.
 
@@ -123,19 +124,19 @@
 
     def piece_request(self, model: str, version: int, index: int) -> Request:
         """
-        The request that asks the origin for the piece with number `index`.
+        Return the request that asks the origin for the piece with number `index`.
 
         """
 
     def stage_piece_request(self, model: str, index: int, body: bytes) -> Request:
         """
-        The request that writes a piece to the engine's staging area.
+        Return the request that writes a piece to the engine's staging area.
 
         """
 
     def read_staged_piece_request(self, model: str, index: int) -> Request:
         """
-        The request that reads a piece from the engine's staging area.
+        Return the request that reads a piece from the engine's staging area.
 
         """
 
@@ -143,8 +144,8 @@
         self, model: str, version: int, first: int, end: int, interrupts: bool
     ) -> Request:
         """
-        The request that orders the engine to load the layers from `first` up to, but not
-        including, `end` from its staged pieces: after running requests have finished or, if
-        `interrupts` is set, at once, which ends running requests.
+        Return the request that tells the engine to load the layers from `first` up to, but not
+        including, `end` from its staged pieces. The engine first finishes its running requests;
+        if `interrupts` is set, it ends them and loads at once.
 
         """
--- a/packages/millfork-adapter/millfork_adapter/calls.py
+++ b/packages/millfork-adapter/millfork_adapter/calls.py
@@ -12,7 +12,7 @@
 
 class InvalidMessage(Exception):
     """
-    A call, request, report or document cannot be parsed; the error's text says why.
+    Raised if a call, request, report or document cannot be parsed; the text says why.
 
     """
 
@@ -30,7 +30,8 @@
 @dataclass(frozen=True, slots=True)
 class LeaveNotice:
     """
-    A back end gives up its lease. `incarnation` is None if the call does not name one.
+    A back end gives up its lease. `incarnation` is the process life that gives it up, None if
+    the call does not say.
 
     """
 
@@ -60,7 +61,7 @@
 @dataclass(frozen=True, slots=True)
 class SetModelVersion:
     """
-    The operator sets the version of a model's weights that engines shall serve.
+    The operator sets the version of a model's weights that engines are to serve.
 
     """
 
--- a/packages/millfork-adapter/millfork_adapter/exchange.py
+++ b/packages/millfork-adapter/millfork_adapter/exchange.py
@@ -15,7 +15,8 @@
     The request line and headers of a caller's request. `key` is the API key; `deadline_ms` is
     how long the caller waits; `last_event_id` is the event after which a stream is to be
     resumed (None: from its beginning); `answer_tokens` is the maximum number of tokens to be
-    generated; `prefix_parts` lists the parts of the prompt in order, each as id and tokens.
+    generated; `prefix_parts` lists the parts of the prompt in order, each as its id and its
+    number of tokens.
 
     """
 
@@ -34,7 +35,8 @@
 @dataclass(frozen=True, slots=True)
 class PathSegment:
     """
-    One back end of a path; it computes the layers from `first` up to, but not including, `end`.
+    One of several back ends that share a model's layers: it computes the layers from `first` up
+    to, but not including, `end`.
 
     """
 
@@ -47,10 +49,10 @@
 @dataclass(frozen=True, slots=True)
 class ForwardOptions:
     """
-    The headers that the entry changes in a request for one back end. `version` is the version
-    of the weights; `resume_after` is the last event that the caller has received;
-    `omits_api_key` is set if the entry has checked the caller's key; `path` lists the back
-    ends that share a model's layers, first the one to which the request is sent.
+    What the entry changes in the headers of a caller's request for one back end. `version` is
+    the version of the weights; `resume_after` is the last event that the caller has received;
+    `omits_api_key` is set if the entry has checked the caller's key; `path` lists the back ends
+    that share a model's layers, starting with the one to which the request is sent.
 
     """
 
@@ -67,9 +69,9 @@
 @dataclass(frozen=True, slots=True)
 class Backpressure:
     """
-    The signals of a back end in the headers of a response: the requests per second
-    that it accepts from all entries together (None: no limit), whether it is leaving, and for
-    how many seconds the sender must not send it requests (None: it asks for no such pause).
+    What a back end signals in the headers of a response. `limit_per_s`: how many requests per
+    second it accepts from all entries together (None: no limit). `leaving`: whether it is
+    leaving. `rest_s`: for how many seconds the entry must send it no requests (None: no pause).
     `invalid_headers` lists the headers that could not be parsed.
 
     """
@@ -88,9 +90,10 @@
     """
     The status and headers of a back end's response.
 
-    `not_run` means that the back end did not run the request. It is also set if the response
-    is `misdirected`: another back end than the one addressed answered at the same address.
-    `keep_alive_s` is how long the back end keeps an idle connection (None: unspecified).
+    `not_run` means that the back end did not run the request. `misdirected` means that the
+    response came from another back end than the addressed one, at the same address; `not_run` is
+    then set too. `keep_alive_s` is how long the back end keeps an idle connection (None:
+    unspecified).
 
     """
 
@@ -107,10 +110,11 @@
 @dataclass(frozen=True, slots=True)
 class EngineReport:
     """
-    An engine's state. Each entry of `served` holds a model, its version, the first layer and
-    the exclusive end of the layers (None: all layers). The engine is slower than its declared
-    speed if `pace` is above 1, and is carrying out an order if `busy` is set. A changed
-    `incarnation` means that the engine restarted: its memory and the orders sent to it are lost.
+    An engine's state. Each item of `served` holds a model, its version, the first layer and the
+    exclusive end of the layers (None: all layers). If `pace` is above 1, the engine is slower
+    than its declared speed; if `busy` is set, it is carrying out a load order. A changed
+    `incarnation` means that the engine restarted and lost its memory and the load orders sent
+    to it.
 
     """
 
@@ -128,7 +132,8 @@
 @dataclass(frozen=True, slots=True)
 class PieceList:
     """
-    The pieces of one version of a model: their SHA-256 digests in hex, in order.
+    The SHA-256 digests, in hex, of the pieces of one version of a model, in the order of the
+    pieces.
 
     """
 
--- a/packages/millfork-core/millfork_core/clocks.py
+++ b/packages/millfork-core/millfork_core/clocks.py
@@ -8,10 +8,10 @@
 
 def elapsed_s() -> float:
     """
-    Seconds since the machine started, including time in which it was suspended. With a clock
-    that stops in suspension, an entry that was suspended for 5 s would send to weights past
-    their cutoff and treat old loads and leases as new. Unlike the time of day, this clock
-    doesn't jump.
+    Return the seconds since the machine started, including time while it was suspended. With a
+    clock that stops during suspension, an entry that was suspended for 5 s would send requests
+    to weights past their cutoff and treat old loads and leases as new. Unlike the time of day,
+    this clock doesn't jump.
 
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/packages/millfork-core/millfork_core/environment.py
+++ b/packages/millfork-core/millfork_core/environment.py
@@ -1,5 +1,6 @@
 """
-The context of a running process, passed in so that tests need no globals.
+What a process's components share: clock, randomness, metrics and the start of tasks. It is passed
+to them as an argument, so that tests can replace it without globals.
 
 """
 
@@ -20,7 +21,7 @@
 @dataclass
 class Environment:
     """
-    The identity, clock, randomness and metrics of one process.
+    The identity, clock, randomness and metrics of one process, and the start of its tasks.
 
     """
 
@@ -29,13 +30,14 @@
     metrics: Metrics = field(default_factory=Metrics)
     monotonic: Callable[[], float] = elapsed_s
     random: Random = field(default_factory=Random)
+    # Set when an essential task fails.
     failed: curio.Event = field(default_factory=curio.Event)
-    # Set when the process ends: a cancelled task must not start another in its place.
+    # Set when the process ends: a task that is being cancelled must not start another task.
     ended: bool = False
 
     async def spawn(self, task: Callable[..., Awaitable[object]], *args: object) -> curio.Task:
         """
-        Start a task that lives as long as the process.
+        Start a task that is never joined; it may run until the process ends.
 
         """
         if self.ended:
@@ -44,8 +46,8 @@
 
     async def spawn_essential(self, task: Callable[..., Awaitable[object]], *args: object) -> None:
         """
-        Start a task that the process needs. If it fails, the whole process ends, as a daemon
-        that only partly works does more harm than one that is down.
+        Start a task that the process can't work without. If the task fails, `failed` is set and
+        the process ends: a daemon that only partly works does more harm than one that is down.
 
         """
         await self.spawn(self._run_essential, task, *args)
--- a/packages/millfork-core/millfork_core/ids.py
+++ b/packages/millfork-core/millfork_core/ids.py
@@ -1,5 +1,5 @@
 """
-Distinct types for ids, so that the type checker finds ids that are mixed up.
+A separate type for each kind of id, so that the type checker finds ids that are mixed up.
 
 """
 
@@ -19,9 +19,10 @@
 Term = NewType('Term', int)
 LogIndex = NewType('LogIndex', int)
 FencingNumber = NewType('FencingNumber', int)
-# One run of a back end's process: its start in ms since 1970; 0 if the back end doesn't say.
+# One process life of a back end, as its start time in ms since 1970; 0 if the back end doesn't
+# report it.
 Incarnation = NewType('Incarnation', int)
-# One run of one back end's process, unique among all back ends.
+# One process life of one back end, with a key that is unique among all back ends.
 IncarnationKey = NewType('IncarnationKey', str)
 
 NO_INSTANCE = InstanceId('')
--- a/packages/millfork-core/millfork_core/logs.py
+++ b/packages/millfork-core/millfork_core/logs.py
@@ -1,5 +1,5 @@
 """
-Logs: one logger for each component, with the component's fixed prefix.
+Log output, and a logger for each component that writes the component's name in each line.
 
 """
 
@@ -19,15 +19,16 @@
 )
 
 
-# Rate and burst limits of a process's log lines: more lines per second than an entry serves
-# requests, and few enough to cost no noticeable time.
+# The sustained rate of log lines of a process: more than an entry serves requests per second, and
+# few enough to cost no noticeable time.
 MAX_LINES_PER_S: Final = 150
+# The number of log lines that a process may write at once after a quiet time.
 MAX_BURST_LINES: Final = 300
 
 
 class Component(Enum):
     """
-    The components that write logs. The value is the prefix of each of their lines.
+    The components that write logs. The value is the component's name in log lines.
 
     """
 
@@ -47,7 +48,7 @@
 
 def logger(component: Component) -> Logger:
     """
-    The logger of one component.
+    Create a logger for one component.
 
     """
     return Logger(component.value)
@@ -55,10 +56,11 @@
 
 class BoundedHandler(Handler):  # type: ignore[misc]
     """
-    Writes lines to a descriptor without ever blocking, up to a rate (token bucket).
+    Writes log lines to a file descriptor without blocking, up to a rate (token bucket).
 
-    A line beyond the rate, or one that a full pipe doesn't take, is dropped and counted. The
-    next line that is written says how many lines were dropped before it.
+    A line beyond the rate, or one that can't be written, as to a full pipe, is dropped and
+    counted. The next line that is written says how many lines were dropped before it. For each
+    line, `on_line` is called with 'written' or 'dropped'.
 
     """
 
--- a/packages/millfork-core/millfork_core/metrics.py
+++ b/packages/millfork-core/millfork_core/metrics.py
@@ -10,13 +10,14 @@
 from millfork_core.verdicts import Reason
 
 TEXT_ACCEPT: Final = ['text/plain']
-# Fine around the target latencies of 0.4 to 0.9 s, coarse up to the deadlines of some seconds.
+# Upper bounds of the histogram buckets: fine steps around the target latencies of 0.4 to 0.9 s,
+# coarse ones up to request deadlines of several seconds.
 LATENCY_BUCKETS_S: Final = (0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.7, 1.0, 2.0, 4.0, 8.0, float('inf'))
 
 
 class Metrics:
     """
-    The metrics of one process, created once and passed in by the environment.
+    The metrics of one process, which its `Environment` holds.
 
     """
 
@@ -74,7 +75,7 @@
 
     def render(self) -> tuple[bytes, str]:
         """
-        All metrics as Prometheus text: body and content type.
+        Return all metrics as Prometheus text, and the content type of that text.
 
         """
         body, headers = render(self.registry, TEXT_ACCEPT)
--- a/packages/millfork-core/millfork_core/ranks.py
+++ b/packages/millfork-core/millfork_core/ranks.py
@@ -8,7 +8,7 @@
 
 def rank(seed: str, name: str) -> int:
     """
-    The rank of `name` under `seed`, an unsigned 64-bit integer.
+    Return the rank of `name` under `seed`: an unsigned 64-bit integer.
 
     """
     return xxhash.xxh3_64_intdigest(f'{seed}/{name}'.encode())
--- a/packages/millfork-core/millfork_core/signals.py
+++ b/packages/millfork-core/millfork_core/signals.py
@@ -1,5 +1,5 @@
 """
-Stop signals that a task can wait for.
+Lets a task wait for stop and reload signals.
 
 """
 
@@ -13,14 +13,15 @@
 
 def _ignore_signal(number: int, frame: object) -> None:
     """
-    Replace the default action; the signal's number arrives through the wake-up descriptor.
+    Replace a signal's default action and do nothing. `StopSignals` receives the signal's number
+    through the wake-up descriptor.
 
     """
 
 
 class StopSignals:
     """
-    Catches SIGTERM and SIGINT, with `reloads` also SIGHUP, and lets a task wait for them.
+    Catches SIGTERM, SIGINT and, with `reloads`, SIGHUP, so that a task can wait for them.
 
     """
 
@@ -40,7 +41,7 @@
 
     async def get(self) -> signal.Signals:
         """
-        Wait for the next signal.
+        Wait for the next caught signal and return it.
 
         """
         data = await self.reader.recv(1)
--- a/packages/millfork-core/millfork_core/sockets.py
+++ b/packages/millfork-core/millfork_core/sockets.py
@@ -11,8 +11,8 @@
 
 async def connect(host: str, port: int, source: str = '') -> Any:
     """
-    Connect to an IPv4 address, from address `source` if given. Unlike curio's own function,
-    this one doesn't start a thread for a name look-up.
+    Connect to an IPv4 address, from the local address `source` if one is given. Unlike curio's
+    own function, this one doesn't start a thread to look up a name.
 
     :raises OSError: if the connection fails.
 
@@ -31,8 +31,8 @@
 
 def is_quiet(sock: Any) -> bool:
     """
-    Whether an idle connection is open and has no unread bytes, which would belong to no
-    request.
+    Whether an idle connection can be used for a request: it is open and has no unread bytes,
+    which would be taken for the answer to that request.
 
     """
     try:
--- a/packages/millfork-core/millfork_core/verdicts.py
+++ b/packages/millfork-core/millfork_core/verdicts.py
@@ -1,5 +1,5 @@
 """
-Verdicts and reasons: whether an unanswered request may have run, and why it failed.
+Verdicts and reasons: whether a request may have run on a back end, and why it was refused.
 
 """
 
@@ -21,7 +21,7 @@
 
 class Reason(Enum):
     """
-    Why a request was refused or an attempt was retried. Each has a counter.
+    Why a request was refused or an attempt was retried. Metrics count each reason separately.
 
     """
 
@@ -80,8 +80,8 @@
 }
 DEFAULT_HTTP_STATUS: Final = 503
 
-# Reasons that go away with time, and the wait in milliseconds if the refusing component
-# doesn't give one.
+# By reason: after how many milliseconds a caller may try again, if the component that refuses the
+# request doesn't say. Reasons for which waiting doesn't help are missing.
 DEFAULT_RETRY_AFTER_MS: Final[dict[Reason, int]] = {
     Reason.NOT_READY: 1000,
     Reason.NO_ENDPOINT: 2000,
@@ -107,8 +107,8 @@
 @dataclass(frozen=True, slots=True)
 class Refusal:
     """
-    The refusal of a request or attempt: the reason, whether the request may have run, and when
-    to try again (milliseconds; 0: the default for the reason).
+    The refusal of a request or attempt. `verdict` says whether the request may have run;
+    `retry_after_ms` is when to try again (0: the default for the reason).
 
     """
 
@@ -120,7 +120,7 @@
     @property
     def wait_ms(self) -> int:
         """
-        When the caller may try again, in milliseconds; 0 if waiting doesn't help.
+        After how many milliseconds the caller may try again; 0 if waiting doesn't help.
 
         """
         return self.retry_after_ms or DEFAULT_RETRY_AFTER_MS.get(self.reason, 0)
@@ -132,7 +132,7 @@
 
 class Refused(Exception):
     """
-    Raised where a refusal can't be returned as a value.
+    Raised by functions that don't return a refusal as a value.
 
     """
 
--- a/packages/millfork-core/millfork_core/windows.py
+++ b/packages/millfork-core/millfork_core/windows.py
@@ -6,9 +6,10 @@
 from collections import deque
 from typing import Final
 
-# Replicas and entries count an entry for this long after they last saw it. An entry without
-# contact with a majority of the replicas keeps counting the others. After a loss of power a zone's
-# machines return within minutes, and regions lose contact with each other for about as long.
+# Replicas and entries (front proxies) count an entry for this long after its last sign of life, so
+# that an entry without contact with a majority of the replicas keeps counting the others. After a
+# loss of power a zone's machines return within minutes, and regions lose contact with each other
+# for about as long.
 ENTRIES_REMEMBERED_S: Final = 600.0
 
 
@@ -20,7 +21,7 @@
 
     def __init__(self, window_s: float) -> None:
         self.window_s = window_s
-        # When each value was added, and the value; the values decrease.
+        # Values that are or may become the maximum, each with its time; the values decrease.
         self.candidates: deque[tuple[float, int]] = deque()
 
     @property
@@ -33,7 +34,7 @@
 
     def add(self, value: int, now: float) -> int:
         """
-        Add the current value and return the maximum.
+        Add a value at the time `now` and return the maximum of the window that ends then.
 
         """
         while self.candidates and self.candidates[-1][1] <= value:
@@ -57,7 +58,7 @@
 
     def try_acquire(self, now: float) -> bool:
         """
-        Count an event if the limit allows it; returns whether it does.
+        Count an event at the time `now` if the limit allows it; return whether it was counted.
 
         """
         while self.acquired_at and now - self.acquired_at[0] > self.window_s:
--- a/packages/millfork-settings/millfork_settings/common.py
+++ b/packages/millfork-settings/millfork_settings/common.py
@@ -1,8 +1,8 @@
 """
 Settings that listed and seeded fleets share.
 
-They have a module of their own so that a daemon of a seeded fleet doesn't import the models of
-listed fleets, which took 0.04 s of each start.
+They are in a separate module so that a daemon of a seeded fleet doesn't import the models of
+listed fleets: that import took 0.04 s of each start.
 
 """
 
@@ -27,7 +27,7 @@
 
 class StrictModel(BaseModel):
     """
-    Base of all settings: unknown keys are errors.
+    Base of the settings and declarations in which unknown keys are errors.
 
     """
 
@@ -36,7 +36,7 @@
 
 class StateSettings(StrictModel):
     """
-    Settings of the replicated state.
+    Settings of the consensus protocol that replicates the state.
 
     """
 
--- a/packages/millfork-settings/millfork_settings/declarations.py
+++ b/packages/millfork-settings/millfork_settings/declarations.py
@@ -16,7 +16,8 @@
 
 class OrganisationSpec(StrictModel):
     """
-    The tokens, services and share of an organisation. Only the administrator may apply it.
+    The tokens, services and share of an organisation. Only the fleet's administrator may apply
+    this part of a declaration.
 
     """
 
@@ -28,7 +29,7 @@
 
 class VersionSpec(StrictModel):
     """
-    One version of a model or adapter.
+    One version of a model or of an adapter (weights that extend a model).
 
     """
 
@@ -38,7 +39,7 @@
 
 class DeploymentSpec(StrictModel):
     """
-    The weights that the instances matching the selector should serve.
+    The weights that all instances whose labels match the selector should serve.
 
     """
 
@@ -50,7 +51,8 @@
 
 class Declaration(StrictModel):
     """
-    The content of a declaration file.
+    The content of a declaration file. `organisation` owns the labels and deployments; labels
+    and drains are given by instance.
 
     """
 
--- a/packages/millfork-settings/millfork_settings/document.py
+++ b/packages/millfork-settings/millfork_settings/document.py
@@ -37,7 +37,7 @@
 
 def document() -> str:
     """
-    The text of the page.
+    Return the text of `docs/SETTINGS.md`.
 
     """
     listed = '\n'.join(_rows(Settings, ''))
@@ -52,8 +52,8 @@
         nested = _nested(info.annotation)
         rows.append(f'| `{key}` | {_type(info.annotation)} | {_default(info)} | {_meaning(info)} |')
         if nested is not None:
-            mark = '[].' if get_origin(info.annotation) is list else '.'
-            rows += _rows(nested, key + mark)
+            separator = '[].' if get_origin(info.annotation) is list else '.'
+            rows += _rows(nested, key + separator)
     return rows
 
 
--- a/packages/millfork-settings/millfork_settings/errors.py
+++ b/packages/millfork-settings/millfork_settings/errors.py
@@ -1,5 +1,5 @@
 """
-Errors in settings and declarations; all problems of a file are reported at once.
+Errors in the files of settings and declarations. All problems of a file are reported at once.
 
 """
 
@@ -12,7 +12,7 @@
 @dataclass(frozen=True, slots=True)
 class Problem:
     """
-    One problem: the path of the key in the file, and the expected value.
+    One problem in a file: the path of the key, and what is expected there or is wrong.
 
     """
 
@@ -22,7 +22,7 @@
 
 class BadFile(Exception):
     """
-    A file is missing, unreadable or invalid; `problems` lists every error found.
+    Raised if a file is missing, unreadable or invalid; `problems` lists all problems found.
 
     """
 
@@ -35,7 +35,7 @@
 
 def find_problems(error: ValidationError) -> list[Problem]:
     """
-    Convert the errors of pydantic to problems.
+    Convert a validation error of pydantic to a list of problems.
 
     """
     problems = []
--- a/packages/millfork-settings/millfork_settings/loading.py
+++ b/packages/millfork-settings/millfork_settings/loading.py
@@ -16,9 +16,9 @@
 
 def read_yaml(path: Path) -> Any:
     """
-    The content of a YAML file.
+    Return the parsed content of a YAML file.
 
-    :raises BadFile: if it can't be read or isn't YAML.
+    :raises BadFile: if the file can't be read or isn't YAML.
 
     """
     try:
@@ -32,9 +32,9 @@
 
 def load(path: Path, model: type[Model]) -> Model:
     """
-    Read a file into a validated model.
+    Read a YAML file into a validated model.
 
-    :raises BadFile: with every problem found.
+    :raises BadFile: if the file can't be read or is invalid; lists all problems found.
 
     """
     content = read_yaml(path)
--- a/packages/millfork-settings/millfork_settings/models.py
+++ b/packages/millfork-settings/millfork_settings/models.py
@@ -1,5 +1,5 @@
 """
-The settings of a daemon of a listed fleet. `docs/SETTINGS.md` is generated from them.
+The settings of a daemon of a listed fleet. `docs/SETTINGS.md` is generated from these models.
 
 """
 
@@ -15,7 +15,7 @@
 
 class Role(Enum):
     """
-    The role of a daemon.
+    The role of a daemon of a listed fleet.
 
     """
 
@@ -25,7 +25,7 @@
 
 class BackendKind(Enum):
     """
-    The kind of back end of an endpoint.
+    Whether the back end of an endpoint is an engine (a model server) or a plain service.
 
     """
 
@@ -49,7 +49,7 @@
 
 class Ports(StrictModel):
     """
-    The ports that a daemon listens on at its address.
+    The ports on which a daemon listens at its address.
 
     """
 
@@ -86,7 +86,7 @@
 
 class WeightSettings(StrictModel):
     """
-    How weights are fetched and distributed.
+    Settings of how weights are fetched from the origin and distributed among instances.
 
     """
 
@@ -105,7 +105,7 @@
 
 class BackendSettings(StrictModel):
     """
-    The engine or plain service behind an endpoint.
+    Settings of the engine or plain service behind an endpoint.
 
     """
 
@@ -152,7 +152,7 @@
 
 class Settings(StrictModel):
     """
-    The settings file of a `millforkd` of a listed fleet.
+    The content of a settings file of `millforkd` in a listed fleet.
 
     """
 
--- a/packages/millfork-settings/millfork_settings/seeded.py
+++ b/packages/millfork-settings/millfork_settings/seeded.py
@@ -19,7 +19,8 @@
 
 from millfork_settings.common import Port, StateSettings, StrictModel
 
-# One day: no promise is longer, and in ms it fits the messages' 32 bits.
+# The largest duration that a setting in `PromiseSettings` may have: one day, which in
+# milliseconds fits the 32-bit fields of messages.
 MAX_DURATION_S: Final = 86_400
 MAX_DURATION_MS: Final = 1000 * MAX_DURATION_S
 
@@ -28,7 +29,7 @@
 
 class SeededRole(Enum):
     """
-    The role of a seeded daemon.
+    The role of a daemon of a seeded fleet.
 
     """
 
@@ -48,7 +49,7 @@
 
 class SeededPorts(StrictModel):
     """
-    The ports that a daemon listens on at its address.
+    The ports on which a daemon listens at its address.
 
     """
 
@@ -58,7 +59,7 @@
 
 class Listen(StrictModel):
     """
-    Sockets for processes that aren't part of millfork.
+    The sockets on which a daemon listens for processes that aren't part of millfork.
 
     """
 
@@ -71,7 +72,7 @@
 
 class BesideSettings(StrictModel):
     """
-    The engine on the same instance as an endpoint daemon.
+    The engine that runs on the same instance as an endpoint daemon.
 
     """
 
@@ -82,7 +83,7 @@
 @dataclass(frozen=True, slots=True)
 class ReplacedValue:
     """
-    A number that could not be used as given, and the number used instead.
+    A setting whose value could not be used as given, and the number used instead.
 
     """
 
@@ -93,11 +94,12 @@
 
 class PromiseSettings(StrictModel):
     """
-    Bounds that the fleet promises to the platform.
+    The promises: bounds that the fleet keeps towards the platform.
 
-    The platform fills them in, so no value may keep a daemon from starting: a value beyond its
-    limits is clamped, and the default replaces a value that isn't a number; `replaced` lists
-    both. A promise that the role needs and that the file lacks is an error.
+    The platform fills in the values, so no value may prevent a daemon from starting: a number
+    outside the limits of its setting is clamped, and any other value is replaced by the default.
+    `replaced` lists the values changed in these ways. A promise that the daemon's role needs
+    must be in the settings file (see `REQUIRED_PROMISES`).
 
     """
 
@@ -157,7 +159,8 @@
 
 def _usable_value(value: object, info: FieldInfo) -> float:
     """
-    The number clamped to the limits of its setting, or the default if it isn't a number.
+    Return the value clamped to the limits of its setting, or the setting's default if the value
+    isn't a number.
 
     """
     number = _number(value)
@@ -168,7 +171,7 @@
 
 def bound_of(info: FieldInfo, side: str) -> float:
     """
-    The lower (`ge`) or upper (`le`) bound of a promise.
+    Return the lower (`ge`) or upper (`le`) limit of a setting.
 
     """
     return next(float(getattr(item, side)) for item in info.metadata if hasattr(item, side))
@@ -176,21 +179,22 @@
 
 def _number(value: object) -> float | None:
     """
-    The value as a number, or None. Strings count too, as YAML reads `1e+22` as a string.
+    Return the value as a number, or None if it isn't one. Strings are converted too, as YAML
+    reads `1e+22` as a string.
 
     """
     if isinstance(value, bool) or not isinstance(value, int | float | str):
         return None
     try:
-        # Through a string, an integer beyond the range of floats becomes infinity.
+        # Converted through a string, an integer beyond the range of floats becomes infinity.
         number = float(str(value))
     except ValueError:
         return None
     return None if math.isnan(number) else number
 
 
-# The promises that the code of each role reads; the settings file must contain them. When a
-# default was used for a missing one, an entire fleet stopped using old versions 2 s too early.
+# The promises that the code of each role reads and that its settings file must contain. When the
+# default replaced a missing promise, an entire fleet stopped using old versions 2 s too early.
 REQUIRED_PROMISES: Final = {
     SeededRole.ENTRY: (
         'heartbeat_ms',
@@ -207,8 +211,8 @@
 
 class SeededSettings(BaseModel):
     """
-    The settings file of a `millforkd` of a seeded fleet. Unknown keys are ignored, as the
-    platform that writes the file may be newer than the daemon.
+    The content of a settings file of `millforkd` in a seeded fleet. Unknown keys are ignored, as
+    the platform that writes the file may be newer than the daemon.
 
     """
 
@@ -248,7 +252,7 @@
     @property
     def seed_instances(self) -> list[str]:
         """
-        The ids of the seeds.
+        The instance ids of the seeds: their hosts with this daemon's wire port.
 
         """
         return [f'{split_host_port(seed)[0]}:{self.ports.wire}' for seed in self.seeds]
--- a/packages/millfork-web/millfork_web/client.py
+++ b/packages/millfork-web/millfork_web/client.py
@@ -15,12 +15,13 @@
 
 READ_BYTES: Final = 256 * 1024
 CONNECT_TIMEOUT_S: Final = 2.0
-MAX_IDLE: Final = 64
+MAX_IDLE_CONNECTIONS: Final = 64
 
 
 class ExchangeFailed(Exception):
     """
-    No complete response arrived. The verdict says whether the server may have run the request.
+    Raised if no complete response arrives. The verdict says whether the server may have run the
+    request.
 
     """
 
@@ -31,7 +32,7 @@
 
 class Reply:
     """
-    A response that is being received.
+    A response that is being received: first its head, then the parts of its body.
 
     """
 
@@ -57,7 +58,7 @@
 
     async def parts(self) -> AsyncIterator[bytes]:
         """
-        The body in parts as they arrive; all bytes received since the last part form one part.
+        Yield the body as it arrives; each part holds all bytes received since the previous one.
 
         :raises ExchangeFailed: if the body is incomplete.
 
@@ -99,7 +100,8 @@
 
     async def close(self) -> None:
         """
-        Return the connection to the pool if the response was read completely, else close it.
+        Return the connection to the client's pool if the response was read completely, else
+        close the connection.
 
         """
         if self.complete and self.conn.our_state is h11.DONE and self.conn.their_state is h11.DONE:
@@ -111,7 +113,7 @@
 
 class Client:
     """
-    A client for one server address.
+    A client for one server address. Connections come from the local address `source`, if given.
 
     """
 
@@ -123,16 +125,16 @@
         self.bytes_transferred = 0
 
     async def return_connection(self, sock: Any, conn: h11.Connection) -> None:
-        if len(self.idle) < MAX_IDLE:
+        if len(self.idle) < MAX_IDLE_CONNECTIONS:
             self.idle.append((sock, conn))
             return
         await sock.close()
 
     async def send(self, method: str, path: str, headers: Headers, body: bytes = b'') -> Reply:
         """
-        Send a request and return once the response's head is read.
+        Send a request and return once the head of the response has been read.
 
-        :raises ExchangeFailed: with the verdict on whether the server may have run the request.
+        :raises ExchangeFailed: if the connection fails before that.
 
         """
         sock, conn = await self._connection()
--- a/packages/millfork-web/millfork_web/models.py
+++ b/packages/millfork-web/millfork_web/models.py
@@ -1,5 +1,5 @@
 """
-Requests and responses of the server and the client.
+Requests and responses, as the HTTP server and the HTTP client use them.
 
 """
 
@@ -12,7 +12,7 @@
 
 def find_header(headers: Headers, name: str) -> str:
     """
-    The first value of a header (`name` in lower case), or ''.
+    Return the first value of a header (`name` in lower case); '' if the header is missing.
 
     """
     for key, value in headers:
@@ -23,7 +23,7 @@
 
 def without_header(headers: Headers, name: str) -> Headers:
     """
-    The headers except those called `name` (in lower case).
+    Return the headers except those called `name` (in lower case).
 
     """
     return [item for item in headers if item[0] != name]
@@ -46,9 +46,9 @@
 
     def json(self) -> Any:
         """
-        The body as JSON.
+        Parse the body as JSON.
 
-        :raises ValueError: if it is not valid JSON.
+        :raises ValueError: if the body is not valid JSON.
 
         """
         return json.loads(self.body)
@@ -74,7 +74,7 @@
 
 def json_response(body: Any, status: int = 200) -> Response:
     """
-    A response with a JSON body.
+    Create a response with `body` as JSON.
 
     """
     return Response(status, [('content-type', 'application/json')], json.dumps(body).encode())
--- a/packages/millfork-web/millfork_web/problem.py
+++ b/packages/millfork-web/millfork_web/problem.py
@@ -1,5 +1,5 @@
 """
-Refusals as RFC 9457 problem bodies.
+Writes refusals as HTTP responses with a problem body (RFC 9457).
 
 """
 
@@ -15,7 +15,8 @@
 
 def problem(refusal: Refusal) -> Response:
     """
-    The refusal as a response with verdict and reason, and `Retry-After` if waiting helps.
+    Create the response for a refusal. Body and headers give its verdict and reason, and when to
+    try again if waiting helps.
 
     """
     body = {
--- a/packages/millfork-web/millfork_web/retry_after.py
+++ b/packages/millfork-web/millfork_web/retry_after.py
@@ -13,7 +13,7 @@
 
 RETRY_AFTER: Final = 'retry-after'
 DATE: Final = 'date'
-# Statuses by which a server rejects a request and may ask for a wait.
+# Statuses with which a server rejects a request and may ask the sender to wait.
 REJECTION_STATUSES: Final = frozenset({429, 503})
 # A float represents every integer up to this one exactly.
 MAX_AMOUNT: Final = 2.0**53
@@ -22,7 +22,8 @@
 @dataclass(frozen=True, slots=True)
 class RetryAfter:
     """
-    The wait that the server asks for (None: no wait), and the values that can't be parsed.
+    The wait that the server asks for (None: no valid value), and the values that can't be
+    parsed.
 
     """
 
@@ -32,8 +33,8 @@
 
 def read_retry_after(headers: Headers) -> RetryAfter:
     """
-    Read the longest wait of all values. A date is relative to the response's `Date`, if it
-    has one, else to the current time.
+    Return the longest wait of all `Retry-After` headers. A date is converted to a wait by the
+    response's `Date` header, if there is a valid one, else by the current time.
 
     """
     waits_s: list[float] = []
@@ -51,7 +52,7 @@
 
 def header_values(headers: Headers, name: str) -> list[str]:
     """
-    All values of a header (`name` in lower case).
+    Return all values of a header (`name` in lower case).
 
     """
     return [value.strip() for key, value in headers if key == name]
@@ -59,7 +60,7 @@
 
 def parse_amount(text: str) -> float | None:
     """
-    A number from 0 to `MAX_AMOUNT`; None if the text is anything else.
+    Parse a number from 0 to `MAX_AMOUNT`; None if the text is anything else.
 
     """
     try:
@@ -80,7 +81,7 @@
 
 def _parse_date(text: str) -> datetime | None:
     """
-    A date as in RFC 9110, which is always in UTC.
+    Parse a date as in RFC 9110; None if it is invalid. A date without a time zone is in UTC.
 
     """
     try:
--- a/packages/millfork-web/millfork_web/server.py
+++ b/packages/millfork-web/millfork_web/server.py
@@ -21,10 +21,10 @@
 REQUEST_TIMEOUT_S: Final = 30.0
 BACKLOG: Final = 1024
 OUT_OF_DESCRIPTORS: Final = frozenset({errno.EMFILE, errno.ENFILE})
-# Pause after a failed accept.
+# Pause after an attempt to accept a connection has failed.
 ACCEPT_PAUSE_S: Final = 0.05
-# Idle connections closed at once when descriptors run out: few enough to affect few callers,
-# more than arrive during one `ACCEPT_PAUSE_S` in a busy fleet.
+# The number of idle connections closed each time file descriptors run out: few enough to affect
+# few callers, more than the connections that arrive within `ACCEPT_PAUSE_S` in a busy fleet.
 IDLE_CLOSED_PER_SHORTAGE: Final = 8
 DEFAULT_MAX_BODY_BYTES: Final = 4 * 1024 * 1024
 
@@ -33,7 +33,7 @@
 
 class CallerGone(Exception):
     """
-    The caller closed its connection before the response was complete.
+    Raised if the caller closes its connection before the response is complete.
 
     """
 
@@ -64,7 +64,7 @@
 
     async def start(self, status: int, headers: Headers) -> None:
         """
-        Begin a streamed response.
+        Send the head of a streamed response; `write` and `finish` send the body.
 
         """
         await self._send(self._head(status, headers))
@@ -77,7 +77,8 @@
 
     async def abort(self) -> None:
         """
-        End a streamed response early, so that the caller can't take it for a complete one.
+        Close the connection before a streamed response is complete, in a way that shows the
+        caller that the response is incomplete.
 
         """
         self.conn.send_failed()
@@ -100,7 +101,8 @@
 
     async def wait_for_disconnect(self) -> None:
         """
-        Return once the caller has closed its side. Bytes of a next request stay unread.
+        Return once the caller has closed its side of the connection. If the caller already
+        sends its next request, that stays unread.
 
         """
         while True:
@@ -117,7 +119,7 @@
 
 async def spawn_daemon(task: Callable[..., Awaitable[object]], *args: object) -> curio.Task:
     """
-    Start a task that is never joined.
+    Start a task that is never joined (a daemon task of curio).
 
     """
     return await curio.spawn(task, *args, daemon=True)
@@ -125,7 +127,8 @@
 
 class Server:
     """
-    Serves one handler on one address.
+    An HTTP server on one address that passes each request to `handler`. `on_refusal` is called
+    with the reason for each request that the server itself refuses.
 
     """
 
@@ -153,7 +156,7 @@
 
     async def run(self) -> None:
         """
-        Serve until cancelled or until `stop_accepting`.
+        Accept connections until cancelled or until `stop_accepting` is called.
 
         """
         listener = curio.tcp_server_socket(self.host, self.port, backlog=BACKLOG)
@@ -175,7 +178,8 @@
 
     async def stop_accepting(self) -> None:
         """
-        Accept no new connections and close the idle ones. Requests in progress go on.
+        Accept no new connections and close the idle ones. Requests in progress continue; their
+        connections are closed afterwards.
 
         """
         self.closing = True
@@ -186,8 +190,8 @@
     async def _free_descriptors(self) -> None:
         """
         Close the connections that have been idle longest. Otherwise callers whose idle
-        connections use all descriptors would keep others out until the idle timeout (30 s in
-        the usual document).
+        connections use all file descriptors would keep other callers out until the idle timeout
+        (30 s in a usual document of an operator).
 
         """
         count = await self._close_idle(IDLE_CLOSED_PER_SHORTAGE)
--- a/packages/millforkd/millforkd/__main__.py
+++ b/packages/millforkd/millforkd/__main__.py
@@ -17,7 +17,8 @@
 
 def main(adapter: Adapter | None = None) -> None:
     """
-    Parse the command line and run the daemon.
+    Parse the command line, run the daemon and exit with its status. With an adapter, the daemon
+    belongs to a seeded fleet, else to a listed one.
 
     """
     if set(sys.argv[1:]) & HELP:
--- a/packages/millforkd/millforkd/admin.py
+++ b/packages/millforkd/millforkd/admin.py
@@ -1,5 +1,5 @@
 """
-The admin port of a seeded daemon: metrics, liveness, readiness.
+The admin port of a daemon: metrics, liveness and readiness.
 
 """
 
@@ -13,7 +13,7 @@
 
 class Admin:
     """
-    The HTTP server on the admin port.
+    The HTTP server on the admin port of a daemon of a seeded fleet.
 
     """
 
@@ -41,7 +41,8 @@
     exchange: Exchange, env: Environment, ready: bool, details: dict[str, object]
 ) -> None:
     """
-    Answer one request to an admin port. `details` are added to the body of `/readyz`.
+    Answer one request to an admin port. `details` is added to the body of the answer to
+    `/readyz`.
 
     """
     path = exchange.request.path
--- a/packages/millforkd/millforkd/core.py
+++ b/packages/millforkd/millforkd/core.py
@@ -1,8 +1,8 @@
 """
 Runs `millforkd`: chooses the kind of fleet and maps errors to exit statuses.
 
-The code of each kind of fleet, and of each role in a seeded one, is imported only where it
-runs: imports take half of a daemon's start-up time, during which it serves nothing.
+A daemon imports only the code of its own kind of fleet and, in a seeded fleet, of its own role:
+imports take half of the start-up time, during which the daemon serves nothing.
 
 """
 
@@ -20,8 +20,8 @@
     adapter: Adapter | None = None,
 ) -> ExitStatus:
     """
-    Run a daemon until a stop signal comes. With an adapter, the daemon belongs to a seeded
-    fleet, else to a listed one.
+    Run a daemon until a stop signal comes, or only check its settings file. With an adapter,
+    the daemon belongs to a seeded fleet, else to a listed one.
 
     """
     if settings_path is None:
--- a/packages/millforkd/millforkd/document.py
+++ b/packages/millforkd/millforkd/document.py
@@ -1,5 +1,6 @@
 """
-Reads the operator's document from the configuration in force.
+Reads the operator's document (routes, services, organisations) from the replicated
+configuration.
 
 """
 
@@ -20,8 +21,8 @@
     view: View, adapter: Adapter, known_revision: int
 ) -> tuple[Document, int] | None:
     """
-    The document and the revision that set it. None if there is no document, if
-    `known_revision` set it, or if it can't be read.
+    Return the document and the revision that set it. None if there is no document, if it was
+    set by `known_revision`, so that the caller already has it, or if it can't be parsed.
 
     """
     held = view.items.get(DOCUMENT_KEY)
@@ -31,7 +32,7 @@
     try:
         document = adapter.read_document(zlib.decompress(versioned.body))
     except (InvalidMessage, zlib.error) as error:
-        # Documents are checked before they are accepted. The document in force stays.
+        # Not expected, as replicas accept only valid documents. The document in force stays.
         log.error('Document {} cannot be read: {}.', versioned.version, error)
         return None
     log.notice('Document in force. version={} routes={}', document.version, len(document.routes))
--- a/packages/millforkd/millforkd/end_watch.py
+++ b/packages/millforkd/millforkd/end_watch.py
@@ -1,5 +1,5 @@
 """
-Probes a back end after its answers broke off, until it is known whether it ended.
+Probes a back end after an answer broke off, until it is known whether the back end ended.
 
 """
 
@@ -15,26 +15,30 @@
 from millfork_core.sockets import connect
 from millfork_scheduling.incarnation_status import IncarnationStatus
 
-# All requests that break off because a back end ended do so within a few milliseconds. A
-# listener that is just closing may also reset one connection before it refuses the next.
+# Delay of a probe after an urgent interruption, and the shortest probe interval. All requests that
+# break off because a back end ended do so within a few milliseconds, and a listener that is
+# closing may reset one connection before it refuses the next.
 GROUPING_DELAY_S: Final = 0.01
+# After this many probes, `EndWatch.wait_until_probed` returns even without a result.
 PROBES_BEFORE_RETURN: Final = 2
-# Watches that aren't urgent start with the probe interval that follows this many probes.
+# The probe interval doubles from probe to probe. A watch that isn't urgent starts with the
+# interval that is reached after this many probes.
 INITIAL_PROBES_NOT_URGENT: Final = 4
-# Zones are a few milliseconds apart. A timeout proves nothing, as a network partition also
-# causes one.
+# The longest wait for a probe's connection. Round trips between zones take a few milliseconds.
+# A timeout doesn't prove that the back end ended, as a network partition also causes one.
 PROBE_TIMEOUT_S: Final = 0.4
-# The longest wait for the result of a watch. Probing takes some milliseconds where the address
-# answers; without an answer the result may take seconds.
+# The longest time that `EndWatch.wait_until_probed` waits. Probes take a few milliseconds if the
+# address answers; without an answer the result may take seconds.
 MAX_PROBE_WAIT_S: Final = 0.05
 
-# A back end in an unknown state is probed at least this often and for this long: an instance
-# that lost power is back within seconds, and leases behind a partition expire within this time.
+# The longest interval between two probes of a back end in an unknown state.
 MAX_PROBE_INTERVAL_S: Final = 0.5
+# After this time an interruption is resolved as UNKNOWN. An instance that lost power is back
+# within seconds, and the leases of back ends behind a network partition expire within this time.
 MAX_WATCH_S: Final = 20.0
 
-# An end within this time after a caller left is attributed to the caller's request: a back end
-# that continues with the request has finished it by then, or has ended.
+# If a back end ends within this time after a caller left, the end is attributed to the caller's
+# request: a back end that keeps running the request finishes it or ends within this time.
 CALLER_LEFT_WATCH_S: Final = 2.0
 
 log = logger(Component.DAEMON)
@@ -44,7 +48,8 @@
 
 class ProbeResult(Enum):
     """
-    The result of connecting to an address.
+    The result of a probe: the address accepts a connection, refuses it, or neither (a timeout or
+    another error).
 
     """
 
@@ -55,7 +60,7 @@
 
 async def probe_address(host: str, port: int) -> ProbeResult:
     """
-    Connect to an address and close the connection again.
+    Connect to an address, close the connection, and return the result.
 
     """
     try:
@@ -78,7 +83,8 @@
 @dataclass(slots=True)
 class Interruption(Generic[Subject]):
     """
-    A request or reservation that broke off at a back end; `at` is in monotonic seconds.
+    A request or reservation (`subject`) that broke off at a back end at the time `at`
+    (monotonic seconds).
 
     """
 
@@ -89,9 +95,10 @@
 @dataclass(slots=True)
 class EndWatch(Generic[Subject]):
     """
-    Watches one back end. `probe` connects to its address. `status_of` returns
-    the back end's status since an interruption, according to other sources. `on_resolved`
-    receives the result, UNKNOWN only after `max_watch_s`, and the interruptions it applies to.
+    Finds out whether one back end has ended since each of its interruptions. `probe` connects
+    to the back end's address. `status_of` returns the status since an interruption according to
+    later answers, reports and leases. `on_resolved` receives the status (UNKNOWN only after
+    `max_watch_s`) and the interruptions that have this status.
 
     """
 
@@ -103,15 +110,16 @@
     max_watch_s: float = MAX_WATCH_S
     interruptions: dict[str, Interruption[Subject]] = field(default_factory=dict)
     probes: int = 0
-    # Set by each urgent interruption, as the back end may be ending at this moment.
+    # Set by each urgent interruption to start a probe, as the back end may be ending now.
     probe_now: curio.Event = field(default_factory=curio.Event)
-    # Set once the result is known, or after PROBES_BEFORE_RETURN probes without one.
+    # Set once all interruptions are resolved, or after PROBES_BEFORE_RETURN probes.
     probed: curio.Event = field(default_factory=curio.Event)
 
     async def add(self, key: str, subject: Subject, at_once: bool = True) -> None:
         """
         Add an interruption that happens now; it replaces an earlier one with the same key.
-        Without `at_once` the next probe isn't brought forward, as the back end may end only later.
+        Unless `at_once` is set, the next probe isn't brought forward, as the back end may end
+        only later.
 
         """
         was_idle = not self.interruptions
@@ -126,7 +134,8 @@
 
     async def wait_until_probed(self) -> None:
         """
-        Wait for the result of the watch, for MAX_PROBE_WAIT_S at most.
+        Wait until all interruptions are resolved or PROBES_BEFORE_RETURN probes were made, for
+        MAX_PROBE_WAIT_S at most.
 
         """
         try:
@@ -153,7 +162,8 @@
 
     async def _pause(self) -> None:
         """
-        Wait for the time of the next probe; the interval doubles from probe to probe.
+        Wait for the time of the next probe: the probe interval, which doubles from probe to
+        probe, or GROUPING_DELAY_S after an urgent interruption.
 
         """
         pause_s = min(GROUPING_DELAY_S * 2.0 ** max(self.probes - 1, 0), self.max_interval_s)
@@ -166,6 +176,11 @@
         await curio.sleep(GROUPING_DELAY_S)
 
     async def _resolve(self, probed_at: float, result: ProbeResult) -> None:
+        """
+        Remove the interruptions whose status is known, also from a probe started at `probed_at`,
+        or that are older than `max_watch_s`, and pass them to `on_resolved`.
+
+        """
         resolved: dict[IncarnationStatus, list[Interruption[Subject]]] = {}
         for key, interruption in list(self.interruptions.items()):
             status = self.status_of(interruption)
--- a/packages/millforkd/millforkd/fingerprints.py
+++ b/packages/millforkd/millforkd/fingerprints.py
@@ -1,9 +1,9 @@
 """
 Fingerprints identify requests by their content, without storing the content.
 
-A caller that retries uses a new request id and any entry, but the same path and body. These are
-hashed with the fleet's key, as bodies are private: state and logs hold only the hash, and
-a guess can't be checked against the hash without the key.
+A caller that retries uses a new request id and any entry, but the same path and body. The path
+and body are hashed with the fleet's key, as bodies are private: state and logs hold only the
+hash, and without the key nobody can check a guessed body against the hash.
 
 """
 
@@ -18,14 +18,14 @@
 
 def fingerprint_of(key: bytes, cluster: str, parts: Iterable[str], body: bytes) -> Fingerprint:
     """
-    The keyed hash of the parts and the body of a request; all entries of a cluster compute the
-    same one.
+    Return the keyed hash of the parts (such as the path) and the body of a request. All entries
+    of a cluster compute the same hash.
 
     """
     hash_key = hashlib.sha256(key + cluster.encode()).digest()
     keyed_hash = hashlib.blake2b(digest_size=DIGEST_BYTES, key=hash_key)
     for part in parts:
-        # The lengths distinguish different splits of one text into parts.
+        # The lengths make ('ab', 'c') and ('a', 'bc') hash differently.
         keyed_hash.update(len(part.encode()).to_bytes(4, 'big'))
         keyed_hash.update(part.encode())
     keyed_hash.update(body)
--- a/packages/millforkd/millforkd/listed_fleet.py
+++ b/packages/millforkd/millforkd/listed_fleet.py
@@ -20,7 +20,8 @@
 
 def run_listed(path: Path, check_only: bool) -> ExitStatus:
     """
-    Run a daemon of a listed fleet until a stop signal comes.
+    Run a daemon of a listed fleet until a stop signal comes; with `check_only`, only check its
+    settings.
 
     :raises BadFile: if its settings can't be used.
 
--- a/packages/millforkd/millforkd/member.py
+++ b/packages/millforkd/millforkd/member.py
@@ -1,5 +1,6 @@
 """
-The base of every daemon of a listed fleet: peer, subscriber and admin port.
+What every daemon of a listed fleet has: connections to peers, a subscription to the
+configuration, and an admin port.
 
 """
 
@@ -23,6 +24,8 @@
 from millfork_wire.peers import PeerAddress, Peers
 from millforkd.admin import answer_admin
 
+# At its start, a daemon polls the platform's instance list up to this many times, with this
+# pause after each failure, before it continues without a list.
 FIRST_POLL_PAUSE_S: Final = 0.2
 FIRST_POLLS: Final = 10
 
@@ -72,8 +75,8 @@
 
     async def start(self) -> None:
         """
-        Listen, then load the instance list, query the zone for its newest revision, and
-        subscribe to configuration updates.
+        Listen and start to join the fleet: load the platform's instance list, query the zone's
+        entries for their newest revision, and subscribe to configuration updates.
 
         """
         await self.env.spawn_essential(self.peers.listen)
@@ -93,7 +96,8 @@
 
     async def handle(self, connection: Connection, message: Message) -> Message | None:
         """
-        Handle the messages that every daemon gets, and pass others to the role's handler.
+        Handle a message that is common to all roles, or pass it to the role's handler. Returns
+        the reply, if there is one.
 
         """
         if isinstance(message, Update):
--- a/packages/millforkd/millforkd/quarantine.py
+++ b/packages/millforkd/millforkd/quarantine.py
@@ -1,5 +1,6 @@
 """
-An entry's quarantine: blocks requests that ended back ends, until an answer clears them.
+An entry's quarantine: blocks requests that are suspected of crashing the back ends that run them,
+until a complete answer clears the suspicion.
 
 """
 
@@ -21,7 +22,7 @@
 
 class FingerprintSource(Protocol[RequestContraT]):
     """
-    Computes the fingerprint of a request's content; the type of the request is the caller's.
+    Computes the fingerprint of the content of a request, which may be of any type.
 
     """
 
@@ -30,8 +31,8 @@
 
 class Quarantine(Generic[RequestT]):
     """
-    Decides which requests are blocked, by the suspicions in memory and by the quarantine list
-    in the replicated state, which survives a loss of power of the whole fleet.
+    Decides which requests are blocked, from the suspicions in memory and from the quarantine
+    list in the replicated state. The list survives a loss of power of the whole fleet.
 
     """
 
@@ -46,20 +47,22 @@
         self.view = view
         self.fingerprints = fingerprints
         self.trials = trials
+        # The revision of the view from which `listed_epochs` was read.
         self.revision = Revision(-1)
-        # The epochs in which requests were put on the list, by fingerprint.
+        # By fingerprint: the epoch of the suspicion for which the request was put on the list.
         self.listed_epochs: dict[Fingerprint, int] = {}
 
     def suspicion_of(self, request: RequestT) -> Suspicion:
         """
-        Return the present suspicion of a request.
+        Return the record of the back ends that ended, or may have, while they ran a request.
 
         """
         return self.suspicion_store.get(self.fingerprints.compute(request))
 
     def blocking_level(self, request: RequestT) -> SuspicionLevel | None:
         """
-        Return the suspicion level that forbids sending a request; None if it may be sent.
+        Return the suspicion level for which a request is blocked; None if it may be sent, also
+        as a trial.
 
         """
         self._refresh()
@@ -91,8 +94,8 @@
 
     async def clear_suspicion(self, request: RequestT) -> None:
         """
-        Clear a request's suspicion after a complete answer, which shows that the request
-        doesn't end back ends.
+        Clear the suspicion of a request that got a complete answer, which shows that the
+        request doesn't crash back ends.
 
         """
         if not self.suspicion_store.table:
--- a/packages/millforkd/millforkd/report.py
+++ b/packages/millforkd/millforkd/report.py
@@ -1,5 +1,5 @@
 """
-The report that an endpoint sends up the tree of subscribers.
+The report that an endpoint daemon of a listed fleet sends up the tree of subscribers.
 
 """
 
@@ -10,8 +10,9 @@
 
 class EndpointReport(msgspec.Struct):
     """
-    `shares`: the share of chunks held of each version in transfer, in eighths. `served`: the
-    version served of each deployment. `leaving`: whether the endpoint is shutting down.
+    `shares`: the share of each wanted version's chunks that the endpoint holds, rounded down to
+    eighths. `served`: the version that it serves of each deployment. `leaving`: whether it is
+    shutting down.
 
     """
 
@@ -22,7 +23,7 @@
     @classmethod
     def from_report(cls, report: Report | None) -> 'EndpointReport':
         """
-        Decode a report; an empty one if there is none or it can't be decoded.
+        Decode a report. Without a report, or if it can't be decoded, return an empty one.
 
         """
         if report is None:
--- a/packages/millforkd/millforkd/running.py
+++ b/packages/millforkd/millforkd/running.py
@@ -1,5 +1,5 @@
 """
-Runs a daemon from start to stop: signals, reloads of the settings, draining.
+Runs a daemon from start to stop: signals, settings reloads and draining.
 
 """
 
@@ -20,7 +20,7 @@
 from millfork_state.storage import CorruptStorage
 from millforkd.stopping import Drainable, drain_until_second_signal
 
-# The settings file may change without a SIGHUP, so it is polled as well.
+# How often the settings file is checked for changes, as it may change without a SIGHUP.
 SETTINGS_POLL_S: Final = 2.0
 
 log = logger(Component.DAEMON)
@@ -28,7 +28,7 @@
 
 class Daemon(Drainable, Protocol):
     """
-    A daemon of any role.
+    A daemon of any role, which `run_daemon` starts and later drains.
 
     """
 
@@ -49,7 +49,8 @@
     env: Environment, build: Callable[[], Daemon], settings_path: Path | None = None
 ) -> ExitStatus:
     """
-    Run a daemon until SIGTERM or SIGINT, then drain it. A second signal ends the drain.
+    Run a daemon until SIGTERM or SIGINT, then drain it; a second signal ends the drain. With a
+    settings path, a daemon that is `Reloadable` applies changes of that file while it runs.
 
     """
     try:
@@ -74,7 +75,8 @@
         log.error('Cannot start: {}.', error)
         return ExitStatus.ERROR
     finally:
-        # Tasks are cancelled next, one by one. Those still running must start no new tasks.
+        # Next, curio cancels the remaining tasks one by one. Until then they must start no new
+        # tasks.
         env.ended = True
     log.notice('Stopped.')
     return ExitStatus.SUCCESS
@@ -84,7 +86,8 @@
     env: Environment, signals: StopSignals, reloader: 'SettingsReloader | None'
 ) -> bool:
     """
-    Wait for a stop signal. False if an essential task failed first.
+    Wait for a stop signal and reload the settings on each SIGHUP. Returns False if an essential
+    task fails first.
 
     """
     failure_task = await curio.spawn(env.failed.wait)
@@ -112,7 +115,7 @@
 
     async def watch(self) -> None:
         """
-        Poll the file, and reload it when its content has changed.
+        Poll the settings file, and reload it whenever its content has changed.
 
         """
         seen = self._content()
@@ -125,7 +128,7 @@
 
     async def reload(self) -> None:
         """
-        Apply the current content of the file; a bad file is logged and ignored.
+        Apply the current content of the settings file. An invalid file is logged and ignored.
 
         """
         try:
--- a/packages/millforkd/millforkd/seeded.py
+++ b/packages/millforkd/millforkd/seeded.py
@@ -18,14 +18,14 @@
 from millfork_wire.peers import Peers
 from millforkd.versions import UNKNOWN_CUTOFF_MS, VersionTracker, never_leads
 
-# Without a key file, the handshake only proves that a peer is a millforkd. The network
-# between the instances must then be private.
+# The key of a fleet that has no key file. As this key is public, the handshake then only shows
+# that a peer is a millforkd, and the network between the instances must be private.
 PRIVATE_NETWORK_KEY: Final = b'millfork private network'
 
 
 def fleet_key(settings: SeededSettings) -> bytes:
     """
-    The key that the daemons of a fleet authenticate each other with.
+    Return the key with which the daemons of a fleet authenticate each other.
 
     """
     key_file = settings.fleet_key_file
@@ -34,7 +34,7 @@
 
 def build_peers(env: Environment, settings: SeededSettings, handler: Handler) -> Peers:
     """
-    Create the peer connections of a seeded daemon.
+    Create the object that holds a daemon's connections to its peers.
 
     """
     return Peers(
@@ -51,8 +51,8 @@
 @dataclass(frozen=True, slots=True)
 class Feed:
     """
-    The components by which an entry or endpoint daemon, which holds no replica of the state,
-    receives configuration and leases.
+    The components with which an entry or endpoint daemon, which holds no replica of the state,
+    receives configuration and leases from a replica and passes them on to other daemons.
 
     """
 
@@ -67,7 +67,7 @@
 
 def build_feed(env: Environment, settings: SeededSettings, role: str, handler: Handler) -> Feed:
     """
-    Create the feed of an entry or endpoint daemon.
+    Create the components of the feed of an entry or endpoint daemon.
 
     """
     peers = build_peers(env, settings, handler)
--- a/packages/millforkd/millforkd/seeded_fleet.py
+++ b/packages/millforkd/millforkd/seeded_fleet.py
@@ -1,5 +1,6 @@
 """
-Runs a daemon of a seeded fleet: one whose daemons find each other from seeds.
+Runs a daemon of a seeded fleet: one whose daemons find each other from the addresses of a few
+replicas (the seeds).
 
 """
 
@@ -22,7 +23,8 @@
 
 def run_seeded(path: Path, check_only: bool, adapter: Adapter) -> ExitStatus:
     """
-    Run a daemon of a seeded fleet until a stop signal comes.
+    Run a daemon of a seeded fleet until a stop signal comes; with `check_only`, only check its
+    settings.
 
     :raises BadFile: if its settings can't be used.
 
@@ -37,7 +39,7 @@
 
 async def _serve(path: Path, settings: SeededSettings, adapter: Adapter) -> ExitStatus:
     """
-    Set up logs and run the daemon. SIGHUP or a change of the file reloads the settings.
+    Set up logs and run the daemon. SIGHUP or a change of the settings file reloads the settings.
 
     """
     env = Environment(InstanceId(settings.instance), ZoneId(settings.zone))
@@ -65,7 +67,7 @@
 
 def build(env: Environment, settings: SeededSettings, adapter: Adapter) -> Daemon:
     """
-    Create the daemon for the role in the settings. Other roles are not imported.
+    Create the daemon for the role in the settings. The code of other roles isn't imported.
 
     """
     if settings.role is SeededRole.ENTRY:
--- a/packages/millforkd/millforkd/settling.py
+++ b/packages/millforkd/millforkd/settling.py
@@ -1,8 +1,8 @@
 """
 Records the outcome of a request that has an idempotency key.
 
-The entry records it. If the entry is lost, the endpoint that knows the outcome records it, so
-that the caller's next attempt finds it.
+Usually the entry records the outcome. If the entry is lost, the endpoint that ran the request
+records it, so that the caller's next attempt gets the outcome.
 
 """
 
@@ -15,8 +15,8 @@
 from millfork_web.models import Response
 
 SETTLE_TIMEOUT_S: Final = 30.0
-# The response is stored up to this length. The caller of a longer one, when it tries again,
-# learns only that its request ran.
+# Responses with longer bodies aren't stored. A caller that repeats such a request learns only
+# that it ran.
 MAX_KEPT_BODY_BYTES: Final = 16 * 1024
 
 
@@ -28,7 +28,8 @@
     response: Response | None,
 ) -> None:
     """
-    Store the response under the key; without a response, release the key.
+    Store the response under the idempotency key that the attempt `claim` holds; without a
+    response, release the key. If that is refused, the refusal is only counted.
 
     """
     command = SettleKey(key, claim, released=response is None)
--- a/packages/millforkd/millforkd/stopping.py
+++ b/packages/millforkd/millforkd/stopping.py
@@ -1,5 +1,5 @@
 """
-Planned stops: requests in progress finish, unless a second signal comes.
+Planned stops: requests in progress finish, unless a second stop signal comes.
 
 """
 
@@ -31,7 +31,7 @@
     env: Environment, daemon: Drainable, signals: StopSignals
 ) -> None:
     """
-    Drain a daemon; a second stop signal ends the drain and cuts requests off.
+    Drain a daemon. A second stop signal ends the drain and cuts off the requests in progress.
 
     """
     drain = await curio.spawn(daemon.drain)
--- a/packages/millforkd/millforkd/suspicion_updates.py
+++ b/packages/millforkd/millforkd/suspicion_updates.py
@@ -1,5 +1,7 @@
 """
-Updates suspicions when requests break off at back ends and when those back ends end.
+Updates suspicions of requests when answers break off and when back ends end.
+
+The suspicion of a request records the back ends that ended one after another while they ran it.
 
 """
 
@@ -11,16 +13,16 @@
 from millfork_registry.suspicion_store import Suspicion, SuspicionStore
 from millfork_scheduling.quarantine import count_ends
 
-# The number of newly suspected requests that are published immediately, per window. Where many
-# answers break off at back ends that stay alive, most suspicions are cleared before they would
-# be published.
+# At most this many new suspicions per window are sent to other processes immediately, the rest
+# after a delay. If many answers break off at back ends that stay alive, most suspicions are
+# cleared within the delay and never sent.
 IMMEDIATE_REPORTS: Final = 4
 IMMEDIATE_REPORTS_WINDOW_S: Final = 20.0
 
 
 class SuspicionUpdater:
     """
-    Applies the observations of one sending process to its suspicions.
+    Updates the suspicions held by one entry from what the entry observes of its back ends.
 
     """
 
@@ -33,7 +35,8 @@
         self, fingerprint: Fingerprint, incarnation: IncarnationKey
     ) -> None:
         """
-        Record that a request broke off at an incarnation of a back end.
+        Record that an answer to a request broke off at an incarnation of a back end. Returns
+        before it is known whether the incarnation ended.
 
         """
         known = self.suspicion_store.get(fingerprint)
@@ -43,8 +46,8 @@
 
     async def record_end(self, before: Suspicion, incarnation: IncarnationKey) -> None:
         """
-        Record that the incarnation has ended; `before` is the suspicion of the request at the
-        time when it was sent there.
+        Record that an incarnation ended while it ran a request. `before` is the suspicion of
+        the request when it was sent to that incarnation.
 
         """
         known = self.suspicion_store.get(before.fingerprint)
@@ -58,7 +61,8 @@
 
     async def record_no_end(self, fingerprint: Fingerprint, incarnation: IncarnationKey) -> None:
         """
-        Record that the incarnation is alive, or that its state stayed unknown for too long.
+        Record that an incarnation at which a request broke off is alive, or that its state
+        stayed unknown for too long.
 
         """
         known = self.suspicion_store.get(fingerprint)
--- a/packages/millforkd/millforkd/versions.py
+++ b/packages/millforkd/millforkd/versions.py
@@ -1,8 +1,8 @@
 """
-Which versions of a model's weights a request may begin on.
+Tracks on which versions of a model's weights requests may begin.
 
-When the leader names a new version, requests may still begin on older versions until the
-cutoff, `version_ms` later. From then on only the new version may be used.
+After a new version is set in the configuration, requests may begin on older versions until the
+new version's cutoff, `version_ms` later. From then on they may begin only on the new version.
 
 """
 
@@ -20,10 +20,11 @@
 
 # A request that has not begun on an old version is cancelled this long before the cutoff.
 CANCEL_MARGIN_S: Final = 0.15
-# A process that knows a new version, but not yet its cutoff, uses older versions for this
-# long. Peers answer the query for the cutoff within 0.8 s, over a slow link within 1.5 s.
+# A process that knows a new version, but not yet its cutoff, uses older versions for this time
+# (in ms). Peers answer the query for the cutoff within 0.8 s, over a slow link within 1.5 s.
 UNKNOWN_CUTOFF_MS: Final = 2000
-# Smaller corrections of a cutoff aren't logged: the peers' answers differ by their delays.
+# Corrections of a cutoff by less than this time aren't logged: the answers of peers differ by the
+# delay of each answer.
 MIN_LOGGED_CHANGE_S: Final = 0.1
 
 log = logger(Component.PROXY)
@@ -31,7 +32,7 @@
 
 def always_leads() -> bool:
     """
-    The default for `leads`: the process gets no cutoffs from others.
+    The default for `leads`: the process computes all cutoffs itself.
 
     """
     return True
@@ -47,7 +48,7 @@
 
 def never_leads() -> bool:
     """
-    The value of `leads` for a process that follows the replicas.
+    The value of `leads` for a process that isn't a replica and so never leads.
 
     """
     return False
@@ -63,7 +64,8 @@
 
 class VersionTracker:
     """
-    The named versions of all models, and until when requests may begin on older ones.
+    The versions set for each model, and the cutoffs from which requests may no longer begin on
+    older versions. `switch_ms` is the time from the setting of a version to its cutoff.
 
     """
 
@@ -84,21 +86,23 @@
         # Cutoffs that other processes reported.
         self.cutoffs = cutoffs if cutoffs is not None else VersionCutoffs()
         self.unknown_cutoff_s = min(unknown_cutoff_ms, switch_ms) / MS_PER_S
-        # Whether this process leads: the leader names versions and knows when it did.
+        # Whether this process is the leader of the replicas, which knows when a version was set.
         self.leads = leads
         # Whether the view is up to date, as far as this process knows.
         self.is_current = is_current
-        # When the entry that named a version arrived in this process's log.
+        # Returns when the log entry that set a version arrived at this process.
         self.arrived_at = arrived_at
-        self.started = False
-        # When this process learned of each version, by model. Versions that it found before
-        # its view was up to date may be old, so they count as named infinitely long ago.
+        # Whether the view has ever been up to date.
+        self.was_current = False
+        # By model and version: when the version was set, as far as this process knows. Versions
+        # found before the view was up to date may be old, so their time is minus infinity.
         self.learned: dict[str, dict[int, float]] = {}
-        self.logged_ends: dict[tuple[str, int], float] = {}
+        # By model and version: the cutoff that was logged last.
+        self.logged_cutoffs: dict[tuple[str, int], float] = {}
 
     def refresh(self) -> None:
         """
-        Record the versions that the configuration in force names.
+        Record versions that are new in the configuration, and log new and corrected cutoffs.
 
         """
         now = self.env.monotonic()
@@ -107,50 +111,52 @@
             version = decode_versioned(value).version
             learned = self.learned.setdefault(model, {})
             if version not in learned:
-                learned[version] = self._named_at(key, version, now)
-            self._log_ends(model)
-        self.started = self.started or self.is_current()
+                learned[version] = self._set_at(key, version, now)
+            self._log_cutoffs(model)
+        self.was_current = self.was_current or self.is_current()
 
-    def _named_at(self, key: str, version: int, now: float) -> float:
+    def _set_at(self, key: str, version: int, now: float) -> float:
         """
-        When a version was named, as far as this process can tell: when its log entry arrived,
-        which precedes the naming by at most the time to commit the entry; `now` if that time
-        isn't known.
+        Return when a version was set, as far as this process can tell: when its log entry
+        arrived, which is earlier by at most the time to commit the log entry; `now` if the
+        arrival time isn't known; minus infinity if the view hasn't been up to date yet.
 
         """
-        if not self.started:
+        if not self.was_current:
             return float('-inf')
         arrived_at = self.arrived_at(key, version)
         return now if arrived_at is None else arrived_at
 
-    def _log_ends(self, model: str) -> None:
+    def _log_cutoffs(self, model: str) -> None:
         now = self.env.monotonic()
-        for version, ends in self._end_times(model).items():
-            before = self.logged_ends.get((model, version))
-            if before is not None and (before == ends or abs(before - ends) < MIN_LOGGED_CHANGE_S):
+        for version, cutoff in self._cutoff_times(model).items():
+            logged = self.logged_cutoffs.get((model, version))
+            if logged is not None and (
+                logged == cutoff or abs(logged - cutoff) < MIN_LOGGED_CHANGE_S
+            ):
                 continue
-            self.logged_ends[(model, version)] = ends
+            self.logged_cutoffs[(model, version)] = cutoff
             log.info(
                 'Version {}. model={} version={} due_s={:.1f}',
-                'named' if before is None else 'end corrected',
+                'named' if logged is None else 'end corrected',
                 model,
                 version,
-                max(ends - now, 0) - LAST_SEND_BEFORE_END_S,
+                max(cutoff - now, 0) - LAST_SEND_BEFORE_END_S,
             )
 
-    def _end_times(self, model: str) -> dict[int, float]:
+    def _cutoff_times(self, model: str) -> dict[int, float]:
         """
-        The cutoff of each version of a model, oldest first: when requests may no longer begin
-        on the versions before it.
+        Return the cutoff of each version of a model, oldest version first: the time (monotonic
+        seconds) from which requests may no longer begin on older versions.
 
         """
         learned = self.learned.get(model, {})
         return {
-            version: self._end_time(model, version, learned.get(version, float('-inf')))
+            version: self._cutoff_time(model, version, learned.get(version, float('-inf')))
             for version in sorted({*learned, *self.cutoffs.known_versions(model)})
         }
 
-    def _end_time(self, model: str, version: int, learned_at: float) -> float:
+    def _cutoff_time(self, model: str, version: int, learned_at: float) -> float:
         reported = self.cutoffs.cutoff_of(model, version)
         if self.leads():
             own = learned_at + self.switch_s
@@ -159,72 +165,72 @@
 
     def switches(self) -> list[VersionSwitch]:
         """
-        The recent versions whose cutoff this process knows, for processes that ask. The
-        newest is included even when its cutoff has passed, as a process that was cut off
-        doesn't know that.
+        Return, for processes that ask, the versions whose cutoff is still to come and known to
+        this process. A model's newest version is included also after its cutoff, as a process
+        that was cut off may not know of it.
 
         """
         now = self.env.monotonic()
         switches = []
         for model in self.learned:
             newest = self.newest(model)
-            for version, ends in self._end_times(model).items():
+            for version, cutoff in self._cutoff_times(model).items():
                 if not self.leads() and self.cutoffs.cutoff_of(model, version) is None:
                     continue
-                if ends <= now and version != newest:
+                if cutoff <= now and version != newest:
                     continue
-                switches.append(VersionSwitch(model, version, int(max(ends - now, 0) * MS_PER_S)))
+                switches.append(VersionSwitch(model, version, int(max(cutoff - now, 0) * MS_PER_S)))
         return switches
 
     def oldest_usable(self, model: str) -> int:
         """
-        The oldest version on which a request may begin now; 0 if all may be used.
+        Return the oldest version that a request may be sent to now; 0 if all may be used.
 
         """
         now = self.env.monotonic()
         due = [
             version
-            for version, ends in self._end_times(model).items()
-            if ends - LAST_SEND_BEFORE_END_S <= now
+            for version, cutoff in self._cutoff_times(model).items()
+            if cutoff - LAST_SEND_BEFORE_END_S <= now
         ]
         return max(due, default=0)
 
     def newest(self, model: str) -> int:
         """
-        The newest version named; 0 if there is none.
+        Return the newest known version of a model; 0 if there is none.
 
         """
-        return max(self._end_times(model), default=0)
+        return max(self._cutoff_times(model), default=0)
 
     def newer_than(self, model: str, version: int) -> list[int]:
         """
-        The versions named after `version`, oldest first.
+        Return the known versions that are newer than `version`, oldest first.
 
         """
-        return [newer for newer in self._end_times(model) if newer > version]
+        return [newer for newer in self._cutoff_times(model) if newer > version]
 
     def ends_at(self, model: str, version: int) -> float | None:
         """
-        When requests that have not begun on `version` are cancelled (monotonic seconds);
-        None if there is no newer version.
+        Return when requests that were sent to `version` but have not begun there are cancelled
+        (monotonic seconds); None if there is no newer version.
 
         """
-        ends = [
-            ends - CANCEL_MARGIN_S
-            for newer, ends in self._end_times(model).items()
+        cancel_times = [
+            cutoff - CANCEL_MARGIN_S
+            for newer, cutoff in self._cutoff_times(model).items()
             if newer > version
         ]
-        return min(ends, default=None)
+        return min(cancel_times, default=None)
 
     def upcoming_ends(self, model: str) -> tuple[tuple[int, float], ...]:
         """
-        For each version whose cutoff is still to come, when requests that have not begun on
-        an older version are cancelled (monotonic seconds).
+        Return each version whose cutoff is still to come, with the time (monotonic seconds) at
+        which requests that have not begun on an older version are cancelled.
 
         """
         now = self.env.monotonic()
         return tuple(
-            (version, ends - CANCEL_MARGIN_S)
-            for version, ends in self._end_times(model).items()
-            if ends - CANCEL_MARGIN_S > now
+            (version, cutoff - CANCEL_MARGIN_S)
+            for version, cutoff in self._cutoff_times(model).items()
+            if cutoff - CANCEL_MARGIN_S > now
         )
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,5 +1,6 @@
 """
-Bad input is refused with a specific reason, and the process keeps running.
+Invalid input to entries, wire ports and `millfork` is refused with a specific reason, and the
+processes keep running.
 
 """
 
@@ -109,10 +110,10 @@
 def test_a_peer_with_the_wrong_key_never_joins(serving_fleet, tmp_path):
     outsider = serving_fleet.instances['register-api-1']
     settings = serving_fleet.build_settings(outsider)
-    wrong = tmp_path / 'key'
-    wrong.write_text('not the key of this fleet')
+    wrong_key_file = tmp_path / 'key'
+    wrong_key_file.write_text('not the key of this fleet')
     host = f'{outsider.host[: outsider.host.rindex(".")]}.240'
-    settings.update(instance='stranger', address=host, fleet_key_file=str(wrong))
+    settings.update(instance='stranger', address=host, fleet_key_file=str(wrong_key_file))
     (tmp_path / 'settings.yaml').write_text(yaml.safe_dump(settings))
     (serving_fleet.folder / 'stranger').mkdir()
 
--- a/tests/test_event_stream.py
+++ b/tests/test_event_stream.py
@@ -1,5 +1,5 @@
 """
-The splitter passes an event stream on in complete events, however its bytes are split.
+The splitter passes on an event stream in complete events, however its bytes arrive.
 
 """
 
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,5 +1,5 @@
 """
-`millfork explain` counts requests by cause from the logs of entries.
+`millfork explain` reads the logs of entries and counts requests by the cause of their outcome.
 
 """
 
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -1,5 +1,5 @@
 """
-Operations other than rollouts: adapters, drains, changed selectors, removal.
+Operations other than rollouts: weight adapters, drains, changed selectors, removed deployments.
 
 """
 
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -1,10 +1,13 @@
 """
-Every role uses the promises that the deployment gives, and starts whatever they are.
+Daemons of every role use the promises (bounds that the platform fills into the settings file),
+and start with any values of them.
+
+Two faults are guarded against:
 
 - The settings of the replicas lacked `version_ms`, so the leader used the default of 8 s instead
-  of 10 s. 94 daemons took the old weights from their engines 2.5 s before the new ones arrived,
-  and a whole fleet served nothing for five seconds (3,208 requests refused).
-- No entry started where a promise was a fraction, such as a `retry_slack` of 45.4: `Input should
+  of 10 s. 94 daemons removed the old weights from their engines 2.5 s before the new weights
+  arrived, and a whole fleet served nothing for five seconds (3,208 requests refused).
+- No entry started if a promise was a fraction, such as a `retry_slack` of 45.4: `Input should
   be a valid integer, got a number with a fractional part`.
 
 """
@@ -47,7 +50,8 @@
 VERSION_LINE = re.compile(
     r'(\S+) \w+ proxy: Version (?:named|end corrected)\. model=m version=2 due_s=(-?[\d.]+)'
 )
-# A new version is known everywhere within this time; log lines give tenths of a second.
+# Allowed error of a logged cutoff: all processes learn of a new version within this time, and
+# log lines give the time to the cutoff in tenths of a second.
 TOLERANCE_S = 0.8
 
 NUMBERS = st.one_of(
@@ -61,7 +65,7 @@
 
 def promises_read_by(role):
     """
-    The promises that a role's code reads.
+    Return the names of the promises that a role's code reads.
 
     """
     texts = [path.read_text() for glob in SOURCES_BY_ROLE[role] for path in PACKAGE.glob(glob)]
@@ -78,9 +82,9 @@
 @pytest.mark.parametrize('role', SeededRole, ids=lambda role: role.value)
 def test_settings_without_a_promise_of_their_role_are_refused(role, tmp_path):
     for name in REQUIRED_PROMISES[role]:
-        head, mark, promises = filled_template(f'{role.value}.yaml').partition('promises:')
+        head, separator, promises = filled_template(f'{role.value}.yaml').partition('promises:')
         path = tmp_path / 'settings.yaml'
-        path.write_text(head + mark + re.sub(f'  {name}: .*\n', '', promises))
+        path.write_text(head + separator + re.sub(f'  {name}: .*\n', '', promises))
         with pytest.raises(BadFile, match=f'promises.{name}'):
             load(path, SeededSettings)
 
@@ -137,7 +141,8 @@
 
 def logged_cutoff(fleet, host):
     """
-    When requests may no longer begin on older weights, by the last line of a host's log.
+    Return when requests may no longer begin on older weights (seconds since 1970), by the last
+    line about a version in a host's log; None if there is no such line.
 
     """
     found = VERSION_LINE.findall(fleet.log(host))
--- a/tests/test_role_imports.py
+++ b/tests/test_role_imports.py
@@ -1,6 +1,6 @@
 """
-Each role imports only the modules that it runs: after a loss of power nothing is served until
-the daemons have started, and most of a start is imports.
+The daemon of each role imports only the modules that it uses: after a loss of power nothing is
+served until the daemons have started, and most of the time of a start goes into imports.
 
 """
 
--- a/tests/test_seeded.py
+++ b/tests/test_seeded.py
@@ -1,5 +1,6 @@
 """
-Seeded fleets: settings from templates, formation of the state, changes of its voters.
+Seeded fleets: settings from templates, creation of the replicated state, changes of its voters,
+and its log on a full disk.
 
 """
 
@@ -48,7 +49,7 @@
     assert settings.role is role
     assert settings.seed_instances == ['10.1.0.43:7700', '10.2.0.39:7700']
     assert settings.first_start
-    # The settings have no value for `version_ms`.
+    # The default, as the template was filled in without a value for `version_ms`.
     assert settings.promises.version_ms == 8000
 
 
@@ -81,7 +82,8 @@
 
 def leadership_of(folder, others, losses=1):
     """
-    The leadership of replica a:1 over itself and `others`, all of which have its whole log.
+    Return the leadership of replica a:1, with `others` as the other voters. All voters have the
+    leader's whole log.
 
     """
     replica = replica_at(folder, losses=losses)
@@ -210,6 +212,6 @@
     storage.file = real
     storage.write_entries([LogEntry(1, 2, b'again')])
     storage.close()
-    found = Storage(tmp_path)
-    assert [entry.payload for entry in found.entries] == [b'one', b'again']
-    assert found.torn_bytes == 0
+    reopened = Storage(tmp_path)
+    assert [entry.payload for entry in reopened.entries] == [b'one', b'again']
+    assert reopened.torn_bytes == 0
--- a/tests/test_seeded_fleet.py
+++ b/tests/test_seeded_fleet.py
@@ -1,5 +1,6 @@
 """
-A seeded fleet: processes of replicas and of an entry, with simulated back ends and an operator.
+A seeded fleet as a whole: processes of replicas and an entry, with simulated back ends and a
+simulated operator.
 
 """
 
@@ -67,7 +68,7 @@
 
 def leader(fleet):
     """
-    The host of the running replica that became leader in the highest term.
+    Return the host of the running replica that became leader in the highest term.
 
     """
     terms = {}
@@ -146,12 +147,12 @@
 
 
 def test_a_replica_that_lost_its_disk_rejoins(fleet):
-    lost = leader(fleet)
-    fleet.kill(lost)
-    for path in sorted((fleet.folder / lost).rglob('*'), reverse=True):
+    lost_host = leader(fleet)
+    fleet.kill(lost_host)
+    for path in sorted((fleet.folder / lost_host).rglob('*'), reverse=True):
         path.rmdir() if path.is_dir() else path.unlink()
-    fleet.start_process(lost)
-    others = [host for host in fleet.replica_hosts if host != lost]
+    fleet.start_process(lost_host)
+    others = [host for host in fleet.replica_hosts if host != lost_host]
     wait_until(lambda: any(fleet.log(host).count('Voters are now') >= 2 for host in others))
     fleet.kill(others[0])
     assert fleet.put_document(document(7, '/safe/', '/seven/')).status == 200
--- a/tests/test_stop_during_import.py
+++ b/tests/test_stop_during_import.py
@@ -1,9 +1,8 @@
 """
-A stop signal that arrives while a daemon's modules are being imported.
+A daemon that gets a stop signal while its modules are being imported exits cleanly.
 
-The daemon ended with a segmentation fault (2 of 60 stops, in
-`msgspec.msgpack.Decoder(list[Lease])`): the handler raised SystemExit, which interrupted a C
-library in the middle of its work.
+A signal handler that raised SystemExit interrupted a C library in the middle of a call, and the
+daemon ended with a segmentation fault (2 of 60 stops, in `msgspec.msgpack.Decoder(list[Lease])`).
 
 """
 
@@ -12,7 +11,7 @@
 
 from tests.fail_first import ROOT
 
-# Sends the signal at the point of the import that crashed.
+# Runs a daemon that sends itself the stop signal at the point of the import that crashed.
 STOP_DURING_IMPORT = """
 import os, runpy, signal, sys, types
 import msgspec._utils as utils
--- a/tests/test_stops.py
+++ b/tests/test_stops.py
@@ -1,5 +1,6 @@
 """
-Planned stops: the deadline or a second signal ends a drain, and the log says which.
+Planned stops of an entry: the drain deadline or a second signal cuts off the requests that are
+still in progress, and the log says which of the two did.
 
 """
 
@@ -31,13 +32,13 @@
 
 def start_long_request(fleet, entry):
     """
-    Start a request that takes longer than the drain.
+    Start a request that takes longer than the drain, and return once its back end runs it.
 
     """
     token = fleet.caller_tokens[fleet.shape.organisations[0]]
     position = fleet.entries.index(entry)
     answers = []
-    # The entry knows the token once it has applied the declaration.
+    # The entry answers 401 until it has applied the declaration with the token.
     wait_until(lambda: call_service(fleet, token, 'GET', 'no-such/x', position).status != 401)
 
     def send_until_accepted():
