--- a/packages/millforkd/millforkd/end_watch.py
+++ b/packages/millforkd/millforkd/end_watch.py
@@ -23,7 +23,7 @@
 PROBES_BEFORE_RETURN: Final = 2
 # The probe interval doubles from probe to probe. A watch that isn't urgent starts with the
 # interval that is reached after this many probes.
-INITIAL_PROBES_NOT_URGENT: Final = 4
+INITIAL_PROBES_IF_NOT_URGENT: Final = 4
 # The longest wait for a probe's connection. Round trips between zones take a few milliseconds.
 # A timeout doesn't prove that the back end ended, as a network partition also causes one.
 PROBE_TIMEOUT_S: Final = 0.4
@@ -115,22 +115,22 @@
     # Set once all interruptions are resolved, or after PROBES_BEFORE_RETURN probes.
     probed: curio.Event = field(default_factory=curio.Event)
 
-    async def add(self, key: str, subject: Subject, at_once: bool = True) -> None:
+    async def add(self, key: str, subject: Subject, urgent: bool = True) -> None:
         """
         Add an interruption that happens now; it replaces an earlier one with the same key.
-        Unless `at_once` is set, the next probe isn't brought forward, as the back end may end
+        Unless `urgent` is set, the next probe isn't brought forward, as the back end may end
         only later.
 
         """
         was_idle = not self.interruptions
         self.interruptions[key] = Interruption(subject, self.env.monotonic())
-        if at_once:
+        if urgent:
             self.probes = 0
             self.probed.clear()
             await self.probe_now.set()
             return
         if was_idle:
-            self.probes = INITIAL_PROBES_NOT_URGENT
+            self.probes = INITIAL_PROBES_IF_NOT_URGENT
 
     async def wait_until_probed(self) -> None:
         """
--- a/packages/millforkd/millforkd/endpoint/incarnation_tracking.py
+++ b/packages/millforkd/millforkd/endpoint/incarnation_tracking.py
@@ -118,7 +118,7 @@
 
     async def _add(self, interrupted: InterruptedRequest) -> None:
         await self.watch.add(
-            str(next(self.watch_keys)), interrupted, at_once=not interrupted.is_cancelled
+            str(next(self.watch_keys)), interrupted, urgent=not interrupted.is_cancelled
         )
         if not self.is_watching:
             self.is_watching = True
--- a/packages/millforkd/millforkd/proxy/end_detection.py
+++ b/packages/millforkd/millforkd/proxy/end_detection.py
@@ -124,7 +124,7 @@
         if earlier is not None:
             before = max(earlier.subject.before, sent.before, key=lambda item: item.order)
             sent = SentRequest(before, sent.caller_left and earlier.subject.caller_left)
-        await watch.add(sent.before.fingerprint, sent, at_once=not sent.caller_left)
+        await watch.add(sent.before.fingerprint, sent, urgent=not sent.caller_left)
         if is_new:
             await self.env.spawn(self._run_watch, watch, key)
         return watch
