--- a/packages/millfork-web/millfork_web/server.py
+++ b/packages/millfork-web/millfork_web/server.py
@@ -17,10 +17,12 @@
 from millfork_web.problem import problem
 
 READ_BYTES: Final = 64 * 1024
+# How long a connection may be idle before the head of its next request arrives.
 IDLE_TIMEOUT_S: Final = 120.0
-REQUEST_TIMEOUT_S: Final = 30.0
+# How long the body of a request may take to arrive after its head.
+BODY_TIMEOUT_S: Final = 30.0
 BACKLOG: Final = 1024
-OUT_OF_DESCRIPTORS: Final = frozenset({errno.EMFILE, errno.ENFILE})
+DESCRIPTOR_SHORTAGE_ERRNOS: Final = frozenset({errno.EMFILE, errno.ENFILE})
 # Pause after an attempt to accept a connection has failed.
 ACCEPT_PAUSE_S: Final = 0.05
 # The number of idle connections closed each time file descriptors run out: few enough to affect
@@ -170,7 +172,7 @@
                     sock, address = await listener.accept()
                 except OSError as error:
                     log.warning('Accepting a connection on port {} failed: {}.', self.port, error)
-                    if error.errno in OUT_OF_DESCRIPTORS:
+                    if error.errno in DESCRIPTOR_SHORTAGE_ERRNOS:
                         await self._free_descriptors()
                     await curio.sleep(ACCEPT_PAUSE_S)
                     continue
@@ -260,7 +262,7 @@
         if not isinstance(head, h11.Request):
             return None
         body = bytearray()
-        async with curio.timeout_after(REQUEST_TIMEOUT_S):
+        async with curio.timeout_after(BODY_TIMEOUT_S):
             while True:
                 event = await _next_event(sock, conn)
                 if isinstance(event, h11.EndOfMessage):
--- a/packages/millforkd/millforkd/end_watch.py
+++ b/packages/millforkd/millforkd/end_watch.py
@@ -177,8 +177,9 @@
 
     async def _resolve(self, probed_at: float, result: ProbeResult) -> None:
         """
-        Remove the interruptions whose status is known, also from a probe started at `probed_at`,
-        or that are older than `max_watch_s`, and pass them to `on_resolved`.
+        Remove the interruptions that have a known status or are older than `max_watch_s`, and
+        pass them to `on_resolved`. A probe that was refused shows that the back end ended, but
+        only for interruptions before `probed_at`.
 
         """
         resolved: dict[IncarnationStatus, list[Interruption[Subject]]] = {}
--- a/packages/millforkd/millforkd/quarantine.py
+++ b/packages/millforkd/millforkd/quarantine.py
@@ -61,8 +61,8 @@
 
     def blocking_level(self, request: RequestT) -> SuspicionLevel | None:
         """
-        Return the suspicion level for which a request is blocked; None if it may be sent, also
-        as a trial.
+        Return the suspicion level for which a request is blocked; None if the request may be
+        sent. A suspected request that is due for a trial may be sent once.
 
         """
         self._refresh()
--- a/packages/millforkd/millforkd/settling.py
+++ b/packages/millforkd/millforkd/settling.py
@@ -29,7 +29,8 @@
 ) -> None:
     """
     Store the response under the idempotency key that the attempt `claim` holds; without a
-    response, release the key. If that is refused, the refusal is only counted.
+    response, release the key. If the replicas refuse this or don't answer in time, only a metric
+    shows it.
 
     """
     command = SettleKey(key, claim, released=response is None)
--- a/packages/millforkd/millforkd/suspicion_updates.py
+++ b/packages/millforkd/millforkd/suspicion_updates.py
@@ -35,8 +35,9 @@
         self, fingerprint: Fingerprint, incarnation: IncarnationKey
     ) -> None:
         """
-        Record that an answer to a request broke off at an incarnation of a back end. Returns
-        before it is known whether the incarnation ended.
+        Record that an answer to a request broke off at an incarnation of a back end. The
+        suspicion is sent to other processes immediately if the request was suspected before or
+        `immediate_reports` allows it.
 
         """
         known = self.suspicion_store.get(fingerprint)
