--- a/packages/millfork-routing/millfork_routing/__init__.py
+++ b/packages/millfork-routing/millfork_routing/__init__.py
@@ -1,4 +1,4 @@
 """
-Decisions on a request's way to a back end: routes, load balancing, limits and retries.
+The configuration document, and the routes, load balancing, limits and retries of requests.
 
 """
--- a/packages/millfork-routing/millfork_routing/balance.py
+++ b/packages/millfork-routing/millfork_routing/balance.py
@@ -1,5 +1,5 @@
 """
-Load balancing: the choice of the endpoint for a request.
+Load balancing: the choice of the endpoint that an entry sends a request to.
 
 """
 
@@ -9,12 +9,13 @@
 from millfork_core.ids import InstanceId, OrganisationId, ZoneId
 from millfork_core.ranks import rank
 
-# The preferred endpoint is skipped once its load exceeds the mean by this factor.
+# The endpoint that the affinity key prefers is skipped while its load is above this multiple of
+# the mean load.
 BOUNDED_LOAD: Final = 1.25
-# The number of requests that an endpoint is assumed to take before its first load report.
+# Until its first load report, an endpoint is assumed to run this many requests at a time.
 DEFAULT_LIMIT: Final = 8
-# An endpoint that turns a request away is skipped for this time, doubled with each rejection in a
-# row: it may be full for a moment, or reject everything.
+# Other endpoints are preferred for this time to one that turned a request away. The time doubles
+# with each further rejection in a row: the endpoint may be full for a moment, or reject everything.
 FIRST_PASSED_OVER_S: Final = 0.05
 MAX_PASSED_OVER_S: Final = 2.0
 
@@ -22,8 +23,10 @@
 @dataclass(frozen=True, slots=True)
 class BusyNotice:
     """
-    An endpoint's notice that it has no place for an organisation: until when it is considered
-    valid (monotonic seconds), and the wait until the caller may retry.
+    An endpoint's notice that it accepts no requests of an organisation for now.
+
+    `until` is when the notice stops being valid (monotonic seconds), `retry_after_ms` how long
+    the caller should wait before it retries.
 
     """
 
@@ -34,34 +37,37 @@
 @dataclass(slots=True)
 class Backend:
     """
-    One endpoint as known to an entry; times are monotonic seconds.
+    One endpoint as known to an entry. Moments are monotonic seconds, except for `start`.
 
     """
 
     instance: InstanceId
     zone: ZoneId
     limit: int = DEFAULT_LIMIT
+    # The requests in progress by the last load report, and how many of this entry's own requests
+    # were in progress when the report arrived.
     reported: int = 0
     own_at_report: int = 0
+    # The number of this entry's own requests in progress now.
     own_requests: int = 0
     leaving: bool = False
     avoided_until: float = 0.0
-    # The number of requests that its back end turned away in a row, when the last one was, and
-    # until when other endpoints are preferred.
+    # How many requests the endpoint's back end turned away in a row, when this entry learned of
+    # the last rejection, and until when other endpoints are preferred.
     turned_away: int = 0
     turned_away_at: float = float('-inf')
     passed_over_until: float = float('-inf')
     busy: dict[OrganisationId, BusyNotice] = field(default_factory=dict)
-    # The version that it serves of each service, from its last load report.
+    # By service: the version that the endpoint serves, from its last load report.
     served: dict[str, str] = field(default_factory=dict)
-    # When its process started, in ns since 1970; 0 if unknown.
+    # When the endpoint daemon started, in ns since 1970; 0 if unknown.
     start: int = 0
 
     @property
     def occupied(self) -> int:
         """
-        The estimated number of requests in progress: the last report, which lags, corrected by
-        the requests that this entry has begun and ended since.
+        The estimated number of requests in progress: the number in the last load report,
+        corrected by the requests that this entry has begun and ended since that report.
 
         """
         return max(self.reported + self.own_requests - self.own_at_report, self.own_requests)
@@ -72,8 +78,8 @@
 
     def busy_for(self, organisation: OrganisationId, now: float) -> BusyNotice | None:
         """
-        The valid busy notice for this organisation, if any. Notices are kept by organisation, as
-        the flood of one must not close the endpoint to the others.
+        The busy notice for an organisation; None if there is no valid one. Notices are kept by
+        organisation, so that a flood of one doesn't close the endpoint to the others.
 
         """
         busy = self.busy.get(organisation)
@@ -81,12 +87,13 @@
 
     def record_turned_away(self, sent_at: float, now: float) -> None:
         """
-        Record that its back end turned away a request sent at `sent_at`. Rejected requests
-        occupy no place, so the endpoint would otherwise look the least loaded.
+        Record that the endpoint's back end turned away a request sent at `sent_at`; other
+        endpoints are preferred for a while. As rejected requests occupy no slots, this endpoint
+        would otherwise seem to be the least loaded.
 
         """
         if sent_at < self.turned_away_at:
-            # Sent before the last rejection was known, so it is no further evidence.
+            # The request was sent before the last rejection was known: no further evidence.
             return
         wait_s = min(FIRST_PASSED_OVER_S * 2.0**self.turned_away, MAX_PASSED_OVER_S)
         self.passed_over_until = now + wait_s
@@ -95,7 +102,8 @@
 
     def record_accepted(self, sent_at: float) -> None:
         """
-        Record that its back end accepted a request sent at `sent_at`.
+        Record that the endpoint's back end accepted a request sent at `sent_at`. This resets
+        `turned_away`, unless the request was sent before the last rejection was known.
 
         """
         if sent_at >= self.turned_away_at:
@@ -103,7 +111,7 @@
 
     def apply_report(self, occupied: int, limit: int) -> None:
         """
-        Apply a load report that describes the present moment.
+        Apply a load report that has just arrived.
 
         """
         self.reported = occupied
@@ -113,7 +121,8 @@
 
 def is_usable(backend: Backend, organisation: OrganisationId, now: float) -> bool:
     """
-    Whether a request of this organisation may be sent to the endpoint.
+    Whether a request of this organisation may be sent to the endpoint: the endpoint is not
+    leaving, not avoided, and not busy for the organisation.
 
     """
     if backend.leaving or backend.avoided_until > now:
@@ -130,22 +139,23 @@
     now: float,
 ) -> Backend | None:
     """
-    The endpoint for a request; None if no endpoint is usable.
+    Choose the endpoint for a request; None if all endpoints were tried or are unusable.
 
-    Endpoints with free capacity in this zone are preferred, then those with free capacity in any
-    zone. Among them the affinity key decides, except that endpoints loaded well above the mean
-    are skipped; without a key, the least loaded is chosen.
+    Endpoints that turned no request away recently come first; of these, those with free
+    capacity in `zone`, then those with free capacity in any zone. Among the endpoints that
+    remain the affinity key decides, except that those loaded well above the mean are skipped.
+    Without a key, the least loaded one is chosen.
 
     """
-    able = [b for b in backends if b.instance not in tried and is_usable(b, organisation, now)]
-    if not able:
+    usable = [b for b in backends if b.instance not in tried and is_usable(b, organisation, now)]
+    if not usable:
         return None
     # If all endpoints turned requests away recently, they are used nevertheless.
-    able = [b for b in able if b.passed_over_until <= now] or able
-    local = [b for b in able if b.zone == zone and b.load < 1]
-    free = local or [b for b in able if b.load < 1] or able
+    usable = [b for b in usable if b.passed_over_until <= now] or usable
+    local = [b for b in usable if b.zone == zone and b.load < 1]
+    candidates = local or [b for b in usable if b.load < 1] or usable
     if not affinity:
-        return min(free, key=lambda b: (b.load, rank(affinity, b.instance)))
-    mean = sum(b.occupied + 1 for b in free) / sum(b.limit for b in free)
-    within = [b for b in free if b.load <= mean * BOUNDED_LOAD] or free
-    return max(within, key=lambda b: rank(affinity, b.instance))
+        return min(candidates, key=lambda b: (b.load, rank(affinity, b.instance)))
+    mean = sum(b.occupied + 1 for b in candidates) / sum(b.limit for b in candidates)
+    not_overloaded = [b for b in candidates if b.load <= mean * BOUNDED_LOAD] or candidates
+    return max(not_overloaded, key=lambda b: rank(affinity, b.instance))
--- a/packages/millfork-routing/millfork_routing/documents.py
+++ b/packages/millfork-routing/millfork_routing/documents.py
@@ -12,7 +12,8 @@
 
 class RouteKind(Enum):
     """
-    The kind of requests of a route, which decides whether they may be repeated.
+    The kind of a route's requests. Safe requests may be executed more than once, unsafe ones may
+    not, and streaming ones only if the route is resumable.
 
     """
 
@@ -24,7 +25,7 @@
 @dataclass(frozen=True, slots=True)
 class Share:
     """
-    A service's share of a route's requests; weights are relative to their sum.
+    A service's share of a route's requests: `weight` divided by the sum of the route's weights.
 
     """
 
@@ -39,8 +40,9 @@
 
     `timeout_ms` is the maximum time of a request, `target_ms` the target time to the answer (for
     streams to the first event), `gap_ms` the longest acceptable pause between events (0: not
-    configured), `priority` the rank (0 first), `max_attempts` the maximum number of back ends
-    tried for one request.
+    configured), `priority` the rank of requests (0 is served first), `max_attempts` the maximum
+    number of back ends tried for one request. A `public` route needs no known API key. Streams
+    of a `resumable` route can be continued after a given event.
 
     """
 
@@ -60,7 +62,7 @@
     @property
     def repeatable(self) -> bool:
         """
-        Whether a request may be executed more than once.
+        Whether requests of this route may be executed more than once.
 
         """
         if self.kind is RouteKind.SAFE:
@@ -76,8 +78,10 @@
     A step generates one token for each running request and takes `step_ms`, plus
     `per_sequence_ms` for each request and `per_context_ms` for each 1,000 tokens of its context.
     Prompts are read at `read_per_s` tokens a second; reading takes `pairs_ms_per_million` longer
-    for each million pairs of prompt tokens. `steps_per_event` steps pass between two events of a
-    stream. `tokens` is the size of the memory; `usual_prompt` and `usual_answer` are tokens too.
+    for each million pairs of prompt tokens (n tokens have n * n / 2). `steps_per_event` steps pass
+    between two events of a stream. `slots` is the number of requests that run at a time, `tokens`
+    the size of the engine's memory in tokens; `usual_prompt` and `usual_answer` are typical
+    lengths in tokens.
 
     """
 
@@ -108,16 +112,17 @@
     host: str
     port: int
     max_connections: int
-    # The availability zone that it is in; empty if not configured.
+    # The availability zone of the origin server; empty if not configured.
     zone: str = ''
-    # The capacity of its link; 0: not configured.
+    # The capacity of the origin server's link; 0 if not configured.
     bytes_per_s: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Service:
     """
-    One service. `max_connections` caps the connections to each back end, over all callers.
+    One service. At most `max_connections` connections are open to each of its back ends, for all
+    callers together. `engine` is None if the back ends aren't engines.
 
     """
 
@@ -130,7 +135,8 @@
 @dataclass(frozen=True, slots=True)
 class Organisation:
     """
-    One organisation, its API keys, and its rank (0 first; None: the route's rank applies).
+    One organisation with its API keys. `priority` is the rank of its requests (0 is served first;
+    None: the priority of the route applies).
 
     """
 
--- a/packages/millfork-routing/millfork_routing/limits.py
+++ b/packages/millfork-routing/millfork_routing/limits.py
@@ -13,18 +13,21 @@
 
 from millfork_core.ids import OrganisationId
 
-# Weight of one request in the mean service time.
+# Weight of the latest request in the mean service time (an exponential moving average).
 SERVICE_TIME_WEIGHT: Final = 0.1
 # The mean service time that is assumed before the first request has ended.
 FIRST_SERVICE_TIME_S: Final = 0.2
+# A refused caller is asked to wait at least this long.
 MIN_RETRY_AFTER_MS: Final = 100
+# Above this number, the virtual times of organisations without queued requests are dropped.
 MAX_ORGANISATIONS_REMEMBERED: Final = 10_000
 
 
 @dataclass(slots=True)
 class Waiter:
     """
-    A request that waits for a slot until the moment `until` (monotonic seconds).
+    A request in a `FairQueue`: `granted` is set once the request has a slot, and `until` is when
+    its task stops waiting for one (monotonic seconds).
 
     """
 
@@ -39,8 +42,9 @@
     The slots of one back end, shared between organisations by start-time fair queueing.
 
     Each organisation has its own queue and a virtual time, which advances by 1 / share with each
-    slot that it gets. The organisation with the lowest virtual time is served next. So a flood
-    of requests delays only its own organisation, and one that was idle is served next.
+    slot that it gets. The organisation with the lowest virtual time is served next. So a flood of
+    requests delays only the organisation that sends them, and an organisation that was idle is
+    served next.
 
     """
 
@@ -58,8 +62,9 @@
         self.running = 0
         self.waiting = 0
         self.queues: OrderedDict[OrganisationId, deque[Waiter]] = OrderedDict()
-        # Fractions, as rounding errors would let one organisation overtake another.
+        # Fractions, since rounding errors would let one organisation overtake another.
         self.virtual_times: dict[OrganisationId, Fraction] = {}
+        # The virtual time at which the last slot was granted.
         self.virtual_now = Fraction(0)
         self.service_time_s = FIRST_SERVICE_TIME_S
 
@@ -79,7 +84,8 @@
 
     def refusal_wait_ms(self, organisation: OrganisationId, max_wait_s: float) -> int:
         """
-        0 if a request may join the queue, else the wait until its caller should retry, in ms.
+        0 if a request of this organisation may join the queue, else how long its caller should
+        wait before it retries, in ms.
 
         """
         wait_s = self.expected_wait_s(organisation)
@@ -90,8 +96,9 @@
 
     def _queue_capacity(self, organisation: OrganisationId) -> int:
         """
-        The number of requests that one organisation may queue: its share of `max_waiting`, at
-        least 1; while a slot is free, all slots and places.
+        The maximum number of queued requests of one organisation: its share of `max_waiting`
+        among the organisations in the queue, at least 1. While a slot is free, it is
+        `slots + max_waiting`.
 
         """
         if self.running < self.slots:
@@ -102,7 +109,7 @@
 
     async def join(self, organisation: OrganisationId, until: float) -> Waiter:
         """
-        Join the queue; `granted` of the returned waiter is set when it gets its slot.
+        Add a request to the queue; `granted` of the returned waiter is set once it has a slot.
 
         """
         waiter = Waiter(organisation, until)
@@ -115,7 +122,7 @@
 
     async def leave(self, waiter: Waiter) -> None:
         """
-        Release the waiter's slot, or its place in the queue.
+        Release the request's slot; a request without a slot is removed from the queue.
 
         """
         if waiter.has_slot:
@@ -132,7 +139,7 @@
 
     def learn_service_time(self, seconds: float) -> None:
         """
-        Add the time of one request on the back end, in seconds, to the mean service time.
+        Add the seconds that one request took on the back end to the mean service time.
 
         """
         self.service_time_s += SERVICE_TIME_WEIGHT * (seconds - self.service_time_s)
@@ -151,10 +158,10 @@
 
     def _next(self, organisation: OrganisationId) -> Waiter | None:
         """
-        Remove and return the organisation's next waiter; None if that one has timed out.
+        Remove the organisation's next waiter; return it, or None if it has timed out.
 
-        The organisation is moved to the end of `queues`, so that of organisations at the same
-        virtual time the one served longest ago comes first.
+        The organisation is moved to the end of `queues`. So among organisations with the same
+        virtual time, the one that was served longest ago is served first.
 
         """
         queue = self.queues[organisation]
@@ -164,14 +171,14 @@
         if not queue:
             del self.queues[organisation]
         if waiter.until < self.monotonic():
-            # The waiting task ends by its own timeout, so a slot would be wasted on it.
+            # The task of this waiter ends by its own timeout, so a slot would be wasted on it.
             return None
         return waiter
 
     def _add_queue(self, organisation: OrganisationId) -> None:
         """
-        Add a queue for an organisation that has none. It starts at the current virtual time or
-        later, so it gets no credit for slots that it left unused while idle.
+        Add a queue for an organisation that has none. The organisation starts at the current
+        virtual time or later, so it gets no credit for slots that it left unused while idle.
 
         """
         if len(self.virtual_times) > MAX_ORGANISATIONS_REMEMBERED:
@@ -184,7 +191,7 @@
 
 class InFlightCounter:
     """
-    Counts the requests in progress on one entry by organisation, up to a ceiling for each.
+    Counts one entry's requests in progress by organisation; each may have at most `ceiling`.
 
     """
 
--- a/packages/millfork-routing/millfork_routing/retries.py
+++ b/packages/millfork-routing/millfork_routing/retries.py
@@ -1,5 +1,5 @@
 """
-Whether a refused attempt may be retried, by its verdict and by each organisation's budget.
+Whether a refused request may be retried: the reasons that allow it, and the retry budget.
 
 """
 
@@ -10,9 +10,10 @@
 from millfork_core.ids import OrganisationId
 from millfork_core.verdicts import Reason, Refusal, Verdict
 
+# Requests and retries are counted in windows of this length.
 WINDOW_S: Final = 10.0
 
-# Reasons that concern a single endpoint, so that another may accept the request.
+# Reasons of a refusal that concern a single endpoint; another endpoint may accept the request.
 RETRIABLE_REASONS: Final = frozenset(
     {
         Reason.UNREACHABLE,
@@ -39,8 +40,8 @@
 
 class RetryBudget:
     """
-    The retries allowed to each organisation and service: in each window of ten seconds a fixed
-    floor, plus a ratio of the requests.
+    Limits the retries of each organisation at each service: in a window of `WINDOW_S`, to
+    `floor` plus `ratio` times the number of requests.
 
     """
 
--- a/packages/millfork-routing/millfork_routing/routes.py
+++ b/packages/millfork-routing/millfork_routing/routes.py
@@ -9,7 +9,7 @@
 
 class RouteTable:
     """
-    The document in force, indexed by service, API key and host.
+    The current configuration document, indexed by service, API key and host.
 
     """
 
@@ -75,7 +75,7 @@
 
 def priority_of(route: Route, organisation: Organisation | None) -> int:
     """
-    The rank of a request; the organisation's rank takes precedence over the route's.
+    The rank of a request (0 is served first): that of its organisation if set, else of its route.
 
     """
     if organisation is not None and organisation.priority is not None:
--- a/packages/millfork-routing/millfork_routing/shared_budget.py
+++ b/packages/millfork-routing/millfork_routing/shared_budget.py
@@ -5,17 +5,17 @@
 allowance. The shares sum to less than the whole budget, even if entries know little of each
 other:
 
-- The previous process of this entry may have spent the entry's share, so in its first window a
-  process has little of the ratio and none of the fixed allowance.
-- The allowance is divided by the highest recent number of entries: entries that are
-  partitioned off or restarting use their share of it nevertheless.
-- An entry has no share of the allowance until it was in contact with a majority of the replicas
-  for a whole window. Only one side of a partition has that contact, so the two sides can't both
-  divide the whole allowance by the entries that they see. Without this rule, two halves of 40
-  entries that all started during a partition sent 320 retries of 272 allowed.
-
-Without these rules, 40 entries that were killed three times in 10 s sent 844 retries of 736
-allowed, while servers turned four of five requests away.
+- The previous process of an entry may have just spent the entry's share. So in its first window
+  a process gets only a small part of the ratio and none of the fixed allowance.
+- The allowance is divided by the highest recent number of entries, as entries that are
+  partitioned off or restarting still use their shares.
+- An entry has no share of the allowance until its replica has been in contact with a majority of
+  the replicas for a whole window. Only one side of a partition has that contact, so the two sides
+  can't both divide the whole allowance by the entries that they see. Without this rule, two
+  halves of 40 entries that all started during a partition sent 320 retries; 272 were allowed.
+
+Without these rules, 40 entries that were killed three times in 10 s sent 844 retries, while
+servers turned four of five requests away; 736 were allowed.
 
 """
 
@@ -27,16 +27,21 @@
 from millfork_core.ids import ServiceName
 from millfork_core.windows import ENTRIES_REMEMBERED_S, WindowMax
 
-# The share of the whole budget that is used. The rest covers entries that were just added, and
-# sends that reach their back end later than others within one window.
+# The entries together use this share of the whole budget. The rest covers entries that were just
+# added, and retries that arrive late and so count in the back end's next window.
 USED_SHARE: Final = 0.7
-# The share of the ratio that is used in a process's first window. The previous process may have
-# spent `USED_SHARE` in the same window; both together stay below the whole.
+# The share of the ratio that a process uses in its first window. The entry's previous process may
+# have spent `USED_SHARE` in the same window; both together stay below the whole ratio.
 FIRST_WINDOW_SHARE: Final = 0.2
 
 
 @dataclass(slots=True)
 class _Window:
+    """
+    When a service's requests and retries within the last window were sent (monotonic seconds).
+
+    """
+
     requests: deque[float] = field(default_factory=deque)
     retries: deque[float] = field(default_factory=deque)
 
@@ -44,9 +49,9 @@
 @dataclass(frozen=True, slots=True)
 class BudgetShare:
     """
-    One entry's share of the budget for a service: retries sent and requests within the window,
-    the retries allowed, and the number of entries that the fixed allowance was divided by (0:
-    this process has no share of it).
+    One entry's share of the budget for a service: the retries `spent` and the `requests` within
+    the window, the retries `allowed`, and the number of `entries` that the fixed allowance was
+    divided by (0: this process has no share of the allowance).
 
     """
 
@@ -56,9 +61,9 @@
     entries: int
 
 
-def without_quorum() -> bool:
+def assume_no_quorum() -> bool:
     """
-    The default for entries that don't know whether they reach a majority of the replicas.
+    The default of `has_quorum`: the entry's replica is never known to reach a majority.
 
     """
     return False
@@ -66,8 +71,8 @@
 
 class SharedBudget:
     """
-    One entry's share of the budget, for each service: `ratio` of its requests within `window_s`
-    seconds, and its part of `slack`, the fixed allowance.
+    Limits one entry's retries to its share of the budget: for each service, `ratio` times its
+    requests within `window_s` seconds, and its part of the fixed allowance `slack`.
 
     `entries` returns the number of entries known to the entry's replica, `has_quorum` whether
     that replica is in contact with a majority of the replicas now.
@@ -81,7 +86,7 @@
         window_s: float,
         entries: Callable[[], int],
         monotonic: Callable[[], float],
-        has_quorum: Callable[[], bool] = without_quorum,
+        has_quorum: Callable[[], bool] = assume_no_quorum,
     ) -> None:
         self.ratio = ratio
         self.slack = slack
@@ -90,8 +95,8 @@
         self.monotonic = monotonic
         self.has_quorum = has_quorum
         self.started_at = monotonic()
-        # Since when there has been contact with a majority. Once that has lasted a whole window,
-        # a loss of contact no longer resets it.
+        # Since when the entry's replica has been in contact with a majority of the replicas. Once
+        # the contact has lasted a whole window, losing it no longer resets this to None.
         self.quorum_since: float | None = None
         self.peak_entries = WindowMax(ENTRIES_REMEMBERED_S)
         self.windows: dict[ServiceName, _Window] = {}
@@ -118,7 +123,7 @@
 
     def current_share(self, service: ServiceName) -> BudgetShare:
         """
-        This entry's present share for a service.
+        This entry's present share of the budget for a service.
 
         """
         window = self._window(service)
@@ -136,8 +141,8 @@
 
     def count_entries(self) -> int:
         """
-        The highest recent number of entries. This method must be called regularly, so that
-        entries that are out of reach now are remembered.
+        Return the highest recent number of entries. Must be called regularly: it records the
+        number known now, so that entries that go out of reach later are still counted.
 
         """
         now = self.monotonic()
@@ -145,7 +150,8 @@
         if not self.has_quorum():
             if not self._knows_all_entries():
                 self.quorum_since = None
-            # Entries behind the partition use the allowance for as long as it lasts.
+            # While a partition lasts, the entries on its other side use their shares of the
+            # allowance, so the numbers recorded before must not expire.
             return max(self.peak_entries.maximum, entries)
         if self.quorum_since is None:
             self.quorum_since = now
@@ -153,7 +159,8 @@
 
     def _knows_all_entries(self) -> bool:
         """
-        Whether this entry knows all entries that use the fixed allowance.
+        Whether this entry knows all entries that use the fixed allowance: its replica has been in
+        contact with a majority for a whole window.
 
         """
         since = self.quorum_since
--- a/packages/millfork-scheduling/millfork_scheduling/admission.py
+++ b/packages/millfork-scheduling/millfork_scheduling/admission.py
@@ -1,19 +1,21 @@
 """
 Whether a request is sent to the engine that was chosen for it, or refused.
 
-Under lasting load near or above capacity, a request that is served late holds a slot for as
-long as one that is in time, and requests retried after a refusal are late already. If all were
-sent, they would fill the engines and no request would be in time.
+A request is in time if its first token arrives within the target time of its route. Under lasting
+load near or above capacity, a late request holds a slot for as long as one that is in time, and
+requests that are retried after a refusal are late already. If late requests were always sent,
+they would fill the engines and no request would be in time.
 
 """
 
 from dataclasses import dataclass
 from typing import Final
 
-# The share of the time left for the first token that a prediction may use up. The rest covers
-# the network and changes since the reports, which are 0.15 s to 0.3 s old.
+# The predicted time to the first token may be at most this share of the time left until the target.
+# The rest covers the network, and changes of the load since the last reports, which are 0.15 s to
+# 0.3 s old.
 FIRST_TOKEN_SHARE: Final = 0.75
-# A request that would be late is sent only to an engine with a smaller share of its slots
+# A request that would be late is sent only to an engine with less than this share of its slots
 # occupied; the other slots are kept for requests that can be in time.
 LATE_MAX_OCCUPIED_SHARE: Final = 0.75
 
@@ -21,11 +23,12 @@
 @dataclass(frozen=True, slots=True)
 class StartEstimate:
     """
-    The expected start of a request at an engine.
+    When a request is expected to start at an engine, and the load of that engine.
 
-    `expected_ms` is the time to the first token, `remaining_ms` the time left until the target
-    (negative if it has passed), `occupied` the number of requests there, `slots` the engine's
-    number of slots, and `load_age_ms` the age of the last known load (infinity if there is none).
+    `expected_ms` is the expected time to the first token, `remaining_ms` the time left until the
+    target (negative if the target has passed), `occupied` the number of requests at the engine,
+    `slots` its number of slots, and `load_age_ms` the age of its last known load (infinity if no
+    load is known).
 
     """
 
@@ -60,7 +63,7 @@
 
 def depends_on_first_try(start_estimate: StartEstimate) -> bool:
     """
-    Whether the request would be sent if it is its caller's first try, as the estimate assumes,
+    Whether the request would be sent if this is its caller's first try, as the estimate assumes,
     but refused if the caller was turned away before.
 
     """
--- a/packages/millfork-scheduling/millfork_scheduling/availability.py
+++ b/packages/millfork-scheduling/millfork_scheduling/availability.py
@@ -1,9 +1,11 @@
 """
-The backpressure signals of one incarnation of a back end, and whether requests may be sent to it.
+The backpressure signals of one incarnation (process life) of a back end, and whether they allow
+requests to be sent to it.
 
-An overloaded back end announces how many requests a second it accepts. Only its answers show
-when the limit is over, so some requests must continue to reach it. A back end that leaves may
-announce that to entries before any replica receives its heartbeat, for example during a partition.
+An overloaded back end announces how many requests a second it accepts. Without a daemon beside
+the back end, only its answers show when the limit is over, so some requests must still be sent.
+A back end that leaves may tell entries so before any replica receives a heartbeat that says it,
+for example during a partition.
 
 """
 
@@ -17,23 +19,26 @@
 from millfork_core.ids import Incarnation, InstanceId
 from millfork_scheduling.limit_share import LimitShare
 
-# A daemon's report is up to this old on arrival, so it may have been made before an answer that
-# announced a limit.
+# A daemon's report is up to this old when it arrives. A report without a limit may therefore have
+# been made before the back end announced a limit in an answer.
 REPORT_LAG_S: Final = 0.6
-# Longer rests are cut to this: the back end could otherwise stay closed forever.
+# The longest rest that a back end may ask for. Longer ones are cut to this, as the back end could
+# otherwise stay closed forever.
 MAX_REST_S: Final = 300.0
-# If the request that probes whether a rest is over has no answer by then, another may probe.
+# If the request that probes whether a rest is over has no answer after this time, another request
+# may be sent as a probe.
 PROBE_TIMEOUT_S: Final = 1.0
-# An incarnation that leaves is gone within seconds, but after a long partition its lease may
-# come back.
+# How long the signals of an incarnation are kept after its lease is gone. An incarnation that
+# leaves usually ends within seconds, but after a long partition its lease may come back.
 REMEMBERED_S: Final = 3600.0
-# Three times the number of back ends at the size planned for two years ahead.
+# For how many incarnations without a lease signals are kept: three times the number of back ends
+# at the size planned for two years ahead.
 MAX_REMEMBERED: Final = 10_000
 
 
 class SignalSource(Enum):
     """
-    Where an entry received a signal from.
+    Whether a signal came in a back end's answer or in a report of the daemon beside it.
 
     """
 
@@ -43,7 +48,8 @@
 
 class Signal(Enum):
     """
-    A kind of backpressure signal.
+    A kind of backpressure signal: the back end limits the requests per second, is leaving, or
+    asks for a rest.
 
     """
 
@@ -66,10 +72,10 @@
 @dataclass(slots=True)
 class RestPeriod:
     """
-    The rest period that a back end asked this entry for, in monotonic seconds.
+    The time for which a back end asked this entry to send it no requests (monotonic seconds).
 
-    Once it is over, a single request probes whether the back end accepts requests again; the
-    others wait for its answer.
+    Once the period is over, a single request probes whether the back end accepts requests again.
+    No other is sent until the probe is answered or `PROBE_TIMEOUT_S` has passed.
 
     """
 
@@ -78,7 +84,8 @@
 
     def extend(self, rest_s: float, now: float) -> None:
         """
-        Extend the period by a newly requested rest. An answer sent earlier doesn't shorten it.
+        Extend the period to `rest_s` from now, or `MAX_REST_S` if that is less. The period is
+        never shortened, as the answer with the new rest may have been sent before the last one.
 
         """
         self.until = max(self.until, now + min(rest_s, MAX_REST_S))
@@ -86,21 +93,21 @@
 
     def opens_in_s(self, now: float) -> float:
         """
-        The time until a request may be sent, in seconds; 0 if one may be sent now.
+        The time until a request may be sent to the back end, in seconds; 0 if one may be now.
 
         """
         return max(self.until - now, self.probed_at + PROBE_TIMEOUT_S - now, 0.0)
 
     def record_sent(self, now: float) -> None:
         """
-        Record that a request was sent, which probes whether the rest is over.
+        Record that a request was sent, as a probe whether the rest is over.
 
         """
         self.probed_at = now
 
     def is_ended_by(self, sent_at: float) -> bool:
         """
-        Whether the period is ended by the answer to an accepted request sent at `sent_at`.
+        Whether the rest is over if the back end accepted a request sent at `sent_at`.
 
         """
         return sent_at >= self.until
@@ -108,7 +115,7 @@
 
 class ClosureReason(Enum):
     """
-    The signal by which a back end forbids requests now.
+    Which signal of a back end forbids sending requests to it now.
 
     """
 
@@ -146,7 +153,7 @@
 @dataclass(slots=True)
 class Availability:
     """
-    The last signals of one incarnation of a back end. Times are monotonic seconds.
+    The last signals of one incarnation of a back end. Moments are monotonic seconds.
 
     """
 
@@ -154,17 +161,20 @@
     limit: LimitShare | None = None
     limit_announced_at: float = float('-inf')
     rest: RestPeriod | None = None
-    # An incarnation that leaves never comes back, whatever its heartbeats say.
+    # Whether an answer said that the back end is leaving. This stays set: an incarnation that
+    # leaves never comes back, whatever its heartbeats say.
     leaving: bool = False
-    # The last report of the daemon beside it. Without incarnations the report may describe the
-    # previous engine, so it can be revoked.
+    # Whether the last report of the daemon beside the back end said that it is leaving. A later
+    # report can revoke this: if engines have no incarnation, a report may describe the previous
+    # engine at the address.
     reported_leaving: bool = False
 
     def apply_answer(
         self, backpressure: Backpressure, sent_at: float, now: float, turned_away: bool = False
     ) -> list[SignalChange]:
         """
-        Apply the signals in the answer to a request sent at `sent_at`; returns the changes.
+        Apply the signals in the answer to a request sent at `sent_at`; returns the changes. An
+        answer with `turned_away` rejects the request, so it doesn't end a rest.
 
         """
         changes = self._apply_leaving(backpressure.leaving)
@@ -218,7 +228,7 @@
 
     def closure(self, now: float, entries: int) -> Closure | None:
         """
-        Why this entry, one of `entries`, may send no request now; None if it may.
+        Why this entry, one of `entries`, may send the back end no request now; None if it may.
 
         """
         if self.leaving or self.reported_leaving:
@@ -232,7 +242,8 @@
 
     def record_sent(self, now: float, entries: int) -> None:
         """
-        Record a request that is sent.
+        Record that a request is sent to the back end: it uses a permit of the limit, and probes
+        whether a rest is over.
 
         """
         if self.rest is not None:
@@ -266,12 +277,13 @@
     def __init__(self, random: Random, monotonic: Callable[[], float]) -> None:
         self.random = random
         self.monotonic = monotonic
-        # With the time at which the lease was lost; ordered by that time.
+        # Each with the time at which its lease was lost, in the order of these times.
         self.kept: dict[tuple[InstanceId, Incarnation], tuple[float, Availability]] = {}
 
     def store(self, key: tuple[InstanceId, Incarnation], availability: Availability) -> None:
         """
-        Store the availability of an incarnation that lost its lease.
+        Store the availability of an incarnation that lost its lease. Those stored longer than
+        `REMEMBERED_S` ago, and the oldest above `MAX_REMEMBERED`, are dropped.
 
         """
         now = self.monotonic()
--- a/packages/millfork-scheduling/millfork_scheduling/first_tries.py
+++ b/packages/millfork-scheduling/millfork_scheduling/first_tries.py
@@ -1,12 +1,12 @@
 """
-Detection of a caller's first try by the deadline of its request.
+Whether a request is its caller's first try, estimated from its deadline.
 
-Under lasting load above capacity, many callers were turned away before. Their first token is
-late in any case, and a slot given to one of them is lost to a request that could be in time. A
-returning caller has a shorter deadline left than callers begin with. But on some fleets callers
-begin with very different deadlines, so a short one proves nothing by itself. Therefore the
-deadlines of first tries are learned while no caller is turned away, and a request counts as a
-retry only if its deadline is outside their range.
+Under lasting load above capacity, many requests are retries of callers that were turned away.
+The first token of a retry is late in any case, and a slot given to a retry is lost to a request
+that could be in time. A retry has a shorter deadline than its caller began with. But on some
+fleets callers begin with very different deadlines, so a short deadline alone proves nothing.
+Therefore the deadlines of first tries are learned while no caller is turned away, and a request
+counts as a retry only if its deadline is outside their range.
 
 """
 
@@ -14,40 +14,43 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-# Deadlines that differ by less count as equal, as transit takes some ms of each. A caller that
-# was turned away has lost more.
+# Deadlines that differ by at most this count as equal, as transit takes some ms of each. A caller
+# that was turned away has lost more than this.
 DEADLINE_TOLERANCE_MS: Final = 120
-# For this time after a caller was turned away, requests may come from returning callers, as
-# callers wait 6 s.
+# For this time after a caller was turned away, requests may be retries, as callers keep retrying
+# for 6 s.
 RETURN_WINDOW_S: Final = 8.0
-# The number of first-try deadlines kept for each route, and the number needed for a judgement.
+# How many first-try deadlines are kept for each route, and how many the estimate needs.
 MAX_DEADLINES_KEPT: Final = 128
 MIN_FIRST_TRIES: Final = 20
-# Routes come and go with configurations; deadlines are kept for this many, 2 KB each.
+# Deadlines are kept for at most this many routes (2 KB each), as configurations replace routes.
 MAX_ROUTES: Final = 2000
-# Used before enough first tries were seen, as after a start under load. Callers are assumed to
-# begin with one common deadline if this share of the latest requests, including retries, have
-# the longest deadline within the ms that transit takes. Two or three that lie so close by chance
-# are no evidence: they made 1 in 14 first tries of callers that begin with 0.85 to 1 times the
-# usual deadline count as retries.
+# These are used until `MIN_FIRST_TRIES` first tries were seen, as after a start under load. Callers
+# are assumed to begin with one common deadline if, among the last `LATEST_KEPT` requests (including
+# retries), a share of `COMMON_DEADLINE_SHARE` and at least `MIN_COMMON_DEADLINES` differ from the
+# longest deadline by at most `SAME_DEADLINE_MS`, the time that transit takes. Two or three so close
+# by chance are no evidence: with them, 1 in 14 first tries counted as retries if callers begin with
+# 0.85 to 1 times the usual deadline.
 LATEST_KEPT: Final = 16
 COMMON_DEADLINE_SHARE: Final = 0.4
 MIN_COMMON_DEADLINES: Final = 4
 SAME_DEADLINE_MS: Final = 20
-# The share of a route's shortest first-try deadlines that is ignored: probes, and retries that
-# were mistaken for first tries.
+# This share of a route's first-try deadlines, the shortest ones, is ignored: they may come from
+# probes, or from retries that were mistaken for first tries.
 OUTLIER_SHARE: Final = 0.05
-# The observed first tries may not include the shortest deadline. It may lie below them by this
-# share of their range.
+# The shortest deadline that callers begin with may not have been observed yet. It is assumed to lie
+# below the observed ones by at most this share of their range.
 UNSEEN_MARGIN_SHARE: Final = 0.2
 
 
 @dataclass(frozen=True, slots=True)
 class Judgement:
     """
-    The estimated time since the caller's first try in ms (0: this is the first try).
+    The estimated time from the caller's first try to a request, in ms (0: the request is the
+    first try).
 
-    `is_undecided` if the deadline doesn't show it, so that other entries should be asked.
+    `is_undecided` is set if the deadline doesn't show whether the request is the first try, so
+    that other entries should be asked.
 
     """
 
@@ -58,8 +61,8 @@
 @dataclass(slots=True)
 class RouteDeadlines:
     """
-    The deadlines of one route's requests in ms: the longest of all, the latest ones, and those
-    of first tries.
+    The deadlines of one route's requests in ms: the longest of all, those of the latest requests,
+    and those of the latest first tries.
 
     """
 
@@ -78,7 +81,7 @@
 
 class FirstTryDetector:
     """
-    Learns the deadlines of first tries by route, and judges requests by them.
+    Learns the deadlines of first tries by route, and recognises retries by them.
 
     """
 
@@ -88,14 +91,15 @@
 
     def record_turned_away(self, now: float) -> None:
         """
-        Record that a caller was turned away and may come back.
+        Record that a caller was turned away and may retry.
 
         """
         self.turned_away_at = now
 
     def judge(self, route: str, deadline_ms: int, now: float) -> Judgement:
         """
-        Judge a request by its deadline; the deadline is learned while no caller may be returning.
+        Estimate from its deadline whether a request is a first try. The deadline is learned as
+        that of a first try if no caller was turned away in the last `RETURN_WINDOW_S`.
 
         """
         deadlines = self._deadlines_of(route)
--- a/packages/millfork-scheduling/millfork_scheduling/fleet_index.py
+++ b/packages/millfork-scheduling/millfork_scheduling/fleet_index.py
@@ -10,9 +10,9 @@
 from millfork_core.ids import ServiceName, ZoneId
 from millfork_scheduling.server import Server
 
-# The number of engines of each service that an entry uses, of its own zone and of the others. It
-# keeps a connection to the daemon beside each of them. With few entries each uses more engines,
-# so that every engine is used by several entries.
+# An entry uses at most this many engines of each service in its own zone (near) and in all other
+# zones (far), as it keeps a connection to the daemon beside each of them. With few entries each
+# uses more engines, so that about `ENTRIES_PER_ENGINE` entries use every engine.
 MAX_NEAR: Final = 32
 MAX_FAR: Final = 16
 ENTRIES_PER_ENGINE: Final = 6
@@ -28,14 +28,14 @@
         self.zone = zone
         self.entries = entries
         self.by_service: dict[ServiceName, list[Server]] = {}
-        # The back ends that this entry uses: those of its own zone and those of all others.
+        # The back ends that this entry uses, by service: in its own zone and in all other zones.
         self.near: dict[ServiceName, list[Server]] = {}
         self.far: dict[ServiceName, list[Server]] = {}
         self.by_address: dict[tuple[str, int], Server] = {}
 
     def rebuild(self, servers: Iterable[Server]) -> None:
         """
-        Build the index from all back ends.
+        Build the index again from all back ends that hold a lease.
 
         """
         self.by_service = {}
--- a/packages/millfork-scheduling/millfork_scheduling/incarnation_status.py
+++ b/packages/millfork-scheduling/millfork_scheduling/incarnation_status.py
@@ -13,12 +13,12 @@
 
 from millfork_scheduling.server import Server
 
-# Data that a back end sent before it ended may be read this much later, as a busy entry reads
-# all data that arrived meanwhile in one go.
+# Data that a back end sent before it ended may be read up to this much later: a busy entry reads
+# all data that has arrived in the meantime at once.
 READ_DELAY_S: Final = 0.1
-# A daemon's report may describe the engine as it was this long ago.
+# A daemon's report may describe the engine as it was up to this long before the report arrived.
 REPORT_LAG_S: Final = 1.0
-# After this time the lease of a back end that ended has expired, and this entry knows it.
+# This long after a back end ended, its lease has expired and this entry knows that.
 LEASE_EXPIRED_S: Final = 6.0
 
 
@@ -37,8 +37,8 @@
     server: Server, since: float, known: Iterable[Server] = (), now: float = float('-inf')
 ) -> IncarnationStatus:
     """
-    Whether a back end has ended since a moment (monotonic seconds). `known` are the back ends
-    that hold a lease now and have the same instance or address.
+    Whether a back end has ended since the moment `since` (monotonic seconds). `known` are the
+    back ends that hold a lease now and have the same instance or address as `server`.
 
     """
     if server.replaced:
--- a/packages/millfork-scheduling/millfork_scheduling/limit_share.py
+++ b/packages/millfork-scheduling/millfork_scheduling/limit_share.py
@@ -1,8 +1,9 @@
 """
 One entry's share of the requests per second that a back end accepts from all entries together.
 
-Entries don't coordinate before a request, so each keeps to an equal share. The sum of all
-entries has to stay near the limit over some seconds, including permits saved from earlier:
+Entries don't coordinate before they send a request, so each keeps to an equal share of the limit
+and sends only while it has a permit. All entries together have to stay near the limit over some
+seconds, even if they use permits that they saved earlier:
 
 - Few entries: each saves at most one permit, or as many as its share gives in a second.
 - Many entries: the saved permits of all would together exceed what a back end tolerates, so
@@ -22,10 +23,12 @@
 ARRIVAL_MARGIN_S: Final = 0.4
 TOLERATED_RATIO: Final = 1.5
 TOLERATED_REQUESTS: Final = 5
-# The share of the limit that random permits use on average, as their sum varies.
+# Random permits are given out at this interval. On average they use this share of the limit, as
+# the sum over all entries varies.
 RANDOM_PERMIT_SHARE: Final = 0.8
 RANDOM_PERMIT_INTERVAL_S: Final = 1.0
-# The lowest rate: a back end that receives no requests could never signal the end of its limit.
+# Lower limits are raised to this many requests per second: a back end that receives no requests
+# could never signal the end of its limit.
 MIN_PER_S: Final = 0.1
 
 
@@ -37,7 +40,7 @@
     """
 
     random: Random
-    # Requests per second from all entries together.
+    # The requests per second that the back end accepts from all entries together.
     limit_per_s: float
     # When `permits` was last updated, in monotonic seconds.
     refilled_at: float
@@ -89,8 +92,8 @@
 
     def _saves_permits(self, entries: int) -> bool:
         """
-        Whether a back end tolerates the requests that all entries could send in one window if
-        they saved permits.
+        Whether entries save unused permits: only if a back end tolerates the requests that all of
+        them could then send in one window.
 
         """
         rate = self.limit_per_s / max(entries, 1)
--- a/packages/millfork-scheduling/millfork_scheduling/load_queries.py
+++ b/packages/millfork-scheduling/millfork_scheduling/load_queries.py
@@ -1,8 +1,8 @@
 """
 Whether an entry asks for the current load of engines before it chooses one.
 
-Under load near or above capacity, reports are up to 0.3 s old and other entries send requests
-meanwhile, so the engine that looks best may be full when the request arrives. If all compared
+Load reports are up to 0.3 s old. Under load near or above capacity, other entries send requests in
+that time, so the engine that looks best may be full when the request arrives. If all compared
 engines have spare slots, the last reports are good enough.
 
 """
@@ -12,13 +12,15 @@
 
 from millfork_scheduling.server import Server
 
-# Loads are asked for once any compared engine has this share of its slots occupied.
+# An entry asks for loads if any of the compared engines has at least this share of its slots
+# occupied.
 FRESH_LOADS_OCCUPIED_SHARE: Final = 0.7
 
 
 def needs_fresh_loads(servers: Iterable[Server], now: float, entries: int) -> bool:
     """
-    Whether the choice among the engines may depend on what happened since their reports.
+    Whether the choice among the engines may depend on requests that other entries sent since the
+    last reports: whether any of the engines is nearly full.
 
     """
     return any(
--- a/packages/millfork-scheduling/millfork_scheduling/paths.py
+++ b/packages/millfork-scheduling/millfork_scheduling/paths.py
@@ -33,10 +33,11 @@
 
 def find_paths(servers: list[Server], engine: EngineSpec, newest: int) -> list[Path]:
     """
-    The paths over back ends that hold some layers of the newest version.
+    The paths of back ends that each hold only some layers of the newest version.
 
-    Entries that know the same back ends find the same paths; pairs within one zone are
-    preferred. Older versions have no paths, as their back ends are about to change version.
+    A back end is in at most one path, and pairs within one zone are preferred. Entries that know
+    the same back ends find the same paths. Older versions have no paths, as their back ends are
+    about to change to the newest one.
 
     """
     lower: list[tuple[Server, int]] = []
--- a/packages/millfork-scheduling/millfork_scheduling/placement.py
+++ b/packages/millfork-scheduling/millfork_scheduling/placement.py
@@ -2,10 +2,10 @@
 The choice of the back end that a request is sent to.
 
 Loads differ between back ends, and all entries see the same reports, which are 0.15 s to 0.3 s
-old: if all chose the least loaded engine, it would get the requests of all entries at once. So
-each choice is among a few randomly sampled engines. The best of these is nearly as good as the
-best of all and seldom the same for two entries. Back ends that fail or are late are avoided for
-a while.
+old: if all chose the least loaded engine, that engine would get the requests of all entries at
+once. So each choice is among a few randomly sampled engines. The best of these is nearly as good
+as the best of all and seldom the same for two entries. Back ends that fail or are late are avoided
+for a while.
 
 """
 
@@ -20,30 +20,31 @@
 from millfork_scheduling.paths import Path
 from millfork_scheduling.server import Server
 
-# The cost of a failure rate of 1, in full loads of a back end.
+# Costs of back ends that aren't engines are loads (1: all slots are occupied). This is the cost of
+# a back end at which every request fails.
 FAILURE_COST_LOADS: Final = 3.0
-# The cost of each answer token of a path whose engines are in two zones: one round trip.
+# The cost of a path whose engines are in two zones, per token of the answer: one round trip.
 PATH_TOKEN_HOP_MS: Final = 5.0
-# The cost of an engine in another zone: one round trip.
+# The cost of an engine in another zone than the entry's: one round trip.
 OTHER_ZONE_COST_MS: Final = 10.0
-# The cost of a failure rate of 1 at an engine.
+# The cost of an engine at which every request fails.
 FAILURE_COST_MS: Final = 3000.0
-# Random jitter of the costs; without it all entries would choose the same engine.
+# The maximum random addition to costs; without it all entries would choose the same engine.
 COST_JITTER_MS: Final = 30.0
-# The cost of a back end in another zone, in full loads: one in the own zone is preferred unless
-# it is fuller by more than this.
+# The cost, as a load, of a back end in another zone: one in the entry's zone is preferred unless
+# its load is higher by more than this.
 OTHER_ZONE_COST_LOADS: Final = 0.15
-# The number of engines sampled for each choice, from the own zone and from the others. With
-# larger samples many entries would choose the same engine.
+# The number of engines sampled for each choice, from the entry's zone (near) and from the other
+# zones (far). With larger samples many entries would choose the same engine.
 NEAR_SAMPLED: Final = 2
 FAR_SAMPLED: Final = 1
 # The cost of an engine whose version ends soon, for a request that could not continue at another
 # back end: about as long as admission lets a request wait.
 ENDING_VERSION_COST_MS: Final = 300.0
-# A request is sent to a version that ends soon only if its first token is expected this long
-# before the end, as a slow link may delay it.
+# A request is sent to an engine whose version ends soon only if the first token is expected at
+# least this long before that end, as a slow link may delay the request.
 VERSION_END_MARGIN_S: Final = 0.5
-# The margin for an engine without a daemon that would withdraw the version in time.
+# The same margin for an engine without daemon reports: no daemon withdraws its version in time.
 VERSION_END_MARGIN_WITHOUT_DAEMON_S: Final = 1.2
 
 
@@ -51,7 +52,7 @@
 class Requirements:
     """
     What a request requires of a back end: the service; for engines also the engine spec, the
-    oldest acceptable version and the newest named version.
+    oldest acceptable version, and the newest version that is set in the configuration.
 
     """
 
@@ -62,13 +63,14 @@
     prompt_tokens: int = 0
     # Whether the request can't be sent to another back end after this one.
     last_send: bool = False
-    # For each recently named version, when requests that have not begun on an older version
-    # are cancelled (monotonic seconds).
+    # For each version whose cutoff is still to come: the version, and when requests that have not
+    # begun on an older one are cancelled (monotonic seconds).
     cancel_times: tuple[tuple[int, float], ...] = ()
 
     def ends_at(self, version: int) -> float:
         """
-        When the request is cancelled if it has not begun on `version`; infinity if never.
+        When the request is cancelled if it was sent to `version` and has not begun by then
+        (monotonic seconds); infinity if never.
 
         """
         return min((at for newer, at in self.cancel_times if newer > version), default=float('inf'))
@@ -79,8 +81,9 @@
     """
     The back end chosen for a request; for a path, its first engine.
 
-    `spec_first_token_ms` is the time to the first token by the engine spec, `first_token_ms` that
-    time corrected by the recent lateness. Both are 0 for back ends that aren't engines.
+    `spec_first_token_ms` is the time to the first token predicted from the engine spec and the
+    load, `first_token_ms` that time corrected by the recent lateness. Both are 0 for back ends
+    that aren't engines.
 
     """
 
@@ -99,7 +102,8 @@
 
     def version(self, layers: int) -> int | None:
         """
-        The version of the weights that the request would run on.
+        The version of the weights that the request would run on; None if the server holds all
+        `layers` of no version and the choice is no path.
 
         """
         return (
@@ -125,7 +129,7 @@
 
 def choose_plain(servers: Iterable[Server], context: SelectionContext, random: Random) -> Choice:
     """
-    The least loaded back end of a service without engines; the own zone is preferred.
+    Choose the least loaded back end of a service without engines, preferably in the own zone.
 
     """
     return Choice(min(servers, key=lambda server: _plain_cost(server, context, random)))
@@ -133,9 +137,9 @@
 
 def _plain_cost(server: Server, context: SelectionContext, random: Random) -> float:
     load = (server.occupied(context.now) + 1) / server.slots
-    away = OTHER_ZONE_COST_LOADS if server.zone != context.zone else 0.0
-    spread = random.random() / (2 * server.slots)
-    return load + away + FAILURE_COST_LOADS * server.failure_rate + spread
+    zone_cost = OTHER_ZONE_COST_LOADS if server.zone != context.zone else 0.0
+    jitter = random.random() / (2 * server.slots)
+    return load + zone_cost + FAILURE_COST_LOADS * server.failure_rate + jitter
 
 
 def choose_engine(
@@ -147,8 +151,9 @@
     random: Random,
 ) -> Choice | None:
     """
-    The engine with the lowest cost, mainly the expected time to the first token, among a random
-    sample of `servers`. None if no engine would begin before its version ends.
+    Choose the engine with the lowest cost, which is mainly the expected time to the first token,
+    from a random sample of `servers`. If no sampled engine would begin the request before its
+    version ends, choose from all `servers`; None if none of them would.
 
     """
     by_first = {path.first.instance: path for path in paths}
@@ -156,7 +161,7 @@
     choose_cheapest = partial(
         _cheapest, requirements=requirements, engine=engine, by_first=by_first, context=context
     )
-    # All sampled engines may be about to change version; then all others are considered.
+    # If all sampled engines are about to change version, all engines are considered.
     return choose_cheapest(
         sample_engines(eligible, context.zone, random), random=random
     ) or choose_cheapest(eligible, random=random)
@@ -175,7 +180,7 @@
         if server.newest_complete_version(engine.layers) is None and (
             path is None or path.second not in servers
         ):
-            # It is the second engine of a path, or the second of its path is not available.
+            # The server is not the first engine of a path whose second engine is available.
             continue
         eligible.append(server)
     return eligible
@@ -183,8 +188,8 @@
 
 def sample_engines(servers: list[Server], zone: ZoneId, random: Random) -> list[Server]:
     """
-    A random sample of engines, most of them of the own zone. It is filled up from either side
-    if the other has too few.
+    A random sample of engines, most of them in `zone`. If that zone or the others have too few,
+    the sample is filled up from the other side.
 
     """
     count = NEAR_SAMPLED + FAR_SAMPLED
@@ -211,24 +216,24 @@
         spec_ms = server.first_token_ms(
             engine, requirements.prompt_tokens, context.now, context.entries
         )
-        expected = spec_ms + max(context.mean_lateness_ms, server.lateness.now_ms(context.now))
+        expected = spec_ms + max(context.mean_lateness_ms, server.lateness.mean_ms_at(context.now))
         path = by_first.get(server.instance)
-        found = Choice(server, spec_ms, max(expected, 0.0), path)
-        if _ends_before(found, expected, requirements, engine, context.now):
+        candidate = Choice(server, spec_ms, max(expected, 0.0), path)
+        if _version_ends_before_start(candidate, expected, requirements, engine, context.now):
             continue
-        cost = expected + _extra_cost(found, requirements, engine, context.zone)
+        cost = expected + _extra_cost(candidate, requirements, engine, context.zone)
         cost += random.random() * COST_JITTER_MS
         if cost < lowest_cost:
             lowest_cost = cost
-            best = found
+            best = candidate
     return best
 
 
-def _ends_before(
+def _version_ends_before_start(
     choice: Choice, expected_ms: float, requirements: Requirements, engine: EngineSpec, now: float
 ) -> bool:
     """
-    Whether the version of the chosen back end may end before the request has safely begun.
+    Whether the version of the chosen engine may end before the request has safely begun on it.
 
     """
     version = choice.version(engine.layers)
--- a/packages/millfork-scheduling/millfork_scheduling/prediction.py
+++ b/packages/millfork-scheduling/millfork_scheduling/prediction.py
@@ -11,16 +11,17 @@
 
 from millfork_routing.documents import EngineSpec
 
-# Used before the first request has completed: tokens are about this much slower than the steps
-# of the engine alone, as prompts of other requests are read in between.
+# Before an entry's first request to an engine has completed, a token of an answer is assumed to
+# take this many times `step_ms`, as prompts of other requests are read between the steps.
 READING_SLOWDOWN: Final = 1.7
-# The first token is sent with the pass that reads the end of the prompt.
+# How many passes of `steps_per_event` steps precede the first token, which is sent with the pass
+# that reads the end of the prompt.
 PASSES_TO_FIRST: Final = 1.5
 
 
 def read_ms(engine: EngineSpec, prompt_tokens: int) -> float:
     """
-    The time to read a prompt, in ms.
+    The time to read a prompt, in ms; 0 if the spec gives no reading speed.
 
     """
     if engine.read_per_s <= 0:
@@ -47,7 +48,8 @@
 ) -> float:
     """
     The time from a request's arrival at an engine to its first token, in ms, with `occupied`
-    other requests there, `unread` of which have no first token yet.
+    other requests there, `unread` of which have no first token yet. `service_s` is how long a
+    request holds a slot, `pace` the slowness of the engine (above 1: slower than usual).
 
     """
     passes = PASSES_TO_FIRST * engine.step_ms * engine.steps_per_event
--- a/packages/millfork-scheduling/millfork_scheduling/quarantine.py
+++ b/packages/millfork-scheduling/millfork_scheduling/quarantine.py
@@ -1,12 +1,13 @@
 """
 Which requests are quarantined because they crash the back ends that run them.
 
-A request that crashes back ends is retried by its caller, at any entry. Each send costs a back
-end for seconds and breaks off all other requests that run there. Those other requests must not
-be refused for that: one complete answer clears a request of suspicion.
+A request that crashes back ends is retried by its caller, at any entry. Each attempt takes a back
+end down for seconds and breaks off all other requests that run there. Those other requests must
+not be refused because of this, so one complete answer clears a request of suspicion.
 
-If back ends end late, or all together as in a loss of power, crashing requests are recognised
-only after a while. Until then a suspected request is refused, apart from occasional trials.
+If back ends end long after they broke off answers, or all at once as in a loss of power, crashing
+requests are recognised only after a while. Until then a suspected request is refused, apart from
+occasional trials.
 
 """
 
@@ -18,15 +19,17 @@
 from millfork_core.ids import Fingerprint, IncarnationKey
 from millfork_registry.suspicion_store import Suspicion
 
-# After this many ends of back ends a request is at fault. A single end proves nothing, as every
-# request that ran on the back end is suspected.
+# A request is at fault once this many back ends ended one after another while they ran it. A single
+# one proves nothing, as every request that ran on that back end is suspected.
 MIN_ENDS_AT_FAULT: Final = 3
-# A suspected request is tried again this long after its suspicion last changed. By then most
-# back ends whose answers broke off are known to have ended or to live on.
+# A suspected request may be sent again as a trial this long after its suspicion last changed. By
+# then most back ends whose answers broke off are known to have ended or to live on.
 TRIAL_AFTER_S: Final = 2.0
-# Entries spread their trials at random over this time multiplied by the number of entries, so
-# that most learn the outcome of the first trial. The fleet makes at most two trials a second.
+# Entries spread their trials of a request at random over this time multiplied by the number of
+# entries, so that most entries learn the outcome of the first trial before their own is due. The
+# fleet makes at most two trials a second.
 TRIAL_SPREAD_S: Final = 1.0
+# All scheduled trials are forgotten once there are this many.
 MAX_TRIALS: Final = 4096
 
 
@@ -37,7 +40,8 @@
     """
 
     FREE = 'free'
-    # Its answers broke off at so many back ends that it may be at fault.
+    # The request's answers broke off at so many back ends that it may be at fault; it is sent only
+    # as a trial.
     SUSPECTED = 'suspected'
     AT_FAULT = 'at_fault'
 
@@ -65,8 +69,8 @@
     The number of back ends that ended one after another while they ran a request, including
     `ended`.
 
-    `before` is the suspicion when the request was sent there, `now` the present one.
-    Incarnations whose answers broke off before but that are known to live on don't count.
+    `before` is the suspicion of the request when it was sent to `ended`, `now` its present
+    suspicion. Incarnations in `before.broken` that are now known to live on don't count.
 
     """
     earlier = set(before.broken) & set(now.broken)
@@ -88,13 +92,14 @@
         self.random = random
         self.monotonic = monotonic
         self.entries = entries
-        # By request: its last known suspicion, and when it may be tried (monotonic seconds).
+        # By request: its last known suspicion, and when its trial is due (monotonic seconds).
         self.due: dict[Fingerprint, tuple[Suspicion, float]] = {}
 
     def start_trial(self, suspicion: Suspicion) -> bool:
         """
-        Whether a suspected request may be sent now as a trial; its next trial is scheduled then.
-        A request whose suspicion is new or has changed isn't sent; only its trial is scheduled.
+        Whether a suspected request may be sent now as a trial, because its trial is due; if so,
+        the next trial is scheduled. If the suspicion is new or has changed, the request may not
+        be sent yet, and its first trial is scheduled.
 
         """
         now = self.monotonic()
--- a/packages/millfork-scheduling/millfork_scheduling/retry_after.py
+++ b/packages/millfork-scheduling/millfork_scheduling/retry_after.py
@@ -1,7 +1,7 @@
 """
 The wait that a rejected caller is asked for before it retries.
 
-Callers that all retried at the same moment, before the reason for the rejection is over,
+If all callers retried at the same moment, or before the reason for the rejection is over, they
 would be rejected again. So the waits are spread at random, and last about as long as a slot
 takes to come free. Callers wait at most a third of their remaining time: 2 s of the usual 6 s.
 
@@ -13,7 +13,8 @@
 from millfork_core.verdicts import Reason
 from millfork_scheduling.availability import Closure, ClosureReason
 
-# A slot comes free in about 0.1 s; the waits are spread over more than that.
+# Waits of callers that were refused because the engines are full. A slot comes free in about
+# 0.1 s; the waits are spread over more than that.
 MIN_WAIT_MS: Final = 150
 MAX_WAIT_MS: Final = 600
 SPREAD_WAIT_MS: Final = 250
@@ -22,9 +23,10 @@
 NO_SERVER_WAIT_MS: Final = 1500
 # The longest wait for back ends that asked for a rest; others may have joined by then.
 MAX_REST_MS: Final = 10_000
+# The maximum random addition to `NO_SERVER_WAIT_MS`.
 NO_SERVER_SPREAD_MS: Final = 400
-# Waits after other refusals, by reason. They are short, as a slot comes free in a fraction of
-# a second.
+# Waits after other refusals, by reason, in ms. They are short, as a slot comes free in a fraction
+# of a second.
 AFTER_REFUSAL_MS: Final[dict[Reason, int]] = {
     Reason.NOT_READY: 500,
     Reason.UNREACHABLE: 300,
@@ -36,12 +38,13 @@
     # A quarantined request is refused however long its caller waits.
     Reason.QUARANTINED: 0,
 }
+# The wait after refusals for any other reason.
 DEFAULT_WAIT_MS: Final = 300
 
 
 def full_engines_wait_ms(overdue_ms: float, random: Random) -> int:
     """
-    The wait of a caller whose first token would have been this late, in ms.
+    The wait, in ms, of a caller whose first token would have been late by `overdue_ms`.
 
     """
     late_ms = min(max(overdue_ms, 0.0), MAX_WAIT_MS)
@@ -50,7 +53,7 @@
 
 def no_server_wait_ms(random: Random) -> int:
     """
-    The wait of a caller that no back end can serve, in ms.
+    The wait, in ms, of a caller whose request no back end can serve.
 
     """
     return NO_SERVER_WAIT_MS + int(random.random() * NO_SERVER_SPREAD_MS)
@@ -58,9 +61,10 @@
 
 def closed_wait_ms(closure: Closure, random: Random) -> int:
     """
-    The wait, in ms, of a caller whose suitable back ends are all closed by their own signals,
-    until the first of them opens. Only a rest has an announced end; other closures are capped
-    lower, as other back ends may start to serve, or another entry may be able to send.
+    The wait, in ms, of a caller whose suitable back ends are all closed by their own signals:
+    until the first of them opens, whose closure is given. Only the end of a rest is announced.
+    The wait for other closures has a lower maximum, as other back ends may start to serve, or
+    another entry may be able to send the request.
 
     """
     max_ms = MAX_REST_MS if closure.closure_reason is ClosureReason.RESTING else NO_SERVER_WAIT_MS
--- a/packages/millfork-scheduling/millfork_scheduling/server.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server.py
@@ -19,27 +19,28 @@
 from millfork_scheduling.availability import Availability
 from millfork_scheduling.prediction import first_token_ms, usual_service_s
 
-# A back end that failed is avoided for this time, doubled with each further failure.
+# A back end that failed is avoided for this time, doubled with each further failure in a row.
 FIRST_AVOIDANCE_S: Final = 0.5
 MAX_AVOIDANCE_S: Final = 4.0
 # A back end that turns a request away is avoided for this time, doubled with each rejection in
 # a row: it may be full for a moment, or reject everything.
 FIRST_TURNED_AWAY_S: Final = 0.05
 MAX_TURNED_AWAY_S: Final = 2.0
-# Weight of one request in a back end's failure rate.
+# Weight of the latest request in a back end's failure rate (an exponential moving average).
 FAILURE_WEIGHT: Final = 0.1
-# Weight of one request in the mean service time of an engine.
+# Weight of the latest request in the mean service time of a back end.
 SERVICE_TIME_WEIGHT: Final = 0.1
 # The mean lateness halves in this time while no first token arrives.
 LATENESS_HALF_LIFE_S: Final = 0.7
-# Weight of one first token in a back end's mean lateness. An entry sees about one a second from
-# each back end, so a slow back end is recognised after its first token.
+# Weight of the latest first token in a back end's mean lateness. An entry sees about one a second
+# from each back end, so a slow back end has to be recognised by a single late one.
 SERVER_LATENESS_WEIGHT: Final = 0.5
-# Cap of one first token's lateness, as a stuck engine says nothing about the others.
+# The lateness of one first token counts as at most this, as a stuck engine says nothing about the
+# other engines of its service.
 MAX_LATENESS_MS: Final = 800.0
 # Daemons report every 0.15 s. One that is silent for this time is gone, frozen or cut off.
 DAEMON_SILENT_S: Final = 0.6
-# An older report says nothing about the present load.
+# A load report that is older than this says nothing about the present load.
 REPORT_VALID_S: Final = 2.0
 
 
@@ -48,8 +49,8 @@
     """
     The mean delay of first tokens against the prediction from the engine spec, in ms.
 
-    It decays while no first token arrives. Otherwise a high value would keep away the requests
-    that could show that the delay is over.
+    The mean decays while no first token arrives. Otherwise a high mean would keep away the
+    requests that could show that the delay is over.
 
     """
 
@@ -57,9 +58,9 @@
     mean_ms: float = 0.0
     updated_at: float = 0.0
 
-    def now_ms(self, now: float) -> float:
+    def mean_ms_at(self, now: float) -> float:
         """
-        The mean after its decay until `now`.
+        The mean after its decay from the last update until `now`.
 
         """
         return self.mean_ms * math.exp2((self.updated_at - now) / LATENESS_HALF_LIFE_S)
@@ -70,7 +71,7 @@
 
         """
         late_ms = min(max(late_ms, -MAX_LATENESS_MS), MAX_LATENESS_MS)
-        mean_ms = self.now_ms(now)
+        mean_ms = self.mean_ms_at(now)
         self.mean_ms = mean_ms + self.weight * (late_ms - mean_ms)
         self.updated_at = now
 
@@ -80,7 +81,8 @@
     """
     The requests running and queued at an engine, and its pace (above 1: slower than usual).
 
-    `own_requests` counts this entry's own requests there, `own_unread` those without a first token.
+    `own_requests` counts this entry's own requests at the engine when the load was determined,
+    `own_unread` those without a first token.
 
     """
 
@@ -111,45 +113,49 @@
     replaced: bool = False
     # The backpressure signals that the back end sent.
     availability: Availability = field(default_factory=Availability)
-    # The versions in its last heartbeat. Reports of endpoint daemons are newer.
+    # The versions in the back end's lease; those in `served` may come from a newer daemon report.
     lease_served: tuple[ServedVersion, ...] = ()
+    # Whether the engine is changing its version, by the last report of its daemon.
     changing: bool = False
+    # The sequence number of the last report that was applied; -1: none.
     report_sequence: int = -1
-    # The instance of the endpoint daemon on its host; empty before the first report.
+    # The instance of the endpoint daemon beside the back end; empty before the first report.
     daemon: str = ''
-    # When this entry first received its lease, in monotonic seconds.
+    # When this entry first received the back end's lease.
     known_since: float = float('inf')
     # Random but fixed: in large fleets an entry uses only the back ends with the lowest values.
     draw_order: float = 0.0
-    # This entry's own requests there, and those of them without a first token.
+    # This entry's own requests at the back end, and those of them without a first token.
     own_requests: int = 0
     own_unread: int = 0
+    # The requests of all entries and those without a first token in the last report, and the values
+    # of `own_requests` and `own_unread` that belong to that report.
     reported: int = 0
     reported_unread: int = 0
     own_at_report: int = 0
     own_unread_at_report: int = 0
     pace: float = 1.0
-    # The mean time of this entry's requests there, in seconds; None before the first has ended.
+    # The mean time of this entry's requests at the back end, in seconds; None before one has ended.
     service_s: float | None = None
     reported_at: float = float('-inf')
     failures: int = 0
     failure_rate: float = 0.0
-    # The number of requests turned away in a row, and when the last one was.
+    # How many requests were turned away in a row, and when this entry learned of the last one.
     turned_away: int = 0
     turned_away_at: float = float('-inf')
     avoided_until: float = float('-inf')
-    # When this entry last received data from it.
+    # When this entry last received data from the back end.
     last_received_at: float = float('-inf')
-    # By urgency: when the latest request was sent among those whose answers have begun.
+    # By urgency (queue rank at the engine): when the latest request with a begun answer was sent.
     answered: dict[int | None, float] = field(default_factory=dict)
-    # The delay of its first tokens against the prediction from the engine spec.
+    # The mean delay of first tokens against the prediction from the engine spec.
     lateness: 'Lateness' = field(default_factory=lambda: Lateness(SERVER_LATENESS_WEIGHT))
-    # Versions that the back end refused recently, and until when each refusal counts.
+    # Versions for which the back end recently refused requests, and until when each refusal counts.
     refused: dict[int, float] = field(default_factory=dict)
 
     def is_other_incarnation(self, incarnation: Incarnation) -> bool:
         """
-        Whether `incarnation` differs from this back end's; False if either is unknown.
+        Whether `incarnation` differs from that of this back end; False if either is unknown.
 
         """
         if not incarnation or not self.incarnation:
@@ -179,10 +185,10 @@
         """
         The estimated number of requests at the back end.
 
-        The last report lags, so it is corrected by the requests that this entry has begun and
-        ended since. The other entries see the same report and choose alike, so requests begun
-        here are multiplied by `entries`. Without a recent report, every entry is assumed to
-        have as many requests there as this one.
+        The number in the last report is corrected by the requests that this entry has begun and
+        ended since. The other entries see the same report and choose alike, so if this entry has
+        more requests there than at the report, the increase is multiplied by `entries`. Without
+        a recent report, every entry is assumed to have as many requests there as this one.
 
         """
         if now - self.reported_at > REPORT_VALID_S:
@@ -192,11 +198,12 @@
 
     def likely_occupied(self, now: float, entries: int) -> int:
         """
-        The number of requests there like `occupied`, but estimated lower after few own requests.
+        The estimated number of requests at the back end; lower than `occupied` if this entry has
+        begun requests since the report.
 
-        If this entry began only one request since the report, the other entries may have begun
-        none; assuming otherwise would turn callers away from free slots. If it began more, there
-        is a rush, and the others are assumed to have begun as many.
+        If this entry began only one request, the other entries may have begun none; assuming
+        otherwise would turn callers away from free slots. If it began more, there is a rush, and
+        each other entry is assumed to have begun one fewer.
 
         """
         if now - self.reported_at > REPORT_VALID_S:
@@ -206,7 +213,7 @@
 
     def unread(self, now: float, entries: int = 1) -> int:
         """
-        The number of requests there without a first token, estimated like `occupied`.
+        The number of requests at the back end without a first token, estimated like `occupied`.
 
         """
         if now - self.reported_at > REPORT_VALID_S:
@@ -218,7 +225,7 @@
         self, engine: EngineSpec, prompt_tokens: int, now: float, entries: int
     ) -> float:
         """
-        The predicted time to the first token of a request sent now, in ms.
+        The predicted time to the first token of a request that is sent now, in ms.
 
         """
         service_s = self.service_s if self.service_s is not None else usual_service_s(engine)
@@ -233,7 +240,7 @@
 
     def record_service_time(self, seconds: float) -> None:
         """
-        Add the time of one request at the back end to the mean.
+        Add the time of one of this entry's requests at the back end to the mean, `service_s`.
 
         """
         if self.service_s is None:
@@ -243,7 +250,7 @@
 
     def record_failure(self, now: float) -> None:
         """
-        Record a failure; the back end is avoided for a while.
+        Record a failed request; the back end is avoided for longer with each failure in a row.
 
         """
         wait = min(FIRST_AVOIDANCE_S * 2**self.failures, MAX_AVOIDANCE_S)
@@ -254,11 +261,12 @@
     def record_turned_away(self, sent_at: float, now: float) -> None:
         """
         Record that a request sent at `sent_at` was turned away; the back end is avoided for a
-        while. As rejected requests occupy no slots, it would otherwise seem to be the freest.
+        while. As rejected requests occupy no slots, this back end would otherwise seem to be the
+        freest.
 
         """
         if sent_at < self.turned_away_at:
-            # Sent before the last rejection was known, so it is no further evidence.
+            # The request was sent before the last rejection was known: no further evidence.
             return
         wait = min(FIRST_TURNED_AWAY_S * 2**self.turned_away, MAX_TURNED_AWAY_S)
         self.turned_away += 1
@@ -267,7 +275,8 @@
 
     def record_accepted(self, sent_at: float) -> None:
         """
-        Record that the back end accepted a request sent at `sent_at`.
+        Record that the back end accepted a request sent at `sent_at`. This resets `turned_away`,
+        unless the request was sent before the last rejection was known.
 
         """
         if sent_at >= self.turned_away_at:
@@ -284,7 +293,7 @@
 
     def record_answered(self, urgency: int | None, sent_at: float) -> None:
         """
-        Record that the answer to a request of this urgency, sent at `sent_at`, has begun.
+        Record that the back end began to answer a request of this urgency, sent at `sent_at`.
 
         """
         self.answered[urgency] = max(sent_at, self.answered.get(urgency, sent_at))
--- a/packages/millfork-scheduling/millfork_scheduling/server_table.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server_table.py
@@ -32,14 +32,14 @@
 
 # For a service with at most this many engines, each choice examines all of them.
 MAX_SCANNED: Final = 24
-# For a larger service, a choice examines a random sample of this size from the engines of the
-# own zone, and one from those of the other zones.
+# For a larger service, a choice examines a random sample of this size from the engines in the
+# entry's zone, and another one from the engines in the other zones.
 SAMPLE_SIZE: Final = 16
-# While a smaller share of all slots is occupied, a caller is not turned away only because the
-# sampled engines are full.
+# While less than this share of a service's slots is occupied, no caller is turned away only
+# because the sampled engines are full.
 MAX_OCCUPIED_SHARE: Final = 0.5
-# Weight of one first token in a service's mean lateness. An entry sees about ten first tokens
-# a second, so the mean follows a change of load within a second.
+# Weight of the latest first token in a service's mean lateness. An entry sees about ten first
+# tokens a second, so the mean follows a change of load within a second.
 LATENESS_WEIGHT: Final = 0.1
 
 
@@ -59,24 +59,26 @@
     ) -> None:
         self.zone = zone
         self.entries = entries
-        # The highest recent number of entries. Entries that are out of reach now may still send
-        # requests.
+        # The highest recent number of entries; `entries` returns the number known now. Entries that
+        # are out of reach now may still send requests.
         self.peak_entries = peak_entries
-        # How much later than predicted from the engine spec recent first tokens arrived, in ms.
+        # By service: how much later recent first tokens arrived than the engine spec predicts.
         self.lateness: dict[ServiceName, Lateness] = {}
         self.random = random
         self.monotonic = monotonic
         self.servers: dict[InstanceId, Server] = {}
         self.index = FleetIndex(zone, entries)
-        # Incremented by every change that may affect paths. `paths` caches the paths found and
-        # the value of `changes` they were found at, by service and newest version.
+        # Counts the changes that may affect paths. `paths` caches, by service and newest version,
+        # the value of `changes` when the paths were computed, and these paths.
         self.changes = 0
         self.paths: dict[tuple[ServiceName, int], tuple[int, list[Path]]] = {}
+        # The signals of back ends that lost their lease.
         self.lapsed = LapsedAvailabilities(random, monotonic)
 
     def apply_leases(self, leases: Iterable[Lease]) -> list[Server]:
         """
-        Replace the leases by the given ones; returns the back ends that are no longer used.
+        Replace all leases by the given ones; returns the back ends that are no longer used: they
+        have no usable lease, or another incarnation holds it now.
 
         """
         usable = {InstanceId(lease.instance): lease for lease in leases if lease.usable}
@@ -140,8 +142,8 @@
         changes = []
         for state in states:
             server = self.index.by_address.get((state.host, state.port))
-            # Any other sequence is newer, as the registry accepts a lower one only after the clock
-            # of an instance was reset.
+            # A different sequence number is newer, as the registry accepts a lower one only after
+            # the clock of an instance was reset.
             if server is None or state.sequence == server.report_sequence:
                 continue
             server.report_sequence = state.sequence
@@ -149,7 +151,7 @@
                 continue
             if server.is_other_incarnation(state.incarnation):
                 if state.incarnation > server.incarnation:
-                    # The engine that holds the lease has ended.
+                    # The report is about the successor of the engine that holds the lease.
                     server.served = ()
                     self.changes += 1
                 continue
@@ -171,7 +173,7 @@
 
     def incarnation_status(self, server: Server, since: float) -> IncarnationStatus:
         """
-        Whether a back end has ended since a moment (monotonic seconds).
+        Whether a back end has ended since the moment `since` (monotonic seconds).
 
         """
         by_id = self.servers.get(server.instance)
@@ -181,8 +183,8 @@
 
     def sample_candidates(self, requirements: Requirements, tried: set[InstanceId]) -> list[Server]:
         """
-        A few engines to choose from, including the second engines of paths; empty for a
-        service without engines.
+        A random sample of a few engines for a request, together with the second engines of their
+        paths; empty for a service without engines.
 
         """
         if requirements.engine is None:
@@ -204,8 +206,9 @@
 
     def freest_candidates(self, requirements: Requirements, tried: set[InstanceId]) -> list[Server]:
         """
-        The engines with the smallest reported share of occupied slots, of those in the index
-        that hold all layers; empty once `MAX_OCCUPIED_SHARE` of their slots are occupied.
+        The few engines with the smallest share of occupied slots, among those that this entry
+        uses, that hold all layers and can serve the request now. Empty if `MAX_OCCUPIED_SHARE` of
+        the slots of all these engines are occupied.
 
         """
         engine = requirements.engine
@@ -236,12 +239,12 @@
         candidates: list[Server] | None = None,
     ) -> Choice | None:
         """
-        The back end for a request: one of the candidates if any is still usable, else any
-        other. None if no back end can serve the request.
+        Choose the back end for a request: one of `candidates` (None: of a new sample) if any is
+        usable, else any other. None if no back end can serve the request.
 
         """
         now = self.monotonic()
-        late_ms = self._lateness_of(requirements.service).now_ms(now)
+        late_ms = self._lateness_of(requirements.service).mean_ms_at(now)
         context = SelectionContext(now, self.zone, self.entries(), late_ms)
         if requirements.engine is None:
             return self._choose_from_all(requirements, [], tried, context)
@@ -274,7 +277,7 @@
 
     def _paths(self, service: ServiceName, engine: EngineSpec, newest: int) -> list[Path]:
         """
-        The current paths of a service, computed again only after a change.
+        The current paths of a service; they are computed again only if `changes` has changed.
 
         """
         changes, paths = self.paths.get((service, newest), (-1, []))
@@ -287,8 +290,9 @@
         self, requirements: Requirements, paths: list[Path], tried: set[InstanceId], now: float
     ) -> list[Server]:
         """
-        A few candidate engines from a random sample, found without examining all engines.
-        Empty if the service has few engines, or too few of the sample can serve the request.
+        A few engines that can serve the request, from a random sample, so that not all engines
+        are examined. Empty if the service has at most `MAX_SCANNED` engines, or if too few of the
+        sample can serve the request.
 
         """
         if len(self.index.by_service.get(requirements.service, [])) <= MAX_SCANNED:
@@ -318,8 +322,8 @@
         self, server: Server, by_first: dict[InstanceId, Server], requirements: Requirements
     ) -> list[Server]:
         """
-        The engines that a request passes through if it is sent to this one; empty if the
-        engine neither holds all layers nor is the first of a path.
+        The engines that a request passes through if it is sent to `server`; empty if that engine
+        neither holds all layers nor is the first of a path.
 
         """
         if (
@@ -353,7 +357,7 @@
         self, requirements: Requirements, paths: list[Path], tried: set[InstanceId], now: float
     ) -> list[Server]:
         """
-        All back ends that can serve a request. Avoided ones are included only if no other can.
+        All back ends that can serve a request; avoided ones only if there are no others.
 
         """
         eligible = [
@@ -366,14 +370,14 @@
 
     def closure(self, server: Server) -> Closure | None:
         """
-        Why a back end's own signals forbid sending to it now; None if they don't.
+        Why a back end's own signals forbid sending requests to it now; None if they don't.
 
         """
         return server.availability.closure(self.monotonic(), max(self.peak_entries(), 1))
 
     def record_sent(self, servers: Iterable[Server]) -> None:
         """
-        Record a request that is sent through the given back ends.
+        Record that a request is sent through the given back ends.
 
         """
         for server in servers:
@@ -382,7 +386,7 @@
     def first_to_open(self, requirements: Requirements) -> Closure | None:
         """
         The closure that is expected to end first, among back ends that meet the requirements
-        but closed themselves by their own signals; None if there is no such back end.
+        but are closed by their own signals; None if there is no such back end.
 
         """
         now = self.monotonic()
@@ -401,8 +405,8 @@
 
     def record_first_token(self, server: Server, late_ms: float) -> None:
         """
-        Add the lateness of one first token against the prediction from the engine spec to
-        the means of the back end and of its service.
+        Add the lateness of one first token, relative to the prediction from the engine spec, to
+        the means of its back end and of its service.
 
         """
         now = self.monotonic()
@@ -423,7 +427,7 @@
         self, server: Server, requirements: Requirements, paths: list[Path], now: float
     ) -> bool:
         """
-        Whether a back end meets the requirements of a request, apart from its own signals.
+        Whether a back end meets the requirements of a request, whatever its own signals say.
 
         """
         engine = requirements.engine
--- a/packages/millfork-scheduling/millfork_scheduling/turned_away.py
+++ b/packages/millfork-scheduling/millfork_scheduling/turned_away.py
@@ -1,23 +1,25 @@
 """
-The recently turned away requests, by fingerprint of their content.
+The requests that were turned away recently, by the fingerprint of their content.
 
 A caller may retry at another entry than the one that turned it away, with a new request id
-and, on some fleets, with a deadline that doesn't show that it was turned away before.
+and, on some fleets, with a deadline that doesn't show that the request was turned away before.
 
 """
 
 from typing import Final
 
-# Slightly longer than callers keep retrying, as they wait 6 s.
+# How long a request is remembered: slightly longer than callers keep retrying, which is 6 s.
 REMEMBERED_S: Final = 8.0
-# About 100 bytes each. At the size planned for two years ahead, a zone of 35 entries that
-# rejects one request in ten turns away 300 a second; this limit holds ten times as many.
+# At most this many requests are remembered, at about 100 bytes each. At the size planned for two
+# years ahead, a zone of 35 entries that rejects one request in ten turns away 300 a second; this
+# limit holds ten times as many.
 MAX_REMEMBERED: Final = 25_000
 
 
 class TurnedAwayRequests:
     """
-    When each request was first tried, in monotonic seconds, ordered by when it was last recorded.
+    When each recently turned away request was first tried (monotonic seconds), in the order in
+    which the requests were last turned away.
 
     """
 
--- a/tests/mutations_listed.py
+++ b/tests/mutations_listed.py
@@ -78,7 +78,7 @@
         (
             Edit(
                 'packages/millfork-routing/millfork_routing/balance.py',
-                'able = [b for b in able if b.passed_over_until <= now] or able',
+                'usable = [b for b in usable if b.passed_over_until <= now] or usable',
                 'pass',
             ),
         ),
--- a/tests/test_choice_in_large_fleets.py
+++ b/tests/test_choice_in_large_fleets.py
@@ -1,6 +1,6 @@
 """
-The choice of an engine from a sample in large fleets: the number of examined engines does not
-grow with the fleet, and no engine is chosen that a full scan would exclude.
+The choice of an engine from a random sample in large fleets: the number of examined engines does
+not grow with the fleet, and no engine is chosen that a scan of all engines would exclude.
 
 """
 
@@ -69,9 +69,9 @@
 @pytest.mark.parametrize(('engines', 'entries'), [(60, 1), (60, 3), (200, 8), (2800, 380)])
 def test_every_engine_is_used_by_some_entry(engines, entries):
     """
-    An entry uses only some of many engines, as it has a connection to the daemon beside each.
-    A single entry used only 28 of 60 engines, and in the model refused 0.44 of its callers at
-    0.9 times the capacity of the engines.
+    In a large fleet an entry uses only some engines, as it keeps a connection to the daemon beside
+    each of them. The limit was the same for few entries: a single entry used only 28 of 60
+    engines, and in the model refused 0.44 of its callers at 0.9 times the capacity of the engines.
 
     """
     used = Counter()
--- a/tests/test_closed_back_ends.py
+++ b/tests/test_closed_back_ends.py
@@ -30,11 +30,11 @@
 from millfork_scheduling.server_table import ServerTable
 from millfork_web.models import Response
 from millforkd.sidecar.engine import LocalEngine
-from tests.test_limit_shares import BORN, lease, report, server
+from tests.test_limit_shares import INCARNATION, lease, report, server
 from tests.test_servers import ENGINE, Clock
 
 SERVICE = ServiceName('s')
-LATER = Incarnation(BORN + 5000)
+NEXT_INCARNATION = Incarnation(INCARNATION + 5000)
 LEAVES = Backpressure(leaving=True)
 
 
@@ -76,7 +76,7 @@
 
 def test_a_new_incarnation_at_the_address_starts_without_signals(table):
     answer(table, 1, LEAVES)
-    table.apply_leases([lease(1, LATER), lease(2)])
+    table.apply_leases([lease(1, NEXT_INCARNATION), lease(2)])
     assert closed_for(table, 1) is None
     # The daemon's report still describes the previous incarnation.
     table.apply_reports([report(1, 1, leaving=True)])
@@ -97,7 +97,7 @@
 
 def test_a_daemon_report_about_the_previous_engine_is_corrected_by_the_next(table):
     """
-    If engines have no incarnation, a report may describe the previous engine at the address.
+    If engines have no incarnation, a report may describe the previous engine at their address.
 
     """
     table.apply_leases([lease(1, UNKNOWN_INCARNATION), lease(2)])
@@ -186,7 +186,7 @@
     table.apply_leases([lease(2)])
     table.apply_leases([lease(1), lease(2)])
     assert closed_for(table, 1) is ClosureReason.RESTING
-    table.apply_leases([lease(1, LATER), lease(2)])
+    table.apply_leases([lease(1, NEXT_INCARNATION), lease(2)])
     assert closed_for(table, 1) is None
 
 
--- a/tests/test_first_tries.py
+++ b/tests/test_first_tries.py
@@ -1,5 +1,5 @@
 """
-Telling a caller's first try from a retry.
+Whether requests are recognised as first tries or retries of their callers.
 
 """
 
@@ -17,8 +17,8 @@
 from millfork_scheduling.turned_away import MAX_REMEMBERED, REMEMBERED_S, TurnedAwayRequests
 from millfork_standins.bench.retry_detection import SHIFTED, DetectionMethod, RetryDetectionModel
 
-# The share of first tries that may be mistaken for retries: low enough that no caller is refused
-# because of it under low load.
+# At most this share of first tries may be mistaken for retries: low enough that no caller is
+# refused for such a mistake under low load.
 MAX_MISCLASSIFIED_SHARE = 0.002
 
 
@@ -47,8 +47,9 @@
 
 def test_with_different_deadlines_a_short_one_is_undecided(mixed_deadlines):
     """
-    Half of the first tries of such a fleet counted as retries: their remaining time was below
-    0 at once, and they were sent only to engines with spare slots.
+    On a fleet whose callers begin with different deadlines, half of the first tries were counted
+    as retries. Their target time seemed to have passed already, so they were sent only to engines
+    with spare slots.
 
     """
     for deadline_ms in range(5200, 5900, 50):
@@ -61,7 +62,7 @@
 
 def last_judgement_under_load(deadlines):
     """
-    The judgement of the last request, at an entry that turned one away when it started.
+    The estimate for the last of some requests at an entry that turned a caller away at its start.
 
     """
     detector = FirstTryDetector()
@@ -78,8 +79,9 @@
 
 def share_mistaken_for_retries(min_share, counted):
     """
-    The share of first tries mistaken for retries. Callers begin with `min_share` to 1 times the
-    usual deadline; of the requests that each entry judges, those at the positions `counted` count.
+    The share of first tries that are mistaken for retries if callers begin with `min_share` to 1
+    times the usual deadline. Of the first tries at each entry, only those at the positions
+    `counted` are considered.
 
     """
     mistaken = []
@@ -99,13 +101,14 @@
 )
 def test_first_tries_with_different_deadlines_are_not_mistaken_for_retries(min_share, counted):
     """
-    A caller was turned away while two thirds of the slots were free. Its entry had judged 14
+    A caller was turned away while two thirds of the slots were free. Its entry had received 14
     requests of the route; six of them happened to be within 120 ms of the longest deadline, so
-    callers seemed to share one deadline. The next, 677 ms shorter, counted as a retry without
-    remaining time. Any two deadlines counted as equal. So entries that had just started, and
-    routes with little traffic, took 0.074 of their first 20 first tries for retries if callers
-    begin with 0.85 to 1 times the usual deadline, and 0.269 with 0.95 to 1 times. Of the next 40
-    they took 0.012 if callers begin with half of it or more.
+    callers seemed to share one deadline. The next request, with a deadline 677 ms shorter, counted
+    as a retry without remaining time. Any two requests seemed to share one deadline, however
+    different theirs were. So entries that had just started, and routes with little traffic, mistook
+    for retries 0.074 of their first 20 first tries if callers begin with 0.85 to 1 times the usual
+    deadline, and 0.269 with 0.95 to 1 times. Of the next 40 first tries they mistook 0.012 if
+    callers begin with half the usual deadline or more.
 
     """
     assert share_mistaken_for_retries(min_share, counted) < MAX_MISCLASSIFIED_SHARE
@@ -148,7 +151,7 @@
     table = TurnedAwayRequests()
     table.record(b'a', 0, 10.0)
     table.record(b'a', 500, 10.5)
-    # Reported late, or by an entry that did not know of the first try.
+    # A rejection that was reported late, or by an entry that did not know of the first try.
     table.record(b'a', 0, 10.6)
     assert table.elapsed_ms(b'a', 11.0) == pytest.approx(1000, abs=1)
 
@@ -169,8 +172,8 @@
 def test_under_lasting_load_detected_retries_cost_no_requests_in_time(min_share):
     """
     Callers begin with 0.85 to 1 times the usual deadline, at 1.2 times the capacity of the
-    engines. When retries were told from first tries by the longest deadline seen, 0.54 of the
-    requests were in time, against 0.70 if the retries are known exactly.
+    engines. When a request counted as a retry if its deadline was shorter than the longest one
+    seen, 0.54 of the requests were in time, against 0.70 if the retries are known exactly.
 
     """
 
--- a/tests/test_limit_shares.py
+++ b/tests/test_limit_shares.py
@@ -25,8 +25,8 @@
 from tests.test_servers import ENGINE, Clock
 
 SERVICE = ServiceName('s')
-BORN = Incarnation(1_700_000_000_000)
-WHOLE = (ServedVersion('m', 1, 0, 16),)
+INCARNATION = Incarnation(1_700_000_000_000)
+ALL_LAYERS = (ServedVersion('m', 1, 0, 16),)
 
 
 @settings(deadline=None, max_examples=40)
@@ -55,16 +55,16 @@
     assert sent == pytest.approx(MIN_PER_S * 100, abs=2)
 
 
-def lease(number, incarnation=BORN, state=LeaseState.READY):
+def lease(number, incarnation=INCARNATION, state=LeaseState.READY):
     return Lease(
-        f'i-{number}', SERVICE, '10.0.0.1', number, 'z1', 16, state, 1, 'r', WHOLE, incarnation
+        f'i-{number}', SERVICE, '10.0.0.1', number, 'z1', 16, state, 1, 'r', ALL_LAYERS, incarnation
     )
 
 
-def report(number, sequence, limit=None, incarnation=BORN, **fields):
+def report(number, sequence, limit=None, incarnation=INCARNATION, **fields):
     return EndpointState(
-        f'e-{number}', SERVICE, 'z1', '10.0.0.1', number, sequence, reachable=True, served=WHOLE,
-        incarnation=incarnation, limit_per_s=limit, **fields,
+        f'e-{number}', SERVICE, 'z1', '10.0.0.1', number, sequence, reachable=True,
+        served=ALL_LAYERS, incarnation=incarnation, limit_per_s=limit, **fields,
     )  # fmt: skip
 
 
@@ -112,8 +112,8 @@
 
 
 def test_only_an_answer_to_a_later_request_ends_a_limit(table, clock):
-    named = announce_limit(table, 1, 2.0, clock.now - 0.1)
-    assert [(change.signal, change.event) for change in named] == [
+    begun = announce_limit(table, 1, 2.0, clock.now - 0.1)
+    assert [(change.signal, change.event) for change in begun] == [
         (Signal.LIMIT, SignalEvent.BEGAN)
     ]
     clock.now += 0.5
@@ -161,7 +161,7 @@
     table.apply_leases([lease(2)])
     table.apply_leases([lease(1), lease(2)])
     assert table.closure(server(table, 1)) is not None
-    table.apply_leases([lease(1, Incarnation(BORN + 5000)), lease(2)])
+    table.apply_leases([lease(1, Incarnation(INCARNATION + 5000)), lease(2)])
     assert table.closure(server(table, 1)) is None
     table.apply_reports([report(1, 1, limit=0.2)])
     assert table.closure(server(table, 1)) is None
--- a/tests/test_limits_set_by_back_ends.py
+++ b/tests/test_limits_set_by_back_ends.py
@@ -11,7 +11,7 @@
 from tests.test_seeded_fleet import request
 from tests.utils.loaded import LOAD_PER_S, loaded_fleet
 
-# How long a limit may take to be applied, and the window in which arrivals are counted.
+# How long entries may take to apply a new limit, and the window in which arrivals are counted.
 APPLIED_AFTER_S = 3.0
 WINDOW_S = 4.0
 
@@ -28,8 +28,8 @@
 
 def send_load(fleet):
     """
-    Send the load for one window after the limit has to be applied. Returns the share of requests
-    that were served, and the time from which the limit has to be applied.
+    Send load until one window has passed after the entries must have applied the limits. Returns
+    the share of requests that were served, and the time by which the limits must be applied.
 
     """
     limited_at = time.monotonic()
--- a/tests/test_load_queries.py
+++ b/tests/test_load_queries.py
@@ -1,5 +1,5 @@
 """
-Queries for the load of engines, sent to the daemons beside them before one is chosen.
+Queries for the load of engines, which an entry sends to the engines' daemons before it chooses.
 
 """
 
@@ -22,9 +22,9 @@
 from tests.test_servers import ENGINE, Clock
 
 SERVICE = ServiceName('s')
-WHOLE = (ServedVersion('m', 1, 0, 16),)
+ALL_LAYERS = (ServedVersion('m', 1, 0, 16),)
 REQUIREMENTS = Requirements(SERVICE, ENGINE, 0, 1, 900)
-BORN = 1_700_000_000_000
+INCARNATION = 1_700_000_000_000
 # Much longer than any wait for an answer.
 FOREVER_S = 5.0
 
@@ -44,16 +44,16 @@
         self.table.apply_leases(
             Lease(
                 f'i-{number}', SERVICE, '10.0.0.1', number, 'z1', 16, LeaseState.READY, 1, 'r',
-                WHOLE, BORN,
+                ALL_LAYERS, INCARNATION,
             )
             for number in range(3)
         )  # fmt: skip
         self.report(running=(8, 12, 12))
         # The answers of the daemons by instance; None: the daemon never answers.
         self.loads = {
-            '10.0.0.1:10': EngineLoad(True, 16, 9, 100, BORN),
-            '10.0.0.1:11': EngineLoad(True, 2, 0, 100, BORN),
-            '10.0.0.1:12': EngineLoad(True, 16, 4, 100, BORN),
+            '10.0.0.1:10': EngineLoad(True, 16, 9, 100, INCARNATION),
+            '10.0.0.1:11': EngineLoad(True, 2, 0, 100, INCARNATION),
+            '10.0.0.1:12': EngineLoad(True, 16, 4, 100, INCARNATION),
         }
         self.queried = []
         self.dialled = []
@@ -66,7 +66,8 @@
         self.table.apply_reports(
             EndpointState(
                 f'10.0.0.1:{number + 10}', SERVICE, 'z1', '10.0.0.1', number,
-                int(self.clock.now * 1000), reachable=True, running=running[number], served=WHOLE,
+                int(self.clock.now * 1000), reachable=True, running=running[number],
+                served=ALL_LAYERS,
             )
             for number in range(3)
         )  # fmt: skip
@@ -101,11 +102,12 @@
 
 def test_the_engine_that_is_free_now_is_chosen_despite_old_reports(fleet):
     """
-    Thirteen entries with four engines, at 1.2 times their capacity, had 0.52 of first tokens in
-    time. A single entry, which knows all choices, had 0.69. With reports every 0.02 s instead of
-    0.15 s they had 0.66, and with retries known exactly 0.52. So the loss was due to engines that
-    other entries had filled since their reports. `Request ended` lines show the same:
-    `first_ms=784 expected_ms=144 left_ms=405 occupied=15`. In 20 s of a fleet of six engines 82
+    Without queries, engines were chosen that other entries had filled since the last reports.
+    Thirteen entries with four engines, at 1.2 times the engines' capacity, had 0.52 of first tokens
+    in time; a single entry, which knows all choices, had 0.69. The thirteen had 0.66 with reports
+    every 0.02 s instead of 0.15 s, but still 0.52 with retries known exactly, so old reports were
+    the cause. Log lines `Request ended` show the same:
+    `first_ms=784 expected_ms=144 left_ms=405 occupied=15`. In 20 s of a fleet of six engines, 82
     first tokens were late though expected in time, and 55 once daemons were queried.
 
     """
@@ -181,9 +183,9 @@
 
 def test_a_silent_connection_is_closed_and_dialled_again(fleet):
     """
-    Open connections may go silent without a reset while new ones work. Queries on such a
-    connection timed out after some milliseconds but left it open, so queries to its daemon
-    failed until a ping did, 13 s later.
+    An open connection may go silent without a reset while new connections work. Queries on a
+    silent connection timed out after some milliseconds but left the connection open. So all
+    queries to its daemon failed until a ping failed too and closed the connection, 13 s later.
 
     """
     connection = fleet.peers.connections[InstanceId('10.0.0.1:10')]
@@ -225,7 +227,7 @@
 
 
 def test_the_load_of_another_incarnation_is_ignored(fleet):
-    fleet.loads['10.0.0.1:10'] = EngineLoad(True, 0, 0, 100, BORN + 500)
+    fleet.loads['10.0.0.1:10'] = EngineLoad(True, 0, 0, 100, INCARNATION + 500)
     curio.run(fleet.choose)
     assert fleet.server(0).reported == 8
 
@@ -245,7 +247,7 @@
         await curio.sleep(0)
         if self.running is None:
             return None
-        return SimpleNamespace(running=self.running, queued=2, pace=1.25, incarnation=BORN)
+        return SimpleNamespace(running=self.running, queued=2, pace=1.25, incarnation=INCARNATION)
 
 
 def loads_of(engine, clock, answers=True):
@@ -262,7 +264,7 @@
         return [await task.join() for task in tasks]
 
     results = curio.run(run)
-    assert results == [EngineLoad(True, 3, 2, 125, BORN)] * 20
+    assert results == [EngineLoad(True, 3, 2, 125, INCARNATION)] * 20
     assert engine.query_count == 1
     clock.now += SHARED_REPORT_S + 0.001
     engine.running = 7
--- a/tests/test_not_run_refusals.py
+++ b/tests/test_not_run_refusals.py
@@ -1,9 +1,10 @@
 """
-Refusals promise 'not run' only where it is certain, and are sent without much delay.
+Refusals say 'not run' only if the request certainly has not run, and are sent without much delay.
 
 Callers rely on a status that says 'not run': the request has not run and never will, whatever
-happened to its attempts. The queries before a refusal (loads of engines, the turned-away
-directory) together take less than an eighth of the shortest target.
+happened to its attempts. The queries that an entry sends before a refusal (for loads of engines
+and in the directory of turned away requests) together take less than an eighth of the shortest
+target time.
 
 """
 
--- a/tests/test_repeat_budget_in_cuts.py
+++ b/tests/test_repeat_budget_in_cuts.py
@@ -1,6 +1,6 @@
 """
-Entries that start during a network partition don't know the entries on the other side, so
-each side used the whole fixed allowance of retries.
+The shared retry budget of entries that start during a network partition. They don't know the
+entries on the other side, so each side used the whole fixed allowance of retries.
 
 """
 
@@ -46,7 +46,7 @@
 
 def allowances(fleet):
     """
-    The entries' total share of the fixed allowance, after windows without a request.
+    The sum of the entries' shares of the fixed allowance, after three windows without requests.
 
     """
     for _ in range(int(3 * WINDOW_S / TICK_S)):
--- a/tests/test_retry_after_is_kept.py
+++ b/tests/test_retry_after_is_kept.py
@@ -1,5 +1,5 @@
 """
-A back end that rejects requests with `Retry-After` gets no more until that time is over.
+A back end that rejects requests with `Retry-After` gets no more until the time in it is over.
 
 """
 
@@ -12,8 +12,8 @@
 from tests.utils.loaded import ENTRIES, LOAD_PER_S, loaded_fleet
 
 REST_S = 3
-# Requests that one entry may still send, from `TOLERANCE_S` after it was rejected until the rest
-# is over.
+# The number of requests that one entry may still send from `TOLERANCE_S` after its rejection until
+# the rest is over.
 MAX_SENDS_PER_ENTRY = 2
 TOLERANCE_S = 0.5
 # Time until each entry has sent a request to the back end and has been rejected.
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,5 +1,5 @@
 """
-Choice of an endpoint, fair queues and retries.
+Choice of an endpoint, fair queues, limits on requests in progress, and retry budgets.
 
 """
 
@@ -14,13 +14,13 @@
 from millfork_routing.limits import FairQueue, InFlightCounter
 from millfork_routing.retries import RetryBudget, may_retry
 
-HERE, THERE = ZoneId('here'), ZoneId('there')
+OWN_ZONE, OTHER_ZONE = ZoneId('here'), ZoneId('there')
 ONE, TWO = OrganisationId('one'), OrganisationId('two')
 
 
 class Clock:
     """
-    A clock that tests move.
+    A clock that stands still until a test sets `now`.
 
     """
 
@@ -31,28 +31,28 @@
         return self.now
 
 
-def backend(name, zone=HERE, own_requests=0, **fields):
+def backend(name, zone=OWN_ZONE, own_requests=0, **fields):
     return Backend(InstanceId(name), zone, limit=4, own_requests=own_requests, **fields)
 
 
 def pick(backends, organisation=ONE, affinity='', tried=(), now=1.0):
-    found = choose(backends, HERE, organisation, affinity, set(tried), now)
+    found = choose(backends, OWN_ZONE, organisation, affinity, set(tried), now)
     return found.instance if found else None
 
 
 def test_the_least_loaded_endpoint_of_the_own_zone_is_chosen():
     assert (
-        pick([backend('a', own_requests=2), backend('b', own_requests=1), backend('c', THERE)])
+        pick([backend('a', own_requests=2), backend('b', own_requests=1), backend('c', OTHER_ZONE)])
         == 'b'
     )
 
 
 def test_another_zone_is_used_once_the_own_zone_is_full():
-    assert pick([backend('a', own_requests=4), backend('c', THERE, own_requests=3)]) == 'c'
+    assert pick([backend('a', own_requests=4), backend('c', OTHER_ZONE, own_requests=3)]) == 'c'
 
 
 def test_the_own_zone_is_used_if_all_zones_are_full():
-    assert pick([backend('a', own_requests=4), backend('c', THERE, own_requests=6)]) == 'a'
+    assert pick([backend('a', own_requests=4), backend('c', OTHER_ZONE, own_requests=6)]) == 'a'
 
 
 def test_tried_leaving_and_avoided_endpoints_are_not_chosen():
@@ -92,8 +92,8 @@
     return FairQueue(slots, waiting, lambda name: (shares or {}).get(name, 1), clock or Clock())
 
 
-async def join(line, *organisations):
-    return [await line.join(name, 1000.0) for name in organisations]
+async def join(fair_queue, *organisations):
+    return [await fair_queue.join(name, 1000.0) for name in organisations]
 
 
 def granted(waiters):
@@ -102,11 +102,11 @@
 
 def test_a_flood_delays_only_its_own_organisation():
     async def run():
-        line = queue()
-        flood = await join(line, ONE, ONE, ONE, ONE, ONE)
-        (small,) = await join(line, TWO)
-        await line.leave(flood[0])
-        await line.leave(flood[1])
+        fair_queue = queue()
+        flood = await join(fair_queue, ONE, ONE, ONE, ONE, ONE)
+        (small,) = await join(fair_queue, TWO)
+        await fair_queue.leave(flood[0])
+        await fair_queue.leave(flood[1])
         return granted(flood[2:]), small.has_slot
 
     flood, small = curio.run(run)
@@ -116,12 +116,12 @@
 
 def test_slots_are_granted_by_share():
     async def run():
-        line = queue(slots=1, waiting=100, shares={ONE: 3})
-        (running,) = await join(line, TWO)
-        ones = await join(line, *[ONE] * 9)
-        twos = await join(line, *[TWO] * 9)
+        fair_queue = queue(slots=1, waiting=100, shares={ONE: 3})
+        (running,) = await join(fair_queue, TWO)
+        ones = await join(fair_queue, *[ONE] * 9)
+        twos = await join(fair_queue, *[TWO] * 9)
         for _ in range(8):
-            await line.leave(running)
+            await fair_queue.leave(running)
             running = next(w for w in ones + twos if w.has_slot)
         return len([w for w in ones if w.granted.is_set()])
 
@@ -130,10 +130,10 @@
 
 def test_requests_that_would_wait_too_long_are_refused_at_once():
     async def run():
-        line = queue(slots=1, waiting=100)
-        line.service_time_s = 1.0
-        await join(line, ONE, ONE, ONE)
-        return line.refusal_wait_ms(ONE, 10.0), line.refusal_wait_ms(ONE, 2.0)
+        fair_queue = queue(slots=1, waiting=100)
+        fair_queue.service_time_s = 1.0
+        await join(fair_queue, ONE, ONE, ONE)
+        return fair_queue.refusal_wait_ms(ONE, 10.0), fair_queue.refusal_wait_ms(ONE, 2.0)
 
     wait_in_time_ms, wait_too_long_ms = curio.run(run)
     assert wait_in_time_ms == 0
@@ -142,9 +142,9 @@
 
 def test_queue_places_are_shared():
     async def run():
-        line = queue(slots=1, waiting=4)
-        await join(line, TWO, TWO, ONE, ONE, ONE)
-        return line.refusal_wait_ms(ONE, 100.0), line.refusal_wait_ms(TWO, 100.0)
+        fair_queue = queue(slots=1, waiting=4)
+        await join(fair_queue, TWO, TWO, ONE, ONE, ONE)
+        return fair_queue.refusal_wait_ms(ONE, 100.0), fair_queue.refusal_wait_ms(TWO, 100.0)
 
     flood, small = curio.run(run)
     assert flood > 0
@@ -154,19 +154,19 @@
 @given(st.lists(st.tuples(st.sampled_from('abc'), st.booleans()), max_size=60))
 def test_slots_are_never_exceeded_and_never_leak(steps):
     async def run():
-        line = queue(slots=2, waiting=100)
+        fair_queue = queue(slots=2, waiting=100)
         held = []
         for name, leaves in steps:
             if leaves and held:
-                await line.leave(held.pop(0))
+                await fair_queue.leave(held.pop(0))
             else:
-                held.append(await line.join(OrganisationId(name), 1000.0))
-            assert line.running == sum(w.has_slot for w in held) <= 2
-            assert line.waiting == sum(not w.has_slot for w in held)
-            assert line.running == min(len(held), 2)
+                held.append(await fair_queue.join(OrganisationId(name), 1000.0))
+            assert fair_queue.running == sum(w.has_slot for w in held) <= 2
+            assert fair_queue.waiting == sum(not w.has_slot for w in held)
+            assert fair_queue.running == min(len(held), 2)
         for waiter in held:
-            await line.leave(waiter)
-        return line.running, line.waiting, dict(line.queues)
+            await fair_queue.leave(waiter)
+        return fair_queue.running, fair_queue.waiting, dict(fair_queue.queues)
 
     assert curio.run(run) == (0, 0, {})
 
--- a/tests/test_routing_model.py
+++ b/tests/test_routing_model.py
@@ -1,5 +1,5 @@
 """
-The engine model of the routing experiment, and the gain of load-aware routing on it.
+The engine model of the routing benchmark, and what load-aware routing gains in that model.
 
 """
 
@@ -91,8 +91,8 @@
 
 def test_in_large_fleets_fresher_load_reports_help():
     """
-    Old load reports cost first tokens in large fleets: 0.59 of them were in time with reports
-    every 0.15 s, and 0.66 with reports every 0.05 s within the zone.
+    In large fleets, old load reports make first tokens late: 0.59 of them were in time with
+    reports every 0.15 s, and 0.66 with reports every 0.05 s from engines in the entry's zone.
 
     """
     requests_per_s = LARGE.capacity * 1.2
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -1,5 +1,5 @@
 """
-Choice of a back end, prediction of its first token, and the shared budget.
+Choice of a back end, prediction of the time to its first token, and the shared retry budget.
 
 """
 
@@ -144,10 +144,10 @@
 )  # fmt: skip
 def test_more_load_never_means_an_earlier_first_token(occupied, unread, prompt, service_s):
     unread = min(unread, occupied)
-    now = first_token_ms(ENGINE, prompt, occupied, unread, service_s, 1.0)
-    assert first_token_ms(ENGINE, prompt, occupied + 1, unread, service_s, 1.0) >= now
-    assert first_token_ms(ENGINE, prompt + 100, occupied, unread, service_s, 1.0) > now
-    assert first_token_ms(ENGINE, prompt, occupied, unread, service_s, 2.0) > now
+    base_ms = first_token_ms(ENGINE, prompt, occupied, unread, service_s, 1.0)
+    assert first_token_ms(ENGINE, prompt, occupied + 1, unread, service_s, 1.0) >= base_ms
+    assert first_token_ms(ENGINE, prompt + 100, occupied, unread, service_s, 1.0) > base_ms
+    assert first_token_ms(ENGINE, prompt, occupied, unread, service_s, 2.0) > base_ms
 
 
 def test_a_full_engine_adds_the_wait_for_a_slot():
@@ -280,8 +280,9 @@
 
 def test_the_freest_engines_are_considered_while_many_slots_are_free(table):
     """
-    Three of eight engines are full, by chance the sampled ones; 57 of 128 slots are occupied.
-    With 72 of 128 occupied there are none to spare, and callers are turned away at once.
+    Three of eight engines are full, and a random sample may consist of just these. With 57 of
+    128 slots occupied, the freest other engines are considered instead. With 72 of 128 occupied
+    no engine has slots to spare, and callers are turned away at once.
 
     """
     running = {1: 16, 2: 16, 3: 16, 4: 2, 5: 3, 6: 4, 7: 0, 8: 0}
--- a/tests/test_shared_budget.py
+++ b/tests/test_shared_budget.py
@@ -1,11 +1,11 @@
 """
-The shared budget of repeats during restarts and partitions.
+The shared retry budget during restarts of entries and during network partitions.
 
 Entries that were restarted three times within ten seconds, while servers turned four of five
 requests away, exceeded the shared budget: each new process had the entry's whole share of the
-fixed allowance again, though the previous one had spent it. While entries restarted, and on
-both sides of a partition, they also divided the allowance by the few entries that their replica
-knew then, not by all entries that use it.
+fixed allowance again, though the previous process had spent that share. During restarts and
+partitions, entries also divided the allowance by the few entries that their replica knew then,
+not by all entries that use the allowance.
 
 """
 
@@ -24,21 +24,21 @@
 TICK_S = 0.5
 # The requests that one entry receives in a tick; all but a fifth of them are turned away.
 REQUESTS = 3
-# After a restart of all entries, replicas know all of them again after this time.
+# After a restart of all entries, replicas know all of them again after this many ticks.
 KNOWN_AGAIN_TICKS = 4
-# The fleet runs for this long before the first disturbance.
+# The fleet runs for this many ticks, two windows, before the first disturbance.
 CALM_TICKS = int(2 * WINDOW_S / TICK_S)
 
 
 class Fleet:
     """
-    Entries that share one budget, and the requests and repeats that back ends receive from them.
+    Entries that share one retry budget, and when back ends received requests and retries from them.
 
     """
 
     def __init__(self):
         self.clock = Clock()
-        # The number of entries that replicas report.
+        # The number of entries that every replica reports.
         self.known_entries = ENTRIES
         self.unknown_ticks = 0
         self.budgets = [self.new_budget(position) for position in range(ENTRIES)]
@@ -57,7 +57,8 @@
 
     def has_quorum(self, position):
         """
-        In a partition, every second entry is on the side with a majority of the replicas.
+        Whether the replica of the entry at `position` is in contact with a majority of the
+        replicas. In a partition, only every second entry has such a replica.
 
         """
         is_cut = self.known_entries in (ENTRIES // 2, ENTRIES // 3)
@@ -65,7 +66,7 @@
 
     def tick(self, spends):
         """
-        Run half a second of traffic and check the budget.
+        Run one tick of traffic, in which entries retry if `spends`, and check the whole budget.
 
         """
         self.clock.now += TICK_S
@@ -103,7 +104,7 @@
 )
 
 
-# An example simulates 40 entries for up to half a minute, which takes 0.05 s to 0.7 s.
+# No deadline: an example simulates 40 entries for up to half a minute, which takes 0.05 s to 0.7 s.
 @settings(deadline=None)
 @given(st.lists(st.tuples(DISTURBANCES, st.integers(1, 8), st.booleans()), max_size=8))
 @example([('calm', 8, True), ('all restart', 4, True), ('all restart', 4, True)])
