--- a/packages/millfork-scheduling/millfork_scheduling/first_tries.py
+++ b/packages/millfork-scheduling/millfork_scheduling/first_tries.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Judgement:
+class FirstTryEstimate:
     """
     The estimated time from the caller's first try to a request, in ms (0: the request is the
     first try).
@@ -96,7 +96,7 @@
         """
         self.turned_away_at = now
 
-    def judge(self, route: str, deadline_ms: int, now: float) -> Judgement:
+    def estimate(self, route: str, deadline_ms: int, now: float) -> FirstTryEstimate:
         """
         Estimate from its deadline whether a request is a first try. The deadline is learned as
         that of a first try if no caller was turned away in the last `RETURN_WINDOW_S`.
@@ -108,21 +108,21 @@
         if now - self.turned_away_at > RETURN_WINDOW_S:
             deadlines.first.append(deadline_ms)
         if deadline_ms >= deadlines.longest - DEADLINE_TOLERANCE_MS:
-            return Judgement()
+            return FirstTryEstimate()
         if len(deadlines.first) < MIN_FIRST_TRIES:
             share_one = deadlines.share_one_deadline()
             return (
-                Judgement(deadlines.longest - deadline_ms)
+                FirstTryEstimate(deadlines.longest - deadline_ms)
                 if share_one
-                else Judgement(is_undecided=True)
+                else FirstTryEstimate(is_undecided=True)
             )
         ordered = sorted(deadlines.first)
         shortest = ordered[int(len(ordered) * OUTLIER_SHARE)]
         margin_ms = max(DEADLINE_TOLERANCE_MS, UNSEEN_MARGIN_SHARE * (deadlines.longest - shortest))
         if deadline_ms >= shortest - margin_ms:
-            return Judgement(is_undecided=True)
+            return FirstTryEstimate(is_undecided=True)
         usual = ordered[len(ordered) // 2]
-        return Judgement(usual - deadline_ms)
+        return FirstTryEstimate(usual - deadline_ms)
 
     def _deadlines_of(self, route: str) -> RouteDeadlines:
         deadlines = self.deadlines_by_route.get(route)
--- a/packages/millfork-standins/millfork_standins/bench/retry_detection.py
+++ b/packages/millfork-standins/millfork_standins/bench/retry_detection.py
@@ -109,11 +109,11 @@
             self.longest_remaining_ms[table] = max(self.longest_remaining_ms[table], remaining_ms)
             lost_ms = self.longest_remaining_ms[table] - remaining_ms
             return lost_ms if lost_ms > DEADLINE_TOLERANCE_MS else 0
-        judgement = self.first_tries[table].judge('r', remaining_ms, self.scheduler.now)
-        if self.method is DetectionMethod.AS_BUILT and judgement.is_undecided:
+        first_try = self.first_tries[table].estimate('r', remaining_ms, self.scheduler.now)
+        if self.method is DetectionMethod.AS_BUILT and first_try.is_undecided:
             # The entries of the zone remember the request if one of them turned it away.
             return true_elapsed_ms
-        return judgement.elapsed_ms
+        return first_try.elapsed_ms
 
     def _record_turned_away(self, table: ServerTable) -> None:
         self.first_tries[table].record_turned_away(self.scheduler.now)
--- a/packages/millforkd/millforkd/proxy/admission.py
+++ b/packages/millforkd/millforkd/proxy/admission.py
@@ -21,7 +21,7 @@
     is_worth_sending,
     overdue_ms,
 )
-from millfork_scheduling.first_tries import FirstTryDetector, Judgement
+from millfork_scheduling.first_tries import FirstTryDetector, FirstTryEstimate
 from millfork_scheduling.placement import Choice, Requirements
 from millfork_scheduling.retry_after import full_engines_wait_ms
 from millfork_web.server import Exchange
@@ -98,7 +98,7 @@
         deadline = received_at + limit_ms / 1000
         if (deadline - self.env.monotonic()) * 1000 < MIN_REMAINING_MS:
             raise Refused(Refusal(Reason.EXPIRED, detail='no time remains'))
-        judgement = self._estimate_first_try(route, caller)
+        first_try = self._estimate_first_try(route, caller)
         return Job(
             exchange,
             caller,
@@ -109,8 +109,8 @@
             received_at,
             deadline,
             table.version,
-            judgement.elapsed_ms,
-            judgement.is_undecided,
+            first_try.elapsed_ms,
+            first_try.is_undecided,
         )
 
     def with_current_versions(self, requirements: Requirements, last_send: bool) -> Requirements:
@@ -130,10 +130,10 @@
             cancel_times=self.versions.upcoming_ends(model),
         )
 
-    def _estimate_first_try(self, route: Route, caller: CallerRequest) -> Judgement:
+    def _estimate_first_try(self, route: Route, caller: CallerRequest) -> FirstTryEstimate:
         if caller.deadline_ms is None:
-            return Judgement()
-        return self.first_tries.judge(route.name, caller.deadline_ms, self.env.monotonic())
+            return FirstTryEstimate()
+        return self.first_tries.estimate(route.name, caller.deadline_ms, self.env.monotonic())
 
     def depends_on_first_try(self, job: Job, choice: Choice) -> bool:
         """
--- a/tests/test_first_tries.py
+++ b/tests/test_first_tries.py
@@ -12,7 +12,7 @@
     MIN_FIRST_TRIES,
     RETURN_WINDOW_S,
     FirstTryDetector,
-    Judgement,
+    FirstTryEstimate,
 )
 from millfork_scheduling.turned_away import MAX_REMEMBERED, REMEMBERED_S, TurnedAwayRequests
 from millfork_standins.bench.retry_detection import SHIFTED, DetectionMethod, RetryDetectionModel
@@ -25,7 +25,7 @@
 def detector_with(deadlines):
     detector = FirstTryDetector()
     for deadline_ms in deadlines:
-        detector.judge('r', deadline_ms, 0.0)
+        detector.estimate('r', deadline_ms, 0.0)
     return detector
 
 
@@ -41,8 +41,8 @@
 
 
 def test_with_one_common_deadline_a_shorter_one_shows_a_retry(common_deadline):
-    assert common_deadline.judge('r', 6074, 1.0) == Judgement()
-    assert common_deadline.judge('r', 5630, 1.0).elapsed_ms == pytest.approx(446, abs=10)
+    assert common_deadline.estimate('r', 6074, 1.0) == FirstTryEstimate()
+    assert common_deadline.estimate('r', 5630, 1.0).elapsed_ms == pytest.approx(446, abs=10)
 
 
 def test_with_different_deadlines_a_short_one_is_undecided(mixed_deadlines):
@@ -53,28 +53,30 @@
 
     """
     for deadline_ms in range(5200, 5900, 50):
-        assert mixed_deadlines.judge('r', deadline_ms, 1.0) == Judgement(is_undecided=True)
+        assert mixed_deadlines.estimate('r', deadline_ms, 1.0) == FirstTryEstimate(
+            is_undecided=True
+        )
 
 
 def test_a_deadline_shorter_than_any_first_try_shows_a_retry(mixed_deadlines):
-    assert mixed_deadlines.judge('r', 4900, 1.0).elapsed_ms > 500
+    assert mixed_deadlines.estimate('r', 4900, 1.0).elapsed_ms > 500
 
 
-def last_judgement_under_load(deadlines):
+def last_estimate_under_load(deadlines):
     """
     The estimate for the last of some requests at an entry that turned a caller away at its start.
 
     """
     detector = FirstTryDetector()
     detector.record_turned_away(0.0)
-    return [detector.judge('r', deadline_ms, 0.1) for deadline_ms in deadlines][-1]
+    return [detector.estimate('r', deadline_ms, 0.1) for deadline_ms in deadlines][-1]
 
 
 def test_after_a_start_under_load_the_latest_deadlines_decide():
     random = Random(1)
-    assert last_judgement_under_load([6080, 6078, 5700, 6079, 5600, 6075, 5650]).elapsed_ms == 430
+    assert last_estimate_under_load([6080, 6078, 5700, 6079, 5600, 6075, 5650]).elapsed_ms == 430
     mixed_deadlines = [random.randint(5190, 6080) for _ in range(12)]
-    assert last_judgement_under_load([*mixed_deadlines, 5600]) == Judgement(is_undecided=True)
+    assert last_estimate_under_load([*mixed_deadlines, 5600]) == FirstTryEstimate(is_undecided=True)
 
 
 def share_mistaken_for_retries(min_share, counted):
@@ -89,9 +91,9 @@
         random = Random(seed)
         tries = FirstTryDetector()
         for position in range(counted.stop):
-            judgement = tries.judge('r', int(6000 * random.uniform(min_share, 1.0)), 0.0)
+            first_try = tries.estimate('r', int(6000 * random.uniform(min_share, 1.0)), 0.0)
             if position in counted:
-                mistaken.append(judgement.elapsed_ms > 0)
+                mistaken.append(first_try.elapsed_ms > 0)
     return sum(mistaken) / len(mistaken)
 
 
@@ -117,27 +119,27 @@
 def test_deadlines_of_possible_retries_are_not_learned(common_deadline):
     common_deadline.record_turned_away(10.0)
     for _ in range(200):
-        common_deadline.judge('r', 5600, 10.5)
-    assert common_deadline.judge('r', 5600, 10.6).elapsed_ms > 400
+        common_deadline.estimate('r', 5600, 10.5)
+    assert common_deadline.estimate('r', 5600, 10.6).elapsed_ms > 400
     now = 10.6 + RETURN_WINDOW_S
     for _ in range(200):
-        common_deadline.judge('r', 5600, now)
-    assert common_deadline.judge('r', 5600, now) == Judgement(is_undecided=True)
+        common_deadline.estimate('r', 5600, now)
+    assert common_deadline.estimate('r', 5600, now) == FirstTryEstimate(is_undecided=True)
 
 
 def test_each_route_has_its_own_deadlines(common_deadline):
-    assert common_deadline.judge('other', 2500, 1.0) == Judgement()
+    assert common_deadline.estimate('other', 2500, 1.0) == FirstTryEstimate()
 
 
 def test_the_routes_remembered_are_bounded(common_deadline):
     for number in range(MAX_ROUTES + 5):
-        common_deadline.judge(f'other-{number}', 6000, 1.0)
+        common_deadline.estimate(f'other-{number}', 6000, 1.0)
     assert len(common_deadline.deadlines_by_route) == MAX_ROUTES
 
 
 def test_a_few_outliers_do_not_hide_retries():
     detector = detector_with([6080] * 60 + [900, 1500])
-    assert detector.judge('r', 5500, 1.0).elapsed_ms == 580
+    assert detector.estimate('r', 5500, 1.0).elapsed_ms == 580
 
 
 def test_a_request_turned_away_is_recognised_by_its_fingerprint():
