--- a/packages/millfork-scheduling/millfork_scheduling/paths.py
+++ b/packages/millfork-scheduling/millfork_scheduling/paths.py
@@ -44,7 +44,7 @@
     upper: list[tuple[Server, int]] = []
     for server in sorted(servers, key=lambda item: item.instance):
         for item in server.served:
-            if server.changing or item.version < newest or item.is_complete(engine.layers):
+            if server.changes_version or item.version < newest or item.is_complete(engine.layers):
                 continue
             if item.first == 0 and item.end is not None:
                 lower.append((server, item.end))
--- a/packages/millfork-scheduling/millfork_scheduling/server.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server.py
@@ -115,8 +115,8 @@
     availability: Availability = field(default_factory=Availability)
     # The versions in the back end's lease; those in `served` may come from a newer daemon report.
     lease_served: tuple[ServedVersion, ...] = ()
-    # Whether the engine is changing its version, by the last report of its daemon.
-    changing: bool = False
+    # Whether the engine is about to change version, by the last report of its daemon.
+    changes_version: bool = False
     # The sequence number of the last report that was applied; -1: none.
     report_sequence: int = -1
     # The instance of the endpoint daemon beside the back end; empty before the first report.
--- a/packages/millfork-scheduling/millfork_scheduling/server_table.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server_table.py
@@ -157,10 +157,10 @@
                 continue
             backpressure = Backpressure(state.limit_per_s, state.leaving)
             changes.append((server, server.availability.apply_report(backpressure, now)))
-            changing = bool(state.changing_to)
-            if (changing, state.served) != (server.changing, server.served):
+            changes_version = bool(state.changing_to)
+            if (changes_version, state.served) != (server.changes_version, server.served):
                 self.changes += 1
-            server.changing = changing
+            server.changes_version = changes_version
             server.daemon = state.instance
             load = Load(
                 state.running, state.queued, state.pace, server.own_requests, server.own_unread
@@ -433,7 +433,7 @@
         engine = requirements.engine
         if engine is None:
             return True
-        if server.changing:
+        if server.changes_version:
             return False
         version = server.newest_complete_version(engine.layers)
         if version is None:
--- a/packages/millforkd/millforkd/proxy/request_sender.py
+++ b/packages/millforkd/millforkd/proxy/request_sender.py
@@ -117,7 +117,7 @@
                 job.tried.append(server.instance)
             silent = reason is Reason.TIMED_OUT and server.last_received_at < job.received_at
             # An engine that changes its weights was ordered to interrupt running requests.
-            if (silent or reason in CONNECTION_FAILURES) and not server.changing:
+            if (silent or reason in CONNECTION_FAILURES) and not server.changes_version:
                 server.record_failure(now)
         return FailedAttempt(reason, verdict, detail)
 
--- a/packages/millforkd/millforkd/proxy/response_monitor.py
+++ b/packages/millforkd/millforkd/proxy/response_monitor.py
@@ -72,7 +72,7 @@
             if server.replaced:
                 detail = f'{server.instance} has restarted'
                 raise SendFailed(Reason.CONNECTION_LOST, Verdict.MAY_HAVE_RUN, detail)
-            if server.changing:
+            if server.changes_version:
                 detail = 'the engine changes its weights before it starts the request'
                 raise SendFailed(Reason.NOT_SERVABLE, Verdict.MAY_HAVE_RUN, detail)
 
--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -716,7 +716,7 @@
         (
             Edit(
                 C + 'server_table.py',
-                'if (changing, state.served) != (server.changing, server.served):',
+                'if (changes_version, state.served) != (server.changes_version, server.served):',
                 'if False:',
             ),
         ),
--- a/tests/test_choice_in_large_fleets.py
+++ b/tests/test_choice_in_large_fleets.py
@@ -115,7 +115,7 @@
             continue
         for server in choice.servers:
             assert server.instance not in excluded
-            assert not server.changing
+            assert not server.changes_version
         assert choice.version(ENGINE.layers) >= min_version
 
 
