--- a/packages/millfork-routing/millfork_routing/documents.py
+++ b/packages/millfork-routing/millfork_routing/documents.py
@@ -81,7 +81,7 @@
     for each million pairs of prompt tokens (n tokens have n * n / 2). `steps_per_event` steps pass
     between two events of a stream. `slots` is the number of requests that run at a time, `tokens`
     the size of the engine's memory in tokens; `usual_prompt` and `usual_answer` are typical
-    lengths in tokens.
+    lengths in tokens. The weights of `model` consist of `pieces` pieces of `piece_bytes` bytes.
 
     """
 
--- a/packages/millfork-routing/millfork_routing/retries.py
+++ b/packages/millfork-routing/millfork_routing/retries.py
@@ -1,5 +1,5 @@
 """
-Whether a refused request may be retried: the reasons that allow it, and the retry budget.
+Whether a refused request may be retried, by its refusal's reason and verdict and by a budget.
 
 """
 
--- a/packages/millfork-routing/millfork_routing/shared_budget.py
+++ b/packages/millfork-routing/millfork_routing/shared_budget.py
@@ -141,8 +141,9 @@
 
     def count_entries(self) -> int:
         """
-        Return the highest recent number of entries. Must be called regularly: it records the
-        number known now, so that entries that go out of reach later are still counted.
+        Return the highest recent number of entries. Must be called regularly: while there is a
+        quorum, it records the number known now, so that entries that go out of reach later are
+        still counted.
 
         """
         now = self.monotonic()
--- a/packages/millfork-scheduling/millfork_scheduling/availability.py
+++ b/packages/millfork-scheduling/millfork_scheduling/availability.py
@@ -75,7 +75,7 @@
     The time for which a back end asked this entry to send it no requests (monotonic seconds).
 
     Once the period is over, a single request probes whether the back end accepts requests again.
-    No other is sent until the probe is answered or `PROBE_TIMEOUT_S` has passed.
+    No other request is sent until the probe is answered or `PROBE_TIMEOUT_S` has passed.
 
     """
 
@@ -100,7 +100,7 @@
 
     def record_sent(self, now: float) -> None:
         """
-        Record that a request was sent, as a probe whether the rest is over.
+        Record that a request was sent, which probes whether the rest is over.
 
         """
         self.probed_at = now
@@ -242,8 +242,8 @@
 
     def record_sent(self, now: float, entries: int) -> None:
         """
-        Record that a request is sent to the back end: it uses a permit of the limit, and probes
-        whether a rest is over.
+        Record that a request is sent to the back end: it probes whether a rest is over, and uses
+        one of this entry's permits if the back end announced a limit.
 
         """
         if self.rest is not None:
@@ -296,8 +296,8 @@
 
     def restore(self, key: tuple[InstanceId, Incarnation]) -> Availability:
         """
-        Remove and return the availability of an incarnation that has a lease again; a new
-        availability if none is stored.
+        Remove and return the stored availability of an incarnation that has a lease again; return
+        a new one if none is stored.
 
         """
         _, availability = self.kept.pop(key, (0.0, Availability(self.random)))
--- a/packages/millfork-scheduling/millfork_scheduling/retry_after.py
+++ b/packages/millfork-scheduling/millfork_scheduling/retry_after.py
@@ -62,9 +62,9 @@
 def closed_wait_ms(closure: Closure, random: Random) -> int:
     """
     The wait, in ms, of a caller whose suitable back ends are all closed by their own signals:
-    until the first of them opens, whose closure is given. Only the end of a rest is announced.
-    The wait for other closures has a lower maximum, as other back ends may start to serve, or
-    another entry may be able to send the request.
+    until the first of them, which has the given `closure`, opens. Only the end of a rest is
+    announced. The wait for other closures has a lower maximum, as other back ends may start to
+    serve, or another entry may be able to send the request.
 
     """
     max_ms = MAX_REST_MS if closure.closure_reason is ClosureReason.RESTING else NO_SERVER_WAIT_MS
