--- a/packages/millforkd/millforkd/proxy/admission.py
+++ b/packages/millforkd/millforkd/proxy/admission.py
@@ -1,5 +1,6 @@
 """
-Admits requests: finds the route, organisation, service and deadline of each one.
+Admits requests: finds the route, organisation, service and deadline of each request, and decides
+whether it is worth sending to the chosen back end.
 
 """
 
@@ -28,11 +29,12 @@
 from millforkd.proxy.job import Job
 from millforkd.versions import VersionTracker
 
-# The minimum remaining time for sending a request: its answer must still reach the caller.
+# A request with less time than this until its deadline is refused: its answer would not reach
+# the caller in time.
 MIN_REMAINING_MS: Final = 20
-# A starting entry receives its first document and leases after 0.5 s to 0.8 s, the time that
-# replicas that start with it need to discover each other. Requests wait meanwhile: callers
-# that are refused would all return at once, and each retries only once.
+# How long requests wait at most while an entry starts. It receives its first document and leases
+# after 0.5 s to 0.8 s, the time that replicas that start together need to discover each other.
+# Refused callers would all return at once, and each retries only once.
 STARTUP_WAIT_S: Final = 1.0
 # The largest share of a caller's deadline for which a request waits while the entry starts.
 STARTUP_WAIT_SHARE: Final = 0.25
@@ -42,7 +44,7 @@
 
 class Admission:
     """
-    Turns requests into jobs, by the current document.
+    Turns requests into jobs by the current document, and decides which jobs are worth sending.
 
     """
 
@@ -51,17 +53,18 @@
     ) -> None:
         self.env = env
         self.versions = versions
-        # Returns the known number of entries.
+        # Returns the number of entries in the fleet, as far as this entry knows it.
         self.entry_count = entries
         self.table: RouteTable | None = None
-        # Set once the entry has a document and back ends.
+        # Set once the entry has received a document and the lease of a back end.
         self.ready_event = curio.Event()
         self.created_at = env.monotonic()
         self.first_tries = FirstTryDetector()
 
     async def wait_until_ready(self, caller: CallerRequest) -> None:
         """
-        Wait until there are a document and back ends, while the entry is starting.
+        While the entry is starting, wait until it has a document and back ends. Returns without
+        them after STARTUP_WAIT_S, or after STARTUP_WAIT_SHARE of the caller's deadline.
 
         """
         if self.ready_event.is_set():
@@ -77,10 +80,11 @@
 
     def admit(self, exchange: Exchange, caller: CallerRequest, received_at: float) -> Job:
         """
-        The job of a request that arrived at `received_at` (monotonic seconds). Its deadline
-        counts from then and so includes the time that it waited here.
+        The job of a request that arrived at `received_at` (monotonic seconds). The deadline
+        counts from that moment, so it includes the time spent in `wait_until_ready`.
 
-        :raises Refused: if the document doesn't admit the request, or no time remains.
+        :raises Refused: if there is no document, no route for the request or no valid key, or if
+            no time remains.
 
         """
         table = self.table
@@ -98,7 +102,7 @@
         deadline = received_at + limit_ms / 1000
         if (deadline - self.env.monotonic()) * 1000 < MIN_REMAINING_MS:
             raise Refused(Refusal(Reason.EXPIRED, detail='no time remains'))
-        judgement = self._estimate_first_try(route, caller)
+        first_try_estimate = self._estimate_first_try(route, caller)
         return Job(
             exchange,
             caller,
@@ -109,14 +113,14 @@
             received_at,
             deadline,
             table.version,
-            judgement.elapsed_ms,
-            judgement.is_undecided,
+            first_try_estimate.elapsed_ms,
+            first_try_estimate.is_undecided,
         )
 
     def with_current_versions(self, requirements: Requirements, last_send: bool) -> Requirements:
         """
-        Update the versions that a request may be sent to: a version that was valid when the
-        request arrived may have ended since.
+        The requirements with the versions that the request may be sent to now: a version that
+        was valid when the request arrived may have ended since.
 
         """
         if requirements.engine is None:
@@ -137,8 +141,8 @@
 
     def depends_on_first_try(self, job: Job, choice: Choice) -> bool:
         """
-        Whether the decision to send a request depends on whether this is its caller's first
-        try, and its deadline doesn't show that.
+        Whether the decision to send a job depends on whether it is the caller's first try, and
+        the turned-away directory has to be asked because the deadline doesn't show that.
 
         """
         if job.requirements.engine is None or not job.needs_first_try_lookup:
@@ -154,7 +158,8 @@
 
     def retry_after_ms(self, job: Job, choice: Choice) -> int:
         """
-        0 if a request is worth sending, otherwise the milliseconds until its caller may retry.
+        0 if a job is worth sending to the chosen back end, otherwise the milliseconds until its
+        caller may retry. The estimate behind the decision is stored in the job.
 
         """
         if job.requirements.engine is None:
--- a/packages/millforkd/millforkd/proxy/backpressure.py
+++ b/packages/millforkd/millforkd/proxy/backpressure.py
@@ -17,7 +17,7 @@
 
 class BackpressureRecorder:
     """
-    Applies the signals to the server table, and logs and counts their changes.
+    Applies the signals in answers to their back ends, and logs and counts the changes.
 
     """
 
@@ -26,8 +26,8 @@
 
     def record_answer(self, job: Job, server: Server, head: AnswerHead, sent_at: float) -> None:
         """
-        Record the signals of an answer of a back end to a job that was sent there at `sent_at`
-        (monotonic seconds).
+        Apply the signals in a back end's answer to a job that was sent at `sent_at` (monotonic
+        seconds), and record whether the back end accepted the job or turned it away.
 
         """
         signals = head.backpressure
@@ -57,7 +57,7 @@
         request_id: str = '',
     ) -> None:
         """
-        Log and count changes of signals.
+        Log and count changes of a back end's signals that were learned from `source`.
 
         """
         for change in changes:
--- a/packages/millforkd/millforkd/proxy/cache.py
+++ b/packages/millforkd/millforkd/proxy/cache.py
@@ -2,9 +2,9 @@
 Caches pieces of weights at an entry, for the endpoint daemons of its zone.
 
 The instance of an engine has a slow link that is shared by both directions; an entry has a
-fast one. So the daemons of a zone fetch pieces from the entries of the zone. The entries
-nearest to the origin fetch each piece from the origin once, and the entries of other zones
-fetch it from them. The entry that fetches a piece from the origin is its fetcher.
+fast one. So the endpoint daemons of a zone fetch pieces from the entries of the zone. Each piece
+has one fetcher: an entry near the origin that fetches the piece from there. All other entries
+fetch the piece from its fetcher.
 
 """
 
@@ -35,30 +35,35 @@
 from millforkd.sidecar.sources import DIGESTS_INDEX, request_order
 from millforkd.sidecar.verification import store_if_valid
 
-# Enough concurrent fetches to use the whole link of the origin.
+# Concurrent fetches of this cache from the origin: enough to use the origin's whole link.
 MAX_CONCURRENT_ORIGIN_FETCHES: Final = 3
+# Concurrent prefetches of one version.
 MAX_CONCURRENT_PREFETCHES: Final = 2
-# A requester considers a cache silent after a second; a cache answers 'not yet' before that.
+# A cache that doesn't have a piece after this time answers 'not yet'. A daemon considers a cache
+# silent after a second, another cache after PEER_TIMEOUT_S.
 ANSWER_WITHIN_S: Final = 0.5
-# Another cache answers within ANSWER_WITHIN_S, and the latency between zones is below 0.1 s.
+# The timeout of requests to other caches: these answer within ANSWER_WITHIN_S, and the latency
+# between zones is below 0.1 s.
 PEER_TIMEOUT_S: Final = 0.8
-# A piece that arrives corrupt is fetched once more.
+# Attempts per fetch from the origin: a piece that arrives corrupt is fetched once more.
 MAX_ORIGIN_ATTEMPTS: Final = 2
 # The pause after a prefetch round that fetched nothing.
 RETRY_S: Final = 0.2
-# A version that was not requested for this long is not needed at the moment: a daemon that needs
-# a piece repeats its request after 0.5 s and a pause of RETRY_S.
+# Prefetching of a version stops if no piece of the version was requested for this long: a daemon
+# that needs a piece repeats its request after 0.5 s and a pause of RETRY_S.
 IDLE_S: Final = 1.2
+# Reasons that a cache gives for not sending a piece.
 NOT_YET: Final = 'not yet'
 ORIGIN_FAILS: Final = 'the origin does not answer'
 OTHERS_FIRST: Final = 'the origin sends other pieces first'
-# The origin counts as the bottleneck if a fetcher received at least this share of its equal part
-# of the origin's rate within RATE_WINDOW_S. A slowed instance receives less.
+# The origin, not the fetcher, counts as the bottleneck if the origin's rate is divided equally
+# among its fetchers and this one received at least this share of its part within RATE_WINDOW_S.
+# A fetcher on a slowed instance receives less.
 MIN_RATE_SHARE: Final = 0.25
 RATE_WINDOW_S: Final = 1.0
-# A fetcher that answers 'not yet' is fetching the piece; another fetch of the same piece would
-# only slow down the origin. After this many such answers (half a second each) the fetcher
-# counts as too slow: a slowed instance needs five times as long as others.
+# After this many answers 'not yet' (half a second each) the fetcher of a piece counts as too slow,
+# as a slowed instance needs five times as long as others, and this cache uses the origin itself.
+# Until then a second fetch of the piece would only slow down the origin.
 MAX_NOT_YET_ANSWERS: Final = 6
 
 log = logger(Component.WEIGHTS)
@@ -66,7 +71,7 @@
 
 class PieceCache:
     """
-    Holds the pieces of the versions that were requested last.
+    Serves pieces of the versions that were requested last, and fetches the missing ones.
 
     """
 
@@ -82,9 +87,11 @@
         self.origin = origin
         self.caches = caches
         self.store = PieceStore()
-        # Fetches in progress, by version and piece (None: the digests).
+        # For each fetch in progress, by version and piece (None: the digests), an event that is
+        # set when the fetch ends.
         self.pending: dict[tuple[WeightsId, int | None], curio.Event] = {}
         self.origin_slots = curio.Semaphore(MAX_CONCURRENT_ORIGIN_FETCHES)
+        # Versions whose prefetching is running or complete.
         self.prefetching: set[WeightsId] = set()
         # The time of the last request for a piece, by version.
         self.last_requested_at: dict[WeightsId, float] = {}
@@ -96,26 +103,26 @@
 
     async def on_get_manifest(self, message: GetManifest) -> Manifest:
         """
-        Answer a request for the digests of a version.
+        Answer a daemon or another cache that requests the digests of a version.
 
         """
         weights = _parse_weights_id(message.digest)
         if weights is None or not await self._ensure_digests(
             weights, message.draw, self._answer_deadline()
         ):
-            return Manifest(reason=self._reason())
+            return Manifest(reason=self._reason_not_found())
         return Manifest(True, encode_digests(self.store.get_or_create(weights).digests), False)
 
     async def on_get_chunk(self, message: GetChunk) -> Chunk:
         """
-        Answer a daemon or another cache that requests a piece. A fetch that isn't complete in
-        time continues, and serves later requests.
+        Answer a daemon or another cache that requests a piece, and start prefetching the other
+        pieces of the version. A fetch that isn't complete in time continues, for later requests.
 
         """
         deadline = self._answer_deadline()
         weights = _parse_weights_id(message.manifest)
         if weights is None or not await self._ensure_digests(weights, message.draw, deadline):
-            return Chunk(reason=self._reason())
+            return Chunk(reason=self._reason_not_found())
         self.last_requested_at[weights] = self.env.monotonic()
         if weights not in self.prefetching:
             self.prefetching.intersection_update(self.store.sets)
@@ -126,20 +133,21 @@
         await self._ensure_piece(weights, message.index, message.draw, deadline)
         data = self.store.get_or_create(weights).pieces.get(message.index)
         if data is None:
-            return Chunk(reason=self._reason())
+            return Chunk(reason=self._reason_not_found())
         self.env.metrics.count(self.env.metrics.chunk_bytes, len(data), source='cached')
         return Chunk(True, data)
 
-    def _reason(self) -> str:
+    def _reason_not_found(self) -> str:
         if self.origin.failing:
             return ORIGIN_FAILS
         return OTHERS_FIRST if self._is_limited_by_origin() else NOT_YET
 
     def _is_limited_by_origin(self) -> bool:
         """
-        Whether the bottleneck is the origin rather than this fetcher. When other caches then also
-        fetched a piece from the origin, it sent 4.6 copies instead of two, and the first engine
-        was complete 12.8 s after an outage of an origin that sends one copy in 4.4 s.
+        Whether the bottleneck is the origin rather than this fetcher. Other caches must not fetch
+        the piece from the origin as well then. When they did, the origin sent 4.6 copies of the
+        weights instead of two, and the first engine had all pieces only 12.8 s after the origin's
+        outage, although the origin sends one copy in 4.4 s.
 
         """
         spec = self.origin.current_spec()
@@ -165,9 +173,9 @@
 
     async def _fetch_digests(self, held: PieceSet, direct: bool) -> None:
         """
-        Fetch the digests, only once from the origin for all caches. When 98 entries and 102
-        daemons each fetched them, a third fewer pieces fit on the origin's link in the first
-        2.5 s.
+        Fetch the digests from their fetcher, or from the origin if this cache is the fetcher or
+        `direct` is set. When 98 entries and 102 daemons each fetched the digests from the origin,
+        a third fewer pieces fit on the origin's link in the first 2.5 s.
 
         """
         if direct or not await self._fetch_from_cache(held, DIGESTS_INDEX):
@@ -177,12 +185,15 @@
         self, weights: WeightsId, index: int, direct: bool, deadline: float
     ) -> None:
         """
-        Fetch a missing piece, with `direct` only from the origin; returns by `deadline`.
+        Fetch a piece if it is missing, with `direct` only from the origin. Returns by `deadline`,
+        even if the piece hasn't arrived.
 
         """
         held = self.store.get_or_create(weights)
         if 0 <= index < len(held.digests) and index not in held.pieces:
-            await self._fetch_once((weights, index), deadline, self._fetch, weights, index, direct)
+            await self._fetch_once(
+                (weights, index), deadline, self._fetch_piece, weights, index, direct
+            )
 
     async def _fetch_once(
         self,
@@ -192,8 +203,8 @@
         *args: object,
     ) -> None:
         """
-        Start a fetch of a piece or of the digests, unless it is already in progress, and wait for
-        it until `deadline` at most.
+        Start a fetch of a piece or of the digests, unless one is already in progress, and wait
+        until the fetch ends, at most until `deadline`.
 
         """
         pending = self.pending.get(key)
@@ -215,7 +226,7 @@
         finally:
             await self.pending.pop(key).set()
 
-    async def _fetch(self, weights: WeightsId, index: int, direct: bool) -> None:
+    async def _fetch_piece(self, weights: WeightsId, index: int, direct: bool) -> None:
         held = self.store.get_or_create(weights)
         if not direct and await self._fetch_from_cache(held, index):
             return
@@ -231,9 +242,10 @@
 
     async def _fetch_from_cache(self, held: PieceSet, index: int) -> bool:
         """
-        Request a piece, or the digests, from its fetcher, and from the next one if that is
-        silent. False if this cache has to fetch it from the origin; True otherwise, also if the
-        fetcher doesn't have it yet.
+        Request a piece, or the digests, from the fetcher, or from the next one if the fetcher is
+        silent. False if this cache has to use the origin: it is the fetcher itself, or the
+        fetcher was too slow or sent invalid data. True otherwise, also if nothing was received
+        because the fetcher doesn't have the piece yet.
 
         """
         key = (held.weights, index)
@@ -246,7 +258,8 @@
             if reply is None:
                 continue
             if not reply.found:
-                # Another fetcher wouldn't get more from an origin that is down or at its limit.
+                # Not counted if the origin is down or at its limit: another fetcher wouldn't get
+                # more from the origin either.
                 self.not_yet_answers[key] += reply.reason not in (ORIGIN_FAILS, OTHERS_FIRST)
                 return True
             del self.not_yet_answers[key]
@@ -269,8 +282,8 @@
 
     def _fetcher_of(self, weights: WeightsId, index: int) -> str:
         """
-        The cache that fetches a piece from the origin. Caches that were silent recently are left
-        out; without any other this cache is the fetcher.
+        The cache that is to fetch a piece from the origin. Caches that were silent recently are
+        left out; if no other cache is known, this cache is the fetcher.
 
         """
         answering = [cache for cache in self.caches() if not self.silent.is_silent(cache.instance)]
@@ -279,7 +292,8 @@
 
     async def _ask(self, fetcher: str, weights: WeightsId, index: int) -> Chunk | Manifest | None:
         """
-        The answer of a fetcher; None if it is silent.
+        The answer of a fetcher to a request for a piece or the digests. None if there is no
+        answer; the fetcher then counts as silent.
 
         """
         message: GetChunk | GetManifest = GetChunk(str(weights), index, draw=True)
@@ -299,13 +313,13 @@
         spec = self.origin.current_spec()
         return spec.zone if spec is not None else ''
 
-    # Prefetching keeps the slow links of engines from waiting for the origin, and gets pieces
-    # from the origin before it may fail.
+    # Pieces are prefetched so that the slow links of engines aren't idle while a piece comes from
+    # the origin, and so that the pieces are here if the origin fails.
 
     async def _prefetch(self, weights: WeightsId) -> None:
         """
-        Fetch the pieces that daemons will request from this cache, until all are held or newer
-        versions have replaced them.
+        Fetch the pieces that daemons will request from this cache. Ends once all of them are
+        held, newer versions have replaced the version, or the version is no longer requested.
 
         """
         zone_caches = [cache.instance for cache in self.caches() if cache.zone == self.env.zone]
@@ -320,14 +334,14 @@
             queue = [index for index in reversed(own_indexes) if index not in held.pieces]
             if not queue:
                 break
-            before = len(held.pieces)
+            held_before = len(held.pieces)
             async with curio.TaskGroup() as group:
                 for _ in range(MAX_CONCURRENT_PREFETCHES):
                     await group.spawn(self._run_prefetcher, weights, queue)
-            if len(held.pieces) == before:
+            if len(held.pieces) == held_before:
                 await curio.sleep(RETRY_S)
         if not self._is_requested(weights):
-            # The next request starts prefetching again.
+            # The next request for the version starts its prefetching again.
             self.prefetching.discard(weights)
         log.info(
             'Prefetching ended. weights={} held={} of={}',
@@ -338,8 +352,8 @@
 
     def _is_requested(self, weights: WeightsId) -> bool:
         """
-        Whether a version is still requested. Prefetching one that is not would delay other
-        versions where the origin's link is the bottleneck.
+        Whether a piece of the version was requested within IDLE_S. Where the origin's link is the
+        bottleneck, prefetching a version that nobody needs would delay other versions.
 
         """
         return self.env.monotonic() - self.last_requested_at.get(weights, float('-inf')) < IDLE_S
@@ -349,14 +363,14 @@
             await self._ensure_piece(weights, queue.pop(), False, self._answer_deadline())
 
 
-def prefetch_order(pieces: int) -> list[int]:
+def prefetch_order(piece_count: int) -> list[int]:
     """
-    The piece indexes, alternating between both halves: an engine without weights fetches one
-    half of the layers first, so the origin can serve engines of both halves at once.
+    The indexes of all pieces, alternating between the two halves of the layers: an engine without
+    weights fetches one half first, and engines of both halves are to be served at once.
 
     """
-    half = -(-pieces // 2)
-    return sorted(range(pieces), key=lambda index: (index % half, index))
+    half = -(-piece_count // 2)
+    return sorted(range(piece_count), key=lambda index: (index % half, index))
 
 
 def _parse_weights_id(text: str) -> WeightsId | None:
--- a/packages/millforkd/millforkd/proxy/connections.py
+++ b/packages/millforkd/millforkd/proxy/connections.py
@@ -1,5 +1,5 @@
 """
-Connection pools for back ends.
+Pools of HTTP connections to back ends.
 
 """
 
@@ -21,15 +21,16 @@
 READ_BYTES: Final = 64 * 1024
 # SO_LINGER on with a timeout of 0 s: closing discards unsent data and resets the connection.
 RESET_ON_CLOSE: Final = struct.pack('ii', 1, 0)
-# The latency between zones is a few milliseconds. A lost SYN is retransmitted only after a second,
-# which is too late for most requests.
+# The timeout of opening a connection. The latency between zones is a few milliseconds, and a lost
+# SYN is retransmitted only after a second, which is too late for most requests.
 CONNECT_TIMEOUT_S: Final = 0.4
-# Idle connections are closed this long before their server would close them.
-KEEP_MARGIN_S: Final = 1.0
-# The keep-alive time for a server that names none; it may close idle connections early.
-DEFAULT_KEEP_S: Final = 4.0
-# A request that must not run twice is sent only on a connection that was in use within this
-# time: the server may be closing an older one.
+# Idle connections are closed this long before the back end would close them.
+KEEP_ALIVE_MARGIN_S: Final = 1.0
+# The keep-alive time that is assumed for a back end that announces none: such a back end may
+# close idle connections early.
+DEFAULT_KEEP_ALIVE_S: Final = 4.0
+# A request that must not run twice is sent only on a new connection or on one that was in use
+# within this time: the back end may be closing a connection that was idle for longer.
 RECENT_USE_S: Final = 0.3
 
 log = logger(Component.PROXY)
@@ -37,7 +38,7 @@
 
 class SendFailed(Exception):
     """
-    No complete answer was received; `reason` says why, `verdict` whether the request has run.
+    No complete answer was received. `reason` says why, `verdict` whether the request may have run.
 
     """
 
@@ -58,19 +59,21 @@
         self.sock = sock
         self.http = h11.Connection(h11.CLIENT)
         self.used_at = 0.0
-        self.keep_s = DEFAULT_KEEP_S
+        self.keep_alive_s = DEFAULT_KEEP_ALIVE_S
         self.reused = False
         self.status = 0
         self.headers: Headers = []
+        # Whether the answer was received to its end.
         self.complete = False
-        # Whether the connection broke off or went silent.
+        # Whether the connection broke off or was given up as silent.
         self.lost = False
 
     async def send(self, method: str, path: str, headers: Headers, body: bytes) -> None:
         """
         Send a request.
 
-        :raises SendFailed: MAY_HAVE_RUN, as part of the request may have arrived.
+        :raises SendFailed: if the connection breaks off; with verdict MAY_HAVE_RUN, as part of
+            the request may have arrived.
 
         """
         self.complete = False
@@ -91,7 +94,7 @@
         """
         Read the head of the answer.
 
-        :raises SendFailed: MAY_HAVE_RUN, if no answer arrives.
+        :raises SendFailed: if no valid answer arrives; with verdict MAY_HAVE_RUN.
 
         """
         event = await self._next_event()
@@ -106,7 +109,7 @@
         """
         The next bytes of the body; empty at its end.
 
-        :raises SendFailed: if the body breaks off.
+        :raises SendFailed: if the body breaks off or is malformed.
 
         """
         if self.complete:
@@ -162,7 +165,7 @@
 
     async def abandon(self) -> None:
         """
-        Reset the connection, so that the unsent part of a request never reaches the server.
+        Reset the connection, so that the unsent part of a request never reaches the back end.
 
         """
         try:
@@ -174,7 +177,7 @@
     @property
     def is_quiet(self) -> bool:
         """
-        Whether an idle connection is open and has received nothing.
+        Whether an idle connection is open and has received no data since the last answer.
 
         """
         return is_quiet(self.sock)
@@ -190,8 +193,9 @@
         self.env = env
         self.host = host
         self.port = port
+        # The connections without a request, the most recently used one last.
         self.idle: deque[ServerConnection] = deque()
-        self.open = 0
+        self.open_count = 0
         self.is_closed = False
 
     async def acquire(self, recently_used: bool) -> ServerConnection:
@@ -205,7 +209,9 @@
         while self.idle:
             connection = self.idle.pop()
             idle_s = self.env.monotonic() - connection.used_at
-            limit_s = RECENT_USE_S if recently_used else connection.keep_s - KEEP_MARGIN_S
+            limit_s = (
+                RECENT_USE_S if recently_used else connection.keep_alive_s - KEEP_ALIVE_MARGIN_S
+            )
             if idle_s < limit_s and connection.is_quiet:
                 connection.http.start_next_cycle()
                 connection.reused = True
@@ -222,14 +228,15 @@
         except (OSError, curio.TaskTimeout) as error:
             detail = f'no connection to {self.host}:{self.port}: {type(error).__name__}'
             raise SendFailed(Reason.UNREACHABLE, Verdict.NOT_RUN, detail) from None
-        self.open += 1
+        self.open_count += 1
         self.env.metrics.count(self.env.metrics.connections, event='opened')
         return ServerConnection(sock)
 
-    async def release(self, connection: ServerConnection, keep_s: float | None) -> None:
+    async def release(self, connection: ServerConnection, keep_alive_s: float | None) -> None:
         """
-        Keep a connection for the next request, or close it. If it was lost, all idle
-        connections are closed, as they may be lost for the same reason.
+        Keep a connection for the next request, or close it if it can't be reused. If the
+        connection was lost, all idle ones are closed, as they may be lost for the same reason.
+        `keep_alive_s` is the keep-alive time that the back end announced (None: it announced none).
 
         """
         if self.is_closed or not connection.reusable:
@@ -237,13 +244,17 @@
             if connection.lost:
                 await self.close_idle()
             return
-        if keep_s is not None:
-            connection.keep_s = keep_s
+        if keep_alive_s is not None:
+            connection.keep_alive_s = keep_alive_s
         connection.used_at = self.env.monotonic()
         self.idle.append(connection)
 
     async def close(self, connection: ServerConnection) -> None:
-        self.open -= 1
+        """
+        Close a connection; reset it unless an answer was received completely on it.
+
+        """
+        self.open_count -= 1
         if connection.complete:
             await connection.sock.close()
             return
@@ -251,11 +262,14 @@
 
     async def close_old(self) -> None:
         """
-        Close the idle connections that their server is about to close.
+        Close the idle connections that the back end is about to close.
 
         """
         now = self.env.monotonic()
-        while self.idle and now - self.idle[0].used_at > self.idle[0].keep_s - KEEP_MARGIN_S:
+        while (
+            self.idle
+            and now - self.idle[0].used_at > self.idle[0].keep_alive_s - KEEP_ALIVE_MARGIN_S
+        ):
             await self.close(self.idle.popleft())
 
     async def close_idle(self) -> None:
@@ -265,8 +279,8 @@
 
 class Pools:
     """
-    The pools of all back ends, by instance id: an address may be reassigned to another
-    back end.
+    The connection pools of all back ends, by instance id: an address may be reassigned to
+    another back end.
 
     """
 
--- a/packages/millforkd/millforkd/proxy/daemon.py
+++ b/packages/millforkd/millforkd/proxy/daemon.py
@@ -1,5 +1,5 @@
 """
-The daemon of an entry that sends requests directly to back ends.
+The daemon of an entry of a seeded fleet, which sends requests directly to back ends.
 
 """
 
@@ -44,15 +44,16 @@
 from millforkd.seeded import build_feed, fleet_key
 from millforkd.sidecar.origin import Origin, find_origin
 
-# The load balancer polls each second and removes an entry after two failed polls.
+# How long the load balancer may send new requests to an entry that is stopping: it polls each
+# second and removes an entry after two failed polls.
 BALANCER_REMOVAL_S: Final = 2.5
 # The part of a planned stop's grace period that is reserved for ending the process.
 STOP_MARGIN_S: Final = 0.5
 DRAIN_POLL_S: Final = 0.05
 HOUSEKEEPING_INTERVAL_S: Final = 0.5
-# The timeout of passing a report on to a replica; the next report follows in 0.15 s.
+# The timeout of passing a daemon's report on to a replica; the next report follows in 0.15 s.
 REPORT_TIMEOUT_S: Final = 0.3
-# Assumed while the number of entries is unknown: the number in a large fleet.
+# The number of entries that is assumed while it is unknown: that of a large fleet.
 DEFAULT_ENTRY_COUNT: Final = 380
 
 log = logger(Component.PROXY)
@@ -60,7 +61,7 @@
 
 class ProxyDaemon:
     """
-    Runs one entry instance.
+    Runs one entry: its servers for callers and peers, its feed subscription, and its caches.
 
     """
 
@@ -129,17 +130,18 @@
         self.admin = Admin(env, settings, self.is_ready)
         self.stopping = False
         self.document_revision = 0
-        # The version of the leases that the server table has.
+        # The registry's version of the leases that were last applied to the server table.
         self.applied_leases_version = -1
-        # The version of the endpoint reports that the server table has.
+        # The registry's version of the endpoint reports that were last applied to the table.
         self.applied_reports_version = 0
-        # The last logged number of retries within the window, by service.
+        # The last logged number of retries within the window of the retry budget, by service.
         self.retries_logged: dict[ServiceName, int] = {}
 
     def peak_entries(self) -> int:
         """
-        The largest number of entries known recently. Before a replica has sent one, a large
-        number is assumed: otherwise this entry would use all of a shared limit.
+        The highest recent number of entries in the fleet. Until a replica has reported it,
+        DEFAULT_ENTRY_COUNT is assumed: with a low number this entry would use all of a limit
+        that the entries share.
 
         """
         return (
@@ -172,15 +174,15 @@
 
     async def reload(self, settings: SeededSettings) -> None:
         """
-        Apply changed settings: the list of seeds.
+        Apply the settings that may change while the entry runs: the list of seeds.
 
         """
         self.discovery.set_seeds(settings.seed_instances)
 
     async def drain(self) -> None:
         """
-        Stop as planned: wait until the load balancer sends no more requests, then until the
-        requests in progress have ended.
+        Prepare a planned stop: wait until the load balancer sends no more requests, then until
+        the requests in progress have ended, but not longer than the grace period allows.
 
         """
         self.stopping = True
@@ -207,7 +209,7 @@
             self._apply_document()
             if self.view.cluster:
                 self.versions.refresh()
-            # Each message of the feed changes loads; leases change rarely.
+            # Every message of the feed changes loads, but few change leases.
             if self.registry.leases.version != self.applied_leases_version:
                 self.applied_leases_version = self.registry.leases.version
                 # Reports on a new back end may have arrived before its lease.
@@ -268,7 +270,7 @@
 
     async def handle(self, connection: Connection, message: Message) -> Message | None:
         """
-        Answer a peer's message.
+        Handle a peer's message; returns the answer, None if the message has none.
 
         """
         if await self.feed_client.handle_feed_message(connection.peer, message):
@@ -288,7 +290,7 @@
     @on.register
     async def _(self, message: messages.EndpointReport, connection: Connection) -> Message:
         """
-        Pass on a report of an endpoint daemon that can't reach the replicas.
+        Pass the report of an endpoint daemon that can't reach the replicas on to a replica.
 
         """
         if not self.feed_client.connected:
@@ -303,7 +305,8 @@
     @on.register
     async def _(self, message: messages.SuspicionReport, connection: Connection) -> Message:
         """
-        Record the suspicions of an entry that can't reach the replicas, and publish them.
+        Record the suspicions of an entry that can't reach the replicas. Those that are new here
+        are reported to a replica.
 
         """
         try:
--- a/packages/millforkd/millforkd/proxy/end_detection.py
+++ b/packages/millforkd/millforkd/proxy/end_detection.py
@@ -1,10 +1,10 @@
 """
 Detects which back ends ended, and which requests they were running.
 
-An answer may break off because of a connection, a link or the answer itself. Whether the
-back end ended may be known only seconds later, so a request stays suspected until its back
-end is known to have ended or to be alive. All requests of this entry at a back end break off
-when it ends, so one watch per back end covers them.
+An answer may also break off because of its connection, a network link or its own content.
+Whether the back end ended may be known only seconds later, so a request stays suspected until
+the back end is known to have ended or to be alive. When a back end ends, all requests that this
+entry sent there break off, so one watch per back end covers them.
 
 """
 
@@ -32,15 +32,17 @@
 
 log = logger(Component.PROXY)
 
-# How long requests whose callers left are remembered, and how many of them.
+# How long a request is remembered after its caller left.
 CALLER_LEFT_MEMORY_S: Final = 60.0
+# The maximum number of requests that are remembered after their callers left.
 MAX_ABANDONED_REQUESTS: Final = 1024
 
 
 @dataclass(frozen=True, slots=True)
 class AbandonedRequest:
     """
-    A request whose caller left at `at` (monotonic seconds); `before` is its suspicion when sent.
+    A request whose caller left at `at` (monotonic seconds). `before` is the suspicion of the
+    request when it was sent to `server`.
 
     """
 
@@ -50,9 +52,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SentRequest:
+class InterruptedRequest:
     """
-    A request that broke off or whose caller left; `before` is its suspicion when it was sent.
+    A request whose answer broke off, or whose caller left before the answer. `before` is the
+    suspicion of the request when it was sent.
 
     """
 
@@ -66,7 +69,8 @@
 
 class EndDetector:
     """
-    Runs one watch for each back end at which answers broke off.
+    Runs one watch for each back end at which answers broke off or callers left, and updates the
+    suspicions of these requests by the results.
 
     """
 
@@ -79,15 +83,18 @@
         self.env = env
         self.status_of = status_of
         self.suspicion_updater = SuspicionUpdater(env, suspicion_store)
-        self.watches: dict[IncarnationKey, EndWatch[SentRequest]] = {}
-        # The last abandonment of each request whose caller left.
+        self.watches: dict[IncarnationKey, EndWatch[InterruptedRequest]] = {}
+        # For each request whose caller left, the last time that this happened.
         self.abandoned: dict[Fingerprint, AbandonedRequest] = {}
 
     async def record_caller_left(self, server: Server, before: Suspicion) -> None:
         """
-        Record that a caller left, or that its deadline passed, before the back end answered. If
-        the back end then ends, no answer breaks off, so from the second time on the back end is
-        watched.
+        Record that a caller left, or that its deadline passed, before the back end answered.
+        `before` is the suspicion of the request when it was sent there.
+
+        If the back end ends after that, no answer breaks off. So the back end is watched if the
+        caller of the same request left within the last CALLER_LEFT_MEMORY_S, and so is the back
+        end of that time if it was within CALLER_LEFT_WATCH_S.
 
         """
         now = self.env.monotonic()
@@ -97,9 +104,9 @@
             del self.abandoned[next(iter(self.abandoned))]
         if last is None or now - last.at > CALLER_LEFT_MEMORY_S:
             return
-        await self._add(server, SentRequest(before, caller_left=True))
+        await self._add(server, InterruptedRequest(before, caller_left=True))
         if now - last.at < CALLER_LEFT_WATCH_S:
-            await self._add(last.server, SentRequest(last.before, caller_left=True))
+            await self._add(last.server, InterruptedRequest(last.before, caller_left=True))
 
     async def record_broken_connection(self, server: Server, before: Suspicion) -> None:
         """
@@ -107,29 +114,39 @@
         when it was sent there. Returns once the back end was probed, or after a short timeout.
 
         """
-        watch = await self._add(server, SentRequest(before))
+        watch = await self._add(server, InterruptedRequest(before))
         await self.suspicion_updater.record_broken_connection(
             before.fingerprint, incarnation_key(server)
         )
         await watch.wait_until_probed()
 
-    async def _add(self, server: Server, sent: SentRequest) -> EndWatch[SentRequest]:
+    async def _add(
+        self, server: Server, interrupted: InterruptedRequest
+    ) -> EndWatch[InterruptedRequest]:
+        """
+        Add an interrupted request to the watch of its back end; starts a watch if there is none.
+
+        """
         key = incarnation_key(server)
         watch = self.watches.get(key)
         is_new = watch is None
         if watch is None:
-            watch = self._watch(server, key)
+            watch = self._create_watch(server, key)
             self.watches[key] = watch
-        earlier = watch.interruptions.get(sent.before.fingerprint)
+        earlier = watch.interruptions.get(interrupted.before.fingerprint)
         if earlier is not None:
-            before = max(earlier.subject.before, sent.before, key=lambda item: item.order)
-            sent = SentRequest(before, sent.caller_left and earlier.subject.caller_left)
-        await watch.add(sent.before.fingerprint, sent, at_once=not sent.caller_left)
+            before = max(earlier.subject.before, interrupted.before, key=lambda item: item.order)
+            interrupted = InterruptedRequest(
+                before, interrupted.caller_left and earlier.subject.caller_left
+            )
+        await watch.add(
+            interrupted.before.fingerprint, interrupted, at_once=not interrupted.caller_left
+        )
         if is_new:
             await self.env.spawn(self._run_watch, watch, key)
         return watch
 
-    def _watch(self, server: Server, key: IncarnationKey) -> EndWatch[SentRequest]:
+    def _create_watch(self, server: Server, key: IncarnationKey) -> EndWatch[InterruptedRequest]:
         return EndWatch(
             self.env,
             partial(self._probe, server),
@@ -139,15 +156,18 @@
             MAX_WATCH_S,
         )
 
-    def _status(self, server: Server, broken: Interruption[SentRequest]) -> IncarnationStatus:
-        status = self.status_of(server, broken.at)
-        if status is IncarnationStatus.ENDED or not broken.subject.caller_left:
+    def _status(
+        self, server: Server, interruption: Interruption[InterruptedRequest]
+    ) -> IncarnationStatus:
+        status = self.status_of(server, interruption.at)
+        if status is IncarnationStatus.ENDED or not interruption.subject.caller_left:
             return status
-        # The back end may still run the request while it answers others.
-        watch_is_over = self.env.monotonic() - broken.at > CALLER_LEFT_WATCH_S
+        # The back end may still be running this request, so its answers to other requests don't
+        # show that it survives this one.
+        watch_is_over = self.env.monotonic() - interruption.at > CALLER_LEFT_WATCH_S
         return IncarnationStatus.LIVES if watch_is_over else IncarnationStatus.UNKNOWN
 
-    async def _run_watch(self, watch: EndWatch[SentRequest], key: IncarnationKey) -> None:
+    async def _run_watch(self, watch: EndWatch[InterruptedRequest], key: IncarnationKey) -> None:
         try:
             await watch.run()
         finally:
@@ -157,7 +177,7 @@
         self,
         key: IncarnationKey,
         status: IncarnationStatus,
-        interruptions: list[Interruption[SentRequest]],
+        interruptions: list[Interruption[InterruptedRequest]],
     ) -> None:
         if status is IncarnationStatus.ENDED:
             self._log_end(key, interruptions)
@@ -173,7 +193,9 @@
                 continue
             await self.suspicion_updater.record_no_end(item.subject.before.fingerprint, key)
 
-    def _log_end(self, key: IncarnationKey, interruptions: list[Interruption[SentRequest]]) -> None:
+    def _log_end(
+        self, key: IncarnationKey, interruptions: list[Interruption[InterruptedRequest]]
+    ) -> None:
         log.info(
             'Back end ended. incarnation={} requests={} after_ms={:.0f} fingerprints={}',
             key,
@@ -190,7 +212,7 @@
 
     async def probe(self, server: Server) -> ProbeResult:
         """
-        Connect to a back end's address.
+        Probe a back end by connecting to its address.
 
         """
         return await probe_address(server.host, server.port)
--- a/packages/millforkd/millforkd/proxy/event_stream.py
+++ b/packages/millforkd/millforkd/proxy/event_stream.py
@@ -7,7 +7,7 @@
 
 EVENT_DELIMITERS: Final = (b'\n\n', b'\r\n\r\n')
 ID_FIELD: Final = b'id:'
-# More bytes than this without the end of an event are not an event stream.
+# The maximum size of an event. More bytes without the end of an event are not an event stream.
 MAX_EVENT_BYTES: Final = 1024 * 1024
 
 
@@ -20,7 +20,7 @@
 
 class EventSplitter:
     """
-    Holds back the bytes of an event that is not complete yet.
+    Passes on complete events only, and records the ids of the first and the last of them.
 
     """
 
@@ -31,7 +31,7 @@
 
     def feed(self, data: bytes) -> bytes:
         """
-        Add bytes; return those of the events that are now complete.
+        Add received bytes; return the bytes of the events that are complete with them.
 
         :raises InvalidEventStream: if no event ends within MAX_EVENT_BYTES.
 
@@ -51,9 +51,9 @@
     def _record_ids(self, complete_events: bytes) -> None:
         if self.first_id is None:
             self.first_id = _first_id(complete_events)
-        at = complete_events.rfind(b'\n' + ID_FIELD)
-        if at >= 0:
-            self.last_id = _id_in(complete_events[at + 1 :])
+        start = complete_events.rfind(b'\n' + ID_FIELD)
+        if start >= 0:
+            self.last_id = _id_in(complete_events[start + 1 :])
         elif complete_events.startswith(ID_FIELD):
             self.last_id = _id_in(complete_events)
 
@@ -63,15 +63,15 @@
     The offset after the last complete event, 0 if there is none.
 
     """
-    at = data.rfind(delimiter)
-    return at + len(delimiter) if at >= 0 else 0
+    start = data.rfind(delimiter)
+    return start + len(delimiter) if start >= 0 else 0
 
 
 def _first_id(complete_events: bytes) -> int | None:
     if complete_events.startswith(ID_FIELD):
         return _id_in(complete_events)
-    at = complete_events.find(b'\n' + ID_FIELD)
-    return _id_in(complete_events[at + 1 :]) if at >= 0 else None
+    start = complete_events.find(b'\n' + ID_FIELD)
+    return _id_in(complete_events[start + 1 :]) if start >= 0 else None
 
 
 def _id_in(line: bytes) -> int | None:
--- a/packages/millforkd/millforkd/proxy/fingerprints.py
+++ b/packages/millforkd/millforkd/proxy/fingerprints.py
@@ -1,5 +1,5 @@
 """
-Computes the fingerprints of requests in seeded fleets.
+Computes the fingerprints of requests in seeded fleets: keyed hashes that identify their content.
 
 """
 
@@ -13,7 +13,7 @@
 
 class Fingerprints:
     """
-    Computes fingerprints for one fleet; all entries of a cluster get the same ones.
+    Computes fingerprints with the key of a fleet; all entries of a cluster compute the same ones.
 
     """
 
@@ -23,7 +23,7 @@
 
     def compute(self, job: Job) -> Fingerprint:
         """
-        The fingerprint of a job's request; computed once, as a body may be long.
+        The fingerprint of a job's request; stored in the job, as hashing a long body takes time.
 
         """
         if job.fingerprint is None:
@@ -33,7 +33,7 @@
 
     def for_request(self, request: Request, caller: str) -> Fingerprint:
         """
-        The fingerprint of a request; `caller` is its organisation's name or API key.
+        The fingerprint of a request; `caller` is the caller's organisation or API key.
 
         """
         return fingerprint_of(
--- a/packages/millforkd/millforkd/proxy/forwarding.py
+++ b/packages/millforkd/millforkd/proxy/forwarding.py
@@ -36,7 +36,7 @@
 
 class Forwarding:
     """
-    Serves callers' requests at the back ends of the fleet.
+    Serves callers' requests with the back ends of the fleet.
 
     """
 
@@ -81,7 +81,7 @@
 
     async def answer(self, exchange: Exchange) -> None:
         """
-        Answer one request.
+        Answer one caller's request, or refuse it.
 
         """
         received_at = self.env.monotonic()
@@ -134,7 +134,7 @@
         await task.cancel(blocking=False)
 
     async def _serve(self, job: Job) -> None:
-        refusal = await self._attempt(job)
+        refusal = await self._send_until_answered(job)
         if refusal is None:
             self.outcomes.record(job, 'served')
             return
@@ -152,16 +152,18 @@
 
     async def _record_turned_away(self, job: Job) -> None:
         """
-        Record that the caller was turned away. If it retries, its deadline is shorter.
+        Record that the caller of a job was turned away, so that a retry is recognised: the retry
+        has a shorter deadline, and for engines it is found in the turned-away directory.
 
         """
         self.admission.first_tries.record_turned_away(self.env.monotonic())
         if job.requirements.engine is not None:
             await self.turned_away.record(job)
 
-    async def _attempt(self, job: Job) -> Refusal | None:
+    async def _send_until_answered(self, job: Job) -> Refusal | None:
         """
-        Send a job to one back end after another; None if the caller received an answer.
+        Send a job to one back end after another until the caller has received an answer. Returns
+        the refusal if no back end serves the job, otherwise None.
 
         """
         budget_spent = False
@@ -207,8 +209,8 @@
 
     async def _send(self, job: Job, choice: Choice, before: Suspicion) -> FailedAttempt | None:
         """
-        Make one attempt and record the back ends that may have ended; None if the caller received
-        its answer.
+        Make one attempt, and record the back ends that may have ended during it. `before` is the
+        suspicion of the request before the attempt. None if the caller received an answer.
 
         """
         job.pending_servers = ()
@@ -232,18 +234,19 @@
 
     async def _choose(self, job: Job) -> Choice | None:
         """
-        Choose a back end, with current loads where the choice depends on them.
+        Choose a back end; None if none can serve the job. Daemons are queried for current loads
+        first where the choice may depend on them.
 
         """
         tried = set(job.tried)
-        compared = self.server_table.sample_candidates(job.requirements, tried)
-        await self.load_queries.refresh(compared)
-        return self.server_table.choose(job.requirements, tried, compared or None)
+        candidates = self.server_table.sample_candidates(job.requirements, tried)
+        await self.load_queries.refresh(candidates)
+        return self.server_table.choose(job.requirements, tried, candidates or None)
 
     def _choose_among_freest(self, job: Job) -> Choice | None:
         """
-        Choose among the back ends with the most free slots, after all back ends compared so far
-        were too busy for a job.
+        Choose among the engines with the lowest share of occupied slots, after those that
+        `_choose` compared were too busy for a job. None if all of them are almost full.
 
         """
         tried = set(job.tried)
@@ -251,6 +254,10 @@
         return self.server_table.choose(job.requirements, tried, freest) if freest else None
 
     async def _look_up_first_try(self, job: Job, choice: Choice) -> None:
+        """
+        Ask the turned-away directory when a job was first tried, if its admission depends on that.
+
+        """
         if not self.admission.depends_on_first_try(job, choice):
             return
         job.needs_first_try_lookup = False
@@ -258,7 +265,8 @@
 
     def _refusal_before_send(self, job: Job) -> Refusal | None:
         """
-        The refusal if a job may not be sent, or not again; otherwise None.
+        The refusal of a job that may not be sent to any back end, or not to another one; None if
+        the job may be sent.
 
         """
         if job.remaining_s(self.env.monotonic()) < REFUSAL_MARGIN_S:
@@ -280,6 +288,11 @@
         return None
 
     def _no_server_refusal(self, job: Job) -> Refusal:
+        """
+        The refusal of a job that no back end can serve now. If back ends closed themselves by
+        backpressure signals, the caller is told to wait until the first of them opens.
+
+        """
         closure = self.server_table.first_to_open(job.requirements)
         if job.tried:
             refusal = self._final_refusal(job, job.failures[-1].reason)
@@ -295,7 +308,7 @@
 
     def _final_refusal(self, job: Job, reason: Reason, explanation: str = '') -> Refusal:
         """
-        The refusal of a job; its verdict covers all attempts.
+        The refusal of a job, with a verdict that covers all attempts so far.
 
         """
         detail = explanation or '; '.join(failed.detail for failed in job.failures)
--- a/packages/millforkd/millforkd/proxy/job.py
+++ b/packages/millforkd/millforkd/proxy/job.py
@@ -17,14 +17,17 @@
 
 # The urgency (queue rank at an engine; 0 is served first) for a route with the usual priority.
 USUAL_URGENCY: Final = 5
+# The priority of a route or organisation that maps to USUAL_URGENCY.
 USUAL_PRIORITY: Final = 1
+# The rank that engines serve last.
 LEAST_URGENCY: Final = 9
 
 
 @dataclass(slots=True)
 class Attempt:
     """
-    One attempt to serve a job at a back end, counted there while it is in progress.
+    One attempt to serve a job at a back end. While in progress, it counts among the server's own
+    requests.
 
     """
 
@@ -64,7 +67,7 @@
     reason: Reason
     verdict: Verdict
     detail: str
-    # False: nothing was sent, so the next attempt takes its place and spends no retry budget.
+    # False: nothing was sent, so the next attempt replaces this one and spends no retry budget.
     sent: bool = True
 
 
@@ -83,7 +86,7 @@
 @dataclass(slots=True)
 class Job:
     """
-    One request. Times are in monotonic seconds; `deadline` is the earlier one of the
+    One caller's request. Moments are in monotonic seconds; `deadline` is the earlier of the
     caller's and the route's deadline.
 
     """
@@ -97,28 +100,29 @@
     received_at: float
     deadline: float
     document_version: int
-    # The time between the caller's first try and `received_at`, as far as known; 0: this is the
-    # first try.
+    # The time between the caller's first try and `received_at`; 0 if this is the first try, or if
+    # no earlier one is known.
     elapsed_ms: int = 0
-    # Whether the remaining deadline doesn't show if this is the first try, and the turned-away
+    # Whether the caller's deadline leaves open if this is the first try, and the turned-away
     # directory wasn't asked yet.
     needs_first_try_lookup: bool = False
-    # The prediction that the last decision on admission was based on.
+    # The expected start at an engine, as of the last decision on whether to send the job.
     start_estimate: StartEstimate = NO_START_ESTIMATE
     tried: list[InstanceId] = field(default_factory=list)
     failures: list[FailedAttempt] = field(default_factory=list)
-    # The version of the weights that the last attempt named (0: none), and the time from then
-    # until that version ends (infinity: no newer version was known).
+    # The version of the weights that the last attempt requested (0: none).
     sent_version: int = 0
+    # The time from the last attempt until that version ends (infinity: no newer one was known).
     sent_before_end_ms: float = float('inf')
     held_answer: HeldAnswer | None = None
+    # The status of the back end's answer that was passed on; 0 if there was none.
     status: int = 0
     first_byte_at: float | None = None
     # The id of the last event passed on to the caller, for a stream that has started.
     last_event: int | None = None
     answer_started: bool = False
     caller_gone: bool = False
-    # Computed when it is first needed.
+    # None until the fingerprint of the request is first needed.
     fingerprint: Fingerprint | None = None
     # The back ends that the request was sent to and that haven't answered yet.
     pending_servers: tuple[Server, ...] = ()
@@ -126,9 +130,9 @@
     @property
     def urgency(self) -> int | None:
         """
-        The queue rank at an engine (0 is served first). It depends only on the priority of
-        the route or organisation: an engine serves requests of one rank in order of arrival,
-        and the prediction of the time to the first token relies on that order.
+        The queue rank at an engine (0 is served first); None for a service without engines. The
+        rank depends only on the priority of the route or organisation: an engine serves requests
+        of one rank in order of arrival, and the predicted time to the first token relies on that.
 
         """
         if self.requirements.engine is None:
@@ -142,7 +146,8 @@
     @property
     def resume_after(self) -> int | None:
         """
-        The id of the event after which another back end resumes the stream.
+        The id of the event after which another back end resumes the stream; None if the stream
+        starts from its beginning.
 
         """
         return self.last_event if self.last_event is not None else self.caller.last_event_id
--- a/packages/millforkd/millforkd/proxy/load_queries.py
+++ b/packages/millforkd/millforkd/proxy/load_queries.py
@@ -2,8 +2,8 @@
 Queries the daemons of a few engines for their current loads.
 
 Engines are chosen by reports that are up to 0.3 s old. Where old reports may lead to a wrong
-choice, the daemons of the engines compared are queried first. The wait is short: a late answer
-is used for the next choice, and its daemon isn't queried again for a while.
+choice, the daemons of the compared engines are queried first. The wait is short: a late answer
+serves later choices, and the daemon that sent it isn't queried again for a while.
 
 """
 
@@ -22,9 +22,9 @@
 from millfork_wire.peers import Peers
 from millforkd.proxy.peer_queries import PeerQueries
 
-# How long a request waits for loads at most.
+# The longest time that a caller's request waits for the answers to load queries.
 MAX_WAIT_S: Final = 0.02
-# After this time the next report has arrived, so an answer adds nothing.
+# The timeout of a query: by then the daemon's next report has arrived, so an answer adds nothing.
 ANSWER_TIMEOUT_S: Final = 0.15
 # How long a daemon isn't queried after it didn't answer within MAX_WAIT_S.
 SKIP_UNANSWERED_S: Final = 0.5
@@ -34,7 +34,7 @@
 
 class LoadQueries:
     """
-    Queries loads for one entry.
+    Queries the loads of engines for one entry.
 
     """
 
@@ -45,8 +45,8 @@
 
     async def refresh(self, servers: list[Server]) -> None:
         """
-        Update the loads of some engines where the choice may depend on them; returns once all
-        queries are answered, or after `MAX_WAIT_S`.
+        If the choice among these engines may depend on their current loads, query the loads and
+        update `servers` by the answers. Returns once all queries have ended, or after MAX_WAIT_S.
 
         """
         if not needs_fresh_loads(servers, self.env.monotonic(), self.server_table.entries()):
@@ -55,7 +55,7 @@
         for server in servers:
             if not server.daemon:
                 continue
-            connection = await self.queries.open_connection(server.daemon)
+            connection = await self.queries.get_open_connection(server.daemon)
             if connection is None:
                 continue
             tasks.append(await self.env.spawn(self._ask, server, connection))
--- a/packages/millforkd/millforkd/proxy/outcomes.py
+++ b/packages/millforkd/millforkd/proxy/outcomes.py
@@ -26,7 +26,7 @@
 
 class RequestOutcomes:
     """
-    Sends refusals and records outcomes.
+    Sends the entry's refusals, and logs and counts the outcomes of requests.
 
     """
 
@@ -92,13 +92,14 @@
 
 def status_of(refusal: Refusal) -> int:
     """
-    The HTTP status of a refusal; it promises 'not run' only if that is certain.
+    The HTTP status of a refusal. NOT_RUN_STATUS promises that the request has not run, so it is
+    used only if that is certain.
 
     """
     if refusal.reason in CLIENT_ERRORS:
         return refusal.http_status
     if refusal.reason is Reason.QUARANTINED:
-        # A caller retries after 'not run', but a quarantined request is never served.
+        # Callers retry after NOT_RUN_STATUS, but a request in quarantine is never served.
         return LOST_STATUS
     if refusal.verdict is Verdict.NOT_RUN:
         return NOT_RUN_STATUS
--- a/packages/millforkd/millforkd/proxy/peer_queries.py
+++ b/packages/millforkd/millforkd/proxy/peer_queries.py
@@ -2,9 +2,9 @@
 Queries to other processes, sent while a caller's request waits for the answer.
 
 The waits are short: a query doesn't wait for a new connection, an answer is given up after
-milliseconds, and a peer that didn't answer is not queried for a while. A connection on which
-nothing was received for long may be dead without a reset, while a new one would work: it is
-closed when a query on it times out.
+milliseconds, and a peer that didn't answer is not queried for a while. If a query times out on a
+connection that has received nothing for long, the connection is closed: it may be dead without
+a reset, while a new one would work.
 
 """
 
@@ -19,7 +19,8 @@
 from millfork_wire.peers import Peers
 from millforkd.sidecar.silent_peers import SKIP_SILENT_PEER_S, SilentPeers
 
-# A connection that received data within this time is kept: a single answer may be late.
+# A connection on which a query timed out is kept if it received data within this time: a single
+# answer may be late.
 MIN_SILENCE_S: Final = 1.0
 
 log = logger(Component.PROXY)
@@ -27,7 +28,8 @@
 
 class PeerQueries:
     """
-    Sends queries of one kind; `unanswered_event` counts those without an answer in the metrics.
+    Sends queries of one kind. Unanswered ones are counted in the metrics as `unanswered_event`;
+    silent peers are not queried for `skip_s` seconds.
 
     """
 
@@ -45,10 +47,10 @@
         # The peers to which a connection is being opened.
         self.connecting: set[str] = set()
 
-    async def open_connection(self, name: str) -> Connection | None:
+    async def get_open_connection(self, name: str) -> Connection | None:
         """
-        The open connection to a peer that answers. Without one, None is returned and a
-        connection is opened for later queries.
+        The open connection to a peer. None if there is none, in which case one is opened for later
+        queries, or if the peer was silent recently.
 
         """
         if self.silent.is_silent(name):
@@ -69,7 +71,8 @@
 
     async def connect(self, name: str) -> Connection | None:
         """
-        The connection to a peer, opened if there is none; None if that fails.
+        The connection to a peer, opened if there is none. None if that fails; the peer then counts
+        as silent.
 
         """
         try:
--- a/packages/millforkd/millforkd/proxy/request_sender.py
+++ b/packages/millforkd/millforkd/proxy/request_sender.py
@@ -23,12 +23,12 @@
 from millforkd.proxy.response_relay import ResponseRelay
 from millforkd.quarantine import Quarantine
 
-# Reserved at the end of the deadline, so that a refusal reaches the caller before it gives up.
+# Attempts end this long before the deadline, so that a refusal reaches the caller in time.
 REFUSAL_MARGIN_S: Final = 0.03
-# A version that a server refused isn't requested from it again for this long; its next report
-# arrives meanwhile.
+# A back end that refused a version isn't sent requests for that version for this long: the next
+# report of its daemon arrives meanwhile.
 REFUSED_VERSION_S: Final = 0.5
-# The reasons for which the back end, or the connection to it, may have failed.
+# The reasons of failed attempts that point to a failure of the back end or of the connection.
 CONNECTION_FAILURES: Final = frozenset(
     {Reason.UNREACHABLE, Reason.CONNECTION_LOST, Reason.TRUNCATED}
 )
@@ -36,8 +36,8 @@
 
 class NotSent(SendFailed):
     """
-    The reason for choosing a back end no longer applied once a connection to it was open, so
-    nothing was sent.
+    Nothing was sent: once the connection was open, the chosen back end could no longer serve the
+    request.
 
     """
 
@@ -47,7 +47,7 @@
 
 class RequestSender:
     """
-    Sends requests to back ends.
+    Makes single attempts to serve jobs at back ends.
 
     """
 
@@ -76,7 +76,7 @@
 
     async def send(self, job: Job, choice: Choice) -> FailedAttempt | None:
         """
-        Make one attempt; None if the caller has received its answer.
+        Make one attempt. Returns the failed attempt, or None if the caller has received an answer.
 
         """
         server = choice.server
@@ -84,13 +84,13 @@
         attempt = Attempt(choice, self.env.monotonic())
         attempt.begin()
         connection = None
-        keep_s = None
+        keep_alive_s = None
         try:
             async with curio.timeout_after(
                 job.remaining_s(self.env.monotonic()) - REFUSAL_MARGIN_S
             ):
                 connection = await pool.acquire(recently_used=not job.route.repeatable)
-                keep_s = await self._exchange(job, attempt, connection)
+                keep_alive_s = await self._exchange(job, attempt, connection)
             job.pending_servers = ()
             server.record_service_time(self.env.monotonic() - attempt.started_at)
             if connection.reusable:
@@ -99,24 +99,31 @@
         except NotSent as error:
             return FailedAttempt(error.reason, error.verdict, error.detail, sent=False)
         except SendFailed as error:
-            return self._failed(job, choice, error.reason, error.verdict, error.detail)
+            return self._record_failed(job, choice, error.reason, error.verdict, error.detail)
         except curio.TaskTimeout:
             verdict = Verdict.NOT_RUN if connection is None else Verdict.MAY_HAVE_RUN
-            return self._failed(job, choice, Reason.TIMED_OUT, verdict, 'the deadline has passed')
+            return self._record_failed(
+                job, choice, Reason.TIMED_OUT, verdict, 'the deadline has passed'
+            )
         finally:
             attempt.end()
             if connection is not None:
-                await pool.release(connection, keep_s)
+                await pool.release(connection, keep_alive_s)
 
-    def _failed(
+    def _record_failed(
         self, job: Job, choice: Choice, reason: Reason, verdict: Verdict, detail: str
     ) -> FailedAttempt:
+        """
+        Record a failed attempt in the job and, if a back end or the connection to it may have
+        failed, at the back ends.
+
+        """
         now = self.env.monotonic()
         for server in choice.servers:
             if server.instance not in job.tried:
                 job.tried.append(server.instance)
             silent = reason is Reason.TIMED_OUT and server.last_received_at < job.received_at
-            # An engine that changes its weights was ordered to interrupt running requests.
+            # An engine that changes its weights was told to interrupt its running requests.
             if (silent or reason in CONNECTION_FAILURES) and not server.changing:
                 server.record_failure(now)
         return FailedAttempt(reason, verdict, detail)
@@ -133,11 +140,11 @@
 
     def _check_version(self, engine: EngineSpec, version: int | None) -> None:
         """
-        Check the version again after connecting: that may take 0.4 s, and a request that is
-        sent too late can't be recalled from a slow link.
+        Check the version again once the connection is open: connecting may take 0.4 s, and a
+        request that is sent too late can't be recalled from a slow link.
 
-        :raises NotSent: if requests may no longer be sent to the version (None: the engine no
-            longer has a complete version).
+        :raises NotSent: if requests may no longer be sent to `version`, or if `version` is None,
+            as the engine no longer has a complete version.
 
         """
         oldest = self.admission.versions.oldest_usable(engine.model)
@@ -147,7 +154,8 @@
 
     def _check_open(self, choice: Choice) -> None:
         """
-        Check backpressure again: a back end may have signalled it while connecting.
+        Check backpressure again once the connection is open: a back end may have signalled it
+        meanwhile.
 
         :raises NotSent: if a back end has signalled that it takes no requests.
 
@@ -163,7 +171,7 @@
     ) -> float | None:
         """
         Send the request, read the answer and pass it on. Returns the keep-alive time of the
-        connection in seconds, None if the server named none.
+        connection in seconds: None if the back end announced none, 0 if it is about to be closed.
 
         :raises SendFailed: if the caller hasn't received a complete answer.
 
@@ -226,8 +234,8 @@
 
 def _path_segments(choice: Choice, engine: EngineSpec | None) -> tuple[PathSegment, ...]:
     """
-    The engines of a path and their layer ranges, as sent to its first engine; empty without a
-    path.
+    The two engines of a path and the range of layers that each computes, as sent to the first
+    engine; empty if the request is sent to a single back end.
 
     """
     path = choice.path
--- a/packages/millforkd/millforkd/proxy/response_monitor.py
+++ b/packages/millforkd/millforkd/proxy/response_monitor.py
@@ -13,14 +13,14 @@
 from millforkd.proxy.connections import SendFailed, ServerConnection
 from millforkd.proxy.job import Attempt, Job
 
-# How often a request that waits for its answer is checked.
+# The interval at which requests that wait for the heads of their answers are checked.
 HEAD_POLL_S: Final = 0.25
-# A server that sends this entry nothing for this long is considered lost: a loaded one sends data
-# many times within this period.
+# A back end that sends this entry nothing for this long is considered lost: a loaded one sends
+# data many times within this period.
 SILENT_SERVER_S: Final = 1.2
-# If a server answers requests of the same rank that were sent this much later, it has skipped this
-# request, or this request's connection is dead while others work: requests of one rank start in
-# order, and reading the longest prompt takes 0.2 s.
+# If a back end answers requests of equal urgency that were sent this much later than a waiting one,
+# it has skipped the waiting request, or that request's connection is dead while others work:
+# requests of one urgency start in order, and reading the longest prompt takes 0.2 s.
 REORDER_THRESHOLD_S: Final = 0.3
 
 
@@ -39,7 +39,7 @@
     ) -> None:
         """
         Wait for the head of an answer. A repeatable request is withdrawn from a back end that
-        won't start it soon.
+        won't start the request soon or is silent.
 
         :raises SendFailed: if no answer arrives, or a repeatable request is withdrawn.
 
@@ -58,7 +58,10 @@
 
     def check_engine(self, job: Job, attempt: Attempt, version: int | None) -> None:
         """
-        :raises SendFailed: if the back end won't start the request soon.
+        Check that the engines of an attempt can still start the request.
+
+        :raises SendFailed: if the version of the weights is about to end, or if an engine has
+            restarted or is changing its weights.
 
         """
         now = self.env.monotonic()
@@ -78,8 +81,10 @@
 
     def check_silence(self, job: Job, attempt: Attempt, connection: ServerConnection) -> None:
         """
-        :raises SendFailed: if the back end sent nothing for too long, or if it answers later
-            requests but sends nothing on this connection.
+        Check that neither the back end nor the connection of a request is silent.
+
+        :raises SendFailed: if the back end sent nothing for SILENT_SERVER_S, or if it answers
+            later requests but sent nothing on this connection for that long.
 
         """
         now = self.env.monotonic()
--- a/packages/millforkd/millforkd/proxy/response_relay.py
+++ b/packages/millforkd/millforkd/proxy/response_relay.py
@@ -16,10 +16,10 @@
 from millforkd.proxy.event_stream import EventSplitter, InvalidEventStream
 from millforkd.proxy.job import Attempt, HeldAnswer, Job
 
-# Answers up to this size are passed on only when complete.
+# Answers up to this size, apart from event streams, are passed on only when complete.
 MAX_BUFFERED_BYTES: Final = 64 * 1024
-# A resumable stream is given up after this long without data; its callers wait at least two
-# seconds.
+# A stream that another back end can resume is given up after this long without data; callers of
+# such streams wait at least two seconds.
 STREAM_STALL_S: Final = 1.2
 
 
@@ -56,7 +56,8 @@
 
     async def relay(self, job: Job, connection: ServerConnection) -> None:
         """
-        Pass an answer on: at once when complete if it is small, otherwise as it arrives.
+        Pass an answer on: one of up to MAX_BUFFERED_BYTES once it is complete, a larger one as it
+        arrives.
 
         """
         body = bytearray()
@@ -81,7 +82,11 @@
 
     async def stream(self, job: Job, attempt: Attempt, connection: ServerConnection) -> None:
         """
-        Pass complete events on as they arrive; a stream that has started before is resumed.
+        Pass the complete events of a stream on as they arrive. If the caller has received events
+        from another back end before, the stream must continue after the last of those.
+
+        :raises SendFailed: if the stream stalls, breaks off, is malformed or continues with
+            another event.
 
         """
         splitter = EventSplitter()
@@ -135,9 +140,9 @@
 
 def _check_resumed(job: Job, splitter: EventSplitter) -> None:
     """
-    Check that a resumed stream continues with the next event.
+    Check that a resumed stream continues with the event after the last one passed on.
 
-    :raises SendFailed: if it doesn't.
+    :raises SendFailed: if the stream continues with another event.
 
     """
     if job.last_event is None or splitter.first_id == job.last_event + 1:
--- a/packages/millforkd/millforkd/proxy/suspicion_reporter.py
+++ b/packages/millforkd/millforkd/proxy/suspicion_reporter.py
@@ -1,5 +1,5 @@
 """
-Reports suspicions to replicas: which requests may end back ends.
+Reports suspicions to a replica: which requests may crash the back ends that run them.
 
 """
 
@@ -16,9 +16,9 @@
 from millfork_wire.messages import Done, SuspicionReport
 from millfork_wire.peers import Peers
 
-# Like a load report, a suspicion report may cross two regions.
+# The timeout of a suspicion report, which may cross two regions, like a load report.
 REPORT_TIMEOUT_S: Final = 0.3
-# The pause before a report that wasn't accepted is repeated.
+# The pause before a report that wasn't accepted is sent again.
 RETRY_S: Final = 0.15
 
 log = logger(Component.PROXY)
@@ -44,7 +44,7 @@
 
     async def run(self) -> None:
         """
-        The task that sends reports, and repeats each one until it is accepted.
+        The task that sends reports, each one again until it is accepted.
 
         """
         while True:
@@ -54,6 +54,10 @@
                 await curio.sleep(RETRY_S)
 
     async def _report(self) -> bool:
+        """
+        Report all unsent suspicions; False if the report wasn't accepted.
+
+        """
         reported = dict(self.suspicion_store.unsent)
         name = self.feed_client.report_target
         if not name:
--- a/packages/millforkd/millforkd/proxy/turned_away_directory.py
+++ b/packages/millforkd/millforkd/proxy/turned_away_directory.py
@@ -1,10 +1,11 @@
 """
 A directory of requests that were turned away, distributed over the entries of a zone.
 
-Callers that were turned away retry at any entry of their zone. Each such request is recorded at
-its owner: one of the few entries that all entries of the zone know of, chosen by fingerprint.
-Recording doesn't wait, and the owner is queried only where its answer decides whether the
-request is sent. A request without an answer in time counts as a first try.
+Callers that were turned away retry at any entry of their zone. Each request that was turned away
+is recorded at its owner: one of the few entries that all entries of the zone know of, chosen by
+the request's fingerprint. Recording doesn't wait, and the owner is queried only where its answer
+decides whether a request is sent. If the answer doesn't arrive in time, the request counts as a
+first try.
 
 """
 
@@ -27,9 +28,11 @@
 from millforkd.proxy.job import Job
 from millforkd.proxy.peer_queries import PeerQueries
 
-# A round trip within a zone takes 1 ms to 3 ms. This is a twentieth of the shortest targets.
+# The timeout of a query to an owner. A round trip within a zone takes 1 ms to 3 ms, and this is a
+# twentieth of the shortest targets for the first token.
 ASK_TIMEOUT_S: Final = 0.02
-# Enough bytes of a fingerprint to distinguish the requests of some seconds.
+# The bytes of a fingerprint by which the directory identifies a request: enough to distinguish
+# the requests of several seconds.
 FINGERPRINT_PREFIX_BYTES: Final = 8
 
 log = logger(Component.PROXY)
@@ -57,7 +60,7 @@
 
     async def record(self, job: Job) -> None:
         """
-        Record that a job was turned away; returns at once.
+        Record at its owner that a job was turned away; doesn't wait for another entry.
 
         """
         now = self.env.monotonic()
@@ -82,14 +85,15 @@
 
     def on_note(self, message: NoteTurnedAway) -> None:
         """
-        Record a request that an entry of this zone turned away.
+        Record, as its owner, a request that an entry of this zone turned away.
 
         """
         self.requests.record(message.fingerprint, message.elapsed_ms, self.env.monotonic())
 
     def on_ask(self, message: AskTurnedAway) -> TurnedAwayBefore:
         """
-        Answer another entry's query for a request.
+        Answer another entry's query, as the owner of a request: whether the request was turned
+        away recently, and how long ago it was first tried.
 
         """
         elapsed_ms = self.requests.elapsed_ms(message.fingerprint, self.env.monotonic())
@@ -100,7 +104,8 @@
 
     def _owner_of(self, fingerprint: bytes) -> str:
         """
-        The entry that records a request; all entries of a zone choose the same one.
+        The entry that records a request: the same for all entries of the zone, except for those
+        that found it silent recently. This entry, if no other is left.
 
         """
         zone = str(self.env.zone)
@@ -113,7 +118,7 @@
         return max(names, key=lambda name: rank(key, name), default=str(self.env.instance))
 
     async def _ask(self, owner: str, message: AskTurnedAway) -> int:
-        connection = await self.queries.open_connection(owner)
+        connection = await self.queries.get_open_connection(owner)
         if connection is None:
             return 0
         reply = await self.queries.ask(owner, connection, message, ASK_TIMEOUT_S)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -20,32 +20,32 @@
 TARGET_MS = 400
 
 
-def admission():
+def new_admission():
     env = Environment(InstanceId('a:1'), ZoneId('z1'))
     return Admission(env, VersionTracker(env, View(), 8000))
 
 
-def job_of(admitting, elapsed_ms=0, engine=ENGINE):
+def job_of(admission, elapsed_ms=0, engine=ENGINE):
     return SimpleNamespace(
         caller=SimpleNamespace(request_id='id'),
         requirements=Requirements(ServiceName('s'), engine),
         elapsed_ms=elapsed_ms,
-        received_at=admitting.env.monotonic(),
+        received_at=admission.env.monotonic(),
         route=SimpleNamespace(target_ms=TARGET_MS),
     )
 
 
-def choice_of(admitting, expected_ms, running):
+def choice_of(admission, expected_ms, running):
     server = Server(InstanceId('i-1'), ServiceName('s'), '10.0.0.1', 80, ZoneId('z1'), 16)
     server.own_requests = server.own_at_report = server.reported = running
-    server.reported_at = admitting.env.monotonic()
+    server.reported_at = admission.env.monotonic()
     return Choice(server, expected_ms, expected_ms)
 
 
 def retry_after_ms(expected_ms, elapsed_ms=0, engine=ENGINE, running=16):
-    admitting = admission()
-    job = job_of(admitting, elapsed_ms, engine)
-    return admitting.retry_after_ms(job, choice_of(admitting, expected_ms, running))
+    admission = new_admission()
+    job = job_of(admission, elapsed_ms, engine)
+    return admission.retry_after_ms(job, choice_of(admission, expected_ms, running))
 
 
 @pytest.mark.parametrize(('expected_ms', 'admitted'), [(100, True), (290, True), (320, False)])
@@ -62,9 +62,9 @@
     ('is_undecided', 'expected_ms', 'running', 'depends'),
     [
         (True, 100, 14, True),
-        # The deadline of the request has decided already.
+        # The deadline of the request shows already whether it is a first try.
         (False, 100, 14, False),
-        # The request is sent, or refused, in either case.
+        # The request is sent, or refused, whether or not it is a first try.
         (True, 100, 3, False),
         (True, 5000, 14, False),
     ],
@@ -72,11 +72,11 @@
 def test_other_entries_are_queried_only_if_the_answer_decides(
     is_undecided, expected_ms, running, depends
 ):
-    admitting = admission()
-    job = job_of(admitting)
+    admission = new_admission()
+    job = job_of(admission)
     job.needs_first_try_lookup = is_undecided
     assert (
-        admitting.depends_on_first_try(job, choice_of(admitting, expected_ms, running)) == depends
+        admission.depends_on_first_try(job, choice_of(admission, expected_ms, running)) == depends
     )
 
 
--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -1,6 +1,8 @@
 """
 Entries as caches of pieces: which caches are advertised, and which of them use the origin.
 
+The cache that is to fetch a piece from the origin is called the assigned cache of the piece.
+
 """
 
 import hashlib
@@ -40,7 +42,7 @@
 
 class FakeOrigin:
     """
-    Records the fetches; returns nothing for the first `corrupt_count` of them.
+    Records which pieces are fetched; the first `corrupt_count` fetches return no valid piece.
 
     """
 
@@ -102,8 +104,8 @@
 
 def cache_and_assigned_cache():
     """
-    A cache, and the cache of another zone that fetches from the origin for it. Each has
-    an origin of its own that records fetches, and prefetches nothing.
+    A cache in zone z2, and the assigned cache of all pieces in zone z1. Each has a fake origin
+    of its own, and neither prefetches pieces of version 2.
 
     """
     caches = [CacheAddress('10.0.0.1:1', 'z1'), CacheAddress('10.0.0.2:1', 'z2')]
@@ -157,9 +159,9 @@
 
 def test_digests_are_fetched_from_the_origin_once_for_all_caches():
     """
-    Guards against a list of digests that every entry fetches from the origin. With 98 entries
-    doing so, 60 of the 96 pieces of a version were fetched in 2.5 s, where the origin's link
-    can carry 92.
+    Guards against every entry fetching the list of digests from the origin. When 98 entries did
+    so, 60 of the 96 pieces of a version were fetched in 2.5 s, where the origin's link can carry
+    92.
 
     """
 
@@ -236,7 +238,7 @@
         peers.silent = True
         cache = cache_at('10.0.0.2:1', 'z2', origin, peers, caches)
         assert (await cache.on_get_chunk(GetChunk('m@2', 3))).data == PIECES[3]
-        # One unanswered request for digests is enough.
+        # One unanswered request for digests is enough to skip the assigned cache.
         assert peers.queried[0] == ('10.0.0.1:1', DIGESTS_REQUEST)
 
     curio.run(run)
@@ -269,11 +271,11 @@
     async def run():
         cache, assigned = cache_and_assigned_cache()
         answer_allowed = curio.Event()
-        real = assigned.origin.fetch_piece
+        original_fetch = assigned.origin.fetch_piece
 
         async def fetch_piece(held, index):
             await answer_allowed.wait()
-            return await real(held, index)
+            return await original_fetch(held, index)
 
         assigned.origin.fetch_piece = fetch_piece
         for _ in range(caching.MAX_NOT_YET_ANSWERS - 1):
@@ -310,24 +312,24 @@
 def test_an_assigned_cache_is_waited_for_while_its_origin_sends_other_pieces(monkeypatch):
     """
     Guards against all entries fetching the same piece from a busy origin. Two versions were
-    requested from an origin that sends one in 4.4 s. The assigned caches answered 'not yet'
-    for 3 s for a piece of the second, then all entries fetched it as well: requests timed
-    out after 1.0 s at six of nine entries within 0.3 s, 4.6 copies were sent, and the first
-    engine had the whole version 12.8 s after the origin was back.
+    requested from an origin that sends one version in 4.4 s. For 3 s the assigned caches answered
+    'not yet' to requests for a piece of the second version. Then all entries fetched that piece
+    as well: requests of six of nine entries timed out after 1.0 s, all within 0.3 s, the origin
+    sent 4.6 copies, and the first engine had the whole version 12.8 s after the origin was back.
 
     """
     monkeypatch.setattr(caching, 'ANSWER_WITHIN_S', 0.02)
 
     async def run():
         cache, assigned = cache_and_assigned_cache()
-        real = assigned.origin.fetch_piece
+        original_fetch = assigned.origin.fetch_piece
         # Two assigned caches share the origin's rate: four pieces of eight bytes a second each.
         assigned.origin.bytes_per_s = cache.origin.bytes_per_s = 64.0
 
         async def fetch_piece(held, index):
             if index == 3:
                 await curio.sleep(30)
-            return await real(held, index)
+            return await original_fetch(held, index)
 
         assigned.origin.fetch_piece = fetch_piece
         for number in range(caching.MAX_NOT_YET_ANSWERS * 3):
@@ -416,11 +418,11 @@
         origin, peers = FakeOrigin(), FakePeers()
         cache = cache_at('10.0.0.1:1', 'z1', origin, peers, caches)
         hanging = curio.Event()
-        real = origin.fetch_piece
+        original_fetch = origin.fetch_piece
 
         async def fetch_piece(held, index):
             await hanging.wait()
-            return await real(held, index)
+            return await original_fetch(held, index)
 
         origin.fetch_piece = fetch_piece
         async with curio.timeout_after(2):
@@ -440,11 +442,11 @@
         caches = [CacheAddress('10.0.0.1:1', 'z1')]
         origin, peers = FakeOrigin(), FakePeers()
         cache = cache_at('10.0.0.1:1', 'z1', origin, peers, caches)
-        real = origin.fetch_digests
+        original_fetch = origin.fetch_digests
 
         async def fetch_digests(held):
             await curio.sleep(0.9)
-            return await real(held)
+            return await original_fetch(held)
 
         async def fetch_piece(held, index):
             await curio.sleep(30)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -2,12 +2,13 @@
 A request that crashes every back end that runs it, and whose callers send it again to any entry
 with another id.
 
-The entries didn't recognise the repeated request, so each call ended as many back ends as its
-route allows attempts. On a fleet of six engines one such request ended ten engines within 14 s,
-another 14 within 10 s, and with each end the answers of up to 17 other callers broke off.
+The entries didn't recognise the repeated request, so each call crashed as many back ends as its
+route allows attempts. On a fleet of six engines one such request crashed engines ten times within
+14 s, another one 14 times within 10 s, and with each crash the answers of up to 17 other callers
+broke off.
 
-Once such a request has ended three back ends and all entries have had time to learn of it, it
-may be sent at most three more times.
+Once such a request has crashed three back ends and all entries have had time to learn of that,
+the request may be sent at most three more times.
 
 """
 
@@ -26,9 +27,10 @@
 TRIES = 8
 ENDS_BEFORE_QUARANTINE = 3
 MAX_FURTHER_ENDS = 3
-# All entries must have learned of the ends within this time.
+# All entries must have learned of the crashes within this time.
 KNOWN_TO_ALL_AFTER_S = 3.0
-# An entry that has just started may retry one request in 25.
+# Requests that an entry must have served before it may retry one: an entry that has just started
+# may retry one request in 25.
 REQUESTS_BEFORE_RETRY = 40
 
 
@@ -55,8 +57,9 @@
 
 def send_until(fleet, condition):
     """
-    Send the request to the entries in turn until `condition` is true. An entry doesn't count an
-    end before it learns of it, so this may take one end more than three.
+    Send the crashing request to the entries in turn until `condition` is true. An entry counts a
+    crash seen by the other entry only once it learns of the crash, so the condition may need one
+    crash more than three.
 
     """
     entries = itertools.cycle((0, 1))
@@ -103,8 +106,8 @@
 
 def test_another_request_interrupted_by_the_end_is_served(fleet):
     """
-    A request that was running on a back end when it ended, without being the cause, is sent to
-    another back end and answered.
+    A request that ran on a back end when the back end crashed, without being the cause, is sent
+    to another back end and answered.
 
     """
     for _ in range(REQUESTS_BEFORE_RETRY):
@@ -128,7 +131,8 @@
 
 def test_ends_are_remembered_when_all_replicas_restart(fleet):
     """
-    One entry knows of the ends when all replicas lose what they hold in memory.
+    All replicas lose what they hold in memory, and so does one of two entries. The other entry
+    still knows of the crashes, and both count them.
 
     """
     assert fleet.send_request(crashing_request()).status in (502, 503)
@@ -149,7 +153,7 @@
 
 def has_received_suspicions(fleet, known):
     """
-    Whether the restarted entry has received the suspicions that the other entry knows.
+    Whether the restarted entry has received a suspicion with the `known` number of ends.
 
     """
     received = re.findall(r'Suspicions received.* most_ends=(\d+)', fleet.log(fleet.entry_hosts[1]))
--- a/tests/test_ends_after_their_callers_left.py
+++ b/tests/test_ends_after_their_callers_left.py
@@ -1,8 +1,8 @@
 """
 A request that crashes the back ends that run it, and whose callers leave before the crash.
 
-An end was counted only if it interrupted an answer to a caller. Callers that left after 0.1 s
-and retried a request that ends its back end after 0.2 s ended one back end with each call.
+A crash was counted only if it interrupted an answer to a caller. Callers that left after 0.1 s
+and retried a request that crashes its back end after 0.2 s crashed one back end with each call.
 """
 
 import itertools
@@ -22,9 +22,9 @@
 CRASH_DELAY_S = 0.2
 CALLER_TIMEOUT_S = 0.1
 OTHER_REQUESTS_PER_S = 100
-# The load thread stops after about this many loads of 1 s, even if the test hangs.
+# The thread that sends other requests stops after about this many seconds, even if the test hangs.
 MAX_LOADS = 30
-# One of two entries may send the request before the other's report of the third end arrives.
+# One of two entries may send the request before the other's report of the third crash arrives.
 MAX_CONCURRENT_ENDS = 1
 
 
@@ -47,7 +47,7 @@
 
 def call_and_leave(fleet, entry):
     """
-    Make one call whose caller leaves, unless the answer arrives earlier.
+    Send the crashing request; the caller leaves after CALLER_TIMEOUT_S without an answer.
 
     """
     sent = request('/safe/x', 'POST', body=CRASHING_BODY)
@@ -69,7 +69,7 @@
 @pytest.mark.parametrize('busy', [False, True])
 def test_ends_are_counted_after_their_callers_left(fleet, busy):
     """
-    Busy back ends answer other requests after the caller left and before they end.
+    Busy back ends answer other requests between the time the caller leaves and their crash.
 
     """
     stop_event = threading.Event()
--- a/tests/test_ends_of_silent_back_ends.py
+++ b/tests/test_ends_of_silent_back_ends.py
@@ -1,11 +1,11 @@
 """
-Ends of back ends whose instances lose power while they run a request.
+Back ends whose instances lose power while they run a request.
 
-Such an instance closes no connections and its address is silent. Back ends were probed only when
-an answer broke off, and only a refused connection counted as an end, so a request that ended one
-back end after another was never counted. A network partition looks the same, but after it the
-back end answers again; after a loss of power it refuses connections once its instance is back,
-or returns as another incarnation.
+An instance without power closes no connections, and its address is silent. Back ends were probed
+only when an answer broke off, and only a refused connection counted as an end, so requests that
+ended one back end after another in this way were never suspected. A network partition looks the
+same at first. After a partition the back end answers again; after a loss of power its address
+refuses connections once the instance is back, or the back end returns as another incarnation.
 
 """
 
@@ -31,8 +31,8 @@
 
 def count_ends(probe_results, before_last_probe=None):
     """
-    The ends counted for a request whose answer broke off at a back end, where probes of its
-    address have these results; the last result repeats.
+    The number of ends counted for a request whose answer broke off at a back end. Probes of the
+    back end's address have these results in turn; the last one repeats.
 
     """
 
@@ -56,7 +56,7 @@
                     await curio.sleep(0.001)
         except curio.TaskTimeout:
             pass
-        # Leaves time for the next probe, which may record an end.
+        # Leaves time for the next probe, by which an end may be recorded.
         await curio.sleep(0.05)
         return suspicion_store.get(FINGERPRINT).ends
 
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -1,5 +1,5 @@
 """
-Requests that are not sent after connecting, or given up while they wait for an answer.
+Requests that are not sent once a connection is open, or are given up while they wait for an answer.
 
 """
 
@@ -33,21 +33,21 @@
 
 class WaitingRequest:
     """
-    A request that an entry has sent and that waits for an answer of its back end.
+    A request that an entry has sent to a back end and that waits for the answer.
 
     """
 
     def __init__(self, urgency=5):
         self.clock = Clock()
         env = Environment(InstanceId('a:1'), ZoneId('z1'), monotonic=self.clock)
-        self.waiting = ResponseMonitor(env, None)
+        self.monitor = ResponseMonitor(env, None)
         self.server = Server(InstanceId('i-1'), ServiceName('s'), '10.0.0.1', 80, ZoneId('z1'), 16)
         self.job = SimpleNamespace(urgency=urgency)
         self.attempt = Attempt(Choice(self.server), self.clock.now)
         self.connection = SimpleNamespace(lost=False)
 
     def check(self):
-        self.waiting.check_silence(self.job, self.attempt, self.connection)
+        self.monitor.check_silence(self.job, self.attempt, self.connection)
 
     def answer_other(self, sent_later_s, urgency=5):
         """
@@ -125,19 +125,27 @@
         admission = SimpleNamespace(
             versions=versions,
             table=None,
-            with_current_versions=lambda wanted, last_send: wanted,
+            with_current_versions=lambda requirements, last_send: requirements,
             retry_after_ms=lambda job, choice: 0,
             depends_on_first_try=lambda job, choice: False,
         )
-        adapter = SimpleNamespace(back_end_headers=lambda request, orders: [])
+        adapter = SimpleNamespace(back_end_headers=lambda request, options: [])
         server_table = ServerTable(ZoneId('z1'), Random(1), self.clock)
         server_table.choose = self.choose
-        loads = SimpleNamespace(refresh=self.refresh)
+        load_queries = SimpleNamespace(refresh=self.refresh)
         pools = SimpleNamespace(pool_of=self.pool_of)
         fingerprints = Fingerprints(b'key', lambda: 'cluster')
         quarantine = Quarantine(SuspicionStore(self.clock), View(), fingerprints)
         self.forwarding = Forwarding(
-            env, adapter, admission, server_table, pools, self.budget, quarantine, None, loads
+            env,
+            adapter,
+            admission,
+            server_table,
+            pools,
+            self.budget,
+            quarantine,
+            None,
+            load_queries,
         )
         route = SimpleNamespace(repeatable=False, max_attempts=2)
         exchange = SimpleNamespace(
@@ -160,7 +168,7 @@
     async def refresh(self, servers):
         pass
 
-    def choose(self, wanted, tried, compared):
+    def choose(self, requirements, tried, candidates):
         return Choice(self.servers.pop(0)) if self.servers else None
 
     def pool_of(self, server):
@@ -184,7 +192,7 @@
         pass
 
     def run(self):
-        return curio.run(self.forwarding._attempt, self.job)
+        return curio.run(self.forwarding._send_until_answered, self.job)
 
     @property
     def spent(self):
@@ -193,10 +201,9 @@
 
 def test_nothing_is_sent_to_a_version_that_ends_while_connecting():
     """
-    Opening a connection to the chosen engine may take 0.4 s. Requests for the chosen version
-    were then sent within the last 0.9 s of that version, which are reserved for requests that
-    are already on their way. As nothing was sent to the first engine, sending to the next one
-    isn't a repeat.
+    Guards against requests that are sent within the last 0.9 s of a version, which are reserved
+    for requests already on their way: opening a connection to the chosen engine may take 0.4 s.
+    As nothing was sent to the first engine, sending to the next one doesn't count as a retry.
 
     """
     scenario = EndingVersion(1, 2)
@@ -242,12 +249,12 @@
 def test_nothing_is_sent_to_a_back_end_that_names_a_limit_while_connecting():
     scenario = EndingVersion(2, 2)
 
-    def name_limit(server):
+    def signal_limit(server):
         if server.instance == 'i-0':
             now = scenario.clock.now
             server.availability.apply_answer(Backpressure(0.1), now, now)
 
-    scenario.on_connect = name_limit
+    scenario.on_connect = signal_limit
     scenario.run()
     assert scenario.sent == ['i-1']
     assert [failed.reason for failed in scenario.job.failures][0] is Reason.LIMITED
--- a/tests/test_late_closing_back_ends.py
+++ b/tests/test_late_closing_back_ends.py
@@ -2,8 +2,9 @@
 A request that crashes the back ends that run it, where the listening socket closes later than
 the connections, as happens while the kernel tears down a large process.
 
-An entry probed the address twice within some 20 ms, concluded from an answer that the back end
-was still alive, and did not probe again. No end was counted, and the request was sent to others.
+An entry probed the address twice within about 20 ms, took an accepted connection as proof that
+the back end was alive, and did not probe again. No crash was counted, and the request was sent to
+further back ends.
 """
 
 import pytest
@@ -20,7 +21,7 @@
 
 BACK_ENDS = 24
 CALLS = 20
-# One of two entries may send the request before the other's report of the third end arrives.
+# One of two entries may send the request before the other's report of the third crash arrives.
 MAX_CONCURRENT_ENDS = 1
 
 
--- a/tests/test_proxy_connections.py
+++ b/tests/test_proxy_connections.py
@@ -45,7 +45,8 @@
 
 async def pool_with_sent_request(listener):
     """
-    A pool, a connection of it that a request was sent on, and the server's socket.
+    A pool, one of its connections on which a request was sent, and the server's socket of that
+    connection.
 
     """
     pool = pool_to(listener)
@@ -120,7 +121,7 @@
             await lost.read_head()
         await pool.release(lost, None)
         assert not pool.idle
-        assert pool.open == 0
+        assert pool.open_count == 0
 
     with Listener() as listener:
         curio.run(run, listener)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,5 +1,6 @@
 """
-Suspicions of requests that ended back ends, the entries' quarantine, and its replicated list.
+Suspicions of requests that crashed back ends, the quarantine of an entry, and the replicated list
+of requests in quarantine.
 
 """
 
@@ -119,7 +120,7 @@
 def test_processes_agree_once_they_have_exchanged_all_suspicions(steps):
     """
     Three processes record ends and complete answers, and send each other their suspicions in
-    any order and repeatedly. A process that receives older knowledge sends back its own.
+    any order and repeatedly. A process that receives an older suspicion sends back its newer one.
 
     """
 
@@ -147,7 +148,7 @@
 
 class Entry:
     """
-    An entry's quarantine, and one job of the entry.
+    The suspicions and the quarantine of one entry, and a job of the entry.
 
     """
 
@@ -166,11 +167,11 @@
             exchange=SimpleNamespace(request=request),
         )
 
-    async def end(self):
+    async def record_end(self):
         await self.suspicion_store.record(self.quarantine.suspicion_of(self.job).with_end())
 
 
-def list_of(entry, clock, leads=lambda: True):
+def quarantine_list_of(entry, clock, leads=lambda: True):
     machine = StateMachine(entry.view)
 
     async def propose(command, timeout_s):
@@ -185,12 +186,12 @@
 def test_a_request_is_blocked_after_its_third_end_and_by_the_list_alone():
     async def run():
         entry = Entry()
-        listing = list_of(entry, Clock())
+        quarantine_list = quarantine_list_of(entry, Clock())
         for _ in range(MIN_ENDS_AT_FAULT):
             assert not entry.quarantine.blocking_level(entry.job)
-            await entry.end()
+            await entry.record_end()
         assert entry.quarantine.blocking_level(entry.job)
-        await listing.reconcile()
+        await quarantine_list.reconcile()
         # As after a loss of power: suspicions are lost, the replicated state is not.
         entry.suspicion_store.table.remove(entry.job.fingerprint)
         assert entry.quarantine.blocking_level(entry.job)
@@ -201,13 +202,13 @@
 def test_a_complete_answer_removes_a_request_from_the_list():
     async def run():
         entry = Entry()
-        listing = list_of(entry, Clock())
+        quarantine_list = quarantine_list_of(entry, Clock())
         for _ in range(MIN_ENDS_AT_FAULT):
-            await entry.end()
-        await listing.reconcile()
+            await entry.record_end()
+        await quarantine_list.reconcile()
         await entry.quarantine.clear_suspicion(entry.job)
         assert not entry.quarantine.blocking_level(entry.job)
-        await listing.reconcile()
+        await quarantine_list.reconcile()
         assert entry.view.items == {}
 
     curio.run(run)
@@ -216,17 +217,17 @@
 def test_the_list_is_bounded_in_age_and_number():
     async def run():
         entry, clock = Entry(), Clock()
-        listing = list_of(entry, clock)
+        quarantine_list = quarantine_list_of(entry, clock)
         for number in range(MAX_LISTED + 3):
             clock.now += 0.001
             await entry.suspicion_store.record(
                 Suspicion(Fingerprint(f'{number}'), 0, MIN_ENDS_AT_FAULT)
             )
-            await listing.reconcile()
+            await quarantine_list.reconcile()
             entry.suspicion_store.table.remove(f'{number}')
         assert len(entry.view.items) == MAX_LISTED
         clock.now += LISTED_MAX_AGE_MS / 1000 + 1
-        await listing.reconcile()
+        await quarantine_list.reconcile()
         assert entry.view.items == {}
 
     curio.run(run)
@@ -240,16 +241,16 @@
 
 def ends_after_broken_answer(port):
     """
-    The ends counted for a request whose answer broke off at a back end with this port.
+    The number of ends counted for a request whose answer broke off at a back end with this port.
 
     """
 
     async def run():
         env = Environment(InstanceId('a:1'), ZoneId('z1'))
         suspicion_store = SuspicionStore(env.monotonic)
-        ends = EndDetector(env, suspicion_store)
+        end_detector = EndDetector(env, suspicion_store)
         server = Server(InstanceId('i-1'), ServiceName('s'), '127.0.0.1', port, ZoneId('z1'), 16)
-        await ends.record_broken_connection(server, Suspicion(FINGERPRINT))
+        await end_detector.record_broken_connection(server, Suspicion(FINGERPRINT))
         return suspicion_store.get(FINGERPRINT).ends
 
     return curio.run(run)
--- a/tests/test_requests_that_crash_instances.py
+++ b/tests/test_requests_that_crash_instances.py
@@ -1,8 +1,9 @@
 """
 A request that crashes whole instances: the endpoint daemon together with the engine.
 
-The endpoint that would report the end of its engine has ended too. If an entry doesn't count a
-lost connection to an endpoint as an end, it sends the request to one instance after another.
+The endpoint daemon that would report the crash of its engine has crashed too. An entry that
+doesn't count the lost connection to the daemon as a crash sends the request to one instance after
+another.
 """
 
 import threading
@@ -57,7 +58,7 @@
     caller.join()
     if instance is None:
         return False
-    # Logs another execution, so that this instance no longer counts as running the request.
+    # `restart` logs another line, so that this instance no longer counts as running the request.
     wait_until(
         lambda: running_instance(crashing, nonce) is not instance or restart(crashing, instance)
     )
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -1,5 +1,5 @@
 """
-Pieces of weights: assignment to daemons, choice of holders, digests, transfer times.
+Pieces of weights: assignment to daemons, choice of daemons that hold them, digests, transfer times.
 
 """
 
--- a/tests/test_turned_away_directory.py
+++ b/tests/test_turned_away_directory.py
@@ -25,7 +25,8 @@
 
 class Zone:
     """
-    Entries that reach each other without delay, except for unreachable ones.
+    Entries of zone z1 that reach each other without delay, except for `unreachable` and `slow`
+    ones. All of them know the first `owners` entries, and one entry of another zone.
 
     """
 
@@ -77,7 +78,7 @@
         async def run():
             entry = self.entries[name]
             await entry.record(job)
-            # A task sends the record.
+            # Lets the task run that sends the record to its owner.
             await curio.sleep(0)
             await curio.sleep(0)
 
