--- a/packages/millforkd/millforkd/proxy/admission.py
+++ b/packages/millforkd/millforkd/proxy/admission.py
@@ -1,6 +1,6 @@
 """
 Admits requests: finds the route, organisation, service and deadline of each request, and decides
-whether it is worth sending to the chosen back end.
+whether the request is worth sending to the chosen back end.
 
 """
 
@@ -32,9 +32,9 @@
 # A request with less time than this until its deadline is refused: its answer would not reach
 # the caller in time.
 MIN_REMAINING_MS: Final = 20
-# How long requests wait at most while an entry starts. It receives its first document and leases
-# after 0.5 s to 0.8 s, the time that replicas that start together need to discover each other.
-# Refused callers would all return at once, and each retries only once.
+# How long after its start an entry lets requests wait. A starting entry receives its first document
+# and leases after 0.5 s to 0.8 s, the time that replicas that start together need to discover each
+# other. Refused callers would all return at once, and each retries only once.
 STARTUP_WAIT_S: Final = 1.0
 # The largest share of a caller's deadline for which a request waits while the entry starts.
 STARTUP_WAIT_SHARE: Final = 0.25
@@ -63,8 +63,8 @@
 
     async def wait_until_ready(self, caller: CallerRequest) -> None:
         """
-        While the entry is starting, wait until it has a document and back ends. Returns without
-        them after STARTUP_WAIT_S, or after STARTUP_WAIT_SHARE of the caller's deadline.
+        Wait until the entry has a document and back ends, but not longer than STARTUP_WAIT_S
+        after its start, and not longer than STARTUP_WAIT_SHARE of the caller's deadline.
 
         """
         if self.ready_event.is_set():
--- a/packages/millforkd/millforkd/proxy/cache.py
+++ b/packages/millforkd/millforkd/proxy/cache.py
@@ -56,13 +56,13 @@
 NOT_YET: Final = 'not yet'
 ORIGIN_FAILS: Final = 'the origin does not answer'
 OTHERS_FIRST: Final = 'the origin sends other pieces first'
-# The origin, not the fetcher, counts as the bottleneck if the origin's rate is divided equally
-# among its fetchers and this one received at least this share of its part within RATE_WINDOW_S.
-# A fetcher on a slowed instance receives less.
+# The origin, not the fetcher, counts as the bottleneck if the fetcher received at least this share
+# of its equal part of the origin's rate (the rate divided by the number of fetchers) within
+# RATE_WINDOW_S. A fetcher on a slowed instance receives less.
 MIN_RATE_SHARE: Final = 0.25
 RATE_WINDOW_S: Final = 1.0
 # After this many answers 'not yet' (half a second each) the fetcher of a piece counts as too slow,
-# as a slowed instance needs five times as long as others, and this cache uses the origin itself.
+# as a slowed instance needs five times as long as others, and this cache fetches from the origin.
 # Until then a second fetch of the piece would only slow down the origin.
 MAX_NOT_YET_ANSWERS: Final = 6
 
@@ -144,10 +144,10 @@
 
     def _is_limited_by_origin(self) -> bool:
         """
-        Whether the bottleneck is the origin rather than this fetcher. Other caches must not fetch
-        the piece from the origin as well then. When they did, the origin sent 4.6 copies of the
-        weights instead of two, and the first engine had all pieces only 12.8 s after the origin's
-        outage, although the origin sends one copy in 4.4 s.
+        Whether the bottleneck is the origin rather than this fetcher. If so, other caches must
+        not fetch the same pieces from the origin as well. When they did, the origin sent 4.6
+        copies of the weights instead of two, and the first engine had all pieces only 12.8 s
+        after the origin's outage, although the origin sends one copy in 4.4 s.
 
         """
         spec = self.origin.current_spec()
@@ -243,9 +243,9 @@
     async def _fetch_from_cache(self, held: PieceSet, index: int) -> bool:
         """
         Request a piece, or the digests, from the fetcher, or from the next one if the fetcher is
-        silent. False if this cache has to use the origin: it is the fetcher itself, or the
-        fetcher was too slow or sent invalid data. True otherwise, also if nothing was received
-        because the fetcher doesn't have the piece yet.
+        silent. False if this cache has to fetch from the origin: because this cache is the
+        fetcher, or the fetcher was too slow or sent invalid data. True otherwise, also if nothing
+        was received because the fetcher doesn't have the piece yet.
 
         """
         key = (held.weights, index)
@@ -365,8 +365,8 @@
 
 def prefetch_order(piece_count: int) -> list[int]:
     """
-    The indexes of all pieces, alternating between the two halves of the layers: an engine without
-    weights fetches one half first, and engines of both halves are to be served at once.
+    The indexes of all pieces, alternating between the two halves of the layers. An engine without
+    weights fetches one half first; with this order, engines of both halves are served at once.
 
     """
     half = -(-piece_count // 2)
--- a/packages/millforkd/millforkd/proxy/connections.py
+++ b/packages/millforkd/millforkd/proxy/connections.py
@@ -58,6 +58,7 @@
     def __init__(self, sock: Any) -> None:
         self.sock = sock
         self.http = h11.Connection(h11.CLIENT)
+        # When the connection was last released to its pool (monotonic seconds).
         self.used_at = 0.0
         self.keep_alive_s = DEFAULT_KEEP_ALIVE_S
         self.reused = False
@@ -195,6 +196,7 @@
         self.port = port
         # The connections without a request, the most recently used one last.
         self.idle: deque[ServerConnection] = deque()
+        # The number of open connections, idle ones included.
         self.open_count = 0
         self.is_closed = False
 
@@ -203,7 +205,7 @@
         A pooled or new connection for one request; with `recently_used`, a pooled one only if
         it was in use within RECENT_USE_S.
 
-        :raises SendFailed: NOT_RUN, if no connection can be opened.
+        :raises SendFailed: if no connection can be opened; with verdict NOT_RUN.
 
         """
         while self.idle:
--- a/packages/millforkd/millforkd/proxy/daemon.py
+++ b/packages/millforkd/millforkd/proxy/daemon.py
@@ -61,7 +61,7 @@
 
 class ProxyDaemon:
     """
-    Runs one entry: its servers for callers and peers, its feed subscription, and its caches.
+    Runs one entry: its servers for callers and peers, its feed subscription and its piece cache.
 
     """
 
--- a/packages/millforkd/millforkd/proxy/end_detection.py
+++ b/packages/millforkd/millforkd/proxy/end_detection.py
@@ -84,17 +84,17 @@
         self.status_of = status_of
         self.suspicion_updater = SuspicionUpdater(env, suspicion_store)
         self.watches: dict[IncarnationKey, EndWatch[InterruptedRequest]] = {}
-        # For each request whose caller left, the last time that this happened.
+        # The last time that the caller of a request left, by the fingerprint of the request.
         self.abandoned: dict[Fingerprint, AbandonedRequest] = {}
 
     async def record_caller_left(self, server: Server, before: Suspicion) -> None:
         """
-        Record that a caller left, or that its deadline passed, before the back end answered.
-        `before` is the suspicion of the request when it was sent there.
+        Record that a caller left, or that the caller's deadline passed, before the back end
+        answered. `before` is the suspicion of the request when it was sent to the back end.
 
-        If the back end ends after that, no answer breaks off. So the back end is watched if the
-        caller of the same request left within the last CALLER_LEFT_MEMORY_S, and so is the back
-        end of that time if it was within CALLER_LEFT_WATCH_S.
+        If the back end ends afterwards, no answer breaks off. So the back end is watched if a
+        caller of the same request left before within CALLER_LEFT_MEMORY_S. If that was within
+        CALLER_LEFT_WATCH_S, the back end of that earlier attempt is watched as well.
 
         """
         now = self.env.monotonic()
@@ -162,8 +162,8 @@
         status = self.status_of(server, interruption.at)
         if status is IncarnationStatus.ENDED or not interruption.subject.caller_left:
             return status
-        # The back end may still be running this request, so its answers to other requests don't
-        # show that it survives this one.
+        # The back end may still be running the request, so answers to other requests don't show
+        # that the back end survives this one.
         watch_is_over = self.env.monotonic() - interruption.at > CALLER_LEFT_WATCH_S
         return IncarnationStatus.LIVES if watch_is_over else IncarnationStatus.UNKNOWN
 
--- a/packages/millforkd/millforkd/proxy/forwarding.py
+++ b/packages/millforkd/millforkd/proxy/forwarding.py
@@ -152,8 +152,8 @@
 
     async def _record_turned_away(self, job: Job) -> None:
         """
-        Record that the caller of a job was turned away, so that a retry is recognised: the retry
-        has a shorter deadline, and for engines it is found in the turned-away directory.
+        Record that the caller of a job was turned away, so that a retry is recognised: by its
+        shorter deadline, and for services with engines by the turned-away directory.
 
         """
         self.admission.first_tries.record_turned_away(self.env.monotonic())
@@ -209,8 +209,9 @@
 
     async def _send(self, job: Job, choice: Choice, before: Suspicion) -> FailedAttempt | None:
         """
-        Make one attempt, and record the back ends that may have ended during it. `before` is the
-        suspicion of the request before the attempt. None if the caller received an answer.
+        Make one attempt, and record the back ends that may have ended during the attempt. `before`
+        is the suspicion of the request before the attempt. Returns the failed attempt, or None if
+        the caller received an answer.
 
         """
         job.pending_servers = ()
@@ -234,8 +235,8 @@
 
     async def _choose(self, job: Job) -> Choice | None:
         """
-        Choose a back end; None if none can serve the job. Daemons are queried for current loads
-        first where the choice may depend on them.
+        Choose a back end; None if none can serve the job. Where the choice may depend on the
+        current loads of engines, their daemons are queried first.
 
         """
         tried = set(job.tried)
@@ -246,7 +247,7 @@
     def _choose_among_freest(self, job: Job) -> Choice | None:
         """
         Choose among the engines with the lowest share of occupied slots, after those that
-        `_choose` compared were too busy for a job. None if all of them are almost full.
+        `_choose` compared were too busy for a job. None if almost all slots are occupied.
 
         """
         tried = set(job.tried)
--- a/packages/millforkd/millforkd/proxy/job.py
+++ b/packages/millforkd/millforkd/proxy/job.py
@@ -19,15 +19,14 @@
 USUAL_URGENCY: Final = 5
 # The priority of a route or organisation that maps to USUAL_URGENCY.
 USUAL_PRIORITY: Final = 1
-# The rank that engines serve last.
+# The highest rank, which engines serve last.
 LEAST_URGENCY: Final = 9
 
 
 @dataclass(slots=True)
 class Attempt:
     """
-    One attempt to serve a job at a back end. While in progress, it counts among the server's own
-    requests.
+    One attempt to serve a job at a back end, counted in `Server.own_requests` while in progress.
 
     """
 
@@ -108,6 +107,7 @@
     needs_first_try_lookup: bool = False
     # The expected start at an engine, as of the last decision on whether to send the job.
     start_estimate: StartEstimate = NO_START_ESTIMATE
+    # The back ends to which the request was sent, or to which no connection could be opened.
     tried: list[InstanceId] = field(default_factory=list)
     failures: list[FailedAttempt] = field(default_factory=list)
     # The version of the weights that the last attempt requested (0: none).
--- a/packages/millforkd/millforkd/proxy/request_sender.py
+++ b/packages/millforkd/millforkd/proxy/request_sender.py
@@ -140,8 +140,9 @@
 
     def _check_version(self, engine: EngineSpec, version: int | None) -> None:
         """
-        Check the version again once the connection is open: connecting may take 0.4 s, and a
-        request that is sent too late can't be recalled from a slow link.
+        Check again, once the connection is open, whether requests may be sent to a version:
+        connecting may take 0.4 s, and a request that is sent too late can't be recalled from a
+        slow link.
 
         :raises NotSent: if requests may no longer be sent to `version`, or if `version` is None,
             as the engine no longer has a complete version.
@@ -154,8 +155,8 @@
 
     def _check_open(self, choice: Choice) -> None:
         """
-        Check backpressure again once the connection is open: a back end may have signalled it
-        meanwhile.
+        Check again, once the connection is open, whether the back ends take requests: one of them
+        may have signalled backpressure meanwhile.
 
         :raises NotSent: if a back end has signalled that it takes no requests.
 
--- a/packages/millforkd/millforkd/proxy/turned_away_directory.py
+++ b/packages/millforkd/millforkd/proxy/turned_away_directory.py
@@ -85,15 +85,15 @@
 
     def on_note(self, message: NoteTurnedAway) -> None:
         """
-        Record, as its owner, a request that an entry of this zone turned away.
+        As the owner of a request, record that an entry of this zone turned the request away.
 
         """
         self.requests.record(message.fingerprint, message.elapsed_ms, self.env.monotonic())
 
     def on_ask(self, message: AskTurnedAway) -> TurnedAwayBefore:
         """
-        Answer another entry's query, as the owner of a request: whether the request was turned
-        away recently, and how long ago it was first tried.
+        As the owner of a request, tell another entry whether the request was turned away recently,
+        and how long ago the first try was.
 
         """
         elapsed_ms = self.requests.elapsed_ms(message.fingerprint, self.env.monotonic())
@@ -104,8 +104,8 @@
 
     def _owner_of(self, fingerprint: bytes) -> str:
         """
-        The entry that records a request: the same for all entries of the zone, except for those
-        that found it silent recently. This entry, if no other is left.
+        The entry that records a request. All entries of a zone choose the same one, unless some
+        found that one silent recently. This entry is chosen if no other is left.
 
         """
         zone = str(self.env.zone)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -167,7 +167,7 @@
             exchange=SimpleNamespace(request=request),
         )
 
-    async def record_end(self):
+    async def end(self):
         await self.suspicion_store.record(self.quarantine.suspicion_of(self.job).with_end())
 
 
@@ -189,7 +189,7 @@
         quarantine_list = quarantine_list_of(entry, Clock())
         for _ in range(MIN_ENDS_AT_FAULT):
             assert not entry.quarantine.blocking_level(entry.job)
-            await entry.record_end()
+            await entry.end()
         assert entry.quarantine.blocking_level(entry.job)
         await quarantine_list.reconcile()
         # As after a loss of power: suspicions are lost, the replicated state is not.
@@ -204,7 +204,7 @@
         entry = Entry()
         quarantine_list = quarantine_list_of(entry, Clock())
         for _ in range(MIN_ENDS_AT_FAULT):
-            await entry.record_end()
+            await entry.end()
         await quarantine_list.reconcile()
         await entry.quarantine.clear_suspicion(entry.job)
         assert not entry.quarantine.blocking_level(entry.job)
