--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -29,7 +29,7 @@
 MAX_FURTHER_ENDS = 3
 # All entries must have learned of the crashes within this time.
 KNOWN_TO_ALL_AFTER_S = 3.0
-# Requests that an entry must have served before it may retry one: an entry that has just started
+# Requests that are served first, so that the entry may retry one: an entry that has just started
 # may retry one request in 25.
 REQUESTS_BEFORE_RETRY = 40
 
