--- a/packages/millfork-standins/millfork_standins/__main__.py
+++ b/packages/millfork-standins/millfork_standins/__main__.py
@@ -27,6 +27,7 @@
     ServiceSettings,
 )
 
+# The settings model and the class of each kind of stand-in.
 KINDS: Final[dict[str, tuple[type[BaseModel], type[Any]]]] = {
     'engine': (EngineSettings, Engine),
     'service': (ServiceSettings, Service),
@@ -50,13 +51,13 @@
     if len(sys.argv) != 3 or sys.argv[1] not in KINDS:
         print(f'usage: python -m millfork_standins {"|".join(KINDS)} SETTINGS', file=sys.stderr)
         return ExitStatus.USAGE
-    model, kind = KINDS[sys.argv[1]]
+    settings_model, standin_class = KINDS[sys.argv[1]]
     try:
-        settings = load(Path(sys.argv[2]), model)
+        settings = load(Path(sys.argv[2]), settings_model)
     except BadFile as error:
         print(error, file=sys.stderr)
         return ExitStatus.BAD_SETTINGS
-    curio.run(_serve, kind(settings))
+    curio.run(_serve, standin_class(settings))
     return ExitStatus.SUCCESS
 
 
--- a/packages/millfork-standins/millfork_standins/callers.py
+++ b/packages/millfork-standins/millfork_standins/callers.py
@@ -19,6 +19,8 @@
 
 MAX_TOKENS: Final = 6
 MAX_ATTEMPTS: Final = 12
+# Longest pause of a thread between two requests, and the pause before a resend if no answer asks
+# for another one.
 PAUSE_S: Final = 0.1
 MAX_RETRY_AFTER_S: Final = 1.0
 PROMPTS: Final = ('summarise the lecture', 'outline the chapter', 'draft the quiz')
@@ -27,7 +29,7 @@
 class RequestKind(Enum):
     """
     Kinds of requests: a completion as a whole answer or as a stream, a read from a plain
-    service, and a filing at a plain service, which must not be executed twice.
+    service, and a filing (a POST to a plain service that must not be executed twice).
 
     """
 
@@ -40,8 +42,10 @@
 class CallOutcome(Enum):
     """
     How a request ended for its caller. `MIXED`: the text contains tokens of a known version
-    but isn't the whole text of the version that the answer names. `NOT_RUN`: the filing was
-    refused with the verdict that it was not executed; `MAY_HAVE_RUN`: without this verdict.
+    but isn't the whole text of the version that the answer names. `NOT_RUN`: the last answer
+    refused a filing with the verdict that the filing was not executed. `MAY_HAVE_RUN`: the last
+    answer refused a filing without this verdict. `LOST`: no attempt was answered with status 200,
+    and neither `NOT_RUN` nor `MAY_HAVE_RUN` applies.
 
     """
 
@@ -76,7 +80,7 @@
     """
     Threads that send requests to random entries, as a load balancer would.
 
-    `keys` maps the version id named in an answer to the key of its weights.
+    `keys` maps each version id, as answers name it, to the key of the version's weights.
 
     """
 
@@ -160,7 +164,8 @@
         self, record: CallRecord, kind: RequestKind, prompt: str, answer: Answer
     ) -> bool:
         """
-        Store the outcome in the record; True if the request need not be sent again.
+        Store the outcome of one attempt in the record; return True if the request need not be
+        sent again.
 
         """
         if answer.status != 200:
@@ -194,7 +199,7 @@
         if text == expected.get(record.version):
             return CallOutcome.RIGHT
         record.detail = f'{text} is not {expected.get(record.version)}'
-        known_tokens = {token for words in expected.values() for token in words.split()}
+        known_tokens = {token for known in expected.values() for token in known.split()}
         return CallOutcome.MIXED if set(text.split()) & known_tokens else CallOutcome.WRONG
 
 
@@ -205,7 +210,8 @@
 
 def _stream_text(body: bytes) -> tuple[str, set[str]]:
     """
-    The text of a stream and the nonces in it; an empty text if the stream is unfinished.
+    Return the text of a stream and the nonces in its events; both are empty if the stream is
+    unfinished.
 
     """
     events = [part.removeprefix('data: ') for part in body.decode().split('\n\n') if part]
--- a/packages/millfork-standins/millfork_standins/deployments.py
+++ b/packages/millfork-standins/millfork_standins/deployments.py
@@ -1,5 +1,5 @@
 """
-The shapes of the two known deployments, used to start fleets and to write examples.
+The shapes of two deployments, used to start fleets and to write examples.
 
 """
 
@@ -21,8 +21,9 @@
 @dataclass(frozen=True, slots=True)
 class Shape:
     """
-    The zones of a deployment and the number of servers of each service. `network_number` is the
-    second octet of its loopback addresses, `disks` the number of entries with a data folder.
+    The zones of a deployment and the number of servers of each service. A fleet tries
+    `network_number` first as the second octet of its loopback addresses; `disks` is the number of
+    entries with a data folder.
 
     """
 
--- a/packages/millfork-standins/millfork_standins/engine.py
+++ b/packages/millfork-standins/millfork_standins/engine.py
@@ -1,8 +1,8 @@
 """
-A stand-in for a model engine with continuous batching, a prefix cache, priorities and orders.
+A stand-in for a model engine: continuous batching, a prefix cache, priorities and load orders.
 
-Its tokens are computed from the bytes that it loaded, so that a caller notices an answer from
-partial or mixed weights.
+The tokens are computed from the weights that the engine loaded, so that a caller notices an
+answer from partial or mixed weights.
 
 """
 
@@ -34,8 +34,8 @@
 
 class Engine:
     """
-    One engine process. `handle` answers completions, orders of the endpoint's daemon, status,
-    load, cache events and transfers of cached prefixes.
+    One engine process. `handle` answers completions, orders of the endpoint daemon (load or
+    unload a version, set the role), status, load, cache events and transfers of cached prefixes.
 
     """
 
@@ -81,7 +81,7 @@
             await self._complete(exchange)
             return
         if path == '/orders':
-            await self._order(exchange)
+            await self._execute_order(exchange)
             return
         answers: dict[str, Any] = {
             '/status': {
@@ -103,13 +103,13 @@
     def _is_published(self, event: dict[str, Any]) -> bool:
         lag_s = self.settings.event_lag_ms / 1000
         number = int(event['number'])
-        # Multiples of the golden ratio spread the events that are never published evenly.
-        has_gap = (number * 0.618) % 1 < self.settings.event_gap_share
-        return not has_gap and _now() - float(event['at']) > lag_s
+        # The golden ratio spaces the events that are never published evenly.
+        is_in_gap = (number * 0.618) % 1 < self.settings.event_gap_share
+        return not is_in_gap and _now() - float(event['at']) > lag_s
 
-    # Orders.
+    # Orders of the endpoint daemon.
 
-    async def _order(self, exchange: Exchange) -> None:
+    async def _execute_order(self, exchange: Exchange) -> None:
         order = exchange.request.json()
         is_outdated = order['number'] < self.fencing_number
         if is_outdated and self.settings.refuses_old_orders:
@@ -180,8 +180,8 @@
 
     async def _crash(self, exchange: Exchange, headers: Headers, streams: bool) -> None:
         """
-        End the process after a delay; with `closes_after_ms` the listening address is closed
-        later than the connections.
+        End the process after `crash_after_ms`. If `closes_after_ms` is set, all connections are
+        closed first, and the process keeps listening for that time before it ends.
 
         """
         if streams:
@@ -222,6 +222,10 @@
     # Prefix cache.
 
     def _first_token_s(self, key: str, prompt: str) -> float:
+        """
+        Return the time until the first token, and cache the prefix of the prompt.
+
+        """
         prefix = f'{key}/{prompt[:PREFIX_CHARS]}'
         hit = prefix in self.prefix_times
         self._cache_prefix(prefix)
@@ -230,14 +234,14 @@
 
     def _cache_prefix(self, prefix: str) -> None:
         if prefix not in self.prefix_times:
-            self._publish('stored', prefix)
+            self._add_cache_event('stored', prefix)
         self.prefix_times[prefix] = _now()
         self.prefix_times.move_to_end(prefix)
         if len(self.prefix_times) > self.settings.cached_prefixes:
             evicted, _ = self.prefix_times.popitem(last=False)
-            self._publish('removed', evicted)
+            self._add_cache_event('removed', evicted)
 
-    def _publish(self, kind: str, prefix: str) -> None:
+    def _add_cache_event(self, kind: str, prefix: str) -> None:
         number = len(self.events) + 1
         self.events.append({'number': number, 'kind': kind, 'prefix': prefix, 'at': _now()})
 
--- a/packages/millfork-standins/millfork_standins/examples.py
+++ b/packages/millfork-standins/millfork_standins/examples.py
@@ -17,20 +17,21 @@
 SECRETS_FOLDER: Final = '/etc/millfork'
 
 
-def _common(shape: Shape, zone: int, number: int) -> dict[str, Any]:
-    location = shape.zone_locations[zone]
-    host = NETWORKS[shape.name]
+def _common_settings(shape: Shape, zone_index: int, host_number: int) -> dict[str, Any]:
+    location = shape.zone_locations[zone_index]
+    network = NETWORKS[shape.name]
     return {
         'zone': location.zone,
         'region': location.region,
-        'address': f'{host}.{zone + 1}.{number}',
+        'address': f'{network}.{zone_index + 1}.{host_number}',
         'fleet_key_file': f'{SECRETS_FOLDER}/fleet_key',
         'replicas': [
-            {'instance': f'entry-{n + 1}', 'host': f'{host}.{n + 1}.1'} for n in range(shape.disks)
+            {'instance': f'entry-{n + 1}', 'host': f'{network}.{n + 1}.1'}
+            for n in range(shape.disks)
         ],
-        'platform': {'host': f'{host}.250.1', 'port': 8500},
+        'platform': {'host': f'{network}.250.1', 'port': 8500},
         'weights': {
-            'origin': {'host': f'{host}.250.2', 'port': 8500},
+            'origin': {'host': f'{network}.250.2', 'port': 8500},
             'origin_copies': shape.origin_copies,
         },
     }
@@ -38,23 +39,23 @@
 
 def build_examples(shape: Shape) -> dict[str, dict[str, Any]]:
     """
-    Settings by file name: entries with and without a disk, endpoints of an engine and of a
-    plain service, and a declaration.
+    Return the content of each example file by file name: settings of entries with and without
+    a disk, settings of endpoints with an engine and with a plain service, and a declaration.
 
     """
-    entry = {'role': 'entry', 'admin_token_file': f'{SECRETS_FOLDER}/admin_token'}
-    plain = next(iter(shape.plain_services))
+    entry_settings = {'role': 'entry', 'admin_token_file': f'{SECRETS_FOLDER}/admin_token'}
+    plain_service = next(iter(shape.plain_services))
     return {
         'entry-with-disk.yaml': {
             'instance': 'entry-1',
-            **_common(shape, 0, 1),
-            **entry,
+            **_common_settings(shape, 0, 1),
+            **entry_settings,
             'data_folder': '/var/lib/millfork',
         },
-        'entry.yaml': {'instance': 'entry-4', **_common(shape, 0, 2), **entry},
+        'entry.yaml': {'instance': 'entry-4', **_common_settings(shape, 0, 2), **entry_settings},
         'endpoint-engine.yaml': {
             'instance': f'{shape.engine_service}-1',
-            **_common(shape, 0, 100),
+            **_common_settings(shape, 0, 100),
             'role': 'endpoint',
             'data_folder': '/var/lib/millfork',
             'backend': {
@@ -64,12 +65,12 @@
             },
         },
         'endpoint-plain.yaml': {
-            'instance': f'{plain}-1',
-            **_common(shape, 1, 101),
+            'instance': f'{plain_service}-1',
+            **_common_settings(shape, 1, 101),
             'role': 'endpoint',
             'backend': {
                 'kind': 'plain',
-                'service': plain,
+                'service': plain_service,
                 'address': {'host': f'{NETWORKS[shape.name]}.2.101', 'port': 8000},
             },
         },
--- a/packages/millfork-standins/millfork_standins/execution_log.py
+++ b/packages/millfork-standins/millfork_standins/execution_log.py
@@ -10,7 +10,7 @@
 
 class ExecutionLog:
     """
-    Flushes each line, so that the log of a killed process is complete.
+    Appends lines to a log and flushes each line, so that the log of a killed process is complete.
 
     """
 
--- a/packages/millfork-standins/millfork_standins/fleet.py
+++ b/packages/millfork-standins/millfork_standins/fleet.py
@@ -34,7 +34,7 @@
 POLL_S: Final = 0.05
 APPLY_PATH: Final = '/control/v1/apply'
 APPLY_TIMEOUT_S: Final = 30.0
-ENTRY_TIMEOUT_S: Final = 3.0
+APPLY_ATTEMPT_TIMEOUT_S: Final = 3.0
 STOP_TIMEOUT_S: Final = 40.0
 
 
@@ -105,7 +105,7 @@
 
     def start_daemon(self, instance: Instance) -> None:
         """
-        Start `millforkd` on an instance.
+        Write the settings of an instance and start `millforkd` on it.
 
         """
         path = self.write_settings(instance.name, self.build_settings(instance))
@@ -113,7 +113,7 @@
 
     def list_instance(self, instance: Instance, leaving: bool = False) -> None:
         """
-        Add an instance to the platform's list, or replace its entry.
+        Add an instance to the platform's list, or replace the listing of the instance.
 
         """
         listing = {
@@ -130,7 +130,7 @@
 
     def withhold_list_changes(self, instance: Instance) -> None:
         """
-        Make the platform show this instance no further changes of its list.
+        Make the platform show this instance no further changes of the platform's list.
 
         """
         host = {'host': instance.host}
@@ -138,7 +138,8 @@
 
     def start(self, backends: bool = True, timeout: float = 30.0) -> None:
         """
-        Start all processes and wait until every daemon is ready.
+        Start all processes, the back ends only if `backends` is true, and wait until every daemon
+        is ready.
 
         """
         self.start_standins()
@@ -153,7 +154,7 @@
 
     def kill(self, name: str) -> None:
         """
-        Send SIGKILL to a process and wait for its end.
+        Send SIGKILL to a process and wait until the process has ended.
 
         """
         process = self.processes.pop(name)
@@ -162,7 +163,7 @@
 
     def stop(self, name: str, timeout: float = STOP_TIMEOUT_S) -> int:
         """
-        Send SIGTERM to a process, wait for its end and return its exit status.
+        Send SIGTERM to a process, wait until the process has ended and return the exit status.
 
         """
         process = self.processes.pop(name)
@@ -177,7 +178,7 @@
 
     def close(self) -> None:
         """
-        Kill every process of the fleet and release its addresses.
+        Kill every process of the fleet and release the fleet's addresses.
 
         """
         for process in self.processes.values():
@@ -223,7 +224,7 @@
 
     def organisations_declaration(self) -> dict[str, Any]:
         """
-        Declare all organisations of the shape with this fleet's tokens.
+        Build the declaration of all organisations of the shape with this fleet's tokens.
 
         """
         services = [self.shape.engine_service, *self.shape.plain_services]
@@ -240,7 +241,7 @@
 
     def deployment_declaration(self, version: str, name: str = 'main') -> dict[str, Any]:
         """
-        Declare a deployment of the model on all engines for the first organisation.
+        Build the declaration of a deployment on all engines for the first organisation.
 
         """
         return {
@@ -261,7 +262,7 @@
 
     def run_millfork(self, *arguments: str) -> subprocess.CompletedProcess[str]:
         """
-        Run the command `millfork` with the administrator's token.
+        Run the command `millfork` against this fleet with the administrator's token.
 
         """
         command = [
@@ -276,10 +277,10 @@
 
     def apply(self, declaration: dict[str, Any], timeout: float = APPLY_TIMEOUT_S) -> int:
         """
-        Apply a declaration through any entry and return the revision. All attempts carry the
-        same command id, so that a resent declaration is applied once.
+        Apply a declaration through randomly chosen entries and return the revision. All attempts
+        carry the same command id, so that a resent declaration is applied once.
 
-        :raises FleetError: if no entry accepts it in time.
+        :raises FleetError: if no entry accepts the declaration in time.
 
         """
         body = {'declaration': declaration, 'command_id': secrets.token_hex(16)}
@@ -291,7 +292,13 @@
             entry = random.choice([e for e in self.entries if e.name in self.processes])
             try:
                 answer = fetch(
-                    'POST', entry.host, CALLERS_PORT, APPLY_PATH, data, headers, ENTRY_TIMEOUT_S
+                    'POST',
+                    entry.host,
+                    CALLERS_PORT,
+                    APPLY_PATH,
+                    data,
+                    headers,
+                    APPLY_ATTEMPT_TIMEOUT_S,
                 )
             except OSError as error:
                 last_error = str(error)
@@ -317,7 +324,8 @@
 
     def freeze_links(self, *pairs: tuple[int, int]) -> None:
         """
-        Stop the traffic between these pairs of zones but leave the connections open.
+        Stop the traffic between these pairs of zones, with the connections left open, and let it
+        flow between all others.
 
         """
         self._control_relay('freeze', pairs)
--- a/packages/millfork-standins/millfork_standins/history.py
+++ b/packages/millfork-standins/millfork_standins/history.py
@@ -25,8 +25,9 @@
 @dataclass(frozen=True, slots=True)
 class Put:
     """
-    One attempt to make a change; all attempts of a command carry its id. Times are in seconds
-    on one clock; `returned` is not used if the outcome is unknown.
+    One attempt to change a key. All attempts at one change have the same command id. The change
+    is to be refused if the key has changed after revision `expect` (None: never). Times are in
+    seconds on one clock; `returned` is not used if the outcome is unknown.
 
     """
 
@@ -79,6 +80,11 @@
 
 @dataclass(slots=True)
 class _Command:
+    """
+    An accepted change; `invoked` and `returned` are the earliest of its attempts.
+
+    """
+
     key: str
     value: str
     expect: int | None
@@ -120,7 +126,8 @@
 
 def _find_accepted_commands(history: History) -> list[_Command]:
     """
-    The accepted commands by revision, including those known only from a read of their value.
+    Return the accepted commands sorted by revision, including those known only from a read of
+    their value.
 
     """
     revisions: dict[str, int] = {}
@@ -146,8 +153,8 @@
 
 def _check_order(commands: list[_Command]) -> list[str]:
     """
-    Find revisions that were given to two changes, and changes whose revisions contradict the
-    order of their times.
+    Find revisions that were given to two changes, and changes that were accepted before a change
+    with a lower revision began.
 
     """
     violations = []
@@ -172,15 +179,15 @@
         if command.expect is None:
             continue
         for other in commands:
-            between = command.expect < other.revision < command.revision
-            if other.key == command.key and between:
+            is_between = command.expect < other.revision < command.revision
+            if other.key == command.key and is_between:
                 violations.append(f'revision {command.revision} ignores revision {other.revision}')
     return violations
 
 
 def _check_conflicts(history: History, commands: list[_Command]) -> list[str]:
     """
-    Find conflicts without another change of the key that can explain them.
+    Find conflicts that no other change of the key, accepted or of unknown outcome, can explain.
 
     """
     violations = []
@@ -202,7 +209,8 @@
 
 def _check_reads(history: History, commands: list[_Command]) -> list[str]:
     """
-    Find reads that miss a change accepted before they began or contain a later one.
+    Find reads that miss a change accepted before they began, contain a change that began after
+    they returned, or differ from the newest change of a key.
 
     """
     violations = []
--- a/packages/millfork-standins/millfork_standins/layout.py
+++ b/packages/millfork-standins/millfork_standins/layout.py
@@ -18,14 +18,16 @@
 ADMIN_PORT: Final = 9400
 BACKEND_PORT: Final = 8000
 STANDIN_PORT: Final = 8500
+# Third octet of the addresses of stand-ins; the addresses of instances have their zone's number.
 STANDIN_ZONE: Final = 250
 NETWORK_NUMBER_LIMIT: Final = 250
+# Last octet of the first endpoint in each zone; entries count from 1.
 FIRST_ENDPOINT_NUMBER: Final = 100
 
 
 class FleetError(Exception):
     """
-    A process of the fleet ended unexpectedly, or an operation timed out.
+    A process of the fleet ended unexpectedly, or an operation failed or timed out.
 
     """
 
@@ -50,7 +52,8 @@
 @dataclass(slots=True)
 class FleetOptions:
     """
-    Options that differ between fleets: sizes in bytes, rates in bytes/s.
+    Options that differ between fleets: sizes in bytes, rates in bytes/s. `engine` and `service`
+    are settings of the back ends, the other dictionaries are sections of the daemons' settings.
 
     """
 
@@ -212,8 +215,8 @@
 
 def _reserve_network_number(first: int) -> tuple[int, socket.socket]:
     """
-    Reserve the second octet of the fleet's addresses. The returned socket stays bound while
-    the fleet exists, so that fleets running at the same time choose other numbers.
+    Reserve a second octet for the fleet's addresses. The returned socket stays bound while the
+    fleet exists, so that fleets running at the same time choose other numbers.
 
     """
     for number in range(first, NETWORK_NUMBER_LIMIT):
--- a/packages/millfork-standins/millfork_standins/origin.py
+++ b/packages/millfork-standins/millfork_standins/origin.py
@@ -22,8 +22,9 @@
 
 class Origin:
     """
-    One origin process. `POST /control` sets `corrupt_share` or `stalled`, or replaces a version
-    (`replace`: the settings of the version).
+    One origin process. `POST /control` sets `corrupt_share` (share of the ranges sent with a wrong
+    byte) or `stalled` (requests for weights wait), or replaces a version (`replace`: the settings
+    of the version).
 
     """
 
--- a/packages/millfork-standins/millfork_standins/platform.py
+++ b/packages/millfork-standins/millfork_standins/platform.py
@@ -23,7 +23,9 @@
         self.settings = settings
         self.version = 0
         self.instances: dict[str, dict[str, Any]] = {}
+        # Version of the list after each instance's last change, and the time of that change.
         self.changed: dict[str, tuple[int, float]] = {}
+        # Newest version of the list that a reader is shown, by host, after `POST /deaf`.
         self.frozen_versions: dict[str, int] = {}
         self.server = Server(*settings.listen.pair, self.handle)
 
@@ -58,8 +60,8 @@
 
     def _list_changes(self, since: int, newest: int) -> dict[str, Any]:
         """
-        The changes after version `since` up to `newest` that are older than the lag; the full
-        list if `since` is negative or newer than the visible version.
+        Return the changes after version `since` up to `newest` that are older than the lag; the
+        full list if `since` is negative or newer than the newest visible version.
 
         """
         visible_until = time.monotonic() - self.settings.lag_ms / 1000
--- a/packages/millfork-standins/millfork_standins/recorder.py
+++ b/packages/millfork-standins/millfork_standins/recorder.py
@@ -1,5 +1,5 @@
 """
-Changes and reads the configuration of a running fleet and records the history.
+Changes and reads the configuration of a running fleet and records a history of the operations.
 
 """
 
@@ -23,8 +23,8 @@
 @dataclass(frozen=True, slots=True)
 class PlannedOperation:
     """
-    A read, or a change of a key. A conditional change expects the last revision that was seen;
-    a resent one is sent to another entry afterwards.
+    A read, or a change of a key. A conditional change expects the highest revision that any
+    operation has returned so far. A resent change is sent a second time, to the next entry.
 
     """
 
@@ -60,7 +60,7 @@
 
     def start_observers(self) -> list[threading.Thread]:
         """
-        Start a thread per entry that records its revision until `stopping` is set.
+        Start a thread per entry that records the entry's revision until `stopping` is set.
 
         """
         threads = [
@@ -101,7 +101,7 @@
 
     def put(self, entry: int, command: str, key: int, expect: int | None) -> bool:
         """
-        Send a change once; True if it was accepted.
+        Send a change once and record the outcome; return True if the change was accepted.
 
         """
         organisation = self.fleet.shape.organisations[0]
@@ -115,7 +115,7 @@
         try:
             data = json.dumps(body).encode()
             answer = self._fetch_from_entry(entry, 'POST', '/control/v1/apply', data)
-            outcome, revision = _outcome(answer)
+            outcome, revision = _parse_outcome(answer)
         except OSError:
             pass
         returned = time.monotonic()
@@ -127,7 +127,7 @@
 
     def read(self, entry: int) -> bool:
         """
-        Read all labels linearizably; False if the read failed.
+        Read all labels linearizably and record them; return False if the read failed.
 
         """
         invoked = time.monotonic()
@@ -138,14 +138,16 @@
         if answer.status != 200:
             return False
         state = answer.json()
-        items = dict(_label(key, item) for key, item in state['items'].items() if 'labels' in key)
+        items = dict(
+            _parse_label(key, item) for key, item in state['items'].items() if 'labels' in key
+        )
         with self.lock:
             self.history.reads.append(Read(invoked, time.monotonic(), state['revision'], items))
             self.last_revision = max(self.last_revision, state['revision'])
         return True
 
 
-def _outcome(answer: Answer) -> tuple[Outcome, int]:
+def _parse_outcome(answer: Answer) -> tuple[Outcome, int]:
     if answer.status == 200:
         return Outcome.ACCEPTED, answer.json()['revision']
     if answer.status == 409:
@@ -153,5 +155,5 @@
     return Outcome.UNKNOWN, 0
 
 
-def _label(key: str, item: dict[str, Any]) -> tuple[str, tuple[str, int]]:
+def _parse_label(key: str, item: dict[str, Any]) -> tuple[str, tuple[str, int]]:
     return key.rsplit('/', 1)[1], (item['value'][LABEL_NAME], item['revision'])
--- a/packages/millfork-standins/millfork_standins/relay.py
+++ b/packages/millfork-standins/millfork_standins/relay.py
@@ -19,7 +19,7 @@
 
 def zone_of(address: str) -> int:
     """
-    The zone number in an address of the fleet.
+    Return the zone number in an address of the fleet.
 
     """
     return int(address.split('.')[2])
@@ -27,7 +27,8 @@
 
 class Relay:
     """
-    One relay process; `open_sockets` holds the open sockets by pair of zones.
+    One relay process. `cut` and `frozen` are the pairs of zones whose links are cut or frozen;
+    `open_sockets` holds the open sockets by pair of zones.
 
     """
 
@@ -57,8 +58,8 @@
 
     async def _control(self, sock: Any, target: str) -> None:
         """
-        Cut or freeze the links between the pairs of zones in `target`. All other links that an
-        earlier call of the same kind cut or froze are restored.
+        Cut or freeze the links between the pairs of zones in `target`, and restore all other
+        links that an earlier call of the same kind cut or froze.
 
         """
         kind, _, pairs_text = target.strip('/').partition('/')
--- a/packages/millfork-standins/millfork_standins/requests.py
+++ b/packages/millfork-standins/millfork_standins/requests.py
@@ -36,7 +36,7 @@
     timeout: float = TIMEOUT_S,
 ) -> Answer:
     """
-    Send one request on a new connection.
+    Send one request on a new connection and return the response.
 
     :raises OSError: if no complete response arrives.
 
@@ -46,8 +46,8 @@
         connection.request(method, path, body, headers or {})
         response = connection.getresponse()
         content = response.read()
-        found = {name.lower(): value for name, value in response.getheaders()}
-        return Answer(response.status, found, content)
+        response_headers = {name.lower(): value for name, value in response.getheaders()}
+        return Answer(response.status, response_headers, content)
     except http.client.HTTPException as error:
         raise ConnectionError(f'{type(error).__name__}: {error}') from error
     finally:
--- a/packages/millfork-standins/millfork_standins/run_summary.py
+++ b/packages/millfork-standins/millfork_standins/run_summary.py
@@ -18,6 +18,7 @@
     """
     Counts of one run. `doubled`: filings executed more than once, or executed although their
     caller got the verdict 'not run'. `missing`: answered filings that no back end executed.
+    `told_unknown`: filings whose callers were not told whether they were executed.
 
     """
 
@@ -72,7 +73,7 @@
 
 def summarize_fleet_run(fleet: Fleet, records: list[CallRecord]) -> RunSummary:
     """
-    Summarize a run on a fleet by the logs of all its back ends.
+    Summarize a run on a fleet from the callers' records and the logs of all back ends.
 
     """
     executions: list[dict[str, Any]] = []
--- a/packages/millfork-standins/millfork_standins/scenario/fleet_status.py
+++ b/packages/millfork-standins/millfork_standins/scenario/fleet_status.py
@@ -37,7 +37,7 @@
 
 def fetch_rollouts(fleet: Fleet) -> list[dict[str, Any]]:
     """
-    The rollouts from the first entry that answers; an empty list if none does.
+    Return the rollouts that the first answering entry lists; an empty list if no entry answers.
 
     """
     headers = {'authorization': f'Bearer {fleet.admin_token}'}
--- a/packages/millfork-standins/millfork_standins/scenario/runner.py
+++ b/packages/millfork-standins/millfork_standins/scenario/runner.py
@@ -31,6 +31,7 @@
 POLL_S: Final = 0.05
 IDLE_CHECK_S: Final = 0.5
 STATE_PATH: Final = '/control/v1/state'
+# Bytes that `tear-log` removes from the end of a log, as a write cut off by a crash does.
 TORN_BYTES: Final = 7
 
 
@@ -43,8 +44,8 @@
 
 class Runner:
     """
-    One run of one scenario. `started_when_idle` counts the executions that an endpoint had
-    started when `wait idle` ended.
+    One run of one scenario. `started_when_idle` has, for each endpoint, the number of requests
+    that it had started when `wait idle` returned.
 
     """
 
@@ -62,7 +63,7 @@
 
     def run(self, scenario: list[Step]) -> None:
         """
-        Run all steps, then end every process.
+        Run the steps until one fails, then kill every process of the fleet.
 
         :raises ScenarioFailed: at the first step that fails.
 
@@ -70,14 +71,14 @@
         try:
             for step in scenario:
                 self.report(f'{step.line}: {step}')
-                self._run_reporting_line(step)
+                self._run_step_with_line(step)
         finally:
             if self.callers is not None:
                 self.callers.stopping.set()
             if self.fleet is not None:
                 self.fleet.close()
 
-    def _run_reporting_line(self, step: Step) -> None:
+    def _run_step_with_line(self, step: Step) -> None:
         try:
             self.run_step(step)
         except FleetError as error:
@@ -240,7 +241,7 @@
 
     # Waits.
 
-    def _serving(self, version: str) -> int:
+    def _count_serving(self, version: str) -> int:
         rows = fetch_rollouts(self.active_fleet)
         counts = [row['serving'] for row in rows if row['version'] == self.version_ids[version]]
         return counts[0] if counts else 0
@@ -248,7 +249,7 @@
     @run_step.register
     def _(self, step: steps.WaitServing) -> None:
         description = f'{step.version} on {step.count}'
-        self._wait(step, description, lambda: self._serving(step.version) >= step.count)
+        self._wait(step, description, lambda: self._count_serving(step.version) >= step.count)
 
     @run_step.register
     def _(self, step: steps.WaitReady) -> None:
@@ -268,10 +269,10 @@
         self._wait(
             step,
             'in force',
-            lambda: all(self._revision(n) >= self.accepted_revision for n in names),
+            lambda: all(self._fetch_revision(n) >= self.accepted_revision for n in names),
         )
 
-    def _revision(self, name: str) -> int:
+    def _fetch_revision(self, name: str) -> int:
         try:
             answer = fetch('GET', self.active_fleet.instances[name].host, ADMIN_PORT, '/readyz')
         except OSError:
@@ -311,10 +312,10 @@
         summary = summarize_fleet_run(self.active_fleet, self.callers.records)
         self.report(f'   {summary}')
         if not summary.is_clean:
-            bad = [
+            not_right = [
                 record for record in self.callers.records if record.outcome is not CallOutcome.RIGHT
             ]
-            raise ScenarioFailed(f'line {step.line}: {summary}: {bad[:5]}')
+            raise ScenarioFailed(f'line {step.line}: {summary}: {not_right[:5]}')
 
     @run_step.register
     def _(self, step: steps.ExpectUncut) -> None:
--- a/packages/millfork-standins/millfork_standins/scenario/steps.py
+++ b/packages/millfork-standins/millfork_standins/scenario/steps.py
@@ -9,7 +9,7 @@
 @dataclass(frozen=True, slots=True)
 class Step:
     """
-    Base of all steps; `line` is its line number in the file.
+    Base of all steps; `line` is the number of the line with the step.
 
     """
 
@@ -56,7 +56,7 @@
 @dataclass(frozen=True, slots=True)
 class Stop(OnProcess):
     """
-    Send SIGTERM to a process without waiting for its end.
+    Send SIGTERM to a process without waiting until the process has ended.
 
     """
 
@@ -96,7 +96,7 @@
 @dataclass(frozen=True, slots=True)
 class TearLog(OnProcess):
     """
-    Remove the last bytes of a stopped replica's log.
+    Remove the last bytes of a stopped replica's consensus log.
 
     """
 
@@ -112,7 +112,7 @@
 @dataclass(frozen=True, slots=True)
 class Deafen(OnProcess):
     """
-    Show an instance no further changes of the platform's list.
+    Make the platform show an instance no further changes of the list of instances.
 
     """
 
@@ -130,7 +130,8 @@
 @dataclass(frozen=True, slots=True)
 class StallLinks(Step):
     """
-    Stop the traffic between these pairs of zones; connections stay open.
+    Stop the traffic between these pairs of zones, with the connections left open, and let it flow
+    between all others.
 
     """
 
@@ -179,7 +180,7 @@
 @dataclass(frozen=True, slots=True)
 class Organisations(Step):
     """
-    Apply the organisations of the shape.
+    Apply a declaration of the shape's organisations.
 
     """
 
@@ -197,7 +198,7 @@
 @dataclass(frozen=True, slots=True)
 class ApplyMany(Step):
     """
-    Apply `count` changes of a label in sequence.
+    Apply `count` changes of one label, one after another.
 
     """
 
@@ -207,7 +208,7 @@
 @dataclass(frozen=True, slots=True)
 class StartCallers(Step):
     """
-    Start callers with requests of all kinds or of the named ones.
+    Start `count` callers that send requests of these kinds (empty: of all kinds).
 
     """
 
@@ -226,7 +227,7 @@
 @dataclass(frozen=True, slots=True)
 class Call(Step):
     """
-    Send one request to an entry and store the answer.
+    Send one request to an entry and store the answer for `ExpectAnswer`.
 
     """
 
@@ -237,7 +238,7 @@
 @dataclass(frozen=True, slots=True)
 class Wait(Step):
     """
-    Base of all waits.
+    Base of all waits; a wait that takes longer than `timeout_s` fails.
 
     """
 
@@ -278,7 +279,8 @@
 @dataclass(frozen=True, slots=True)
 class WaitInForce(Wait):
     """
-    Wait until the last accepted revision is in force on all or on the named instances.
+    Wait until the revision of the last applied declaration is in force on these instances
+    (empty: on all instances).
 
     """
 
@@ -318,7 +320,8 @@
 @dataclass(frozen=True, slots=True)
 class ExpectClean(Step):
     """
-    Expect at least one right answer, and none wrong, mixed, lost, doubled or missing.
+    Expect at least one right answer, and none wrong, mixed, lost, doubled or missing (see
+    `RunSummary`).
 
     """
 
@@ -334,7 +337,7 @@
 @dataclass(frozen=True, slots=True)
 class ExpectNoLeader(Step):
     """
-    Expect that `attempts` linearizable reads in a row are refused.
+    Expect that none of `attempts` linearizable reads succeeds.
 
     """
 
@@ -344,7 +347,7 @@
 @dataclass(frozen=True, slots=True)
 class ExpectCopies(Step):
     """
-    Compare the copies of a version that the origin sent with a number.
+    Expect that the origin sent at most (`<=`) or at least (`>=`) `copies` copies of a version.
 
     """
 
@@ -356,7 +359,7 @@
 @dataclass(frozen=True, slots=True)
 class ExpectAnswer(Step):
     """
-    Expect this status or reason in the stored answer.
+    Expect this status or reason in the answer to the last `Call`.
 
     """
 
@@ -366,7 +369,7 @@
 @dataclass(frozen=True, slots=True)
 class ExpectNewWork(Step):
     """
-    Expect that an endpoint started at most `max_requests` requests since `wait idle`.
+    Expect that an endpoint has started at most `max_requests` requests since its `WaitIdle`.
 
     """
 
--- a/packages/millfork-standins/millfork_standins/seeded.py
+++ b/packages/millfork-standins/millfork_standins/seeded.py
@@ -58,7 +58,7 @@
 
 def call(host: str, port: int, request: Request) -> Reply:
     """
-    Send one request on a new connection.
+    Send one request on a new connection and return the reply.
 
     """
     connection = HTTPConnection(host, port, timeout=CALL_TIMEOUT_S)
@@ -146,6 +146,7 @@
         self.advertised: tuple[str, int] | None = None
         self.state = LeaseState.READY
         self.sequence = 0
+        # Headers of each request that was not turned away.
         self.executed: list[dict[str, str]] = []
         # Arrival time of each request, in monotonic seconds.
         self.arrived_at: list[float] = []
@@ -156,12 +157,15 @@
         # Headers added to all answers.
         self.extra_headers: dict[str, str] = {}
         self.service_time_s = 0.0
+        # Whether connections are closed instead of answering their requests.
         self.drops_requests = False
-        # Seconds between the close of the connections and of the listening address in a crash.
+        # In a crash, seconds from the close of the connections to the close of the listening
+        # address.
         self.address_close_delay_s = 0.0
-        # Answers all requests with 503 and the header that they were not run.
+        # Whether all requests are answered with 503 and the header which says that the request was
+        # not run.
         self.turns_away = False
-        # Requests wait for this event before they are answered.
+        # Each request waits for this event before it is answered.
         self.release = threading.Event()
         self.release.set()
         self.ended = threading.Event()
@@ -171,7 +175,7 @@
 
     def get_request(self) -> tuple[socket.socket, Any]:
         """
-        Accept a connection and store it; a crashed back end leaves it unanswered.
+        Accept a connection and store it; an ended back end leaves the connection unanswered.
 
         """
         sock, address = super().get_request()
@@ -222,7 +226,7 @@
 
     def heartbeat(self) -> bool:
         """
-        Send one heartbeat; True if a replica acknowledged it.
+        Send one heartbeat; return True if a replica acknowledged the heartbeat.
 
         """
         request = client_requests.heartbeat_request(self._lease())
@@ -232,8 +236,8 @@
 
     def max_arrivals_within(self, seconds: float, since: float) -> int:
         """
-        The highest number of requests that arrived in any interval of `seconds` that begins at
-        or after `since` (monotonic seconds).
+        Return the highest number of requests that arrived in any interval of `seconds` that begins
+        at or after `since` (monotonic seconds).
 
         """
         times = [at for at in list(self.arrived_at) if at >= since]
@@ -247,20 +251,20 @@
 
     def handle_error(self, request: object, client_address: object) -> None:
         """
-        Ignore errors: entries reset the connections of requests that they cancel.
+        Ignore errors, as entries reset the connections of requests that they cancel.
 
         """
 
     def executed_ids(self) -> list[str]:
         """
-        The ids of the executed requests.
+        Return the ids of the executed requests.
 
         """
         return [headers[client_requests.REQUEST_ID] for headers in list(self.executed)]
 
     def drain(self) -> bool:
         """
-        Send a heartbeat with the state 'draining'; True if a replica acknowledged it.
+        Send a heartbeat with the state 'draining'; return True if a replica acknowledged it.
 
         """
         self.state = LeaseState.DRAINING
@@ -288,14 +292,15 @@
         endpoints: int = 0,
     ) -> None:
         self.folder = folder
-        # Milliseconds in which requests may still be started on an older version of weights.
+        # Milliseconds after a switch of versions in which requests may still be started on the
+        # older version.
         self.version_ms = version_ms
         # Tests that run at the same time need different addresses.
         network = f'127.{100 + os.getpid() % 100}'
         self.replica_hosts = [f'{network}.1.{number}' for number in range(1, replicas + 1)]
         self.entry_hosts = [f'{network}.2.{number}' for number in range(1, entries + 1)]
         self.back_end_host = f'{network}.3.1'
-        # Endpoint daemons; no engine runs beside them.
+        # Hosts of the endpoint daemons; no engine runs beside them.
         self.endpoint_hosts = [f'{network}.4.{number}' for number in range(1, endpoints + 1)]
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         self.back_ends: list[BackEnd] = []
@@ -384,9 +389,12 @@
         """
         return call(self.entry_hosts[entry], CALLERS_PORT, request)
 
-    def send_load(self, make: Callable[[], Request], per_s: float, seconds: float) -> list[Reply]:
+    def send_load(
+        self, make_request: Callable[[], Request], per_s: float, seconds: float
+    ) -> list[Reply]:
         """
-        Send requests at a constant rate to the entries in turn and return the replies.
+        Send requests at a constant rate to the entries in turn and return all replies in the
+        order of the requests.
 
         """
         started_at = time.monotonic()
@@ -399,7 +407,7 @@
                     break
                 pause.wait(max(due_at - time.monotonic(), 0))
                 replies.append(
-                    pool.submit(self.send_request, make(), number % len(self.entry_hosts))
+                    pool.submit(self.send_request, make_request(), number % len(self.entry_hosts))
                 )
             return [reply.result() for reply in replies]
 
--- a/packages/millfork-standins/millfork_standins/settings.py
+++ b/packages/millfork-standins/millfork_standins/settings.py
@@ -30,8 +30,8 @@
     event_lag_ms: float = 500
     # Share of the cache events that are never published.
     event_gap_share: float = 0.1
-    # Time that the engine works on a request that crashes it, and time between the close of its
-    # connections and the close of its listening address (0: they close together).
+    # Time from the start of a crashing request to the crash, and time from the close of the
+    # engine's connections to the close of its listening address (0: they close together).
     crash_after_ms: float = 200
     closes_after_ms: float = 0
 
@@ -45,14 +45,14 @@
     listen: Address
     log: Path
     answer_ms: float = 5
-    # Answers all requests with 503 immediately, without a retry-after time.
+    # Whether all requests are answered with 503 immediately, without a retry-after time.
     turns_away: bool = False
 
 
 class VersionSettings(StrictModel):
     """
-    One version at the origin; `kept` is the share of its bytes taken from `base`, another
-    version of the same model.
+    One version at the origin. The version begins with the share `kept` of the bytes of `base`,
+    another version of the same model.
 
     """
 
--- a/packages/millfork-standins/millfork_standins/soak/__main__.py
+++ b/packages/millfork-standins/millfork_standins/soak/__main__.py
@@ -31,7 +31,7 @@
         statuses = ' '.join(f'{status}:{n}' for status, n in sorted(result.statuses.items()))
         print(
             f'seed {result.seed}: {result.faults} faults, answers {statuses}, '
-            f'{result.documents} documents, {result.reads} reads, '
+            f'{result.acknowledged_version} documents, {result.reads} reads, '
             f'{len(result.violations)} broken',
             flush=True,
         )
--- a/packages/millfork-standins/millfork_standins/soak/backpressure.py
+++ b/packages/millfork-standins/millfork_standins/soak/backpressure.py
@@ -1,8 +1,8 @@
 """
-Backpressure signals of back ends, drawn by seed, and a check that entries keep to the limits.
+Draws backpressure signals of back ends from a seed, and checks that entries keep to the limits.
 
-The signals are drawn from a random generator of their own, so that a seed gives the same faults
-with and without signals.
+The signals have their own random generator, so that a seed gives the same faults with and
+without signals.
 
 """
 
@@ -20,12 +20,12 @@
 MAX_SIGNAL_S: Final = 9.0
 LIMIT_RANGE_PER_S: Final = (0.5, 5.0)
 RETRY_AFTER_RANGE_S: Final = (0.5, 3.0)
-# Entries may take this long to apply an announced limit.
+# The time that entries may take to apply an announced limit.
 REACTION_TIME_S: Final = 3.0
-# Requests are counted in windows of this length.
+# The length of the windows in which requests are counted.
 WINDOW_S: Final = 4.0
-# After a fault of an entry, this entry and the daemons that lost their connection to it may not
-# know the limit. Each such fault allows this many more requests, one for each caller.
+# Requests beyond a limit that each fault of an entry allows, one for each caller: after the fault,
+# this entry and the daemons that lost their connection to it may not know the limit.
 EXTRA_REQUESTS_PER_FAULT: Final = 6
 
 
@@ -58,7 +58,7 @@
 
 def plan_signals(seed: int, seconds: float, back_ends: int) -> list[PlannedSignal]:
     """
-    The signals of a run in the order of their times; a back end sends one at a time.
+    Return the signals of a run in the order of their times; a back end sends one at a time.
 
     """
     random = Random(f'backpressure {seed}')
--- a/packages/millfork-standins/millfork_standins/soak/callers.py
+++ b/packages/millfork-standins/millfork_standins/soak/callers.py
@@ -34,7 +34,7 @@
 @dataclass(frozen=True, slots=True)
 class Answer:
     """
-    The response to one request; status 0 if the connection broke first.
+    The response to one request; status 0 if the connection broke before the response was complete.
 
     """
 
@@ -48,8 +48,8 @@
 
 class Caller:
     """
-    Sends one request after another over one connection. It connects again, to a random entry,
-    when the connection breaks.
+    Sends one request after another over one connection. When the connection breaks, the caller
+    connects to a random entry.
 
     """
 
@@ -101,7 +101,7 @@
 
 class Operator:
     """
-    Replaces the configuration document repeatedly, and reads it back.
+    Replaces the configuration document repeatedly, and reads the document after each change.
 
     """
 
@@ -109,26 +109,27 @@
         self.fleet = fleet
         self.stop = stop
         self.version = 1
-        self.acknowledged = 0
-        # Reads of a version older than the one acknowledged before the read.
+        self.acknowledged_version = 0
+        # Descriptions of reads that returned an older version than was acknowledged before them.
         self.stale_reads: list[str] = []
         self.reads = 0
         self.thread = threading.Thread(target=self._run, daemon=True)
 
     def put_next(self) -> bool:
         """
-        Send the next document. Returns whether it was acknowledged.
+        Send the next document; return whether a replica acknowledged it.
 
         """
         self.version += 1
         if self.fleet.put_document(document(self.version)).status != 200:
             return False
-        self.acknowledged = self.version
+        self.acknowledged_version = self.version
         return True
 
     def read(self) -> int | None:
         """
-        The version that the first replica with a successful read returns, or None.
+        Return the version of the document from the first replica that answers, or None if no
+        replica does.
 
         """
         for host in self.fleet.replica_hosts:
@@ -140,7 +141,7 @@
     def _run(self) -> None:
         while not self.stop.wait(CHANGE_INTERVAL_S):
             self.put_next()
-            acknowledged_before = self.acknowledged
+            acknowledged_before = self.acknowledged_version
             read_version = self.read()
             if read_version is None:
                 continue
@@ -153,7 +154,7 @@
 
 def document(version: int) -> Document:
     """
-    A document with two common routes, and one that only this version has.
+    Return a document with two routes that all versions have, and one that only this version has.
 
     """
     kinds = {
--- a/packages/millfork-standins/millfork_standins/soak/checks.py
+++ b/packages/millfork-standins/millfork_standins/soak/checks.py
@@ -1,5 +1,5 @@
 """
-Checks that responses kept the promises of the platform, by what callers and back ends recorded.
+Checks the platform's promises about responses against the records of callers and back ends.
 
 """
 
@@ -9,9 +9,9 @@
 
 from millfork_standins.soak.callers import Answer
 
-# These statuses promise that the request has not run and never will.
+# Statuses which promise that the request has not run and never will.
 NOT_RUN_STATUSES: Final = frozenset({408, 421, 429, 503})
-# Every configuration of the soak allows the requests of its callers, so these are wrong.
+# Statuses that no caller may get, as every document of the soak allows the requests of its callers.
 WRONG_DENIAL_STATUSES: Final = frozenset({400, 401, 403, 404})
 WHOLE_BODY: Final = b'answer'
 
--- a/packages/millfork-standins/millfork_standins/soak/fault_plan.py
+++ b/packages/millfork-standins/millfork_standins/soak/fault_plan.py
@@ -11,14 +11,15 @@
 # The gaps between faults are shorter on average than the faults, so that faults overlap.
 MAX_GAP_S: Final = 1.2
 MAX_DURATION_S: Final = 4.0
-# The fleet tolerates the loss of one disk at a time. In this gap, the replica that lost its disk
-# can catch up before the next loss.
+# The shortest time between two losses of a disk. The fleet tolerates the loss of one disk at a
+# time, so the replica that lost its disk must be able to catch up before the next loss.
 MIN_DISK_LOSS_GAP_S: Final = 15.0
 
 
 class FaultKind(Enum):
     """
-    A fault of a process, or of the link to a back end.
+    A fault of a process, or of the link to a back end. `STOP` is a planned stop by SIGTERM,
+    `PAUSE` a stop by SIGSTOP. `SILENCE` holds back all bytes of a link, `ONE_WAY` only the answers.
 
     """
 
@@ -57,7 +58,7 @@
     seed: int, seconds: float, replicas: list[str], entries: list[str], links: int
 ) -> list[Fault]:
     """
-    The faults of a run in the order of their times.
+    Return the faults of a run in the order of their times.
 
     """
     random = Random(seed)
--- a/packages/millfork-standins/millfork_standins/soak/run.py
+++ b/packages/millfork-standins/millfork_standins/soak/run.py
@@ -45,7 +45,7 @@
 
 def handles_signal(pid: int, number: signal.Signals) -> bool:
     """
-    Whether a process ignores or catches a signal, instead of being ended by it.
+    Return whether a process ignores or catches a signal that would otherwise end the process.
 
     """
     fields = dict(
@@ -58,15 +58,15 @@
 @dataclass(slots=True)
 class SoakResult:
     """
-    The counts of a run, and descriptions of the broken promises. `documents` is the version of
-    the last acknowledged document.
+    The counts of a run, the version of the last acknowledged document, and descriptions of the
+    broken promises.
 
     """
 
     seed: int
     faults: int
     statuses: Counter[int] = field(default_factory=Counter)
-    documents: int = 0
+    acknowledged_version: int = 0
     reads: int = 0
     violations: list[str] = field(default_factory=list)
 
@@ -83,6 +83,7 @@
         # The backpressure signals of the run, and the periods in which back ends had limits.
         self.signals = plan_signals(seed, seconds, BACK_ENDS) if backpressure else []
         self.limit_periods: list[LimitPeriod] = []
+        # Times (monotonic seconds) at which faults of entries began and ended.
         self.entry_faults_at: list[float] = []
         self.fleet = SeededFleet(folder, entries=ENTRIES)
         self.stop = threading.Event()
@@ -96,7 +97,7 @@
 
     def run(self) -> SoakResult:
         """
-        Inject the faults of the seed, and check the promises.
+        Start the fleet and its callers, inject the faults of the seed, and check the promises.
 
         """
         try:
@@ -234,7 +235,7 @@
 
     def _handles_signals(self, host: str) -> bool:
         """
-        Whether the host's process handles the signals that this run sends.
+        Return whether the host's process handles SIGHUP and SIGTERM, which this run sends.
 
         """
         pid = self.fleet.processes[host].pid
@@ -245,6 +246,10 @@
         resource.prlimit(pid, resource.RLIMIT_FSIZE, (size, resource.RLIM_INFINITY))
 
     def _restart_ended_processes(self) -> None:
+        """
+        Start each process again that exited without a fault, and record the exit as a violation.
+
+        """
         for host, process in list(self.fleet.processes.items()):
             if host not in self.hosts_under_fault and process.poll() is not None:
                 self.violations.append(f'{host} exited by itself with status {process.returncode}')
@@ -283,13 +288,13 @@
         for thread in (self.operator.thread, *(caller.thread for caller in self.callers)):
             thread.join(START_TIMEOUT_S)
         read_version = self.operator.read()
-        if read_version is None or read_version < self.operator.acknowledged:
+        if read_version is None or read_version < self.operator.acknowledged_version:
             self.violations.append(
                 f'the last read returned version {read_version}, '
-                f'acknowledged was {self.operator.acknowledged}'
+                f'acknowledged was {self.operator.acknowledged_version}'
             )
 
-    def _result(self, faults: int) -> SoakResult:
+    def _result(self, fault_count: int) -> SoakResult:
         answers = [answer for caller in self.callers for answer in caller.answers]
         executed = {back_end.instance: back_end.executed_ids() for back_end in self.fleet.back_ends}
         violations = [
@@ -300,9 +305,9 @@
         violations += find_exceeded_limits(self.limit_periods, self.entry_faults_at)
         return SoakResult(
             self.seed,
-            faults,
+            fault_count,
             Counter(answer.status for answer in answers),
-            self.operator.acknowledged,
+            self.operator.acknowledged_version,
             self.operator.reads,
             violations,
         )
--- a/packages/millfork-standins/millfork_standins/versions.py
+++ b/packages/millfork-standins/millfork_standins/versions.py
@@ -1,5 +1,5 @@
 """
-Reads the ids and keys of versions from the origin; callers check answers with them.
+Reads the manifests of versions from the origin, for the ids and keys that answers are checked with.
 
 """
 
--- a/packages/millfork-standins/millfork_standins/weights.py
+++ b/packages/millfork-standins/millfork_standins/weights.py
@@ -11,8 +11,8 @@
 
 def make_weights(spec: VersionSettings, base: bytes = b'', chunk_bytes: int = 1) -> bytes:
     """
-    Generate the bytes of a version. If `base` is given, the first chunks are copied from it, a
-    share of `spec.kept` rounded down to whole chunks.
+    Generate the bytes of a version. If `base` is given, the result begins with the share
+    `spec.kept` of `base`, rounded down to whole chunks.
 
     """
     generated = random.Random(f'{spec.name}/{spec.version}/{spec.seed}').randbytes(spec.size)
@@ -32,7 +32,7 @@
 
 def token(key: str, prompt: str, position: int) -> str:
     """
-    The token that weights with this key generate at a position.
+    Return the token that weights with this key generate for a prompt at a position.
 
     """
     return digest_of(f'{key}|{prompt}|{position}'.encode())[:8]
--- a/tests/test_drawn_deployments.py
+++ b/tests/test_drawn_deployments.py
@@ -1,9 +1,9 @@
 """
 Properties of routing on random deployments, run on the routing model.
 
-No caller is turned away while half of the slots are free, no prompt length is starved, and
-under load many entries lose at most a stated part of first tokens in time against a single
-entry that sees all its own choices and knows which requests are retries.
+No caller is turned away while half of the slots are free, and no prompt length is starved.
+Under load, many entries have a share of first tokens in time that is at most `MAX_SPLIT_LOSS`
+lower than that of a single entry, which makes all choices and knows which requests are retries.
 
 """
 
@@ -15,8 +15,8 @@
 from millfork_standins.bench.retry_detection import DetectionMethod, RetryDetectionModel
 from millfork_standins.bench.routing import FleetShape
 
-# Share of all first tokens that many entries may lose against a single one: each knows only its
-# own choices and load reports up to 0.3 s old.
+# How much lower the share of first tokens in time may be with many entries than with a single
+# entry. Each of many entries knows only its own choices and load reports up to 0.3 s old.
 MAX_SPLIT_LOSS = 0.2
 # Offered load relative to the capacity of the engines.
 LOW_LOAD_FACTOR = 0.35
@@ -35,7 +35,7 @@
     read_per_s=st.integers(13_000, 31_000),
     target_ms=st.integers(380, 600),
 )
-# The shortest timeout of a caller relative to the usual one.
+# The shortest timeout of a caller, relative to the usual timeout.
 MIN_TIMEOUT_SHARES = st.floats(0.6, 1.0)
 SEEDS = st.integers(0, 1000)
 DEADLINE_MS = 60_000
@@ -67,12 +67,12 @@
 @given(SHAPES, SEEDS, MIN_TIMEOUT_SHARES)
 def test_no_caller_is_turned_away_while_half_of_the_slots_are_free(shape, seed, min_timeout_share):
     """
-    An entry turned a caller away while two thirds of the slots were free. Either of two faults
-    was enough on some deployments, the first with a prompt too long to be read in time. The
-    entry compared only three engines, which were nearly full, although others had one or two
-    requests. And it classified a first try as a retry, because two requests with similar deadlines
-    seemed to show that all callers start with the same one; a retry without remaining time may
-    use only the slots reserved for late requests. An entry must check the freest engines that
+    An entry turned a caller away while two thirds of the slots were free. On some deployments,
+    either of two faults was enough. First, with a prompt too long to be read in time, the entry
+    compared only three engines, which were nearly full, although others had one or two requests.
+    Second, the entry took a first try for a retry, because two requests with similar deadlines
+    seemed to show that all callers start with the same deadline; a retry without remaining time
+    may use only the slots reserved for late requests. An entry must check the freest engines that
     it knows before it turns a caller away.
 
     """
@@ -89,11 +89,11 @@
 @given(SHAPES, SEEDS, MIN_TIMEOUT_SHARES, st.sampled_from([0.9, 1.2, 1.5]))
 def test_many_entries_lose_no_more_than_a_stated_share(shape, seed, min_timeout_share, factor):
     """
-    Thirteen entries in front of four engines had 0.476 of first tokens in time, a single one
-    0.702. Each entry used load reports up to 0.3 s old and did not see the requests that the
-    others sent meanwhile, so that the engine with the lowest reported load was full when the
-    request arrived. An entry must query the daemons of the engines that it compares if one of
-    these is nearly full.
+    With thirteen entries in front of four engines, 0.476 of the first tokens were in time, with a
+    single entry 0.702. Each entry used load reports up to 0.3 s old and did not see the requests
+    that the other entries sent meanwhile, so that the engine with the lowest reported load was
+    full when the request arrived. An entry must query the daemons of the engines that it compares
+    if one of these engines is nearly full.
 
     """
     many_entries = run_model(shape, factor, seed, DetectionMethod.AS_BUILT, min_timeout_share)
--- a/tests/test_faults_left_open.py
+++ b/tests/test_faults_left_open.py
@@ -38,8 +38,8 @@
 
 def test_a_request_that_only_ran_beside_a_crashing_one_is_tried_again_within_half_a_day():
     """
-    Three back ends end one after another. Every request that ran on them is suspected, and only a
-    complete answer clears it. A quarantined request isn't sent again, so it never gets one.
+    Three back ends end one after another. Every request that ran on them is suspected until it
+    gets a complete answer. A quarantined request is never sent, so it can't get an answer.
 
     """
 
@@ -60,7 +60,7 @@
 def test_a_superseded_version_ends_in_time_if_all_replicas_lose_power(tmp_path):
     """
     The leader acknowledged the new version, but no other replica had learned of the commit. After
-    the power loss no replica knows for how long all were down.
+    the power loss no replica knows for how long the replicas were down.
 
     """
     clock = Clock()
@@ -75,7 +75,7 @@
     assert versions.ends_at('m', 1) <= acknowledged_at + SWITCH_S - CANCEL_MARGIN_S
 
 
-# Fixtures of the other module, which pytest finds only by a name in this one.
+# Fixtures of `test_delayed_heartbeats`, assigned here because pytest looks them up in this module.
 replica = heartbeats.replica
 clock = heartbeats.clock
 
@@ -85,7 +85,8 @@
 )
 def test_a_late_first_heartbeat_of_an_ended_back_end_ends_no_lease(replica, clock, late, live):
     """
-    If the heartbeats carry incarnations, the live process has the later one, which decides.
+    Back end i-1 ended, and i-2 is live at the same address. If the heartbeats carry incarnations,
+    i-2 has the later incarnation and keeps its lease.
 
     """
     replica.record_heartbeat(heartbeats.lease('i-2', 5, incarnation=live))
@@ -97,7 +98,7 @@
 @pytest.mark.parametrize('entries', [6, 98, 380])
 def test_entries_together_use_most_of_a_small_limit(entries):
     """
-    Callers send 20 times what the back end accepts. The used share is the mean of 20 simulations.
+    Callers send 20 times the limit of the back end. The used share is the mean of 20 simulations.
 
     """
     limit_per_s = 1.0
@@ -123,7 +124,8 @@
 @pytest.mark.parametrize('seed', [22, 70])
 def test_many_entries_lose_no_more_than_a_stated_share_with_other_seeds(seed):
     """
-    13 entries in front of four engines. With two of 200 other seeds the loss exceeds 0.2.
+    With 13 entries in front of four engines, the loss of first tokens in time against a single
+    entry exceeds 0.2 for two of 200 other seeds.
 
     """
     built = drawn.run_model(
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -21,7 +21,7 @@
 REPLICAS = ['r1', 'r2', 'r3']
 ENTRIES = ['e1', 'e2']
 RUN_S = 6.0
-# A seed with which back ends announce limits, ask for rest and turn requests away.
+# A seed with which back ends announce limits, and answer 503 with and without a retry-after time.
 BACKPRESSURE_SEED = 2
 BACKPRESSURE_S = 12.0
 # Seeds that failed in the past, with the cause of each.
@@ -33,7 +33,8 @@
     20,
     # A frame arrived while a replica stopped, and the replica exited with status 1.
     21,
-    # The soak waited only for the SIGHUP handler and sent SIGTERM before its handler was set.
+    # The soak waited only for the SIGHUP handler and sent SIGTERM before the SIGTERM handler was
+    # set.
     70,
 )
 
@@ -115,4 +116,4 @@
     assert result.violations == []
     assert result.faults
     assert result.statuses[200]
-    assert result.documents > 1
+    assert result.acknowledged_version > 1
--- a/tests/utils/crashing.py
+++ b/tests/utils/crashing.py
@@ -1,5 +1,5 @@
 """
-A fleet with a list of instances, on which one request crashes the engines that run it.
+A listed fleet, on which one request crashes each engine that runs the request.
 
 """
 
@@ -21,8 +21,8 @@
 
 class CrashingFleet:
     """
-    A fleet that restarts engines 1 s after they ended. They end 0.2 s into the request, unless
-    `crash_after_ms` says otherwise.
+    A fleet that restarts each engine 1 s after its crash. An engine crashes 0.2 s after it starts
+    to run the crashing request, unless the setting `crash_after_ms` is given.
 
     """
 
@@ -57,8 +57,8 @@
 
     def call(self, entry=0, prompt=CRASHING_PROMPT, **fields):
         """
-        Send the crashing request once the entry answers other requests. Returns None if the
-        answer is interrupted.
+        Send the crashing request once the entry answers other requests. Return the answer, or
+        None if the connection broke.
 
         """
         wait_until(lambda: complete(self.fleet, self.token, entry).status == 200)
@@ -70,8 +70,8 @@
 
     def call_and_leave(self, entry, **fields):
         """
-        Send the crashing request from a caller that leaves after `CALLER_TIMEOUT_S`. Returns
-        once the engine that runs it has ended, or the caller is answered.
+        Send the crashing request from a caller that leaves after `CALLER_TIMEOUT_S`. Return once
+        an engine has crashed, or at once if the caller is answered.
 
         """
         wait_until(lambda: complete(self.fleet, self.token, entry).status == 200)
@@ -87,7 +87,7 @@
 
     def fingerprints_at_fault(self):
         """
-        Return the fingerprints of the requests that the first entry considers at fault, by its log.
+        Return the fingerprints of the requests that the first entry has logged as at fault.
 
         """
         return re.findall(
@@ -109,7 +109,7 @@
 
     def count_ended(self):
         """
-        Return how often an engine ended.
+        Return the number of crashes of all engines.
 
         """
         count = 0
--- a/tests/utils/fleets.py
+++ b/tests/utils/fleets.py
@@ -10,23 +10,23 @@
 from millfork_standins.layout import CALLERS_PORT
 from millfork_standins.requests import Answer, fetch
 
-BOUND_S = 30.0
+TIMEOUT_S = 30.0
 
 
-def wait_until(is_true, bound_s=BOUND_S):
+def wait_until(condition, timeout_s=TIMEOUT_S):
     """
-    Wait until a condition holds; fail after `bound_s` seconds.
+    Wait until a condition holds; fail after `timeout_s` seconds.
 
     """
-    deadline = time.monotonic() + bound_s
-    while not is_true():
+    deadline = time.monotonic() + timeout_s
+    while not condition():
         assert time.monotonic() < deadline, 'the condition does not hold in time'
         time.sleep(0.05)
 
 
 def serve_version(fleet: Fleet, version: str) -> None:
     """
-    Apply organisations and a deployment, and wait until all engines serve it.
+    Apply organisations and a deployment of the version, and wait until all engines serve it.
 
     """
     fleet.apply(fleet.organisations_declaration())
@@ -57,10 +57,10 @@
 
     """
     body = {'model': 'main', 'prompt': 'draft it', 'max_tokens': 4, 'nonce': 'n', **fields}
-    sent = {'authorization': f'Bearer {token}', **(headers or {})}
+    all_headers = {'authorization': f'Bearer {token}', **(headers or {})}
     host = fleet.entries[entry].host
     data = json.dumps(body).encode()
-    return fetch('POST', host, CALLERS_PORT, '/v1/completions', data, sent)
+    return fetch('POST', host, CALLERS_PORT, '/v1/completions', data, all_headers)
 
 
 def call_service(fleet: Fleet, token: str, method: str, path: str, entry=0, headers=None) -> Answer:
@@ -68,6 +68,6 @@
     Send a request for a plain service to one entry.
 
     """
-    sent = {'authorization': f'Bearer {token}', **(headers or {})}
+    all_headers = {'authorization': f'Bearer {token}', **(headers or {})}
     host = fleet.entries[entry].host
-    return fetch(method, host, CALLERS_PORT, f'/services/{path}', b'{}', sent)
+    return fetch(method, host, CALLERS_PORT, f'/services/{path}', b'{}', all_headers)
--- a/tests/utils/loaded.py
+++ b/tests/utils/loaded.py
@@ -1,5 +1,5 @@
 """
-Three entries in front of three back ends, each of which could serve most of the load alone.
+Three entries and three back ends, where each back end alone could serve most of the load.
 
 """
 
