--- a/packages/millfork-standins/millfork_standins/callers.py
+++ b/packages/millfork-standins/millfork_standins/callers.py
@@ -19,8 +19,8 @@
 
 MAX_TOKENS: Final = 6
 MAX_ATTEMPTS: Final = 12
-# Longest pause of a thread between two requests, and the pause before a resend if no answer asks
-# for another one.
+# The longest pause of a thread between two requests, and the pause before a resend unless the
+# answer has a retry-after time.
 PAUSE_S: Final = 0.1
 MAX_RETRY_AFTER_S: Final = 1.0
 PROMPTS: Final = ('summarise the lecture', 'outline the chapter', 'draft the quiz')
--- a/packages/millfork-standins/millfork_standins/history.py
+++ b/packages/millfork-standins/millfork_standins/history.py
@@ -26,8 +26,8 @@
 class Put:
     """
     One attempt to change a key. All attempts at one change have the same command id. The change
-    is to be refused if the key has changed after revision `expect` (None: never). Times are in
-    seconds on one clock; `returned` is not used if the outcome is unknown.
+    must be refused if the key has changed after revision `expect` (None: no condition). Times are
+    in seconds on one clock; `returned` is not used if the outcome is unknown.
 
     """
 
@@ -57,7 +57,7 @@
 @dataclass(frozen=True, slots=True)
 class Observation:
     """
-    The revision in force that an observer saw at one moment.
+    The revision in force on the instance `observer` at one moment.
 
     """
 
--- a/packages/millfork-standins/millfork_standins/relay.py
+++ b/packages/millfork-standins/millfork_standins/relay.py
@@ -2,8 +2,8 @@
 A CONNECT proxy between the zones that can cut, freeze and restore their links.
 
 `POST /cut/1-2,1-3` closes the connections between these pairs of zones and refuses new ones.
-`POST /freeze/1-2` stops the bytes but leaves the connections open. Each call replaces the pairs
-of the previous call of its kind.
+`POST /freeze/1-2` stops the bytes but leaves the connections open. Each cut replaces the previous
+cut, and each freeze the previous freeze.
 
 """
 
--- a/packages/millfork-standins/millfork_standins/soak/callers.py
+++ b/packages/millfork-standins/millfork_standins/soak/callers.py
@@ -128,8 +128,8 @@
 
     def read(self) -> int | None:
         """
-        Return the version of the document from the first replica that answers, or None if no
-        replica does.
+        Return the document version that the first replica with a successful read returns, or None
+        if every read fails.
 
         """
         for host in self.fleet.replica_hosts:
--- a/packages/millfork-standins/millfork_standins/soak/run.py
+++ b/packages/millfork-standins/millfork_standins/soak/run.py
@@ -80,7 +80,7 @@
     def __init__(self, folder: Path, seed: int, seconds: float, backpressure: bool = False) -> None:
         self.seed = seed
         self.seconds = seconds
-        # The backpressure signals of the run, and the periods in which back ends had limits.
+        # The backpressure signals of the run, and the periods in which back ends announced limits.
         self.signals = plan_signals(seed, seconds, BACK_ENDS) if backpressure else []
         self.limit_periods: list[LimitPeriod] = []
         # Times (monotonic seconds) at which faults of entries began and ended.
