--- a/packages/millforkd/millforkd/sidecar/__init__.py
+++ b/packages/millforkd/millforkd/sidecar/__init__.py
@@ -1,5 +1,5 @@
 """
-The endpoint role of a seeded fleet: a daemon next to each model engine, which fetches
-weights in pieces, reports the state of the engine and orders it to change versions.
+The endpoint role of a seeded fleet: a daemon beside each engine, which fetches weights in
+pieces, reports the state of the engine and tells the engine to load versions.
 
 """
--- a/packages/millforkd/millforkd/sidecar/daemon.py
+++ b/packages/millforkd/millforkd/sidecar/daemon.py
@@ -1,5 +1,5 @@
 """
-The endpoint daemon of a seeded fleet, which runs next to one engine.
+The endpoint daemon of a seeded fleet, which runs beside one engine.
 
 """
 
@@ -44,15 +44,19 @@
 from millforkd.sidecar.rollout import Rollout
 from millforkd.sidecar.target import Target, TargetChooser
 
-# An engine starts and finishes about two requests in this time.
+# Time between two reports of this daemon, in seconds. An engine starts and finishes about two
+# requests in this time.
 REPORT_INTERVAL_S: Final = 0.15
+# Limit of the time in which the receiver of a report must answer, in seconds.
 REPORT_TIMEOUT_S: Final = 0.5
-# Share of the link that weight transfers may use. The rest is for the engine's requests
-# and answers, which take about 3% of 3.65 Mbit/s at full load.
+# Share of the link's rate that weight transfers may use. The engine's requests and answers
+# have the rest: they take about 3% of 3.65 Mbit/s at full load.
 TRANSFER_SHARE: Final = 0.94
-# A daemon that is asked for digests it does not have yet waits this long for them.
+# A daemon that is asked for the digests of its target version, but has not received them yet,
+# waits this many seconds for them before it answers.
 DIGESTS_WAIT_S: Final = 1.0
 BITS_PER_MBIT: Final = 1_000_000
+# The rate assumed for a link without a configured rate: 10 Gbit/s.
 UNLIMITED_BYTES_PER_S: Final = 1_250_000_000
 
 log = logger(Component.ENDPOINT)
@@ -60,7 +64,7 @@
 
 class SidecarDaemon:
     """
-    The tasks and message handlers of one endpoint instance.
+    One endpoint daemon: its tasks and the handlers of messages from other processes.
 
     """
 
@@ -138,18 +142,18 @@
 
     async def drain(self) -> None:
         """
-        Return at once: this daemon handles no requests that a planned stop must wait for.
+        Return at once, because a planned stop has no requests of this daemon to wait for.
 
         """
 
     def states(self) -> list[EndpointState]:
         """
-        The last known state of every endpoint daemon in the registry.
+        The last known states of the endpoint daemons of all services.
 
         """
         return list(self.registry.endpoints.values())
 
-    # The version to be served.
+    # The target version.
 
     def _engine_spec(self) -> EngineSpec | None:
         found = find_new_document(self.view, self.adapter, self.document_revision)
@@ -198,7 +202,8 @@
 
     async def _send_report(self) -> None:
         """
-        Send this daemon's state to the replica that it follows, or to a daemon that relays it.
+        Send this daemon's state to the process that sends it the feed: a replica, or another
+        daemon that passes the state on. The state is not sent while there is no such process.
 
         """
         source = self.feed_client.report_target
@@ -239,8 +244,9 @@
 
     def _held_versions(self, served: tuple[ServedVersion, ...]) -> tuple[HeldVersion, ...]:
         """
-        The pieces that other daemons can fetch from this one: those in memory, and those
-        staged at the engine if it serves the whole model.
+        The pieces that other daemons can fetch from this one: of each version in memory the
+        longest run of pieces, and all pieces of a version that the engine serves whole, which
+        are still staged at the engine.
 
         """
         held = []
@@ -262,11 +268,11 @@
         held = self.store.find(weights)
         return held is not None and held.whole
 
-    # Messages of peers.
+    # Messages from peers.
 
     async def handle(self, connection: Connection, message: Message) -> Message | None:
         """
-        Handle one message of a peer; returns the reply, or None if there is none.
+        Handle one message of a peer, and return the reply; None if the message has no reply.
 
         """
         if await self.feed_client.handle_feed_message(connection.peer, message):
@@ -352,8 +358,8 @@
 
     def _is_wanted(self, weights: WeightsId) -> bool:
         """
-        Whether this daemon can use pieces of a version: it is the target version, or
-        a newer one whose announcement has not reached this daemon yet.
+        Whether this daemon accepts pieces of a version: the version is the target, or a newer
+        version of the same model, of which this daemon may not know yet.
 
         """
         target = self.targets.current
@@ -374,8 +380,8 @@
 
     def _engine_serves(self, weights: WeightsId) -> bool:
         """
-        Whether the pieces staged at the engine are those of this version: the engine
-        serves all its layers, and no change to another version is in progress.
+        Whether the pieces staged at the engine belong to this version: the engine serves all
+        layers of the version and is not changing to another one.
 
         """
         layers, _ = self._model_shape()
--- a/packages/millforkd/millforkd/sidecar/engine.py
+++ b/packages/millforkd/millforkd/sidecar/engine.py
@@ -1,5 +1,5 @@
 """
-Calls to the engine on this instance: its report, its staged pieces and load orders.
+Calls to the engine on this instance: state reports, staged pieces and load orders.
 
 """
 
@@ -15,7 +15,8 @@
 from millfork_web.client import Client, ExchangeFailed
 from millfork_web.models import Request, Response
 
-# The engine is on the same instance, so a longer silence means that the engine has failed.
+# Timeout of a call to the engine, in seconds. The engine runs on the same instance, so a longer
+# silence means that the engine has failed.
 CALL_TIMEOUT_S: Final = 1.0
 
 log = logger(Component.ENGINE)
@@ -23,8 +24,8 @@
 
 class LocalEngine:
     """
-    Sends calls to the engine one at a time over one persistent connection, because
-    each connection counts against the engine's connection limit.
+    Calls the engine, one call at a time over one persistent connection, because each
+    connection counts against the engine's connection limit.
 
     """
 
@@ -41,7 +42,8 @@
 
     async def report(self) -> EngineReport | None:
         """
-        The engine's state; None if the engine does not answer or its report is invalid.
+        The engine's state; None if the engine does not answer, refuses, or sends an invalid
+        report.
 
         """
         try:
@@ -67,7 +69,8 @@
 
     async def stage(self, model: str, index: int, data: bytes) -> bool:
         """
-        Write one piece to the engine's staging area; False if the engine did not accept it.
+        Write one piece to the engine's staging area; False if the engine did not accept the
+        piece.
 
         """
         try:
@@ -79,7 +82,7 @@
 
     async def read_staged(self, model: str, index: int) -> bytes | None:
         """
-        Read one piece from the engine's staging area; None if it could not be read.
+        Read one piece from the engine's staging area; None if the piece could not be read.
 
         """
         try:
@@ -91,8 +94,9 @@
 
     async def start(self, model: str, version: int, first: int, end: int, interrupts: bool) -> bool:
         """
-        Order the engine to load layers from its staged pieces. It lets running requests finish
-        first, or ends them if `interrupts` is set. False if it does not accept the order.
+        Tell the engine to load the layers from `first` to before `end` from its staged pieces.
+        The engine lets running requests finish first, or ends them if `interrupts` is set.
+        False if the engine does not accept the load order.
 
         """
         try:
--- a/packages/millforkd/millforkd/sidecar/expiry.py
+++ b/packages/millforkd/millforkd/sidecar/expiry.py
@@ -1,15 +1,15 @@
 """
-Removes a version from the engine if it ends before the next version has arrived.
-
-Entries stop sending in time, but their last requests may be queued in a slow link, where
-they can't be cancelled: a request was seen to start 1.1 s after it was sent. This daemon
-runs on the same instance as the engine, so no link delays its orders. It orders the engine
-to hold a single layer of the next version, so that the engine refuses late requests as not
-run. If no layer of the next version has arrived (the origin is down, or the daemon has just
-started), the order names one layer of the served version, whose pieces are staged at the
-engine. An engine that is about to have the whole next version gets no such order: it would
-accept no other order until its running requests have ended, and would change 0.5 s to
-1.5 s later.
+Removes the served version from the engine if that version ends before the next one has arrived.
+
+From its end on, no request may start on a version. Entries stop sending in time, but their
+last requests may be queued in a slow link, where they can't be cancelled: a request was seen
+to start 1.1 s after it was sent. This daemon runs on the same instance as the engine, so no
+link delays its load orders. It tells the engine to hold a single layer of the next version, so
+that the engine refuses late requests as not run. If no layer of the next version has arrived
+(the origin is down, or the daemon has just started), the engine is told to hold one layer of
+the served version, whose pieces are still staged. If the next version is nearly complete, the
+engine gets no such load order: until its running requests had ended, it would accept no other
+load order, and so would change to the next version 0.5 s to 1.5 s later.
 
 """
 
@@ -29,15 +29,17 @@
 from millforkd.sidecar.target import Target
 from millforkd.version_switching import LAST_SEND_BEFORE_END_S
 
+# Time between two checks of the served version, in seconds.
 POLL_S: Final = 0.05
-# The engine is emptied this long before the end of the old version. The order takes two
-# polls and a few calls on the same instance, and this daemon may have learned of the new
+# The engine is emptied this many seconds before the served version ends. The load order takes
+# two polls and a few calls on the same instance, and this daemon may have learned of the new
 # version 0.2 s after the entries did.
 EMPTY_AHEAD_S: Final = 0.35
-# The next version counts as nearly complete if its missing pieces take no longer than this
-# at the rate of the last second. On a link slow enough to delay requests as described
-# above, they take longer.
+# The next version counts as nearly complete if its missing pieces will arrive within this many
+# seconds at the rate of the last second. On a link slow enough to delay requests by about a
+# second, the missing pieces take longer.
 NEARLY_COMPLETE_S: Final = 0.5
+# The rate at which pieces arrive is measured over this many seconds.
 RATE_WINDOW_S: Final = 1.0
 
 log = logger(Component.WEIGHTS)
@@ -45,7 +47,8 @@
 
 class ExpiryWatcher:
     """
-    Empties the engine when the version that it serves is about to end.
+    Empties the engine when the served version is about to end: leaves it a single layer, with
+    which it can't run requests.
 
     """
 
@@ -56,9 +59,10 @@
         self.engine = engine
         self.store = store
         self.rollout = rollout
-        # The engine's incarnation when it was last emptied, and the target version then.
+        # The engine's incarnation and the target version when the engine was last emptied.
         self.emptied_for = (UNKNOWN_INCARNATION, 0)
-        # Samples of the last second: a time, and the number of target pieces held then.
+        # Samples of the last second: the time (monotonic seconds), and the number of pieces of
+        # the target that this daemon held at that time.
         self.arrivals: deque[tuple[float, int]] = deque()
 
     async def run(self) -> None:
@@ -78,17 +82,18 @@
 
     def _is_due(self, target: Target, held: PieceSet) -> bool:
         """
-        Whether the served version is about to end and the next one is not nearly complete.
+        Whether the engine must be emptied now: the served version is about to end, and the
+        next one is not nearly complete.
 
         """
-        if not self._has_ended(target):
+        if not self._serves_ending_version(target):
             return False
         return self._remaining_s(target, held) > NEARLY_COMPLETE_S
 
     def _record_arrivals(self, count: int) -> None:
         now = self.env.monotonic()
         if self.arrivals and count < self.arrivals[-1][1]:
-            # The target is another version now.
+            # Fewer pieces than before: the samples belong to an earlier target.
             self.arrivals.clear()
         self.arrivals.append((now, count))
         while now - self.arrivals[0][0] > RATE_WINDOW_S:
@@ -96,7 +101,8 @@
 
     def _remaining_s(self, target: Target, held: PieceSet) -> float:
         """
-        Seconds until the missing pieces have arrived, at the rate of the last second.
+        Seconds until the missing pieces have arrived, at the rate of the last second; infinity
+        if no piece arrived in that second.
 
         """
         window_start, window_start_count = self.arrivals[0]
@@ -108,10 +114,11 @@
             return float('inf')
         return missing * (self.env.monotonic() - window_start) / arrived
 
-    def _has_ended(self, target: Target) -> bool:
+    def _serves_ending_version(self, target: Target) -> bool:
         """
-        Whether the engine still serves a version on which no request may start any longer,
-        or on which none may start after `EMPTY_AHEAD_S`.
+        Whether the engine serves a version other than the target that has ended, or ends within
+        `EMPTY_AHEAD_S`. False if the engine was already emptied for this target, or is changing
+        its version.
 
         """
         emptied = self.emptied_for == (self.rollout.incarnation, target.weights.version)
@@ -123,7 +130,7 @@
 
     async def _empty_engine(self, target: Target) -> None:
         async with self.rollout.order_lock:
-            if not self._has_ended(target):
+            if not self._serves_ending_version(target):
                 return
             emptied = (self.rollout.incarnation, target.weights.version)
             remaining = await self._order_single_layer(target)
@@ -141,9 +148,9 @@
 
     async def _order_single_layer(self, target: Target) -> ServedVersion | None:
         """
-        Order the engine to hold a single layer of the next version, from which the rollout
-        continues, or else one of the served version. None if the engine got or accepted
-        no order.
+        Tell the engine to hold a single layer of the next version, from which the rollout
+        continues, or if no layer of it is complete, one of the served version. Returns the
+        layer; None if no load order was sent or the engine did not accept it.
 
         """
         weights = target.weights
@@ -158,22 +165,24 @@
 
     async def _order_layer_of_served_version(self, target: Target) -> ServedVersion | None:
         """
-        Order the engine to hold a single layer of the version that it serves, with which
-        alone it can't generate tokens. The pieces of this layer are still staged at the
-        engine, unless an earlier process of this daemon has staged those of the target.
+        Tell the engine to hold a single layer of the served version: with one layer, the engine
+        can't generate tokens. The pieces of this layer are still staged at the engine, unless
+        an earlier process of this daemon has staged pieces of the target; then nothing is sent.
+        Nothing is sent either if the engine holds a single layer already.
 
         """
         if not self.rollout.staged_checked or self.rollout.staged_weights == target.weights:
             return None
-        serves = self.rollout.served[0]
-        end = serves.end if serves.end is not None else target.layers
-        if end - serves.first <= 1:
+        served = self.rollout.served[0]
+        end = served.end if served.end is not None else target.layers
+        if end - served.first <= 1:
             return None
-        # A layer that is neither the first nor the last of the model, if there is one. An
-        # entry that knows of no newer version then can't start or end a path at this engine.
-        middle = (serves.first + end) // 2
+        # A layer that is neither the first nor the last of the model, if there is one: entries
+        # that know of no newer version then can't use this engine as the first or last of the
+        # engines that run a request together.
+        middle = (served.first + end) // 2
         layer = Layers(middle, middle + 1)
-        return await self._order(WeightsId(serves.model, serves.version), layer)
+        return await self._order(WeightsId(served.model, served.version), layer)
 
     async def _order(self, weights: WeightsId, layer: Layers) -> ServedVersion | None:
         model, version = weights.model, weights.version
@@ -184,7 +193,7 @@
 
 def _find_complete_layer(held: PieceSet, target: Target) -> Layers | None:
     """
-    The first layer of which this daemon holds all pieces; None if there is none.
+    The first layer of the target of which `held` contains all pieces; None if there is none.
 
     """
     for first in range(target.layers):
--- a/packages/millforkd/millforkd/sidecar/fleet.py
+++ b/packages/millforkd/millforkd/sidecar/fleet.py
@@ -1,5 +1,5 @@
 """
-The endpoint daemons of one service, as known to one of them.
+The endpoint daemons of one service, as one of these daemons knows them from the registry.
 
 """
 
@@ -16,32 +16,36 @@
     LayerAssignment,
     Layers,
     assign_layers,
-    daemons_lacking,
+    daemons_without_whole,
 )
 from millforkd.sidecar.pieces import WeightsId
 from millforkd.sidecar.sources import holders, preferred_holders, request_order
 
-# A snapshot of the states of all daemons is needed for each piece, and reused for this long.
+# A snapshot of the states of all daemons is reused for this many seconds, because one is needed
+# for each piece.
 SNAPSHOT_MAX_AGE_S: Final = 0.2
 
 
 @dataclass(frozen=True, slots=True)
 class _FleetSnapshot:
     """
-    Members and layer assignments for one version, computed at `at` (monotonic seconds).
+    The daemons of the service (`members`), those whose engines do not serve the whole version
+    (`incomplete`), and the layer assignments of the latter by instance, computed at `at`
+    (monotonic seconds).
 
     """
 
     weights: WeightsId
     at: float
     members: list[EndpointState]
-    lacking: list[EndpointState]
+    incomplete: list[EndpointState]
     assignments: dict[str, LayerAssignment]
 
 
 class Fleet:
     """
-    Computes which daemons hold a piece, which daemon fetches it, and when each engine changes.
+    Computes which daemons hold a piece, which daemon fetches the piece from the origin, which
+    layers this daemon's engine loads first, and in which turn that engine changes its version.
 
     """
 
@@ -57,7 +61,7 @@
         self.service = service
         self.states = states
         self.own_state = own_state
-        # Returns the numbers of layers and of pieces of the service's model.
+        # Returns the numbers of layers and of pieces of the service's model, 0 if not known.
         self.model_shape = model_shape
         self.snapshot: _FleetSnapshot | None = None
 
@@ -81,24 +85,25 @@
             return last
         layers, _ = self.model_shape()
         members = self.members()
-        lacking = daemons_lacking(members, weights, self.service, layers)
-        assignments = assign_layers(lacking, weights, layers)
-        for state in lacking:
+        incomplete = daemons_without_whole(members, weights, self.service, layers)
+        assignments = assign_layers(incomplete, weights, layers)
+        for state in incomplete:
             goal = state.goal
             if goal is None or (goal.model, goal.version) != (weights.model, weights.version):
                 continue
-            # The layers that a daemon loads first override the computed assignment.
+            # A daemon that has already chosen the layers that its engine loads first keeps
+            # them, whatever is computed here.
             end = goal.end if goal.end is not None else layers
             assignments[state.instance] = LayerAssignment(
                 Layers(goal.first, end), assignments[state.instance].pair
             )
-        self.snapshot = _FleetSnapshot(weights, now, members, lacking, assignments)
+        self.snapshot = _FleetSnapshot(weights, now, members, incomplete, assignments)
         return self.snapshot
 
     def own_assignment(self, weights: WeightsId) -> LayerAssignment:
         """
-        This daemon's layer assignment among the daemons whose engines lack a version. If its own
-        engine lacks nothing, all layers.
+        The layers of a version that this daemon's engine loads first, computed from all daemons
+        whose engines do not serve the whole version. All layers if its own engine serves them.
 
         """
         own = self.own_state()
@@ -111,7 +116,7 @@
 
     def own_turn(self, weights: WeightsId, turns: int) -> int:
         """
-        The turn, from 0 to before `turns`, in which this daemon's engine changes.
+        The turn, from 0 to `turns` - 1, in which this daemon's engine changes to a version.
 
         """
         own = str(self.env.instance)
@@ -123,8 +128,9 @@
 
     def origin_fetchers(self, weights: WeightsId, index: int) -> list[str]:
         """
-        The daemons whose first layers need a piece, in the order in which they try to
-        fetch it from the origin; the first of them sends it to the others.
+        The daemons that need a piece for the layers that their engines load first, in the order
+        in which they try to fetch the piece from the origin. The daemon that fetches the piece
+        sends it to the others.
 
         """
         layers, pieces = self.model_shape()
@@ -145,16 +151,16 @@
 
     def nearest_holders(self, weights: WeightsId, index: int) -> list[str]:
         """
-        The daemons to request a piece from, in order of preference.
+        The daemons to request a piece from, in the order in which they are asked.
 
         """
         candidates = self.holders(weights, index)
         zone = str(self.env.zone)
-        lacking_in_zone = [
+        incomplete_in_zone = [
             state
-            for state in self._snapshot_for(weights).lacking
+            for state in self._snapshot_for(weights).incomplete
             if state.zone == zone and state not in candidates
         ]
         return request_order(
-            preferred_holders(candidates, zone, len(lacking_in_zone)), weights, index
+            preferred_holders(candidates, zone, len(incomplete_in_zone)), weights, index
         )
--- a/packages/millforkd/millforkd/sidecar/gathering.py
+++ b/packages/millforkd/millforkd/sidecar/gathering.py
@@ -1,6 +1,9 @@
 """
 Fetches the pieces of a version into memory, from caches, peers and the origin.
 
+Caches run in entries and keep pieces for the daemons of their zone. Peers are the other
+endpoint daemons of the service.
+
 """
 
 from collections.abc import Awaitable, Callable
@@ -25,30 +28,36 @@
 from millforkd.sidecar.transfer_times import TransferTimes
 from millforkd.sidecar.verification import store_if_valid
 
-# Concurrent requests to peers: enough to fill the link for some milliseconds, few enough
-# that pieces don't queue ahead of the engine's requests.
+# Concurrent requests of one daemon to peers: enough to keep the link busy, few enough that
+# pieces don't queue ahead of the engine's requests for more than some milliseconds.
 PEER_WINDOW_PIECES: Final = 4
-# Concurrent requests to caches: one piece on the link and one request on its way to the
-# cache and back. More would queue in a slow link ahead of the engine's requests.
+# Concurrent requests of one daemon to caches: while one piece is on the link, the request for
+# the next one travels to the cache. More pieces would queue in a slow link ahead of the
+# engine's requests.
 CACHE_WINDOW_PIECES: Final = 2
-# Consecutive rounds of requests to caches without a piece, before a daemon asks peers and
-# the origin. Caches themselves retry an origin that is down for some seconds as soon as
-# it is back.
+# After this many consecutive rounds in which no cache returned a piece, a daemon asks peers and
+# the origin. So many rounds outlast an origin that is down for some seconds: caches fetch
+# pieces again as soon as the origin is back.
 MAX_FAILED_CACHE_ROUNDS: Final = 20
-# Consecutive requests to caches for the list of digests before it is requested from peers
-# or the origin. No transfer starts without this small list. The requests take about 4 s;
-# caches that can reach the cache that fetches the list have it within 1 s.
+# After this many consecutive failed requests to caches for the list of digests, a daemon
+# requests the list from peers or the origin. No transfer starts without this small list. The
+# failed requests take about 4 s in all. One cache fetches the list from the origin; caches
+# that can reach that cache have the list within 1 s.
 MAX_FAILED_DIGEST_REQUESTS: Final = 6
 # Concurrent requests of one daemon to the origin.
 ORIGIN_WINDOW_PIECES: Final = 1
-# A daemon that received no piece for this long requests the missing ones. A piece takes
-# 0.05 s on the slowest links, and sending it to all receivers ten times that.
+# A daemon that received no piece for this many seconds also requests the pieces that other
+# daemons were to fetch from the origin. A piece takes 0.05 s on the slowest links, and sending
+# a piece to all receivers takes ten times that.
 STALL_S: Final = 0.8
+# Timeout of a request to a peer, or to a cache over a slow link, in seconds.
 PEER_TIMEOUT_S: Final = 2.0
-# A cache answers 'not yet' after 0.5 s, and a piece takes 0.05 s on the link.
+# Timeout of a request to a cache, and of any request for digests, in seconds. A cache answers
+# 'not yet' after 0.5 s, and a piece takes 0.05 s on the link.
 CACHE_TIMEOUT_S: Final = 1.0
-# Peers that are asked for the same piece in one round.
+# In one round, a daemon asks at most this many peers, or caches, for a piece.
 MAX_PEERS_PER_ROUND: Final = 2
+# Pause after a request that returned no data, in seconds.
 RETRY_S: Final = 0.2
 
 FetchPiece = Callable[[PieceSet, int], Awaitable[None]]
@@ -80,15 +89,15 @@
         self.silent = SilentPeers(env.monotonic)
         self.transfer_times = TransferTimes(link.rate, env.monotonic)
         self.slow_link_lock = curio.Lock()
-        # Consecutive requests to caches that returned no digests.
+        # The number of consecutive requests to caches that returned no digests.
         self.failed_digest_requests = 0
         self.pusher = pusher
         self.link = link
 
     async def gather(self, held: PieceSet, wanted: range) -> None:
         """
-        Fetch the wanted pieces and return when all of them are held. The caller cancels
-        this task when it does not need them any more.
+        Fetch the pieces with the indexes in `wanted` into `held`; returns when all are held.
+        Retries without limit: the caller cancels this task when the pieces are no longer needed.
 
         """
         while not await self.obtain_digests(held):
@@ -115,7 +124,7 @@
 
     async def _wait_for_piece(self, held: PieceSet) -> bool:
         """
-        Wait for another piece; False if none arrives within `STALL_S`.
+        Wait until any piece of the version arrives; False if none arrives within `STALL_S`.
 
         """
         arrived = held.arrived
@@ -130,7 +139,8 @@
 
     def near_caches(self) -> list[str]:
         """
-        The answering caches of this daemon's zone, or of all zones if it has none.
+        The caches in this daemon's zone, or in all zones if there are none in its own. Caches
+        that recently did not answer do not count.
 
         """
         found = [cache for cache in self.caches() if not self.silent.is_silent(cache.instance)]
@@ -139,7 +149,7 @@
 
     async def _fetch_from_caches(self, held: PieceSet, missing: list[int]) -> bool:
         """
-        Fetch the missing pieces from the caches; False if none of them arrived.
+        Fetch the missing pieces from caches; False if no piece arrived meanwhile.
 
         """
         before = len(held.pieces)
@@ -152,8 +162,8 @@
 
     async def _fetch_piece_from_caches(self, held: PieceSet, index: int) -> None:
         """
-        Fetch one piece. On a slow link pieces are fetched one at a time, with a pause as
-        long as the transfer, so that the engine's requests get through.
+        Fetch one piece. On a slow link, pieces are fetched one at a time, each followed by a
+        pause as long as its transfer, so that the engine's requests get through.
 
         """
         if not self.transfer_times.is_slow:
@@ -189,9 +199,9 @@
         self, held: PieceSet, missing: list[int], fallback_rank: int
     ) -> bool:
         """
-        Fetch the missing pieces for which this daemon is among the first
-        `fallback_rank + 1` origin fetchers: its own, and those that the daemons ahead of
-        it did not deliver. False if there are no such pieces.
+        Fetch the missing pieces for which this daemon is among the first `fallback_rank + 1`
+        origin fetchers: the pieces that this daemon fetches for all others, and those that the
+        daemons before it in the order did not deliver. False if there are no such pieces.
 
         """
         own = str(self.env.instance)
@@ -233,7 +243,7 @@
 
     async def _fetch_from_peers(self, held: PieceSet, missing: list[int]) -> None:
         """
-        Fetch the missing pieces from their holders, in random order.
+        Fetch the missing pieces, in random order, from the peers that hold them.
 
         """
         queue = list(missing)
@@ -267,9 +277,10 @@
         self, peer: str, weights: WeightsId, index: int, timeout: float
     ) -> bytes:
         """
-        Request a piece from a peer; returns empty bytes if the peer does not hold it.
+        Request a piece from a peer or cache; returns empty bytes if that process does not hold
+        the piece.
 
-        :raises PeerError: if the peer does not answer.
+        :raises PeerError: if the process does not answer.
 
         """
         message = GetChunk(str(weights), index)
@@ -280,8 +291,9 @@
 
     async def obtain_digests(self, held: PieceSet) -> bool:
         """
-        Fetch the digests from caches. If there are none, or after `MAX_FAILED_DIGEST_REQUESTS`
-        failures, fetch them from peers or the origin. False if they could not be fetched.
+        Fetch the digests of all pieces into `held`: with one request to a cache, or, if no cache
+        answers or `MAX_FAILED_DIGEST_REQUESTS` such requests failed, from peers or the origin.
+        False if the digests could not be fetched.
 
         """
         if held.digests:
--- a/packages/millforkd/millforkd/sidecar/layer_assignment.py
+++ b/packages/millforkd/millforkd/sidecar/layer_assignment.py
@@ -2,9 +2,9 @@
 Assigns the layers that each engine loads first.
 
 Within the time in which a new version must be served, a link can carry two copies of a
-model, sent and received data taken together. So each engine first loads half of the
-layers: its daemon then needs only half of the pieces, and a pair of engines serves the
-model together. The other half follows while the pair serves.
+model, counting both sent and received data. So each engine first loads half of the layers,
+for which its daemon needs only half of the pieces, and a pair of engines with different halves
+serves the model together. The engines load the other halves while the pair serves.
 
 """
 
@@ -29,7 +29,7 @@
     def pieces(self, layers: int, pieces: int) -> range:
         """
         The indexes of the pieces that contain these layers, in a model of `layers` layers
-        and `pieces` pieces. Without layers (0), all pieces.
+        and `pieces` pieces. All pieces if the model is not divided into layers (`layers` is 0).
 
         """
         if layers <= 0:
@@ -40,7 +40,8 @@
 @dataclass(frozen=True, slots=True)
 class LayerAssignment:
     """
-    The layers that one engine loads first, and the number of its pair.
+    The layers that one engine loads first, and the number of the pair of engines that it
+    belongs to (0 also for an engine without a partner).
 
     """
 
@@ -48,7 +49,7 @@
     pair: int
 
 
-def daemons_lacking(
+def daemons_without_whole(
     states: Iterable[EndpointState], weights: WeightsId, service: str, layers: int
 ) -> list[EndpointState]:
     """
@@ -64,7 +65,7 @@
 
 def serves_whole(served: Iterable[ServedVersion], weights: WeightsId, layers: int) -> bool:
     """
-    Whether an engine that serves `served` serves all layers of a version.
+    Whether `served`, the versions that an engine serves, includes all layers of a version.
 
     """
     return any(
@@ -77,7 +78,8 @@
     served: Iterable[ServedVersion], weights: WeightsId, layers: int
 ) -> Layers | None:
     """
-    The layers of a version that an engine serves; None if it does not serve the version.
+    The layers of a version included in `served`, the versions that an engine serves; None if
+    the engine serves no layer of the version.
 
     """
     for item in served:
--- a/packages/millforkd/millforkd/sidecar/load.py
+++ b/packages/millforkd/millforkd/sidecar/load.py
@@ -1,5 +1,5 @@
 """
-Reports the current load of the engine on this instance to entries.
+Answers entries that query the current load of the engine on this instance.
 
 """
 
@@ -13,14 +13,16 @@
 from millfork_wire.messages import EngineLoad
 from millforkd.sidecar.engine import LocalEngine
 
-# Entries that ask within this time, about one forward pass of the engine, get the same report.
+# A report of the engine answers all queries within this many seconds, about one forward pass of
+# the engine.
 SHARED_REPORT_S: Final = 0.005
+# The pace is sent as a percentage.
 PERCENT: Final = 100
 
 
 class EngineLoads:
     """
-    Shares one report of the engine between entries that ask at the same time.
+    Answers load queries; queries at the same time share one report of the engine.
 
     """
 
@@ -29,7 +31,7 @@
     ) -> None:
         self.env = env
         self.engine = engine
-        # Whether the engine answered when it was last asked for its report.
+        # Returns whether the engine answers the daemon's periodic requests for reports.
         self.engine_answers = engine_answers
         self.lock = curio.Lock()
         self.reported_at = float('-inf')
@@ -37,7 +39,8 @@
 
     async def current_load(self) -> EngineLoad:
         """
-        The engine's running and queued requests and pace; an empty message if it is silent.
+        The engine's running and queued requests, pace and incarnation; an empty message if the
+        engine does not answer.
 
         """
         if not self.engine_answers():
--- a/packages/millforkd/millforkd/sidecar/origin.py
+++ b/packages/millforkd/millforkd/sidecar/origin.py
@@ -1,5 +1,5 @@
 """
-Fetches weights from their origin, in pieces.
+Fetches weights from the origin (the weight store), in pieces.
 
 """
 
@@ -16,11 +16,13 @@
 from millforkd.sidecar.pieces import PieceSet
 from millforkd.sidecar.verification import store_if_valid
 
-# A piece takes 0.03 s at the origin's 7.3 Mbit/s, and a dozen may be queued there. An
-# origin that is silent for longer is down, and may be back at any moment.
+# Timeout of a request to the origin, in seconds. A piece takes 0.03 s at the origin's
+# 7.3 Mbit/s, and a dozen pieces may be queued there. An origin that is silent for longer is
+# down, and may be back at any moment.
 ORIGIN_TIMEOUT_S: Final = 1.0
-# No request is sent for this long after a failure: enough not to flood an origin that comes
-# back, and short compared with the second for which it may be up before it fails again.
+# After a failed request, no request is sent for this many seconds: enough not to flood an
+# origin that comes back, and short compared with the second for which an origin may be up
+# before the next failure.
 PAUSE_AFTER_FAILURE_S: Final = 0.1
 
 log = logger(Component.WEIGHTS)
@@ -28,7 +30,8 @@
 
 def find_origin(document: Document | None) -> OriginSpec | None:
     """
-    The origin that a document names; None if it names none.
+    The origin that a document sets for its services (that of the first service with one); None
+    if there is no document or no origin in it.
 
     """
     if document is None:
@@ -38,7 +41,7 @@
 
 class Origin:
     """
-    Fetches pieces and digests from the origin that the current document names.
+    Fetches pieces and digests from the origin that the current document sets.
 
     """
 
@@ -55,12 +58,12 @@
         self.current_spec = spec
         self.client: Client | None = None
         self.paused_until = float('-inf')
-        # Whether the last request failed. Only changes of this state are logged.
+        # Whether the last request got no answer. Logged only when this changes.
         self.failing = False
 
     async def fetch_piece(self, held: PieceSet, index: int) -> bytes | None:
         """
-        Fetch one piece into `held`; None if no valid piece was received.
+        Fetch one piece into `held` and return the piece; None if no valid piece was received.
 
         """
         weights = held.weights
@@ -80,7 +83,7 @@
 
     async def fetch_digests(self, held: PieceSet) -> bool:
         """
-        Fetch the digests into `held`; False if no valid ones were received.
+        Fetch the digests of all pieces into `held`; False if no valid list was received.
 
         """
         weights = held.weights
--- a/packages/millforkd/millforkd/sidecar/pieces.py
+++ b/packages/millforkd/millforkd/sidecar/pieces.py
@@ -10,7 +10,7 @@
 import curio
 import msgspec
 
-# The version that is served and the one that is being fetched.
+# Pieces of this many versions are kept: the one that is served and the one being fetched.
 KEPT_VERSIONS: Final = 2
 
 
@@ -30,7 +30,7 @@
 
 def parse_weights_id(text: str) -> WeightsId:
     """
-    Parse an id of the form `MODEL@VERSION`.
+    Parse a weights id of the form `MODEL@VERSION`.
 
     :raises ValueError: if the version is not a number.
 
@@ -56,15 +56,17 @@
 @dataclass(slots=True)
 class PieceSet:
     """
-    The pieces of one version that this process holds, and the digests of all its pieces.
+    The pieces of one version that this process holds, and the digests of all pieces of that
+    version (empty until they have been received).
 
     """
 
     weights: WeightsId
     digests: tuple[str, ...] = ()
     pieces: dict[int, bytes] = field(default_factory=dict)
-    # Pieces that arrived before the digests.
+    # Pieces that arrived before the digests, and are not verified yet.
     unchecked: dict[int, bytes] = field(default_factory=dict)
+    # Set, and replaced by a new event, when a piece or the digests arrive.
     arrived: curio.Event = field(default_factory=curio.Event)
 
     @property
@@ -73,7 +75,7 @@
 
     def missing(self, wanted: range | None = None) -> list[int]:
         """
-        The indexes in `wanted`, or of all pieces, whose pieces are not held.
+        The indexes in `wanted` whose pieces are not held; without `wanted`, all such indexes.
 
         """
         everything = range(len(self.digests))
@@ -81,7 +83,8 @@
 
     def longest_run(self) -> tuple[int, int]:
         """
-        The longest run of held pieces, as its first index and the index after its last.
+        The longest run of consecutive held pieces, as the index of the first piece and the index
+        after the last one; (0, 0) if no piece is held or the digests are not known.
 
         """
         best = (0, 0)
@@ -96,7 +99,7 @@
 
     async def set_digests(self, digests: tuple[str, ...]) -> None:
         """
-        Set the digests, and verify the pieces that arrived before them.
+        Set the digests, and store those of the earlier pieces that match their digests.
 
         """
         self.digests = digests
@@ -107,8 +110,8 @@
 
     async def put(self, index: int, data: bytes) -> bool:
         """
-        Store a piece; False if it does not match its digest. A piece that arrives before
-        the digests is accepted, and verified by `set_digests`.
+        Store a piece; False if the piece does not match its digest. A piece that arrives
+        before the digests is set aside (True), and verified by `set_digests`.
 
         """
         if not self.digests:
@@ -136,7 +139,7 @@
 
 class PieceStore:
     """
-    The piece sets of the newest versions.
+    The piece sets of the newest `KEPT_VERSIONS` versions.
 
     """
 
@@ -145,8 +148,8 @@
 
     def get_or_create(self, weights: WeightsId) -> PieceSet:
         """
-        The piece set of a version. Creating one evicts the oldest versions beyond
-        `KEPT_VERSIONS`.
+        The piece set of a version. If there is none, an empty one is created, and the oldest
+        versions beyond `KEPT_VERSIONS` are removed, but never the requested one.
 
         """
         held = self.sets.get(weights)
--- a/packages/millforkd/millforkd/sidecar/pushing.py
+++ b/packages/millforkd/millforkd/sidecar/pushing.py
@@ -1,8 +1,9 @@
 """
-Sends pieces fetched from the origin to the other daemons whose first layers need them.
+Sends pieces fetched from the origin to the other daemons that need them first.
 
-Each receiver has a task that sends it one piece at a time: further pieces would only queue
-in a slow link, ahead of the requests to the receiver's engine.
+A daemon first needs the pieces of the layers that its engine loads first. For each receiver, a
+task sends one piece at a time: further pieces would only queue in a slow link, ahead of the
+requests to the receiver's engine.
 
 """
 
@@ -21,10 +22,11 @@
 from millfork_wire.peers import Peers
 from millforkd.sidecar.pieces import WeightsId
 
-# A piece takes 0.05 s on the slowest healthy links, which it shares with other traffic. A
-# receiver that times out requests the missing pieces itself.
+# Timeout of sending a piece, in seconds. A piece takes 0.05 s on the slowest healthy links, but
+# other traffic shares these links. A receiver that times out requests the missing pieces itself.
 PUSH_TIMEOUT_S: Final = 1.5
-# A receiver that timed out is sent no pieces for this long.
+# After a failure to send a piece to a receiver, the receiver is sent no pieces for this many
+# seconds. Pieces whose turn comes in this time are dropped.
 SKIP_SLOW_PEER_S: Final = 4.0
 
 log = logger(Component.WEIGHTS)
@@ -39,7 +41,7 @@
 
 class PiecePusher:
     """
-    Queues outgoing pieces for each receiver and sends them at the pace of the link.
+    Queues outgoing pieces for each receiver, and sends them at the rate that the link allows.
 
     """
 
@@ -52,15 +54,16 @@
     ) -> None:
         self.env = env
         self.peers = peers
+        # Returns the daemons that need a piece, possibly including this one.
         self.receivers = receivers
         self.outbound = outbound
         self.queues: dict[str, curio.Queue] = {}
-        # Until when each receiver that did not accept a piece is skipped (monotonic seconds).
+        # Until when receivers are sent no pieces after a failure (monotonic seconds).
         self.skipped_until: dict[str, float] = {}
 
     async def add(self, weights: WeightsId, index: int, data: bytes) -> None:
         """
-        Queue a piece for every other daemon that needs it.
+        Queue a piece for every other daemon that needs the piece first.
 
         """
         for name in self.receivers(weights, index):
--- a/packages/millforkd/millforkd/sidecar/rollout.py
+++ b/packages/millforkd/millforkd/sidecar/rollout.py
@@ -2,10 +2,10 @@
 Brings the engine to the target version.
 
 An engine that serves an older version loads all layers of the new one in one step. The
-engines change in turns, a third of them at a time. An engine that serves nothing first
-loads its assigned half of the layers, then the rest while it serves. Without caches, engines
-that serve an older version also start with half of the layers, since the links between engines
-are too slow to transfer all pieces in time.
+engines change in turns, a third of them at a time. An engine that serves nothing first loads
+the half of the layers that is assigned to it (`layer_assignment.py`), and loads the rest while
+it serves this half. Without caches, engines that serve an older version also start with half
+of the layers, since the links between engines are too slow to transfer all pieces in time.
 
 """
 
@@ -27,23 +27,28 @@
 from millforkd.sidecar.target import Target
 from millforkd.version_switching import LAST_SEND_BEFORE_END_S
 
-# Entries stop sending to this engine within this time after its state was announced.
+# Entries stop sending to an engine within this many seconds after its daemon announced that the
+# engine changes its version. Also the limit of the announcement itself.
 ANNOUNCE_S: Final = 0.15
-# Requests that run on a changing engine may finish within this time. Streams of 100 tokens
-# take 1 s, so about a third of the requests remain, and continue at other engines.
+# Requests that run on an engine may finish within this many seconds before its version changes.
+# Streams of 100 tokens take 1 s, so about a third of the requests remain after this time; they
+# continue at other engines.
 DRAIN_S: Final = 0.9
+# Time between two checks whether the requests have finished, in seconds.
 DRAIN_POLL_S: Final = 0.03
-# Shorter limit once the old version has ended: the capacity of the changing engines then
-# matters more than the requests that remain on them.
+# The limit instead of `DRAIN_S` once the old version has ended, in seconds: the capacity of the
+# changing engines then matters more than the requests that remain on them.
 LATE_DRAIN_S: Final = 0.3
+# Time between two checks of the target, the other engines or this engine, in seconds.
 POLL_S: Final = 0.1
 # The engines change in this many turns. Fewer turns would remove half of the capacity at
-# once; more do not fit into the time that remains once the pieces have arrived.
+# once; more turns do not fit into the time that remains after the pieces have arrived.
 TURNS: Final = 3
-# After this many mismatching pieces and no matching one, the staged pieces are assumed to
-# be of another version.
+# If this many staged pieces are missing or do not match the digests of the target, and none has
+# matched, the staged pieces are assumed to belong to another version.
 MAX_STAGED_MISMATCHES: Final = 3
-# Limit of the time from the order until the engine serves, in which running requests end too.
+# Limit of the time from the load order until the engine serves the ordered layers, in seconds.
+# It includes the time in which the engine ends its running requests.
 START_TIMEOUT_S: Final = 6.0
 
 log = logger(Component.WEIGHTS)
@@ -51,7 +56,7 @@
 
 class Rollout:
     """
-    Takes one engine step by step to its target version.
+    Brings one engine to its target version, in one step or two.
 
     """
 
@@ -70,24 +75,30 @@
         self.store = store
         self.gatherer = gatherer
         self.fleet = fleet
+        # Returns the current target; None if it is not known.
         self.target = target
+        # Sends this daemon's state to the replica or daemon that sends it the feed.
         self.announce = announce
         self.report: EngineReport | None = None
         # The engine's incarnation in its last report.
         self.incarnation = UNKNOWN_INCARNATION
+        # The version that the engine is changing to, 0 if none.
         self.changing_to = 0
-        # Held while pieces are staged for an order and the order is given.
+        # Held while pieces are staged and until the engine has got the order to load them.
         self.order_lock = curio.Lock()
-        # Whether this daemon has checked which version the staged pieces belong to, and the
-        # target that they belong to, if an earlier process staged them and gave no order.
+        # An earlier process of this daemon may have staged pieces of the target and ended before
+        # it sent the load order: whether this process has checked that, and the target if the
+        # staged pieces belong to it.
         self.staged_checked = False
         self.staged_weights: WeightsId | None = None
-        # The assignment is kept once chosen, although the states of other daemons change.
+        # The layers that the engine loads first, with their version. They are kept once chosen,
+        # also when the states of other daemons change.
         self.assignment: tuple[WeightsId, LayerAssignment] | None = None
 
     def record_report(self, report: EngineReport | None) -> None:
         """
-        Record the engine's latest report, None if it did not answer.
+        Record the engine's latest report (None if the engine did not answer). If the engine has
+        restarted, what is known of its previous process is forgotten.
 
         """
         self.report = report
@@ -99,7 +110,7 @@
             report.incarnation,
         )
         self.incarnation = report.incarnation
-        # Facts about the engine's previous process no longer apply. Pieces may still be staged.
+        # Staged pieces may have outlived the restart, so they are checked again.
         self.staged_checked = False
         self.staged_weights = None
         self.assignment = None
@@ -117,7 +128,8 @@
     @property
     def goal(self) -> ServedVersion | None:
         """
-        The layers that the engine loads first; None until they are chosen.
+        The layers that the engine loads first, with their version; None if the engine needed no
+        assignment so far.
 
         """
         if self.assignment is None:
@@ -135,7 +147,7 @@
 
     def serves_another(self, target: Target) -> bool:
         """
-        Whether the engine serves another version and none of the target.
+        Whether the engine serves another version and no layer of the target version.
 
         """
         return bool(self.served) and self._served_layers(target) is None
@@ -166,7 +178,8 @@
 
     async def _step(self, target: Target) -> None:
         """
-        Fetch the next layers that the engine lacks, and order the engine to load them.
+        Fetch the pieces of the layers that the engine is to load next, wait for the engine's
+        turn, and tell the engine to load these layers.
 
         """
         started_at = self.env.monotonic()
@@ -194,7 +207,9 @@
 
     def _choose_goal(self, target: Target, held: PieceSet) -> Layers:
         """
-        The layers that the engine loads next.
+        The layers that the engine loads next: the assigned ones if it serves no layer of the
+        target and not all pieces have arrived, otherwise all. An engine that serves another
+        version while caches answer always loads all layers.
 
         """
         has_started = held.whole or self._served_layers(target) is not None
@@ -214,7 +229,8 @@
 
     async def _gather(self, held: PieceSet, target: Target, goal: Layers) -> bool:
         """
-        Fetch the pieces of the `goal` layers; False if the target changes meanwhile.
+        Fetch the pieces of the `goal` layers into `held`; False if they are not complete,
+        usually because the target has changed.
 
         """
         wanted = goal.pieces(target.layers, target.pieces)
@@ -238,7 +254,8 @@
 
     async def _adopt_staged(self, held: PieceSet) -> None:
         """
-        Read the pieces that are staged at the engine into `held`, if they match its digests.
+        Copy the pieces that are staged at the engine into `held`, if they match the digests of
+        this version. Does nothing if the digests can't be fetched.
 
         """
         if not await self.gatherer.obtain_digests(held):
@@ -261,8 +278,9 @@
 
     async def _wait_for_turn(self, target: Target) -> bool:
         """
-        Wait for this engine's turn: the engines of a turn change after those of all earlier
-        turns, or when the change is due. False if the target changes meanwhile.
+        Wait for this engine's turn, which comes when the engines of all earlier turns have
+        changed, and at the latest when the change is due. An engine that serves no other
+        version does not wait. False if the target changes meanwhile.
 
         """
         turn = self.fleet.own_turn(target.weights, TURNS)
@@ -276,7 +294,7 @@
 
     def _changed_count(self, target: Target) -> int:
         """
-        The number of engines that serve at least some layers of the target.
+        The number of engines of the service that serve at least one layer of the target.
 
         """
         return sum(
@@ -286,14 +304,14 @@
 
     async def _wait_for_drain(self, target: Target) -> None:
         """
-        Wait until the engine has no requests. The wait is limited to `DRAIN_S` and to the end of
-        the engine's version, from which no request may start on it, but the limit is never
-        shorter than `LATE_DRAIN_S`.
+        Wait until the engine has no requests, but no longer than `DRAIN_S` and not beyond the
+        end of the served version (the time from which no request may start on that version).
+        At least `LATE_DRAIN_S` is allowed in each case.
 
         """
         now = self.env.monotonic()
-        ends = target.due + LAST_SEND_BEFORE_END_S
-        until = max(now + LATE_DRAIN_S, min(now + DRAIN_S, ends))
+        ends_at = target.due + LAST_SEND_BEFORE_END_S
+        until = max(now + LATE_DRAIN_S, min(now + DRAIN_S, ends_at))
         while self.env.monotonic() < until:
             report = await self.engine.report()
             if report is not None and not report.running and not report.queued:
@@ -302,12 +320,12 @@
 
     async def _start(self, target: Target, held: PieceSet, layers: Layers) -> None:
         """
-        Order the engine to hold exactly these layers. If it already serves some of them,
-        it continues to do so.
+        Bring the engine to hold exactly these layers of the target, and return when it serves
+        them or has failed to. An engine that already serves some of them continues to do so.
 
         """
         weights = target.weights
-        # An emptied engine has no requests to drain, and gets the order 0.3 s sooner.
+        # An emptied engine has no requests to drain, so it gets the load order 0.3 s sooner.
         replaces = self.serves_another(target) and not self.is_emptied(target)
         if self._served_layers(target) is None:
             self.changing_to = weights.version
@@ -334,8 +352,8 @@
         draining: curio.Task | None,
     ) -> bool:
         """
-        Stage the pieces, wait for the drain, and give the order; False if the engine did not
-        accept a piece or the order.
+        Stage the pieces at the engine, wait for `draining`, and send the load order. False if the
+        engine did not accept a piece or the load order.
 
         """
         weights = target.weights
@@ -351,8 +369,9 @@
 
     async def _announce_state(self) -> None:
         """
-        Announce this daemon's state. A replica that does not answer (it may have lost power)
-        must not delay the engine, and the next report repeats the state.
+        Announce this daemon's state at once. The wait is limited, because a replica that does
+        not answer (it may have lost power) must not delay the engine. The next periodic report
+        repeats the state.
 
         """
         try:
--- a/packages/millforkd/millforkd/sidecar/silent_peers.py
+++ b/packages/millforkd/millforkd/sidecar/silent_peers.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from typing import Final
 
-# A frozen or partitioned instance is back after some seconds. Until then each request to
-# it would cost a full timeout.
+# A peer that did not answer is skipped for this many seconds. A frozen or partitioned instance
+# is back after some seconds; until then, each request to it would cost a full timeout.
 SKIP_SILENT_PEER_S: Final = 2.0
 
 
@@ -24,14 +24,14 @@
 
     def mark_silent(self, instance: str) -> None:
         """
-        For the next `skip_s` seconds, skip a peer that did not answer.
+        Record that a peer did not answer, so that it is skipped for the next `skip_s` seconds.
 
         """
         self.skipped_until[instance] = self.monotonic() + self.skip_s
 
     def is_silent(self, instance: str) -> bool:
         """
-        Whether a peer is to be skipped now.
+        Whether a peer must be skipped now.
 
         """
         until = self.skipped_until.get(instance)
--- a/packages/millforkd/millforkd/sidecar/sources.py
+++ b/packages/millforkd/millforkd/sidecar/sources.py
@@ -1,11 +1,12 @@
 """
 Chooses the daemons from which a piece is fetched.
 
-A piece that some daemons hold is fetched from them. A piece that no daemon holds is fetched
-from the origin by one of the daemons whose first layers need it (`layer_assignment.py`).
-This daemon then sends it to the others that need it.
+A piece that some daemons hold is fetched from these. A piece that no daemon holds is fetched
+from the origin by one of the daemons that need the piece for the layers that their engines load
+first (`layer_assignment.py`). That daemon then sends the piece to the others that need it.
 
-Each daemon computes the same order from the endpoints that it knows.
+Daemons that know of the same endpoint daemons compute the same order, without messages to each
+other.
 
 """
 
@@ -16,21 +17,21 @@
 from millfork_registry.records import EndpointState
 from millforkd.sidecar.pieces import WeightsId
 
-# Stands for the list of digests where a piece index is expected.
+# Stands for the list of digests in place of the index of a piece.
 DIGESTS_INDEX: Final = -1
 
 
 def holders(
-    states: Iterable[EndpointState], weights: WeightsId, index: int, own: str
+    states: Iterable[EndpointState], weights: WeightsId, index: int, own_instance: str
 ) -> list[EndpointState]:
     """
-    The states of the daemons other than `own` that hold a piece.
+    The states of the daemons that hold a piece, except for the daemon of `own_instance`.
 
     """
     return [
         state
         for state in states
-        if state.instance != own
+        if state.instance != own_instance
         and any(
             (held.model, held.version) == (weights.model, weights.version) and held.has(index)
             for held in state.held
@@ -40,9 +41,9 @@
 
 def request_order(names: Iterable[str], weights: WeightsId, index: int) -> list[str]:
     """
-    The daemons in the order in which they fetch a piece from the origin, or are asked
-    for it. Consecutive pieces start with consecutive daemons, so that the pieces are
-    spread evenly.
+    The daemons (or caches) in the order in which they try to fetch a piece from the origin, or
+    in which they are asked for the piece. The orders of consecutive pieces start with
+    consecutive daemons, so that the pieces are spread evenly.
 
     """
     ordered = sorted(names, key=lambda name: rank(str(weights), name))
@@ -52,20 +53,22 @@
     first, rest = ordered[offset], ordered[offset + 1 :] + ordered[:offset]
     if not rest:
         return [first]
-    # The pieces of a daemon that fails are spread evenly over all others.
+    # The second place also changes from piece to piece, so that all others take over equal
+    # shares of the pieces of a daemon that fails.
     rotation = index // len(ordered) % len(rest)
     return [first, *rest[rotation:], *rest[:rotation]]
 
 
 def preferred_holders(
-    candidates: list[EndpointState], zone: str, lacking_in_zone: int
+    candidates: list[EndpointState], zone: str, incomplete_in_zone: int
 ) -> list[str]:
     """
-    The holders to request a piece from: those in `zone` if at least as many daemons hold
-    the piece there as lack it, since otherwise their links are too slow; else all holders.
+    The holders to request a piece from: those in `zone`, if there are at least as many as
+    daemons there that need the piece (`incomplete_in_zone`). Otherwise all holders, since the
+    links of so few holders would be too slow.
 
     """
     near = [state.instance for state in candidates if state.zone == zone]
-    if near and len(near) >= lacking_in_zone:
+    if near and len(near) >= incomplete_in_zone:
         return near
     return [state.instance for state in candidates]
--- a/packages/millforkd/millforkd/sidecar/target.py
+++ b/packages/millforkd/millforkd/sidecar/target.py
@@ -1,9 +1,10 @@
 """
 Chooses the version that an engine loads next.
 
-Usually this is the newest version. If its pieces do not arrive (the origin is down), and an
-intermediate version can be complete before the served version ends, the intermediate
-version comes first: the engine would otherwise serve nothing in the meantime.
+Usually this is the newest version. Its pieces may not arrive, because the origin is down. If an
+intermediate version (newer than the served one, older than the newest) can then be complete
+before the served version ends, the engine loads the intermediate version first. Otherwise the
+engine would serve nothing until the newest version is complete.
 
 """
 
@@ -18,15 +19,15 @@
 from millforkd.version_switching import LAST_SEND_BEFORE_END_S
 from millforkd.versions import VersionTracker
 
-# The first version of every model.
+# The version that engines load if the configuration does not set one.
 FIRST_VERSION: Final = 1
-# Serving time that one more change costs an engine: a change takes 1.4 s, in which the
-# engine works at a third of its rate.
+# Each further change of version costs an engine this many seconds of serving time: a change
+# takes 1.4 s, in which the engine works at a third of its rate.
 VERSION_CHANGE_S: Final = 1.0
-# A version of which no piece arrived for this long counts as stuck. A piece takes 0.2 s on a
-# link that is throttled to a quarter of its rate.
+# A version counts as stuck if none of its missing pieces arrived for this many seconds. A piece
+# takes 0.2 s on a link that is throttled to a quarter of its rate.
 STUCK_AFTER_S: Final = 1.0
-# A version counts as stuck for this long.
+# A version then counts as stuck for this many seconds, unless one of its pieces arrives.
 STUCK_FOR_S: Final = 1.5
 
 log = logger(Component.WEIGHTS)
@@ -35,9 +36,10 @@
 @dataclass(frozen=True, slots=True)
 class Target:
     """
-    The version that the engine is to serve, of a model with `layers` layers in `pieces`
-    pieces. `chosen_at` is when this daemon chose it, `due` when the engine must change at the
-    latest (monotonic seconds, infinity for never).
+    The version that the engine is to serve, of a model with `layers` layers in `pieces` pieces.
+    Times are monotonic seconds: at `chosen_at` this daemon chose the version; at `due` the
+    engine must start to change at the latest, because entries send no more requests to the
+    served version (infinity if that version has no end).
 
     """
 
@@ -50,7 +52,7 @@
 
 class TargetChooser:
     """
-    Chooses the target among the versions that the leader has named.
+    Chooses the target among the versions that have been set in the configuration.
 
     """
 
@@ -59,29 +61,32 @@
         env: Environment,
         versions: VersionTracker,
         store: PieceStore,
-        served: Callable[[], int],
+        served_version: Callable[[], int],
         bytes_per_s: float,
     ) -> None:
         self.env = env
         self.versions = versions
         self.store = store
         # Returns the version that the engine serves, 0 for none.
-        self.served = served
+        self.served_version = served_version
+        # The rate at which weights can be transferred over this instance's link.
         self.bytes_per_s = bytes_per_s
         self.current: Target | None = None
-        # The number of held pieces of the target, and since when (monotonic seconds).
+        # The number of pieces of the target that this daemon holds, and the time of the last
+        # change of this number (monotonic seconds).
         self.progress = (0, 0.0)
-        # Versions that count as stuck, and until when (monotonic seconds).
+        # Until when each version counts as stuck (monotonic seconds).
         self.stuck_until: dict[int, float] = {}
 
     def choose(self, spec: EngineSpec) -> Target:
         """
-        The next target of an engine with this specification.
+        Choose the target of an engine with this specification, record it in `current` and
+        return it.
 
         """
         self.versions.refresh()
         now = self.env.monotonic()
-        ends = self._ends_at(spec, self.served())
+        ends = self._ends_at(spec, self.served_version())
         weights = WeightsId(spec.model, self._choose_version(spec, now, ends))
         current = self.current
         chosen_at = current.chosen_at if current is not None and current.weights == weights else now
@@ -89,15 +94,15 @@
         target = Target(weights, spec.layers, spec.pieces, chosen_at, due)
         if current is None or current.weights != weights:
             self.progress = (0, now)
-            log.notice('New target version: {}. served={}', weights, self.served())
+            log.notice('New target version: {}. served={}', weights, self.served_version())
         self.current = target
         self._track_progress(target, now)
         return target
 
     def _ends_at(self, spec: EngineSpec, version: int) -> float:
         """
-        The time from which no request may start on a version (monotonic seconds);
-        infinity for version 0 or one without an end.
+        The time from which no request may start on a version (monotonic seconds); infinity for
+        version 0 (the engine serves nothing) and for the newest version, which has no end.
 
         """
         ends = self.versions.ends_at(spec.model, version) if version else None
@@ -107,7 +112,7 @@
         newest = self.versions.newest(spec.model) or FIRST_VERSION
         intermediate = [
             version
-            for version in self.versions.newer_than(spec.model, self.served())
+            for version in self.versions.newer_than(spec.model, self.served_version())
             if version != newest
             and not self._is_stuck(version, now)
             and self._is_worthwhile(spec, version, now)
@@ -121,7 +126,8 @@
 
     def _is_worthwhile(self, spec: EngineSpec, version: int, now: float) -> bool:
         """
-        Whether an intermediate version would be served for longer than its change costs.
+        Whether an intermediate version, once its missing pieces have arrived, could be served
+        for longer than the change to it costs.
 
         """
         complete_at = now + self._transfer_s(spec, version)
@@ -131,10 +137,10 @@
 
     def _idle_via_s(self, spec: EngineSpec, version: int, now: float, ends: float) -> float:
         """
-        For how many seconds the engine would serve nothing on the way to the newest version
-        via an intermediate one, including the second change. An engine that has not
-        changed when entries stop sending to the old version is idle, like all others, until
-        its pieces have arrived and the change is complete.
+        For how many seconds the engine would serve nothing if it loaded an intermediate version
+        and then the newest one; the second change is counted too. An engine is idle from when
+        entries stop sending to its version until the pieces of the next version have arrived
+        and the change is complete.
 
         """
         complete_at = now + self._transfer_s(spec, version)
@@ -174,23 +180,24 @@
 
     def _track_progress(self, target: Target, now: float) -> None:
         """
-        Mark the target as stuck if no piece of it arrived for `STUCK_AFTER_S`.
+        Mark the target as stuck if pieces are missing and none arrived for `STUCK_AFTER_S`;
+        remove the mark when a piece arrives or the engine serves the target.
 
         """
         held_count = self._held_count(target.weights)
-        if target.weights.version == self.served():
+        if target.weights.version == self.served_version():
             held_count = target.pieces
-        count, at = self.progress
-        if held_count != count or held_count >= target.pieces:
+        last_count, changed_at = self.progress
+        if held_count != last_count or held_count >= target.pieces:
             self.progress = (held_count, now)
             self.stuck_until.pop(target.weights.version, None)
             return
         version = target.weights.version
-        if now - at > STUCK_AFTER_S and not self._is_stuck(version, now):
+        if now - changed_at > STUCK_AFTER_S and not self._is_stuck(version, now):
             self.stuck_until[version] = now + STUCK_FOR_S
             log.info(
                 'No piece arrived for {:.1f} s. weights={} here={}',
-                now - at,
+                now - changed_at,
                 target.weights,
                 held_count,
             )
--- a/packages/millforkd/millforkd/sidecar/transfer_times.py
+++ b/packages/millforkd/millforkd/sidecar/transfer_times.py
@@ -1,7 +1,7 @@
 """
 Detects that the link to this instance is slower than configured.
 
-Pieces that queue in a slow link delay the engine's requests behind them.
+On a slow link, pieces queue, and delay the engine's requests that queue behind them.
 
 """
 
@@ -10,18 +10,20 @@
 from dataclasses import dataclass
 from typing import Final
 
-# A piece may take this many times as long as expected at the link's rate, because pieces
-# for others and the engine's answers share the link.
+# A piece counts as slow if its transfer takes more than this many times as long as expected at
+# the link's rate. Below that, the reason may be the pieces for other daemons and the engine's
+# answers, which share the link.
 SLOW_FACTOR: Final = 2.5
-# The link is slow if this many consecutive pieces were slow: the first pieces of a version
-# wait for the origin, not for this link.
+# The link counts as slow if this many consecutive pieces were slow. Fewer slow pieces may have
+# another reason: the first pieces of a version wait for the origin, not for this link.
 RECENT_PIECES: Final = 4
 
 
 @dataclass(frozen=True, slots=True)
 class TransferStart:
     """
-    When a piece was requested, and how many pieces were in flight then, itself included.
+    When a piece was requested (`at`, in monotonic seconds), and how many requests for pieces
+    were in flight at that time, this one included.
 
     """
 
@@ -47,7 +49,7 @@
 
     def begin(self) -> TransferStart:
         """
-        Record the start of a request for a piece.
+        Record that a request for a piece starts. The result must be passed to `end`.
 
         """
         self.in_flight += 1
@@ -55,7 +57,7 @@
 
     def end(self, start: TransferStart, size: int) -> None:
         """
-        Record the end of a request that returned `size` bytes, 0 if it returned no piece.
+        Record that a request has ended with a piece of `size` bytes, or without one (0).
 
         """
         self.in_flight -= 1
--- a/packages/millforkd/millforkd/sidecar/verification.py
+++ b/packages/millforkd/millforkd/sidecar/verification.py
@@ -14,8 +14,9 @@
     env: Environment, held: PieceSet, index: int, data: bytes, source: str, sender: str
 ) -> bool:
     """
-    Store a piece if it matches its digest, and count it; False if it is corrupt.
-    `source` is the kind of sender (metric label), `sender` its name for the log.
+    Store a received piece in `held` if it matches its digest, and count the piece in the metrics;
+    False if the piece is corrupt. `source` is the kind of sender, a label of the metrics;
+    `sender` is the name of the sender, for the log.
 
     """
     if not await held.put(index, data):
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -1,5 +1,6 @@
 """
-The rollout of a version on one engine: its turn, the drain, halves and whole models.
+The rollout of a version on one engine: the wait for its turn and for running requests, and the
+load orders for all or some layers.
 
 """
 
@@ -23,6 +24,7 @@
 from tests.test_servers import Clock
 
 LAYERS, PIECES = 4, 8
+# Seconds until the engine must change its version at the latest.
 DUE_S = 1.2
 OLD = ServedVersion('m', 1, 0, LAYERS)
 NEW = ServedVersion('m', 2, 0, LAYERS)
@@ -32,7 +34,8 @@
 @dataclass
 class FakeEngine:
     """
-    Serves the ordered layers. Its requests run until the test ends them.
+    An engine that serves the layers that it was last told to load. Its requests run until the
+    test or a load order ends them.
 
     """
 
@@ -60,6 +63,11 @@
 
 
 class FakeGatherer:
+    """
+    Has all digests and pieces at once.
+
+    """
+
     def __init__(self, caches=('10.0.1.1:1',)):
         self.caches = list(caches)
 
@@ -76,7 +84,8 @@
 
 class RolloutUnderTest:
     """
-    The rollout of one engine, among others whose states the test sets.
+    The rollout of the engine that changes in a given turn. The test sets the versions that the
+    other engines serve.
 
     """
 
@@ -230,7 +239,7 @@
 
 class StalledGatherer(FakeGatherer):
     """
-    Fetches the first `count` pieces, and the others once the test sets `resume`.
+    Fetches the first `count` pieces, and the other pieces after the test has set `resume`.
 
     """
 
@@ -266,9 +275,9 @@
 def test_an_ended_version_is_removed_without_any_piece_of_the_next():
     """
     Guards against a version served beyond its end while the origin is down. Six engines kept
-    version 1 until the first layer of version 2 arrived. Version 1 ended 8.0 s after it was
-    replaced, and was removed 12.15 s to 12.31 s after. One layer that is staged at the
-    engine is enough to remove the version in time.
+    version 1 until the first layer of version 2 arrived. Version 1 ended 8.0 s after version 2
+    was set, but was removed 12.15 s to 12.31 s after. Reducing the engine to one layer of
+    version 1, which is still staged, removes the version in time.
 
     """
 
@@ -315,7 +324,7 @@
         for version in (2, 3, 2):
             under_test.target = replace(under_test.target, weights=WeightsId('m', version))
             rollout.staged_checked = True
-            if expiry._has_ended(under_test.target):
+            if expiry._serves_ending_version(under_test.target):
                 await expiry._empty_engine(under_test.target)
             rollout.report = await under_test.engine.report()
         assert len(under_test.engine.orders) == orders
@@ -327,9 +336,9 @@
 def test_a_started_daemon_checks_staged_pieces_before_it_empties_the_engine(matches, orders):
     """
     Guards against an engine that loads pieces of version 2 as version 1. Daemons were killed
-    when all pieces of version 2 were staged and the order was not given yet. The daemons
-    started in their place ordered an engine of version 1 to load layer 8 of 16, 0.08 s
-    before they checked which version is staged.
+    after they had staged all pieces of version 2 and before they sent the load order. The
+    daemons started in their place told an engine that served version 1 to load layer 8 of 16
+    of that version, 0.08 s before they checked which version was staged.
 
     """
 
@@ -364,10 +373,10 @@
 def test_an_ended_version_is_removed_though_the_target_has_just_changed():
     """
     Guards against a version served beyond its end because the target changed shortly before.
-    Three engines behind throttled links kept version 1 beyond its end at 22.0 s: 88 of 96
-    pieces of version 2 were held, but version 4 became the target at 21.51 s, and none of its
-    pieces or digests had arrived. A request that its entry had given up at 21.7 s arrived at
-    22.02 s and started 8,132 ms after version 2 was acknowledged.
+    Three engines behind throttled links kept version 1 beyond its end at 22.0 s. Their daemons
+    held 88 of 96 pieces of version 2, but at 21.51 s version 4 became the target, of which no
+    piece or digest had arrived. A request that an entry had given up at 21.7 s arrived at
+    22.02 s and started 8,132 ms after the acknowledgement that version 2 was set.
 
     """
 
@@ -412,7 +421,7 @@
         rollout = under_test.rollout
         expiry = ExpiryWatcher(under_test.env, under_test.engine, rollout.store, rollout)
         rollout.report = await under_test.engine.report()
-        assert not expiry._has_ended(under_test.target)
+        assert not expiry._serves_ending_version(under_test.target)
 
     curio.run(run)
 
