--- a/tests/test_machine_suspension.py
+++ b/tests/test_machine_suspension.py
@@ -1,6 +1,6 @@
 """
-A machine that is suspended for seconds. CLOCK_MONOTONIC stops during the suspension, while
-versions pass their cutoffs, leases expire and callers leave.
+A machine that is suspended for some seconds. During the suspension CLOCK_MONOTONIC stops, but
+versions end, leases expire and callers leave.
 
 """
 
@@ -14,7 +14,7 @@
 from millforkd.versions import VersionTracker, never_leads
 from tests.test_versions import set_version
 
-SLEPT_S = 5.0
+SUSPENDED_S = 5.0
 
 
 def test_weights_that_ended_during_suspension_get_no_requests(monkeypatch):
@@ -27,7 +27,7 @@
     versions = VersionTracker(env, view, 8000, cutoffs, leads=never_leads)
     set_version(view, versions, 1)
     set_version(view, versions, 2)
-    cutoffs.record_answer(env.monotonic(), [VersionSwitch('m', 2, int(SLEPT_S * 1000) - 1000)])
+    cutoffs.record_answer(env.monotonic(), [VersionSwitch('m', 2, int(SUSPENDED_S * 1000) - 1000)])
     assert versions.oldest_usable('m') < 2
-    now[time.CLOCK_BOOTTIME] += SLEPT_S
+    now[time.CLOCK_BOOTTIME] += SUSPENDED_S
     assert versions.oldest_usable('m') == 2
--- a/tests/test_transfer.py
+++ b/tests/test_transfer.py
@@ -1,5 +1,5 @@
 """
-Failed chunks and failed writes during a transfer.
+Transfers during which chunks are corrupt, the origin fails, or a write to the disk fails.
 
 """
 
@@ -26,8 +26,8 @@
 
 class FakeOrigin:
     """
-    Has one version. Returns the chunks in `corrupt` reversed, and fails for those in `failing`,
-    each once.
+    An origin with one version. For each chunk in `corrupt` it returns reversed bytes once; for
+    each chunk in `failing` it raises an error once.
 
     """
 
--- a/tests/test_transfer_without_root.py
+++ b/tests/test_transfer_without_root.py
@@ -1,11 +1,12 @@
 """
-A stripe whose root differs between the views of the instances.
+A stripe that no instance fetches from the origin, because each takes another one for the root.
 
-Each instance computes the trees from the instances that it knows of. While the last of six
-endpoints started, their views differed, so that each considered another one the root of one
-stripe, and none fetched that stripe from the origin: 96 of 128 chunks arrived within a second,
-the others not within 30 s. An instance that is not a root uses the origin only after ten rounds,
-each of which waits for every peer three times: five minutes at the usual stall of 2 s.
+The root of a stripe fetches the stripe from the origin, and the other instances get the chunks
+through a tree. Each instance computes the trees from the instances that it knows of. While the
+last of six endpoints started, they knew of different instances, so that none considered itself
+the root of one stripe: 96 of 128 chunks arrived within a second, the others not within 30 s. An
+instance that is not a root uses the origin only after ten rounds of requests. In each round it
+waits for every peer three times, in all five minutes at the usual stall time of 2 s.
 
 """
 
@@ -23,18 +24,19 @@
 from millfork_wire.peers import PeerAddress
 from tests.test_transfer import BODY, CHUNK, DATA, FakeOrigin
 
+# The stall time: how long a peer may wait for a chunk before it answers, in seconds.
 STALL_S = 0.05
-# 30 s at the usual stall of 2 s.
+# The data must arrive within this many stall times: 30 s at the usual stall time of 2 s.
 MAX_STALLS = 15
 STRIPES = 2
 RECEIVERS = [Receiver(InstanceId(f'i-{number}'), ZoneId('zone')) for number in range(6)]
-# For the test's own work besides waiting.
+# Seconds by which a test may exceed its limit, for work other than waiting.
 SLACK_S = 2.0
 
 
 class WaitingPeers:
     """
-    Peers that wait for the same stripe, as they consider another instance its root.
+    Peers that have no chunk, because they wait for a root to send them the stripe.
 
     """
 
@@ -78,12 +80,12 @@
 
 def transferred_data(transfer):
     """
-    The data that a transfer stores within half a minute, at the usual stall.
+    Run a transfer, which must end within `MAX_STALLS` stall times, and return the stored data.
 
     """
 
     async def run():
-        # No manifest of an earlier run.
+        # A manifest that an earlier run left on disk is not used.
         transfer.store.manifest_on_disk = lambda digest: None
         async with curio.timeout_after(MAX_STALLS * STALL_S + SLACK_S):
             return await transfer.run('model', 'v1', digest_of(BODY), RECEIVERS)
@@ -98,7 +100,7 @@
 
 class CompletePeers(WaitingPeers):
     """
-    Peers that have every chunk once the origin was asked for one; the origin only fails.
+    Peers that have every chunk from the moment when the instance has asked the origin for one.
 
     """
 
@@ -113,6 +115,11 @@
 
 
 class FailingOrigin(FakeOrigin):
+    """
+    An origin that has the manifest, but fails for every chunk.
+
+    """
+
     was_asked = False
 
     async def chunk(self, *args):
--- a/tests/test_version_cutoffs.py
+++ b/tests/test_version_cutoffs.py
@@ -1,5 +1,6 @@
 """
-The times from which no request may start on a version, as a follower learns them from answers.
+Cutoffs, the times from which no request may begin on versions older than a new one, as a
+follower learns them from the answers of its replica.
 
 """
 
@@ -36,23 +37,24 @@
     return VersionCutoffs()
 
 
-def versions(clock, view, cutoffs, unknown_cutoff_ms, leads):
+def new_tracker(clock, view, cutoffs, unknown_cutoff_ms, leads):
     env = Environment(InstanceId('a:1'), ZoneId('zone'), monotonic=clock)
-    versions_tracker = VersionTracker(env, view, SWITCH_MS, cutoffs, unknown_cutoff_ms, leads)
-    versions_tracker.refresh()
-    return versions_tracker
+    tracker = VersionTracker(env, view, SWITCH_MS, cutoffs, unknown_cutoff_ms, leads)
+    tracker.refresh()
+    return tracker
 
 
 @pytest.fixture
 def follower(clock, view, cutoffs):
-    return versions(clock, view, cutoffs, UNKNOWN_CUTOFF_MS, never_leads)
+    return new_tracker(clock, view, cutoffs, UNKNOWN_CUTOFF_MS, never_leads)
 
 
 @given(st.lists(st.tuples(st.floats(0, 7), st.floats(0, 3)), min_size=1, max_size=6))
 def test_a_late_answer_never_gives_too_late_a_cutoff(queries):
     cutoffs = VersionCutoffs()
     for sent_s, transit_s in queries:
-        # Time left of the 8 s after the naming, when the query arrives.
+        # The time that is left until the cutoff when the query arrives. The cutoff is 8 s after
+        # the version was set.
         left_s = max(SWITCH_S - sent_s - transit_s, 0)
         cutoffs.record_answer(100 + sent_s, switches_with(left_s))
     assert cutoffs.cutoff_of('m', 2) <= 100 + SWITCH_S
@@ -103,7 +105,7 @@
 
 
 def test_only_a_leader_or_a_process_with_an_answer_reports_a_switch(view, cutoffs, clock):
-    replica = versions(clock, view, cutoffs, 0, never_leads)
+    replica = new_tracker(clock, view, cutoffs, 0, never_leads)
     set_version(view, replica, 2)
     assert replica.switches() == []
     assert replica.oldest_usable('m') == 2
@@ -113,7 +115,7 @@
 
 def test_a_leader_counts_from_when_it_learned_of_a_version_even_before_it_led(view, cutoffs, clock):
     leading = []
-    replica = versions(clock, view, cutoffs, 0, lambda: bool(leading))
+    replica = new_tracker(clock, view, cutoffs, 0, lambda: bool(leading))
     set_version(view, replica, 2)
     clock.now += 1.5
     leading.append(True)
@@ -121,7 +123,7 @@
 
 
 def test_the_newest_version_is_reported_even_after_its_cutoff(view, cutoffs, clock):
-    replica = versions(clock, view, cutoffs, 0, lambda: True)
+    replica = new_tracker(clock, view, cutoffs, 0, lambda: True)
     set_version(view, replica, 2)
     set_version(view, replica, 3)
     clock.now += SWITCH_S + 60
--- a/tests/test_version_ends.py
+++ b/tests/test_version_ends.py
@@ -1,14 +1,16 @@
 """
 Every process stops sending requests to an old version at the same time.
 
-An entry was paused for 3.4 s while a version was named. Meanwhile the replica's message with
-the remaining ms was in the entry's socket, and the entry counted these ms from when it read
-the message. So it used the previous version that much longer: two entries logged
-`Version named. version=2 due_s=7.1`, one at 18.04 s and the paused one at 21.30 s.
+An entry was paused for 3.4 s while a new version was set. Meanwhile the replica's message with
+the remaining ms, until requests may no longer begin on older versions, was in the entry's socket.
+The entry counted these ms from when it read the message, and so used the old version for longer
+by the length of the pause: two entries logged `Version named. version=2 due_s=7.1`, one at
+18.04 s and the paused one at 21.30 s.
 
-An entry that started after two versions had been named knew only the second, and used its end
-as the end of the first as well: `version=3 due_s=5.6` at 22.59 s. The version before these two
-was in use until 28.1 s instead of 25.1 s, with 129 first tokens after its end.
+An entry that started after versions 2 and 3 had been set knew only version 3, and used all older
+versions until the cutoff of version 3: `version=3 due_s=5.6` at 22.59 s. So version 1, which ends
+at the cutoff of version 2, was in use until 28.1 s instead of 25.1 s, with 129 first tokens after
+its end.
 
 """
 
@@ -30,9 +32,10 @@
     r'(\S+) \w+ proxy: Version (?:named|end corrected)\. '
     r'model=m version=(\d+) due_s=(-?[\d.]+)'
 )
-# Duration of a pause, and time between the naming of two versions.
+# Seconds between the setting of two versions; a paused process is paused at least this long.
 GAP_S = 2.0
-# Log lines give tenths of a second, and a new version is known everywhere within 0.3 s.
+# Cutoffs may differ by this many seconds: log lines give tenths of a second, and all processes
+# learn of a new version within 0.3 s.
 TOLERANCE_S = 0.5
 
 
@@ -54,8 +57,8 @@
 
 def logged_cutoff(fleet, host, version):
     """
-    When requests may no longer be sent to the version before `version`, by the last line in
-    the log of one process, in seconds since 1970; None if no line names that version.
+    The time (seconds since 1970) from which the process at `host` sends no more requests to
+    versions before `version`, by the last line about this in its log; None without such a line.
 
     """
     lines = [match for match in CUTOFF_LINE.finditer(fleet.log(host)) if int(match[2]) == version]
@@ -64,9 +67,9 @@
     return datetime.fromisoformat(lines[-1][1]).timestamp() + float(lines[-1][3])
 
 
-def name_version(fleet, version, host):
+def set_version(fleet, version, host):
     """
-    Name a version, and wait until the process at `host` knows of it.
+    Set a version in the configuration, and wait until the process at `host` knows of it.
 
     """
     assert fleet.control(client_requests.set_version_request(MODEL, version)).status == 200
@@ -80,7 +83,8 @@
 
 def settled_cutoff(fleet, host, version):
     """
-    The cutoff that a process uses after some further messages of its replica.
+    The cutoff of `version` that the process at `host` uses after it has had `GAP_S` to correct
+    the cutoff by further messages of its replica.
 
     """
     wait_until(lambda: logged_cutoff(fleet, host, version) is not None)
@@ -91,10 +95,10 @@
 @pytest.mark.parametrize('fault', ['paused', 'restarted'])
 def test_no_process_has_a_later_cutoff_than_the_others(fleet, fault):
     undisturbed, disturbed = fleet.entry_hosts
-    name_version(fleet, 2, undisturbed)
+    set_version(fleet, 2, undisturbed)
     if fault == 'paused':
         fleet.signal(disturbed, signal.SIGSTOP)
-        name_version(fleet, 3, undisturbed)
+        set_version(fleet, 3, undisturbed)
         wait_for_seconds(GAP_S)
         fleet.signal(disturbed, signal.SIGCONT)
         assert settled_cutoff(fleet, disturbed, 3) <= (
@@ -102,11 +106,11 @@
         )
         return
     wait_for_seconds(GAP_S)
-    name_version(fleet, 3, undisturbed)
+    set_version(fleet, 3, undisturbed)
     fleet.kill(disturbed)
     (fleet.folder / f'{disturbed}.log').unlink()
     fleet.start_process(disturbed)
     settled_cutoff(fleet, disturbed, 3)
-    cutoff_of_first = logged_cutoff(fleet, disturbed, 2)
-    assert cutoff_of_first is not None
-    assert cutoff_of_first <= logged_cutoff(fleet, undisturbed, 2) + TOLERANCE_S
+    cutoff_of_version_2 = logged_cutoff(fleet, disturbed, 2)
+    assert cutoff_of_version_2 is not None
+    assert cutoff_of_version_2 <= logged_cutoff(fleet, undisturbed, 2) + TOLERANCE_S
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -1,5 +1,6 @@
 """
-The versions of weights on which a request may begin at a given time.
+The versions of weights on which a request may begin at a given time, and the version that an
+endpoint daemon chooses as the next target of its engine.
 
 """
 
@@ -22,6 +23,7 @@
 from millforkd.versions import VersionTracker
 from tests.test_servers import ENGINE, Clock
 
+# Requests may begin on older versions for this many ms after a new version was set.
 SWITCH_MS = 8000
 SWITCH_S = SWITCH_MS / 1000
 
@@ -203,7 +205,7 @@
 
 class OneEngine:
     """
-    One engine, the versions set for it, and the pieces of weights at its daemon.
+    One engine, the versions set for its model, and the pieces of weights that its daemon holds.
 
     """
 
--- a/tests/test_weights.py
+++ b/tests/test_weights.py
@@ -1,5 +1,5 @@
 """
-Verification of manifests, chunks and complete files.
+Verification and storage of manifests, chunks and complete versions.
 
 """
 
@@ -91,7 +91,7 @@
         file.seek(CHUNK)
         file.write(b'\xff')
     _, reopened = open_stored(tmp_path, manifest_of())
-    assert [index for index, have in enumerate(reopened.has_chunk) if have] == [0, 2]
+    assert [index for index, is_held in enumerate(reopened.has_chunk) if is_held] == [0, 2]
 
 
 def test_unchanged_chunks_of_another_version_are_found(tmp_path):
