--- a/packages/millforkd/millforkd/sidecar/expiry.py
+++ b/packages/millforkd/millforkd/sidecar/expiry.py
@@ -173,16 +173,16 @@
         """
         if not self.rollout.staged_checked or self.rollout.staged_weights == target.weights:
             return None
-        served = self.rollout.served[0]
-        end = served.end if served.end is not None else target.layers
-        if end - served.first <= 1:
+        serves = self.rollout.served[0]
+        end = serves.end if serves.end is not None else target.layers
+        if end - serves.first <= 1:
             return None
         # A layer that is neither the first nor the last of the model, if there is one: entries
         # that know of no newer version then can't use this engine as the first or last of the
         # engines that run a request together.
-        middle = (served.first + end) // 2
+        middle = (serves.first + end) // 2
         layer = Layers(middle, middle + 1)
-        return await self._order(WeightsId(served.model, served.version), layer)
+        return await self._order(WeightsId(serves.model, serves.version), layer)
 
     async def _order(self, weights: WeightsId, layer: Layers) -> ServedVersion | None:
         model, version = weights.model, weights.version
--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -366,7 +366,7 @@
         (
             Edit(
                 D + 'sidecar/expiry.py',
-                'if end - served.first <= 1:',
+                'if end - serves.first <= 1:',
                 'if False:',
             ),
         ),
