--- a/packages/millfork-weights/millfork_weights/__init__.py
+++ b/packages/millfork-weights/millfork_weights/__init__.py
@@ -1,4 +1,4 @@
 """
-Weights: manifests, verified files, distribution trees, transfers.
+Transfer and storage of model weights: manifests, verified files, distribution trees.
 
 """
--- a/packages/millfork-weights/millfork_weights/chunk_server.py
+++ b/packages/millfork-weights/millfork_weights/chunk_server.py
@@ -1,5 +1,5 @@
 """
-Serving manifests and chunks to peers, also while this instance still receives them.
+Serves manifests and chunks to peers, even while this instance still receives the weights.
 
 """
 
@@ -33,8 +33,9 @@
 
     async def on_get_chunk(self, request: GetChunk) -> Chunk:
         """
-        Wait for the chunk and for link capacity, up to the time that the peer allows. If the
-        link's backlog exceeds that time, answer `busy`.
+        Return the chunk, after waiting for its arrival and then for link capacity. The reply has
+        a reason instead of data if the chunk does not arrive within `wait_ms` (`not_yet`), if
+        the link's backlog exceeds `wait_ms` (`busy`), or if the index is invalid (`unknown`).
 
         """
         started_at = self.env.monotonic()
--- a/packages/millfork-weights/millfork_weights/links.py
+++ b/packages/millfork-weights/millfork_weights/links.py
@@ -1,5 +1,5 @@
 """
-Rate limits for transfers, which share the instance's network link with live requests.
+Rate limits for weight transfers, which share the instance's network link with live requests.
 
 """
 
@@ -8,12 +8,13 @@
 
 import curio
 
+# Seconds by which `RateLimiter.acquire` returns earlier than the rate requires.
 BURST_S: Final = 0.005
 
 
 class RateLimiter:
     """
-    Limits transfers to `rate` bytes/s, in the order of the calls.
+    Limits transfers to `rate` bytes/s. Transfers proceed in the order in which they call `acquire`.
 
     """
 
@@ -25,21 +26,22 @@
     @property
     def backlog_s(self) -> float:
         """
-        Seconds until the bytes that were already admitted have passed at this rate.
+        Seconds until all bytes admitted so far are transferred at `rate`.
 
         """
         return max(self.free_at - self.monotonic(), 0.0)
 
     def record_bytes(self, size: int) -> None:
         """
-        Count bytes that were transferred without `acquire`.
+        Count bytes that were transferred without `acquire` against the limit.
 
         """
         self.free_at = max(self.free_at, self.monotonic()) + size / self.rate
 
     async def acquire(self, size: int) -> None:
         """
-        Wait until `size` bytes may be transferred. The wait is `BURST_S` shorter than exact pacing.
+        Wait until `size` bytes may be transferred. The wait is `BURST_S` shorter than the rate
+        requires.
 
         """
         starts_at = max(self.free_at, self.monotonic())
@@ -51,8 +53,8 @@
 
 class Link:
     """
-    The share of an instance's network link that weight transfers may use. Both directions
-    have one common limit if `both_directions_together`.
+    The share of an instance's network link that weight transfers may use. With
+    `both_directions_together`, received and sent bytes count against one common limit.
 
     """
 
--- a/packages/millfork-weights/millfork_weights/manifest.py
+++ b/packages/millfork-weights/millfork_weights/manifest.py
@@ -1,8 +1,8 @@
 """
-Manifests: the exact content of one version's weights.
+Manifests, which describe the exact content of one version's weights.
 
 A manifest is identified by the digest of its bytes. The accepted configuration
-contains that digest, so the origin can't change a version afterwards.
+contains that digest, so a version that changes at the origin afterwards is rejected.
 
 """
 
@@ -14,15 +14,15 @@
 
 class BadManifest(Exception):
     """
-    The bytes are not the expected manifest, or not a consistent manifest at all.
+    The bytes do not have the expected digest, or are not a consistent manifest.
 
     """
 
 
 class Manifest(msgspec.Struct, frozen=True):
     """
-    One version's size (bytes), the digests of its chunks in order, and the digest
-    of the complete file (`whole`). Digests are BLAKE3, in hex.
+    The size of one version's weights in bytes, the digests of the chunks in order, and
+    the digest of the complete file (`whole`). Digests are BLAKE3, in hex.
 
     """
 
@@ -51,9 +51,9 @@
 
 def decode_manifest(body: bytes, digest: Digest | None = None) -> Manifest:
     """
-    Decode the manifest in `body`, which must have `digest` if one is given.
+    Decode the manifest in `body`. If `digest` is given, `body` must have that digest.
 
-    :raises BadManifest: if the digest differs or the manifest contradicts itself.
+    :raises BadManifest: if the digest differs or the manifest is not valid and consistent.
 
     """
     if digest is not None and digest_of(body) != digest:
--- a/packages/millfork-weights/millfork_weights/origin.py
+++ b/packages/millfork-weights/millfork_weights/origin.py
@@ -1,5 +1,5 @@
 """
-Client of the origin of weights, over HTTP.
+HTTP client of the origin (the weight store).
 
 """
 
@@ -30,7 +30,7 @@
 
     async def manifest(self, name: str, version: str) -> bytes:
         """
-        Fetch the manifest that the origin has for a version at this moment, unverified.
+        Fetch the origin's current manifest of a version, unverified.
 
         :raises OriginFailed: if the origin does not return one.
 
@@ -39,7 +39,7 @@
 
     async def chunk(self, name: str, version: str, start: int, size: int) -> bytes:
         """
-        Fetch `size` bytes of a version from offset `start`, unverified.
+        Fetch `size` bytes of a version's weights from offset `start`, unverified.
 
         :raises OriginFailed: if the origin does not return them.
 
--- a/packages/millfork-weights/millfork_weights/store.py
+++ b/packages/millfork-weights/millfork_weights/store.py
@@ -37,7 +37,7 @@
 
 class StoredVersion:
     """
-    The file of one version on this instance, and which chunks it contains.
+    The file with the weights of one version, and the record of the chunks that are stored in it.
 
     """
 
@@ -47,7 +47,7 @@
         self.manifest = manifest
         self.has_chunk = bytearray(len(manifest.chunks))
         self.index_of = {chunk: index for index, chunk in enumerate(manifest.chunks)}
-        self.missing = len(manifest.chunks)
+        self.missing_count = len(manifest.chunks)
         self.is_complete = False
         self.chunk_stored = curio.Condition()
         folder.mkdir(parents=True, exist_ok=True)
@@ -77,7 +77,7 @@
         Fraction of the chunks that are stored, from 0 to 1.
 
         """
-        return 1 - self.missing / len(self.manifest.chunks)
+        return 1 - self.missing_count / len(self.manifest.chunks)
 
     def read(self, index: int) -> bytes:
         return os.pread(self.fd, self.manifest.chunk_size(index), index * self.manifest.chunk_bytes)
@@ -91,14 +91,14 @@
 
     async def put(self, index: int, data: bytes) -> None:
         """
-        Write a chunk that the caller has verified, and wake the tasks that wait for it.
+        Write a chunk that the caller has verified, and wake the tasks in `wait_for`.
 
         """
         if self.has_chunk[index]:
             return
         os.pwrite(self.fd, data, index * self.manifest.chunk_bytes)
         self.has_chunk[index] = 1
-        self.missing -= 1
+        self.missing_count -= 1
         async with self.chunk_stored:
             await self.chunk_stored.notify_all()
 
@@ -119,13 +119,13 @@
 
     async def load_present_chunks(self) -> None:
         """
-        Mark the chunks of the file that match their digests as stored.
+        Verify all chunks in the file, and mark those that match their digests as stored.
 
         """
         present = await curio.run_in_thread(self._verified_chunks)
         for index in present:
             self.has_chunk[index] = 1
-        self.missing -= len(present)
+        self.missing_count -= len(present)
 
     def _verified_chunks(self) -> list[int]:
         return [i for i in range(len(self.manifest.chunks)) if self.matches_digest(i, self.read(i))]
@@ -134,7 +134,7 @@
         """
         Verify the complete file and move it to `path` for the engine.
 
-        :raises VersionDigestMismatch: if the file has another digest.
+        :raises VersionDigestMismatch: if the file's digest is not the manifest's `whole`.
 
         """
         found = await curio.run_in_thread(self._file_digest)
@@ -154,7 +154,7 @@
 
 class WeightStore:
     """
-    All versions on this instance, by the digest of their manifests. Each has its own folder.
+    The versions on this instance, by the digests of their manifests. Each has its own folder.
 
     """
 
@@ -166,7 +166,8 @@
 
     async def open(self, digest: Digest, manifest: Manifest) -> StoredVersion:
         """
-        Return the stored version, created if there is none.
+        Return the stored version with this digest. A version that is not open yet is created,
+        with the valid chunks that an earlier run left on disk.
 
         """
         stored = self.stored_versions.get(digest)
@@ -184,7 +185,7 @@
 
     def manifest_on_disk(self, digest: Digest) -> Manifest | None:
         """
-        The manifest that an earlier run stored, or None if it is missing or invalid.
+        The manifest on disk with this digest, or None if it is missing or invalid.
 
         """
         try:
@@ -194,7 +195,7 @@
 
     async def wait_for(self, digest: Digest, timeout: float) -> StoredVersion | None:
         """
-        Wait up to `timeout` seconds until the version is opened; None if it is not.
+        Wait up to `timeout` seconds for the version to be opened; return None if it is not.
 
         """
         try:
@@ -207,7 +208,8 @@
 
     def find_chunk(self, chunk: str, size: int) -> bytes | None:
         """
-        A chunk that any stored version contains, read and verified again; None if there is none.
+        Return the data of the chunk with digest `chunk` from any open version, verified again;
+        None if no version holds it.
 
         """
         for stored in self.stored_versions.values():
@@ -231,8 +233,8 @@
 
     def remove_all_except(self, required: set[Digest]) -> list[Digest]:
         """
-        Remove every version that is not in `required`, also folders of earlier runs. Return the
-        removed digests.
+        Remove every version that is not in `required`, including folders that earlier runs left.
+        Return the removed digests.
 
         """
         present = {Digest(path.name) for path in self.folder.iterdir()} | set(self.stored_versions)
--- a/packages/millfork-weights/millfork_weights/transfer.py
+++ b/packages/millfork-weights/millfork_weights/transfer.py
@@ -23,17 +23,18 @@
 from millfork_wire.messages import Manifest as ManifestMessage
 from millfork_wire.peers import PeerAddress, Peers
 
-# Doubled before each use, so the first backoff from a source lasts 2 s.
+# Seconds. Each failure of a source doubles its backoff first, so the first backoff lasts 2 s.
 INITIAL_BACKOFF_S: Final = 1.0
 RETRY_INTERVAL_S: Final = 0.1
 MANIFEST_TIMEOUT_S: Final = 0.5
 PEER_ROUNDS_BEFORE_ORIGIN: Final = 10
 MAX_REQUESTS_PER_SOURCE: Final = 3
-# Each instance plans the trees from the instances that it knows of. While these views differ,
-# every instance may consider another one the root of a stripe, and no instance fetches that
-# stripe from the origin. If no chunk of a stripe arrives for this many times `stall_s`, the
-# first instance of its tree becomes another root, and each further one `stall_s` later. The
-# delays keep all instances from fetching at once while the origin itself is stalled.
+# Multiple of `stall_s` without a new chunk of a stripe after which an instance that is not a
+# root of the stripe fetches it from the origin. Each instance plans the trees from the instances
+# that it knows of. While these sets differ, every instance may consider another one the root, so
+# that no instance fetches the stripe. The first instance of the tree becomes a root after this
+# time, and each following one `stall_s` later. The delays keep the instances from all fetching
+# at once while the origin itself is stalled.
 ROOTLESS_AFTER_STALLS: Final = 6
 RANDOM_MANIFEST_SOURCES: Final = 3
 BUSY: Final = 'busy'
@@ -47,15 +48,15 @@
 
 class TransferFailed(Exception):
     """
-    A transfer ended before its version was complete.
+    A transfer failed before its version was complete.
 
     """
 
 
 class FetchResult(Enum):
     """
-    Result of requesting a chunk: received and stored; not available yet from a live source;
-    or no source could answer.
+    Result of requesting a chunk from one or more sources: a valid copy was stored; a source
+    answered, but without a valid copy; or no source answered.
 
     """
 
@@ -67,7 +68,7 @@
 @dataclass(frozen=True, slots=True)
 class SourceBackoff:
     """
-    Until when a source is skipped (monotonic time), and the duration of this backoff.
+    The monotonic time until which a source is skipped, and the duration of the backoff.
 
     """
 
@@ -82,9 +83,9 @@
 @dataclass(frozen=True, slots=True)
 class TransferSettings:
     """
-    Number of stripes, requests in flight per stripe (`window`), seconds that a peer may wait
-    for a chunk (`stall_s`), and roots per stripe (`origin_copies`). Only the baselines of the
-    benchmark replace `planner`.
+    The number of stripes, the requests in flight per stripe (`window`), the seconds for which a
+    peer may delay its reply until it has the requested chunk (`stall_s`), and the roots per
+    stripe (`origin_copies`). Only the baselines of the benchmark replace `planner`.
 
     """
 
@@ -121,18 +122,18 @@
         self.backoffs: dict[InstanceId, SourceBackoff] = {}
         self.complete_peers: list[InstanceId] = []
         self.trees: list[Tree] = []
-        # By stripe: when its last chunk arrived.
+        # The monotonic time at which the last chunk of each stripe arrived.
         self.last_chunk_at: dict[int, float] = {}
-        # Stripes that this instance fetches from the origin although their planned root is another.
+        # Stripes that this instance fetches from the origin although it is not a planned root.
         self.adopted_stripes: set[int] = set()
 
     async def run(
         self, name: str, version: str, digest: Digest, receivers: list[Receiver]
     ) -> StoredVersion:
         """
-        Return the stored version once every chunk and the complete file are verified.
+        Transfer a version, and return it once every chunk and the complete file are verified.
 
-        :raises VersionDigestMismatch: if the chunks match the manifest but the file does not.
+        :raises VersionDigestMismatch: if all chunks match their digests but the file does not.
         :raises TransferFailed: if the transfer can't continue; stored chunks are kept.
 
         """
@@ -158,27 +159,30 @@
 
     async def _find_manifest(self, name: str, version: str, digest: Digest) -> Manifest:
         """
-        Return the manifest from a peer, from the files of an earlier run, or from the origin.
-        If peers and files do not have it, roots and instances without peers request it from the
-        origin in the first round, other instances only after `PEER_ROUNDS_BEFORE_ORIGIN` rounds.
+        Return the manifest from a peer, else from the files of an earlier run, else from the
+        origin. Roots and instances without peers ask the origin from the first round on, other
+        instances only after `PEER_ROUNDS_BEFORE_ORIGIN` rounds.
 
         """
         own = self.env.instance
         sources = self._choose_manifest_sources()
-        rounds = 0 if any(tree.is_root(own) for tree in self.trees) else PEER_ROUNDS_BEFORE_ORIGIN
+        rounds_left = (
+            0 if any(tree.is_root(own) for tree in self.trees) else PEER_ROUNDS_BEFORE_ORIGIN
+        )
         while True:
             manifest = await self._fetch_manifest_from_peers(sources, digest)
             manifest = manifest or self.store.manifest_on_disk(digest)
-            if manifest is None and (rounds <= 0 or not sources):
+            if manifest is None and (rounds_left <= 0 or not sources):
                 manifest = await self._fetch_manifest_from_origin(name, version, digest)
             if manifest is not None:
                 return manifest
-            rounds -= 1
+            rounds_left -= 1
             await curio.sleep(RETRY_INTERVAL_S)
 
     def _choose_manifest_sources(self) -> list[InstanceId]:
         """
-        The parents, and a few random peers, which may have the complete version already.
+        The first source in each tree, and a few random peers, which may have the complete
+        version already.
 
         """
         own_instance = self.env.instance
@@ -268,7 +272,8 @@
             if result is FetchResult.STORED:
                 return
             rounds += 1
-            # A live peer will receive the chunk from a root, which saves origin bandwidth.
+            # While a source answers, wait until it receives the chunk from a root of the stripe.
+            # This saves bandwidth of the origin.
             may_use_origin = (
                 result is FetchResult.NO_LIVE_SOURCE or rounds >= PEER_ROUNDS_BEFORE_ORIGIN
             )
@@ -278,8 +283,8 @@
 
     def _is_root(self, tree: Tree, index: int) -> bool:
         """
-        Whether this instance fetches the chunk's stripe from the origin: as a planned root, or
-        because no other instance appears to fetch it.
+        Whether this instance fetches the chunk's stripe from the origin: as a planned root of
+        the stripe, or because no other instance appears to fetch the stripe.
 
         """
         stripe = index % self.settings.stripes
@@ -298,21 +303,22 @@
 
     def _must_become_root(self, index: int) -> bool:
         """
-        Whether no other instance appears to fetch the chunk's stripe from the origin, and it is
-        this instance's turn to do so. Requests to peers then stop until it has become a root.
+        Whether this instance is not a root of the chunk's stripe yet but must become one, as no
+        chunk of the stripe has arrived for too long (see `ROOTLESS_AFTER_STALLS`). Requests to
+        peers stop when this becomes true.
 
         """
         stripe = index % self.settings.stripes
         if stripe in self.adopted_stripes or self.trees[stripe].is_root(self.env.instance):
             return False
-        turn = self.trees[stripe].order.index(self.env.instance)
+        position = self.trees[stripe].order.index(self.env.instance)
         without_chunk_s = self.env.monotonic() - self.last_chunk_at[stripe]
-        return without_chunk_s > (ROOTLESS_AFTER_STALLS + turn) * self.settings.stall_s
+        return without_chunk_s > (ROOTLESS_AFTER_STALLS + position) * self.settings.stall_s
 
     def _tree_sources(self, tree: Tree) -> list[InstanceId]:
         """
-        The parent, then the other earlier nodes in random order. The children of a node use
-        its whole link, so the load of a lost parent must be spread over many nodes.
+        The parent, then the other preceding nodes of the tree in random order. The children of
+        a node use its whole link, so the children of a lost node must spread over many nodes.
 
         """
         sources = tree.sources(self.env.instance)
@@ -338,14 +344,15 @@
 
     def _complete_peers(self, index: int) -> list[InstanceId]:
         """
-        The peers with the complete version, rotated by chunk to spread the load.
+        The peers with the complete version. The list starts with a different peer for each chunk,
+        to spread the load.
 
         """
         peers = self.complete_peers
         if not peers:
             return []
-        turn = index % len(peers)
-        return [*peers[turn:], *peers[:turn]]
+        offset = index % len(peers)
+        return [*peers[offset:], *peers[:offset]]
 
     async def _fetch_from_peer(
         self, stored: StoredVersion, index: int, source: InstanceId
@@ -393,27 +400,27 @@
         stored: StoredVersion,
         index: int,
         data: bytes,
-        kind: str,
+        source_kind: str,
         source: InstanceId | None,
     ) -> bool:
-        self.env.metrics.count(self.env.metrics.chunk_bytes, len(data), source=kind)
+        self.env.metrics.count(self.env.metrics.chunk_bytes, len(data), source=source_kind)
         await self.link.inbound.acquire(len(data))
         if not stored.matches_digest(index, data):
-            self._count('corrupt', kind)
-            log.warning('Chunk {} from {} does not match its digest.', index, source or kind)
+            self._count('corrupt', source_kind)
+            log.warning('Chunk {} from {} does not match its digest.', index, source or source_kind)
             return False
         await stored.put(index, data)
         self.last_chunk_at[index % self.settings.stripes] = self.env.monotonic()
-        self._count('taken', kind)
+        self._count('taken', source_kind)
         return True
 
     def _back_off_from(self, source: InstanceId) -> None:
         """
-        Skip a source for a time that doubles with each failure.
+        Skip a source for twice the time of its previous backoff.
 
         """
         pause_s = self.backoffs.get(source, NO_BACKOFF).pause_s * 2
         self.backoffs[source] = SourceBackoff(self.env.monotonic() + pause_s, pause_s)
 
-    def _count(self, outcome: str, kind: str) -> None:
-        self.env.metrics.count(self.env.metrics.chunks, outcome=outcome, source=kind)
+    def _count(self, outcome: str, source_kind: str) -> None:
+        self.env.metrics.count(self.env.metrics.chunks, outcome=outcome, source=source_kind)
--- a/packages/millfork-weights/millfork_weights/trees.py
+++ b/packages/millfork-weights/millfork_weights/trees.py
@@ -1,12 +1,12 @@
 """
-Distribution trees: from which parent each instance fetches each stripe.
+Distribution trees, which give each instance the parent to fetch each stripe from.
 
-Chunk i belongs to stripe i mod S, and each stripe has its own tree. An instance
-has at most S children over all trees, so it sends at most one copy of the
-weights in total. Nearly all its children are in one tree, which keeps the trees
-flat. Availability zones are subtrees where their size allows it, so that weights
-enter a zone once. All instances compute the same trees from the accepted
-configuration and exchange no messages about them.
+With S stripes, chunk i belongs to stripe i mod S, and each stripe has its own
+tree. An instance has at most S children over all trees, so it sends at most one
+copy of the weights in total. Nearly all children of an instance are in one tree,
+which keeps the trees flat. Availability zones are subtrees where their size
+allows it, so that weights enter a zone once. All instances compute the same trees
+from the accepted configuration, without exchanging messages.
 
 """
 
@@ -32,8 +32,8 @@
 @dataclass(slots=True)
 class Tree:
     """
-    The tree of one stripe: each node's parent, and the order in which nodes were
-    placed. The parent of a root is None, as it fetches from the origin.
+    The tree of one stripe: the parent of each node, and the nodes in the order in which
+    they were placed. A root fetches from the origin; its parent is None.
 
     """
 
@@ -42,8 +42,8 @@
 
     def sources(self, instance: InstanceId) -> list[InstanceId]:
         """
-        The nodes to request chunks from, best first: the ancestors, then all other
-        nodes that precede `instance` in `order`, latest first. As nodes request only
+        The nodes to request chunks from, best first: the ancestors of `instance`, then
+        all other nodes that precede it in `order`, latest first. As nodes request only
         from preceding ones, they can't wait for each other in a cycle.
 
         """
@@ -91,21 +91,23 @@
 
 def _first_node_per_zone(inner_nodes: list[Receiver], stripe: int) -> list[Receiver]:
     """
-    The first inner node of each zone. Each stripe starts with another zone.
+    The first inner node of each zone, rotated so that different stripes start with
+    different zones.
 
     """
     zone_heads = list({receiver.zone: receiver for receiver in reversed(inner_nodes)}.values())
     zone_heads.reverse()
-    turn = stripe % len(zone_heads) if zone_heads else 0
-    return zone_heads[turn:] + zone_heads[:turn]
+    offset = stripe % len(zone_heads) if zone_heads else 0
+    return zone_heads[offset:] + zone_heads[:offset]
 
 
 def _build_tree(
     sequence: Iterable[Receiver], free_child_slots: dict[InstanceId, int], origin_copies: int
 ) -> Tree:
     """
-    Give each instance the earliest placed parent with a free child slot, in its own
-    zone if there is one.
+    Build a tree whose first `origin_copies` instances are roots. Each other instance gets
+    the earliest placed parent with a free child slot, from its own zone if possible. If
+    no slot is free, the parent is the instance with the fewest children over its limit.
 
     """
     tree = Tree()
