--- a/packages/millfork-wire/millfork_wire/codec.py
+++ b/packages/millfork-wire/millfork_wire/codec.py
@@ -17,9 +17,10 @@
 LENGTH_BYTES: Final = 4
 MAX_HELLO_BYTES: Final = 1024
 MAX_FRAME_BYTES: Final = 48 * 1024 * 1024
-# The top bit of the length: the body has Cap'n Proto's packed encoding, which shortens
-# messages with many zeros. For weights and snapshots it would only cost time.
+# The top bit of the length prefix. It is set if the body has Cap'n Proto's packed encoding, which
+# shortens messages with many zeros.
 PACKED_FLAG: Final = 1 << 31
+# Messages with weights or snapshots, for which packing would only cost time.
 UNPACKED: Final = frozenset({messages.Chunk, messages.InstallRequest, messages.PushChunk})
 
 
@@ -36,7 +37,7 @@
 
 class BadFrame(Exception):
     """
-    The bytes are not a frame of this protocol, or the frame is too large.
+    Bytes are not a frame of this protocol, or a frame is too large.
 
     """
 
@@ -44,7 +45,7 @@
 @dataclass(slots=True)
 class Frame:
     """
-    One decoded frame. A reply has the id of its request; the id of an event is 0.
+    One message with its id and kind. A reply has the id of its request; the id of an event is 0.
 
     """
 
@@ -60,11 +61,12 @@
 _schema = capnp.load(str(files('millfork_wire') / 'millfork.capnp'))
 
 
-# In the schema, the frame members `preVote` and `vote` share the struct `VoteRequest`.
+# The members `preVote` and `vote` of a frame share the struct `VoteRequest` in the schema. They
+# need separate classes here, as the class of a message determines the member.
 @dataclass(slots=True)
 class PreVote(messages.VoteRequest):
     """
-    Asks whether a vote would be granted, without a change of term.
+    Asks whether the receiver would grant its vote; neither side changes its term.
 
     """
 
@@ -72,7 +74,7 @@
 def _message_classes() -> dict[str, type[Message]]:
     """
     The message class of each member of the frame's union, by member name. A class has the
-    name of the member's struct.
+    same name as the struct of its member.
 
     """
     found: dict[str, type[Message]] = {}
@@ -91,8 +93,8 @@
 
 def _field_plan(cls: type[Message]) -> list[tuple[str, str, Any]]:
     """
-    For each field of a message class: name, name in the schema, and type (of the elements
-    where the field is a list).
+    The fields of a message class: for each, its name, its name in the schema, and its type. The
+    type of a list is that of the elements.
 
     """
     hints = get_type_hints(cls)
@@ -146,7 +148,7 @@
     """
     Encode a frame as length-prefixed bytes.
 
-    :raises BadFrame: if the frame is over `MAX_FRAME_BYTES`.
+    :raises BadFrame: if the body is over `MAX_FRAME_BYTES`.
 
     """
     name = _NAMES[type(frame.message)]
@@ -175,7 +177,7 @@
     """
     Decode the frame in `body` (without its length prefix).
 
-    :raises BadFrame: if the bytes are not a frame, or its message is unknown.
+    :raises BadFrame: if the bytes are not a frame, or the message type is unknown.
 
     """
     try:
--- a/packages/millfork-wire/millfork_wire/connection.py
+++ b/packages/millfork-wire/millfork_wire/connection.py
@@ -1,5 +1,5 @@
 """
-One connection to one peer: calls, events, and the tasks that read and write frames.
+A connection to a peer: calls, events, and the tasks that read and write frames.
 
 """
 
@@ -90,8 +90,9 @@
 
 class Connection:
     """
-    An authenticated connection. Both ends use it for calls and events. The handler gets the
-    peer's messages; its result is the reply to a request.
+    An authenticated connection to a peer. Both sides send calls and events. `handler` gets the
+    peer's messages and returns the reply to a request. `dialled` is set on the side that opened
+    the connection.
 
     """
 
@@ -123,7 +124,9 @@
         """
         Send a request and return its reply, which must arrive within `timeout` seconds.
 
-        :raises PeerLost, PeerTimedOut, PeerRefused: if there is no reply.
+        :raises PeerLost: if the connection is closed before the reply arrives.
+        :raises PeerTimedOut: if the reply does not arrive in time.
+        :raises PeerRefused: if the reply is a failure.
 
         """
         if self.closed:
@@ -147,7 +150,7 @@
 
     async def notify(self, message: Message) -> None:
         """
-        Queue an event for sending.
+        Queue an event (a message without a reply) for sending.
 
         :raises PeerLost: if the connection is already closed.
 
@@ -171,8 +174,8 @@
 
     async def write_frames(self) -> None:
         """
-        The writing task: combines the frames that are queued into one write, up to
-        `MAX_SEND_BATCH_BYTES`.
+        Write queued frames until the connection is closed. A write combines frames until they
+        reach `MAX_SEND_BATCH_BYTES`.
 
         """
         try:
@@ -190,7 +193,7 @@
 
     async def read_frames(self) -> None:
         """
-        The reading task: dispatches frames until the connection ends, then closes it.
+        Dispatch the peer's frames until the connection fails or is closed, then close the socket.
 
         """
         try:
@@ -206,8 +209,8 @@
             pass
         finally:
             await self.close()
-            # Otherwise the event loop would still wait on the closed socket for the writer,
-            # and its file descriptor may already belong to another connection.
+            # Cancel the writer before the socket is closed. Otherwise the event loop would keep
+            # waiting on the socket's file descriptor, which another connection may already use.
             if self.writer is not None:
                 await self.writer.cancel()
             await self.transport.close()
--- a/packages/millfork-wire/millfork_wire/handshake.py
+++ b/packages/millfork-wire/millfork_wire/handshake.py
@@ -1,9 +1,9 @@
 """
-Mutual authentication of peers, before any other message is read.
+Mutual authentication of two peers, before either reads any other message.
 
 Both sides send a hello with a nonce, then a proof: a keyed hash (HMAC) over both
-hellos. The key of an instance is derived from the fleet's key and the instance's
-name, so a proof is valid for one instance only.
+hellos. The key of the hash is derived from the fleet's key and the name of the
+proving instance, so a proof is valid for one instance only.
 
 """
 
@@ -23,7 +23,7 @@
 
 class HandshakeFailed(Exception):
     """
-    The other side did not prove that it is the instance that it claims to be.
+    The peer's hello is not acceptable, or its proof is wrong.
 
     """
 
@@ -43,11 +43,11 @@
     target: InstanceId,
 ) -> Hello:
     """
-    Exchange hellos and proofs; return the peer's hello once its proof is verified.
+    Exchange hellos and proofs; return the peer's hello once the peer's proof is verified.
 
     `target` is the dialled instance, or empty on the accepting side.
 
-    :raises HandshakeFailed: on a wrong version, instance or proof.
+    :raises HandshakeFailed: on a wrong message, version, instance or proof.
 
     """
     own_hello = Hello(
@@ -74,9 +74,10 @@
 
 def _validate_hello(peer_hello: Message, env: Environment, target: InstanceId) -> Hello:
     """
-    Return the peer's hello if its version, instance and target are acceptable.
+    Return the peer's first message, if it is a hello with an acceptable version, instance and
+    target.
 
-    :raises HandshakeFailed: if they are not.
+    :raises HandshakeFailed: if it is not.
 
     """
     if not isinstance(peer_hello, Hello):
@@ -86,7 +87,7 @@
             f'the peer has protocol version {peer_hello.version}, not {PROTOCOL_VERSION}'
         )
     if peer_hello.instance == env.instance:
-        # Without this check a peer could reflect all messages, and so send back a valid proof.
+        # Without this check, a peer that sends every message back would also return a valid proof.
         raise HandshakeFailed('the peer claims to be this instance')
     if target and peer_hello.instance != target:
         raise HandshakeFailed(f'dialled {target}, but {peer_hello.instance} answered')
--- a/packages/millfork-wire/millfork_wire/messages/__init__.py
+++ b/packages/millfork-wire/millfork_wire/messages/__init__.py
@@ -1,7 +1,7 @@
 """
 Typed messages: one dataclass for each struct of `millfork.capnp`.
 
-Field names are the schema's, in snake case.
+A field has the schema's name, in snake case.
 
 """
 
--- a/packages/millfork-wire/millfork_wire/messages/base.py
+++ b/packages/millfork-wire/millfork_wire/messages/base.py
@@ -6,7 +6,7 @@
 
 class Message:
     """
-    Base class of every message, and of the structs that messages contain.
+    Base class of all messages, and of the structs that are part of messages.
 
     """
 
--- a/packages/millfork-wire/millfork_wire/messages/basic.py
+++ b/packages/millfork-wire/millfork_wire/messages/basic.py
@@ -1,5 +1,5 @@
 """
-Messages of every connection: the handshake, pings, and answers without content.
+Messages that all connections use: the handshake, pings, and replies without content.
 
 """
 
--- a/packages/millfork-wire/millfork_wire/messages/feed.py
+++ b/packages/millfork-wire/millfork_wire/messages/feed.py
@@ -1,5 +1,6 @@
 """
-Messages between the replicas of a seeded fleet and their followers: discovery, leases, reports.
+Messages between the replicas of a seeded fleet and the processes that follow them: discovery of
+replicas, leases, reports and suspicions.
 
 """
 
@@ -11,8 +12,8 @@
 @dataclass(slots=True)
 class VersionSwitch(Message):
     """
-    A recently named version of a model's weights, and for how many ms requests may still
-    begin on an older version.
+    A version of a model's weights that was recently set in the configuration. Requests may
+    still begin on older versions for `left_ms`.
 
     """
 
@@ -31,7 +32,7 @@
 @dataclass(slots=True)
 class CacheAddress(Message):
     """
-    An instance that caches pieces of weights for the daemons of its zone.
+    An instance that caches pieces of weights for the endpoint daemons of its zone.
 
     """
 
@@ -49,7 +50,7 @@
     caches: list[CacheAddress] = field(default_factory=list)
     # The availability zone of the replica that answers.
     zone: str = ''
-    # The recently named versions that the replica knows of.
+    # The versions that were recently set in the configuration, as far as the replica knows.
     switches: list[VersionSwitch] = field(default_factory=list)
 
 
@@ -63,9 +64,9 @@
 @dataclass(slots=True)
 class AskFeed(Message):
     """
-    Asks another follower for the feed while no replica can be reached: configuration since
-    `revision`, and changes of leases, reports and suspicions since the given versions of the
-    asked follower's tables.
+    Asks another follower for the feed (the stream of updates from a replica) while no replica can
+    be reached. The follower sends the configuration since `revision`, and the leases, reports and
+    suspicions that changed since the given versions of the follower's tables.
 
     """
 
@@ -79,15 +80,15 @@
 @dataclass(slots=True)
 class FeedSent(Message):
     """
-    The feed was sent, up to these versions of the tables. Not `ok`: the asked follower
-    receives nothing from replicas either.
+    Reply to `AskFeed`: the feed was sent, up to these versions of the follower's tables. `ok` is
+    not set if the follower receives nothing from replicas either.
 
     """
 
     ok: bool = False
     lease_version: int = 0
     report_version: int = 0
-    # The recently named versions that the asked follower knows of.
+    # The versions that were recently set in the configuration, as far as the follower knows.
     switches: list[VersionSwitch] = field(default_factory=list)
     suspicion_version: int = 0
 
@@ -96,12 +97,12 @@
 class Leases(Message):
     full: bool = False
     settled: bool = False
-    # The number of entries known now; `most_entries` is the highest number known recently.
+    # The number of entry processes known now. `most_entries` is the highest recent number.
     entries: int = 0
     leases: bytes = b''
     reports: bytes = b''
     most_entries: int = 0
-    # Requests during which back ends ended.
+    # Encoded suspicions: records of requests during which back ends ended.
     suspicions: bytes = b''
 
 
@@ -113,7 +114,7 @@
 @dataclass(slots=True)
 class SuspicionReport(Message):
     """
-    The suspicions known to an entry: requests during which back ends ended.
+    The suspicions known to an entry: records of requests during which back ends ended.
 
     """
 
@@ -123,7 +124,7 @@
 @dataclass(slots=True)
 class AskSuspicions(Message):
     """
-    Sent to other entries by an entry that starts, in a listed fleet. The answer is a
-    `SuspicionReport` with all suspicions of the other entry.
+    Sent by a starting entry to the other entries of a listed fleet. An entry replies with a
+    `SuspicionReport` that holds all its suspicions.
 
     """
--- a/packages/millfork-wire/millfork_wire/messages/loads.py
+++ b/packages/millfork-wire/millfork_wire/messages/loads.py
@@ -1,5 +1,5 @@
 """
-The load of one engine, between an entry and the endpoint daemon next to the engine.
+Messages by which an entry asks an endpoint daemon for the load of the engine beside it.
 
 """
 
@@ -16,9 +16,9 @@
 @dataclass(slots=True)
 class EngineLoad(Message):
     """
-    The numbers of requests that run and wait at the engine at this moment, the engine's pace
-    in percent of the usual time of a step, and its incarnation. Not `known` if the engine does
-    not answer.
+    Reply to `AskLoad`: the numbers of requests that run and wait at the engine now, the duration
+    of a step in percent of the usual one (`pace_percent`), and the engine's incarnation. `known`
+    is not set if the engine does not answer.
 
     """
 
--- a/packages/millfork-wire/millfork_wire/messages/requests.py
+++ b/packages/millfork-wire/millfork_wire/messages/requests.py
@@ -1,5 +1,6 @@
 """
-A caller's request between an entry and an endpoint: reserved first, then started.
+Messages about a caller's request between an entry and an endpoint. An entry reserves a slot
+for the request first, then starts the request.
 
 """
 
@@ -65,14 +66,16 @@
     reason: str = ''
     verdict: str = ''
     detail: str = ''
-    # Incarnation of the back end, if the answer broke off and the back end ended or may have.
+    # The incarnation of the back end that ran the request, if the response broke off and the back
+    # end ended or may have ended; otherwise empty.
     incarnation: str = ''
 
 
 @dataclass(slots=True)
 class BackEndFate(Message):
     """
-    Whether a back end ended when a request to it broke off, sent once that is known.
+    Whether the back end ended when its response to a request broke off. The endpoint sends this
+    event to the entry once it has found out.
 
     """
 
@@ -89,7 +92,8 @@
 class Cancelled(Message):
     request_id: str = ''
     verdict: str = ''
-    # Incarnation of the back end, if the request had been sent to it.
+    # The incarnation of the back end, if the request had been sent to the back end; otherwise
+    # empty.
     incarnation: str = ''
 
 
@@ -111,5 +115,5 @@
     limit: int = 0
     leaving: bool = False
     served: list[ServedVersion] = field(default_factory=list)
-    # When the endpoint's process started, in ns since 1970.
+    # The start time of the endpoint's process, in ns since 1970.
     start: int = 0
--- a/packages/millfork-wire/millfork_wire/messages/state.py
+++ b/packages/millfork-wire/millfork_wire/messages/state.py
@@ -1,5 +1,6 @@
 """
-The replicated state: elections, the log, proposals, and the distribution of configuration.
+Messages about the replicated state: elections, the log, proposals, and the distribution of the
+configuration.
 
 """
 
--- a/packages/millfork-wire/millfork_wire/messages/turned_away.py
+++ b/packages/millfork-wire/millfork_wire/messages/turned_away.py
@@ -1,5 +1,5 @@
 """
-Messages between the entries of a zone about requests that were turned away.
+Messages between the entries of a zone about callers' requests that were turned away (refused).
 
 """
 
@@ -11,7 +11,7 @@
 @dataclass(slots=True)
 class NoteTurnedAway(Message):
     """
-    A request was turned away, `elapsed_ms` after its first try.
+    Reports that a request was turned away, `elapsed_ms` after the caller's first try.
 
     """
 
@@ -27,7 +27,8 @@
 @dataclass(slots=True)
 class TurnedAwayBefore(Message):
     """
-    Whether the request was turned away recently, and how long ago its first try was.
+    Reply to `AskTurnedAway`: whether the request was turned away recently, and the time since the
+    caller's first try.
 
     """
 
--- a/packages/millfork-wire/millfork_wire/messages/weights.py
+++ b/packages/millfork-wire/millfork_wire/messages/weights.py
@@ -1,5 +1,5 @@
 """
-Chunks of weights, and the manifests that list them.
+Messages that transfer chunks of weights, and the manifests that list the chunks.
 
 """
 
--- a/packages/millfork-wire/millfork_wire/peers.py
+++ b/packages/millfork-wire/millfork_wire/peers.py
@@ -1,5 +1,5 @@
 """
-The connections of a process: one for each peer, dialled when needed.
+The connections of a process to its peers: one for each peer, dialled when needed.
 
 """
 
@@ -47,8 +47,9 @@
 
 class Peers:
     """
-    Accepts and dials the connections of this process, one for each peer. Hooks in `closed_hooks`
-    are called with each connection that ends.
+    Accepts and dials the connections of this process, one for each peer. Each function in
+    `closed_hooks` is called with every connection that was closed. `via` is the host and port of
+    an HTTP proxy through which peers are dialled.
 
     """
 
@@ -70,8 +71,8 @@
         self.fleet_key = fleet_key
         self.handler = handler
         self.via = via
-        # Whether to close a connection if no bytes are received on it during a call that
-        # times out. The next call then dials the peer again, which may have restarted.
+        # Whether to close a connection when a call times out and no frame was received on the
+        # connection during the call. The next call then dials the peer, which may have restarted.
         self.closes_unresponsive = closes_unresponsive
         self.connections: dict[InstanceId, Connection] = {}
         self.locks: dict[InstanceId, curio.Lock] = {}
@@ -80,8 +81,8 @@
 
     async def listen(self) -> None:
         """
-        Accept peers until cancelled. Binding the address also prevents a second process at
-        this address.
+        Accept connections until cancelled. Binding the address also prevents a second process
+        from running at this address.
 
         """
         await curio.tcp_server(self.host, self.port, self._accept, reuse_address=True)
@@ -125,9 +126,9 @@
 
     async def connect(self, address: PeerAddress) -> Connection:
         """
-        Return the open connection to a peer, dialled if there is none.
+        Return the open connection to a peer; dial the peer if there is none.
 
-        :raises PeerUnreachable: if the peer can't be dialled now or could not be a moment ago.
+        :raises PeerUnreachable: if dialling fails, or failed less than `REDIAL_DELAY_S` ago.
 
         """
         lock = self.locks.setdefault(address.instance, curio.Lock())
@@ -158,9 +159,10 @@
 
     async def call(self, address: PeerAddress, message: Message, timeout: float) -> Message:
         """
-        Dial the peer if needed, and call it.
+        Send a request to a peer, dialled if needed, and return the reply.
 
-        :raises PeerError: with the subclass that says whether the peer may have received the call.
+        :raises PeerError: if there is no reply, or a failure. The subclass says whether the peer
+            may have acted on the request.
 
         """
         connection = await self.connect(address)
@@ -175,8 +177,8 @@
 
     async def ping_idle_connections(self) -> None:
         """
-        Ping the peers of idle connections, and close connections without an answer. Only the
-        dialling side pings, as one ping for each pair is enough.
+        Ping the peers of idle connections, and close connections whose peer does not answer. Only
+        the dialling side pings, as one ping for each pair of peers is enough.
 
         """
         while True:
--- a/packages/millfork-wire/millfork_wire/transport.py
+++ b/packages/millfork-wire/millfork_wire/transport.py
@@ -1,5 +1,5 @@
 """
-Frames over one TCP stream.
+Sends and receives frames over one TCP stream.
 
 """
 
@@ -12,7 +12,8 @@
 from millfork_wire.codec import BadFrame, Frame
 
 MAX_PROXY_REPLY_BYTES: Final = 4096
-# The kernel closes a connection whose bytes stay unacknowledged by the peer for this long.
+# Milliseconds after which the kernel closes a connection whose sent bytes the peer does not
+# acknowledge.
 MAX_UNACKNOWLEDGED_MS: Final = 30_000
 
 
@@ -52,7 +53,7 @@
 
     async def shutdown(self) -> None:
         """
-        Shut down both directions, which wakes the reading task.
+        Shut down both directions, which wakes the task that waits to read.
 
         """
         try:
@@ -66,8 +67,8 @@
 
 async def dial(host: str, port: int, source: str, via: tuple[str, int] | None) -> Transport:
     """
-    Open a connection from address `source`. `via` is the HTTP CONNECT proxy to use, if the
-    zones are connected by one.
+    Open a connection from address `source`. `via` is the host and port of an HTTP proxy that
+    connects the zones (with the CONNECT method), or None.
 
     :raises OSError: if the connection can't be opened.
 
