--- a/packages/millfork/millfork/client.py
+++ b/packages/millfork/millfork/client.py
@@ -1,5 +1,5 @@
 """
-Control requests to the first entry that can answer them.
+Sends an operator's control requests to an entry that can answer them.
 
 """
 
@@ -17,7 +17,7 @@
 REQUEST_TIMEOUT_S: Final = 10.0
 MAX_ROUNDS: Final = 3
 PAUSE_BETWEEN_ROUNDS_S: Final = 0.5
-# Reasons of a refusal for which another entry may still accept the request.
+# Reasons for refusing a request that another entry may still accept.
 RETRYABLE_REASONS: Final = frozenset(
     {Reason.NO_QUORUM.value, Reason.NOT_READY.value, Reason.STOPPING.value}
 )
@@ -32,8 +32,8 @@
 
 class ControlClient:
     """
-    Sends control requests to the entries, one after the other. Retries are safe because each
-    command carries an id.
+    Sends a control request to one entry after another until one answers. Retries are safe because
+    each command carries an id.
 
     """
 
@@ -43,7 +43,7 @@
     async def request(self, method: str, action: str, body: Any = None) -> Response:
         """
         Send a request and return the first answer that is not a refusal with a reason in
-        `RETRYABLE_REASONS`. If there is no such answer, return the last one.
+        `RETRYABLE_REASONS`. If all answers are such refusals, return the last one.
 
         :raises NoEntryReachable: if no entry answered.
 
--- a/packages/millfork/millfork/explain.py
+++ b/packages/millfork/millfork/explain.py
@@ -17,8 +17,9 @@
 
 class Cause(Enum):
     """
-    Why a request ended as it did. A request is late if its first token came after the time that
-    was left for it.
+    The outcome of a request, and why. A served request is late if its first token came after the
+    time left for it: because the entry had refused the caller before, because the engines were
+    full, or for a reason that the entry did not foresee.
 
     """
 
@@ -37,7 +38,7 @@
     CALLER_LEFT = 'caller left'
 
 
-# Causes by the reason that the entry gave for a refusal.
+# The cause for each reason that an entry gives for a refusal. All other reasons are `REFUSED`.
 CAUSE_BY_REFUSAL_REASON: Final = {
     'busy': Cause.BUSY,
     'no_endpoint': Cause.NO_SERVER,
@@ -50,10 +51,11 @@
 @dataclass(frozen=True, slots=True)
 class EndedRequest:
     """
-    One request, from the entry's last log line about it. `at_s` is when it arrived, in seconds
-    since midnight. `expected_ms` is the entry's last estimate of the time to the first token, and
-    `left_ms` the time that was left for it then (0: the entry made no estimate). `elapsed_ms` is
-    the time since the caller's first try, if that one was turned away (0: this is the first try).
+    One request, from the entry's last log line about the request. `at_s` is the time of arrival,
+    in seconds since midnight. `expected_ms` is the entry's last estimate of the time to the first
+    token, and `left_ms` the time left for the first token at that moment (both 0: the entry made
+    no estimate). `elapsed_ms` is the time since the caller's first try, if the entry had turned
+    the caller away before (0: this is the first try).
 
     """
 
@@ -98,7 +100,7 @@
 
 def determine_cause(request: EndedRequest) -> Cause:
     """
-    Determine the cause from the fields of the log line.
+    Determine the cause of a request's outcome from the fields of the log line.
 
     """
     if request.outcome == 'served':
