--- a/tests/test_connection.py
+++ b/tests/test_connection.py
@@ -1,5 +1,5 @@
 """
-Ends of peer connections, and requests that arrive while the process ends.
+Connections that are closed during a write, and requests that arrive while the process ends.
 
 """
 
@@ -22,8 +22,8 @@
 
 class TransportWithoutWake(Transport):
     """
-    A transport whose shutdown does not wake a task that waits to write, as
-    happened on a simulated network.
+    A transport whose shutdown does not wake a task that waits to write. A simulated
+    network behaved in this way.
 
     """
 
@@ -40,7 +40,7 @@
 
 async def exchange_over_new_sockets(pair_count):
     """
-    Send bytes over new sockets, which get the file descriptors that became free.
+    Send bytes over new sockets, which reuse the file descriptors of closed sockets.
 
     """
     pairs = [socket.socketpair() for _ in range(pair_count)]
--- a/tests/test_handshake.py
+++ b/tests/test_handshake.py
@@ -1,5 +1,5 @@
 """
-Peers are authenticated before any other message is read.
+Peers authenticate each other before they read any other message.
 
 """
 
@@ -67,7 +67,7 @@
 
 async def error_with_reflecting_peer():
     """
-    The error of an accepting side whose peer sends every message back to it.
+    Return the error of an accepting side whose peer sends every message back.
 
     """
     one, two = await transports()
--- a/tests/test_platform_backpressure.py
+++ b/tests/test_platform_backpressure.py
@@ -1,5 +1,5 @@
 """
-The backpressure headers of back ends' responses are parsed; invalid ones are reported.
+The backpressure headers of back ends' responses are parsed, and invalid ones are reported.
 
 """
 
--- a/tests/test_platform_foreign_messages.py
+++ b/tests/test_platform_foreign_messages.py
@@ -1,9 +1,9 @@
 """
-Malformed heartbeats, reports and documents of foreign clients: missing fields, wrong types,
-numbers out of bounds, undecodable bytes. A sequence of more than 64 bits was accepted, and the
-feed that sent it on ended with `OverflowError: can't serialize ints < -2**63 or > 2**64 - 1`.
-An answer with `keep-alive: timeout=\xb2` ended its request with `ValueError: could not convert
-string to float`.
+Malformed messages of foreign clients are refused: missing fields, wrong types, numbers out of
+bounds, undecodable bytes. A heartbeat with a sequence number of more than 64 bits was accepted,
+and the feed that forwarded the number failed with `OverflowError: can't serialize ints < -2**63
+or > 2**64 - 1`. A response with `keep-alive: timeout=\xb2` made its request fail with
+`ValueError: could not convert string to float`.
 
 """
 
@@ -66,7 +66,7 @@
 
 def paths_in(value, path=()):
     """
-    Return the path of every value in a message.
+    Return the path (a tuple of keys and indexes) of every value in a message.
 
     """
     found = [path] if path else []
@@ -194,12 +194,12 @@
     assert found.routes[0].timeout_ms == 6001
 
 
-# At a replica.
+# Calls to a replica.
 
 
 class ReplicaCalls:
     """
-    Sends calls to one replica, which has one declared service and one back end.
+    Sends calls to a replica with one declared service and the lease of one back end.
 
     """
 
