--- a/packages/millfork-weights/millfork_weights/transfer.py
+++ b/packages/millfork-weights/millfork_weights/transfer.py
@@ -272,8 +272,8 @@
             if result is FetchResult.STORED:
                 return
             rounds += 1
-            # While a source answers, wait until it receives the chunk from a root of the stripe.
-            # This saves bandwidth of the origin.
+            # While a source answers, give it some rounds to receive the chunk from a root of the
+            # stripe, which saves bandwidth of the origin.
             may_use_origin = (
                 result is FetchResult.NO_LIVE_SOURCE or rounds >= PEER_ROUNDS_BEFORE_ORIGIN
             )
--- a/packages/millfork/millfork/cli/definition.py
+++ b/packages/millfork/millfork/cli/definition.py
@@ -28,7 +28,7 @@
 flags.DEFINE_integer(
     'expect',
     None,
-    'Refuse the command if anything that it changes was changed after this revision.',
+    'Refuse the change if its target was changed after this revision.',
     lower_bound=0,
 )
 flags.DEFINE_string(
