--- a/packages/millfork-weights/millfork_weights/transfer.py
+++ b/packages/millfork-weights/millfork_weights/transfer.py
@@ -55,8 +55,8 @@
 
 class FetchResult(Enum):
     """
-    Result of requesting a chunk from one or more sources: a valid copy was stored; a source
-    answered, but without a valid copy; or no source answered.
+    Result of requesting a chunk from one or more sources: a valid copy was stored; a live source
+    has no valid copy yet, or is busy; or no source is usable.
 
     """
 
--- a/packages/millfork-wire/millfork_wire/messages/feed.py
+++ b/packages/millfork-wire/millfork_wire/messages/feed.py
@@ -124,7 +124,7 @@
 @dataclass(slots=True)
 class AskSuspicions(Message):
     """
-    Sent by a starting entry to the other entries of a listed fleet. An entry replies with a
-    `SuspicionReport` that holds all its suspicions.
+    Sent by a starting entry to the other entries of a listed fleet. Each replies with a
+    `SuspicionReport` of all its suspicions.
 
     """
--- a/packages/millfork-wire/millfork_wire/peers.py
+++ b/packages/millfork-wire/millfork_wire/peers.py
@@ -159,7 +159,7 @@
 
     async def call(self, address: PeerAddress, message: Message, timeout: float) -> Message:
         """
-        Send a request to a peer, dialled if needed, and return the reply.
+        Send a request to a peer and return the reply; dial the peer if needed.
 
         :raises PeerError: if there is no reply, or a failure. The subclass says whether the peer
             may have acted on the request.
--- a/packages/millfork/millfork/explain.py
+++ b/packages/millfork/millfork/explain.py
@@ -52,10 +52,11 @@
 class EndedRequest:
     """
     One request, from the entry's last log line about the request. `at_s` is the time of arrival,
-    in seconds since midnight. `expected_ms` is the entry's last estimate of the time to the first
-    token, and `left_ms` the time left for the first token at that moment (both 0: the entry made
-    no estimate). `elapsed_ms` is the time since the caller's first try, if the entry had turned
-    the caller away before (0: this is the first try).
+    in seconds since midnight; `first_ms` is the time to the first token (-1: none).
+    `expected_ms` is the entry's last estimate of the time to the first token, and `left_ms` the
+    time left for the first token at that moment (both 0: the entry made no estimate).
+    `elapsed_ms` is the time since the caller's first try, if the entry had turned the caller away
+    before (0: this is the first try).
 
     """
 
