--- a/packages/millfork-standins/millfork_standins/bench/__init__.py
+++ b/packages/millfork-standins/millfork_standins/bench/__init__.py
@@ -1,4 +1,5 @@
 """
-Experiments on this machine. Results are compared only within one run.
+Experiments that measure millfork on the local machine. Only results of the same run are
+comparable.
 
 """
--- a/packages/millfork-standins/millfork_standins/bench/baselines.py
+++ b/packages/millfork-standins/millfork_standins/bench/baselines.py
@@ -1,5 +1,5 @@
 """
-Planners that the distribution trees are compared with.
+Simple planners that the distribution trees are compared with.
 
 """
 
@@ -36,7 +36,7 @@
     digest: Digest, receivers: list[Receiver], stripes: int, origin_copies: int
 ) -> list[Tree]:
     """
-    One binary tree for all chunks, in the order of rank.
+    One binary tree for all chunks, with the instances placed in the order of their ranks.
 
     """
     names = sorted(
--- a/packages/millfork-standins/millfork_standins/bench/capacity.py
+++ b/packages/millfork-standins/millfork_standins/bench/capacity.py
@@ -2,7 +2,7 @@
 Computes the tables of `docs/CAPACITY.md` from the results of the cost experiment.
 
 `python -m millfork_standins.bench.capacity` reads `build/bench/cost.json` and prints the tables.
-They contain measured costs only, and values computed from them.
+The tables contain only measured costs and values computed from these costs.
 
 """
 
@@ -16,7 +16,7 @@
 from millfork_standins.bench.results import RESULTS_FOLDER
 from millfork_weights.trees import Receiver, plan_trees
 
-# The size planned for two years ahead. Each server runs one endpoint daemon.
+# The size of the fleet that is planned for two years ahead. Each server runs one endpoint daemon.
 ENTRIES: Final = 380
 SERVERS: Final = 2800
 ZONES: Final = 11
@@ -27,20 +27,21 @@
 DAY_S: Final = 86_400
 CONFIGURATION_KEYS: Final = 300 + 1000 + SERVERS
 
-# The budget of one daemon for control, without requests.
+# The budget of one daemon for control alone, without requests.
 CPU_BUDGET_PERCENT: Final = 1.2
 MEMORY_BUDGET_MIB: Final = 128
 CONTROL_BUDGET_BYTES_PER_S: Final = 2048
 
 SMALL, MIDDLE, LARGE = 8, 32, 128
-# Connections of an entry by number of endpoints. At the largest size it connects to a subset.
+# The number of endpoints that one entry connects to, by the number of endpoints in the fleet. In
+# the largest fleet an entry connects to a subset of them.
 CONNECTIONS: Final = {SMALL: 8, MIDDLE: 32, LARGE: 40}
 CONTROL_BYTE_METRICS: Final = ('idle_bytes_in', 'idle_bytes_out', 'idle_bytes_platform')
 
 
 class CostMedians:
     """
-    Medians of the cost experiment, by case and metric.
+    Medians from the results file of the cost experiment, by case and metric.
 
     """
 
@@ -53,7 +54,8 @@
 
     def control_bytes_per_s(self, role: str, endpoints: int) -> float:
         """
-        Control traffic of one daemon in both directions, in bytes/s.
+        Control traffic of one idle daemon in bytes/s: received, sent, and by polls of the
+        platform's instance list.
 
         """
         return sum(self.median(role, metric, endpoints) for metric in CONTROL_BYTE_METRICS)
@@ -181,7 +183,8 @@
 
 def _plan_line() -> str:
     """
-    The CPU time to compute the trees of a rollout at the size planned for two years ahead.
+    A line that states the CPU time to compute the distribution trees of a rollout in the planned
+    fleet.
 
     """
     random_source = random.Random(0)
--- a/packages/millfork-standins/millfork_standins/bench/cost.py
+++ b/packages/millfork-standins/millfork_standins/bench/cost.py
@@ -1,5 +1,5 @@
 """
-CPU, memory and traffic of control and of requests, and their growth with the fleet.
+Measures the CPU, memory and traffic that control and requests cost, by the size of the fleet.
 
 The tables of `docs/CAPACITY.md` are computed from the results of this experiment.
 
@@ -41,7 +41,8 @@
 @dataclass(frozen=True, slots=True)
 class DaemonUsage:
     """
-    Resources used by a daemon since its start. Control traffic is in bytes by direction.
+    CPU time and control traffic (bytes by direction) of a daemon since its start, and the memory
+    that it uses now.
 
     """
 
@@ -69,8 +70,8 @@
 
 def _daemons_by_role(fleet: Fleet) -> dict[str, list[str]]:
     """
-    Names of daemons by role, with the leader apart from the other replicas and at most 12
-    endpoints.
+    The names of the daemons to measure, by role: the leader, the other replicas, the entries
+    without a disk, and at most 12 endpoints.
 
     """
     leader = _find_leader(fleet)
@@ -92,7 +93,7 @@
 
 def measure_control(results: ExperimentResults, endpoints: int) -> None:
     """
-    Measure the idle cost and the cost of changes in a fleet with this many endpoints.
+    Measure the cost of idle daemons and of configuration changes, with this many endpoints.
 
     """
     with tempfile.TemporaryDirectory(prefix='millfork-bench-') as folder:
@@ -109,7 +110,7 @@
 
 def _measure_idle(results: ExperimentResults, fleet: Fleet, endpoints: int) -> None:
     roles = _daemons_by_role(fleet)
-    names = [name for names in roles.values() for name in names]
+    names = [name for members in roles.values() for name in members]
     before = {name: read_usage(fleet, name) for name in names}
     time.sleep(IDLE_S)
     for role, members in roles.items():
@@ -134,7 +135,7 @@
 
 def _measure_changes(results: ExperimentResults, fleet: Fleet, endpoints: int) -> None:
     roles = _daemons_by_role(fleet)
-    names = [name for names in roles.values() for name in names]
+    names = [name for members in roles.values() for name in members]
     started_at = time.monotonic()
     before = {name: read_usage(fleet, name) for name in names}
     delays: list[float] = []
@@ -166,8 +167,8 @@
 
 def _wait_until_in_force(fleet: Fleet, revision: int) -> float:
     """
-    Wait until every daemon has the revision. Returns the monotonic time, which includes the
-    time to query all daemons.
+    Wait until every daemon has reached the revision. Returns the monotonic time after the last
+    query, so measured delays include the time to query all daemons.
 
     """
     for instance in fleet.instances.values():
@@ -181,7 +182,8 @@
 
 def measure_memory(results: ExperimentResults) -> None:
     """
-    Measure the bytes that each key, claim and listed instance takes.
+    Measure the bytes of memory for each key of the configuration, claim of an idempotency key and
+    listed instance.
 
     """
 
@@ -233,7 +235,7 @@
 
 def measure_requests(results: ExperimentResults) -> None:
     """
-    Measure CPU and latency of a plain request, and the CPU of a streamed token.
+    Measure the CPU and latency of a request to a plain service, and the CPU of a streamed token.
 
     """
     with tempfile.TemporaryDirectory(prefix='millfork-bench-') as folder:
@@ -291,7 +293,8 @@
 
 def _measure_tokens(results: ExperimentResults, fleet: Fleet) -> None:
     """
-    Measure the CPU of the daemons for each token of concurrent streams.
+    Measure the CPU time that an entry and an endpoint daemon spend on each token, while several
+    streams run at once.
 
     """
     engine = fleet.engines[0]
@@ -319,7 +322,7 @@
 
 def run(repetitions: int, quick: bool) -> Path:
     """
-    Run the experiment.
+    Run the experiment. Returns the path of the JSON file with the results.
 
     """
     sizes = () if quick else (8, 32, 128)
--- a/packages/millfork-standins/millfork_standins/bench/distribution.py
+++ b/packages/millfork-standins/millfork_standins/bench/distribution.py
@@ -1,9 +1,10 @@
 """
-Distribution of weights: the time until N instances are complete, and bytes from the origin.
+Measures the distribution of weights: the time until N instances have all chunks, and the copies
+of the model that the origin sends.
 
-The lower bound is that of a pipelined transfer: model size over link rate, plus the time of one
-chunk for each level of a binary tree. Where both directions share the link, N instances move
-2N - C copies in all, of which C come from the origin.
+The lower bound of the time is that of a pipelined transfer: model size over link rate, plus the
+time of one chunk for each level of a binary tree. Where both directions share the link, the links
+of N instances carry 2N - C copies: N received, and N - C sent, as the other C come from the origin.
 
 """
 
@@ -42,8 +43,8 @@
 @dataclass(frozen=True, slots=True)
 class Case:
     """
-    One configuration of a run. `copy_s` is the time that one copy of the model takes on the
-    link of an instance.
+    One case of the experiment. `copy_s` is the time that one copy of the model takes on the link
+    of an instance; `fault` is empty or a value of `NodeSpec.trouble`.
 
     """
 
@@ -68,7 +69,7 @@
     @property
     def bound_s(self) -> float:
         """
-        The shortest time in which all instances can be complete, in seconds.
+        The shortest time in which all instances can receive all chunks, in seconds.
 
         """
         copies_per_link = (
@@ -81,8 +82,9 @@
 @dataclass(frozen=True, slots=True)
 class Result:
     """
-    The time until the last surviving node was complete (seconds), the copies that the origin
-    sent, and how long live answers waited (seconds).
+    The time from the start of the distribution of the last version until the last surviving node
+    had all its chunks (seconds); the copies that the origin sent; and the times that live answers
+    waited for the link (seconds).
 
     """
 
@@ -93,14 +95,16 @@
 
 class RunFailed(Exception):
     """
-    A process of weight nodes ended before all its nodes had reported.
+    A process that runs weight nodes ended before all its nodes had reported.
 
     """
 
 
 def run_case(case: Case) -> Result:
     """
-    Run one case once.
+    Run one case once, with a new origin.
+
+    :raises RunFailed: if a process of weight nodes ended early.
 
     """
     with tempfile.TemporaryDirectory(prefix='millfork-bench-') as folder:
@@ -210,7 +214,7 @@
 
 def list_cases(quick: bool) -> list[Case]:
     """
-    Return all cases, or the reduced set.
+    All cases, or with `quick` a reduced set of smaller ones.
 
     """
     if quick:
@@ -242,7 +246,7 @@
 
 def run(repetitions: int, quick: bool) -> Path:
     """
-    Run the experiment.
+    Run the experiment. Returns the path of the JSON file with the results.
 
     """
     results = ExperimentResults(
--- a/packages/millfork-standins/millfork_standins/bench/engine_model.py
+++ b/packages/millfork-standins/millfork_standins/bench/engine_model.py
@@ -42,7 +42,7 @@
 
     def run_until(self, end: float) -> None:
         """
-        Run all actions that are due before `end`, in order.
+        Run all actions that are due before the simulated time `end`, in the order of their times.
 
         """
         while self.events and self.events[0][0] < end:
@@ -71,7 +71,7 @@
 
 class EngineModel:
     """
-    One engine with a queue, and slots for the requests that it runs.
+    One engine: a queue of requests, and a limited number of slots for running requests.
 
     """
 
@@ -111,8 +111,8 @@
 
     def _read_prompts(self) -> tuple[list[Generation], float]:
         """
-        Read prompt tokens for one pass. Returns the requests whose prompts were completed, and
-        the duration in milliseconds.
+        Read prompt tokens for one pass. Returns the requests whose prompts have now been read
+        completely, and the duration of the reading in ms.
 
         """
         engine_spec = self.engine_spec
--- a/packages/millfork-standins/millfork_standins/bench/limit_shares.py
+++ b/packages/millfork-standins/millfork_standins/bench/limit_shares.py
@@ -1,10 +1,12 @@
 """
-Strategies to keep to a rate limit that one back end announces for all entries together.
+Compares strategies with which entries keep to a rate limit that one back end announces for all
+entries together.
 
-The model draws the requests that entries would send to this back end. Demand is uneven (the
-busiest entry has about ten times as much as the least busy one) and differs from the limit by a
-factor. For each strategy the experiment reports the highest number of requests in any 4 s in
-relation to the allowed number, and the used share of the limit.
+The model draws at random which entry wants to send a request at which time. The demand of the
+entries is uneven (the busiest entry has about ten times the demand of the least busy one), and
+their total demand is a multiple of the limit. For each strategy the experiment reports the highest
+number of requests in any 4 s as a ratio to the allowed number, the share of runs that exceed the
+allowed number, and the share of the limit that is used.
 
 """
 
@@ -19,12 +21,13 @@
 
 ENTRY_COUNTS: Final = (1, 6, 98, 380)
 LIMITS_PER_S: Final = (0.5, 1.0, 1.8, 5.0, 20.0)
-# Demand of all callers in relation to the limit.
+# Total demand of all entries as a multiple of the limit.
 DEMAND_FACTORS: Final = (0.5, 2.0, 20.0)
 DURATION_S: Final = 60.0
 STEP_S: Final = 0.02
 WINDOW_S: Final = 4.0
-# Requests are counted from this time on, when entries have had time to apply the limit.
+# `max_in_window` ignores requests sent before this time, as entries first need time to apply the
+# limit.
 COUNTED_FROM_S: Final = 3.0
 # Logarithm of the highest ratio between the demands of two entries.
 DEMAND_SPREAD: Final = 2.3
@@ -35,7 +38,7 @@
 
 def allowed_in_window(limit_per_s: float) -> float:
     """
-    The number of requests in 4 s that a back end tolerates.
+    The number of requests in any 4 s that a back end with this limit tolerates.
 
     """
     return 1.5 * limit_per_s * WINDOW_S + 5
@@ -49,14 +52,14 @@
 
     def may_send(self, entry: int, now: float) -> bool:
         """
-        Whether an entry may send a request at this moment.
+        Whether an entry may send a request now. If so, the request is counted as sent.
 
         """
 
 
 class EqualBuckets:
     """
-    A token bucket for each entry with an equal share of the limit and one token at the start.
+    A token bucket for each entry, with an equal share of the limit and one token at the start.
 
     """
 
@@ -77,7 +80,7 @@
 
 class LimitShares:
     """
-    The strategy that the entries use: `LimitShare`.
+    The strategy of the real entries: one `LimitShare` for each entry.
 
     """
 
@@ -91,7 +94,7 @@
 
 class CentralBucket:
     """
-    One process that all entries query before each request, with a single token bucket.
+    A single token bucket in one process, which all entries query before each request.
 
     """
 
@@ -104,8 +107,8 @@
 
 class DemandShares:
     """
-    Shares in proportion to the recent demand of each entry, recomputed after a delay. Each entry
-    has a token bucket.
+    A token bucket for each entry, with a share of the limit in proportion to the recent demand of
+    that entry. The shares are recomputed at most every `DEMAND_UPDATE_INTERVAL_S`.
 
     """
 
@@ -146,7 +149,8 @@
     strategy: LimitStrategy, limit_per_s: float, entries: int, demand: float, random: Random
 ) -> list[float]:
     """
-    The times at which requests were sent, in seconds.
+    Simulate a total demand of `demand` times the limit. Returns the times at which entries sent
+    requests, in seconds.
 
     """
     weights = [math.exp(random.random() * DEMAND_SPREAD) for _ in range(entries)]
@@ -163,7 +167,7 @@
 
 def max_in_window(sent_at: list[float]) -> int:
     """
-    The highest number of requests in any window, from `COUNTED_FROM_S` on.
+    The highest number of requests in any window of `WINDOW_S`, from `COUNTED_FROM_S` on.
 
     """
     counted_times = [at for at in sent_at if at >= COUNTED_FROM_S]
@@ -177,7 +181,8 @@
 
 def run(repetitions: int, quick: bool) -> Path:
     """
-    Run the experiment; the number of seeds doesn't depend on `repetitions`.
+    Run the experiment. Returns the path of the results file. The number of seeds doesn't depend on
+    `repetitions`.
 
     """
     seeds = 2 if quick else SEED_COUNT
--- a/packages/millfork-standins/millfork_standins/bench/limits.py
+++ b/packages/millfork-standins/millfork_standins/bench/limits.py
@@ -1,5 +1,6 @@
 """
-Limits and retries: goodput under overload, fairness, recovery from a burst, and an outage.
+Measures how limits and retries act under overload, between organisations, after a burst of
+requests, and in an outage.
 
 """
 
@@ -12,7 +13,7 @@
 from millfork_standins.bench.load_generator import (
     ArrivalStream,
     LoadGenerator,
-    count_endings,
+    count_by_status_or_reason,
     percentile,
     successful,
 )
@@ -44,7 +45,7 @@
 
 def measure_overload(results: ExperimentResults, fleet: Fleet, factors: tuple[float, ...]) -> None:
     """
-    Goodput and refusals when requests arrive at multiples of the capacity.
+    Measure goodput and refusals while requests arrive at multiples of the capacity.
 
     """
     for factor in factors:
@@ -59,12 +60,13 @@
         results.add(case, 'refused_share', 'share', len(refused) / len(outcomes))
         results.add(case, 'refusal_p99', 's', percentile(refused, 0.99))
         results.add(case, 'answer_p99', 's', percentile(answered, 0.99))
-        results.add(case, 'cut', 'requests', count_endings(outcomes)['cut'])
+        results.add(case, 'cut', 'requests', count_by_status_or_reason(outcomes)['cut'])
 
 
 def measure_fairness(results: ExperimentResults, fleet: Fleet) -> None:
     """
-    Latency of a small organisation alone, and while a large one exceeds the capacity.
+    Measure the latency of a small organisation alone, and while a large one sends more requests
+    than the capacity.
 
     """
     small = ArrivalStream(SMALL_ORGANISATION, CAPACITY_PER_S * 0.1, 0, DURATION_S)
@@ -80,7 +82,8 @@
 
 def measure_recovery(results: ExperimentResults, fleet: Fleet) -> None:
     """
-    Latency before and after a burst, with callers that retry when a refusal tells them to.
+    Measure the latency before and after a burst, with callers that retry after the time that a
+    refusal gives.
 
     """
     steady = ArrivalStream(SMALL_ORGANISATION, CAPACITY_PER_S * 0.6, 0, 14, persistent=True)
@@ -97,22 +100,23 @@
 
 def measure_outage(results: ExperimentResults, fleet: Fleet) -> None:
     """
-    Retries and latency at 60% of capacity while one of three endpoints is frozen, then killed.
+    Measure retries and latency at 60% of capacity, first while one of three endpoints is frozen,
+    then after that endpoint was killed.
 
     """
-    victim = next(i for i in fleet.instances.values() if i.service == SERVICE).name
+    endpoint_name = next(i for i in fleet.instances.values() if i.service == SERVICE).name
     for case, inject_fault, undo_fault in (
         ('one of three frozen', fleet.freeze, fleet.thaw),
         ('one of three dead', fleet.kill, None),
     ):
         before = _count_retries(fleet)
-        inject_fault(victim)
+        inject_fault(endpoint_name)
         outcomes = LoadGenerator(fleet, SERVICE).run(
             [ArrivalStream(LARGE_ORGANISATION, CAPACITY_PER_S * 0.6, 0, DURATION_S)]
         )
         retries = _count_retries(fleet) - before
         if undo_fault is not None:
-            undo_fault(victim)
+            undo_fault(endpoint_name)
             time.sleep(2)
         results.add(case, 'amplification', 'attempts', 1 + retries / len(outcomes))
         results.add(case, 'answered', 'share', len(successful(outcomes)) / len(outcomes))
@@ -131,7 +135,7 @@
 
 def run(repetitions: int, quick: bool) -> Path:
     """
-    Run the experiment.
+    Run the experiment. Returns the path of the JSON file with the results.
 
     """
     settings = {'capacity': CAPACITY_PER_S, 'seconds': DURATION_S, 'repetitions': repetitions}
--- a/packages/millfork-standins/millfork_standins/bench/load_generator.py
+++ b/packages/millfork-standins/millfork_standins/bench/load_generator.py
@@ -23,8 +23,9 @@
 @dataclass(frozen=True, slots=True)
 class ArrivalStream:
     """
-    Arrivals of one organisation: requests/s from `start_s` to `end_s`. With `persistent`, a
-    refused request is sent again after the time that the refusal names.
+    Requests of one organisation, which arrive from `start_s` to `end_s` at an average rate of
+    `rate_per_s`. With `persistent`, a refused request is sent again until `end_s`, each time after
+    the delay in the `retry-after` header of the refusal.
 
     """
 
@@ -38,8 +39,8 @@
 @dataclass(slots=True)
 class Outcome:
     """
-    One request: its arrival (seconds since the start), its duration, and the status or refusal
-    reason of its last response.
+    The outcome of one request: its arrival (seconds since the start), its duration, and the status
+    or refusal reason of its last response (`NO_RESPONSE` if there was none).
 
     """
 
@@ -65,7 +66,8 @@
 
     def run(self, streams: list[ArrivalStream]) -> list[Outcome]:
         """
-        Run all streams to their ends. Returns the outcomes in the order in which they ended.
+        Send the requests of all streams and wait for the responses. Returns the outcomes in the
+        order in which the requests ended.
 
         """
         self.outcomes = []
@@ -78,11 +80,11 @@
         async with curio.TaskGroup() as group:
             for stream_number, stream in enumerate(streams):
                 random_source = random.Random(f'{self.seed}/{stream_number}')
-                await group.spawn(self._arrivals, stream, random_source, clients, started_at)
+                await group.spawn(self._run_stream, stream, random_source, clients, started_at)
         for client in clients:
             await client.close()
 
-    async def _arrivals(
+    async def _run_stream(
         self,
         stream: ArrivalStream,
         random_source: random.Random,
@@ -94,10 +96,12 @@
             while next_arrival_s < stream.end_s:
                 await curio.sleep(max(started_at + next_arrival_s - time.monotonic(), 0))
                 client = random_source.choice(clients)
-                await group.spawn(self._request, stream, client, started_at)
+                await group.spawn(self._send_with_retries, stream, client, started_at)
                 next_arrival_s += random_source.expovariate(stream.rate_per_s)
 
-    async def _request(self, stream: ArrivalStream, client: Client, started_at: float) -> None:
+    async def _send_with_retries(
+        self, stream: ArrivalStream, client: Client, started_at: float
+    ) -> None:
         sent_at = time.monotonic()
         outcome = Outcome(stream.organisation, sent_at - started_at, 0.0, NO_RESPONSE)
         token = self.fleet.caller_tokens[stream.organisation]
@@ -118,7 +122,8 @@
         self, client: Client, headers: list[tuple[str, str]], outcome: Outcome
     ) -> float:
         """
-        Send the request once. Returns the seconds to wait before a retry, or 0 for no retry.
+        Send the request once and record the result in `outcome`. Returns the seconds to wait before
+        a retry, or 0 for no retry.
 
         """
         path = f'/services/{self.service}/x'
@@ -137,12 +142,12 @@
 
 def percentile(outcomes: list[Outcome], share: float) -> float:
     """
-    The duration that `share` of the outcomes stay within, in seconds; 0 without outcomes.
+    The duration that this share of the outcomes do not exceed, in seconds; 0 without outcomes.
 
     """
     times = sorted(outcome.duration_s for outcome in outcomes)
     return times[min(int(len(times) * share), len(times) - 1)] if times else 0.0
 
 
-def count_endings(outcomes: list[Outcome]) -> Counter[str]:
+def count_by_status_or_reason(outcomes: list[Outcome]) -> Counter[str]:
     return Counter(outcome.status_or_reason for outcome in outcomes)
--- a/packages/millfork-standins/millfork_standins/bench/results.py
+++ b/packages/millfork-standins/millfork_standins/bench/results.py
@@ -16,8 +16,8 @@
 @dataclass(frozen=True, slots=True)
 class Row:
     """
-    One metric of a case: the median, lowest and highest value over the repetitions, and the
-    ratio to the baseline case of the same run, if there is one.
+    One metric of a case: the median, lowest and highest value over the repetitions, and the ratio
+    of the median to that of the baseline case, if there is one.
 
     """
 
@@ -48,7 +48,7 @@
 
     def add(self, case: str, metric: str, unit: str, value: float, baseline: str = '') -> None:
         """
-        Add one sample; `baseline` names the case to compare with.
+        Add one sample. `baseline` is the name of the case to compare with, if any.
 
         """
         self.samples[(case, metric, unit)].append(value)
@@ -84,7 +84,7 @@
 
     def write(self) -> Path:
         """
-        Write the rows as JSON and print them as a table.
+        Write the rows to a JSON file and print them as a table. Returns the path of the file.
 
         """
         rows = self.rows()
--- a/packages/millfork-standins/millfork_standins/bench/retry_detection.py
+++ b/packages/millfork-standins/millfork_standins/bench/retry_detection.py
@@ -3,14 +3,14 @@
 
 Callers begin with different timeouts. Each method runs on the routing model:
 
-- the method of the entries: learned timeouts of first tries, and the requests that entries of the
-  zone remember turning away;
+- the method of the entries: the learned timeouts of first tries, and a lookup among the requests
+  that were turned away in the zone;
 - the learned timeouts alone;
-- the longest remaining time seen;
+- the longest remaining time seen: a request with less remaining time counts as a retry;
 - no detection;
 - exact knowledge, which no real entry has.
 
-A period of low load comes first, as on a fleet that was in use before its load rose.
+Each run begins with a period of low load, as on a fleet that was in use before its load rose.
 
 """
 
@@ -32,7 +32,7 @@
 CALM_LOAD_FACTOR: Final = 0.5
 LOADED_DURATION_S: Final = 9.0
 LOAD_FACTORS: Final = (0.9, 1.2, 1.5)
-# The shortest timeout of a caller, as a share of the usual timeout.
+# The shortest timeout that a caller begins with, as a share of the usual timeout.
 MIN_TIMEOUT_SHARES: Final = (1.0, 0.85)
 USUAL_TIMEOUT_MS: Final = 6000
 SHIFTED: Final = FleetShape('shifted', 23, 12, 39, 3, (110, 0.7, 270), 8.87, 19_100, 450)
@@ -53,7 +53,7 @@
 
 class RetryDetectionModel(RoutingModel):
     """
-    A run whose callers have timeouts from `min_timeout_share` to 1 times the usual one.
+    A run whose callers begin with timeouts of `min_timeout_share` to 1 times the usual one.
 
     """
 
@@ -76,10 +76,10 @@
         self.min_timeout_share = min_timeout_share
         self.first_tries = {table: FirstTryDetector() for table in self.tables}
         self.longest_remaining_ms: Counter[ServerTable] = Counter()
-        # Counts by (is a retry, was classified as a retry).
+        # Number of requests by (is a retry, was classified as a retry).
         self.classifications: Counter[tuple[bool, bool]] = Counter()
         self.turned_away = 0
-        # Prompt tokens of the requests that ended, and whether they were answered.
+        # For each ended request: its prompt tokens, and whether it was answered.
         self.ended_requests: list[tuple[int, bool]] = []
         self.scheduler.schedule(
             CALM_DURATION_S, partial(setattr, self, 'requests_per_s', shape.capacity * factor)
@@ -111,7 +111,7 @@
             return lost_ms if lost_ms > DEADLINE_TOLERANCE_MS else 0
         judgement = self.first_tries[table].judge('r', remaining_ms, self.scheduler.now)
         if self.method is DetectionMethod.AS_BUILT and judgement.is_undecided:
-            # The entries of the zone remember the request if one of them turned it away.
+            # Entries look such a request up among those that were turned away in their zone.
             return true_elapsed_ms
         return judgement.elapsed_ms
 
@@ -126,7 +126,7 @@
 
     def simulate(self) -> None:
         """
-        Run the calm period, then the loaded one.
+        Simulate the calm period, then the period under load.
 
         """
         self.run(CALM_DURATION_S + LOADED_DURATION_S)
@@ -134,7 +134,7 @@
 
 def run(repetitions: int, quick: bool) -> Path:
     """
-    Run the experiment with one seed for each repetition.
+    Run the experiment with one seed for each repetition. Returns the path of the results file.
 
     """
     shapes = (SHIFTED,) if quick else (SHIFTED, *SHAPES[:1])
--- a/packages/millfork-standins/millfork_standins/bench/routing.py
+++ b/packages/millfork-standins/millfork_standins/bench/routing.py
@@ -35,7 +35,7 @@
 from millforkd.versions import VersionTracker
 
 SERVICE: Final = ServiceName('engines')
-# The engines fill up during this time; requests that arrive in it are not counted.
+# Requests that arrive during this time are not counted, as the engines are still filling up.
 WARM_UP_S: Final = 3.0
 DURATION_S: Final = 18.0
 QUICK_DURATION_S: Final = 8.0
@@ -55,8 +55,8 @@
 class FleetShape:
     """
     Size and speed of a fleet. `slots` is per engine; `answer` gives the lengths of answers in
-    tokens (mean, standard deviation of the logarithm, maximum); `read_per_s` counts prompt
-    tokens; a first token is in time within `target_ms`.
+    tokens (mean, standard deviation of the logarithm, maximum); `read_per_s` is the number of
+    prompt tokens that an engine reads per second; a first token is in time within `target_ms`.
 
     """
 
@@ -73,8 +73,8 @@
     @property
     def capacity(self) -> float:
         """
-        The requests/s of mean size that the engines can serve with all slots taken. Each
-        request needs several passes, which also read the prompts of the other requests.
+        The requests/s of mean size that the engines can serve with all slots taken. Each request
+        needs several passes of its engine, which also read the prompts of other requests.
 
         """
         engine_spec = _engine_spec(self)
@@ -135,7 +135,7 @@
 @dataclass
 class Outcomes:
     """
-    Outcomes of the counted requests, and the times to their first tokens in ms.
+    The number of counted requests by outcome, and the times to their first tokens in ms.
 
     """
 
@@ -147,7 +147,7 @@
 
     def percentile_ms(self, share: float) -> float:
         """
-        The time to the first token that this share of the answered requests stay within.
+        The time to the first token that this share of the answered requests do not exceed, in ms.
 
         """
         ordered = sorted(self.first_token_times_ms) or [0.0]
@@ -170,7 +170,8 @@
 
 class RoutingModel:
     """
-    One run: entries that route to engines, and callers that retry once.
+    One simulated run: entries that route to engines, and callers that retry once after they were
+    turned away.
 
     """
 
@@ -221,7 +222,7 @@
 
     def run(self, seconds: float) -> Outcomes:
         """
-        Simulate this many seconds.
+        Simulate this many seconds. Returns the outcomes of the counted requests.
 
         """
         for index in range(len(self.engines)):
@@ -234,8 +235,8 @@
 
     def _report_load(self, index: int, other_zones_sent_at: float) -> None:
         """
-        Report an engine's load to the entries of its zone, and to all others less often if the
-        interval within the zone is shorter.
+        Report an engine's load to the entries of its zone, and schedule the next report. Entries
+        of other zones get fewer of the reports if the interval within the zone is shorter.
 
         """
         engine = self.engines[index]
@@ -275,14 +276,15 @@
 
     def _elapsed_ms(self, request: ModelRequest, table: ServerTable) -> int:
         """
-        The time since the first try as an entry estimates it; here the exact time.
+        The time since the first try in ms, as the entry estimates it. This model returns the exact
+        time.
 
         """
         return int((self.scheduler.now - request.created_at) * 1000)
 
     def _record_turned_away(self, table: ServerTable) -> None:
         """
-        Called when an entry turned a caller away.
+        Called when an entry has turned a caller away. Does nothing in this model.
 
         """
 
@@ -319,7 +321,8 @@
         self, table: ServerTable, server: Server, apply_load: Callable[[Server, Load], None]
     ) -> None:
         """
-        Query the sidecar daemon of an engine for the engine's load.
+        Query the sidecar daemon of an engine for the engine's load. `apply_load` is called when the
+        reply arrives.
 
         """
         one_way_s = SAME_ZONE_DELAY_S if server.zone == table.zone else CROSS_ZONE_DELAY_S
@@ -456,7 +459,7 @@
 
 def run(repetitions: int, quick: bool) -> Path:
     """
-    Run the experiment with one seed for each repetition.
+    Run the experiment with one seed for each repetition. Returns the path of the results file.
 
     """
     seconds = QUICK_DURATION_S if quick else DURATION_S
--- a/packages/millfork-standins/millfork_standins/bench/tables.py
+++ b/packages/millfork-standins/millfork_standins/bench/tables.py
@@ -15,7 +15,8 @@
 
 def format_table(path: Path) -> str:
     """
-    A line for each case and a column for each metric: median (lowest to highest).
+    A table with a line for each case and a column for each metric. Each cell holds the median, and
+    in parentheses the lowest and highest value.
 
     """
     rows: list[dict[str, Any]] = json.loads(path.read_text())['rows']
--- a/packages/millfork-standins/millfork_standins/bench/turning_away.py
+++ b/packages/millfork-standins/millfork_standins/bench/turning_away.py
@@ -1,8 +1,8 @@
 """
-Compares how entries react to an engine that turns requests away immediately.
+Compares ways in which entries may react to an engine that turns requests away immediately.
 
-In the routing model, one engine turns away all or a share of the requests that reach it. These
-occupy no slot, so the load reports of the engine still show it as free.
+In the routing model, one engine turns away all or a share of the requests that reach it. Requests
+that are turned away occupy no slot, so the load reports of the engine still show free slots.
 
 """
 
@@ -31,7 +31,7 @@
 
 SMALL, MEDIUM, _ = SHAPES
 LOAD_FACTORS: Final = (0.5, 0.8)
-# Shares of its requests that the engine turns away.
+# The shares of requests to the refusing engine that are turned away.
 TURNED_AWAY_SHARES: Final = (1.0, 0.4)
 REFUSING_ENGINE_PORT: Final = 0
 
@@ -40,14 +40,14 @@
 
 def ignore(server: Server, sent_at: float, now: float) -> None:
     """
-    Record nothing (the baseline).
+    Record nothing about the engine (the baseline).
 
     """
 
 
 def avoid_temporarily(server: Server, sent_at: float, now: float) -> None:
     """
-    Avoid the engine for a period that grows each time, as entries do.
+    Avoid the engine for a period that grows with each request turned away, as real entries do.
 
     """
     server.record_turned_away(sent_at, now)
@@ -55,7 +55,8 @@
 
 def count_as_failure(server: Server, sent_at: float, now: float) -> None:
     """
-    Count a failure, as for an answer that broke off.
+    Record a failure, as for an answer that broke off: it counts in the failure rate, and the engine
+    is avoided for a while.
 
     """
     server.record_failure(now)
@@ -63,7 +64,7 @@
 
 def count_in_failure_rate(server: Server, sent_at: float, now: float) -> None:
     """
-    Count a failure in the failure rate only.
+    Count a failure in the failure rate, without avoiding the engine.
 
     """
     server.record_outcome(failed=True)
@@ -79,7 +80,8 @@
 
 class RefusingEngineModel(RoutingModel):
     """
-    One engine turns away a share of its requests; each is sent to another engine once.
+    A run in which one engine turns away a share of its requests. Each such request is sent to
+    another engine once.
 
     """
 
@@ -130,7 +132,7 @@
 
 def run(repetitions: int, quick: bool) -> Path:
     """
-    Run the experiment with one seed for each repetition.
+    Run the experiment with one seed for each repetition. Returns the path of the results file.
 
     """
     seconds = QUICK_DURATION_S if quick else DURATION_S
--- a/packages/millfork-standins/millfork_standins/bench/weight_node.py
+++ b/packages/millfork-standins/millfork_standins/bench/weight_node.py
@@ -1,8 +1,9 @@
 """
-Runs weight nodes in one process: the real store, trees and transfers over real connections,
-without engines.
+Runs weight nodes in one process. A weight node is an instance without an engine that distributes
+weights: it uses the real store, trees and transfers over real connections.
 
-Reads its plan as one JSON line, and prints one JSON line for each node.
+Reads a `Plan` as one JSON line from standard input, and prints the result of each node as one JSON
+line.
 
 """
 
@@ -36,8 +37,8 @@
 
 class NodeSpec(msgspec.Struct):
     """
-    One node and its injected fault: `trouble` is '', 'stall', 'kill' or 'cut' (from the other
-    zones), and happens `trouble_s` after the node starts to fetch.
+    One node and the fault to inject: `trouble` is '' (none), 'stall', 'kill' or 'cut' (off from
+    the other zones). The fault happens `trouble_s` after the node starts to fetch.
 
     """
 
@@ -50,10 +51,10 @@
 
 class Plan(msgspec.Struct):
     """
-    All nodes of a run, and in `mine` the names of those that this process runs. `versions` are
-    (name, version, digest); the second replaces the first `second_s` after the common start, which
-    is at `start_at` (monotonic seconds). Transfers use `share` of the link, on which both
-    directions compete if `together` is set.
+    All nodes of a run, and in `mine` the names of the nodes that this process runs. `versions`
+    holds one or two items of (model name, version, digest). All nodes start at `start_at`
+    (monotonic seconds); a second version replaces the first `second_s` later. Transfers use `share`
+    of the link, and both directions have one common limit if `together` is set.
 
     """
 
@@ -87,7 +88,8 @@
 
 class PartitionedPeers(Peers):
     """
-    Peers that are unreachable from other zones while the partition is active.
+    Connections to peers, of which those in other zones are unreachable while the partition is
+    active.
 
     """
 
@@ -134,15 +136,16 @@
 
     async def run(self) -> dict[str, Any]:
         """
-        Fetch the last version. The result has the seconds since the common start (None for a
-        node that was killed), and the seconds that live answers waited.
+        Fetch the versions of the plan. The result holds the seconds from the common start until the
+        last version was complete (None for a node that was killed), and the seconds that each live
+        answer waited.
 
         """
         listening = await curio.spawn(self.peers.listen, daemon=True)
         await curio.sleep(max(self.plan.start_at - time.monotonic(), 0))
         fault_task = await curio.spawn(self._inject_fault, daemon=True)
         if self.plan.live_bytes_per_s:
-            await curio.spawn(self._send_live_answers, daemon=True)
+            await curio.spawn(self._measure_live_waits, daemon=True)
         fetching = await curio.spawn(self._fetch_all, daemon=True)
         if self.spec.trouble == 'kill':
             await fault_task.wait()
@@ -185,10 +188,10 @@
         )
         return await transfer.run(name, version, Digest(digest), receivers)
 
-    async def _send_live_answers(self) -> None:
+    async def _measure_live_waits(self) -> None:
         """
-        Measure how long live answers wait for the outbound link, with a pause of 0.1 s between
-        answers. They must not wait behind transfers.
+        Simulate live answers, with a pause of 0.1 s between them, and record how long each waits
+        for the outbound link. Live answers must not wait behind transfers.
 
         """
         size = self.plan.live_bytes_per_s / 10
--- a/tests/fail_first.py
+++ b/tests/fail_first.py
@@ -1,8 +1,8 @@
 """
 Removes mechanisms one at a time, and checks that their tests then fail.
 
-`python -m tests.fail_first [NAME ...]` works on a scratch copy of the tree. It
-prints a line for each mechanism, and exits with status 1 if a test passed
+`python -m tests.fail_first [NAME ...]` runs the mutations with these names, or all, each on a
+scratch copy of the tree. It prints a line for each, and exits with status 1 if a test passed
 without its mechanism.
 
 """
@@ -26,7 +26,7 @@
 
 def apply(mutation: Mutation, tree: Path) -> None:
     """
-    Apply the edits to a tree.
+    Apply the edits of a mutation to a copy of the tree.
 
     :raises ValueError: if an old text does not occur exactly once.
 
@@ -48,7 +48,8 @@
 
 def fails_without(mutation: Mutation) -> bool:
     """
-    Whether the test fails on a copy of the tree without the mechanism.
+    Whether the mutation's test fails on a copy of the tree without the mechanism. Prints the first
+    line of the failure.
 
     """
     with tempfile.TemporaryDirectory(prefix='millfork-fail-first-') as folder:
--- a/tests/mutation.py
+++ b/tests/mutation.py
@@ -9,7 +9,7 @@
 @dataclass(frozen=True, slots=True)
 class Edit:
     """
-    A text that occurs exactly once in a file, and its replacement.
+    A text that occurs exactly once in the file at `path`, and its replacement.
 
     """
 
@@ -31,7 +31,8 @@
     edits: tuple[Edit, ...]
 
 
-# Source folders of the packages.
+# Source folders of the packages that mutations edit: the daemons (D), the replicated state (S), the
+# weights (W), routing (R), scheduling (C) and the registry (G).
 D = 'packages/millforkd/millforkd/'
 S = 'packages/millfork-state/millfork_state/'
 W = 'packages/millfork-weights/millfork_weights/'
--- a/tests/mutations_listed.py
+++ b/tests/mutations_listed.py
@@ -1,5 +1,5 @@
 """
-Mutations of fleets with a list of instances, and of the replicated state.
+Mutations of listed fleets, whose deploy file lists all instances, and of the replicated state.
 
 """
 
--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -1,5 +1,5 @@
 """
-Mutations of seeded fleets.
+Mutations of seeded fleets, whose processes start from a few replica addresses.
 
 """
 
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,5 +1,5 @@
 """
-The pages and examples match the code.
+The documentation, examples and scenarios match the code and each other.
 
 """
 
--- a/tests/test_fail_first.py
+++ b/tests/test_fail_first.py
@@ -1,5 +1,5 @@
 """
-The listed mutations match the code and the tests.
+Each mutation edits a text that occurs exactly once in the code, and names an existing test file.
 
 """
 
