--- a/tests/mutations_listed.py
+++ b/tests/mutations_listed.py
@@ -37,7 +37,7 @@
         ),
     ),
     Mutation(
-        'entries report requests that end back ends to each other',
+        'entries tell each other which requests crash back ends',
         'tests/test_crashing_requests_on_listed_fleets.py',
         (
             Edit(
@@ -48,7 +48,7 @@
         ),
     ),
     Mutation(
-        'an endpoint reports to the entry when it later finds out whether its back end ended',
+        'an endpoint that learns late whether its back end ended reports that to the entry',
         'tests/test_late_ends_at_endpoints.py::test_a_late_status_is_reported_to_the_entry',
         (
             Edit(
@@ -59,7 +59,7 @@
         ),
     ),
     Mutation(
-        'an entry suspects a request while it is unknown whether its back ends ended',
+        'an entry suspects a request while it is unknown whether the back ends that ran it ended',
         'tests/test_late_ends_at_endpoints.py::'
         'test_a_call_is_suspected_until_the_status_of_its_back_ends_is_reported',
         (
@@ -84,18 +84,18 @@
         ),
     ),
     Mutation(
-        'the end of a back end counts even if its endpoint is lost as well',
+        'the crash of a back end counts against its request even if the endpoint is lost too',
         'tests/test_requests_that_crash_instances.py',
         (Edit(D + 'entry/attempts.py', 'if not self.backend.start:', 'if True:'),),
     ),
     Mutation(
-        'the end of a back end counts even if the attempt was cancelled before',
+        'the crash of a back end counts against its request even after the attempt was cancelled',
         'tests/test_crashing_requests_on_listed_fleets.py::'
         'test_ends_are_counted_after_their_callers_left',
         (Edit(D + 'entry/dispatcher.py', 'if attempt.cancelled_incarnation:', 'if False:'),),
     ),
     Mutation(
-        'an entry that starts asks other entries which requests end back ends',
+        'a starting entry asks other entries which requests crash back ends',
         'tests/test_suspicion_gossip.py::test_a_starting_entry_receives_the_suspicions_of_others',
         (
             Edit(
@@ -133,7 +133,7 @@
         ),
     ),
     Mutation(
-        'an endpoint refuses requests once any entry or the list says that it leaves',
+        'an endpoint refuses requests once any entry or the instance list announces its leave',
         scenario('leaving_endpoint'),
         (
             Edit(
--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -9,7 +9,7 @@
 
 SEEDED_FLEETS: Final = (
     Mutation(
-        'each entry uses only its share of a limit that a back end names',
+        'each entry uses only its share of a limit that a back end announces',
         'tests/test_limit_shares.py::test_requests_over_a_limit_go_to_other_back_ends',
         (
             Edit(
@@ -25,7 +25,7 @@
         (Edit(C + 'limit_share.py', 'return entries * each <= tolerated', 'return True'),),
     ),
     Mutation(
-        'answers to requests sent before a limit was named do not end the limit',
+        'answers to requests sent before a limit was announced do not end the limit',
         'tests/test_limit_shares.py::test_only_an_answer_to_a_later_request_ends_a_limit',
         (Edit(C + 'availability.py', 'if sent_at <= self.limit_announced_at:', 'if False:'),),
     ),
@@ -36,7 +36,7 @@
         (Edit(D + 'proxy/request_sender.py', 'if closure is not None:', 'if False:'),),
     ),
     Mutation(
-        'no requests are sent to a back end that announced its leave',
+        'no requests are sent to a back end that announced that it is leaving',
         'tests/test_closed_back_ends.py::'
         'test_neither_heartbeats_nor_answers_reopen_a_leaving_back_end',
         (Edit(C + 'availability.py', 'if self.leaving or self.reported_leaving:', 'if False:'),),
@@ -53,7 +53,7 @@
         ),
     ),
     Mutation(
-        'the answer to an earlier request does not shorten the rest of a back end',
+        'the answer to an earlier request does not shorten the rest period of a back end',
         'tests/test_closed_back_ends.py::test_answers_sent_earlier_do_not_shorten_a_rest',
         (
             Edit(
@@ -64,7 +64,7 @@
         ),
     ),
     Mutation(
-        'only one request at a time probes whether a rest is over',
+        'only one request at a time probes whether a rest period is over',
         'tests/test_closed_back_ends.py::test_one_request_probes_whether_a_rest_is_over',
         (Edit(C + 'availability.py', 'self.probed_at + PROBE_TIMEOUT_S - now, 0.0', '0.0'),),
     ),
@@ -81,7 +81,7 @@
         ),
     ),
     Mutation(
-        'requests that wait at an endpoint are not sent to a resting back end',
+        'requests that wait at an endpoint are not sent to a back end in its rest period',
         'tests/test_backend_gateway.py::test_queued_requests_are_not_sent_to_a_resting_back_end',
         (
             Edit(
@@ -103,7 +103,7 @@
         (Edit(C + 'first_tries.py', 'if deadline_ms >= shortest - margin_ms:', 'if False:'),),
     ),
     Mutation(
-        'the lifetime of a version counts from the arrival of its entry in the log',
+        'the lifetime of a version counts from the arrival of its log entry',
         'tests/test_ends_after_an_election.py::'
         'test_a_leader_elected_later_counts_from_the_arrival_of_the_entry',
         (
@@ -145,7 +145,7 @@
         (Edit(D + 'replica/replica_links.py', 'if known > len(members) // 2:', 'if True:'),),
     ),
     Mutation(
-        'a silent back end is probed until its end is detected',
+        'a silent back end is probed until it is known to have ended',
         'tests/test_ends_of_silent_back_ends.py::test_a_silent_back_end_that_refuses_connections_later_has_ended',
         (
             Edit(
@@ -156,7 +156,7 @@
         ),
     ),
     Mutation(
-        'no refusal promises not run after an attempt that may have run',
+        'no refusal says that a request was not run after an attempt that may have run',
         'tests/test_not_run_refusals.py::'
         'test_no_refusal_promises_not_run_after_an_attempt_that_may_have_run',
         (
@@ -168,7 +168,7 @@
         ),
     ),
     Mutation(
-        'where entries are few, each engine is in the share of some entry',
+        'with few entries, each engine is still in the share of some entry',
         'tests/test_choice_in_large_fleets.py::test_every_engine_is_used_by_some_entry',
         (
             Edit(
@@ -219,7 +219,7 @@
         (Edit(D + 'proxy/turned_away_directory.py', 'return reply.elapsed_ms', 'return 0'),),
     ),
     Mutation(
-        'a replica counts as up to date only once it has applied all committed entries',
+        'a replica counts as up to date only once it has applied all committed log entries',
         'tests/test_replica_age.py::test_a_replica_that_lacks_committed_entries_is_not_up_to_date',
         (
             Edit(
@@ -418,7 +418,7 @@
         ),
     ),
     Mutation(
-        'a repeat that was not sent spends the retry budget only once',
+        'a retry that could not be sent spends the retry budget only once',
         'tests/test_forwarding.py::test_a_repeat_that_was_not_sent_spends_the_budget_once',
         (
             Edit(
@@ -545,7 +545,7 @@
         ),
     ),
     Mutation(
-        'the owner of a lease announces it again if it is reported as expired',
+        'the owner of a lease announces the lease again if it is reported as expired',
         'tests/test_leases_of_lost_owners.py',
         (
             Edit(
@@ -711,7 +711,7 @@
         ),
     ),
     Mutation(
-        'paths are computed again if an engine changed',
+        'paths are computed again after the weights that an engine serves changed',
         'tests/test_choice_in_large_fleets.py',
         (
             Edit(
@@ -722,7 +722,7 @@
         ),
     ),
     Mutation(
-        'progress of a transfer is not announced to followers without delay',
+        'the progress of a transfer is not announced to followers at once',
         'tests/test_registry.py',
         (
             Edit(
@@ -745,12 +745,12 @@
         ),
     ),
     Mutation(
-        'the end of a back end counts only if its address refuses connections',
+        'a back end counts as crashed only if its address refuses connections',
         'tests/test_quarantine.py::test_a_broken_off_answer_counts_only_if_the_back_end_has_ended',
         (Edit(D + 'end_watch.py', 'return ProbeResult.ANSWERS\n', 'return ProbeResult.REFUSES\n'),),
     ),
     Mutation(
-        'a request stays suspected until it is known whether its back ends ended',
+        'a request stays suspected until it is known whether the back ends that ran it ended',
         'tests/test_late_closing_back_ends.py',
         (
             Edit(
@@ -761,7 +761,7 @@
         ),
     ),
     Mutation(
-        'the end of a back end counts even after the caller left',
+        'the crash of a back end counts against its request even after the caller left',
         'tests/test_ends_after_their_callers_left.py',
         (
             Edit(
