--- a/packages/millfork-standins/millfork_standins/bench/capacity.py
+++ b/packages/millfork-standins/millfork_standins/bench/capacity.py
@@ -181,7 +181,7 @@
     return lines
 
 
-def _plan_line() -> str:
+def _format_plan_cost() -> str:
     """
     A line that states the CPU time to compute the distribution trees of a rollout in the planned
     fleet.
@@ -212,7 +212,7 @@
     for title, lines in sections.items():
         print(f'### {title}\n')
         print('\n'.join(lines) + '\n')
-    print(_plan_line())
+    print(_format_plan_cost())
 
 
 if __name__ == '__main__':
--- a/packages/millfork-standins/millfork_standins/bench/cost.py
+++ b/packages/millfork-standins/millfork_standins/bench/cost.py
@@ -62,7 +62,7 @@
     return DaemonUsage(times.user + times.system, process.memory_info().rss, control_bytes)
 
 
-def _fleet(folder: Path, endpoints: int) -> Fleet:
+def _make_fleet(folder: Path, endpoints: int) -> Fleet:
     shape = replace(LANTING, engines=0, plain_services={POOL: endpoints}, network_number=120)
     options = FleetOptions(log_level='WARNING', service={'answer_ms': 0})
     return Fleet(shape, folder, options)
@@ -97,7 +97,7 @@
 
     """
     with tempfile.TemporaryDirectory(prefix='millfork-bench-') as folder:
-        fleet = _fleet(Path(folder), endpoints)
+        fleet = _make_fleet(Path(folder), endpoints)
         try:
             fleet.start(backends=False, timeout=120)
             fleet.apply(fleet.organisations_declaration())
--- a/packages/millfork-standins/millfork_standins/bench/distribution.py
+++ b/packages/millfork-standins/millfork_standins/bench/distribution.py
@@ -52,7 +52,7 @@
     nodes: int
     planner: str = 'trees'
     origin_copies: int = 1
-    shares_directions: bool = False
+    directions_share_link: bool = False
     corrupt_share: float = 0.0
     fault: str = ''
     second_version: str = ''
@@ -73,7 +73,9 @@
 
         """
         copies_per_link = (
-            (2 * self.nodes - self.origin_copies) / self.nodes if self.shares_directions else 1.0
+            (2 * self.nodes - self.origin_copies) / self.nodes
+            if self.directions_share_link
+            else 1.0
         )
         pipeline_fill_s = math.ceil(math.log2(self.nodes)) * CHUNK_BYTES / self.bytes_per_s
         return copies_per_link * self.copy_s / self.transfer_share + pipeline_fill_s
@@ -83,8 +85,8 @@
 class Result:
     """
     The time from the start of the distribution of the last version until the last surviving node
-    had all its chunks (seconds); the copies that the origin sent; and the times that live answers
-    waited for the link (seconds).
+    had all chunks of that version (seconds); the copies that the origin sent; and the times that
+    live answers waited for the link (seconds).
 
     """
 
@@ -169,7 +171,7 @@
         case.window if case.planner == 'trees' else 4 * case.window,
         max(8 * CHUNK_BYTES / case.bytes_per_s * case.stripes, 0.5),
         case.bytes_per_s,
-        case.shares_directions,
+        case.directions_share_link,
         case.transfer_share,
         case.bytes_per_s * 0.1 if case.has_live_requests else 0.0,
     )
@@ -227,7 +229,7 @@
     all_cases += [Case(f'trees, N={nodes}', nodes, copy_s=SLOW_LINK_COPY_S) for nodes in (32, 64)]
     base = Case(BASE_CASE, 16)
     all_cases += [
-        replace(base, name='trees, N=16, shared link', shares_directions=True),
+        replace(base, name='trees, N=16, shared link', directions_share_link=True),
         replace(base, name='trees 2 copies, N=16', origin_copies=2),
         replace(base, name='trees 3 copies, N=16', origin_copies=3),
         replace(base, name='binary tree, N=16', planner='binary'),
--- a/packages/millfork-standins/millfork_standins/bench/limits.py
+++ b/packages/millfork-standins/millfork_standins/bench/limits.py
@@ -1,5 +1,5 @@
 """
-Measures how limits and retries act under overload, between organisations, after a burst of
+Measures how limits and retries behave under overload, between organisations, after a burst of
 requests, and in an outage.
 
 """
@@ -34,7 +34,7 @@
 LARGE_ORGANISATION, SMALL_ORGANISATION = LANTING.organisations
 
 
-def _fleet(folder: Path) -> Fleet:
+def _make_fleet(folder: Path) -> Fleet:
     shape = replace(
         LANTING, engines=0, entries=3, plain_services={SERVICE: ENDPOINTS}, network_number=160
     )
@@ -142,7 +142,7 @@
     results = ExperimentResults('limits', settings)
     for _ in range(repetitions):
         with tempfile.TemporaryDirectory(prefix='millfork-bench-') as folder:
-            fleet = _fleet(Path(folder))
+            fleet = _make_fleet(Path(folder))
             try:
                 fleet.start()
                 fleet.apply(fleet.organisations_declaration())
--- a/packages/millfork-standins/millfork_standins/bench/tables.py
+++ b/packages/millfork-standins/millfork_standins/bench/tables.py
@@ -28,8 +28,8 @@
         '|---' * (len(metrics) + 1) + '|',
     ]
     for case in cases:
-        found = [cells.get((case, metric), '') for metric, _ in metrics]
-        lines.append(f'| {case} | ' + ' | '.join(found) + ' |')
+        row_cells = [cells.get((case, metric), '') for metric, _ in metrics]
+        lines.append(f'| {case} | ' + ' | '.join(row_cells) + ' |')
     return '\n'.join(lines)
 
 
--- a/packages/millfork-standins/millfork_standins/bench/weight_node.py
+++ b/packages/millfork-standins/millfork_standins/bench/weight_node.py
@@ -1,6 +1,6 @@
 """
-Runs weight nodes in one process. A weight node is an instance without an engine that distributes
-weights: it uses the real store, trees and transfers over real connections.
+Runs weight nodes in one process. A weight node is an instance without an engine. It uses the real
+store, trees and transfers, over real connections.
 
 Reads a `Plan` as one JSON line from standard input, and prints the result of each node as one JSON
 line.
@@ -168,12 +168,12 @@
                     await connection.close()
 
     async def _fetch_all(self) -> None:
-        first = await curio.spawn(self._fetch, *self.plan.versions[0], daemon=True)
+        first_fetch = await curio.spawn(self._fetch, *self.plan.versions[0], daemon=True)
         if len(self.plan.versions) == 1:
-            await first.wait()
+            await first_fetch.wait()
             return
         await curio.sleep(max(self.plan.start_at + self.plan.second_s - time.monotonic(), 0))
-        await first.cancel()
+        await first_fetch.cancel()
         await self._fetch(*self.plan.versions[1])
 
     async def _fetch(self, name: str, version: str, digest: str) -> StoredVersion:
