--- a/packages/millfork-standins/millfork_standins/bench/distribution.py
+++ b/packages/millfork-standins/millfork_standins/bench/distribution.py
@@ -1,9 +1,10 @@
 """
-Distribution of weights: the time until N instances are complete, and bytes from the origin.
+Measures the distribution of weights: the time until N instances have all chunks, and the copies
+of the model that the origin sends.
 
-The lower bound is that of a pipelined transfer: model size over link rate, plus the time of one
-chunk for each level of a binary tree. Where both directions share the link, N instances move
-2N - C copies in all, of which C come from the origin.
+The lower bound of the time is that of a pipelined transfer: model size over link rate, plus the
+time of one chunk for each level of a binary tree. Where both directions share the link, the links
+of N instances carry 2N - C copies: N received, and N - C sent, as the other C come from the origin.
 
 """
 
@@ -42,8 +43,8 @@
 @dataclass(frozen=True, slots=True)
 class Case:
     """
-    One configuration of a run. `copy_s` is the time that one copy of the model takes on the
-    link of an instance.
+    One case of the experiment. `copy_s` is the time that one copy of the model takes on the link
+    of an instance; `fault` is empty or a value of `NodeSpec.trouble`.
 
     """
 
@@ -51,7 +52,7 @@
     nodes: int
     planner: str = 'trees'
     origin_copies: int = 1
-    shares_directions: bool = False
+    directions_share_link: bool = False
     corrupt_share: float = 0.0
     fault: str = ''
     second_version: str = ''
@@ -68,11 +69,13 @@
     @property
     def bound_s(self) -> float:
         """
-        The shortest time in which all instances can be complete, in seconds.
+        The shortest time in which all instances can receive all chunks, in seconds.
 
         """
         copies_per_link = (
-            (2 * self.nodes - self.origin_copies) / self.nodes if self.shares_directions else 1.0
+            (2 * self.nodes - self.origin_copies) / self.nodes
+            if self.directions_share_link
+            else 1.0
         )
         pipeline_fill_s = math.ceil(math.log2(self.nodes)) * CHUNK_BYTES / self.bytes_per_s
         return copies_per_link * self.copy_s / self.transfer_share + pipeline_fill_s
@@ -81,8 +84,9 @@
 @dataclass(frozen=True, slots=True)
 class Result:
     """
-    The time until the last surviving node was complete (seconds), the copies that the origin
-    sent, and how long live answers waited (seconds).
+    The time from the start of the distribution of the last version until the last surviving node
+    had all chunks of that version (seconds); the copies that the origin sent; and the times that
+    live answers waited for the link (seconds).
 
     """
 
@@ -93,14 +97,16 @@
 
 class RunFailed(Exception):
     """
-    A process of weight nodes ended before all its nodes had reported.
+    A process that runs weight nodes ended before all its nodes had reported.
 
     """
 
 
 def run_case(case: Case) -> Result:
     """
-    Run one case once.
+    Run one case once, with a new origin.
+
+    :raises RunFailed: if a process of weight nodes ended early.
 
     """
     with tempfile.TemporaryDirectory(prefix='millfork-bench-') as folder:
@@ -165,7 +171,7 @@
         case.window if case.planner == 'trees' else 4 * case.window,
         max(8 * CHUNK_BYTES / case.bytes_per_s * case.stripes, 0.5),
         case.bytes_per_s,
-        case.shares_directions,
+        case.directions_share_link,
         case.transfer_share,
         case.bytes_per_s * 0.1 if case.has_live_requests else 0.0,
     )
@@ -210,7 +216,7 @@
 
 def list_cases(quick: bool) -> list[Case]:
     """
-    Return all cases, or the reduced set.
+    All cases, or with `quick` a reduced set of smaller ones.
 
     """
     if quick:
@@ -223,7 +229,7 @@
     all_cases += [Case(f'trees, N={nodes}', nodes, copy_s=SLOW_LINK_COPY_S) for nodes in (32, 64)]
     base = Case(BASE_CASE, 16)
     all_cases += [
-        replace(base, name='trees, N=16, shared link', shares_directions=True),
+        replace(base, name='trees, N=16, shared link', directions_share_link=True),
         replace(base, name='trees 2 copies, N=16', origin_copies=2),
         replace(base, name='trees 3 copies, N=16', origin_copies=3),
         replace(base, name='binary tree, N=16', planner='binary'),
@@ -242,7 +248,7 @@
 
 def run(repetitions: int, quick: bool) -> Path:
     """
-    Run the experiment.
+    Run the experiment. Returns the path of the JSON file with the results.
 
     """
     results = ExperimentResults(
--- a/packages/millfork-standins/millfork_standins/bench/tables.py
+++ b/packages/millfork-standins/millfork_standins/bench/tables.py
@@ -15,7 +15,8 @@
 
 def format_table(path: Path) -> str:
     """
-    A line for each case and a column for each metric: median (lowest to highest).
+    A table with a line for each case and a column for each metric. Each cell holds the median, and
+    in parentheses the lowest and highest value.
 
     """
     rows: list[dict[str, Any]] = json.loads(path.read_text())['rows']
@@ -27,8 +28,8 @@
         '|---' * (len(metrics) + 1) + '|',
     ]
     for case in cases:
-        found = [cells.get((case, metric), '') for metric, _ in metrics]
-        lines.append(f'| {case} | ' + ' | '.join(found) + ' |')
+        row_cells = [cells.get((case, metric), '') for metric, _ in metrics]
+        lines.append(f'| {case} | ' + ' | '.join(row_cells) + ' |')
     return '\n'.join(lines)
 
 
