--- a/packages/millfork-registry/millfork_registry/feed_relay.py
+++ b/packages/millfork-registry/millfork_registry/feed_relay.py
@@ -48,7 +48,7 @@
         # The relay's last reply, with the versions of its tables that this process has received.
         self.received_versions = FeedSent()
         # Returns the model versions set recently, and how long older versions may still be used.
-        self.switches: Callable[[], list[VersionSwitch]] = list
+        self.list_switches: Callable[[], list[VersionSwitch]] = list
 
     async def run(self) -> None:
         """
@@ -158,7 +158,7 @@
             True,
             registry.leases.version,
             registry.endpoints.version,
-            self.switches(),
+            self.list_switches(),
             registry.suspicion_store.table.version,
         )
         feed = Leases(
--- a/packages/millforkd/millforkd/seeded.py
+++ b/packages/millforkd/millforkd/seeded.py
@@ -85,5 +85,5 @@
         leads=never_leads,
         is_current=lambda: feed_client.connected,
     )
-    feed_relay.switches = versions.switches
+    feed_relay.list_switches = versions.switches
     return Feed(peers, discovery, view, registry, feed_client, feed_relay, versions)
--- a/tests/test_feed_relay.py
+++ b/tests/test_feed_relay.py
@@ -156,7 +156,7 @@
 def test_a_follower_that_is_cut_off_gets_version_cutoffs(followers):
     async def run():
         cut_off = followers.relays[CUT].feed_client
-        followers.relays[NEAR].switches = lambda: [VersionSwitch('m', 2, 3000)]
+        followers.relays[NEAR].list_switches = lambda: [VersionSwitch('m', 2, 3000)]
         started_at = cut_off.env.monotonic()
         task = await curio.spawn(followers.relays[CUT].run, daemon=True)
         await followers.wait_until(
