--- a/packages/millfork-registry/millfork_registry/discovery.py
+++ b/packages/millfork-registry/millfork_registry/discovery.py
@@ -18,10 +18,10 @@
 from millfork_wire.peers import PeerAddress, Peers
 
 # Timeout of one question to a replica.
-ASK_TIMEOUT_S: Final = 0.6
+QUERY_TIMEOUT_S: Final = 0.6
 # A replica that didn't answer this process for this long is forgotten, as it may have
 # been replaced. Seeds are never forgotten.
-FORGET_AFTER_S: Final = 30.0
+UNANSWERED_RETENTION_S: Final = 30.0
 
 log = logger(Component.REGISTRY)
 
@@ -142,7 +142,7 @@
         latest = max(answered, key=lambda known: known.answered_at, default=None)
         return latest.answer.caches if latest is not None and latest.answer is not None else []
 
-    def caches_elsewhere(self, within_s: float) -> list[CacheAddress]:
+    def caches_listed_within(self, within_s: float) -> list[CacheAddress]:
         """
         Return the caches listed by the replicas that answered within the last `within_s` seconds.
 
@@ -156,10 +156,10 @@
 
         """
         try:
-            reply = await self.peers.call(address, question, ASK_TIMEOUT_S)
+            reply = await self.peers.call(address, question, QUERY_TIMEOUT_S)
         except PeerError as error:
             log.debug('No answer from replica {}: {}.', address.instance, error)
-            self._forget_if_old(address.instance)
+            self._remove_if_silent(address.instance)
             return None
         if not isinstance(reply, Replicas):
             return None
@@ -171,10 +171,10 @@
             self.add_replica(instance)
         return reply
 
-    def _forget_if_old(self, instance: InstanceId) -> None:
+    def _remove_if_silent(self, instance: InstanceId) -> None:
         known = self.known.get(instance)
         if known is None or known.address in self.seeds:
             return
-        if self.env.monotonic() - known.answered_at > FORGET_AFTER_S:
+        if self.env.monotonic() - known.answered_at > UNANSWERED_RETENTION_S:
             del self.known[instance]
             log.info('Removed replica {}, which no longer answers.', instance)
--- a/packages/millfork-registry/millfork_registry/feed_client.py
+++ b/packages/millfork-registry/millfork_registry/feed_client.py
@@ -229,11 +229,11 @@
                 nearer_checked_at = now
                 if await self._nearer_replica_exists(address):
                     reason = 'a replica in the same zone answers'
-                    await self._stop(connection)
+                    await self._unfollow(connection)
                     break
             if self.age_ms > STALE_MS and await self._fresher_replica_exists(address, self.age_ms):
                 reason = 'the replica has no contact with its leader'
-                await self._stop(connection)
+                await self._unfollow(connection)
                 break
         self.env.metrics.count(self.env.metrics.wire, event='replica_left')
         log.warning(
@@ -262,7 +262,7 @@
                 return reply.age_ms < STALE_MS
         return False
 
-    async def _stop(self, connection: Connection) -> None:
+    async def _unfollow(self, connection: Connection) -> None:
         try:
             await connection.notify(Follow())
         except PeerLost:
--- a/packages/millfork-registry/millfork_registry/registry.py
+++ b/packages/millfork-registry/millfork_registry/registry.py
@@ -33,7 +33,7 @@
 # accepted only with its first heartbeat, or with a heartbeat that arrives at least this share of
 # the heartbeat period after an earlier one: a process that has ended sends no more heartbeats, and
 # two delayed ones arrive together.
-MIN_GAP_SHARE: Final = 0.5
+MIN_HEARTBEAT_GAP_SHARE: Final = 0.5
 # The state of an endpoint daemon that has sent no report for this long is dropped. A daemon
 # reports at least once a second.
 REPORT_LIFETIME_S: Final = 3.5
@@ -63,7 +63,7 @@
     def __init__(self, env: Environment, heartbeat_s: float) -> None:
         self.env = env
         self.lease_s = heartbeat_s * MISSED_HEARTBEATS
-        self.min_gap_s = heartbeat_s * MIN_GAP_SHARE
+        self.min_heartbeat_gap_s = heartbeat_s * MIN_HEARTBEAT_GAP_SHARE
         self.leases: VersionedTable[Lease] = VersionedTable()
         self.endpoints: VersionedTable[EndpointState] = VersionedTable()
         self.suspicion_store = SuspicionStore(env.monotonic)
@@ -127,7 +127,7 @@
             return False
         now = self.env.monotonic()
         sequence, received_at = self.unconfirmed.setdefault(lease.instance, (lease.sequence, now))
-        if lease.sequence <= sequence or now - received_at < self.min_gap_s:
+        if lease.sequence <= sequence or now - received_at < self.min_heartbeat_gap_s:
             return True
         del self.unconfirmed[lease.instance]
         return False
--- a/packages/millforkd/millforkd/replica/daemon.py
+++ b/packages/millforkd/millforkd/replica/daemon.py
@@ -90,7 +90,7 @@
             self.discovery,
             self.followers,
             heartbeat_s,
-            self._switches,
+            self._list_switches,
         )
         self.versions = VersionTracker(
             env,
@@ -129,7 +129,7 @@
     def _leads(self) -> bool:
         return self.replica.state is ReplicaState.LEADER
 
-    def _switches(self) -> list[VersionSwitch]:
+    def _list_switches(self) -> list[VersionSwitch]:
         if not self.replica.cluster:
             return []
         self.versions.refresh()
--- a/packages/millforkd/millforkd/replica/replica_links.py
+++ b/packages/millforkd/millforkd/replica/replica_links.py
@@ -81,12 +81,12 @@
         discovery: Discovery,
         followers: Followers,
         heartbeat_s: float,
-        switches: Callable[[], list[VersionSwitch]] = list,
+        list_switches: Callable[[], list[VersionSwitch]] = list,
     ) -> None:
         self.env = env
         # Returns the model versions set recently, and how long older versions may still be used.
         # A process that starts, or learns of a version late, doesn't know when it was set.
-        self.switches = switches
+        self.list_switches = list_switches
         self.version_cutoffs = VersionCutoffs()
         self.peers = peers
         self.replica = replica
@@ -220,7 +220,7 @@
             self.last_contact_at[message.instance] = self.env.monotonic()
             self.followers.entries_by_other_replica[message.instance] = message.entries
         else:
-            caches += self.discovery.caches_elsewhere(CACHES_VALID_S)
+            caches += self.discovery.caches_listed_within(CACHES_VALID_S)
         known = {instance for instance, _ in self.replica.members}
         known.update(self.discovery.answered_within(ADVERTISE_WITHIN_S))
         known.add(str(self.env.instance))
@@ -232,7 +232,7 @@
             self.followers.local_entries,
             advertised_caches(caches, None if message.instance else zone),
             str(self.env.zone),
-            self.switches(),
+            self.list_switches(),
         )
 
     async def on_leases(self, peer: InstanceId, message: Leases) -> None:
--- a/tests/test_feed_relay.py
+++ b/tests/test_feed_relay.py
@@ -20,8 +20,8 @@
 from millfork_wire.connection import PeerTimedOut
 from millfork_wire.messages import AskFeed, CacheAddress, VersionSwitch
 
-CUT, NEAR, FAR = '10.0.0.1:7', '10.0.0.2:7', '10.1.0.3:7'
-ZONES = {CUT: 'here', NEAR: 'here', FAR: 'there'}
+CUT_OFF, NEAR, FAR = '10.0.0.1:7', '10.0.0.2:7', '10.1.0.3:7'
+ZONES = {CUT_OFF: 'here', NEAR: 'here', FAR: 'there'}
 CACHES = [CacheAddress(name, zone) for name, zone in ZONES.items()]
 
 
@@ -86,11 +86,11 @@
 
 def test_a_follower_that_is_cut_off_gets_configuration_and_load_from_its_zone(followers):
     async def run():
-        cut_off = followers.relays[CUT].feed_client
+        cut_off = followers.relays[CUT_OFF].feed_client
         neighbour = followers.relays[NEAR].feed_client
         neighbour.view.apply_change(Revision(2), {'key': StoredValue(b'new', Revision(2))}, [])
         neighbour.registry.merge_endpoint_state(state(1, 5))
-        task = await curio.spawn(followers.relays[CUT].run, daemon=True)
+        task = await curio.spawn(followers.relays[CUT_OFF].run, daemon=True)
         connected = (NEAR, FAR)
         await followers.wait_until(lambda: running_requests(cut_off) == 5, connected)
         assert cut_off.view.items['key'].value == b'new'
@@ -105,9 +105,9 @@
 
 def test_a_follower_without_a_replica_does_not_relay(followers):
     async def run():
-        cut_off = followers.relays[CUT].feed_client
+        cut_off = followers.relays[CUT_OFF].feed_client
         followers.relays[FAR].feed_client.registry.merge_endpoint_state(state(1, 5))
-        task = await curio.spawn(followers.relays[CUT].run, daemon=True)
+        task = await curio.spawn(followers.relays[CUT_OFF].run, daemon=True)
         await followers.wait_until(lambda: running_requests(cut_off) == 5, (FAR,))
         assert cut_off.report_target == FAR
         await task.cancel()
@@ -117,11 +117,11 @@
 
 def test_a_follower_that_is_cut_off_gets_suspicions_from_its_zone(followers):
     async def run():
-        cut_off = followers.relays[CUT].feed_client.registry.suspicion_store
+        cut_off = followers.relays[CUT_OFF].feed_client.registry.suspicion_store
         neighbour = followers.relays[NEAR].feed_client.registry.suspicion_store
         suspicion = Suspicion(Fingerprint('ab'), 0, 2)
         await neighbour.merge([suspicion])
-        task = await curio.spawn(followers.relays[CUT].run, daemon=True)
+        task = await curio.spawn(followers.relays[CUT_OFF].run, daemon=True)
         await followers.wait_until(lambda: cut_off.get(suspicion.fingerprint) == suspicion, (NEAR,))
         assert not cut_off.unsent
         await task.cancel()
@@ -131,10 +131,10 @@
 
 def test_the_relay_is_left_once_a_replica_answers_again(followers):
     async def run():
-        cut_off = followers.relays[CUT].feed_client
-        task = await curio.spawn(followers.relays[CUT].run, daemon=True)
+        cut_off = followers.relays[CUT_OFF].feed_client
+        task = await curio.spawn(followers.relays[CUT_OFF].run, daemon=True)
         await followers.wait_until(lambda: cut_off.relay == NEAR, (NEAR,))
-        await followers.wait_until(lambda: not cut_off.relay, (NEAR, CUT))
+        await followers.wait_until(lambda: not cut_off.relay, (NEAR, CUT_OFF))
         assert cut_off.report_target == '10.9.0.1:7'
         await task.cancel()
 
@@ -143,7 +143,7 @@
 
 def test_an_unrequested_update_of_another_follower_changes_nothing(followers):
     async def run():
-        cut_off = followers.relays[CUT].feed_client
+        cut_off = followers.relays[CUT_OFF].feed_client
         other = followers.relays[NEAR].feed_client
         other.view.apply_change(Revision(2), {'key': StoredValue(b'new', Revision(2))}, [])
         update = other.view.update_since('c', 1)
@@ -155,10 +155,10 @@
 
 def test_a_follower_that_is_cut_off_gets_version_cutoffs(followers):
     async def run():
-        cut_off = followers.relays[CUT].feed_client
+        cut_off = followers.relays[CUT_OFF].feed_client
         followers.relays[NEAR].list_switches = lambda: [VersionSwitch('m', 2, 3000)]
         started_at = cut_off.env.monotonic()
-        task = await curio.spawn(followers.relays[CUT].run, daemon=True)
+        task = await curio.spawn(followers.relays[CUT_OFF].run, daemon=True)
         await followers.wait_until(
             lambda: cut_off.version_cutoffs.cutoff_of('m', 2) is not None, (NEAR, FAR)
         )
