--- a/packages/millfork-registry/millfork_registry/caches.py
+++ b/packages/millfork-registry/millfork_registry/caches.py
@@ -1,5 +1,5 @@
 """
-Choice of the entries that cache chunks of weights for the endpoint daemons.
+Choice of the entries (front proxies) that cache pieces of weights for the endpoint daemons.
 
 Every entry can be a cache. Replicas advertise a few entries of each zone as caches, and replicas
 that know the same entries advertise the same caches.
@@ -12,12 +12,12 @@
 from millfork_core.ranks import rank
 from millfork_wire.messages import CacheAddress
 
-# How many caches of its own zone a daemon is told. In a grown fleet, the links of four entries
-# (20 Mbit/s each) serve the 12 engines of a zone at 3.65 Mbit/s each, and leave two thirds of each
-# link for callers.
+# The greatest number of caches of a daemon's own zone that a replica advertises to the daemon. In a
+# grown fleet, the links of four entries (20 Mbit/s each) serve the 12 engines of a zone at 3.65
+# Mbit/s each, and leave two thirds of each link for callers.
 MAX_ADVERTISED_IN_ZONE: Final = 4
-# How many caches of each other zone a daemon is told. Of those zones, only the caches that download
-# from the origin (the weight store) matter.
+# The greatest number of caches of each other zone that a replica advertises to a daemon. Of those
+# zones, only the caches that download from the origin (the weight store) matter.
 MAX_ADVERTISED_PER_OTHER_ZONE: Final = 2
 
 
@@ -37,8 +37,9 @@
 
 def caches_near_origin(caches: Iterable[CacheAddress], origin_zone: str) -> list[CacheAddress]:
     """
-    Return the caches that download from the origin: caches of the origin's zone, because
-    traffic between zones costs money, or of another zone if the origin's zone has none.
+    Return the caches that download from the origin, at most `MAX_ADVERTISED_PER_OTHER_ZONE`:
+    caches of the origin's zone, because traffic between zones costs money, or of one other zone if
+    the origin's zone has none.
 
     """
     found = _best_first_by_zone(caches)
--- a/packages/millfork-registry/millfork_registry/discovery.py
+++ b/packages/millfork-registry/millfork_registry/discovery.py
@@ -17,10 +17,10 @@
 from millfork_wire.messages import CacheAddress, FindReplicas, Replicas
 from millfork_wire.peers import PeerAddress, Peers
 
-# Timeout of one question to a replica.
+# Timeout of one query to a replica.
 QUERY_TIMEOUT_S: Final = 0.6
-# A replica that didn't answer this process for this long is forgotten, as it may have
-# been replaced. Seeds are never forgotten.
+# A replica that has not answered this process for longer than this is removed from the known ones,
+# as it may have been replaced. Seeds are never removed.
 UNANSWERED_RETENTION_S: Final = 30.0
 
 log = logger(Component.REGISTRY)
@@ -28,7 +28,8 @@
 
 def address_of(instance: str) -> PeerAddress:
     """
-    Parse an instance's id, which is `HOST:PORT`, the address at which it listens for peers.
+    Parse an instance's id, which is `HOST:PORT`, the address at which the instance listens for
+    peers.
 
     :raises ValueError: if the id has another form.
 
@@ -111,7 +112,7 @@
 
     def zone_of(self, instance: str) -> str:
         """
-        Return the zone of a replica; empty until the replica has answered.
+        Return the zone of a replica; empty if the replica is unknown or has not answered yet.
 
         """
         known = self.known.get(InstanceId(instance))
@@ -151,8 +152,9 @@
 
     async def ask(self, address: PeerAddress, question: FindReplicas) -> Replicas | None:
         """
-        Ask a replica which replicas it knows, record the answer and add those replicas. Returns
-        None if there is no answer; a replica that has not answered for long is then forgotten.
+        Ask a replica which replicas it knows, record the answer and add the replicas listed in
+        it. Returns None if there is no valid answer. A replica that fails to answer, and last
+        answered more than `UNANSWERED_RETENTION_S` ago, is removed unless it is a seed.
 
         """
         try:
--- a/packages/millfork-registry/millfork_registry/feed_client.py
+++ b/packages/millfork-registry/millfork_registry/feed_client.py
@@ -45,12 +45,13 @@
 # Pause before the follower tries the known replicas again.
 RETRY_PAUSE_S: Final = 0.1
 # How often the followed replica is asked for the replicas it knows and for the cutoffs of model
-# versions.
+# versions (the times from which no request may begin on an older version).
 REPLICA_QUERY_PERIOD_S: Final = 2.0
 # A follower of a replica in another zone checks this often for a replica in its own zone.
 NEARER_CHECK_PERIOD_S: Final = 3.0
-# A replica that was last known to be current longer ago than this, for example because it has no
-# contact with its leader, may hold old configuration. Elections take less time.
+# A replica's configuration is stale if the replica was last known to have applied all committed
+# log entries longer ago than this, for example because it has no contact with its leader. An
+# election takes less time.
 STALE_MS: Final = 1500
 
 log = logger(Component.REGISTRY)
@@ -77,6 +78,8 @@
         self.registry = registry
         self.peers = peers
         self.discovery = discovery
+        # The followed replica, or the one followed last, and when its last message arrived
+        # (monotonic seconds).
         self.source = NO_INSTANCE
         self.source_contact_at = 0.0
         # Age of the followed replica's configuration: the time since that replica was last known to
@@ -93,16 +96,17 @@
         self.relay = ''
         self.pending_relay = ''
         self.version_cutoffs = VersionCutoffs()
-        # When the followed replica was last asked for the replicas it knows.
+        # When the followed replica was last asked for the replicas it knows (monotonic seconds).
         self.replicas_asked_at = 0.0
-        # Set whenever the configuration, leases, endpoint states or version cutoffs changed.
+        # Set when leases or endpoint states arrive, and when the configuration or a version cutoff
+        # changes.
         self.changed = curio.Event()
 
     @property
     def report_target(self) -> str:
         """
-        The process to which this process sends its reports: the followed replica or, if there
-        is one, the relay, which passes the reports on.
+        The process to which this process sends its reports: the relay, which passes them on, or
+        the followed replica if there is no relay.
 
         """
         return self.relay or str(self.source)
@@ -118,8 +122,8 @@
 
     async def run(self) -> None:
         """
-        Task that follows one replica at a time. When this process has left a replica, it chooses
-        the next one; the replica followed last is tried last.
+        Task that follows one replica at a time. When this process has left a replica, it tries
+        the known replicas in the preferred order, but the one followed last comes last.
 
         """
         while True:
@@ -170,7 +174,7 @@
     async def record_switches(self, asked_at: float, switches: list[VersionSwitch]) -> None:
         """
         Record the version cutoffs in an answer to a question asked at `asked_at` (monotonic
-        seconds).
+        seconds), and set `changed` if a known cutoff changed or a new one was added.
 
         """
         if self.version_cutoffs.record_answer(asked_at, switches):
@@ -205,9 +209,9 @@
 
     async def _watch_source(self, address: PeerAddress) -> None:
         """
-        Return once this process has left the followed replica. It leaves a replica that is
-        silent or disconnected, that is stale while another replica is fresher, or that is in
-        another zone while a current replica of this process's zone answers.
+        Check the followed replica, and return once this process has left it. This process leaves
+        a replica that is silent or disconnected, a stale one while another replica is fresher,
+        and one in another zone while a replica of this process's zone answers that isn't stale.
 
         """
         nearer_checked_at = self.env.monotonic()
@@ -270,7 +274,7 @@
 
     async def handle_feed_message(self, peer: InstanceId, message: Message) -> bool:
         """
-        Apply a message of the feed. Returns False for any other message.
+        Apply a message of the feed and return True; return False for any other message.
 
         """
         if isinstance(message, Update):
--- a/packages/millfork-registry/millfork_registry/feed_relay.py
+++ b/packages/millfork-registry/millfork_registry/feed_relay.py
@@ -1,5 +1,6 @@
 """
-Relaying of the feed by another follower, to a process that is cut off from all replicas.
+Relaying of the feed (the stream of updates from a replica to its followers) by another follower,
+to a process that is cut off from all replicas.
 
 Without a relay, an entry that is cut off chooses engines by loads that are seconds old: when
 four of nine entries were cut off, half of all first tokens were late despite spare capacity.
@@ -45,7 +46,8 @@
     def __init__(self, env: Environment, feed_client: FeedClient) -> None:
         self.env = env
         self.feed_client = feed_client
-        # The relay's last reply, with the versions of its tables that this process has received.
+        # The relay's last reply, with the versions of the relay's tables up to which this process
+        # received the changes.
         self.received_versions = FeedSent()
         # Returns the model versions set recently, and how long older versions may still be used.
         self.list_switches: Callable[[], list[VersionSwitch]] = list
@@ -76,8 +78,8 @@
 
     async def _request_from_any(self) -> bool:
         """
-        Request the feed from the present relay and, if that doesn't send it, from the other
-        followers until one sends it. Returns False if none does.
+        Request the feed from the present relay, then from the other followers, until one sends
+        the feed and so becomes the relay. Returns False if none does; there is then no relay.
 
         """
         for name in self._candidates():
@@ -140,8 +142,8 @@
     async def answer(self, connection: Connection, question: AskFeed) -> FeedSent:
         """
         Send a follower that is cut off the changes since its last request, and return the
-        versions of the tables up to which it was sent them. Send nothing, and return a reply
-        that isn't `ok`, if this process isn't connected to a replica either.
+        versions of this process's tables up to which the changes were sent. If this process
+        isn't connected to a replica either, send nothing and return a reply that isn't `ok`.
 
         """
         feed_client = self.feed_client
--- a/packages/millfork-registry/millfork_registry/followers.py
+++ b/packages/millfork-registry/millfork_registry/followers.py
@@ -2,7 +2,7 @@
 A replica's side of the feed, which sends the configuration and the registry's records to the
 replica's followers.
 
-One task serves each follower. Changes that occur within moments are sent together. While nothing
+One task serves each follower. Changes within `BATCH_DELAY_S` are sent together. While nothing
 changes, a follower gets heartbeats with the age of the replica's configuration.
 
 """
@@ -22,10 +22,11 @@
 from millfork_wire.connection import Connection, PeerLost
 from millfork_wire.messages import CacheAddress, Follow, Leases
 
-# The longest time between two messages of the feed. A follower that gets none for several of
-# these periods follows another replica. Entries also receive the engines' load this often.
+# The longest pause between two messages of a feed. A follower that gets no message for several of
+# these periods follows another replica. Entries (front proxies) also receive the engines' load this
+# often.
 HEARTBEAT_S: Final = 0.15
-# After a change, a feed waits this long so that it sends further changes in the same message.
+# After a change, a feed waits this long, so that further changes are sent in the same message.
 BATCH_DELAY_S: Final = 0.02
 ROLES_SENT_SUSPICIONS: Final = (ENTRY_ROLE, REPLICA_ROLE)
 
@@ -35,8 +36,8 @@
 
 class Follower:
     """
-    One process that follows this replica, and up to which versions of the registry's tables it
-    was sent the records.
+    One process that follows this replica, and the versions of the registry's tables up to which
+    that process was sent the changes.
 
     """
 
@@ -49,7 +50,7 @@
         self.suspicion_version = 0
         # Whether a message with all records was sent.
         self.sent_full = False
-        # Whether this feed ends, because the process asked for another feed or for none.
+        # Whether this feed must end, because the process asked for another feed or for none.
         self.replaced = False
 
     @property
@@ -71,9 +72,9 @@
         self.by_instance: dict[str, Follower] = {}
         # By instance id of each other replica: the number of entries that follow it.
         self.entries_by_other_replica: dict[str, int] = {}
-        # The greatest number of entries in recent minutes, by which the entries divide a fixed
-        # retry budget. Entries that start during a network partition must count the entries on
-        # the other side too; otherwise each side would use the full budget.
+        # The greatest number of entries within `ENTRIES_REMEMBERED_S`, by which the entries divide
+        # a fixed retry budget. Entries that start during a network partition must count the
+        # entries on the other side too; otherwise each side would use the full budget.
         self.peak_entries = WindowMax(ENTRIES_REMEMBERED_S)
 
     @property
@@ -86,7 +87,7 @@
 
     def local_caches(self) -> list[CacheAddress]:
         """
-        Return the entries that follow this replica; they can cache chunks for endpoint daemons.
+        Return the entries that follow this replica; they can cache weights for endpoint daemons.
 
         """
         return [
@@ -171,8 +172,8 @@
     def _next_leases_message(self, follower: Follower) -> Leases:
         """
         Return a message with the records that the follower lacks, and count them as sent. The
-        first message of a feed holds all records. After that, a follower that is a replica gets
-        only those leases and endpoint states that are owned here.
+        first message of a feed holds all records. Later messages to a follower that is a replica
+        hold only those leases and endpoint states that this replica owns.
 
         """
         registry = self.registry
@@ -195,6 +196,7 @@
             encode_records(leases) if leases else b'',
             encode_records(endpoints) if endpoints else b'',
             self.peak_entries.add(self.entries, self.env.monotonic()),
-            # An endpoint daemon doesn't route requests, and its link has little bandwidth.
+            # Endpoint daemons are sent no suspicions: they don't route requests, and their links
+            # have little bandwidth.
             encode_suspicions(suspicions if follower.role in ROLES_SENT_SUSPICIONS else []),
         )
--- a/packages/millfork-registry/millfork_registry/records.py
+++ b/packages/millfork-registry/millfork_registry/records.py
@@ -1,6 +1,6 @@
 """
-Records of the registry: one lease for each back end, one state for each
-endpoint daemon.
+Records of the registry: one lease for each back end, one state for each endpoint daemon (the
+process beside an engine).
 
 """
 
@@ -19,7 +19,8 @@
 
     READY = 'ready'
     DRAINING = 'draining'
-    # The heartbeats stopped; a later heartbeat renews the lease.
+    # The heartbeats stopped, or a later process runs at the address. A heartbeat can renew the
+    # lease.
     EXPIRED = 'expired'
     # The back end announced that it leaves. Only a later incarnation replaces this lease.
     GONE = 'gone'
@@ -107,8 +108,8 @@
 
 class HeldVersion(msgspec.Struct, frozen=True, array_like=True):
     """
-    Weights that an endpoint daemon can send to others: the chunks from `first` up
-    to, but excluding, `end`, or all chunks if `end` is None.
+    Weights that an endpoint daemon can send to others: the pieces from `first` up to, but
+    excluding, `end`, or all pieces if `end` is None.
 
     """
 
@@ -119,7 +120,7 @@
 
     def has(self, index: int) -> bool:
         """
-        Whether the chunk with this index is included.
+        Whether the piece with this index is included.
 
         """
         return self.first <= index and (self.end is None or index < self.end)
@@ -130,8 +131,8 @@
     The state that an endpoint daemon reports of itself and of the engine beside it.
 
     `sequence` is the time of the report by the daemon's monotonic clock, in ms. `tokens_used`
-    and `tokens_total` are the used and the whole memory of the engine, in tokens. The engine is
-    slower than its declared speed if `pace` is above 1.
+    and `tokens_total` are the used and the total memory of the engine, in tokens. A `pace` above 1
+    means that the engine is slower than its declared speed.
 
     """
 
@@ -152,7 +153,8 @@
     held: tuple[HeldVersion, ...] = ()
     # The version of the weights that the engine is changing to now, 0 if none.
     changing_to: int = 0
-    # While a version is transferred: the layers that the daemon loads into its engine first.
+    # The layers that the engine was assigned to load first, with their version; None if it has
+    # been assigned none since it started.
     goal: ServedVersion | None = None
     # The incarnation of the engine, not of the daemon.
     incarnation: Incarnation = UNKNOWN_INCARNATION
@@ -169,7 +171,7 @@
         """
         Whether this state must be sent without delay to processes that have `older`. Changes
         of the load and of the progress of a transfer may wait: when they were sent without
-        delay, each chunk that a daemon received made a replica send a message to all its
+        delay, each piece that a daemon received made a replica send a message to all its
         followers, also in other regions, up to 50 times a second.
 
         """
@@ -185,7 +187,7 @@
             self.changing_to,
             self.goal,
             # Only whether there is a limit, not its value: the value can change with each answer
-            # of the engine, and each change would be sent to all followers without delay.
+            # of the engine, and each new value would be sent to all followers without delay.
             self.limit_per_s is not None,
             self.leaving,
         )
--- a/packages/millfork-registry/millfork_registry/registry.py
+++ b/packages/millfork-registry/millfork_registry/registry.py
@@ -1,12 +1,12 @@
 """
-The leases of back ends and the states of endpoint daemons: soft state, kept in
-memory by every replica and follower.
+The leases of back ends and the states of endpoint daemons: soft state, kept in memory by every
+replica and follower.
 
 A lease is owned by the replica that received its last heartbeat. Replicas send each other
 changes of leases but not renewals, so an idle fleet causes no traffic between replicas. The owner
 expires a lease whose heartbeats stop. If the owner is lost, each other replica expires the
-owner's leases by itself, except those of back ends that send their heartbeats to another replica
-by then.
+owner's leases by itself, except those of back ends that have by then sent a heartbeat to another
+replica.
 
 """
 
@@ -29,10 +29,10 @@
 ENDED_RETENTION_S: Final = 120.0
 # The sequence number of a back end's first heartbeat.
 FIRST_SEQUENCE: Final = 1
-# If back ends don't report incarnations, an unknown back end at the address of a live one is
-# accepted only with its first heartbeat, or with a heartbeat that arrives at least this share of
-# the heartbeat period after an earlier one: a process that has ended sends no more heartbeats, and
-# two delayed ones arrive together.
+# For back ends that don't report incarnations: an unknown back end at the address of a live one is
+# accepted with its first heartbeat, or with a heartbeat that arrives at least this share of the
+# heartbeat period after an earlier one. A process that has ended sends no more heartbeats, and two
+# delayed heartbeats arrive together.
 MIN_HEARTBEAT_GAP_SHARE: Final = 0.5
 # The state of an endpoint daemon that has sent no report for this long is dropped. A daemon
 # reports at least once a second.
@@ -69,13 +69,16 @@
         self.suspicion_store = SuspicionStore(env.monotonic)
         # When the last lease or endpoint state of each instance arrived (monotonic seconds).
         self.last_received_at: dict[str, float] = {}
+        # By instance id of each expired or gone lease: when it was recorded as such (monotonic
+        # seconds).
         self.ended_at_by_instance: dict[str, float] = {}
         # The back end that was last known to run at each address (host and port).
         self.instance_by_address: dict[tuple[str, int], str] = {}
-        # Unknown back ends at the address of a live one, whose heartbeats are ignored until
-        # confirmed: the sequence and arrival time of the first heartbeat.
+        # By instance id of each unknown back end at the address of a live one: the sequence and
+        # arrival time of the first heartbeat received. The heartbeats of such a back end are
+        # ignored until a later one confirms that the back end is alive.
         self.unconfirmed: dict[str, tuple[int, float]] = {}
-        # Whether this registry holds all leases, so that a back end without one doesn't exist.
+        # Whether this registry holds all leases, so that a back end without a lease doesn't exist.
         self.is_complete = False
 
     def record_heartbeat(self, lease: Lease) -> RecordChange:
@@ -120,7 +123,8 @@
         """
         Whether a heartbeat of an unknown back end may be a delayed one, from a process that ran
         at the address before the back end with the `other` lease. The first such heartbeat is
-        recorded; a later one shows that the process is alive.
+        recorded; a later one that arrives at least `min_heartbeat_gap_s` after it shows that the
+        process is alive.
 
         """
         if (lease.incarnation and other.incarnation) or lease.sequence <= FIRST_SEQUENCE:
@@ -147,7 +151,7 @@
 
     def record_leave(self, instance: str, incarnation: Incarnation | None = None) -> RecordChange:
         """
-        Record that an incarnation of a back end leaves; if None is given, the known incarnation.
+        Record that an incarnation of a back end leaves: the known one if `incarnation` is None.
 
         """
         held = self.leases.get(instance)
@@ -165,7 +169,8 @@
 
     def merge_lease(self, lease: Lease) -> RecordChange:
         """
-        Store a lease from any source if it is newer than the held one.
+        Store a lease from any source if it is newer than the held one. If it is an older, wrong
+        expiry of a live lease owned here, announce the held lease again.
 
         """
         held = self.leases.get(lease.instance)
@@ -204,8 +209,8 @@
 
     def _is_wrongly_ended(self, held: Lease, reported: Lease) -> bool:
         """
-        Whether `reported` is another process's wrong expiry of the lease `held`, which is owned
-        here and live.
+        Whether `reported` is a wrong expiry, by another process, of the lease `held`, which is
+        owned here and live.
 
         """
         owned = held.owner == str(self.env.instance) and held.state not in ENDED_STATES
@@ -249,8 +254,8 @@
 
     def retain_only(self, leases: set[str], endpoints: set[str]) -> None:
         """
-        Drop all records except those of the given instances, which are all that a replica with
-        complete records has.
+        Drop all leases and endpoint states except those of the given instances, which are all
+        that a replica with complete records knows.
 
         """
         for key in [key for key in self.leases.rows if key not in leases]:
@@ -262,7 +267,8 @@
     def expire(self, lost_owners: set[str]) -> list[Lease]:
         """
         Expire the leases without recent heartbeats that are owned here or by a lost owner, and
-        return them. Also forget leases that ended `ENDED_RETENTION_S` ago.
+        return them. Also forget leases that ended, and unconfirmed heartbeats that arrived, more
+        than `ENDED_RETENTION_S` ago.
 
         """
         now = self.env.monotonic()
@@ -272,7 +278,8 @@
                 continue
             owned_here = lease.owner == str(self.env.instance)
             if not owned_here and lease.owner not in lost_owners:
-                # The owner expires this lease. If the owner is lost, silence counts from then.
+                # The owner expires this lease. If the owner is lost later, the time without
+                # heartbeats counts from then.
                 self.last_received_at[lease.instance] = now
                 continue
             if now - self.last_received_at.get(lease.instance, now) < self.lease_s:
@@ -292,7 +299,7 @@
 
     def forget_silent_endpoints(self) -> None:
         """
-        Drop the states of endpoint daemons that stopped reporting.
+        Drop the states of endpoint daemons that sent no report for `REPORT_LIFETIME_S`.
 
         """
         now = self.env.monotonic()
@@ -317,7 +324,7 @@
 def _is_of_earlier_process(lease: Lease, other: Lease, held: Lease | None) -> bool:
     """
     Whether the process that sent the heartbeat `lease` ran at its address before the process of
-    the `other` lease. `held` is the known lease of the back end that sent the heartbeat.
+    the `other` lease. `held` is the known lease of the back end that sent the heartbeat, or None.
 
     """
     if lease.incarnation and other.incarnation:
@@ -329,8 +336,9 @@
 
 def _is_of_later_process(lease: Lease, other: Lease, held: Lease | None) -> bool:
     """
-    Whether the heartbeat `lease` shows that the process of the `other` lease, at the same address,
-    has ended. `held` is the known lease of the back end that sent the heartbeat.
+    Whether the process that sent the heartbeat `lease` started at its address after the process of
+    the `other` lease, which has then ended. `held` is the known lease of the back end that sent the
+    heartbeat, or None.
 
     """
     if lease.incarnation and other.incarnation:
--- a/packages/millfork-registry/millfork_registry/suspicion_store.py
+++ b/packages/millfork-registry/millfork_registry/suspicion_store.py
@@ -1,9 +1,9 @@
 """
-Suspicions: records of the back ends that ended one after another while they ran a request,
-shared by all entries and replicas.
+Suspicions: records of the back ends that ended one after another while they ran requests with
+the same fingerprint, shared by all entries (front proxies) and replicas.
 
-A suspicion belongs to the fingerprint of a request's content, so it outlives the attempts to
-send the request, and the entries that made these attempts. Two processes merge their records of
+The fingerprint is that of the request's content, so a suspicion outlives the attempts to send the
+request, and the entries that made these attempts. Two processes merge their records of
 a fingerprint: the record of the later epoch wins, and records of the same epoch are combined.
 The order and number of merges don't matter.
 
@@ -22,17 +22,17 @@
 # A suspicion is dropped this long after its last change. An hourly job may crash one back end
 # with each of its attempts, so suspicions must be kept for more than an hour.
 SUSPICION_RETENTION_S: Final = 24 * 3600.0
-# The number of suspicions that one process keeps. A caller that varies the body of its request
-# creates one for each back end that it crashes. 4,096 suspicions take 1.5 MB; 200 engines with 16
-# requests each have fewer requests in progress if all end at once.
+# The greatest number of suspicions that one process keeps. A caller that varies the body of its
+# request creates one for each back end that it crashes. If 200 engines with 16 requests each end at
+# once, they create fewer than this. 4,096 suspicions take 1.5 MB.
 MAX_SUSPICIONS: Final = 4096
-# The number of incarnations kept in a suspicion's `broken`. More would not change any decision
-# about the request; each takes about 40 bytes.
+# The greatest number of incarnations kept in a suspicion's `broken`. More would not change any
+# decision about the request; each takes about 40 bytes.
 MAX_BROKEN_INCARNATIONS: Final = 4
 # A private suspicion is one that this process doesn't send to others yet, because it may be
 # withdrawn within moments. If it isn't withdrawn within this time, it is sent.
 MAX_PRIVATE_S: Final = 1.5
-# Size of an epoch in the replicated state.
+# Size of a suspicion's epoch in the replicated state.
 EPOCH_BYTES: Final = 8
 
 log = logger(Component.REGISTRY)
@@ -129,7 +129,7 @@
 
 class SuspicionStore:
     """
-    The suspicions known to one process, and which of them it has yet to send to others.
+    The suspicions known to one process, and which of them must still be sent to others.
 
     """
 
@@ -149,8 +149,8 @@
 
     async def record(self, suspicion: Suspicion) -> None:
         """
-        Record a suspicion that this process found, and schedule it for sending if it changes the
-        known one.
+        Merge a suspicion that this process found into the known one, and schedule the result for
+        sending if it differs from the known one.
 
         """
         if self._merge_one(suspicion):
@@ -158,9 +158,9 @@
 
     def record_privately(self, suspicion: Suspicion) -> None:
         """
-        Record a suspicion that this process found, without scheduling it for sending. If it is
-        the first suspicion of the request, it stays private until `publish`, `publish_overdue`
-        or its next change schedules it.
+        Merge a suspicion that this process found into the known one, without scheduling the
+        result for sending. If no suspicion of the request was known, the new one is private
+        until a call of `publish`, `publish_overdue`, `record`, `withdraw` or `merge` changes that.
 
         """
         fingerprint = suspicion.fingerprint
@@ -178,7 +178,8 @@
 
     async def publish_overdue(self) -> None:
         """
-        Schedule the suspicions for sending that have been private for `MAX_PRIVATE_S`.
+        Schedule for sending the suspicions that have been private for longer than
+        `MAX_PRIVATE_S`.
 
         """
         overdue_before = self.monotonic() - MAX_PRIVATE_S
@@ -199,7 +200,7 @@
 
     async def mark_unsent(self, fingerprint: Fingerprint) -> None:
         """
-        Schedule the suspicion of a request for sending. It is private no longer.
+        Schedule the suspicion of a request for sending, so that it is no longer private.
 
         """
         self.private_since.pop(fingerprint, None)
@@ -208,8 +209,8 @@
 
     async def merge(self, suspicions: list[Suspicion]) -> list[Fingerprint]:
         """
-        Merge another process's suspicions. Returns the fingerprints whose records changed here,
-        and schedules the merged records for sending that the other process lacks.
+        Merge another process's suspicions, and schedule for sending each merged record that
+        differs from the received one. Returns the fingerprints whose records changed here.
 
         """
         changed = []
@@ -221,8 +222,8 @@
             if held == suspicion:
                 self.unsent.pop(suspicion.fingerprint, None)
                 continue
-            # The other process lacks part of the merged record. That process and those that
-            # learn from it may have restarted.
+            # The other process lacks part of the merged record. Processes to which it sends
+            # suspicions may lack that part too, as any of these processes may have restarted.
             await self.mark_unsent(suspicion.fingerprint)
         if changed:
             log.info(
@@ -242,7 +243,7 @@
 
     async def mark_all_unsent(self) -> None:
         """
-        Schedule all suspicions for sending except the private ones. A process that starts to
+        Schedule for sending all suspicions except the private ones. A process that starts to
         follow a replica does this, because the replica may have restarted.
 
         """
@@ -281,7 +282,7 @@
         oldest_kept = self.monotonic() - SUSPICION_RETENTION_S
         for suspicion in list(self.table.values()):
             if self.changed_at[suspicion.fingerprint] > oldest_kept:
-                # The table is ordered by last change, so all further ones changed later.
+                # The table is ordered by last change, so the remaining suspicions changed later.
                 return
             self._forget(suspicion.fingerprint)
 
--- a/packages/millfork-registry/millfork_registry/version_cutoffs.py
+++ b/packages/millfork-registry/millfork_registry/version_cutoffs.py
@@ -41,8 +41,8 @@
         cutoff = asked_at + switch.left_ms / MS_PER_S
         known = self.cutoffs.get(key)
         # The cutoff computed from an answer is early by the time that the answer took, so the
-        # latest cutoff is the most accurate. A cutoff that has passed stays, because a replica
-        # that was cut off may report a later one.
+        # latest cutoff is the most accurate. A cutoff that had passed when the question was asked
+        # stays, because a replica that was cut off may report a later one.
         if known is not None and (known <= asked_at or cutoff <= known):
             return False
         self.cutoffs[key] = cutoff
@@ -50,8 +50,8 @@
 
     def cutoff_of(self, model: str, version: int) -> float | None:
         """
-        Return when requests may no longer begin on versions before this one (monotonic
-        seconds), or None if that isn't known.
+        Return the time (monotonic seconds) from which requests may no longer begin on versions
+        before this one, or None if that time isn't known.
 
         """
         return self.cutoffs.get((model, version))
--- a/packages/millfork-registry/millfork_registry/versioned_table.py
+++ b/packages/millfork-registry/millfork_registry/versioned_table.py
@@ -1,5 +1,6 @@
 """
-A table of records by key, which keeps the table version of each record's last change.
+A table of records by key. Each change increases the version of the table, and each record keeps
+the version of its last change.
 
 """
 
@@ -19,6 +20,7 @@
 
     def __init__(self) -> None:
         self.version = 0
+        # By key: the record and the table version of its last change.
         self.rows: OrderedDict[str, tuple[Record, int]] = OrderedDict()
 
     def __len__(self) -> int:
@@ -39,15 +41,16 @@
 
     def put_unannounced(self, key: str, record: Record) -> None:
         """
-        Replace an existing record without counting that as a change.
+        Replace an existing record without counting that as a change: `changed_since` returns the
+        new record only to readers that lack the old one.
 
         """
         self.rows[key] = (record, self.rows[key][1])
 
     def remove(self, key: str) -> None:
         """
-        Remove a record, if there is one. A removal increases the version, but `changed_since`
-        doesn't report removals.
+        Remove the record of `key`, if there is one. A removal increases the version, but
+        `changed_since` doesn't report removals.
 
         """
         if self.rows.pop(key, None) is not None:
--- a/packages/millforkd/millforkd/replica/control.py
+++ b/packages/millforkd/millforkd/replica/control.py
@@ -44,10 +44,10 @@
 # zlib level for documents, which are text: it takes 1 ms and halves their size in the replicated
 # log.
 COMPRESSION_LEVEL: Final = 1
-# A client of another system may call at any rate, so refused calls are logged at most this often
-# for each reason.
+# For each reason, at most one log line about refused calls is written in this time, because a
+# client of another system may call at any rate.
 REFUSAL_LOG_PERIOD_S: Final = 1.0
-# The name of an undeclared service is cut to this length in the refusal.
+# The name of an undeclared service is cut to this many characters in the refusal.
 MAX_LOGGED_CHARS: Final = 100
 
 log = logger(Component.CONTROL)
@@ -132,9 +132,9 @@
 
     def _check_service(self, service: str) -> None:
         """
-        Check that the operator's document declares the service of a heartbeat. A heartbeat for
-        any other service comes from another system and, if accepted, could end the lease of a
-        back end with the same id or address.
+        Check that the operator's document, if there is one, declares the service of a heartbeat.
+        A heartbeat for any other service comes from another system and, if accepted, could end
+        the lease of a back end with the same id or address.
 
         :raises Refused: if the document doesn't declare the service.
 
@@ -170,8 +170,9 @@
     def _may_be_of_another_incarnation(self, call: LeaveNotice) -> bool:
         """
         Whether a leave notice may be meant for an incarnation that only other replicas know: the
-        notice gives no incarnation, and none is known here. If the notice were acknowledged,
-        requests would still reach that incarnation.
+        notice gives no incarnation, this replica knows no lease of the back end, and its registry
+        isn't complete yet. If the notice were acknowledged, requests would still reach that
+        incarnation.
 
         """
         known = self.registry.leases.get(call.instance) is not None
@@ -179,10 +180,11 @@
 
     async def _send_departure_to_majority(self, instance: str) -> None:
         """
-        Send a back end's drain or leave notice to a majority of the replicas before the notice
-        is acknowledged, as the back end relies on the acknowledgement.
+        Send the draining or gone lease of a back end to a majority of the replicas, unless that
+        was done already. The back end's notice is acknowledged only then, because the back end
+        relies on the acknowledgement.
 
-        :raises Refused: if too few replicas confirmed the notice in time.
+        :raises Refused: if too few replicas acknowledged the lease in time.
 
         """
         lease = self.registry.leases.get(instance)
@@ -192,7 +194,9 @@
         if key in self.departures_at_majority:
             return
         if not await self.replica_links.send_to_majority(lease):
-            raise Refused(Refusal(Reason.NO_QUORUM, detail='too few replicas acknowledged it'))
+            raise Refused(
+                Refusal(Reason.NO_QUORUM, detail='too few replicas acknowledged the notice')
+            )
         self.departures_at_majority.add(key)
 
     @on.register
@@ -242,8 +246,8 @@
         if held is not None:
             version = decode_versioned(held.value).version
             if command.version <= version:
-                # The state applied here is committed and versions never decrease, so the leader
-                # would answer the same.
+                # The version applied here is committed and versions never decrease, so the leader
+                # wouldn't raise the version either.
                 return RaiseResult(False, version)
         data = await self.leader_client.propose(command, PROPOSAL_TIMEOUT_S)
         return msgspec.msgpack.decode(data, type=RaiseResult)
--- a/packages/millforkd/millforkd/replica/daemon.py
+++ b/packages/millforkd/millforkd/replica/daemon.py
@@ -41,8 +41,8 @@
 STATE_FOLDER: Final = 'state'
 # How often a stopping replica checks whether calls are still in progress.
 STOP_PAUSE_S: Final = 0.1
-# New model versions are looked for at least this often, in case a notification of a change of the
-# configuration is missed.
+# The longest pause between two checks for new model versions, in case a notification of a change of
+# the configuration is missed.
 VERSION_CHECK_PERIOD_S: Final = 0.15
 # Timeout of one call to the leader.
 LEADER_TIMEOUT_S: Final = 0.8
@@ -137,8 +137,8 @@
 
     async def _record_new_versions(self) -> None:
         """
-        Task that records when the configuration sets a model version, as the cutoff of the
-        versions before it counts from that time.
+        Task that records when the configuration sets a model version. The cutoff, from which
+        requests may no longer begin on older versions, comes a fixed time later.
 
         """
         view = self.replica.view
@@ -181,8 +181,8 @@
 
     async def drain(self) -> None:
         """
-        Prepare a planned stop: if this replica leads, it steps down, so that the others needn't
-        wait for an election timeout. Returns once no calls are in progress.
+        Prepare a planned stop: if this replica leads, it steps down, so that the other replicas
+        needn't wait for an election timeout. Returns once no calls are in progress.
 
         """
         self.server.closing = True
--- a/packages/millforkd/millforkd/replica/quarantine.py
+++ b/packages/millforkd/millforkd/replica/quarantine.py
@@ -2,9 +2,10 @@
 The replicas' side of the quarantine: the list, in the replicated state, of the requests that are
 refused because they crash back ends.
 
-Suspicions are kept in memory, so a loss of power of the whole fleet would lose them, and a
-request that had crashed three back ends would crash three more. The leader therefore lists the
-requests at fault in the replicated state, and removes those that a complete answer clears.
+Suspicions (records of the back ends that ended while they ran a request) are kept in memory, so a
+loss of power of the whole fleet would lose them, and a request that had crashed three back ends
+would crash three more. The leader therefore lists the requests at fault in the replicated state,
+and removes those that a complete answer clears.
 
 """
 
@@ -28,11 +29,11 @@
 RECONCILE_PERIOD_S: Final = 0.25
 # Timeout of one change of the list.
 PROPOSAL_TIMEOUT_S: Final = 0.9
-# A request is removed from the list after a day: by then, software that crashes on the request has
-# been replaced.
+# A request is removed from the list after this time, one day: by then, software that crashes on the
+# request has been replaced.
 LISTED_MAX_AGE_MS: Final = 24 * 3600 * 1000
-# The greatest length of the list. At this length, with keys and values of about ten bytes each, the
-# list takes 0.1 MB of the replicated state.
+# If the list is longer than this, its oldest requests are removed. At this length, with keys and
+# values of about ten bytes each, the list takes 0.1 MB of the replicated state.
 MAX_LISTED: Final = 1000
 # Size of the random id of a command to the replicated state.
 ID_BITS: Final = 128
@@ -60,6 +61,7 @@
         self.suspicion_store = suspicion_store
         self.leader_client = leader_client
         self.is_leader = leads
+        # Returns the time of the wall clock, in ms since 1970.
         self.now_ms = now_ms
 
     async def run(self) -> None:
@@ -75,7 +77,8 @@
 
     async def reconcile(self) -> None:
         """
-        Add the requests at fault to the list, and remove those that were cleared or are too old.
+        Add the requests at fault to the list. Remove those whose suspicion has since entered a
+        later epoch, those older than `LISTED_MAX_AGE_MS`, and the oldest beyond `MAX_LISTED`.
 
         """
         for suspicion in list(self.suspicion_store.table.values()):
--- a/packages/millforkd/millforkd/replica/replica_links.py
+++ b/packages/millforkd/millforkd/replica/replica_links.py
@@ -32,15 +32,17 @@
 # How long a drain or leave notice may take to reach a majority of the replicas: the back end waits
 # one second for the answer.
 MAJORITY_TIMEOUT_S: Final = 0.7
-# A replica that was silent for this long is considered lost, and the others expire the leases that
-# it owns.
+# A replica that was silent for longer than this is considered lost, and the other replicas expire
+# the leases that it owns.
 OWNER_LOST_AFTER_S: Final = 2.0
-# Rounds start every half second; a gap of this length shows that this process was paused.
+# A gap of this length between the starts of two rounds, usually half a second, shows that this
+# process was paused.
 MAX_ROUND_GAP_S: Final = 1.5
-# A replica lists in its answers the replicas that answered it within this time.
+# A replica lists in its answers, besides the members, the replicas that answered it within this
+# time.
 ADVERTISE_WITHIN_S: Final = 20.0
-# The caches listed in a replica's answer are used for this long. Replicas ask each other twice a
-# second.
+# The caches listed in another replica's answer are advertised for this long. Replicas ask each
+# other twice a second.
 CACHES_VALID_S: Final = 2.0
 # Within this many heartbeat periods, a starting replica receives a heartbeat of each back end that
 # can reach it.
@@ -68,7 +70,7 @@
 
 class ReplicaLinks:
     """
-    This replica's connections to the other replicas.
+    This replica's connections to the other replicas, and the data exchanged over them.
 
     """
 
@@ -85,7 +87,8 @@
     ) -> None:
         self.env = env
         # Returns the model versions set recently, and how long older versions may still be used.
-        # A process that starts, or learns of a version late, doesn't know when it was set.
+        # A process that starts, or learns of a version late, asks for this, as it doesn't know when
+        # the version was set.
         self.list_switches = list_switches
         self.version_cutoffs = VersionCutoffs()
         self.peers = peers
@@ -97,6 +100,7 @@
         self.started_at = env.monotonic()
         # The connections over which this replica follows others.
         self.followed: dict[InstanceId, Connection] = {}
+        # By instance id of each other replica: when its last message arrived (monotonic seconds).
         self.last_contact_at: dict[str, float] = {}
         # Replicas that are being contacted, each in its own task: contact with a frozen replica
         # fails only after 2 s, which must not delay the contact with others.
@@ -123,10 +127,10 @@
 
     def update_completeness(self) -> None:
         """
-        Mark the registry as complete once it must hold all leases: after some heartbeat periods,
-        all back ends that reach this replica have sent a heartbeat, and the leases of the other
-        back ends come from a majority of the replicas. A replica that is cut off reaches no
-        majority.
+        Mark the registry as complete once two conditions hold. More than `complete_after_s` has
+        passed since the start, so all back ends that reach this replica have sent it a heartbeat.
+        This replica and those that it follows are a majority of the members, so the leases of the
+        other back ends are known from them. A replica that is cut off has no majority.
 
         """
         if self.registry.is_complete:
@@ -237,7 +241,8 @@
 
     async def on_leases(self, peer: InstanceId, message: Leases) -> None:
         """
-        Merge the records in another replica's message, and send changes on to the followers.
+        Merge the records in another replica's message, and make the feeds send the changes to
+        the followers without delay.
 
         """
         self.last_contact_at[str(peer)] = self.env.monotonic()
--- a/tests/test_delayed_heartbeats.py
+++ b/tests/test_delayed_heartbeats.py
@@ -4,8 +4,8 @@
 A heartbeat may arrive seconds late, at any replica. A replica without a lease of the sender
 treated the late heartbeat as the first one of a new back end, and ended the lease of the live back
 end at the address. The replica then ignored the heartbeats of the live back end, and callers lost
-that back end for 6.0 s. This concerns back ends that don't report an incarnation, the time when
-their process started.
+that back end for 6.0 s. This concerns back ends that don't report an incarnation (the start time
+of their process).
 
 """
 
--- a/tests/test_ends_after_an_election.py
+++ b/tests/test_ends_after_an_election.py
@@ -2,8 +2,8 @@
 Until when requests may begin on a version, if the leader is lost just after it acknowledged the
 next version.
 
-A leader acknowledged version 2 at 0.0 s and was lost. The next leader had the log entry, but
-committed and applied the entry only 1.5 s later, and counted the end of version 1 from then
+A leader acknowledged version 2 at 0.0 s and was lost. The next leader had the log entry that sets
+version 2, but committed and applied it only 1.5 s later, and counted the end of version 1 from then
 (`Version named. version=2 due_s=7.1`). Requests could have begun on version 1 until 9.5 s after
 the acknowledgement instead of 8 s.
 
--- a/tests/test_feed_relay.py
+++ b/tests/test_feed_relay.py
@@ -1,5 +1,6 @@
 """
-Relaying of the feed by another follower to one that can reach no replica.
+Relaying of the feed (the stream of updates from a replica to its followers) by another follower,
+to one that reaches no replica.
 
 """
 
--- a/tests/test_suspicion_gossip.py
+++ b/tests/test_suspicion_gossip.py
@@ -1,5 +1,6 @@
 """
-Gossip about suspicions between the entries of a fleet whose deploy file lists all instances.
+Gossip about suspicions between the entries of a listed fleet (one whose instances the platform
+lists).
 
 """
 
