--- a/packages/millfork-state/millfork_state/arrival_times.py
+++ b/packages/millfork-state/millfork_state/arrival_times.py
@@ -1,10 +1,9 @@
 """
 The times at which log entries that set a version (`Raise`) arrived at a replica.
 
-A version's time limits count from the moment at which its `Raise` was acknowledged. A leader
-elected after that applies the log entry only when it commits the entry, up to an election later.
-The arrival of the entry is closer to that moment: before it, or later only by the time that
-messages take.
+A version's time limits count from the acknowledgement of its `Raise`. A leader elected after the
+acknowledgement commits and applies the log entry up to an election later. The arrival of the log
+entry is closer to the acknowledgement: earlier, or later only by the time that messages take.
 
 """
 
@@ -13,14 +12,14 @@
 
 from millfork_state.commands import AnyCommand, Raise
 
-# The most arrival times that are kept. Versions and documents change about ten thousand times a
-# day, and a log entry is committed or replaced within seconds.
+# The most arrival times that are kept; the oldest is dropped first. Versions and documents change
+# about ten thousand times a day, and a log entry is committed or replaced within seconds.
 MAX_ARRIVAL_TIMES: Final = 256
 
 
 class ArrivalTimes:
     """
-    The log index and arrival time (monotonic seconds) of `Raise` entries, by key and version.
+    The log index and arrival time (monotonic seconds) of each `Raise`, by its key and version.
 
     """
 
@@ -30,8 +29,8 @@
 
     def record(self, index: int, command: AnyCommand) -> None:
         """
-        Record that a log entry with `command` arrived now. Commands other than `Raise` are ignored,
-        and only the first entry for a key and version counts.
+        Record that the log entry at `index` arrived now. Commands other than `Raise` are ignored,
+        and only the first log entry for a key and version counts.
 
         """
         if not isinstance(command, Raise):
--- a/packages/millfork-state/millfork_state/commands.py
+++ b/packages/millfork-state/millfork_state/commands.py
@@ -72,8 +72,8 @@
 
 class SettleKey(Command, frozen=True):
     """
-    Record the answer of the attempt that claimed an idempotency key. If `released`, the attempt
-    did not run, and the key can be claimed again.
+    Record the answer of the attempt that holds an idempotency key or, if `released`, free the key
+    for another claim, as the attempt did not run.
 
     """
 
@@ -132,7 +132,7 @@
 
 class ClaimResult(msgspec.Struct, frozen=True):
     """
-    The outcome of `ClaimKey`. If DONE, it contains the answer of the attempt that held the key.
+    The outcome of `ClaimKey`, with the answer of the attempt that holds the key if that is DONE.
 
     """
 
--- a/packages/millfork-state/millfork_state/config.py
+++ b/packages/millfork-state/millfork_state/config.py
@@ -1,5 +1,6 @@
 """
-Keys of the accepted configuration, and the types of their values.
+Keys of the configuration of listed fleets (whose instances the platform lists), and the types of
+the values.
 
 Keys are paths: `organisations/ORG`, `labels/ORG/INSTANCE`,
 `deployments/ORG/NAME`, `drains/INSTANCE`.
@@ -59,8 +60,8 @@
     @property
     def version(self) -> str:
         """
-        The id of this combination of weights, made of the digests of the parts' manifests.
-        Engines report it and answers name it.
+        The id of this combination of weights: the first 16 characters of the digest of each part's
+        manifest, joined by '+'. Engines report the id, and answers to callers contain it.
 
         """
         return '+'.join(part.manifest[:16] for part in self.parts)
@@ -107,8 +108,8 @@
 
 def matches(selector: dict[str, str | list[str]], labels: dict[str, str]) -> bool:
     """
-    Whether the labels match the selector: each of its keys needs a label with the given value, or
-    with one of a list of values.
+    Whether the labels match the selector: for each key of the selector, the label has the required
+    value, or one of the required list of values.
 
     """
     for key, required in selector.items():
--- a/packages/millfork-state/millfork_state/distribution_tree.py
+++ b/packages/millfork-state/millfork_state/distribution_tree.py
@@ -1,10 +1,10 @@
 """
 The peers that a process may take the configuration from.
 
-Every availability zone is one tree: replicas first, then the other entries,
-then the endpoints. Every process computes the same order. The parent of position p
-is (p - 1) // FANOUT, so a parent always precedes its children. A process's load
-doesn't grow with the fleet, as each process has at most FANOUT children.
+The instances of an availability zone form one tree, in this order: replicas, other entries (front
+proxies), endpoints. Every process computes the same order. The parent of position p is
+(p - 1) // FANOUT, so a parent always precedes its children. A process's load doesn't grow with the
+fleet, as each process has at most FANOUT children.
 
 """
 
@@ -56,10 +56,9 @@
     zone: ZoneId,
 ) -> list[PeerAddress]:
     """
-    Peers to subscribe to, best first: ancestors in the zone's tree, up to FANOUT entries
-    that precede the instance in the tree's order, then every replica, those of the instance's
-    zone first. Last come the zone's other entries, which may be the only reachable peers in a
-    zone that is cut off.
+    Peers to subscribe to, best first: the instance's ancestors in the zone's tree, the first
+    FANOUT entries before the instance in the tree's order, every replica (those of the zone first),
+    and the zone's other entries, which may be the only reachable peers if the zone is cut off.
 
     """
     replica_ids = {address.instance for address in replicas}
--- a/packages/millfork-state/millfork_state/election.py
+++ b/packages/millfork-state/millfork_state/election.py
@@ -23,8 +23,9 @@
 
 async def wait_for_election_timeout(replica: Replica) -> None:
     """
-    Return once no leader has been in contact for a randomised election timeout. Replicas that
-    aren't voters, or whose disk failed recently, keep waiting.
+    Return once a randomised election timeout has passed since the last contact with a leader and
+    since `campaign_delay_from`. Replicas that aren't voters, or whose disk failed recently, keep
+    waiting.
 
     """
     spread_factor = 1 + replica.env.random.random() * ELECTION_SPREAD_FRACTION
@@ -89,8 +90,9 @@
 
 async def _gather_votes(replica: Replica, request: VoteRequest) -> bool:
     """
-    Whether a majority of the voters grants the request. A vote counts only if it comes from the
-    disk that is listed in the membership.
+    Whether a majority of the voters grants the request. A vote counts only if the replying
+    replica's disk id is the one in the membership. A reply with a higher term makes this replica
+    enter that term.
 
     """
     granted = {(replica.env.instance, replica.storage.disk)} & set(replica.members)
--- a/packages/millfork-state/millfork_state/formation.py
+++ b/packages/millfork-state/millfork_state/formation.py
@@ -31,7 +31,8 @@
 
 def identity_of(replica: Replica) -> Identity:
     """
-    The replica's disk id, its cluster, and whether it is empty: it has neither cluster nor log.
+    The ids of the replica's disk and cluster, and whether the replica is empty (has neither a
+    cluster nor a log).
 
     """
     empty = not replica.cluster and replica.storage.last_index == 0
--- a/packages/millfork-state/millfork_state/keys.py
+++ b/packages/millfork-state/millfork_state/keys.py
@@ -7,11 +7,13 @@
 
 from millfork_core.ids import Fingerprint
 
-# Key of the operator's document, which is stored compressed and with its version.
+# Key of the operator's document (the configuration), which is stored compressed and with its
+# version.
 DOCUMENT_KEY: Final = 'document'
 # Prefix of the keys that hold the weights version to serve, one key per model.
 VERSION_PREFIX: Final = 'weights/'
-# Prefix of the keys of requests that are no longer sent to back ends. The fingerprint follows.
+# Prefix of the keys of quarantined requests, which are no longer sent to back ends. The request's
+# fingerprint follows the prefix.
 QUARANTINE_PREFIX: Final = 'quarantine/'
 
 
--- a/packages/millfork-state/millfork_state/leader_client.py
+++ b/packages/millfork-state/millfork_state/leader_client.py
@@ -54,11 +54,11 @@
         timeout_s: float = DEFAULT_TIMEOUT_S,
     ) -> bytes:
         """
-        Return the encoded result of a command. The command is sent again for up to `timeout_s`
-        seconds, which is harmless, as commands are idempotent.
+        Return the encoded result of a command. Without an answer, the command is sent again for up
+        to `timeout_s` seconds, which is harmless, as commands are idempotent.
 
         :raises Refused: NO_QUORUM if no leader committed the command in time, with a verdict on
-            whether it may have run; otherwise the leader's reason to refuse it.
+            whether the command may have run; otherwise the leader's reason to refuse the command.
 
         """
         data = encode_command(command)
--- a/packages/millfork-state/millfork_state/leadership.py
+++ b/packages/millfork-state/millfork_state/leadership.py
@@ -154,8 +154,8 @@
 
     async def _advance_commit(self) -> None:
         """
-        Commit the highest log index that a majority of voters holds durably, if the log entry there
-        is of this term.
+        Commit up to the highest log index that a majority of voters holds durably, if the log entry
+        at that index is of this term.
 
         """
         replica = self.replica
@@ -223,7 +223,7 @@
 
     async def _handle_reply(self, progress: Progress, reply: AppendReply, sent_at: float) -> bool:
         """
-        Update the progress from a reply; True if another request is due immediately.
+        Update the progress from a reply. True if another request should be sent immediately.
 
         """
         replica = self.replica
@@ -252,8 +252,8 @@
 
     def _acked_since(self, moment: float) -> int:
         """
-        The number of voters, including this replica, that answered a request
-        sent at `moment` or later.
+        The number of voters that answered a request sent at `moment` or later. This replica counts
+        too if it is a voter.
 
         """
         replica = self.replica
@@ -266,8 +266,8 @@
 
     async def _watch_quorum(self) -> None:
         """
-        Return when a majority has not answered for two election timeouts. The leader then
-        steps down, so that callers get 'no quorum' at once instead of a timeout.
+        Return once fewer than a majority of the voters have answered within two election timeouts.
+        The leader then steps down, so that callers get 'no quorum' at once instead of a timeout.
 
         """
         replica = self.replica
@@ -281,8 +281,9 @@
 
     async def confirm_leadership(self, timeout: float) -> bool:
         """
-        Whether a majority answered requests sent after this call started, and all log entries
-        committed in earlier terms are applied here. False after `timeout` seconds.
+        Wait until a majority has answered requests sent after this call started and all log entries
+        committed in earlier terms are applied here. False if that takes longer than `timeout`
+        seconds or this replica no longer leads the term.
 
         """
         replica = self.replica
@@ -305,9 +306,9 @@
 
     async def _maintain_members(self) -> None:
         """
-        Add replicas that have caught up and remove silent voters. A voter whose instance
-        returned with another disk is replaced by two log entries: the first removes the old
-        disk, the second adds the new one.
+        The task that adds replicas that have caught up and removes silent voters. If a voter's
+        instance returned with another disk, the first of two log entries removes the voter with
+        the old disk, and the second adds the one with the new disk.
 
         """
         replica = self.replica
--- a/packages/millfork-state/millfork_state/node.py
+++ b/packages/millfork-state/millfork_state/node.py
@@ -112,7 +112,8 @@
         Commit a command as leader and return its result.
 
         :raises Refused: with NOT_RUN if this replica isn't the leader; with MAY_HAVE_RUN if the
-            outcome isn't known in time, as the command may still be committed.
+            outcome isn't known in time or this replica steps down, as the command may still be
+            committed.
 
         """
         if not self.leads:
@@ -130,7 +131,7 @@
 
     async def answer_propose(self, data: bytes) -> Proposed:
         """
-        Answer a proposal of another process, given the encoded command.
+        Propose an encoded command, and return the outcome as a message.
 
         """
         try:
--- a/packages/millfork-state/millfork_state/replica.py
+++ b/packages/millfork-state/millfork_state/replica.py
@@ -88,7 +88,8 @@
         # later. A replica that gets no majority of pre-votes sets only this time, so that it still
         # grants pre-votes to other candidates.
         self.campaign_delay_from = self.leader_contact_at
-        # When this replica last had applied all log entries that its leader had committed.
+        # The last time at which this replica had applied all log entries that its leader had
+        # committed.
         self.caught_up_at = float('-inf')
         self.commit = 0
         self.applied = 0
@@ -97,8 +98,8 @@
         self.stepped_down = curio.Event()
         self.pending: dict[int, PendingProposal] = {}
         self.proposals: curio.Queue = curio.Queue()
-        # When a write to disk last failed. The replica doesn't campaign for an election timeout
-        # after that.
+        # When a write to disk last failed. Within one election timeout after that, the replica
+        # doesn't campaign.
         self.disk_failed_at = -settings.election_ms / 1000
         self.heartbeat_s = settings.heartbeat_ms / 1000
         self.election_s = settings.election_ms / 1000
@@ -285,7 +286,8 @@
 
     async def on_pre_vote(self, request: PreVote) -> VoteReply:
         """
-        Answer whether this replica would vote for the candidate, without any change of state.
+        Answer whether this replica would vote for the candidate, without any change of state. It
+        would not while it leads or has been in contact with a leader within the election timeout.
 
         """
         leader_is_silent = self.env.monotonic() - self.leader_contact_at > self.election_s
@@ -300,7 +302,8 @@
 
     async def on_vote(self, request: VoteRequest) -> VoteReply:
         """
-        Vote for at most one candidate in each term, and only if the candidate's log is up to date.
+        Vote for at most one candidate in each term, and only if the candidate's log is at least as
+        up to date as this replica's.
 
         """
         async with self.lock:
@@ -369,7 +372,8 @@
 
     async def on_install(self, request: InstallRequest) -> AppendReply:
         """
-        Replace this replica's state by a snapshot from the leader.
+        Replace this replica's state by a snapshot from the leader, unless this replica has already
+        committed all that the snapshot covers.
 
         """
         async with self.lock:
@@ -403,7 +407,7 @@
 
     def age_ms(self) -> int:
         """
-        Milliseconds since this replica was known to have applied all committed log entries.
+        Milliseconds since this replica was last known to have applied all committed log entries.
 
         Contact with the leader isn't enough: a replica that returned after a partition was in
         contact immediately, and for 0.2 s it told newly started front proxies that old versions
--- a/packages/millfork-state/millfork_state/roster.py
+++ b/packages/millfork-state/millfork_state/roster.py
@@ -24,7 +24,8 @@
 
 class PlatformDelta(msgspec.Struct):
     """
-    The changes to the platform's list since a version or, if `full`, the whole list.
+    The platform's list of instances at `version`: the changes since the version that was asked
+    for or, if `full`, the whole list.
 
     """
 
--- a/packages/millfork-state/millfork_state/selection.py
+++ b/packages/millfork-state/millfork_state/selection.py
@@ -21,8 +21,8 @@
 
 def is_selected(view: View, name: str, deployment: Deployment, facts: InstanceFacts) -> bool:
     """
-    Whether the deployment selects an instance, by the platform's labels of the instance and those
-    that the deployment's organisation attached to it.
+    Whether the deployment selects an instance, by the labels that the deployment's organisation
+    attached to the instance and the platform's labels, which take precedence.
 
     """
     organisation = name.split('/', 1)[0]
--- a/packages/millfork-state/millfork_state/state_machine.py
+++ b/packages/millfork-state/millfork_state/state_machine.py
@@ -29,7 +29,7 @@
 
 # The most results of `Apply` that are kept to answer resent commands.
 MAX_REMEMBERED_COMMANDS: Final = 20_000
-# The most removed keys whose revision is kept to detect conflicts.
+# The most removed keys for which the revision of the removal is kept, to detect conflicts.
 MAX_REMEMBERED_REMOVALS: Final = 20_000
 # Claims of idempotency keys are forgotten after this time.
 CLAIM_LIFETIME_MS: Final = 24 * 3600 * 1000
@@ -121,7 +121,7 @@
         for change in changes:
             if change.expect is None:
                 continue
-            if self._last_change(change.key) > change.expect:
+            if self._last_change_revision(change.key) > change.expect:
                 conflicts.append(change.key)
         if conflicts:
             return ApplyResult(False, view.revision, conflicts)
@@ -135,7 +135,7 @@
         self._remember_removed(revision, removed)
         return ApplyResult(True, revision)
 
-    def _last_change(self, key: str) -> int:
+    def _last_change_revision(self, key: str) -> int:
         stored = self.view.items.get(key)
         return stored.revision if stored else self.removed.get(key, 0)
 
--- a/packages/millfork-state/millfork_state/storage.py
+++ b/packages/millfork-state/millfork_state/storage.py
@@ -1,8 +1,8 @@
 """
 A replica's files: the log, the vote and the snapshot.
 
-All files are in one folder. A record or file counts as written only once it is
-synced. Commit marks are not synced, as losing one loses no acknowledged entry.
+All files are in one folder. A record or file counts as written only once it is synced. Commit marks
+(records of the committed log index) are not synced, as losing one loses no acknowledged log entry.
 
 """
 
@@ -28,8 +28,9 @@
 VOTE_FILE: Final = 'vote'
 SNAPSHOT_FILE: Final = 'snapshot'
 LOG_FILE: Final = 'log'
-# Errors of a disk that is full or failing. It may recover within seconds, so a starting replica
-# retries after these errors. One that can't start for OPEN_TIMEOUT_S needs an operator.
+# Errors of a disk that is full or failing. The disk may recover within seconds, so a starting
+# replica retries after these errors. A replica that can't start for OPEN_TIMEOUT_S needs an
+# operator.
 RETRIED_DISK_ERRORS: Final = frozenset({errno.ENOSPC, errno.EDQUOT, errno.EFBIG, errno.EIO})
 OPEN_RETRY_DELAY_S: Final = 0.5
 OPEN_TIMEOUT_S: Final = 60.0
@@ -65,7 +66,7 @@
 
 class Vote(msgspec.Struct):
     """
-    The disk's id, the cluster, the current term and the vote in it, kept across restarts.
+    The disk's id, the cluster, the current term and the vote in that term, kept across restarts.
 
     """
 
@@ -207,7 +208,8 @@
         self.snapshot = self._load_snapshot()
         self.entries: list[LogEntry] = []
         self.torn_bytes = 0
-        # The highest committed index that the log records. Later entries may be committed too.
+        # The highest index that the log file marked as committed when it was opened. Later log
+        # entries may be committed too.
         self.commit_hint = self._load_log()
         # The last log index known to be durable. `entries` may go beyond it.
         self.durable_index = int(self.last_index)
@@ -266,8 +268,8 @@
 
     def term_at(self, index: int) -> int | None:
         """
-        The term of the log entry at `index`, or None if the index is after the end of the log or
-        before the last one that the snapshot covers. The term at index 0 is 0.
+        The term of the log entry at `index`, or None if `index` is after the end of the log or
+        before `snapshot_index`. The term at index 0 is 0 without a snapshot.
 
         """
         if index == self.snapshot_index:
@@ -341,8 +343,9 @@
 
     async def save_snapshot(self, snapshot: Snapshot) -> None:
         """
-        Store a snapshot durably, then remove the entries that it covers from the log. If the
-        log doesn't reach the snapshot, or has another term there, all its entries are removed.
+        Store a snapshot durably, then remove the log entries that the snapshot covers. If the log
+        doesn't reach the snapshot's index, or has another term at that index, all log entries are
+        removed.
 
         """
         body = msgspec.msgpack.encode(snapshot)
@@ -375,7 +378,7 @@
 
 def open_storage(folder: Path) -> Storage:
     """
-    Open the files in a folder, and retry while its disk refuses writes. Blocks the
+    Open a replica's files in `folder`, and retry while the disk refuses writes. Blocks the
     process, as a replica can't do anything without its files.
 
     :raises OSError: if the disk refuses writes for longer than `OPEN_TIMEOUT_S`, or if the
--- a/packages/millfork-state/millfork_state/subscription.py
+++ b/packages/millfork-state/millfork_state/subscription.py
@@ -24,20 +24,22 @@
 
 # A process sends its subscribers an update at least this often, even if nothing changed.
 HEARTBEAT_S: Final = 2.0
-# An upstream without an update for this time is left. It is one heartbeat interval and a second of
-# delay. With 5 s, checked every 2 s, a process whose upstream's link stalled applied a change
-# 6.5 s after the change was accepted (tests/test_upstreams.py).
+# A process leaves an upstream that has sent no update for this time: one heartbeat interval plus a
+# second for delays. With a timeout of 5 s, checked every 2 s, a process whose upstream's link
+# stalled applied a change 6.5 s after the change was accepted (tests/test_upstreams.py).
 SILENCE_TIMEOUT_S: Final = 3.0
-# The interval of the checks for a silent or stale upstream. It adds to SILENCE_TIMEOUT_S.
+# The interval at which a process checks whether its upstream is silent or stale. A silent upstream
+# is left up to one interval after SILENCE_TIMEOUT_S.
 CHECK_INTERVAL_S: Final = 0.5
 SUBSCRIBE_TIMEOUT_S: Final = 2.0
 RETRY_DELAY_S: Final = 0.3
 QUERY_TIMEOUT_S: Final = 1.0
-# A configuration older than this is stale. Each of the tree's four levels adds up to one heartbeat
-# interval to the age.
+# A configuration is stale if its age (see `Subscription.age_ms`) is above this. Each of the tree's
+# four levels adds up to one heartbeat interval to the age.
 STALE_AGE_MS: Final = 10_000
-# A replica's configuration older than this is stale. With the default settings, a replica gets a
-# message from its leader every 0.5 s, and from a new leader after an election of at most 2.3 s.
+# A replica's configuration is stale if its age is at least this. With the default settings, a
+# replica gets a message from its leader every 0.5 s, and from a new leader after an election of at
+# most 2.3 s.
 # The limit is well below STALE_AGE_MS, so that a process leaves a stale replica before its own
 # subscribers turn stale and leave the process.
 REPLICA_STALE_AGE_MS: Final = 3_000
@@ -51,7 +53,7 @@
 
 class LeaveReason(Enum):
     """
-    Why the process leaves its upstream. The value is the `event` label in the metric.
+    Why the process leaves its upstream. The value is the `event` label in `millfork_state_total`.
 
     """
 
@@ -91,13 +93,13 @@
         self.has_gap = False
         # The peer to try first: an up-to-date one for which the last upstream was left.
         self.preferred_upstream = NO_INSTANCE
-        # The last upstream, if it was left as silent or stale. It is tried last, as it may accept
-        # connections without answering.
+        # The last upstream, if it was left as silent or stale. This peer is tried last, as it may
+        # accept connections without answering.
         self.unresponsive_upstream = NO_INSTANCE
         self.next_nearer_check_at = 0.0
         self.next_fresher_check_at = 0.0
-        # This process's replica, if it has one. Such a process takes configuration only from the
-        # replica's log, and follows the leader only to send reports.
+        # This process's replica, if it has one. A process with a replica takes the configuration
+        # only from the replica's log, and follows the leader only to send reports.
         self.replica: Replica | None = None
 
     # Downstream.
@@ -109,10 +111,12 @@
         """
         update = self.view.update_since(request.cluster, request.revision)
         update.age_ms = self.age_ms()
-        await self.env.spawn(self._feed, connection, self.view.position)
+        await self.env.spawn(self._send_updates, connection, self.view.position)
         return update
 
-    async def _feed(self, connection: Connection, position: tuple[ClusterId, Revision]) -> None:
+    async def _send_updates(
+        self, connection: Connection, position: tuple[ClusterId, Revision]
+    ) -> None:
         try:
             while not connection.closed:
                 await self.view.wait_for_change(position, HEARTBEAT_S)
@@ -125,7 +129,7 @@
 
     def age_ms(self) -> int:
         """
-        The milliseconds since this process's configuration was known to be the leader's newest.
+        Milliseconds since this process's configuration was last known to be the leader's newest.
 
         """
         if self.replica is not None:
@@ -161,8 +165,8 @@
     def _candidates_to_try(self) -> list[PeerAddress]:
         found = self._ordered_candidates()
         if self.replica is None and self.last_update_at and self.age_ms() > STALE_AGE_MS:
-            # The tree is stale, perhaps because processes with outdated instance lists follow each
-            # other in a loop: try the replicas first.
+            # The configuration is stale, perhaps because processes with outdated instance lists
+            # follow each other in a loop: try the replicas first.
             found.sort(key=lambda address: address not in self.replicas)
         found.sort(key=lambda address: address.instance == self.unresponsive_upstream)
         return sorted(found, key=lambda address: address.instance != self.preferred_upstream)
@@ -271,8 +275,9 @@
 
     async def _finds_nearer(self) -> bool:
         """
-        Whether a candidate that precedes the present upstream is up to date. The first such one
-        becomes `preferred_upstream`.
+        Whether a candidate that precedes the present upstream is up to date. The first of these
+        becomes `preferred_upstream`. Between checks, which are `NEARER_CHECK_INTERVAL_S` apart,
+        returns False.
 
         """
         if self.env.monotonic() < self.next_nearer_check_at:
@@ -289,7 +294,7 @@
     async def _first_current(self, addresses: list[PeerAddress]) -> InstanceId:
         """
         The first of `addresses` that is up to date, or NO_INSTANCE. All are queried concurrently,
-        as each silent one takes its full timeout.
+        as a query to a silent peer takes the full timeout.
 
         """
         async with curio.TaskGroup() as group:
@@ -320,7 +325,7 @@
     async def on_update(self, connection: Connection, update: Update) -> None:
         """
         Apply an update if it comes from the upstream and is newer than the view. A process with a
-        replica notes only the upstream's age.
+        replica records only the time of the update and the upstream's age.
 
         """
         if connection.peer != self.upstream:
@@ -333,7 +338,8 @@
             return
         if not self.view.apply_update(update):
             self.env.metrics.count(self.env.metrics.state, event='update_not_newer')
-            # Updates were lost: a delta starts after the view's revision, or before any full one.
+            # Updates were lost if a delta starts after the view's revision or precedes any full
+            # update.
             self.has_gap = not self.view.cluster or update.from_revision > self.view.revision
             if self.has_gap:
                 await self.reports.changed.set()
@@ -341,12 +347,12 @@
         self.env.metrics.revision.set({}, self.view.revision)
         await self.view.notify_waiters()
 
-    # The revision needed before this process serves.
+    # The minimum revision, below which this process doesn't serve.
 
     async def query_min_revision(self) -> None:
         """
         Set `min_revision` to the newest revision at the zone's other entries, so that this process
-        doesn't serve from an older one. Entries that don't answer are ignored.
+        doesn't serve from an older revision. Entries that don't answer are ignored.
 
         """
         others = [f for f in self.roster.entries(self.env.zone) if f.instance != self.env.instance]
--- a/packages/millfork-state/millfork_state/view.py
+++ b/packages/millfork-state/millfork_state/view.py
@@ -101,8 +101,8 @@
 
     def update_since(self, cluster: str, revision: int) -> Update:
         """
-        The update for a subscriber at `revision`: a delta if the history
-        reaches back that far, else the whole configuration.
+        The update for a subscriber at a `cluster` and `revision`: a delta if the cluster is this
+        view's and the history reaches back to the revision, else the whole configuration.
 
         """
         full = cluster != self.cluster or revision > self.revision
--- a/tests/mutations_listed.py
+++ b/tests/mutations_listed.py
@@ -226,7 +226,7 @@
         (
             Edit(
                 S + 'state_machine.py',
-                'if self._last_change(change.key) > change.expect:',
+                'if self._last_change_revision(change.key) > change.expect:',
                 'if False:',
             ),
         ),
--- a/tests/test_feed_client.py
+++ b/tests/test_feed_client.py
@@ -1,5 +1,6 @@
 """
-Choice of the replica whose feed a process follows: one in the process's zone if possible.
+Choice of the replica whose feed (stream of registry updates) a process follows: one in the
+process's zone if possible.
 
 """
 
@@ -63,9 +64,9 @@
     return FeedClient(env, 'entry', View(), Registry(env, 1.0), replicas, discovery)
 
 
-async def run_until(client, replicas, condition, bound_s=5.0):
+async def run_until(client, replicas, condition, timeout_s=5.0):
     task = await curio.spawn(client.run, daemon=True)
-    async with curio.timeout_after(bound_s):
+    async with curio.timeout_after(timeout_s):
         while not condition():
             # Simulates messages of the feed.
             client.source_contact_at = client.env.monotonic()
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -1,6 +1,7 @@
 """
-Only one endpoint controls an engine: a successor has a higher fencing number, by which the engine
-can refuse its predecessor, and no second endpoint starts beside a running one.
+Only one endpoint controls an engine. Each successor has a higher fencing number, so the engine can
+refuse the predecessor's orders to load or unload, and no second endpoint starts beside a running
+one.
 
 """
 
--- a/tests/test_gathering.py
+++ b/tests/test_gathering.py
@@ -1,5 +1,6 @@
 """
-How an endpoint daemon fetches the pieces of a version: from caches, else from the origin.
+How an endpoint daemon fetches the pieces of a weights version: from caches, or from the origin if
+caches don't provide them.
 
 """
 
@@ -23,8 +24,8 @@
 
 class FakeCachePeers:
     """
-    Caches that answer the first `not_yet` requests for pieces and the first `no_digests` requests
-    for digests without data. Caches in `silent` never answer.
+    Caches that have no data for the first `not_yet` requests for pieces and the first `no_digests`
+    requests for digests. Caches in `silent` never answer.
 
     """
 
--- a/tests/test_subscription.py
+++ b/tests/test_subscription.py
@@ -1,11 +1,12 @@
 """
 Which updates from an upstream are applied, and when a process leaves its upstream.
 
-The tests guard against two faults. An upstream counted as silent only after 5 s, checked every
-2 s: an entry that followed a replica with a stalled link applied a change 6.5 s after the change
-was accepted (log: 'Following entry-2' 6.5 s after the stall), other entries after 0.0 s. And a
-replica was left only for silence, whatever the age of its configuration: an entry that followed a
-replica cut off from the leader didn't apply a change within 30 s (no second 'Following').
+The tests guard against two faults. First, an upstream counted as silent only after 5 s, checked
+every 2 s: an entry that followed a replica with a stalled link applied a change 6.5 s after the
+change was accepted (log: 'Following entry-2' 6.5 s after the stall), other entries after 0.0 s.
+Second, a replica was left only if it was silent, whatever the age of its configuration: an entry
+that followed a replica cut off from the leader didn't apply a change within 30 s (no second
+'Following' in the log).
 
 """
 
@@ -232,7 +233,7 @@
 
 
 def test_a_silent_upstream_is_left_within_two_heartbeats():
-    # Heartbeats come every 2 s.
+    # HEARTBEAT_S is 2 s; the fake replicas send heartbeats more often.
     first, second = FakeReplica('r1'), FakeReplica('r2')
     subscription = subscription_to(first, second)
 
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -1,11 +1,11 @@
 """
 Configuration changes reach entries that follow a replica which is cut off.
 
-In the scenario `control_cut_off_silently`, entry-5 follows entry-1, because entry-2 in
-entry-5's zone started later, and the links of entry-1 stall. If entry-3 leads, changes are
-accepted at once, but entry-5 got them only after 6.5 s, where 5 s are allowed. If entry-1 leads,
-the election hides this delay. If only the link between entry-1 and the leader stalled, entry-4
-got no change within 30 s. These tests fix which replica leads and which one each entry follows.
+In the scenario `control_cut_off_silently`, the links of entry-1 stall while entry-5 follows
+entry-1, because entry-2 in entry-5's zone started later. When entry-3 led, changes were accepted
+at once but reached entry-5 only after 6.5 s, where 5 s are allowed. When entry-1 led, the election
+hid this delay. When only the link between entry-1 and the leader stalled, entry-4 got no change
+within 30 s. These tests determine which replica leads and which replica each entry follows.
 
 """
 
@@ -21,9 +21,9 @@
 from millfork_standins.requests import fetch
 from tests.utils.fleets import control, wait_until
 
-# Election timeout of the replicas that must not lead; it is 1500 ms at the intended leader. With
-# equal timeouts, entry-2 won none of 20 elections in one run.
-LATE_ELECTION_MS = 5000
+# Election timeout of the replicas that must not lead; the intended leader's is 1500 ms. With equal
+# timeouts, entry-2 won none of 20 elections in one run.
+FOLLOWER_ELECTION_MS = 5000
 MAX_ELECTIONS = 20
 LEADER_LINE = re.compile(r' Leader of term (\d+)')
 # The time allowed for a change to reach an entry, as in the scenario.
@@ -47,7 +47,7 @@
         fleet = self.fleet
         for replica in fleet.replicas:
             if replica.name != self.intended_leader:
-                replica.settings['state'] = {'election_ms': LATE_ELECTION_MS}
+                replica.settings['state'] = {'election_ms': FOLLOWER_ELECTION_MS}
         fleet.start_standins()
         self._start('entry-1', 'entry-2', 'entry-3')
         wait_until(self.leader)
@@ -113,27 +113,29 @@
         return fetch('GET', host, ADMIN_PORT, '/readyz').json()['revision']
 
 
-@pytest.fixture(name='entries')
-def start_entries(request, tmp_path):
-    entries = FleetWithLeader(tmp_path, request.param)
+@pytest.fixture(name='fleet_with_leader')
+def start_fleet(request, tmp_path):
+    fleet_with_leader = FleetWithLeader(tmp_path, request.param)
     try:
-        entries.start()
-        yield entries
+        fleet_with_leader.start()
+        yield fleet_with_leader
     finally:
-        entries.fleet.close()
+        fleet_with_leader.fleet.close()
 
 
-@pytest.mark.parametrize('entries', ['entry-1', 'entry-2', 'entry-3'], indirect=True)
-def test_changes_reach_followers_of_a_replica_whose_links_stall(entries):
-    entries.fleet.freeze_links((1, 2), (1, 3))
-    revision = entries.apply(1)
+@pytest.mark.parametrize('fleet_with_leader', ['entry-1', 'entry-2', 'entry-3'], indirect=True)
+def test_changes_reach_followers_of_a_replica_whose_links_stall(fleet_with_leader):
+    fleet_with_leader.fleet.freeze_links((1, 2), (1, 3))
+    revision = fleet_with_leader.apply(1)
     until = time.monotonic() + APPLY_TIMEOUT_S
     for name in ('entry-2', 'entry-3', 'entry-5'):
-        wait_until(lambda name=name: entries.revision(name) >= revision, until - time.monotonic())
+        wait_until(
+            lambda name=name: fleet_with_leader.revision(name) >= revision, until - time.monotonic()
+        )
 
 
-@pytest.mark.parametrize('entries', ['entry-3'], indirect=True)
-def test_changes_reach_followers_of_a_replica_that_only_the_leader_lost(entries):
-    entries.fleet.freeze_links((1, 3))
-    revision = entries.apply(1)
-    wait_until(lambda: entries.revision('entry-4') >= revision, STALE_APPLY_TIMEOUT_S)
+@pytest.mark.parametrize('fleet_with_leader', ['entry-3'], indirect=True)
+def test_changes_reach_followers_of_a_replica_that_only_the_leader_lost(fleet_with_leader):
+    fleet_with_leader.fleet.freeze_links((1, 3))
+    revision = fleet_with_leader.apply(1)
+    wait_until(lambda: fleet_with_leader.revision('entry-4') >= revision, STALE_APPLY_TIMEOUT_S)
--- a/tests/test_version_ends_after_restart.py
+++ b/tests/test_version_ends_after_restart.py
@@ -1,7 +1,7 @@
 """
 Version cutoffs (the times from which no request may begin on an older version) that a replica
 reports after it was away until a cutoff had passed. By then, the other replicas no longer list the
-version as recently set, so they don't correct a cutoff that the returning replica reports too late.
+version as recently set, so they don't correct a returning replica that reports a later cutoff.
 
 """
 
@@ -27,7 +27,7 @@
 from tests.utils.fleets import wait_until
 
 VERSION_MS = 3000
-# Answers give times in whole ms, and take a few ms to arrive.
+# Cutoffs may differ by this much: answers give times in whole ms, and take a few ms to arrive.
 TOLERANCE_S = 0.1
 
 
@@ -44,7 +44,7 @@
         new_fleet.close()
 
 
-def due_s(fleet, host):
+def seconds_to_cutoff(fleet, host):
     """
     The seconds until the cutoff (`due_s`) in each line about version 2 of a process's log.
 
@@ -63,12 +63,12 @@
     if disk == 'lost':
         shutil.rmtree(fleet.folder / absent_replica)
     fleet.start_process(absent_replica)
-    wait_until(lambda: due_s(fleet, absent_replica))
+    wait_until(lambda: seconds_to_cutoff(fleet, absent_replica))
     # The cutoff passed before the replica's present process started.
-    assert max(due_s(fleet, absent_replica)) <= 0
+    assert max(seconds_to_cutoff(fleet, absent_replica)) <= 0
 
 
-def followed(fleet):
+def followed_replica(fleet):
     """
     The replica that the entry follows at present, according to the entry's log.
 
@@ -78,7 +78,8 @@
 
 def lose_commit_mark(folder):
     """
-    Drop the last commit mark from a replica's log, as a loss of power does: marks aren't synced.
+    Truncate a replica's log before its last commit mark, as a loss of power can: commit marks
+    aren't synced.
 
     """
     log = folder / STATE_FOLDER / LOG_FILE
@@ -93,48 +94,48 @@
     """
     A version is set while a replica is down. After the version's cutoff, the replica and an entry
     start together. The replica used to report its state as fresh once it had contact with the
-    leader, before it had the log entries committed meanwhile. The entry followed it, got the
-    version 58 ms later as newly set, and could have sent requests to the ended version until the
-    cutoff was corrected 0.2 s later. This happened in 4 of 15 runs, five at a time under other
+    leader, before it had the log entries committed meanwhile. The entry followed that replica, got
+    the version 58 ms later as newly set, and could have sent requests to the ended version until
+    the cutoff was corrected 0.2 s later. This happened in 4 of 15 runs, five at a time under other
     load. A replica's age now counts from when it holds all committed log entries.
 
     """
     entry = fleet.entry_hosts[0]
-    first = followed(fleet)
+    first = followed_replica(fleet)
     fleet.kill(first)
-    wait_until(lambda: followed(fleet) != first)
+    wait_until(lambda: followed_replica(fleet) != first)
     name_version(fleet, 2, entry)
     wait_for_seconds(VERSION_MS / 1000 + 1)
     fleet.kill(entry)
     (fleet.folder / f'{entry}.log').unlink()
     fleet.start_process(first)
     fleet.start_process(entry)
-    wait_until(lambda: due_s(fleet, entry))
+    wait_until(lambda: seconds_to_cutoff(fleet, entry))
     wait_for_seconds(1.0)
-    assert max(due_s(fleet, entry)) <= 0
+    assert max(seconds_to_cutoff(fleet, entry)) <= 0
 
 
 def test_a_replica_that_lost_power_brings_back_no_ended_version(fleet):
     entry = fleet.entry_hosts[0]
-    first = followed(fleet)
+    first = followed_replica(fleet)
     name_version(fleet, 2, entry)
     wait_for_seconds(VERSION_MS / 1000 + 1)
-    lines_before = len(due_s(fleet, entry))
+    lines_before = len(seconds_to_cutoff(fleet, entry))
     fleet.kill(first)
     lose_commit_mark(fleet.folder / first)
-    wait_until(lambda: followed(fleet) != first)
-    other = followed(fleet)
+    wait_until(lambda: followed_replica(fleet) != first)
+    other = followed_replica(fleet)
     (fleet.folder / f'{first}.log').unlink()
     fleet.start_process(first)
-    wait_until(lambda: due_s(fleet, first))
+    wait_until(lambda: seconds_to_cutoff(fleet, first))
     # With the other replica stopped, the entry returns to the first one.
     fleet.signal(other, signal.SIGSTOP)
     try:
-        wait_until(lambda: followed(fleet) == first)
+        wait_until(lambda: followed_replica(fleet) == first)
         wait_for_seconds(1.0)
     finally:
         fleet.signal(other, signal.SIGCONT)
-    assert due_s(fleet, entry)[lines_before:] == []
+    assert seconds_to_cutoff(fleet, entry)[lines_before:] == []
 
 
 def test_a_version_stays_ended_when_the_same_replica_restarts():
--- a/tests/test_wait_for_first_document.py
+++ b/tests/test_wait_for_first_document.py
@@ -1,5 +1,6 @@
 """
-Callers of a starting entry wait for the entry's first document, for a bounded time.
+Callers of a starting entry wait for the entry's first document (the configuration with its
+routes), for a bounded time.
 
 """
 
@@ -81,7 +82,7 @@
 
 def test_the_wait_is_subtracted_from_the_deadline():
     # When the deadline was counted from the end of the wait, back ends got up to a quarter of the
-    # deadline more than the caller had left: 1500 ms of 1500 ms after a wait of 375 ms.
+    # deadline more than the caller had left: the full 1500 ms after a wait of 375 ms.
     admitting = admission()
     admitting.table = route_table()
     received_at = admitting.env.monotonic() - 0.375
