--- a/packages/millforkd/millforkd/sidecar/daemon.py
+++ b/packages/millforkd/millforkd/sidecar/daemon.py
@@ -30,7 +30,7 @@
 from millforkd.sidecar.expiry import ExpiryWatcher
 from millforkd.sidecar.fleet import Fleet
 from millforkd.sidecar.gathering import PieceGatherer
-from millforkd.sidecar.layer_assignment import serves_whole
+from millforkd.sidecar.layer_assignment import serves_all_layers
 from millforkd.sidecar.load import EngineLoads
 from millforkd.sidecar.origin import Origin, find_origin
 from millforkd.sidecar.pieces import (
@@ -386,7 +386,7 @@
         """
         layers, _ = self._model_shape()
         served = self.rollout.served
-        return not self.rollout.changing_to and serves_whole(served, weights, layers)
+        return not self.rollout.changing_to and serves_all_layers(served, weights, layers)
 
 
 def _link_bytes_per_s(settings: SeededSettings) -> int:
--- a/packages/millforkd/millforkd/sidecar/fleet.py
+++ b/packages/millforkd/millforkd/sidecar/fleet.py
@@ -16,7 +16,7 @@
     LayerAssignment,
     Layers,
     assign_layers,
-    daemons_without_whole,
+    daemons_with_missing_layers,
 )
 from millforkd.sidecar.pieces import WeightsId
 from millforkd.sidecar.sources import holders, preferred_holders, request_order
@@ -85,7 +85,7 @@
             return last
         layers, _ = self.model_shape()
         members = self.members()
-        incomplete = daemons_without_whole(members, weights, self.service, layers)
+        incomplete = daemons_with_missing_layers(members, weights, self.service, layers)
         assignments = assign_layers(incomplete, weights, layers)
         for state in incomplete:
             goal = state.goal
--- a/packages/millforkd/millforkd/sidecar/layer_assignment.py
+++ b/packages/millforkd/millforkd/sidecar/layer_assignment.py
@@ -49,7 +49,7 @@
     pair: int
 
 
-def daemons_without_whole(
+def daemons_with_missing_layers(
     states: Iterable[EndpointState], weights: WeightsId, service: str, layers: int
 ) -> list[EndpointState]:
     """
@@ -59,11 +59,11 @@
     return [
         state
         for state in states
-        if state.service == service and not serves_whole(state.served, weights, layers)
+        if state.service == service and not serves_all_layers(state.served, weights, layers)
     ]
 
 
-def serves_whole(served: Iterable[ServedVersion], weights: WeightsId, layers: int) -> bool:
+def serves_all_layers(served: Iterable[ServedVersion], weights: WeightsId, layers: int) -> bool:
     """
     Whether `served`, the versions that an engine serves, includes all layers of a version.
 
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -11,7 +11,12 @@
 from hypothesis import strategies as st
 
 from millfork_registry.records import EndpointState, HeldVersion, ServedVersion
-from millforkd.sidecar.layer_assignment import Layers, assign_layers, served_layers, serves_whole
+from millforkd.sidecar.layer_assignment import (
+    Layers,
+    assign_layers,
+    served_layers,
+    serves_all_layers,
+)
 from millforkd.sidecar.pieces import (
     PieceStore,
     WeightsId,
@@ -104,8 +109,8 @@
 def test_served_layers_of_a_version():
     served = [ServedVersion('m', 2, 8, 16)]
     assert served_layers(served, WEIGHTS, 16) == Layers(8, 16)
-    assert not serves_whole(served, WEIGHTS, 16)
-    assert serves_whole([ServedVersion('m', 2)], WEIGHTS, 16)
+    assert not serves_all_layers(served, WEIGHTS, 16)
+    assert serves_all_layers([ServedVersion('m', 2)], WEIGHTS, 16)
     assert served_layers([ServedVersion('m', 1)], WEIGHTS, 16) is None
 
 
