--- a/packages/millforkd/millforkd/sidecar/rollout.py
+++ b/packages/millforkd/millforkd/sidecar/rollout.py
@@ -43,7 +43,7 @@
 POLL_S: Final = 0.1
 # The engines change in this many turns. Fewer turns would remove half of the capacity at
 # once; more turns do not fit into the time that remains after the pieces have arrived.
-TURNS: Final = 3
+ROLLOUT_TURNS: Final = 3
 # If this many staged pieces are missing or do not match the digests of the target, and none has
 # matched, the staged pieces are assumed to belong to another version.
 MAX_STAGED_MISMATCHES: Final = 3
@@ -283,9 +283,9 @@
         version does not wait. False if the target changes meanwhile.
 
         """
-        turn = self.fleet.own_turn(target.weights, TURNS)
+        turn = self.fleet.own_turn(target.weights, ROLLOUT_TURNS)
         while self.serves_another(target) and self.env.monotonic() < target.due:
-            if self._changed_count(target) * TURNS >= turn * len(self.fleet.members()):
+            if self._changed_count(target) * ROLLOUT_TURNS >= turn * len(self.fleet.members()):
                 break
             await curio.sleep(POLL_S)
             if self._is_outdated(target):
--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -434,8 +434,8 @@
         (
             Edit(
                 D + 'sidecar/rollout.py',
-                'if self._changed_count(target) * TURNS >= turn',
-                'if self._changed_count(target) * TURNS >= 0 * turn',
+                'if self._changed_count(target) * ROLLOUT_TURNS >= turn',
+                'if self._changed_count(target) * ROLLOUT_TURNS >= 0 * turn',
             ),
         ),
     ),
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -18,7 +18,7 @@
 from millforkd.sidecar.expiry import ExpiryWatcher
 from millforkd.sidecar.fleet import Fleet
 from millforkd.sidecar.pieces import PieceStore, WeightsId
-from millforkd.sidecar.rollout import DRAIN_S, LATE_DRAIN_S, TURNS, Rollout
+from millforkd.sidecar.rollout import DRAIN_S, LATE_DRAIN_S, ROLLOUT_TURNS, Rollout
 from millforkd.sidecar.target import Target
 from millforkd.version_switching import LAST_SEND_BEFORE_END_S
 from tests.test_servers import Clock
@@ -143,14 +143,14 @@
     async def run():
         under_test = RolloutUnderTest(turn=1)
         task = await under_test.run()
-        under_test.change(len(NAMES) // TURNS - 1)
+        under_test.change(len(NAMES) // ROLLOUT_TURNS - 1)
         await under_test.until(
             lambda: under_test.rollout.store.get_or_create(under_test.target.weights).whole
         )
         state_requests = under_test.state_requests
         await under_test.until(lambda: under_test.state_requests > state_requests + 3)
         assert under_test.announced_versions == []
-        under_test.change(len(NAMES) // TURNS)
+        under_test.change(len(NAMES) // ROLLOUT_TURNS)
         await under_test.until(lambda: under_test.engine.orders)
         assert under_test.env.monotonic() < under_test.target.due
         await task.cancel()
@@ -427,8 +427,8 @@
 
 
 def test_each_turn_has_equally_many_engines():
-    counts = [0] * TURNS
+    counts = [0] * ROLLOUT_TURNS
     for position in range(len(NAMES)):
         under_test = RolloutUnderTest(position)
-        counts[under_test.rollout.fleet.own_turn(WeightsId('m', 2), TURNS)] += 1
-    assert counts == [len(NAMES) // TURNS] * TURNS
+        counts[under_test.rollout.fleet.own_turn(WeightsId('m', 2), ROLLOUT_TURNS)] += 1
+    assert counts == [len(NAMES) // ROLLOUT_TURNS] * ROLLOUT_TURNS
