--- a/packages/millforkd/millforkd/sidecar/expiry.py
+++ b/packages/millforkd/millforkd/sidecar/expiry.py
@@ -72,7 +72,7 @@
         """
         while True:
             await curio.sleep(POLL_S)
-            target = self.rollout.target()
+            target = self.rollout.get_target()
             if target is None:
                 continue
             held = self.store.get_or_create(target.weights)
--- a/packages/millforkd/millforkd/sidecar/rollout.py
+++ b/packages/millforkd/millforkd/sidecar/rollout.py
@@ -67,7 +67,7 @@
         store: PieceStore,
         gatherer: PieceGatherer,
         fleet: Fleet,
-        target: Callable[[], Target | None],
+        get_target: Callable[[], Target | None],
         announce: Callable[[], Awaitable[None]],
     ) -> None:
         self.env = env
@@ -76,7 +76,7 @@
         self.gatherer = gatherer
         self.fleet = fleet
         # Returns the current target; None if it is not known.
-        self.target = target
+        self.get_target = get_target
         # Sends this daemon's state to the replica or daemon that sends it the feed.
         self.announce = announce
         self.report: EngineReport | None = None
@@ -171,7 +171,7 @@
         """
         while True:
             await curio.sleep(POLL_S)
-            target = self.target()
+            target = self.get_target()
             if target is None or self.report is None or self._is_done(target):
                 continue
             await self._step(target)
@@ -224,7 +224,7 @@
         return self.assignment[1]
 
     def _is_outdated(self, target: Target) -> bool:
-        now = self.target()
+        now = self.get_target()
         return now is None or now.weights != target.weights
 
     async def _gather(self, held: PieceSet, target: Target, goal: Layers) -> bool:
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -204,7 +204,7 @@
     The rollout's target, with the time by which the engine must change to it in the past.
 
     """
-    target = rollout.target()
+    target = rollout.get_target()
     return type(target)(target.weights, target.layers, target.pieces, 0.0, 0.0)
 
 
