--- a/packages/millforkd/millforkd/sidecar/daemon.py
+++ b/packages/millforkd/millforkd/sidecar/daemon.py
@@ -47,13 +47,13 @@
 # Time between two reports of this daemon, in seconds. An engine starts and finishes about two
 # requests in this time.
 REPORT_INTERVAL_S: Final = 0.15
-# Limit of the time in which the receiver of a report must answer, in seconds.
+# Timeout of sending a report and receiving the answer, in seconds.
 REPORT_TIMEOUT_S: Final = 0.5
-# Share of the link's rate that weight transfers may use. The engine's requests and answers
-# have the rest: they take about 3% of 3.65 Mbit/s at full load.
+# Share of the link's rate that weight transfers may use. The rest is left for the engine's
+# requests and answers, which take about 3% of a link of 3.65 Mbit/s at full load.
 TRANSFER_SHARE: Final = 0.94
-# A daemon that is asked for the digests of its target version, but has not received them yet,
-# waits this many seconds for them before it answers.
+# A daemon that is asked for digests which it has not received yet waits for them for at most
+# this many seconds before it answers.
 DIGESTS_WAIT_S: Final = 1.0
 BITS_PER_MBIT: Final = 1_000_000
 # The rate assumed for a link without a configured rate: 10 Gbit/s.
@@ -142,7 +142,7 @@
 
     async def drain(self) -> None:
         """
-        Return at once, because a planned stop has no requests of this daemon to wait for.
+        Return at once: this daemon runs no requests that a planned stop would have to wait for.
 
         """
 
@@ -202,8 +202,9 @@
 
     async def _send_report(self) -> None:
         """
-        Send this daemon's state to the process that sends it the feed: a replica, or another
-        daemon that passes the state on. The state is not sent while there is no such process.
+        Send this daemon's state to the process from which this daemon receives the feed (the
+        stream of registry updates): a replica, or another daemon that passes the state on. The
+        state is not sent while there is no such process.
 
         """
         source = self.feed_client.report_target
@@ -244,9 +245,9 @@
 
     def _held_versions(self, served: tuple[ServedVersion, ...]) -> tuple[HeldVersion, ...]:
         """
-        The pieces that other daemons can fetch from this one: of each version in memory the
-        longest run of pieces, and all pieces of a version that the engine serves whole, which
-        are still staged at the engine.
+        The pieces that other daemons can fetch from this one: for each version in memory, the
+        longest run of consecutive pieces; and, unless the engine is changing its version, all
+        pieces of a version of which it serves all layers, since they are still staged there.
 
         """
         held = []
--- a/packages/millforkd/millforkd/sidecar/engine.py
+++ b/packages/millforkd/millforkd/sidecar/engine.py
@@ -1,5 +1,6 @@
 """
-Calls to the engine on this instance: state reports, staged pieces and load orders.
+Calls to the engine on this instance: requests for its state, transfers of pieces to and from its
+staging area, and load orders.
 
 """
 
@@ -92,11 +93,13 @@
             return None
         return response.body if response.status == 200 else None
 
-    async def start(self, model: str, version: int, first: int, end: int, interrupts: bool) -> bool:
+    async def load_layers(
+        self, model: str, version: int, first: int, end: int, interrupts: bool
+    ) -> bool:
         """
         Tell the engine to load the layers from `first` to before `end` from its staged pieces.
         The engine lets running requests finish first, or ends them if `interrupts` is set.
-        False if the engine does not accept the load order.
+        False if the engine does not answer or does not accept the load order.
 
         """
         try:
--- a/packages/millforkd/millforkd/sidecar/expiry.py
+++ b/packages/millforkd/millforkd/sidecar/expiry.py
@@ -1,15 +1,15 @@
 """
 Removes the served version from the engine if that version ends before the next one has arrived.
 
-From its end on, no request may start on a version. Entries stop sending in time, but their
+Once a version has ended, no request may start on it. Entries stop sending in time, but their
 last requests may be queued in a slow link, where they can't be cancelled: a request was seen
 to start 1.1 s after it was sent. This daemon runs on the same instance as the engine, so no
 link delays its load orders. It tells the engine to hold a single layer of the next version, so
-that the engine refuses late requests as not run. If no layer of the next version has arrived
-(the origin is down, or the daemon has just started), the engine is told to hold one layer of
-the served version, whose pieces are still staged. If the next version is nearly complete, the
-engine gets no such load order: until its running requests had ended, it would accept no other
-load order, and so would change to the next version 0.5 s to 1.5 s later.
+that the engine refuses late requests without running them. If no layer of the next version has
+arrived (the origin is down, or the daemon has just started), the engine is told to hold one
+layer of the served version, whose pieces are still staged. If the next version is nearly
+complete, the engine gets no such load order: until its running requests had ended, the engine
+would accept no other load order, and so would change to the next version 0.5 s to 1.5 s later.
 
 """
 
@@ -31,13 +31,13 @@
 
 # Time between two checks of the served version, in seconds.
 POLL_S: Final = 0.05
-# The engine is emptied this many seconds before the served version ends. The load order takes
-# two polls and a few calls on the same instance, and this daemon may have learned of the new
-# version 0.2 s after the entries did.
+# The engine is told to hold a single layer this many seconds before the served version ends. The
+# load order takes two polls and a few calls on the same instance, and this daemon may have learned
+# of the new version 0.2 s after the entries did.
 EMPTY_AHEAD_S: Final = 0.35
 # The next version counts as nearly complete if its missing pieces will arrive within this many
 # seconds at the rate of the last second. On a link slow enough to delay requests by about a
-# second, the missing pieces take longer.
+# second, the missing pieces take longer than this.
 NEARLY_COMPLETE_S: Final = 0.5
 # The rate at which pieces arrive is measured over this many seconds.
 RATE_WINDOW_S: Final = 1.0
@@ -47,8 +47,8 @@
 
 class ExpiryWatcher:
     """
-    Empties the engine when the served version is about to end: leaves it a single layer, with
-    which it can't run requests.
+    Empties the engine shortly before the served version ends: tells the engine to hold a single
+    layer, with which it can't run requests.
 
     """
 
@@ -116,9 +116,9 @@
 
     def _serves_ending_version(self, target: Target) -> bool:
         """
-        Whether the engine serves a version other than the target that has ended, or ends within
-        `EMPTY_AHEAD_S`. False if the engine was already emptied for this target, or is changing
-        its version.
+        Whether the engine serves an old version, not the target, and that version has ended or
+        ends within `EMPTY_AHEAD_S`. False if the engine was already emptied for this target, or
+        is changing its version.
 
         """
         emptied = self.emptied_for == (self.rollout.incarnation, target.weights.version)
@@ -129,7 +129,7 @@
         return self.env.monotonic() > target.due + LAST_SEND_BEFORE_END_S - EMPTY_AHEAD_S
 
     async def _empty_engine(self, target: Target) -> None:
-        async with self.rollout.order_lock:
+        async with self.rollout.load_order_lock:
             if not self._serves_ending_version(target):
                 return
             emptied = (self.rollout.incarnation, target.weights.version)
@@ -148,9 +148,9 @@
 
     async def _order_single_layer(self, target: Target) -> ServedVersion | None:
         """
-        Tell the engine to hold a single layer of the next version, from which the rollout
-        continues, or if no layer of it is complete, one of the served version. Returns the
-        layer; None if no load order was sent or the engine did not accept it.
+        Tell the engine to hold a single layer: one of the next version, to which the rollout
+        later adds the others, or, if no layer of the next version is complete, one of the
+        served version. Returns that layer; None if the engine did not get or accept the order.
 
         """
         weights = target.weights
@@ -167,8 +167,8 @@
         """
         Tell the engine to hold a single layer of the served version: with one layer, the engine
         can't generate tokens. The pieces of this layer are still staged at the engine, unless
-        an earlier process of this daemon has staged pieces of the target; then nothing is sent.
-        Nothing is sent either if the engine holds a single layer already.
+        an earlier process of this daemon staged pieces of the target. No load order is sent in
+        that case, or before that was checked, or if the engine holds a single layer already.
 
         """
         if not self.rollout.staged_checked or self.rollout.staged_weights == target.weights:
@@ -186,7 +186,7 @@
 
     async def _order(self, weights: WeightsId, layer: Layers) -> ServedVersion | None:
         model, version = weights.model, weights.version
-        if not await self.engine.start(model, version, layer.first, layer.end, False):
+        if not await self.engine.load_layers(model, version, layer.first, layer.end, False):
             return None
         return ServedVersion(model, version, layer.first, layer.end)
 
--- a/packages/millforkd/millforkd/sidecar/fleet.py
+++ b/packages/millforkd/millforkd/sidecar/fleet.py
@@ -67,7 +67,7 @@
 
     def members(self) -> list[EndpointState]:
         """
-        All daemons of the service, this one included.
+        The states of all daemons of the service, this one included.
 
         """
         own = self.own_state()
@@ -103,7 +103,8 @@
     def own_assignment(self, weights: WeightsId) -> LayerAssignment:
         """
         The layers of a version that this daemon's engine loads first, computed from all daemons
-        whose engines do not serve the whole version. All layers if its own engine serves them.
+        whose engines do not serve the whole version. All layers if this daemon's engine already
+        serves them.
 
         """
         own = self.own_state()
@@ -116,7 +117,8 @@
 
     def own_turn(self, weights: WeightsId, turns: int) -> int:
         """
-        The turn, from 0 to `turns` - 1, in which this daemon's engine changes to a version.
+        The turn, from 0 to `turns` - 1, in which this daemon's engine changes to a version. The
+        engines of the service are divided among the turns, which follow one another.
 
         """
         own = str(self.env.instance)
--- a/packages/millforkd/millforkd/sidecar/gathering.py
+++ b/packages/millforkd/millforkd/sidecar/gathering.py
@@ -1,8 +1,8 @@
 """
 Fetches the pieces of a version into memory, from caches, peers and the origin.
 
-Caches run in entries and keep pieces for the daemons of their zone. Peers are the other
-endpoint daemons of the service.
+Caches run in entries (front proxies) and keep pieces for the daemons of their zone. Peers are
+the other endpoint daemons of the service.
 
 """
 
@@ -36,7 +36,7 @@
 # engine's requests.
 CACHE_WINDOW_PIECES: Final = 2
 # After this many consecutive rounds in which no cache returned a piece, a daemon asks peers and
-# the origin. So many rounds outlast an origin that is down for some seconds: caches fetch
+# the origin. These rounds take longer than an outage of the origin of some seconds: caches fetch
 # pieces again as soon as the origin is back.
 MAX_FAILED_CACHE_ROUNDS: Final = 20
 # After this many consecutive failed requests to caches for the list of digests, a daemon
@@ -52,12 +52,15 @@
 STALL_S: Final = 0.8
 # Timeout of a request to a peer, or to a cache over a slow link, in seconds.
 PEER_TIMEOUT_S: Final = 2.0
-# Timeout of a request to a cache, and of any request for digests, in seconds. A cache answers
-# 'not yet' after 0.5 s, and a piece takes 0.05 s on the link.
+# Timeout of a request to a cache over a link that is not slow, and of any request for digests
+# to a cache or peer, in seconds. A cache answers 'not yet' after 0.5 s, and a piece takes 0.05 s
+# on the link.
 CACHE_TIMEOUT_S: Final = 1.0
-# In one round, a daemon asks at most this many peers, or caches, for a piece.
+# In one round, a daemon asks at most this many caches or peers for a piece, and at most this
+# many peers for the digests.
 MAX_PEERS_PER_ROUND: Final = 2
-# Pause after a request that returned no data, in seconds.
+# Pause after a failed request for digests, a failed request to the origin, or a round of requests
+# to caches in which no piece arrived, in seconds.
 RETRY_S: Final = 0.2
 
 FetchPiece = Callable[[PieceSet, int], Awaitable[None]]
@@ -291,9 +294,9 @@
 
     async def obtain_digests(self, held: PieceSet) -> bool:
         """
-        Fetch the digests of all pieces into `held`: with one request to a cache, or, if no cache
-        answers or `MAX_FAILED_DIGEST_REQUESTS` such requests failed, from peers or the origin.
-        False if the digests could not be fetched.
+        Fetch the digests of all pieces into `held`, with one request to a cache. If there is no
+        cache that recently answered, or after `MAX_FAILED_DIGEST_REQUESTS` consecutive failed
+        requests to caches, fetch them from peers or the origin. False if this failed.
 
         """
         if held.digests:
--- a/packages/millforkd/millforkd/sidecar/layer_assignment.py
+++ b/packages/millforkd/millforkd/sidecar/layer_assignment.py
@@ -40,8 +40,8 @@
 @dataclass(frozen=True, slots=True)
 class LayerAssignment:
     """
-    The layers that one engine loads first, and the number of the pair of engines that it
-    belongs to (0 also for an engine without a partner).
+    The layers that one engine loads first, and the number of the pair of engines to which this
+    engine belongs (0 also for an engine without a partner).
 
     """
 
--- a/packages/millforkd/millforkd/sidecar/load.py
+++ b/packages/millforkd/millforkd/sidecar/load.py
@@ -16,13 +16,13 @@
 # A report of the engine answers all queries within this many seconds, about one forward pass of
 # the engine.
 SHARED_REPORT_S: Final = 0.005
-# The pace is sent as a percentage.
+# The pace (1 at the declared speed, above 1 if the engine is slower) is sent multiplied by this.
 PERCENT: Final = 100
 
 
 class EngineLoads:
     """
-    Answers load queries; queries at the same time share one report of the engine.
+    Answers load queries; queries within `SHARED_REPORT_S` after a report share this report.
 
     """
 
--- a/packages/millforkd/millforkd/sidecar/origin.py
+++ b/packages/millforkd/millforkd/sidecar/origin.py
@@ -58,7 +58,7 @@
         self.current_spec = spec
         self.client: Client | None = None
         self.paused_until = float('-inf')
-        # Whether the last request got no answer. Logged only when this changes.
+        # Whether the last request got no answer. A failure is logged only when this changes.
         self.failing = False
 
     async def fetch_piece(self, held: PieceSet, index: int) -> bytes | None:
--- a/packages/millforkd/millforkd/sidecar/pieces.py
+++ b/packages/millforkd/millforkd/sidecar/pieces.py
@@ -75,7 +75,8 @@
 
     def missing(self, wanted: range | None = None) -> list[int]:
         """
-        The indexes in `wanted` whose pieces are not held; without `wanted`, all such indexes.
+        The indexes in `wanted` whose pieces are not held; if `wanted` is None or empty, the
+        indexes of all pieces of the version that are not held.
 
         """
         everything = range(len(self.digests))
@@ -99,7 +100,7 @@
 
     async def set_digests(self, digests: tuple[str, ...]) -> None:
         """
-        Set the digests, and store those of the earlier pieces that match their digests.
+        Set the digests, and store the pieces that arrived before them if they match.
 
         """
         self.digests = digests
--- a/packages/millforkd/millforkd/sidecar/pushing.py
+++ b/packages/millforkd/millforkd/sidecar/pushing.py
@@ -1,9 +1,8 @@
 """
-Sends pieces fetched from the origin to the other daemons that need them first.
+Sends pieces fetched from the origin to the other daemons whose engines load them first.
 
-A daemon first needs the pieces of the layers that its engine loads first. For each receiver, a
-task sends one piece at a time: further pieces would only queue in a slow link, ahead of the
-requests to the receiver's engine.
+For each receiver, a task sends one piece at a time: further pieces would only queue in a slow
+link, ahead of the requests to the receiver's engine.
 
 """
 
@@ -26,7 +25,7 @@
 # other traffic shares these links. A receiver that times out requests the missing pieces itself.
 PUSH_TIMEOUT_S: Final = 1.5
 # After a failure to send a piece to a receiver, the receiver is sent no pieces for this many
-# seconds. Pieces whose turn comes in this time are dropped.
+# seconds. Pieces that would be sent to the receiver in this time are dropped.
 SKIP_SLOW_PEER_S: Final = 4.0
 
 log = logger(Component.WEIGHTS)
@@ -54,7 +53,7 @@
     ) -> None:
         self.env = env
         self.peers = peers
-        # Returns the daemons that need a piece, possibly including this one.
+        # Returns the daemons whose engines load a piece first, possibly including this daemon.
         self.receivers = receivers
         self.outbound = outbound
         self.queues: dict[str, curio.Queue] = {}
@@ -63,7 +62,7 @@
 
     async def add(self, weights: WeightsId, index: int, data: bytes) -> None:
         """
-        Queue a piece for every other daemon that needs the piece first.
+        Queue a piece for every other daemon whose engine loads the piece first.
 
         """
         for name in self.receivers(weights, index):
--- a/packages/millforkd/millforkd/sidecar/rollout.py
+++ b/packages/millforkd/millforkd/sidecar/rollout.py
@@ -27,22 +27,23 @@
 from millforkd.sidecar.target import Target
 from millforkd.version_switching import LAST_SEND_BEFORE_END_S
 
-# Entries stop sending to an engine within this many seconds after its daemon announced that the
-# engine changes its version. Also the limit of the announcement itself.
-ANNOUNCE_S: Final = 0.15
+# Seconds from the announcement that an engine changes its version until entries send the engine
+# no more requests. Also the timeout of each announcement.
+ANNOUNCEMENT_WAIT_S: Final = 0.15
 # Requests that run on an engine may finish within this many seconds before its version changes.
 # Streams of 100 tokens take 1 s, so about a third of the requests remain after this time; they
 # continue at other engines.
 DRAIN_S: Final = 0.9
 # Time between two checks whether the requests have finished, in seconds.
 DRAIN_POLL_S: Final = 0.03
-# The limit instead of `DRAIN_S` once the old version has ended, in seconds: the capacity of the
-# changing engines then matters more than the requests that remain on them.
+# Requests may finish within this many seconds, instead of `DRAIN_S`, if the old version has ended
+# or ends sooner: the capacity of the changing engines then matters more than the requests that
+# remain on them.
 LATE_DRAIN_S: Final = 0.3
 # Time between two checks of the target, the other engines or this engine, in seconds.
 POLL_S: Final = 0.1
-# The engines change in this many turns. Fewer turns would remove half of the capacity at
-# once; more turns do not fit into the time that remains after the pieces have arrived.
+# The engines of a service change in this many turns. Fewer turns would remove half of the
+# capacity at once; more turns do not fit into the time that remains after the pieces have arrived.
 ROLLOUT_TURNS: Final = 3
 # If this many staged pieces are missing or do not match the digests of the target, and none has
 # matched, the staged pieces are assumed to belong to another version.
@@ -77,19 +78,21 @@
         self.fleet = fleet
         # Returns the current target; None if it is not known.
         self.get_target = get_target
-        # Sends this daemon's state to the replica or daemon that sends it the feed.
+        # Sends this daemon's state to the replica or daemon from which this daemon receives the
+        # feed (the stream of registry updates).
         self.announce = announce
         self.report: EngineReport | None = None
         # The engine's incarnation in its last report.
         self.incarnation = UNKNOWN_INCARNATION
         # The version that the engine is changing to, 0 if none.
         self.changing_to = 0
-        # Held while pieces are staged and until the engine has got the order to load them.
-        self.order_lock = curio.Lock()
+        # Held from before pieces are staged until the engine has answered the order to load them.
+        self.load_order_lock = curio.Lock()
         # An earlier process of this daemon may have staged pieces of the target and ended before
-        # it sent the load order: whether this process has checked that, and the target if the
-        # staged pieces belong to it.
+        # it sent the load order. Whether the check for such pieces was made since this process
+        # or the engine started.
         self.staged_checked = False
+        # The version whose pieces were found by this check; None if none were.
         self.staged_weights: WeightsId | None = None
         # The layers that the engine loads first, with their version. They are kept once chosen,
         # also when the states of other daemons change.
@@ -98,7 +101,7 @@
     def record_report(self, report: EngineReport | None) -> None:
         """
         Record the engine's latest report (None if the engine did not answer). If the engine has
-        restarted, what is known of its previous process is forgotten.
+        restarted, reset the check of its staged pieces and its layer assignment.
 
         """
         self.report = report
@@ -118,7 +121,8 @@
     @property
     def served(self) -> tuple[ServedVersion, ...]:
         """
-        The versions and layers that the engine serves according to its last report.
+        The versions and layers that the engine serves according to its last report; empty if
+        the engine did not answer.
 
         """
         if self.report is None:
@@ -128,8 +132,8 @@
     @property
     def goal(self) -> ServedVersion | None:
         """
-        The layers that the engine loads first, with their version; None if the engine needed no
-        assignment so far.
+        The layers that the engine loads first, with their version; None if no layers have been
+        assigned since the engine started.
 
         """
         if self.assignment is None:
@@ -156,7 +160,7 @@
         """
         Whether the engine holds neither the first nor the last layer. A request runs on one engine
         with all layers, or on a path of two engines that starts with the first layer and ends with
-        the last one, so such an engine gets no requests.
+        the last one, so an emptied engine gets no requests.
 
         """
         return all(
@@ -207,13 +211,13 @@
 
     def _choose_goal(self, target: Target, held: PieceSet) -> Layers:
         """
-        The layers that the engine loads next: the assigned ones if it serves no layer of the
-        target and not all pieces have arrived, otherwise all. An engine that serves another
-        version while caches answer always loads all layers.
+        The layers that the engine loads next: the assigned ones if the engine serves no layer of
+        the target and not all pieces have arrived, otherwise all. An engine that serves another
+        version always loads all layers if a cache is available.
 
         """
-        has_started = held.whole or self._served_layers(target) is not None
-        if has_started or (self.serves_another(target) and self.gatherer.near_caches()):
+        past_first_step = held.whole or self._served_layers(target) is not None
+        if past_first_step or (self.serves_another(target) and self.gatherer.near_caches()):
             return Layers(0, target.layers)
         return self._own_assignment(target).layers
 
@@ -224,8 +228,8 @@
         return self.assignment[1]
 
     def _is_outdated(self, target: Target) -> bool:
-        now = self.get_target()
-        return now is None or now.weights != target.weights
+        current = self.get_target()
+        return current is None or current.weights != target.weights
 
     async def _gather(self, held: PieceSet, target: Target, goal: Layers) -> bool:
         """
@@ -254,8 +258,9 @@
 
     async def _adopt_staged(self, held: PieceSet) -> None:
         """
-        Copy the pieces that are staged at the engine into `held`, if they match the digests of
-        this version. Does nothing if the digests can't be fetched.
+        Copy the pieces that are staged at the engine and match the digests of this version into
+        `held`, and set `staged_weights` if there are any. Does nothing if the digests can't be
+        fetched.
 
         """
         if not await self.gatherer.obtain_digests(held):
@@ -320,8 +325,9 @@
 
     async def _start(self, target: Target, held: PieceSet, layers: Layers) -> None:
         """
-        Bring the engine to hold exactly these layers of the target, and return when it serves
-        them or has failed to. An engine that already serves some of them continues to do so.
+        Bring the engine to hold exactly these layers of the target, and return when the engine
+        serves them, refuses them, restarts, or does not serve them within `START_TIMEOUT_S`. An
+        engine that already serves some of them continues to do so.
 
         """
         weights = target.weights
@@ -333,9 +339,9 @@
         draining = None
         try:
             if replaces:
-                await curio.sleep(ANNOUNCE_S)
+                await curio.sleep(ANNOUNCEMENT_WAIT_S)
                 draining = await self.env.spawn(self._wait_for_drain, target)
-            if await self._give_order(target, held, layers, replaces, draining):
+            if await self._send_load_order(target, held, layers, replaces, draining):
                 await self._wait_until_served(target, layers)
         finally:
             if draining is not None:
@@ -343,7 +349,7 @@
             self.changing_to = 0
             await self._announce_state()
 
-    async def _give_order(
+    async def _send_load_order(
         self,
         target: Target,
         held: PieceSet,
@@ -357,13 +363,13 @@
 
         """
         weights = target.weights
-        async with self.order_lock:
+        async with self.load_order_lock:
             for index in layers.pieces(target.layers, target.pieces):
                 if not await self.engine.stage(weights.model, index, held.pieces[index]):
                     return False
             if draining is not None:
                 await draining.join()
-            return await self.engine.start(
+            return await self.engine.load_layers(
                 weights.model, weights.version, layers.first, layers.end, replaces
             )
 
@@ -375,10 +381,10 @@
 
         """
         try:
-            async with curio.timeout_after(ANNOUNCE_S):
+            async with curio.timeout_after(ANNOUNCEMENT_WAIT_S):
                 await self.announce()
         except curio.TaskTimeout:
-            log.info('No replica accepted the state within {} s.', ANNOUNCE_S)
+            log.info('No replica accepted the state within {} s.', ANNOUNCEMENT_WAIT_S)
 
     async def _wait_until_served(self, target: Target, layers: Layers) -> None:
         until = self.env.monotonic() + START_TIMEOUT_S
--- a/packages/millforkd/millforkd/sidecar/target.py
+++ b/packages/millforkd/millforkd/sidecar/target.py
@@ -1,10 +1,10 @@
 """
 Chooses the version that an engine loads next.
 
-Usually this is the newest version. Its pieces may not arrive, because the origin is down. If an
-intermediate version (newer than the served one, older than the newest) can then be complete
-before the served version ends, the engine loads the intermediate version first. Otherwise the
-engine would serve nothing until the newest version is complete.
+Usually this is the newest version. If its pieces do not arrive, for example because the origin is
+down, the engine would serve nothing from the end of the served version until the newest version
+is complete. If this time is shorter with an intermediate version (newer than the served one,
+older than the newest), the engine loads the intermediate version first.
 
 """
 
@@ -27,7 +27,8 @@
 # A version counts as stuck if none of its missing pieces arrived for this many seconds. A piece
 # takes 0.2 s on a link that is throttled to a quarter of its rate.
 STUCK_AFTER_S: Final = 1.0
-# A version then counts as stuck for this many seconds, unless one of its pieces arrives.
+# A version that was found stuck counts as stuck for this many seconds, or until one of its pieces
+# arrives.
 STUCK_FOR_S: Final = 1.5
 
 log = logger(Component.WEIGHTS)
@@ -126,8 +127,8 @@
 
     def _is_worthwhile(self, spec: EngineSpec, version: int, now: float) -> bool:
         """
-        Whether an intermediate version, once its missing pieces have arrived, could be served
-        for longer than the change to it costs.
+        Whether the engine could fetch the missing pieces of an intermediate version and change
+        to that version before entries stop sending requests to it.
 
         """
         complete_at = now + self._transfer_s(spec, version)
@@ -138,7 +139,7 @@
     def _idle_via_s(self, spec: EngineSpec, version: int, now: float, ends: float) -> float:
         """
         For how many seconds the engine would serve nothing if it loaded an intermediate version
-        and then the newest one; the second change is counted too. An engine is idle from when
+        and then the newest one, plus the cost of the second change. An engine is idle from when
         entries stop sending to its version until the pieces of the next version have arrived
         and the change is complete.
 
@@ -147,13 +148,14 @@
         full_transfer_s = spec.pieces * spec.piece_bytes / self.bytes_per_s
         served_until = max(now, ends - LAST_SEND_BEFORE_END_S)
         idle_before_s = max(complete_at + VERSION_CHANGE_S - served_until, 0.0)
-        last_sent = self._ends_at(spec, version) - LAST_SEND_BEFORE_END_S
-        idle_after_s = max(complete_at + full_transfer_s + VERSION_CHANGE_S - last_sent, 0.0)
+        last_sent_at = self._ends_at(spec, version) - LAST_SEND_BEFORE_END_S
+        idle_after_s = max(complete_at + full_transfer_s + VERSION_CHANGE_S - last_sent_at, 0.0)
         return idle_before_s + idle_after_s + VERSION_CHANGE_S
 
     def _idle_direct_s(self, spec: EngineSpec, newest: int, now: float, ends: float) -> float:
         """
-        For how many seconds the engine would serve nothing if it loaded the newest version next.
+        For how many seconds the engine would serve nothing if it loaded the newest version next;
+        0 if the served version has no end, otherwise infinity if the newest version is stuck.
 
         """
         if ends == float('inf'):
@@ -181,7 +183,7 @@
     def _track_progress(self, target: Target, now: float) -> None:
         """
         Mark the target as stuck if pieces are missing and none arrived for `STUCK_AFTER_S`;
-        remove the mark when a piece arrives or the engine serves the target.
+        remove the mark when a piece arrives, all are held, or the engine serves the target.
 
         """
         held_count = self._held_count(target.weights)
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -1,6 +1,6 @@
 """
-The rollout of a version on one engine: the wait for its turn and for running requests, and the
-load orders for all or some layers.
+The rollout of a version on one engine: the wait for the engine's turn and for running requests,
+and the load orders for all or some layers.
 
 """
 
@@ -55,7 +55,7 @@
         self.staged_indexes.append(index)
         return True
 
-    async def start(self, model, version, first, end, interrupts):
+    async def load_layers(self, model, version, first, end, interrupts):
         self.orders.append((version, first, end, interrupts, self.running))
         self.served = (ServedVersion(model, version, first, end),)
         self.running = 0
@@ -121,12 +121,12 @@
     async def announce(self):
         self.announced_versions.append(self.rollout.changing_to)
 
-    def change(self, count):
+    def change_engines(self, count):
         for name in list(self.others)[:count]:
             self.others[name] = (NEW,)
 
-    async def until(self, condition, bound_s=5.0):
-        async with curio.timeout_after(bound_s):
+    async def until(self, condition, timeout_s=5.0):
+        async with curio.timeout_after(timeout_s):
             while not condition():
                 await curio.sleep(0.01)
 
@@ -143,14 +143,14 @@
     async def run():
         under_test = RolloutUnderTest(turn=1)
         task = await under_test.run()
-        under_test.change(len(NAMES) // ROLLOUT_TURNS - 1)
+        under_test.change_engines(len(NAMES) // ROLLOUT_TURNS - 1)
         await under_test.until(
             lambda: under_test.rollout.store.get_or_create(under_test.target.weights).whole
         )
         state_requests = under_test.state_requests
         await under_test.until(lambda: under_test.state_requests > state_requests + 3)
         assert under_test.announced_versions == []
-        under_test.change(len(NAMES) // ROLLOUT_TURNS)
+        under_test.change_engines(len(NAMES) // ROLLOUT_TURNS)
         await under_test.until(lambda: under_test.engine.orders)
         assert under_test.env.monotonic() < under_test.target.due
         await task.cancel()
--- a/tests/test_transfer_without_root.py
+++ b/tests/test_transfer_without_root.py
@@ -1,12 +1,12 @@
 """
-A stripe that no instance fetches from the origin, because each takes another one for the root.
+A stripe that no instance fetches from the origin, because each considers another one the root.
 
 The root of a stripe fetches the stripe from the origin, and the other instances get the chunks
 through a tree. Each instance computes the trees from the instances that it knows of. While the
 last of six endpoints started, they knew of different instances, so that none considered itself
 the root of one stripe: 96 of 128 chunks arrived within a second, the others not within 30 s. An
-instance that is not a root uses the origin only after ten rounds of requests. In each round it
-waits for every peer three times, in all five minutes at the usual stall time of 2 s.
+instance that was not a root used the origin only after ten rounds of requests, with three waits
+for every peer in each round: in all five minutes at the usual stall time of 2 s.
 
 """
 
--- a/tests/test_version_ends.py
+++ b/tests/test_version_ends.py
@@ -1,11 +1,11 @@
 """
 Every process stops sending requests to an old version at the same time.
 
-An entry was paused for 3.4 s while a new version was set. Meanwhile the replica's message with
-the remaining ms, until requests may no longer begin on older versions, was in the entry's socket.
-The entry counted these ms from when it read the message, and so used the old version for longer
-by the length of the pause: two entries logged `Version named. version=2 due_s=7.1`, one at
-18.04 s and the paused one at 21.30 s.
+An entry was paused for 3.4 s while a new version was set. Meanwhile the replica's message, with
+the ms until the cutoff (when requests may no longer begin on older versions), waited in the
+entry's socket. The entry counted these ms from when it read the message, and so used the old
+version for longer by the length of the pause: two entries logged
+`Version named. version=2 due_s=7.1`, one at 18.04 s and the paused one at 21.30 s.
 
 An entry that started after versions 2 and 3 had been set knew only version 3, and used all older
 versions until the cutoff of version 3: `version=3 due_s=5.6` at 22.59 s. So version 1, which ends
