--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -1,6 +1,6 @@
 """
-The rollout of a version on one engine: the wait for its turn and for running requests, and the
-load orders for all or some layers.
+The rollout of a version on one engine: the wait for the engine's turn and for running requests,
+and the load orders for all or some layers.
 
 """
 
@@ -18,7 +18,7 @@
 from millforkd.sidecar.expiry import ExpiryWatcher
 from millforkd.sidecar.fleet import Fleet
 from millforkd.sidecar.pieces import PieceStore, WeightsId
-from millforkd.sidecar.rollout import DRAIN_S, LATE_DRAIN_S, TURNS, Rollout
+from millforkd.sidecar.rollout import DRAIN_S, LATE_DRAIN_S, ROLLOUT_TURNS, Rollout
 from millforkd.sidecar.target import Target
 from millforkd.version_switching import LAST_SEND_BEFORE_END_S
 from tests.test_servers import Clock
@@ -55,7 +55,7 @@
         self.staged_indexes.append(index)
         return True
 
-    async def start(self, model, version, first, end, interrupts):
+    async def load_layers(self, model, version, first, end, interrupts):
         self.orders.append((version, first, end, interrupts, self.running))
         self.served = (ServedVersion(model, version, first, end),)
         self.running = 0
@@ -121,12 +121,12 @@
     async def announce(self):
         self.announced_versions.append(self.rollout.changing_to)
 
-    def change(self, count):
+    def change_engines(self, count):
         for name in list(self.others)[:count]:
             self.others[name] = (NEW,)
 
-    async def until(self, condition, bound_s=5.0):
-        async with curio.timeout_after(bound_s):
+    async def until(self, condition, timeout_s=5.0):
+        async with curio.timeout_after(timeout_s):
             while not condition():
                 await curio.sleep(0.01)
 
@@ -143,14 +143,14 @@
     async def run():
         under_test = RolloutUnderTest(turn=1)
         task = await under_test.run()
-        under_test.change(len(NAMES) // TURNS - 1)
+        under_test.change_engines(len(NAMES) // ROLLOUT_TURNS - 1)
         await under_test.until(
             lambda: under_test.rollout.store.get_or_create(under_test.target.weights).whole
         )
         state_requests = under_test.state_requests
         await under_test.until(lambda: under_test.state_requests > state_requests + 3)
         assert under_test.announced_versions == []
-        under_test.change(len(NAMES) // TURNS)
+        under_test.change_engines(len(NAMES) // ROLLOUT_TURNS)
         await under_test.until(lambda: under_test.engine.orders)
         assert under_test.env.monotonic() < under_test.target.due
         await task.cancel()
@@ -427,8 +427,8 @@
 
 
 def test_each_turn_has_equally_many_engines():
-    counts = [0] * TURNS
+    counts = [0] * ROLLOUT_TURNS
     for position in range(len(NAMES)):
         under_test = RolloutUnderTest(position)
-        counts[under_test.rollout.fleet.own_turn(WeightsId('m', 2), TURNS)] += 1
-    assert counts == [len(NAMES) // TURNS] * TURNS
+        counts[under_test.rollout.fleet.own_turn(WeightsId('m', 2), ROLLOUT_TURNS)] += 1
+    assert counts == [len(NAMES) // ROLLOUT_TURNS] * ROLLOUT_TURNS
