--- a/packages/millforkd/millforkd/proxy/__init__.py
+++ b/packages/millforkd/millforkd/proxy/__init__.py
@@ -1,4 +1,5 @@
 """
-The entry role of a seeded fleet: forwards callers' requests directly to back ends.
+The entry role of a seeded fleet (processes start from a few replica addresses): forwards callers'
+requests directly to back ends.
 
 """
--- a/packages/millforkd/millforkd/proxy/admission.py
+++ b/packages/millforkd/millforkd/proxy/admission.py
@@ -29,14 +29,15 @@
 from millforkd.proxy.job import Job
 from millforkd.versions import VersionTracker
 
-# A request with less time than this until its deadline is refused: its answer would not reach
+# A request with less than this time left until its deadline is refused, as no answer would reach
 # the caller in time.
 MIN_REMAINING_MS: Final = 20
-# How long after its start an entry lets requests wait. A starting entry receives its first document
-# and leases after 0.5 s to 0.8 s, the time that replicas that start together need to discover each
-# other. Refused callers would all return at once, and each retries only once.
+# For this long after its start, an entry lets requests wait for the first document (the replicated
+# configuration) and the first leases. These arrive after 0.5 s to 0.8 s, the time that replicas
+# that start together need to discover each other. If the requests were refused instead, all callers
+# would retry at the same time, and each caller retries only once.
 STARTUP_WAIT_S: Final = 1.0
-# The largest share of a caller's deadline for which a request waits while the entry starts.
+# While the entry starts, a request waits for at most this share of its caller's deadline.
 STARTUP_WAIT_SHARE: Final = 0.25
 
 log = logger(Component.PROXY)
@@ -44,17 +45,18 @@
 
 class Admission:
     """
-    Turns requests into jobs by the current document, and decides which jobs are worth sending.
+    Creates the jobs of requests from the current document (routes, services, keys), and decides
+    which jobs are worth sending.
 
     """
 
     def __init__(
-        self, env: Environment, versions: VersionTracker, entries: Callable[[], int] = lambda: 1
+        self, env: Environment, versions: VersionTracker, entry_count: Callable[[], int] = lambda: 1
     ) -> None:
         self.env = env
         self.versions = versions
         # Returns the number of entries in the fleet, as far as this entry knows it.
-        self.entry_count = entries
+        self.entry_count = entry_count
         self.table: RouteTable | None = None
         # Set once the entry has received a document and the lease of a back end.
         self.ready_event = curio.Event()
@@ -63,8 +65,8 @@
 
     async def wait_until_ready(self, caller: CallerRequest) -> None:
         """
-        Wait until the entry has a document and back ends, but not longer than STARTUP_WAIT_S
-        after its start, and not longer than STARTUP_WAIT_SHARE of the caller's deadline.
+        Wait until the entry has a document and back ends, but only until STARTUP_WAIT_S after the
+        start of the entry, and for at most STARTUP_WAIT_SHARE of the caller's deadline.
 
         """
         if self.ready_event.is_set():
@@ -83,8 +85,8 @@
         The job of a request that arrived at `received_at` (monotonic seconds). The deadline
         counts from that moment, so it includes the time spent in `wait_until_ready`.
 
-        :raises Refused: if there is no document, no route for the request or no valid key, or if
-            no time remains.
+        :raises Refused: if no document was received, no route matches the request, the route
+            requires a valid key that the request lacks, or less than MIN_REMAINING_MS remains.
 
         """
         table = self.table
@@ -119,8 +121,9 @@
 
     def with_current_versions(self, requirements: Requirements, last_send: bool) -> Requirements:
         """
-        The requirements with the versions that the request may be sent to now: a version that
-        was valid when the request arrived may have ended since.
+        A copy of the requirements with the versions of the weights that the request may be sent to
+        now, as a version may have ended since the request arrived. `last_send` says whether the
+        route allows no further attempt. Without an engine, the requirements stay as they are.
 
         """
         if requirements.engine is None:
@@ -141,8 +144,8 @@
 
     def depends_on_first_try(self, job: Job, choice: Choice) -> bool:
         """
-        Whether the decision to send a job depends on whether it is the caller's first try, and
-        the turned-away directory has to be asked because the deadline doesn't show that.
+        Whether the turned-away directory has to be asked about a job: the deadline doesn't show
+        whether the job is the caller's first try, and the decision to send the job depends on it.
 
         """
         if job.requirements.engine is None or not job.needs_first_try_lookup:
@@ -151,10 +154,12 @@
 
     def _start_estimate(self, job: Job, choice: Choice) -> StartEstimate:
         now = self.env.monotonic()
-        left_ms = job.route.target_ms - job.elapsed_ms - (now - job.received_at) * 1000
+        remaining_ms = job.route.target_ms - job.elapsed_ms - (now - job.received_at) * 1000
         occupied = choice.server.likely_occupied(now, self.entry_count())
         age_ms = (now - choice.server.reported_at) * 1000
-        return StartEstimate(choice.first_token_ms, left_ms, occupied, choice.server.slots, age_ms)
+        return StartEstimate(
+            choice.first_token_ms, remaining_ms, occupied, choice.server.slots, age_ms
+        )
 
     def retry_after_ms(self, job: Job, choice: Choice) -> int:
         """
--- a/packages/millforkd/millforkd/proxy/backpressure.py
+++ b/packages/millforkd/millforkd/proxy/backpressure.py
@@ -17,7 +17,8 @@
 
 class BackpressureRecorder:
     """
-    Applies the signals in answers to their back ends, and logs and counts the changes.
+    Updates the availability of back ends from the signals in their answers. Logs and counts the
+    changes of signals, also of those that endpoint daemons reported.
 
     """
 
@@ -27,7 +28,8 @@
     def record_answer(self, job: Job, server: Server, head: AnswerHead, sent_at: float) -> None:
         """
         Apply the signals in a back end's answer to a job that was sent at `sent_at` (monotonic
-        seconds), and record whether the back end accepted the job or turned it away.
+        seconds), and record whether the back end accepted the job or turned it away. A job that was
+        sent to the wrong back end (`misdirected`) counts as neither.
 
         """
         signals = head.backpressure
--- a/packages/millforkd/millforkd/proxy/cache.py
+++ b/packages/millforkd/millforkd/proxy/cache.py
@@ -1,10 +1,10 @@
 """
-Caches pieces of weights at an entry, for the endpoint daemons of its zone.
+Caches pieces of weights at an entry, for the endpoint daemons of the entry's zone.
 
-The instance of an engine has a slow link that is shared by both directions; an entry has a
-fast one. So the endpoint daemons of a zone fetch pieces from the entries of the zone. Each piece
-has one fetcher: an entry near the origin that fetches the piece from there. All other entries
-fetch the piece from its fetcher.
+The instance of an engine has a slow link that is shared by both directions; an entry has a fast
+link. So the endpoint daemons of a zone fetch pieces from the entries of the zone. Each piece has
+one fetcher: an entry near the origin (the weight store) that fetches the piece from the origin. All
+other entries fetch the piece from the fetcher.
 
 """
 
@@ -35,35 +35,39 @@
 from millforkd.sidecar.sources import DIGESTS_INDEX, request_order
 from millforkd.sidecar.verification import store_if_valid
 
-# Concurrent fetches of this cache from the origin: enough to use the origin's whole link.
+# The maximum number of pieces that this cache fetches from the origin at the same time: enough to
+# use the origin's whole link.
 MAX_CONCURRENT_ORIGIN_FETCHES: Final = 3
-# Concurrent prefetches of one version.
+# The maximum number of pieces of one version that are prefetched at the same time.
 MAX_CONCURRENT_PREFETCHES: Final = 2
-# A cache that doesn't have a piece after this time answers 'not yet'. A daemon considers a cache
-# silent after a second, another cache after PEER_TIMEOUT_S.
+# If a requested piece hasn't arrived after this time, the cache answers with a reason instead of
+# the piece. A daemon considers a cache silent after a second, another cache after PEER_TIMEOUT_S.
 ANSWER_WITHIN_S: Final = 0.5
 # The timeout of requests to other caches: these answer within ANSWER_WITHIN_S, and the latency
 # between zones is below 0.1 s.
 PEER_TIMEOUT_S: Final = 0.8
-# Attempts per fetch from the origin: a piece that arrives corrupt is fetched once more.
+# The maximum number of attempts to fetch a piece from the origin: a piece that arrives corrupt, or
+# doesn't arrive, is fetched once more.
 MAX_ORIGIN_ATTEMPTS: Final = 2
 # The pause after a prefetch round that fetched nothing.
 RETRY_S: Final = 0.2
-# Prefetching of a version stops if no piece of the version was requested for this long: a daemon
-# that needs a piece repeats its request after 0.5 s and a pause of RETRY_S.
+# Prefetching of a version stops if no piece of the version was requested for this long. A daemon
+# that needs a piece receives an answer within 0.5 s, and repeats its request 0.2 s after the
+# answer.
 IDLE_S: Final = 1.2
 # Reasons that a cache gives for not sending a piece.
 NOT_YET: Final = 'not yet'
 ORIGIN_FAILS: Final = 'the origin does not answer'
-OTHERS_FIRST: Final = 'the origin sends other pieces first'
+ORIGIN_BUSY: Final = 'the origin sends other pieces first'
 # The origin, not the fetcher, counts as the bottleneck if the fetcher received at least this share
-# of its equal part of the origin's rate (the rate divided by the number of fetchers) within
+# of an equal part of the origin's rate (the rate divided by the number of fetchers) within
 # RATE_WINDOW_S. A fetcher on a slowed instance receives less.
 MIN_RATE_SHARE: Final = 0.25
+# The period over which the rate of data from the origin is measured.
 RATE_WINDOW_S: Final = 1.0
-# After this many answers 'not yet' (half a second each) the fetcher of a piece counts as too slow,
-# as a slowed instance needs five times as long as others, and this cache fetches from the origin.
-# Until then a second fetch of the piece would only slow down the origin.
+# After this many 'not yet' answers for a piece (half a second each) the fetcher of the piece counts
+# as too slow, and this cache fetches the piece from the origin. A fetcher on a slowed instance
+# needs five times as long as others. A second fetch any earlier would only slow down the origin.
 MAX_NOT_YET_ANSWERS: Final = 6
 
 log = logger(Component.WEIGHTS)
@@ -71,7 +75,8 @@
 
 class PieceCache:
     """
-    Serves pieces of the versions that were requested last, and fetches the missing ones.
+    Serves pieces of the versions of weights that were requested last, and fetches pieces that it
+    lacks.
 
     """
 
@@ -103,7 +108,8 @@
 
     async def on_get_manifest(self, message: GetManifest) -> Manifest:
         """
-        Answer a daemon or another cache that requests the digests of a version.
+        Answer a daemon or another cache that requests the digests of a version (the hashes of its
+        pieces).
 
         """
         weights = _parse_weights_id(message.digest)
@@ -140,14 +146,14 @@
     def _reason_not_found(self) -> str:
         if self.origin.failing:
             return ORIGIN_FAILS
-        return OTHERS_FIRST if self._is_limited_by_origin() else NOT_YET
+        return ORIGIN_BUSY if self._is_limited_by_origin() else NOT_YET
 
     def _is_limited_by_origin(self) -> bool:
         """
-        Whether the bottleneck is the origin rather than this fetcher. If so, other caches must
-        not fetch the same pieces from the origin as well. When they did, the origin sent 4.6
-        copies of the weights instead of two, and the first engine had all pieces only 12.8 s
-        after the origin's outage, although the origin sends one copy in 4.4 s.
+        Whether the bottleneck is the origin rather than this fetcher. If so, other caches must not
+        fetch the same pieces from the origin as well. When other caches did, the origin sent 4.6
+        copies of the weights instead of two, and the first engine had all pieces only 12.8 s after
+        the origin's outage, although the origin sends one copy in 4.4 s.
 
         """
         spec = self.origin.current_spec()
@@ -165,34 +171,37 @@
     def _answer_deadline(self) -> float:
         return self.env.monotonic() + ANSWER_WITHIN_S
 
-    async def _ensure_digests(self, weights: WeightsId, direct: bool, deadline: float) -> bool:
+    async def _ensure_digests(self, weights: WeightsId, from_origin: bool, deadline: float) -> bool:
         held = self.store.get_or_create(weights)
         if not held.digests:
-            await self._fetch_once((weights, None), deadline, self._fetch_digests, held, direct)
+            await self._fetch_once(
+                (weights, None), deadline, self._fetch_digests, held, from_origin
+            )
         return bool(held.digests)
 
-    async def _fetch_digests(self, held: PieceSet, direct: bool) -> None:
+    async def _fetch_digests(self, held: PieceSet, from_origin: bool) -> None:
         """
-        Fetch the digests from their fetcher, or from the origin if this cache is the fetcher or
-        `direct` is set. When 98 entries and 102 daemons each fetched the digests from the origin,
-        a third fewer pieces fit on the origin's link in the first 2.5 s.
+        Fetch the digests from their fetcher; or from the origin if `from_origin` is set, this cache
+        is the fetcher, or the fetcher was too slow or sent invalid data. When 98 entries and 102
+        daemons each fetched the digests from the origin, a third fewer pieces fit on the origin's
+        link in the first 2.5 s.
 
         """
-        if direct or not await self._fetch_from_cache(held, DIGESTS_INDEX):
+        if from_origin or not await self._fetch_from_cache(held, DIGESTS_INDEX):
             await self.origin.fetch_digests(held)
 
     async def _ensure_piece(
-        self, weights: WeightsId, index: int, direct: bool, deadline: float
+        self, weights: WeightsId, index: int, from_origin: bool, deadline: float
     ) -> None:
         """
-        Fetch a piece if it is missing, with `direct` only from the origin. Returns by `deadline`,
-        even if the piece hasn't arrived.
+        Fetch a piece if this cache lacks it and isn't fetching it already; if `from_origin` is set,
+        only from the origin. Returns by `deadline`, even if the piece hasn't arrived.
 
         """
         held = self.store.get_or_create(weights)
         if 0 <= index < len(held.digests) and index not in held.pieces:
             await self._fetch_once(
-                (weights, index), deadline, self._fetch_piece, weights, index, direct
+                (weights, index), deadline, self._fetch_piece, weights, index, from_origin
             )
 
     async def _fetch_once(
@@ -226,9 +235,9 @@
         finally:
             await self.pending.pop(key).set()
 
-    async def _fetch_piece(self, weights: WeightsId, index: int, direct: bool) -> None:
+    async def _fetch_piece(self, weights: WeightsId, index: int, from_origin: bool) -> None:
         held = self.store.get_or_create(weights)
-        if not direct and await self._fetch_from_cache(held, index):
+        if not from_origin and await self._fetch_from_cache(held, index):
             return
         async with self.origin_slots:
             for _ in range(MAX_ORIGIN_ATTEMPTS):
@@ -242,10 +251,10 @@
 
     async def _fetch_from_cache(self, held: PieceSet, index: int) -> bool:
         """
-        Request a piece, or the digests, from the fetcher, or from the next one if the fetcher is
-        silent. False if this cache has to fetch from the origin: because this cache is the
-        fetcher, or the fetcher was too slow or sent invalid data. True otherwise, also if nothing
-        was received because the fetcher doesn't have the piece yet.
+        Request a piece, or the digests, from the fetcher; if the fetcher is silent, from the cache
+        that takes its place. Returns False if this cache has to fetch from the origin: this cache
+        is the fetcher, or the fetcher was too slow or sent invalid data. Returns True otherwise,
+        also if nothing was received because the fetcher doesn't have the piece yet.
 
         """
         key = (held.weights, index)
@@ -258,9 +267,9 @@
             if reply is None:
                 continue
             if not reply.found:
-                # Not counted if the origin is down or at its limit: another fetcher wouldn't get
-                # more from the origin either.
-                self.not_yet_answers[key] += reply.reason not in (ORIGIN_FAILS, OTHERS_FIRST)
+                # An answer isn't counted if the origin is down or at its limit: another fetcher
+                # wouldn't get more from the origin either.
+                self.not_yet_answers[key] += reply.reason not in (ORIGIN_FAILS, ORIGIN_BUSY)
                 return True
             del self.not_yet_answers[key]
             return await self._store_reply(held, index, reply, fetcher)
@@ -282,8 +291,8 @@
 
     def _fetcher_of(self, weights: WeightsId, index: int) -> str:
         """
-        The cache that is to fetch a piece from the origin. Caches that were silent recently are
-        left out; if no other cache is known, this cache is the fetcher.
+        The instance of the cache that is to fetch a piece from the origin. Caches that were silent
+        recently are left out; if none remain, this cache is the fetcher.
 
         """
         answering = [cache for cache in self.caches() if not self.silent.is_silent(cache.instance)]
@@ -293,7 +302,7 @@
     async def _ask(self, fetcher: str, weights: WeightsId, index: int) -> Chunk | Manifest | None:
         """
         The answer of a fetcher to a request for a piece or the digests. None if there is no
-        answer; the fetcher then counts as silent.
+        answer; the fetcher then counts as silent for a while.
 
         """
         message: GetChunk | GetManifest = GetChunk(str(weights), index, draw=True)
@@ -314,12 +323,13 @@
         return spec.zone if spec is not None else ''
 
     # Pieces are prefetched so that the slow links of engines aren't idle while a piece comes from
-    # the origin, and so that the pieces are here if the origin fails.
+    # the origin, and so that the pieces are in the cache if the origin fails.
 
     async def _prefetch(self, weights: WeightsId) -> None:
         """
-        Fetch the pieces that daemons will request from this cache. Ends once all of them are
-        held, newer versions have replaced the version, or the version is no longer requested.
+        Fetch the pieces that daemons will request from this cache. Ends once the cache holds these
+        pieces, newer versions have replaced the version, or no piece of the version was requested
+        for IDLE_S.
 
         """
         zone_caches = [cache.instance for cache in self.caches() if cache.zone == self.env.zone]
@@ -366,7 +376,8 @@
 def prefetch_order(piece_count: int) -> list[int]:
     """
     The indexes of all pieces, alternating between the two halves of the layers. An engine without
-    weights fetches one half first; with this order, engines of both halves are served at once.
+    weights fetches one half first; with this order, engines of both halves are served at the
+    same time.
 
     """
     half = -(-piece_count // 2)
--- a/packages/millforkd/millforkd/proxy/connections.py
+++ b/packages/millforkd/millforkd/proxy/connections.py
@@ -108,7 +108,7 @@
 
     async def read(self) -> bytes:
         """
-        The next bytes of the body; empty at its end.
+        The next bytes of the body; empty at the end of the body.
 
         :raises SendFailed: if the body breaks off or is malformed.
 
@@ -158,7 +158,8 @@
     @property
     def reusable(self) -> bool:
         """
-        Whether the answer was read completely and no data followed it.
+        Whether the connection can be used for another request: the answer was read completely, no
+        data followed the answer, and neither side announced that it closes the connection.
 
         """
         done = self.http.our_state is h11.DONE and self.http.their_state is h11.DONE
@@ -202,8 +203,8 @@
 
     async def acquire(self, recently_used: bool) -> ServerConnection:
         """
-        A pooled or new connection for one request; with `recently_used`, a pooled one only if
-        it was in use within RECENT_USE_S.
+        An idle connection of the pool, or a new one, for one request. If `recently_used` is set, an
+        idle connection must have been in use within RECENT_USE_S.
 
         :raises SendFailed: if no connection can be opened; with verdict NOT_RUN.
 
@@ -236,8 +237,8 @@
 
     async def release(self, connection: ServerConnection, keep_alive_s: float | None) -> None:
         """
-        Keep a connection for the next request, or close it if it can't be reused. If the
-        connection was lost, all idle ones are closed, as they may be lost for the same reason.
+        Keep a connection for the next request, or close it if it can't be reused. If the connection
+        was lost, all idle connections are closed, as they may be lost for the same reason.
         `keep_alive_s` is the keep-alive time that the back end announced (None: it announced none).
 
         """
--- a/packages/millforkd/millforkd/proxy/daemon.py
+++ b/packages/millforkd/millforkd/proxy/daemon.py
@@ -1,5 +1,6 @@
 """
-The daemon of an entry of a seeded fleet, which sends requests directly to back ends.
+The daemon of an entry in a seeded fleet (processes start from a few replica addresses). The entry
+sends requests directly to back ends.
 
 """
 
@@ -51,9 +52,10 @@
 STOP_MARGIN_S: Final = 0.5
 DRAIN_POLL_S: Final = 0.05
 HOUSEKEEPING_INTERVAL_S: Final = 0.5
-# The timeout of passing a daemon's report on to a replica; the next report follows in 0.15 s.
+# The timeout for passing the report of an endpoint daemon on to a replica. The daemon's next report
+# follows 0.15 s after the last one.
 REPORT_TIMEOUT_S: Final = 0.3
-# The number of entries that is assumed while it is unknown: that of a large fleet.
+# The number of entries that is assumed until a replica has reported it: that of a large fleet.
 DEFAULT_ENTRY_COUNT: Final = 380
 
 log = logger(Component.PROXY)
@@ -61,7 +63,8 @@
 
 class ProxyDaemon:
     """
-    Runs one entry: its servers for callers and peers, its feed subscription and its piece cache.
+    Runs one entry: its servers for callers and peers, its subscription to the feed (the stream of
+    registry updates from a replica) and its cache of pieces of weights.
 
     """
 
@@ -140,8 +143,8 @@
     def peak_entries(self) -> int:
         """
         The highest recent number of entries in the fleet. Until a replica has reported it,
-        DEFAULT_ENTRY_COUNT is assumed: with a low number this entry would use all of a limit
-        that the entries share.
+        DEFAULT_ENTRY_COUNT is assumed: if a low number was assumed, this entry would use up limits
+        that all entries share.
 
         """
         return (
@@ -209,7 +212,7 @@
             self._apply_document()
             if self.view.cluster:
                 self.versions.refresh()
-            # Every message of the feed changes loads, but few change leases.
+            # Every message of the feed changes loads of back ends, but few messages change leases.
             if self.registry.leases.version != self.applied_leases_version:
                 self.applied_leases_version = self.registry.leases.version
                 # Reports on a new back end may have arrived before its lease.
@@ -290,7 +293,8 @@
     @on.register
     async def _(self, message: messages.EndpointReport, connection: Connection) -> Message:
         """
-        Pass the report of an endpoint daemon that can't reach the replicas on to a replica.
+        Pass a report on to a replica, for an endpoint daemon that can't reach the replicas.
+        Answers `Done(False)` if this entry can't reach the replica that it follows either.
 
         """
         if not self.feed_client.connected:
@@ -305,8 +309,8 @@
     @on.register
     async def _(self, message: messages.SuspicionReport, connection: Connection) -> Message:
         """
-        Record the suspicions of an entry that can't reach the replicas. Those that are new here
-        are reported to a replica.
+        Record suspicions (which requests may crash back ends) for an entry that can't reach the
+        replicas. Suspicions that are new to this entry are reported to a replica.
 
         """
         try:
--- a/packages/millforkd/millforkd/proxy/end_detection.py
+++ b/packages/millforkd/millforkd/proxy/end_detection.py
@@ -1,10 +1,11 @@
 """
 Detects which back ends ended, and which requests they were running.
 
-An answer may also break off because of its connection, a network link or its own content.
-Whether the back end ended may be known only seconds later, so a request stays suspected until
-the back end is known to have ended or to be alive. When a back end ends, all requests that this
-entry sent there break off, so one watch per back end covers them.
+An answer may break off because the back end ended, or because of the connection, a network link or
+malformed content. Whether the back end ended may be known only seconds later. Until then the
+request is suspected; its suspicion is the record of the back ends that ended one after another
+while they ran a request with the same fingerprint. When a back end ends, all requests that this
+entry sent to the back end break off, so one watch per back end covers them.
 
 """
 
@@ -32,7 +33,7 @@
 
 log = logger(Component.PROXY)
 
-# How long a request is remembered after its caller left.
+# A request is remembered for this long after its caller left.
 CALLER_LEFT_MEMORY_S: Final = 60.0
 # The maximum number of requests that are remembered after their callers left.
 MAX_ABANDONED_REQUESTS: Final = 1024
@@ -41,8 +42,8 @@
 @dataclass(frozen=True, slots=True)
 class AbandonedRequest:
     """
-    A request whose caller left at `at` (monotonic seconds). `before` is the suspicion of the
-    request when it was sent to `server`.
+    A request whose caller left, or whose deadline passed, at `at` (monotonic seconds). `before` is
+    the suspicion of the request when it was sent to `server`.
 
     """
 
@@ -54,8 +55,9 @@
 @dataclass(frozen=True, slots=True)
 class InterruptedRequest:
     """
-    A request whose answer broke off, or whose caller left before the answer. `before` is the
-    suspicion of the request when it was sent.
+    A request whose answer broke off, or, if `caller_left` is set, whose caller left or whose
+    deadline passed before the back end answered. `before` is the suspicion of the request when it
+    was sent.
 
     """
 
@@ -69,8 +71,8 @@
 
 class EndDetector:
     """
-    Runs one watch for each back end at which answers broke off or callers left, and updates the
-    suspicions of these requests by the results.
+    Runs one watch (repeated probes) for each back end at which answers broke off or callers left,
+    and updates the suspicions of these requests by the results.
 
     """
 
@@ -84,17 +86,18 @@
         self.status_of = status_of
         self.suspicion_updater = SuspicionUpdater(env, suspicion_store)
         self.watches: dict[IncarnationKey, EndWatch[InterruptedRequest]] = {}
-        # The last time that the caller of a request left, by the fingerprint of the request.
+        # The latest request whose caller left, by fingerprint.
         self.abandoned: dict[Fingerprint, AbandonedRequest] = {}
 
     async def record_caller_left(self, server: Server, before: Suspicion) -> None:
         """
-        Record that a caller left, or that the caller's deadline passed, before the back end
-        answered. `before` is the suspicion of the request when it was sent to the back end.
+        Record that a caller left, or that the deadline of the request passed, while the back end
+        had not answered. `before` is the suspicion of the request when it was sent to the back end.
 
-        If the back end ends afterwards, no answer breaks off. So the back end is watched if a
-        caller of the same request left before within CALLER_LEFT_MEMORY_S. If that was within
-        CALLER_LEFT_WATCH_S, the back end of that earlier attempt is watched as well.
+        If the back end ends now, no answer breaks off to show that. So the back end is watched,
+        but only if the caller of a request with this fingerprint also left at most
+        CALLER_LEFT_MEMORY_S ago. If that caller left less than CALLER_LEFT_WATCH_S ago, the back
+        end of that earlier request is watched as well.
 
         """
         now = self.env.monotonic()
@@ -124,7 +127,9 @@
         self, server: Server, interrupted: InterruptedRequest
     ) -> EndWatch[InterruptedRequest]:
         """
-        Add an interrupted request to the watch of its back end; starts a watch if there is none.
+        Add an interrupted request to the watch of the back end; starts a watch if there is none.
+        If the watch already holds a request with this fingerprint, the newer of the two suspicions
+        is kept.
 
         """
         key = incarnation_key(server)
@@ -162,8 +167,8 @@
         status = self.status_of(server, interruption.at)
         if status is IncarnationStatus.ENDED or not interruption.subject.caller_left:
             return status
-        # The back end may still be running the request, so answers to other requests don't show
-        # that the back end survives this one.
+        # The back end may still be running this request, so answers to other requests don't show
+        # that the back end survives this request.
         watch_is_over = self.env.monotonic() - interruption.at > CALLER_LEFT_WATCH_S
         return IncarnationStatus.LIVES if watch_is_over else IncarnationStatus.UNKNOWN
 
--- a/packages/millforkd/millforkd/proxy/event_stream.py
+++ b/packages/millforkd/millforkd/proxy/event_stream.py
@@ -7,7 +7,8 @@
 
 EVENT_DELIMITERS: Final = (b'\n\n', b'\r\n\r\n')
 ID_FIELD: Final = b'id:'
-# The maximum size of an event. More bytes without the end of an event are not an event stream.
+# The maximum size of an event. If more bytes arrive without the end of an event, the data is not
+# considered an event stream.
 MAX_EVENT_BYTES: Final = 1024 * 1024
 
 
@@ -20,7 +21,7 @@
 
 class EventSplitter:
     """
-    Passes on complete events only, and records the ids of the first and the last of them.
+    Splits off complete events, and records the first and the last event id among them.
 
     """
 
@@ -31,9 +32,9 @@
 
     def feed(self, data: bytes) -> bytes:
         """
-        Add received bytes; return the bytes of the events that are complete with them.
+        Add received bytes; return the bytes of the events that these bytes complete.
 
-        :raises InvalidEventStream: if no event ends within MAX_EVENT_BYTES.
+        :raises InvalidEventStream: if more than MAX_EVENT_BYTES arrived without an end of an event.
 
         """
         data = self.incomplete + data
--- a/packages/millforkd/millforkd/proxy/forwarding.py
+++ b/packages/millforkd/millforkd/proxy/forwarding.py
@@ -122,7 +122,7 @@
             self.outcomes.record(job, 'caller_gone')
             raise
         finally:
-            # The socket is closed next, so the watcher must no longer wait on it.
+            # The caller's socket is closed next, so the watcher must no longer wait on it.
             await watcher.cancel()
 
     async def _watch_caller(self, job: Job, task: curio.Task) -> None:
@@ -246,8 +246,9 @@
 
     def _choose_among_freest(self, job: Job) -> Choice | None:
         """
-        Choose among the engines with the lowest share of occupied slots, after those that
-        `_choose` compared were too busy for a job. None if almost all slots are occupied.
+        Choose among the engines with the lowest share of occupied slots, after the engines that
+        `_choose` compared were too busy for a job. None if almost all slots are occupied, or if
+        no back end can serve the job.
 
         """
         tried = set(job.tried)
@@ -256,7 +257,8 @@
 
     async def _look_up_first_try(self, job: Job, choice: Choice) -> None:
         """
-        Ask the turned-away directory when a job was first tried, if its admission depends on that.
+        Ask the turned-away directory for the time since the caller's first try, and store the time
+        in the job; only if the admission of the job depends on it.
 
         """
         if not self.admission.depends_on_first_try(job, choice):
@@ -291,7 +293,8 @@
     def _no_server_refusal(self, job: Job) -> Refusal:
         """
         The refusal of a job that no back end can serve now. If back ends closed themselves by
-        backpressure signals, the caller is told to wait until the first of them opens.
+        backpressure signals and the request has certainly not run, the caller is told to wait until
+        the first of these back ends opens.
 
         """
         closure = self.server_table.first_to_open(job.requirements)
--- a/packages/millforkd/millforkd/proxy/job.py
+++ b/packages/millforkd/millforkd/proxy/job.py
@@ -19,14 +19,15 @@
 USUAL_URGENCY: Final = 5
 # The priority of a route or organisation that maps to USUAL_URGENCY.
 USUAL_PRIORITY: Final = 1
-# The highest rank, which engines serve last.
+# The highest queue rank that a request is sent with; engines serve it last.
 LEAST_URGENCY: Final = 9
 
 
 @dataclass(slots=True)
 class Attempt:
     """
-    One attempt to serve a job at a back end, counted in `Server.own_requests` while in progress.
+    One attempt to serve a job at a back end. While in progress, the attempt is counted in
+    `Server.own_requests`; until the first token arrives, in `Server.own_unread` as well.
 
     """
 
@@ -66,14 +67,15 @@
     reason: Reason
     verdict: Verdict
     detail: str
-    # False: nothing was sent, so the next attempt replaces this one and spends no retry budget.
+    # False if the attempt was given up between connecting and sending; the next attempt then
+    # replaces this one and spends no retry budget.
     sent: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class HeldAnswer:
     """
-    An error answer of a back end, passed on only if no other back end gives a better answer.
+    An error answer of a back end, passed on to the caller only if all further attempts fail.
 
     """
 
@@ -102,7 +104,7 @@
     # The time between the caller's first try and `received_at`; 0 if this is the first try, or if
     # no earlier one is known.
     elapsed_ms: int = 0
-    # Whether the caller's deadline leaves open if this is the first try, and the turned-away
+    # Set if the caller's deadline doesn't show whether this is the first try, and the turned-away
     # directory wasn't asked yet.
     needs_first_try_lookup: bool = False
     # The expected start at an engine, as of the last decision on whether to send the job.
@@ -112,19 +114,21 @@
     failures: list[FailedAttempt] = field(default_factory=list)
     # The version of the weights that the last attempt requested (0: none).
     sent_version: int = 0
-    # The time from the last attempt until that version ends (infinity: no newer one was known).
-    sent_before_end_ms: float = float('inf')
+    # The time from the last send to an engine until requests that still wait for that version are
+    # cancelled, in ms; infinity if no newer version was known.
+    version_remaining_ms: float = float('inf')
     held_answer: HeldAnswer | None = None
     # The status of the back end's answer that was passed on; 0 if there was none.
     status: int = 0
     first_byte_at: float | None = None
-    # The id of the last event passed on to the caller, for a stream that has started.
+    # The id of the last event passed on to the caller; None if no event with an id was passed on.
     last_event: int | None = None
     answer_started: bool = False
     caller_gone: bool = False
     # None until the fingerprint of the request is first needed.
     fingerprint: Fingerprint | None = None
-    # The back ends that the request was sent to and that haven't answered yet.
+    # The back ends that the current attempt sent the request to; empty before the request is sent
+    # and after a complete answer.
     pending_servers: tuple[Server, ...] = ()
 
     @property
--- a/packages/millforkd/millforkd/proxy/load_queries.py
+++ b/packages/millforkd/millforkd/proxy/load_queries.py
@@ -1,9 +1,9 @@
 """
-Queries the daemons of a few engines for their current loads.
+Queries the endpoint daemons of a few engines for the current loads of these engines.
 
 Engines are chosen by reports that are up to 0.3 s old. Where old reports may lead to a wrong
 choice, the daemons of the compared engines are queried first. The wait is short: a late answer
-serves later choices, and the daemon that sent it isn't queried again for a while.
+is used for later choices, and the daemon that sent it isn't queried again for a while.
 
 """
 
@@ -26,7 +26,7 @@
 MAX_WAIT_S: Final = 0.02
 # The timeout of a query: by then the daemon's next report has arrived, so an answer adds nothing.
 ANSWER_TIMEOUT_S: Final = 0.15
-# How long a daemon isn't queried after it didn't answer within MAX_WAIT_S.
+# A daemon that didn't answer within MAX_WAIT_S isn't queried for this long.
 SKIP_UNANSWERED_S: Final = 0.5
 
 log = logger(Component.PROXY)
@@ -46,7 +46,8 @@
     async def refresh(self, servers: list[Server]) -> None:
         """
         If the choice among these engines may depend on their current loads, query the loads and
-        update `servers` by the answers. Returns once all queries have ended, or after MAX_WAIT_S.
+        update `servers` by the answers. Daemons without an open connection are not queried. Returns
+        once all queries have ended, or after MAX_WAIT_S.
 
         """
         if not needs_fresh_loads(servers, self.env.monotonic(), self.server_table.entries()):
--- a/packages/millforkd/millforkd/proxy/outcomes.py
+++ b/packages/millforkd/millforkd/proxy/outcomes.py
@@ -85,7 +85,7 @@
             job.elapsed_ms,
             job.caller.deadline_ms,
             job.sent_version,
-            job.sent_before_end_ms,
+            job.version_remaining_ms,
             job.fingerprint or '',
         )
 
@@ -99,7 +99,7 @@
     if refusal.reason in CLIENT_ERRORS:
         return refusal.http_status
     if refusal.reason is Reason.QUARANTINED:
-        # Callers retry after NOT_RUN_STATUS, but a request in quarantine is never served.
+        # Callers retry after NOT_RUN_STATUS, but a request in quarantine would be refused again.
         return LOST_STATUS
     if refusal.verdict is Verdict.NOT_RUN:
         return NOT_RUN_STATUS
--- a/packages/millforkd/millforkd/proxy/peer_queries.py
+++ b/packages/millforkd/millforkd/proxy/peer_queries.py
@@ -1,10 +1,10 @@
 """
 Queries to other processes, sent while a caller's request waits for the answer.
 
-The waits are short: a query doesn't wait for a new connection, an answer is given up after
+The waits are short: a query doesn't wait for a new connection, an answer is awaited only for
 milliseconds, and a peer that didn't answer is not queried for a while. If a query times out on a
-connection that has received nothing for long, the connection is closed: it may be dead without
-a reset, while a new one would work.
+connection that has received nothing for long, the connection is closed: the connection may be dead
+although no reset arrived, and a new one may work.
 
 """
 
@@ -49,8 +49,8 @@
 
     async def get_open_connection(self, name: str) -> Connection | None:
         """
-        The open connection to a peer. None if there is none, in which case one is opened for later
-        queries, or if the peer was silent recently.
+        The open connection to a peer. None if the peer was silent recently, or if no connection is
+        open; a connection is then opened in the background for later queries.
 
         """
         if self.silent.is_silent(name):
@@ -90,7 +90,7 @@
 
         """
         try:
-            # `Peers.call` would close a connection that is silent for `timeout` seconds.
+            # `Peers.call` isn't used: it closes connections that are silent for `timeout` seconds.
             return await connection.call(query, timeout)
         except PeerError as error:
             self.env.metrics.count(self.env.metrics.wire, event=self.unanswered_event)
--- a/packages/millforkd/millforkd/proxy/request_sender.py
+++ b/packages/millforkd/millforkd/proxy/request_sender.py
@@ -1,5 +1,5 @@
 """
-Sends a request to one back end and passes its answer on to the caller.
+Sends a request to one back end and passes the answer on to the caller.
 
 """
 
@@ -25,8 +25,9 @@
 
 # Attempts end this long before the deadline, so that a refusal reaches the caller in time.
 REFUSAL_MARGIN_S: Final = 0.03
-# A back end that refused a version isn't sent requests for that version for this long: the next
-# report of its daemon arrives meanwhile.
+# For this long, a back end that refused a request for a version is sent no requests for that
+# version. The daemon's next report, which lists the versions that the back end serves, arrives
+# meanwhile.
 REFUSED_VERSION_S: Final = 0.5
 # The reasons of failed attempts that point to a failure of the back end or of the connection.
 CONNECTION_FAILURES: Final = frozenset(
@@ -123,7 +124,8 @@
             if server.instance not in job.tried:
                 job.tried.append(server.instance)
             silent = reason is Reason.TIMED_OUT and server.last_received_at < job.received_at
-            # An engine that changes its weights was told to interrupt its running requests.
+            # An engine that changes its weights was told to interrupt its running requests, so a
+            # broken answer is no failure of that engine.
             if (silent or reason in CONNECTION_FAILURES) and not server.changes_version:
                 server.record_failure(now)
         return FailedAttempt(reason, verdict, detail)
@@ -134,9 +136,9 @@
             return
         version_ends_at = self.admission.versions.ends_at(engine.model, version)
         job.sent_version = version
-        job.sent_before_end_ms = float('inf')
+        job.version_remaining_ms = float('inf')
         if version_ends_at is not None:
-            job.sent_before_end_ms = (version_ends_at - self.env.monotonic()) * 1000
+            job.version_remaining_ms = (version_ends_at - self.env.monotonic()) * 1000
 
     def _check_version(self, engine: EngineSpec, version: int | None) -> None:
         """
@@ -172,7 +174,8 @@
     ) -> float | None:
         """
         Send the request, read the answer and pass it on. Returns the keep-alive time of the
-        connection in seconds: None if the back end announced none, 0 if it is about to be closed.
+        connection in seconds: None if the back end announced none, 0 if the back end
+        closes the connection.
 
         :raises SendFailed: if the caller hasn't received a complete answer.
 
--- a/packages/millforkd/millforkd/proxy/response_monitor.py
+++ b/packages/millforkd/millforkd/proxy/response_monitor.py
@@ -18,9 +18,10 @@
 # A back end that sends this entry nothing for this long is considered lost: a loaded one sends
 # data many times within this period.
 SILENT_SERVER_S: Final = 1.2
-# If a back end answers requests of equal urgency that were sent this much later than a waiting one,
-# it has skipped the waiting request, or that request's connection is dead while others work:
-# requests of one urgency start in order, and reading the longest prompt takes 0.2 s.
+# If a back end answers a request that was sent this much later than a waiting request of the same
+# urgency (queue rank), the back end has skipped the waiting request, or the connection of the
+# waiting request is dead: requests of one urgency start in order, and reading the longest prompt
+# takes 0.2 s.
 REORDER_THRESHOLD_S: Final = 0.3
 
 
@@ -83,8 +84,8 @@
         """
         Check that neither the back end nor the connection of a request is silent.
 
-        :raises SendFailed: if the back end sent nothing for SILENT_SERVER_S, or if it answers
-            later requests but sent nothing on this connection for that long.
+        :raises SendFailed: if the back end sent nothing for SILENT_SERVER_S, or if the request is
+            unanswered for that long while the back end answers requests that were sent later.
 
         """
         now = self.env.monotonic()
--- a/packages/millforkd/millforkd/proxy/response_relay.py
+++ b/packages/millforkd/millforkd/proxy/response_relay.py
@@ -36,7 +36,7 @@
 
     async def read_failure(self, connection: ServerConnection) -> HeldAnswer:
         """
-        Read an error answer, to be passed on if no other back end gives a better one.
+        Read an error answer, to be passed on if all further attempts fail.
 
         """
         body = bytearray()
@@ -140,7 +140,8 @@
 
 def _check_resumed(job: Job, splitter: EventSplitter) -> None:
     """
-    Check that a resumed stream continues with the event after the last one passed on.
+    Check that a resumed stream continues with the event after the last one passed on. If that event
+    had no id, nothing is checked.
 
     :raises SendFailed: if the stream continues with another event.
 
--- a/packages/millforkd/millforkd/proxy/suspicion_reporter.py
+++ b/packages/millforkd/millforkd/proxy/suspicion_reporter.py
@@ -1,5 +1,6 @@
 """
-Reports suspicions to a replica: which requests may crash the back ends that run them.
+Reports suspicions: which requests may crash the back ends that run them. The reports go to a
+replica, directly or through another entry.
 
 """
 
@@ -16,7 +17,7 @@
 from millfork_wire.messages import Done, SuspicionReport
 from millfork_wire.peers import Peers
 
-# The timeout of a suspicion report, which may cross two regions, like a load report.
+# The timeout of a suspicion report. Like a load report, it may have to cross two regions.
 REPORT_TIMEOUT_S: Final = 0.3
 # The pause before a report that wasn't accepted is sent again.
 RETRY_S: Final = 0.15
@@ -55,7 +56,7 @@
 
     async def _report(self) -> bool:
         """
-        Report all unsent suspicions; False if the report wasn't accepted.
+        Report all unsent suspicions. Returns whether the report was accepted.
 
         """
         reported = dict(self.suspicion_store.unsent)
--- a/packages/millforkd/millforkd/proxy/turned_away_directory.py
+++ b/packages/millforkd/millforkd/proxy/turned_away_directory.py
@@ -28,11 +28,11 @@
 from millforkd.proxy.job import Job
 from millforkd.proxy.peer_queries import PeerQueries
 
-# The timeout of a query to an owner. A round trip within a zone takes 1 ms to 3 ms, and this is a
-# twentieth of the shortest targets for the first token.
-ASK_TIMEOUT_S: Final = 0.02
-# The bytes of a fingerprint by which the directory identifies a request: enough to distinguish
-# the requests of several seconds.
+# The timeout of a query to an owner. A round trip within a zone takes 1 ms to 3 ms, and the timeout
+# is a twentieth of the shortest target times to the first token.
+QUERY_TIMEOUT_S: Final = 0.02
+# The directory identifies a request by this many leading bytes of the fingerprint: enough to
+# distinguish the requests of several seconds.
 FINGERPRINT_PREFIX_BYTES: Final = 8
 
 log = logger(Component.PROXY)
@@ -52,7 +52,7 @@
         fingerprints: Fingerprints,
     ) -> None:
         self.env = env
-        # Returns the entries that all entries of their zone know of.
+        # Returns, for each zone, the few entries that all entries of the zone know of.
         self.list_entries = list_entries
         self.fingerprints = fingerprints
         self.requests = TurnedAwayRequests()
@@ -60,7 +60,7 @@
 
     async def record(self, job: Job) -> None:
         """
-        Record at its owner that a job was turned away; doesn't wait for another entry.
+        Record that a job was turned away, at the owner of the request; doesn't wait for the owner.
 
         """
         now = self.env.monotonic()
@@ -104,8 +104,9 @@
 
     def _owner_of(self, fingerprint: bytes) -> str:
         """
-        The entry that records a request. All entries of a zone choose the same one, unless some
-        found that one silent recently. This entry is chosen if no other is left.
+        The instance of the entry that records the requests with this fingerprint. All entries of a
+        zone choose the same owner, except for entries that found that owner silent recently. This
+        entry is chosen if no candidate is left.
 
         """
         zone = str(self.env.zone)
@@ -121,7 +122,7 @@
         connection = await self.queries.get_open_connection(owner)
         if connection is None:
             return 0
-        reply = await self.queries.ask(owner, connection, message, ASK_TIMEOUT_S)
+        reply = await self.queries.ask(owner, connection, message, QUERY_TIMEOUT_S)
         if not isinstance(reply, TurnedAwayBefore) or not reply.found:
             return 0
         return reply.elapsed_ms
--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -246,7 +246,7 @@
         (
             Edit(
                 D + 'proxy/cache.py',
-                'if not direct and await self._fetch_from_cache(held, index):',
+                'if not from_origin and await self._fetch_from_cache(held, index):',
                 'if False:',
             ),
         ),
@@ -268,7 +268,7 @@
         (
             Edit(
                 D + 'proxy/cache.py',
-                'reply.reason not in (ORIGIN_FAILS, OTHERS_FIRST)',
+                'reply.reason not in (ORIGIN_FAILS, ORIGIN_BUSY)',
                 'reply.reason != ORIGIN_FAILS',
             ),
         ),
@@ -683,7 +683,7 @@
         (
             Edit(
                 D + 'proxy/cache.py',
-                'if direct or not await self._fetch_from_cache(held, DIGESTS_INDEX):',
+                'if from_origin or not await self._fetch_from_cache(held, DIGESTS_INDEX):',
                 'if True:',
             ),
         ),
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -62,9 +62,9 @@
     ('is_undecided', 'expected_ms', 'running', 'depends'),
     [
         (True, 100, 14, True),
-        # The deadline of the request shows already whether it is a first try.
+        # The deadline of the request already shows whether the request is a first try.
         (False, 100, 14, False),
-        # The request is sent, or refused, whether or not it is a first try.
+        # The answer changes nothing: one request is sent in any case, the other is refused.
         (True, 100, 3, False),
         (True, 5000, 14, False),
     ],
--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -1,7 +1,8 @@
 """
 Entries as caches of pieces: which caches are advertised, and which of them use the origin.
 
-The cache that is to fetch a piece from the origin is called the assigned cache of the piece.
+The cache that is to fetch a piece from the origin (the fetcher in `PieceCache`) is called the
+assigned cache of the piece.
 
 """
 
@@ -104,8 +105,8 @@
 
 def cache_and_assigned_cache():
     """
-    A cache in zone z2, and the assigned cache of all pieces in zone z1. Each has a fake origin
-    of its own, and neither prefetches pieces of version 2.
+    A cache in zone z2 and a cache in zone z1, the assigned cache of all pieces. Each has a fake
+    origin of its own, and neither prefetches pieces of version 2.
 
     """
     caches = [CacheAddress('10.0.0.1:1', 'z1'), CacheAddress('10.0.0.2:1', 'z2')]
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -2,10 +2,10 @@
 A request that crashes every back end that runs it, and whose callers send it again to any entry
 with another id.
 
-The entries didn't recognise the repeated request, so each call crashed as many back ends as its
-route allows attempts. On a fleet of six engines one such request crashed engines ten times within
-14 s, another one 14 times within 10 s, and with each crash the answers of up to 17 other callers
-broke off.
+Guards against entries that don't recognise the repeated request: each call then crashed as many
+back ends as the route allows attempts. On a fleet of six engines one such request crashed engines
+ten times within 14 s, another request 14 times within 10 s, and with each crash the answers to up
+to 17 other callers broke off.
 
 Once such a request has crashed three back ends and all entries have had time to learn of that,
 the request may be sent at most three more times.
@@ -29,8 +29,8 @@
 MAX_FURTHER_ENDS = 3
 # All entries must have learned of the crashes within this time.
 KNOWN_TO_ALL_AFTER_S = 3.0
-# Requests that are served first, so that the entry may retry one: an entry that has just started
-# may retry one request in 25.
+# The number of requests that are served first, so that the retry budget of the entry allows a
+# retry: an entry that has just started may retry one request in 25.
 REQUESTS_BEFORE_RETRY = 40
 
 
@@ -58,8 +58,8 @@
 def send_until(fleet, condition):
     """
     Send the crashing request to the entries in turn until `condition` is true. An entry counts a
-    crash seen by the other entry only once it learns of the crash, so the condition may need one
-    crash more than three.
+    crash that the other entry saw only once the other entry's report arrives, so the condition may
+    need one crash more than three.
 
     """
     entries = itertools.cycle((0, 1))
--- a/tests/test_ends_after_their_callers_left.py
+++ b/tests/test_ends_after_their_callers_left.py
@@ -1,8 +1,9 @@
 """
 A request that crashes the back ends that run it, and whose callers leave before the crash.
 
-A crash was counted only if it interrupted an answer to a caller. Callers that left after 0.1 s
-and retried a request that crashes its back end after 0.2 s crashed one back end with each call.
+Guards against counting a crash only if it interrupts an answer to a caller: callers that left after
+0.1 s and retried a request that crashes its back end after 0.2 s then crashed one back end with
+each call.
 """
 
 import itertools
@@ -22,9 +23,11 @@
 CRASH_DELAY_S = 0.2
 CALLER_TIMEOUT_S = 0.1
 OTHER_REQUESTS_PER_S = 100
-# The thread that sends other requests stops after about this many seconds, even if the test hangs.
+# The thread that sends other requests stops after about this many loads of one second each, even if
+# the test hangs.
 MAX_LOADS = 30
-# One of two entries may send the request before the other's report of the third crash arrives.
+# How many further back ends may crash because one of the two entries sends the request before the
+# other entry's report of the third crash arrives.
 MAX_CONCURRENT_ENDS = 1
 
 
--- a/tests/test_ends_of_silent_back_ends.py
+++ b/tests/test_ends_of_silent_back_ends.py
@@ -1,11 +1,12 @@
 """
 Back ends whose instances lose power while they run a request.
 
-An instance without power closes no connections, and its address is silent. Back ends were probed
-only when an answer broke off, and only a refused connection counted as an end, so requests that
-ended one back end after another in this way were never suspected. A network partition looks the
-same at first. After a partition the back end answers again; after a loss of power its address
-refuses connections once the instance is back, or the back end returns as another incarnation.
+An instance without power closes no connections, and its address is silent. Guards against probing
+back ends only when an answer breaks off and counting only a refused connection as an end: requests
+that ended one back end after another by a loss of power were then never suspected. A network
+partition looks like a loss of power at first. After a partition the back end answers again; after a
+loss of power the address refuses connections once the instance is back, or the back end returns as
+another incarnation.
 
 """
 
@@ -31,8 +32,9 @@
 
 def count_ends(probe_results, before_last_probe=None):
     """
-    The number of ends counted for a request whose answer broke off at a back end. Probes of the
-    back end's address have these results in turn; the last one repeats.
+    The number of ends of back ends that are counted for a request whose answer broke off at a back
+    end. Probes of the back end's address have the given results in turn; the last result repeats.
+    `before_last_probe` is called before each probe that has the last result.
 
     """
 
@@ -56,7 +58,7 @@
                     await curio.sleep(0.001)
         except curio.TaskTimeout:
             pass
-        # Leaves time for the next probe, by which an end may be recorded.
+        # Leaves time for one more probe, after which an end may be recorded.
         await curio.sleep(0.05)
         return suspicion_store.get(FINGERPRINT).ends
 
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -1,5 +1,6 @@
 """
-Requests that are not sent once a connection is open, or are given up while they wait for an answer.
+Requests that are not sent although a connection was opened, or are given up while they wait for an
+answer.
 
 """
 
@@ -51,7 +52,7 @@
 
     def answer_other(self, sent_later_s, urgency=5):
         """
-        The back end answers another request that was sent `sent_later_s` after this one.
+        Let the back end answer another request, sent `sent_later_s` after the waiting one.
 
         """
         self.server.last_received_at = self.clock.now
@@ -100,8 +101,8 @@
 class EndingVersion:
     """
     An entry that connects so slowly that version 1 has ended for new requests once the
-    connection is open. Its engines are chosen in order; an engine that receives a request
-    closes the connection.
+    connection is open. There is one engine for each version in `served`. The engines are chosen
+    in order; an engine that receives a request closes the connection.
 
     """
 
@@ -201,9 +202,9 @@
 
 def test_nothing_is_sent_to_a_version_that_ends_while_connecting():
     """
-    Guards against requests that are sent within the last 0.9 s of a version, which are reserved
-    for requests already on their way: opening a connection to the chosen engine may take 0.4 s.
-    As nothing was sent to the first engine, sending to the next one doesn't count as a retry.
+    Guards against sending a request within the last 0.9 s of a version because opening the
+    connection took up to 0.4 s: that time is reserved for requests already on their way. As
+    nothing was sent to the first engine, sending to the next engine doesn't count as a retry.
 
     """
     scenario = EndingVersion(1, 2)
--- a/tests/test_late_closing_back_ends.py
+++ b/tests/test_late_closing_back_ends.py
@@ -2,9 +2,9 @@
 A request that crashes the back ends that run it, where the listening socket closes later than
 the connections, as happens while the kernel tears down a large process.
 
-An entry probed the address twice within about 20 ms, took an accepted connection as proof that
-the back end was alive, and did not probe again. No crash was counted, and the request was sent to
-further back ends.
+Guards against an entry that probes the address twice within about 20 ms, takes an accepted
+connection as proof that the back end is alive, and doesn't probe again. No crash was then counted,
+and the request was sent to further back ends.
 """
 
 import pytest
@@ -21,7 +21,8 @@
 
 BACK_ENDS = 24
 CALLS = 20
-# One of two entries may send the request before the other's report of the third crash arrives.
+# How many further back ends may crash because one of the two entries sends the request before the
+# other entry's report of the third crash arrives.
 MAX_CONCURRENT_ENDS = 1
 
 
--- a/tests/test_leaving_back_ends.py
+++ b/tests/test_leaving_back_ends.py
@@ -11,7 +11,7 @@
 from tests.test_seeded_fleet import request
 from tests.utils.loaded import LOAD_PER_S, loaded_fleet
 
-# Requests that were already on the way may arrive for this long after the announcement.
+# Requests that were already on their way may arrive for this long after the announcement.
 DRAIN_S = 2.0
 LOAD_S = 4.0
 
--- a/tests/test_requests_that_crash_instances.py
+++ b/tests/test_requests_that_crash_instances.py
@@ -16,7 +16,8 @@
 from tests.utils.fleets import wait_until
 
 CALLS = 10
-# Long enough for the test to kill the instance before its engine crashes.
+# The engine crashes this long after the request starts: long enough for the test to kill the whole
+# instance first.
 CRASH_AFTER_MS = 2000
 
 
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -1,5 +1,5 @@
 """
-Pieces of weights: assignment to daemons, choice of daemons that hold them, digests, transfer times.
+Pieces of weights: which daemons fetch a piece, and which are asked for it; digests, transfer times.
 
 """
 
--- a/tests/test_turned_away_directory.py
+++ b/tests/test_turned_away_directory.py
@@ -25,8 +25,9 @@
 
 class Zone:
     """
-    Entries of zone z1 that reach each other without delay, except for `unreachable` and `slow`
-    ones. All of them know the first `owners` entries, and one entry of another zone.
+    Entries of zone z1 that reach each other without delay, except that `unreachable` entries accept
+    no connections and queries to `slow` entries time out. All entries know the first `owners`
+    entries of the zone, and one entry of another zone.
 
     """
 
@@ -78,7 +79,7 @@
         async def run():
             entry = self.entries[name]
             await entry.record(job)
-            # Lets the task run that sends the record to its owner.
+            # Lets the task run that sends the record to the owner of the request.
             await curio.sleep(0)
             await curio.sleep(0)
 
