--- a/packages/millforkd/millforkd/proxy/turned_away_directory.py
+++ b/packages/millforkd/millforkd/proxy/turned_away_directory.py
@@ -3,9 +3,9 @@
 
 Callers that were turned away retry at any entry of their zone. Each request that was turned away
 is recorded at its owner: one of the few entries that all entries of the zone know of, chosen by
-the request's fingerprint. Recording doesn't wait, and the owner is queried only where its answer
-decides whether a request is sent. If the answer doesn't arrive in time, the request counts as a
-first try.
+the request's fingerprint. An entry doesn't wait for the owner to record a request, and queries the
+owner only where the answer decides whether a request is sent. If the answer doesn't arrive in time,
+the request counts as a first try.
 
 """
 
--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -315,8 +315,9 @@
     Guards against all entries fetching the same piece from a busy origin. Two versions were
     requested from an origin that sends one version in 4.4 s. For 3 s the assigned caches answered
     'not yet' to requests for a piece of the second version. Then all entries fetched that piece
-    as well: requests of six of nine entries timed out after 1.0 s, all within 0.3 s, the origin
-    sent 4.6 copies, and the first engine had the whole version 12.8 s after the origin was back.
+    as well: requests of six of nine entries timed out after 1.0 s, all in a period of 0.3 s, the
+    origin sent 4.6 copies, and the first engine had the whole version 12.8 s after the origin was
+    back.
 
     """
     monkeypatch.setattr(caching, 'ANSWER_WITHIN_S', 0.02)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -132,7 +132,7 @@
 def test_ends_are_remembered_when_all_replicas_restart(fleet):
     """
     All replicas lose what they hold in memory, and so does one of two entries. The other entry
-    still knows of the crashes, and both count them.
+    still knows of the crashes, and afterwards both entries must count them.
 
     """
     assert fleet.send_request(crashing_request()).status in (502, 503)
--- a/tests/test_proxy_connections.py
+++ b/tests/test_proxy_connections.py
@@ -45,7 +45,7 @@
 
 async def pool_with_sent_request(listener):
     """
-    A pool, one of its connections on which a request was sent, and the server's socket of that
+    A pool, a connection of the pool on which a request was sent, and the server's socket of that
     connection.
 
     """
