--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -1,7 +1,8 @@
 """
 Entries as caches of pieces: which caches are advertised, and which of them use the origin.
 
-The cache that is to fetch a piece from the origin is called the assigned cache of the piece.
+The cache that is to fetch a piece from the origin (the fetcher in `PieceCache`) is called the
+assigned cache of the piece.
 
 """
 
@@ -104,8 +105,8 @@
 
 def cache_and_assigned_cache():
     """
-    A cache in zone z2, and the assigned cache of all pieces in zone z1. Each has a fake origin
-    of its own, and neither prefetches pieces of version 2.
+    A cache in zone z2 and a cache in zone z1, the assigned cache of all pieces. Each has a fake
+    origin of its own, and neither prefetches pieces of version 2.
 
     """
     caches = [CacheAddress('10.0.0.1:1', 'z1'), CacheAddress('10.0.0.2:1', 'z2')]
@@ -314,8 +315,9 @@
     Guards against all entries fetching the same piece from a busy origin. Two versions were
     requested from an origin that sends one version in 4.4 s. For 3 s the assigned caches answered
     'not yet' to requests for a piece of the second version. Then all entries fetched that piece
-    as well: requests of six of nine entries timed out after 1.0 s, all within 0.3 s, the origin
-    sent 4.6 copies, and the first engine had the whole version 12.8 s after the origin was back.
+    as well: requests of six of nine entries timed out after 1.0 s, all in a period of 0.3 s, the
+    origin sent 4.6 copies, and the first engine had the whole version 12.8 s after the origin was
+    back.
 
     """
     monkeypatch.setattr(caching, 'ANSWER_WITHIN_S', 0.02)
