--- a/packages/millfork-routing/millfork_routing/balance.py
+++ b/packages/millfork-routing/millfork_routing/balance.py
@@ -9,8 +9,8 @@
 from millfork_core.ids import InstanceId, OrganisationId, ZoneId
 from millfork_core.ranks import rank
 
-# The endpoint that the affinity key prefers is skipped while its load is above this multiple of
-# the mean load.
+# The endpoint that the affinity key of a request prefers is skipped while the endpoint's load is
+# above this multiple of the mean load. Requests that should reach the same endpoint have equal keys.
 BOUNDED_LOAD: Final = 1.25
 # Until its first load report, an endpoint is assumed to run this many requests at a time.
 DEFAULT_LIMIT: Final = 8
@@ -53,7 +53,7 @@
     leaving: bool = False
     avoided_until: float = 0.0
     # How many requests the endpoint's back end turned away in a row, when this entry learned of
-    # the last rejection, and until when other endpoints are preferred.
+    # the last of these, and until when other endpoints are therefore preferred.
     turned_away: int = 0
     turned_away_at: float = float('-inf')
     passed_over_until: float = float('-inf')
@@ -143,8 +143,8 @@
 
     Endpoints that turned no request away recently come first; of these, those with free
     capacity in `zone`, then those with free capacity in any zone. Among the endpoints that
-    remain the affinity key decides, except that those loaded well above the mean are skipped.
-    Without a key, the least loaded one is chosen.
+    remain the key `affinity` decides, but endpoints loaded above `BOUNDED_LOAD` times the mean are
+    skipped. If the key is empty, the least loaded endpoint is chosen.
 
     """
     usable = [b for b in backends if b.instance not in tried and is_usable(b, organisation, now)]
--- a/packages/millfork-routing/millfork_routing/documents.py
+++ b/packages/millfork-routing/millfork_routing/documents.py
@@ -82,6 +82,7 @@
     between two events of a stream. `slots` is the number of requests that run at a time, `tokens`
     the size of the engine's memory in tokens; `usual_prompt` and `usual_answer` are typical
     lengths in tokens. The weights of `model` consist of `pieces` pieces of `piece_bytes` bytes.
+    `warm_s` is kept from the operator's document but not used.
 
     """
 
--- a/packages/millfork-routing/millfork_routing/limits.py
+++ b/packages/millfork-routing/millfork_routing/limits.py
@@ -19,7 +19,8 @@
 FIRST_SERVICE_TIME_S: Final = 0.2
 # A refused caller is asked to wait at least this long.
 MIN_RETRY_AFTER_MS: Final = 100
-# Above this number, the virtual times of organisations without queued requests are dropped.
+# If the virtual times of more organisations than this are known when an organisation gets a new
+# queue, those of organisations without queued requests are dropped.
 MAX_ORGANISATIONS_REMEMBERED: Final = 10_000
 
 
@@ -122,7 +123,7 @@
 
     async def leave(self, waiter: Waiter) -> None:
         """
-        Release the request's slot; a request without a slot is removed from the queue.
+        Release the slot of a request, or remove a request without a slot from its queue.
 
         """
         if waiter.has_slot:
--- a/packages/millfork-routing/millfork_routing/retries.py
+++ b/packages/millfork-routing/millfork_routing/retries.py
@@ -1,5 +1,6 @@
 """
-Whether a refused request may be retried, by its refusal's reason and verdict and by a budget.
+Whether a refused request may be retried, which depends on the reason and the verdict of its
+refusal, and the budget that limits the number of retries.
 
 """
 
@@ -41,7 +42,7 @@
 class RetryBudget:
     """
     Limits the retries of each organisation at each service: in a window of `WINDOW_S`, to
-    `floor` plus `ratio` times the number of requests.
+    `floor` plus `ratio` times the number of requests in that window.
 
     """
 
--- a/packages/millfork-routing/millfork_routing/shared_budget.py
+++ b/packages/millfork-routing/millfork_routing/shared_budget.py
@@ -7,8 +7,8 @@
 
 - The previous process of an entry may have just spent the entry's share. So in its first window
   a process gets only a small part of the ratio and none of the fixed allowance.
-- The allowance is divided by the highest recent number of entries, as entries that are
-  partitioned off or restarting still use their shares.
+- The allowance is divided by the highest recent number of entries, as entries that restart or are
+  out of reach in a partition still use their shares.
 - An entry has no share of the allowance until its replica has been in contact with a majority of
   the replicas for a whole window. Only one side of a partition has that contact, so the two sides
   can't both divide the whole allowance by the entries that they see. Without this rule, two
@@ -63,7 +63,8 @@
 
 def assume_no_quorum() -> bool:
     """
-    The default of `has_quorum`: the entry's replica is never known to reach a majority.
+    The default of `has_quorum`: the entry's replica is never known to be in contact with a
+    majority of the replicas.
 
     """
     return False
@@ -71,8 +72,8 @@
 
 class SharedBudget:
     """
-    Limits one entry's retries to its share of the budget: for each service, `ratio` times its
-    requests within `window_s` seconds, and its part of the fixed allowance `slack`.
+    Limits one entry's retries to its share of the budget: for each service, a part of `ratio` times
+    its requests within `window_s` seconds, and its part of the fixed allowance `slack`.
 
     `entries` returns the number of entries known to the entry's replica, `has_quorum` whether
     that replica is in contact with a majority of the replicas now.
--- a/packages/millfork-scheduling/millfork_scheduling/admission.py
+++ b/packages/millfork-scheduling/millfork_scheduling/admission.py
@@ -1,10 +1,10 @@
 """
 Whether a request is sent to the engine that was chosen for it, or refused.
 
-A request is in time if its first token arrives within the target time of its route. Under lasting
-load near or above capacity, a late request holds a slot for as long as one that is in time, and
-requests that are retried after a refusal are late already. If late requests were always sent,
-they would fill the engines and no request would be in time.
+A request is in time if its first token arrives within the target time of its route. A late
+request holds a slot for as long as one that is in time, and requests that are retried after a
+refusal are late already. If late requests were always sent under lasting load near or above
+capacity, they would fill the engines and no request would be in time.
 
 """
 
@@ -45,7 +45,7 @@
 def overdue_ms(start_estimate: StartEstimate) -> float:
     """
     By how much the expected time to the first token exceeds `FIRST_TOKEN_SHARE` of the time
-    left, in ms; 0 or less if the request would be in time.
+    left (0 if the target has passed), in ms; 0 or less if the request would be in time.
 
     """
     return start_estimate.expected_ms - max(start_estimate.remaining_ms, 0.0) * FIRST_TOKEN_SHARE
--- a/packages/millfork-scheduling/millfork_scheduling/availability.py
+++ b/packages/millfork-scheduling/millfork_scheduling/availability.py
@@ -1,11 +1,11 @@
 """
-The backpressure signals of one incarnation (process life) of a back end, and whether they allow
-requests to be sent to it.
+The backpressure signals of one incarnation (process life) of a back end, and whether these signals
+allow requests to be sent to that back end.
 
 An overloaded back end announces how many requests a second it accepts. Without a daemon beside
-the back end, only its answers show when the limit is over, so some requests must still be sent.
-A back end that leaves may tell entries so before any replica receives a heartbeat that says it,
-for example during a partition.
+the back end, only answers show when the limit is over, so some requests must still be sent. A back
+end that is leaving may say so in an answer before a replica learns it from a heartbeat, for
+example during a partition.
 
 """
 
@@ -31,8 +31,8 @@
 # How long the signals of an incarnation are kept after its lease is gone. An incarnation that
 # leaves usually ends within seconds, but after a long partition its lease may come back.
 REMEMBERED_S: Final = 3600.0
-# For how many incarnations without a lease signals are kept: three times the number of back ends
-# at the size planned for two years ahead.
+# The maximum number of incarnations whose signals are kept after their lease is gone: three times
+# the number of back ends at the size planned for two years ahead.
 MAX_REMEMBERED: Final = 10_000
 
 
@@ -84,8 +84,9 @@
 
     def extend(self, rest_s: float, now: float) -> None:
         """
-        Extend the period to `rest_s` from now, or `MAX_REST_S` if that is less. The period is
-        never shortened, as the answer with the new rest may have been sent before the last one.
+        Extend the period to end `rest_s` from now, or `MAX_REST_S` if that is less, and forget
+        the last probe. The period is never shortened, as the back end may have sent the answer
+        that asks for this rest before an answer that was already applied.
 
         """
         self.until = max(self.until, now + min(rest_s, MAX_REST_S))
@@ -107,7 +108,8 @@
 
     def is_ended_by(self, sent_at: float) -> bool:
         """
-        Whether the rest is over if the back end accepted a request sent at `sent_at`.
+        Whether the rest is known to be over once the back end has accepted a request that was
+        sent at `sent_at`.
 
         """
         return sent_at >= self.until
@@ -127,7 +129,8 @@
 @dataclass(frozen=True, slots=True)
 class Closure:
     """
-    Why no request may be sent to a back end, and the expected time until one may, in seconds.
+    Why no request may be sent to a back end, and the expected time until one may, in seconds
+    (infinity if the back end is leaving).
 
     """
 
@@ -140,8 +143,9 @@
     """
     A signal that began, changed or ended.
 
-    `value` is the rate of a limit in requests a second, or the length of a rest in seconds; for
-    an ended rest it is the time between its end and the answer that ended it.
+    `value` is the rate of a limit in requests a second, or the length of a rest in seconds. For
+    an ended rest it is the time from the end of the requested period to the answer that showed
+    that the rest is over, for `LEAVING` it is 0.
 
     """
 
@@ -277,7 +281,8 @@
     def __init__(self, random: Random, monotonic: Callable[[], float]) -> None:
         self.random = random
         self.monotonic = monotonic
-        # Each with the time at which its lease was lost, in the order of these times.
+        # By incarnation: when its lease was lost (monotonic seconds), and its availability; in the
+        # order of these times.
         self.kept: dict[tuple[InstanceId, Incarnation], tuple[float, Availability]] = {}
 
     def store(self, key: tuple[InstanceId, Incarnation], availability: Availability) -> None:
--- a/packages/millfork-scheduling/millfork_scheduling/first_tries.py
+++ b/packages/millfork-scheduling/millfork_scheduling/first_tries.py
@@ -1,5 +1,6 @@
 """
-Whether a request is its caller's first try, estimated from its deadline.
+Whether a request is its caller's first try, estimated from its deadline (the time for which the
+caller still waits for an answer, in ms).
 
 Under lasting load above capacity, many requests are retries of callers that were turned away.
 The first token of a retry is late in any case, and a slot given to a retry is lost to a request
@@ -14,24 +15,27 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-# Deadlines that differ by at most this count as equal, as transit takes some ms of each. A caller
-# that was turned away has lost more than this.
+# Deadlines that differ by at most this count as equal, as transit takes some ms of each. The
+# deadline of a retry is shorter than that of the first try by more than this.
 DEADLINE_TOLERANCE_MS: Final = 120
 # For this time after a caller was turned away, requests may be retries, as callers keep retrying
 # for 6 s.
-RETURN_WINDOW_S: Final = 8.0
-# How many first-try deadlines are kept for each route, and how many the estimate needs.
+RETRIES_POSSIBLE_S: Final = 8.0
+# The number of first-try deadlines that are kept for each route: the latest ones.
 MAX_DEADLINES_KEPT: Final = 128
+# The number of first-try deadlines of a route that the estimate by their range needs.
 MIN_FIRST_TRIES: Final = 20
-# Deadlines are kept for at most this many routes (2 KB each), as configurations replace routes.
+# The maximum number of routes whose deadlines are kept (2 KB each). Configurations replace routes,
+# so the number of routes seen is not bounded.
 MAX_ROUTES: Final = 2000
-# These are used until `MIN_FIRST_TRIES` first tries were seen, as after a start under load. Callers
-# are assumed to begin with one common deadline if, among the last `LATEST_KEPT` requests (including
-# retries), a share of `COMMON_DEADLINE_SHARE` and at least `MIN_COMMON_DEADLINES` differ from the
-# longest deadline by at most `SAME_DEADLINE_MS`, the time that transit takes. Two or three so close
-# by chance are no evidence: with them, 1 in 14 first tries counted as retries if callers begin with
-# 0.85 to 1 times the usual deadline.
-LATEST_KEPT: Final = 16
+# The next four constants apply to a route until `MIN_FIRST_TRIES` first tries were seen, as after a
+# start under load. Its callers are assumed to begin with one common deadline if enough of the last
+# `MAX_LATEST_DEADLINES` requests (including retries) have a deadline that is shorter than the
+# longest one by at most `SAME_DEADLINE_MS`, the time that transit takes. Enough are a share of
+# `COMMON_DEADLINE_SHARE`, and at least `MIN_COMMON_DEADLINES`. Two or three requests may have such
+# deadlines by chance: when they were enough, 1 in 14 first tries counted as retries if callers
+# begin with 0.85 to 1 times the usual deadline.
+MAX_LATEST_DEADLINES: Final = 16
 COMMON_DEADLINE_SHARE: Final = 0.4
 MIN_COMMON_DEADLINES: Final = 4
 SAME_DEADLINE_MS: Final = 20
@@ -39,18 +43,19 @@
 # probes, or from retries that were mistaken for first tries.
 OUTLIER_SHARE: Final = 0.05
 # The shortest deadline that callers begin with may not have been observed yet. It is assumed to lie
-# below the observed ones by at most this share of their range.
+# below the observed ones by at most this share of their range (or `DEADLINE_TOLERANCE_MS` if that
+# is more).
 UNSEEN_MARGIN_SHARE: Final = 0.2
 
 
 @dataclass(frozen=True, slots=True)
 class FirstTryEstimate:
     """
-    The estimated time from the caller's first try to a request, in ms (0: the request is the
-    first try).
+    The estimated time from the caller's first try to the present request, in ms (0: the request
+    is the first try, or the estimate is undecided).
 
-    `is_undecided` is set if the deadline doesn't show whether the request is the first try, so
-    that other entries should be asked.
+    `is_undecided` is set if the deadline doesn't show whether the request is the first try. Then
+    the directory of turned-away requests, which the entries of a zone share, should be asked.
 
     """
 
@@ -66,17 +71,19 @@
 
     """
 
-    longest: int = 0
-    latest: deque[int] = field(default_factory=lambda: deque(maxlen=LATEST_KEPT))
-    first: deque[int] = field(default_factory=lambda: deque(maxlen=MAX_DEADLINES_KEPT))
+    longest_ms: int = 0
+    latest_ms: deque[int] = field(default_factory=lambda: deque(maxlen=MAX_LATEST_DEADLINES))
+    first_tries_ms: deque[int] = field(default_factory=lambda: deque(maxlen=MAX_DEADLINES_KEPT))
 
     def share_one_deadline(self) -> bool:
         """
         Whether callers seem to begin with the same deadline, judged by the latest requests.
 
         """
-        with_longest = sum(time_ms >= self.longest - SAME_DEADLINE_MS for time_ms in self.latest)
-        return with_longest >= max(MIN_COMMON_DEADLINES, COMMON_DEADLINE_SHARE * len(self.latest))
+        matching = sum(
+            deadline_ms >= self.longest_ms - SAME_DEADLINE_MS for deadline_ms in self.latest_ms
+        )
+        return matching >= max(MIN_COMMON_DEADLINES, COMMON_DEADLINE_SHARE * len(self.latest_ms))
 
 
 class FirstTryDetector:
@@ -99,30 +106,32 @@
     def estimate(self, route: str, deadline_ms: int, now: float) -> FirstTryEstimate:
         """
         Estimate from its deadline whether a request is a first try. The deadline is learned as
-        that of a first try if no caller was turned away in the last `RETURN_WINDOW_S`.
+        that of a first try if no caller was turned away in the last `RETRIES_POSSIBLE_S`.
 
         """
         deadlines = self._deadlines_of(route)
-        deadlines.longest = max(deadlines.longest, deadline_ms)
-        deadlines.latest.append(deadline_ms)
-        if now - self.turned_away_at > RETURN_WINDOW_S:
-            deadlines.first.append(deadline_ms)
-        if deadline_ms >= deadlines.longest - DEADLINE_TOLERANCE_MS:
+        deadlines.longest_ms = max(deadlines.longest_ms, deadline_ms)
+        deadlines.latest_ms.append(deadline_ms)
+        if now - self.turned_away_at > RETRIES_POSSIBLE_S:
+            deadlines.first_tries_ms.append(deadline_ms)
+        if deadline_ms >= deadlines.longest_ms - DEADLINE_TOLERANCE_MS:
             return FirstTryEstimate()
-        if len(deadlines.first) < MIN_FIRST_TRIES:
+        if len(deadlines.first_tries_ms) < MIN_FIRST_TRIES:
             share_one = deadlines.share_one_deadline()
             return (
-                FirstTryEstimate(deadlines.longest - deadline_ms)
+                FirstTryEstimate(deadlines.longest_ms - deadline_ms)
                 if share_one
                 else FirstTryEstimate(is_undecided=True)
             )
-        ordered = sorted(deadlines.first)
-        shortest = ordered[int(len(ordered) * OUTLIER_SHARE)]
-        margin_ms = max(DEADLINE_TOLERANCE_MS, UNSEEN_MARGIN_SHARE * (deadlines.longest - shortest))
-        if deadline_ms >= shortest - margin_ms:
+        ordered = sorted(deadlines.first_tries_ms)
+        shortest_ms = ordered[int(len(ordered) * OUTLIER_SHARE)]
+        margin_ms = max(
+            DEADLINE_TOLERANCE_MS, UNSEEN_MARGIN_SHARE * (deadlines.longest_ms - shortest_ms)
+        )
+        if deadline_ms >= shortest_ms - margin_ms:
             return FirstTryEstimate(is_undecided=True)
-        usual = ordered[len(ordered) // 2]
-        return FirstTryEstimate(usual - deadline_ms)
+        median_ms = ordered[len(ordered) // 2]
+        return FirstTryEstimate(median_ms - deadline_ms)
 
     def _deadlines_of(self, route: str) -> RouteDeadlines:
         deadlines = self.deadlines_by_route.get(route)
--- a/packages/millfork-scheduling/millfork_scheduling/fleet_index.py
+++ b/packages/millfork-scheduling/millfork_scheduling/fleet_index.py
@@ -10,11 +10,14 @@
 from millfork_core.ids import ServiceName, ZoneId
 from millfork_scheduling.server import Server
 
-# An entry uses at most this many engines of each service in its own zone (near) and in all other
-# zones (far), as it keeps a connection to the daemon beside each of them. With few entries each
-# uses more engines, so that about `ENTRIES_PER_ENGINE` entries use every engine.
-MAX_NEAR: Final = 32
-MAX_FAR: Final = 16
+# The number of engines per service from which an entry draws its samples, in its own zone (near) and
+# in all other zones (far). It is limited because the entry keeps a connection to the daemon
+# beside each of these engines.
+NEAR_LIMIT: Final = 32
+FAR_LIMIT: Final = 16
+# With few entries, both limits are raised to this many times the number of engines divided by the
+# number of entries. So each engine is used by about this many entries or more, or by all entries if
+# there are fewer.
 ENTRIES_PER_ENGINE: Final = 6
 
 
@@ -28,7 +31,8 @@
         self.zone = zone
         self.entries = entries
         self.by_service: dict[ServiceName, list[Server]] = {}
-        # The back ends that this entry uses, by service: in its own zone and in all other zones.
+        # The back ends from which this entry draws its samples, by service: those in its own zone
+        # and those in all other zones.
         self.near: dict[ServiceName, list[Server]] = {}
         self.far: dict[ServiceName, list[Server]] = {}
         self.by_address: dict[tuple[str, int], Server] = {}
@@ -44,13 +48,13 @@
         self.by_address = {}
         for server in servers:
             self.by_service.setdefault(server.service, []).append(server)
-            side = self.near if server.zone == self.zone else self.far
-            side.setdefault(server.service, []).append(server)
+            servers_by_service = self.near if server.zone == self.zone else self.far
+            servers_by_service.setdefault(server.service, []).append(server)
             self.by_address[(server.host, server.port)] = server
         for service, found in self.by_service.items():
             share = ENTRIES_PER_ENGINE * len(found) // max(self.entries(), 1)
-            _truncate(self.near, service, max(MAX_NEAR, share))
-            _truncate(self.far, service, max(MAX_FAR, share))
+            _truncate(self.near, service, max(NEAR_LIMIT, share))
+            _truncate(self.far, service, max(FAR_LIMIT, share))
 
 
 def _truncate(servers: dict[ServiceName, list[Server]], service: ServiceName, limit: int) -> None:
--- a/packages/millfork-scheduling/millfork_scheduling/incarnation_status.py
+++ b/packages/millfork-scheduling/millfork_scheduling/incarnation_status.py
@@ -37,8 +37,11 @@
     server: Server, since: float, known: Iterable[Server] = (), now: float = float('-inf')
 ) -> IncarnationStatus:
     """
-    Whether a back end has ended since the moment `since` (monotonic seconds). `known` are the
-    back ends that hold a lease now and have the same instance or address as `server`.
+    Whether `server` has ended since the moment `since` (monotonic seconds).
+
+    `known` are the back ends that hold a lease at the moment `now` and have the same instance or
+    address as `server`. If `server` still holds its lease more than `LEASE_EXPIRED_S` after
+    `since`, it lives.
 
     """
     if server.replaced:
@@ -53,7 +56,8 @@
 
 def _was_active(server: Server, since: float) -> bool:
     """
-    Whether anything was received that the back end can only have sent after `since`.
+    Whether this entry received data that the back end, or the daemon beside a back end with a
+    known incarnation, can only have sent after `since`.
 
     """
     if any(sent_at > since for sent_at in server.answered.values()):
--- a/packages/millfork-scheduling/millfork_scheduling/limit_share.py
+++ b/packages/millfork-scheduling/millfork_scheduling/limit_share.py
@@ -5,10 +5,11 @@
 and sends only while it has a permit. All entries together have to stay near the limit over some
 seconds, even if they use permits that they saved earlier:
 
-- Few entries: each saves at most one permit, or as many as its share gives in a second.
-- Many entries: the saved permits of all would together exceed what a back end tolerates, so
-  none are saved. Once per second each entry gets a random number of permits, whose mean is
-  proportional to its share; they replace the unused ones.
+- Few entries: each saves up to one permit, or up to as many as its share gives in a second if
+  that is more.
+- Many entries: the saved permits of all would together exceed the number of requests that a back
+  end tolerates, so none are saved. Once per second each entry gets a random number of permits,
+  whose mean is proportional to its share; these replace unused permits.
 
 """
 
@@ -17,15 +18,17 @@
 from random import Random
 from typing import Final
 
-# In each window of WINDOW_S a back end tolerates TOLERATED_RATIO times its limit, plus
-# TOLERATED_REQUESTS. Requests sent up to ARRIVAL_MARGIN_S before a window may arrive in it.
+# In any window of `WINDOW_S` a back end tolerates `TOLERATED_RATIO` times as many requests as its
+# limit allows in that time, plus `TOLERATED_REQUESTS`. Requests that are sent up to
+# `ARRIVAL_MARGIN_S` before a window may arrive in that window.
 WINDOW_S: Final = 4.0
 ARRIVAL_MARGIN_S: Final = 0.4
 TOLERATED_RATIO: Final = 1.5
 TOLERATED_REQUESTS: Final = 5
-# Random permits are given out at this interval. On average they use this share of the limit, as
-# the sum over all entries varies.
+# The random permits of all entries together use this share of the limit on average. The rest is
+# left free because their sum varies.
 RANDOM_PERMIT_SHARE: Final = 0.8
+# The interval at which an entry that saves no permits gets random ones.
 RANDOM_PERMIT_INTERVAL_S: Final = 1.0
 # Lower limits are raised to this many requests per second: a back end that receives no requests
 # could never signal the end of its limit.
@@ -35,7 +38,8 @@
 @dataclass(slots=True)
 class LimitShare:
     """
-    The requests that this entry may send now to a back end that announced a limit.
+    How many requests this entry may send now to a back end that announced a limit: one for each
+    whole permit.
 
     """
 
@@ -97,9 +101,9 @@
 
         """
         rate = self.limit_per_s / max(entries, 1)
-        each = math.floor(max(rate, 1.0) + rate * (WINDOW_S + ARRIVAL_MARGIN_S))
+        max_per_entry = math.floor(max(rate, 1.0) + rate * (WINDOW_S + ARRIVAL_MARGIN_S))
         tolerated = TOLERATED_RATIO * self.limit_per_s * WINDOW_S + TOLERATED_REQUESTS
-        return entries * each <= tolerated
+        return entries * max_per_entry <= tolerated
 
     def _refill(self, now: float, entries: int) -> None:
         rate = self.limit_per_s / max(entries, 1)
--- a/packages/millfork-scheduling/millfork_scheduling/load_queries.py
+++ b/packages/millfork-scheduling/millfork_scheduling/load_queries.py
@@ -20,7 +20,7 @@
 def needs_fresh_loads(servers: Iterable[Server], now: float, entries: int) -> bool:
     """
     Whether the choice among the engines may depend on requests that other entries sent since the
-    last reports: whether any of the engines is nearly full.
+    last reports. It may if any of the engines is nearly full.
 
     """
     return any(
--- a/packages/millfork-scheduling/millfork_scheduling/paths.py
+++ b/packages/millfork-scheduling/millfork_scheduling/paths.py
@@ -33,11 +33,11 @@
 
 def find_paths(servers: list[Server], engine: EngineSpec, newest: int) -> list[Path]:
     """
-    The paths of back ends that each hold only some layers of the newest version.
+    The paths of back ends that each hold only some layers of version `newest` or a later one.
 
     A back end is in at most one path, and pairs within one zone are preferred. Entries that know
-    the same back ends find the same paths. Older versions have no paths, as their back ends are
-    about to change to the newest one.
+    the same back ends find the same paths. Versions before `newest` have no paths, as their back
+    ends are about to change to `newest`.
 
     """
     lower: list[tuple[Server, int]] = []
--- a/packages/millfork-scheduling/millfork_scheduling/placement.py
+++ b/packages/millfork-scheduling/millfork_scheduling/placement.py
@@ -20,31 +20,36 @@
 from millfork_scheduling.paths import Path
 from millfork_scheduling.server import Server
 
-# Costs of back ends that aren't engines are loads (1: all slots are occupied). This is the cost of
-# a back end at which every request fails.
+# Back ends that aren't engines are compared by a cost in units of load (1: all slots are occupied).
+# The load of each is increased by its failure rate (0 to 1) times this.
 FAILURE_COST_LOADS: Final = 3.0
-# The cost of a path whose engines are in two zones, per token of the answer: one round trip.
+# Engines are compared by a cost in ms: the expected time to the first token plus several additions.
+# This is added for a path whose engines are in two zones, for each token of a usual answer: one
+# round trip.
 PATH_TOKEN_HOP_MS: Final = 5.0
-# The cost of an engine in another zone than the entry's: one round trip.
+# Added to the cost of an engine in another zone than the entry's: one round trip.
 OTHER_ZONE_COST_MS: Final = 10.0
-# The cost of an engine at which every request fails.
+# The failure rate of an engine (0 to 1) times this is added to its cost.
 FAILURE_COST_MS: Final = 3000.0
-# The maximum random addition to costs; without it all entries would choose the same engine.
+# The maximum random addition to the cost of an engine. Without random additions all entries would
+# choose the same engine.
 COST_JITTER_MS: Final = 30.0
-# The cost, as a load, of a back end in another zone: one in the entry's zone is preferred unless
-# its load is higher by more than this.
+# Added to the load of a back end that isn't an engine and is in another zone than the entry's. So a
+# back end in the entry's zone is preferred unless its load is higher by more than this.
 OTHER_ZONE_COST_LOADS: Final = 0.15
 # The number of engines sampled for each choice, from the entry's zone (near) and from the other
 # zones (far). With larger samples many entries would choose the same engine.
 NEAR_SAMPLED: Final = 2
 FAR_SAMPLED: Final = 1
-# The cost of an engine whose version ends soon, for a request that could not continue at another
-# back end: about as long as admission lets a request wait.
+# Added to the cost of an engine whose version is older than the newest and so ends soon, if the
+# request can't be sent to another back end after this one: about as long as admission lets a
+# request wait.
 ENDING_VERSION_COST_MS: Final = 300.0
 # A request is sent to an engine whose version ends soon only if the first token is expected at
 # least this long before that end, as a slow link may delay the request.
 VERSION_END_MARGIN_S: Final = 0.5
-# The same margin for an engine without daemon reports: no daemon withdraws its version in time.
+# `VERSION_END_MARGIN_S` of an engine without daemon reports: no daemon tells the entry in time that
+# the engine is about to change version.
 VERSION_END_MARGIN_WITHOUT_DAEMON_S: Final = 1.2
 
 
@@ -63,11 +68,11 @@
     prompt_tokens: int = 0
     # Whether the request can't be sent to another back end after this one.
     last_send: bool = False
-    # For each version whose cutoff is still to come: the version, and when requests that have not
-    # begun on an older one are cancelled (monotonic seconds).
+    # For each version whose cutoff is still to come: the version, and when requests that were sent
+    # to an older version and have not begun are cancelled (monotonic seconds).
     cancel_times: tuple[tuple[int, float], ...] = ()
 
-    def ends_at(self, version: int) -> float:
+    def cancelled_at(self, version: int) -> float:
         """
         When the request is cancelled if it was sent to `version` and has not begun by then
         (monotonic seconds); infinity if never.
@@ -102,8 +107,8 @@
 
     def version(self, layers: int) -> int | None:
         """
-        The version of the weights that the request would run on; None if the server holds all
-        `layers` of no version and the choice is no path.
+        The version of the weights that the request would run on; None if the choice is no path
+        and the server holds all `layers` of no version.
 
         """
         return (
@@ -127,15 +132,18 @@
     mean_lateness_ms: float = 0.0
 
 
-def choose_plain(servers: Iterable[Server], context: SelectionContext, random: Random) -> Choice:
+def choose_least_loaded(
+    servers: Iterable[Server], context: SelectionContext, random: Random
+) -> Choice:
     """
-    Choose the least loaded back end of a service without engines, preferably in the own zone.
+    Choose the back end of a service without engines by its load; a failure rate, another zone
+    than the entry's and a random addition count as load.
 
     """
-    return Choice(min(servers, key=lambda server: _plain_cost(server, context, random)))
+    return Choice(min(servers, key=lambda server: _load_cost(server, context, random)))
 
 
-def _plain_cost(server: Server, context: SelectionContext, random: Random) -> float:
+def _load_cost(server: Server, context: SelectionContext, random: Random) -> float:
     load = (server.occupied(context.now) + 1) / server.slots
     zone_cost = OTHER_ZONE_COST_LOADS if server.zone != context.zone else 0.0
     jitter = random.random() / (2 * server.slots)
@@ -156,10 +164,14 @@
     version ends, choose from all `servers`; None if none of them would.
 
     """
-    by_first = {path.first.instance: path for path in paths}
+    path_by_first = {path.first.instance: path for path in paths}
     eligible = filter_startable(servers, engine, paths)
     choose_cheapest = partial(
-        _cheapest, requirements=requirements, engine=engine, by_first=by_first, context=context
+        _cheapest,
+        requirements=requirements,
+        engine=engine,
+        path_by_first=path_by_first,
+        context=context,
     )
     # If all sampled engines are about to change version, all engines are considered.
     return choose_cheapest(
@@ -173,10 +185,10 @@
     engines of paths whose second engine is among `servers`.
 
     """
-    by_first = {path.first.instance: path for path in paths}
+    path_by_first = {path.first.instance: path for path in paths}
     eligible: list[Server] = []
     for server in servers:
-        path = by_first.get(server.instance)
+        path = path_by_first.get(server.instance)
         if server.newest_complete_version(engine.layers) is None and (
             path is None or path.second not in servers
         ):
@@ -188,8 +200,8 @@
 
 def sample_engines(servers: list[Server], zone: ZoneId, random: Random) -> list[Server]:
     """
-    A random sample of engines, most of them in `zone`. If that zone or the others have too few,
-    the sample is filled up from the other side.
+    A random sample of engines: `NEAR_SAMPLED` in `zone` and `FAR_SAMPLED` in the other zones. If
+    one of these groups has too few engines, the other group fills up the sample.
 
     """
     count = NEAR_SAMPLED + FAR_SAMPLED
@@ -206,7 +218,7 @@
     servers: list[Server],
     requirements: Requirements,
     engine: EngineSpec,
-    by_first: dict[InstanceId, Path],
+    path_by_first: dict[InstanceId, Path],
     context: SelectionContext,
     random: Random,
 ) -> Choice | None:
@@ -217,7 +229,7 @@
             engine, requirements.prompt_tokens, context.now, context.entries
         )
         expected = spec_ms + max(context.mean_lateness_ms, server.lateness.mean_ms_at(context.now))
-        path = by_first.get(server.instance)
+        path = path_by_first.get(server.instance)
         candidate = Choice(server, spec_ms, max(expected, 0.0), path)
         if _version_ends_before_start(candidate, expected, requirements, engine, context.now):
             continue
@@ -242,7 +254,7 @@
     latest_ms = max(expected_ms, choice.spec_first_token_ms)
     has_no_daemon = any(server.lacks_daemon_reports(now) for server in choice.servers)
     margin_s = VERSION_END_MARGIN_WITHOUT_DAEMON_S if has_no_daemon else VERSION_END_MARGIN_S
-    return now + latest_ms / 1000 > requirements.ends_at(version) - margin_s
+    return now + latest_ms / 1000 > requirements.cancelled_at(version) - margin_s
 
 
 def _extra_cost(
--- a/packages/millfork-scheduling/millfork_scheduling/prediction.py
+++ b/packages/millfork-scheduling/millfork_scheduling/prediction.py
@@ -14,8 +14,8 @@
 # Before an entry's first request to an engine has completed, a token of an answer is assumed to
 # take this many times `step_ms`, as prompts of other requests are read between the steps.
 READING_SLOWDOWN: Final = 1.7
-# How many passes of `steps_per_event` steps precede the first token, which is sent with the pass
-# that reads the end of the prompt.
+# How many passes of `steps_per_event` steps a request takes until its first token, which is sent
+# with the pass that reads the end of the prompt.
 PASSES_TO_FIRST: Final = 1.5
 
 
@@ -42,20 +42,21 @@
     engine: EngineSpec,
     prompt_tokens: int,
     occupied: int,
-    unread: int,
+    awaiting_first_token: int,
     service_s: float,
     pace: float,
 ) -> float:
     """
     The time from a request's arrival at an engine to its first token, in ms, with `occupied`
-    other requests there, `unread` of which have no first token yet. `service_s` is how long a
-    request holds a slot, `pace` the slowness of the engine (above 1: slower than usual).
+    other requests there, `awaiting_first_token` of which have no first token yet. `service_s` is
+    how long a request holds a slot, `pace` the slowness of the engine (above 1: slower than
+    usual).
 
     """
     passes = PASSES_TO_FIRST * engine.step_ms * engine.steps_per_event
     reading = read_ms(engine, prompt_tokens)
     # Prompts of requests that wait for a slot are not being read.
-    in_slots = min(unread, engine.slots)
+    in_slots = min(awaiting_first_token, engine.slots)
     ahead = max(in_slots - max(occupied - engine.slots, 0), 0)
     reading += ahead * read_ms(engine, engine.usual_prompt) / 2
     waiting = max(occupied + 1 - engine.slots, 0) * service_s * 1000 / max(engine.slots, 1)
--- a/packages/millfork-scheduling/millfork_scheduling/quarantine.py
+++ b/packages/millfork-scheduling/millfork_scheduling/quarantine.py
@@ -2,8 +2,10 @@
 Which requests are quarantined because they crash the back ends that run them.
 
 A request that crashes back ends is retried by its caller, at any entry. Each attempt takes a back
-end down for seconds and breaks off all other requests that run there. Those other requests must
-not be refused because of this, so one complete answer clears a request of suspicion.
+end down for seconds and breaks off all other requests that run there. The suspicion of a request
+records how many back ends ended one after another while they ran a request with its fingerprint.
+Requests that only ran beside a crashing one must not be refused, so one complete answer clears a
+request of suspicion.
 
 If back ends end long after they broke off answers, or all at once as in a loss of power, crashing
 requests are recognised only after a while. Until then a suspected request is refused, apart from
@@ -19,15 +21,16 @@
 from millfork_core.ids import Fingerprint, IncarnationKey
 from millfork_registry.suspicion_store import Suspicion
 
-# A request is at fault once this many back ends ended one after another while they ran it. A single
-# one proves nothing, as every request that ran on that back end is suspected.
+# A request is at fault once this many back ends ended one after another while they ran it, and
+# suspected once its answers broke off at this many. A single back end proves nothing, as all
+# requests that ran on it come into question.
 MIN_ENDS_AT_FAULT: Final = 3
 # A suspected request may be sent again as a trial this long after its suspicion last changed. By
 # then most back ends whose answers broke off are known to have ended or to live on.
 TRIAL_AFTER_S: Final = 2.0
 # Entries spread their trials of a request at random over this time multiplied by the number of
-# entries, so that most entries learn the outcome of the first trial before their own is due. The
-# fleet makes at most two trials a second.
+# entries, so that most entries learn the outcome of the first trial before their own is due. All
+# entries together make at most two trials of a request a second.
 TRIAL_SPREAD_S: Final = 1.0
 # All scheduled trials are forgotten once there are this many.
 MAX_TRIALS: Final = 4096
--- a/packages/millfork-scheduling/millfork_scheduling/retry_after.py
+++ b/packages/millfork-scheduling/millfork_scheduling/retry_after.py
@@ -3,7 +3,8 @@
 
 If all callers retried at the same moment, or before the reason for the rejection is over, they
 would be rejected again. So the waits are spread at random, and last about as long as a slot
-takes to come free. Callers wait at most a third of their remaining time: 2 s of the usual 6 s.
+takes to come free. Whatever wait is asked for, callers wait at most a third of their remaining
+time: 2 s of the usual 6 s.
 
 """
 
@@ -13,15 +14,21 @@
 from millfork_core.verdicts import Reason
 from millfork_scheduling.availability import Closure, ClosureReason
 
-# Waits of callers that were refused because the engines are full. A slot comes free in about
-# 0.1 s; the waits are spread over more than that.
+# The shortest wait of a caller that was refused because all suitable back ends are full or closed.
+# A slot comes free in about 0.1 s.
 MIN_WAIT_MS: Final = 150
-MAX_WAIT_MS: Final = 600
+# If the engines are full, the time by which the first token would have been late is added to
+# `MIN_WAIT_MS`, up to this.
+MAX_OVERDUE_WAIT_MS: Final = 600
+# The maximum random addition to these waits. It spreads retries over more than the 0.1 s in which a
+# slot comes free.
 SPREAD_WAIT_MS: Final = 250
 # The wait while no back end can serve a request: engines change their weights within two
-# seconds, and servers are replaced within some seconds.
+# seconds, and servers are replaced within some seconds. Also the longest wait, before the random
+# addition, for back ends that limit requests or are leaving.
 NO_SERVER_WAIT_MS: Final = 1500
-# The longest wait for back ends that asked for a rest; others may have joined by then.
+# The longest wait, before the random addition, for back ends that asked for a rest; others may have
+# joined by then.
 MAX_REST_MS: Final = 10_000
 # The maximum random addition to `NO_SERVER_WAIT_MS`.
 NO_SERVER_SPREAD_MS: Final = 400
@@ -33,7 +40,7 @@
     Reason.BUSY: 300,
     Reason.RETRY_BUDGET: 500,
     Reason.EXPIRED: 0,
-    # By then most back ends whose answers broke off are known to have ended or to live on.
+    # After this time most back ends whose answers broke off are known to have ended or to live on.
     Reason.SUSPECTED: 2000,
     # A quarantined request is refused however long its caller waits.
     Reason.QUARANTINED: 0,
@@ -44,10 +51,11 @@
 
 def full_engines_wait_ms(overdue_ms: float, random: Random) -> int:
     """
-    The wait, in ms, of a caller whose first token would have been late by `overdue_ms`.
+    The wait, in ms, of a caller that was refused because the engines are so full that the first
+    token would have been late by `overdue_ms`.
 
     """
-    late_ms = min(max(overdue_ms, 0.0), MAX_WAIT_MS)
+    late_ms = min(max(overdue_ms, 0.0), MAX_OVERDUE_WAIT_MS)
     return int(MIN_WAIT_MS + late_ms + random.random() * SPREAD_WAIT_MS)
 
 
--- a/packages/millfork-scheduling/millfork_scheduling/server.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server.py
@@ -19,11 +19,12 @@
 from millfork_scheduling.availability import Availability
 from millfork_scheduling.prediction import first_token_ms, usual_service_s
 
-# A back end that failed is avoided for this time, doubled with each further failure in a row.
+# A back end that failed is avoided for this time, doubled with each further failure in a row up to
+# `MAX_AVOIDANCE_S`.
 FIRST_AVOIDANCE_S: Final = 0.5
 MAX_AVOIDANCE_S: Final = 4.0
-# A back end that turns a request away is avoided for this time, doubled with each rejection in
-# a row: it may be full for a moment, or reject everything.
+# A back end that turns a request away is avoided for this time, doubled with each further rejection
+# in a row up to `MAX_TURNED_AWAY_S`: the back end may be full for a moment, or reject everything.
 FIRST_TURNED_AWAY_S: Final = 0.05
 MAX_TURNED_AWAY_S: Final = 2.0
 # Weight of the latest request in a back end's failure rate (an exponential moving average).
@@ -35,8 +36,8 @@
 # Weight of the latest first token in a back end's mean lateness. An entry sees about one a second
 # from each back end, so a slow back end has to be recognised by a single late one.
 SERVER_LATENESS_WEIGHT: Final = 0.5
-# The lateness of one first token counts as at most this, as a stuck engine says nothing about the
-# other engines of its service.
+# The lateness of one first token (or its earliness) counts as at most this, as a stuck engine says
+# nothing about the other engines of its service.
 MAX_LATENESS_MS: Final = 800.0
 # Daemons report every 0.15 s. One that is silent for this time is gone, frozen or cut off.
 DAEMON_SILENT_S: Final = 0.6
@@ -125,15 +126,15 @@
     known_since: float = float('inf')
     # Random but fixed: in large fleets an entry uses only the back ends with the lowest values.
     draw_order: float = 0.0
-    # This entry's own requests at the back end, and those of them without a first token.
+    # The number of this entry's own requests at the back end, and of those without a first token.
     own_requests: int = 0
     own_unread: int = 0
-    # The requests of all entries and those without a first token in the last report, and the values
-    # of `own_requests` and `own_unread` that belong to that report.
+    # The last report of the load: the number of requests of all entries and of those without a
+    # first token, and the values of `own_requests` and `own_unread` that belong to that report.
     reported: int = 0
     reported_unread: int = 0
     own_at_report: int = 0
-    own_unread_at_report: int = 0
+    own_awaiting_at_report: int = 0
     pace: float = 1.0
     # The mean time of this entry's requests at the back end, in seconds; None before one has ended.
     service_s: float | None = None
@@ -146,7 +147,8 @@
     avoided_until: float = float('-inf')
     # When this entry last received data from the back end.
     last_received_at: float = float('-inf')
-    # By urgency (queue rank at the engine): when the latest request with a begun answer was sent.
+    # By urgency (queue rank at the engine): the latest moment at which a request was sent that the
+    # back end has begun to answer.
     answered: dict[int | None, float] = field(default_factory=dict)
     # The mean delay of first tokens against the prediction from the engine spec.
     lateness: 'Lateness' = field(default_factory=lambda: Lateness(SERVER_LATENESS_WEIGHT))
@@ -164,20 +166,21 @@
 
     def lacks_daemon_reports(self, now: float) -> bool:
         """
-        Whether the daemon beside the back end has sent no report for `DAEMON_SILENT_S`.
+        Whether this entry, which has known the back end for longer than `DAEMON_SILENT_S`,
+        received no report of its load in that time.
 
         """
         return now - max(self.reported_at, self.known_since) > DAEMON_SILENT_S
 
     def set_load(self, load: Load, now: float) -> None:
         """
-        Set the load that was reported at the moment `now`.
+        Set the load from a report that arrived at the moment `now`.
 
         """
         self.reported = load.running + load.queued
         self.reported_unread = load.queued
         self.own_at_report = load.own_requests
-        self.own_unread_at_report = load.own_unread
+        self.own_awaiting_at_report = load.own_unread
         self.pace = load.pace
         self.reported_at = now
 
@@ -211,14 +214,14 @@
         rush = max(self.own_requests - self.own_at_report - 1, 0)
         return self.occupied(now) + rush * (entries - 1)
 
-    def unread(self, now: float, entries: int = 1) -> int:
+    def awaiting_first_token(self, now: float, entries: int = 1) -> int:
         """
         The number of requests at the back end without a first token, estimated like `occupied`.
 
         """
         if now - self.reported_at > REPORT_VALID_S:
             return self.own_unread * entries
-        new = self.own_unread - self.own_unread_at_report
+        new = self.own_unread - self.own_awaiting_at_report
         return max(self.reported_unread + new * (entries if new > 0 else 1), self.own_unread)
 
     def first_token_ms(
@@ -233,7 +236,7 @@
             engine,
             prompt_tokens,
             self.occupied(now, entries),
-            self.unread(now, entries),
+            self.awaiting_first_token(now, entries),
             service_s,
             self.pace,
         )
--- a/packages/millfork-scheduling/millfork_scheduling/server_table.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server_table.py
@@ -24,7 +24,7 @@
     Requirements,
     SelectionContext,
     choose_engine,
-    choose_plain,
+    choose_least_loaded,
     filter_startable,
     sample_engines,
 )
@@ -68,12 +68,12 @@
         self.monotonic = monotonic
         self.servers: dict[InstanceId, Server] = {}
         self.index = FleetIndex(zone, entries)
-        # Counts the changes that may affect paths. `paths` caches, by service and newest version,
-        # the value of `changes` when the paths were computed, and these paths.
-        self.changes = 0
-        self.paths: dict[tuple[ServiceName, int], tuple[int, list[Path]]] = {}
-        # The signals of back ends that lost their lease.
-        self.lapsed = LapsedAvailabilities(random, monotonic)
+        # Increased by each change that may affect paths. `path_cache` holds, by service and newest
+        # version, the generation for which the paths were computed, and these paths.
+        self.path_generation = 0
+        self.path_cache: dict[tuple[ServiceName, int], tuple[int, list[Path]]] = {}
+        # The availabilities of incarnations that lost their lease, as the lease may come back.
+        self.lapsed_availabilities = LapsedAvailabilities(random, monotonic)
 
     def apply_leases(self, leases: Iterable[Lease]) -> list[Server]:
         """
@@ -91,11 +91,11 @@
             # the next one.
             server.replaced = lease is not None
             dropped.append(server)
-            self.lapsed.store((key, server.incarnation), server.availability)
+            self.lapsed_availabilities.store((key, server.incarnation), server.availability)
             del self.servers[key]
         for key, lease in usable.items():
             self._apply_lease(key, lease)
-        self.changes += 1
+        self.path_generation += 1
         self.index.rebuild(self.servers.values())
         return dropped
 
@@ -114,7 +114,7 @@
                 lease_served=lease.served,
                 draw_order=self.random.random(),
                 known_since=self.monotonic(),
-                availability=self.lapsed.restore((key, lease.incarnation)),
+                availability=self.lapsed_availabilities.restore((key, lease.incarnation)),
             )
             previous = self.index.by_address.get((lease.host, lease.port))
             if previous is not None:
@@ -134,8 +134,8 @@
         self, states: Iterable[EndpointState]
     ) -> list[tuple[Server, list[SignalChange]]]:
         """
-        Apply the reports of endpoint daemons about their engines; returns, by back end, the
-        changed backpressure signals.
+        Apply the reports of endpoint daemons about their engines; returns the back ends whose
+        reports were applied, each with the changes of its backpressure signals.
 
         """
         now = self.monotonic()
@@ -153,13 +153,13 @@
                 if state.incarnation > server.incarnation:
                     # The report is about the successor of the engine that holds the lease.
                     server.served = ()
-                    self.changes += 1
+                    self.path_generation += 1
                 continue
             backpressure = Backpressure(state.limit_per_s, state.leaving)
             changes.append((server, server.availability.apply_report(backpressure, now)))
             changes_version = bool(state.changing_to)
             if (changes_version, state.served) != (server.changes_version, server.served):
-                self.changes += 1
+                self.path_generation += 1
             server.changes_version = changes_version
             server.daemon = state.instance
             load = Load(
@@ -194,14 +194,14 @@
         sampled = self._sample(requirements, paths, tried, now)
         if sampled:
             return sampled
-        by_first = {path.first.instance: path.second for path in paths}
+        second_by_first = {path.first.instance: path.second for path in paths}
         eligible = filter_startable(
             self._usable_servers(requirements, paths, tried, now), requirements.engine, paths
         )
         return [
             member
             for server in sample_engines(eligible, self.zone, self.random)
-            for member in self._servers_through(server, by_first, requirements)
+            for member in self._servers_through(server, second_by_first, requirements)
         ]
 
     def freest_candidates(self, requirements: Requirements, tried: set[InstanceId]) -> list[Server]:
@@ -277,13 +277,14 @@
 
     def _paths(self, service: ServiceName, engine: EngineSpec, newest: int) -> list[Path]:
         """
-        The current paths of a service; they are computed again only if `changes` has changed.
+        The current paths of a service: pairs of engines that together hold all layers of version
+        `newest`. They are computed again only once `path_generation` has increased.
 
         """
-        changes, paths = self.paths.get((service, newest), (-1, []))
-        if changes != self.changes:
+        generation, paths = self.path_cache.get((service, newest), (-1, []))
+        if generation != self.path_generation:
             paths = find_paths(self.index.by_service.get(service, []), engine, newest)
-            self.paths[service, newest] = (self.changes, paths)
+            self.path_cache[service, newest] = (self.path_generation, paths)
         return paths
 
     def _sample(
@@ -299,14 +300,14 @@
             return []
         near = self.index.near.get(requirements.service, [])
         far = self.index.far.get(requirements.service, [])
-        by_first = {path.first.instance: path.second for path in paths}
+        second_by_first = {path.first.instance: path.second for path in paths}
         sampled: list[Server] = []
         for servers, count in ((near, NEAR_SAMPLED), (far, FAR_SAMPLED)):
             found = 0
             for server in self.random.sample(servers, min(len(servers), SAMPLE_SIZE)):
                 if found == count:
                     break
-                members = self._servers_through(server, by_first, requirements)
+                members = self._servers_through(server, second_by_first, requirements)
                 if not members or any(
                     not self._is_untried_and_not_avoided(member, tried, now) for member in members
                 ):
@@ -319,7 +320,7 @@
         return sampled
 
     def _servers_through(
-        self, server: Server, by_first: dict[InstanceId, Server], requirements: Requirements
+        self, server: Server, second_by_first: dict[InstanceId, Server], requirements: Requirements
     ) -> list[Server]:
         """
         The engines that a request passes through if it is sent to `server`; empty if that engine
@@ -331,7 +332,7 @@
             or server.newest_complete_version(requirements.engine.layers) is not None
         ):
             return [server]
-        second = by_first.get(server.instance)
+        second = second_by_first.get(server.instance)
         return [server, second] if second is not None else []
 
     def _is_untried_and_not_avoided(
@@ -350,7 +351,7 @@
         if not usable:
             return None
         if requirements.engine is None:
-            return choose_plain(usable, context, self.random)
+            return choose_least_loaded(usable, context, self.random)
         return choose_engine(usable, requirements, requirements.engine, paths, context, self.random)
 
     def _usable_servers(
--- a/packages/millfork-scheduling/millfork_scheduling/turned_away.py
+++ b/packages/millfork-scheduling/millfork_scheduling/turned_away.py
@@ -1,8 +1,9 @@
 """
-The requests that were turned away recently, by the fingerprint of their content.
+A record of the requests that were turned away recently, by the fingerprint of their content. By
+this record, entries recognise retries.
 
-A caller may retry at another entry than the one that turned it away, with a new request id
-and, on some fleets, with a deadline that doesn't show that the request was turned away before.
+A caller may retry at another entry than the one that turned it away. A retry has a new request id,
+and on some fleets its deadline doesn't show that the request was turned away before.
 
 """
 
@@ -11,8 +12,8 @@
 # How long a request is remembered: slightly longer than callers keep retrying, which is 6 s.
 REMEMBERED_S: Final = 8.0
 # At most this many requests are remembered, at about 100 bytes each. At the size planned for two
-# years ahead, a zone of 35 entries that rejects one request in ten turns away 300 a second; this
-# limit holds ten times as many.
+# years ahead, a zone of 35 entries that rejects one request in ten turns away 300 a second, so
+# 2,400 within `REMEMBERED_S`; this is about ten times as many.
 MAX_REMEMBERED: Final = 25_000
 
 
@@ -29,10 +30,10 @@
 
     def record(self, fingerprint: bytes, elapsed_ms: int, now: float) -> None:
         """
-        Record a request that was turned away `elapsed_ms` after its first try.
+        Record that a request was turned away now, `elapsed_ms` after its first try.
 
         """
-        self._forget_old(now)
+        self._evict_old(now)
         first = now - elapsed_ms / 1000
         known = self.first_tried.pop(fingerprint, first)
         self.recorded_at.pop(fingerprint, None)
@@ -44,11 +45,11 @@
         The time since a request's first try, in ms; None if it was not turned away recently.
 
         """
-        self._forget_old(now)
+        self._evict_old(now)
         first = self.first_tried.get(fingerprint)
         return int((now - first) * 1000) if first is not None else None
 
-    def _forget_old(self, now: float) -> None:
+    def _evict_old(self, now: float) -> None:
         while self.recorded_at:
             oldest = next(iter(self.recorded_at))
             if (
--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -22,7 +22,7 @@
     Mutation(
         'entries do not save up permissions that would together exceed a limit',
         'tests/test_limit_shares.py::test_the_sends_of_all_entries_keep_to_the_limit',
-        (Edit(C + 'limit_share.py', 'return entries * each <= tolerated', 'return True'),),
+        (Edit(C + 'limit_share.py', 'return entries * max_per_entry <= tolerated', 'return True'),),
     ),
     Mutation(
         'answers to requests sent before a limit was announced do not end the limit',
@@ -95,12 +95,16 @@
         'a slow engine gets no request that would begin after its version ends',
         'tests/test_servers.py::'
         'test_a_slow_engine_gets_no_request_that_would_begin_after_its_version_ends',
-        (Edit(C + 'placement.py', 'requirements.ends_at(version) - margin_s', "float('inf')"),),
+        (
+            Edit(
+                C + 'placement.py', 'requirements.cancelled_at(version) - margin_s', "float('inf')"
+            ),
+        ),
     ),
     Mutation(
         'with different deadlines, a short deadline alone does not mark a request as a retry',
         'tests/test_first_tries.py::test_with_different_deadlines_a_short_one_is_undecided',
-        (Edit(C + 'first_tries.py', 'if deadline_ms >= shortest - margin_ms:', 'if False:'),),
+        (Edit(C + 'first_tries.py', 'if deadline_ms >= shortest_ms - margin_ms:', 'if False:'),),
     ),
     Mutation(
         'the lifetime of a version counts from the arrival of its log entry',
@@ -208,8 +212,8 @@
         (
             Edit(
                 C + 'first_tries.py',
-                'max(MIN_COMMON_DEADLINES, COMMON_DEADLINE_SHARE * len(self.latest))',
-                'COMMON_DEADLINE_SHARE * len(self.latest)',
+                'max(MIN_COMMON_DEADLINES, COMMON_DEADLINE_SHARE * len(self.latest_ms))',
+                'COMMON_DEADLINE_SHARE * len(self.latest_ms)',
             ),
         ),
     ),
--- a/tests/test_choice_in_large_fleets.py
+++ b/tests/test_choice_in_large_fleets.py
@@ -13,7 +13,7 @@
 
 from millfork_core.ids import ServiceName, ZoneId
 from millfork_registry.records import EndpointState, Lease, LeaseState, ServedVersion
-from millfork_scheduling.fleet_index import ENTRIES_PER_ENGINE, MAX_FAR, MAX_NEAR
+from millfork_scheduling.fleet_index import ENTRIES_PER_ENGINE, FAR_LIMIT, NEAR_LIMIT
 from millfork_scheduling.paths import find_paths
 from millfork_scheduling.placement import Requirements, SelectionContext
 from millfork_scheduling.server_table import (
@@ -70,8 +70,9 @@
 def test_every_engine_is_used_by_some_entry(engines, entries):
     """
     In a large fleet an entry uses only some engines, as it keeps a connection to the daemon beside
-    each of them. The limit was the same for few entries: a single entry used only 28 of 60
-    engines, and in the model refused 0.44 of its callers at 0.9 times the capacity of the engines.
+    each of them. When the limit was the same for any number of entries, a single entry used only
+    28 of 60 engines, and in the model it refused 0.44 of its callers at 0.9 times the capacity of
+    the engines.
 
     """
     used = Counter()
@@ -80,7 +81,7 @@
         table = ServerTable(ZoneId(f'z{number % ZONES}'), Random(number), Clock(), lambda: entries)
         table.apply_leases(lease(number, NEW) for number in range(engines))
         connected = [*table.index.near.get(SERVICE, []), *table.index.far.get(SERVICE, [])]
-        assert len(connected) <= max(MAX_NEAR, share) + max(MAX_FAR, share)
+        assert len(connected) <= max(NEAR_LIMIT, share) + max(FAR_LIMIT, share)
         used.update(server.instance for server in connected)
     assert len(used) == engines
 
--- a/tests/test_first_tries.py
+++ b/tests/test_first_tries.py
@@ -10,14 +10,14 @@
 from millfork_scheduling.first_tries import (
     MAX_ROUTES,
     MIN_FIRST_TRIES,
-    RETURN_WINDOW_S,
+    RETRIES_POSSIBLE_S,
     FirstTryDetector,
     FirstTryEstimate,
 )
 from millfork_scheduling.turned_away import MAX_REMEMBERED, REMEMBERED_S, TurnedAwayRequests
 from millfork_standins.bench.retry_detection import SHIFTED, DetectionMethod, RetryDetectionModel
 
-# At most this share of first tries may be mistaken for retries: low enough that no caller is
+# At most this share of first tries may be mistaken for retries. It is so low that no caller is
 # refused for such a mistake under low load.
 MAX_MISCLASSIFIED_SHARE = 0.002
 
@@ -64,7 +64,8 @@
 
 def last_estimate_under_load(deadlines):
     """
-    The estimate for the last of some requests at an entry that turned a caller away at its start.
+    The estimate for the last of some requests at an entry that turned a caller away just after the
+    entry started.
 
     """
     detector = FirstTryDetector()
@@ -82,18 +83,18 @@
 def share_mistaken_for_retries(min_share, counted):
     """
     The share of first tries that are mistaken for retries if callers begin with `min_share` to 1
-    times the usual deadline. Of the first tries at each entry, only those at the positions
-    `counted` are considered.
+    times the usual deadline. Only the first tries whose positions in the sequence are in `counted`
+    are considered.
 
     """
     mistaken = []
     for seed in range(200):
         random = Random(seed)
-        tries = FirstTryDetector()
+        detector = FirstTryDetector()
         for position in range(counted.stop):
-            first_try = tries.estimate('r', int(6000 * random.uniform(min_share, 1.0)), 0.0)
+            estimate = detector.estimate('r', int(6000 * random.uniform(min_share, 1.0)), 0.0)
             if position in counted:
-                mistaken.append(first_try.elapsed_ms > 0)
+                mistaken.append(estimate.elapsed_ms > 0)
     return sum(mistaken) / len(mistaken)
 
 
@@ -104,13 +105,15 @@
 def test_first_tries_with_different_deadlines_are_not_mistaken_for_retries(min_share, counted):
     """
     A caller was turned away while two thirds of the slots were free. Its entry had received 14
-    requests of the route; six of them happened to be within 120 ms of the longest deadline, so
-    callers seemed to share one deadline. The next request, with a deadline 677 ms shorter, counted
-    as a retry without remaining time. Any two requests seemed to share one deadline, however
-    different theirs were. So entries that had just started, and routes with little traffic, mistook
-    for retries 0.074 of their first 20 first tries if callers begin with 0.85 to 1 times the usual
-    deadline, and 0.269 with 0.95 to 1 times. Of the next 40 first tries they mistook 0.012 if
-    callers begin with half the usual deadline or more.
+    requests of the route. The deadlines of six of them happened to be within 120 ms of the longest
+    one, so callers seemed to begin with one common deadline. The caller's request had a deadline
+    677 ms shorter and counted as a retry without remaining time.
+
+    Any two requests were taken for evidence of a common deadline, however different their deadlines
+    were. So for entries that had just started, and for routes with little traffic, 0.074 of the
+    first 20 first tries counted as retries if callers begin with 0.85 to 1 times the usual
+    deadline, and 0.269 with 0.95 to 1 times. Of the next 40 first tries, 0.012 counted as retries
+    if callers begin with half the usual deadline or more.
 
     """
     assert share_mistaken_for_retries(min_share, counted) < MAX_MISCLASSIFIED_SHARE
@@ -121,7 +124,7 @@
     for _ in range(200):
         common_deadline.estimate('r', 5600, 10.5)
     assert common_deadline.estimate('r', 5600, 10.6).elapsed_ms > 400
-    now = 10.6 + RETURN_WINDOW_S
+    now = 10.6 + RETRIES_POSSIBLE_S
     for _ in range(200):
         common_deadline.estimate('r', 5600, now)
     assert common_deadline.estimate('r', 5600, now) == FirstTryEstimate(is_undecided=True)
@@ -153,7 +156,8 @@
     table = TurnedAwayRequests()
     table.record(b'a', 0, 10.0)
     table.record(b'a', 500, 10.5)
-    # A rejection that was reported late, or by an entry that did not know of the first try.
+    # The report of this rejection arrived late, or came from an entry that did not know of the
+    # first try.
     table.record(b'a', 0, 10.6)
     assert table.elapsed_ms(b'a', 11.0) == pytest.approx(1000, abs=1)
 
@@ -173,9 +177,10 @@
 @pytest.mark.parametrize('min_share', [1.0, 0.85])
 def test_under_lasting_load_detected_retries_cost_no_requests_in_time(min_share):
     """
-    Callers begin with 0.85 to 1 times the usual deadline, at 1.2 times the capacity of the
-    engines. When a request counted as a retry if its deadline was shorter than the longest one
-    seen, 0.54 of the requests were in time, against 0.70 if the retries are known exactly.
+    Callers send 1.2 times the load that the engines can serve and begin with `min_share` to 1
+    times the usual deadline. When each request with a deadline shorter than the longest one seen
+    counted as a retry, 0.54 of the requests were in time with a `min_share` of 0.85; if the retries
+    are known exactly, 0.70 are.
 
     """
 
--- a/tests/test_limit_shares.py
+++ b/tests/test_limit_shares.py
@@ -141,7 +141,8 @@
     assert found.instance == 'i-1'
     assert [change.event for change in changes] == [SignalEvent.BEGAN]
     assert table.closure(server(table, 1)) is not None
-    # The next report arrives so soon that it was made before the engine announced its limit.
+    # The next report arrives so soon that it may have been made before the engine announced its
+    # limit.
     clock.now += REPORT_LAG_S / 2
     table.apply_reports([report(1, 2)])
     assert table.closure(server(table, 1)) is not None
--- a/tests/test_limits_set_by_back_ends.py
+++ b/tests/test_limits_set_by_back_ends.py
@@ -28,8 +28,8 @@
 
 def send_load(fleet):
     """
-    Send load until one window has passed after the entries must have applied the limits. Returns
-    the share of requests that were served, and the time by which the limits must be applied.
+    Send load until a whole window has passed after the moment at which all entries must have
+    applied the limits. Returns the share of requests that were served, and that moment.
 
     """
     limited_at = time.monotonic()
--- a/tests/test_load_queries.py
+++ b/tests/test_load_queries.py
@@ -31,8 +31,8 @@
 
 class Fleet:
     """
-    An entry and three engines of 16 slots, with a daemon beside each. The last reports are old:
-    they show 8 requests at the first engine and 12 at the others.
+    An entry and three engines of 16 slots, with a daemon beside each engine. The last reports
+    show 8 requests at the first engine and 12 at each of the others, but these loads have changed.
 
     """
 
@@ -102,13 +102,13 @@
 
 def test_the_engine_that_is_free_now_is_chosen_despite_old_reports(fleet):
     """
-    Without queries, engines were chosen that other entries had filled since the last reports.
-    Thirteen entries with four engines, at 1.2 times the engines' capacity, had 0.52 of first tokens
-    in time; a single entry, which knows all choices, had 0.69. The thirteen had 0.66 with reports
-    every 0.02 s instead of 0.15 s, but still 0.52 with retries known exactly, so old reports were
-    the cause. Log lines `Request ended` show the same:
-    `first_ms=784 expected_ms=144 left_ms=405 occupied=15`. In 20 s of a fleet of six engines, 82
-    first tokens were late though expected in time, and 55 once daemons were queried.
+    Without queries, entries chose engines that other entries had filled since the last reports.
+    In a fleet of thirteen entries and four engines, at 1.2 times the engines' capacity, 0.52 of
+    first tokens were in time; with a single entry, which knows all choices, 0.69 were. With reports
+    every 0.02 s instead of 0.15 s, 0.66 were in time for the thirteen entries, but still 0.52 if
+    retries are known exactly, so old reports were the cause. Log lines `Request ended` show the
+    same: `first_ms=784 expected_ms=144 left_ms=405 occupied=15`. In 20 s of a fleet of six engines,
+    82 first tokens were late though expected in time, and 55 once entries queried the daemons.
 
     """
     assert curio.run(fleet.choose) == 'i-1'
@@ -126,8 +126,8 @@
 
 def test_a_daemon_that_does_not_answer_is_not_waited_for(fleet):
     """
-    A daemon may be frozen, be cut off, or send over a link that is full of weights. The answers
-    of the others are used nevertheless, and later requests don't wait for the silent one.
+    A daemon may be frozen, cut off, or slow because weights fill its link. The answers of the other
+    daemons are used nevertheless, and later requests don't wait for the silent daemon.
 
     """
     fleet.loads['10.0.0.1:10'] = None
@@ -135,7 +135,7 @@
     async def run():
         async with curio.timeout_after(FOREVER_S / 2):
             await fleet.choose()
-        # The entry marks a daemon as silent once its answer is overdue.
+        # The entry marks a daemon as silent once the daemon's answer is overdue.
         fleet.queries.queries.silent.mark_silent('10.0.0.1:10')
         fleet.queried.clear()
         await fleet.choose()
--- a/tests/test_repeat_budget_in_cuts.py
+++ b/tests/test_repeat_budget_in_cuts.py
@@ -1,6 +1,6 @@
 """
-The shared retry budget of entries that start during a network partition. They don't know the
-entries on the other side, so each side used the whole fixed allowance of retries.
+The shared retry budget of entries that start during a network partition. These entries don't know
+those on the other side, so the entries of each side together used the whole fixed allowance.
 
 """
 
--- a/tests/test_retry_after_is_kept.py
+++ b/tests/test_retry_after_is_kept.py
@@ -1,5 +1,6 @@
 """
-A back end that rejects requests with `Retry-After` gets no more until the time in it is over.
+A back end that rejects requests with the header `Retry-After` gets hardly any requests until the
+time in the header is over.
 
 """
 
@@ -12,11 +13,11 @@
 from tests.utils.loaded import ENTRIES, LOAD_PER_S, loaded_fleet
 
 REST_S = 3
-# The number of requests that one entry may still send from `TOLERANCE_S` after its rejection until
-# the rest is over.
+# The number of requests that one entry may still send to the back end, from `TOLERANCE_S` after the
+# first rejection of its own until the rest is over.
 MAX_SENDS_PER_ENTRY = 2
 TOLERANCE_S = 0.5
-# Time until each entry has sent a request to the back end and has been rejected.
+# The time until each entry has sent a request to the back end and received a rejection.
 ALL_REJECTED_S = 0.5
 LOAD_S = 4.0
 
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -280,9 +280,9 @@
 
 def test_the_freest_engines_are_considered_while_many_slots_are_free(table):
     """
-    Three of eight engines are full, and a random sample may consist of just these. With 57 of
-    128 slots occupied, the freest other engines are considered instead. With 72 of 128 occupied
-    no engine has slots to spare, and callers are turned away at once.
+    Three of eight engines are full, and a random sample may consist of just these three. While
+    57 of all 128 slots are occupied, the freest other engines are considered instead. Once 72 are
+    occupied, no engine has slots to spare and callers are turned away at once.
 
     """
     running = {1: 16, 2: 16, 3: 16, 4: 2, 5: 3, 6: 4, 7: 0, 8: 0}
--- a/tests/test_shared_budget.py
+++ b/tests/test_shared_budget.py
@@ -22,7 +22,7 @@
 WINDOW_S = 10.0
 ENTRIES = 40
 TICK_S = 0.5
-# The requests that one entry receives in a tick; all but a fifth of them are turned away.
+# The number of requests that one entry receives in a tick; all but a fifth are turned away.
 REQUESTS = 3
 # After a restart of all entries, replicas know all of them again after this many ticks.
 KNOWN_AGAIN_TICKS = 4
@@ -66,7 +66,8 @@
 
     def tick(self, spends):
         """
-        Run one tick of traffic, in which entries retry if `spends`, and check the whole budget.
+        Run one tick of traffic, in which entries retry every request while their budgets allow it
+        if `spends`, and check the budget of all entries together.
 
         """
         self.clock.now += TICK_S
--- a/tests/test_turned_away_at_once.py
+++ b/tests/test_turned_away_at_once.py
@@ -8,7 +8,7 @@
 from tests.test_seeded_fleet import request
 from tests.utils.loaded import LOAD_PER_S, loaded_fleet
 
-# With this service time, the two other back ends can serve the whole load.
+# With this service time, the two back ends that don't turn requests away can serve the whole load.
 SERVICE_TIME_S = 0.3
 LOAD_S = 6.0
 
