--- a/packages/millfork-routing/millfork_routing/balance.py
+++ b/packages/millfork-routing/millfork_routing/balance.py
@@ -10,7 +10,7 @@
 from millfork_core.ranks import rank
 
 # The endpoint that the affinity key of a request prefers is skipped while the endpoint's load is
-# above this multiple of the mean load. Requests that should reach the same endpoint have equal keys.
+# above this multiple of the mean load. Requests that should reach one endpoint have equal keys.
 BOUNDED_LOAD: Final = 1.25
 # Until its first load report, an endpoint is assumed to run this many requests at a time.
 DEFAULT_LIMIT: Final = 8
--- a/packages/millfork-scheduling/millfork_scheduling/first_tries.py
+++ b/packages/millfork-scheduling/millfork_scheduling/first_tries.py
@@ -28,16 +28,18 @@
 # The maximum number of routes whose deadlines are kept (2 KB each). Configurations replace routes,
 # so the number of routes seen is not bounded.
 MAX_ROUTES: Final = 2000
-# The next four constants apply to a route until `MIN_FIRST_TRIES` first tries were seen, as after a
-# start under load. Its callers are assumed to begin with one common deadline if enough of the last
-# `MAX_LATEST_DEADLINES` requests (including retries) have a deadline that is shorter than the
-# longest one by at most `SAME_DEADLINE_MS`, the time that transit takes. Enough are a share of
-# `COMMON_DEADLINE_SHARE`, and at least `MIN_COMMON_DEADLINES`. Two or three requests may have such
-# deadlines by chance: when they were enough, 1 in 14 first tries counted as retries if callers
-# begin with 0.85 to 1 times the usual deadline.
+# Until `MIN_FIRST_TRIES` first tries of a route were seen, as after a start under load, the
+# deadlines of the latest requests are used instead, including those of retries: this many.
 MAX_LATEST_DEADLINES: Final = 16
+# Callers are then assumed to begin with one common deadline if at least this share of the latest
+# deadlines are close to the longest one.
 COMMON_DEADLINE_SHARE: Final = 0.4
+# The minimum number of deadlines close to the longest one for that assumption. Two or three may be
+# so close by chance: when they were enough, 1 in 14 first tries counted as retries if callers begin
+# with 0.85 to 1 times the usual deadline.
 MIN_COMMON_DEADLINES: Final = 4
+# A deadline is close to the longest one if it is shorter by at most this, the time that transit
+# takes.
 SAME_DEADLINE_MS: Final = 20
 # This share of a route's first-try deadlines, the shortest ones, is ignored: they may come from
 # probes, or from retries that were mistaken for first tries.
--- a/packages/millfork-scheduling/millfork_scheduling/fleet_index.py
+++ b/packages/millfork-scheduling/millfork_scheduling/fleet_index.py
@@ -10,8 +10,8 @@
 from millfork_core.ids import ServiceName, ZoneId
 from millfork_scheduling.server import Server
 
-# The number of engines per service from which an entry draws its samples, in its own zone (near) and
-# in all other zones (far). It is limited because the entry keeps a connection to the daemon
+# The number of engines per service from which an entry draws its samples, in its own zone (near)
+# and in all other zones (far). It is limited because the entry keeps a connection to the daemon
 # beside each of these engines.
 NEAR_LIMIT: Final = 32
 FAR_LIMIT: Final = 16
