--- a/packages/millfork-scheduling/millfork_scheduling/server.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server.py
@@ -83,7 +83,7 @@
     The requests running and queued at an engine, and its pace (above 1: slower than usual).
 
     `own_requests` counts this entry's own requests at the engine when the load was determined,
-    `own_unread` those without a first token.
+    `own_awaiting_first_token` those without a first token.
 
     """
 
@@ -91,7 +91,7 @@
     queued: int
     pace: float
     own_requests: int
-    own_unread: int
+    own_awaiting_first_token: int
 
 
 @dataclass(slots=True, eq=False)
@@ -128,9 +128,9 @@
     draw_order: float = 0.0
     # The number of this entry's own requests at the back end, and of those without a first token.
     own_requests: int = 0
-    own_unread: int = 0
+    own_awaiting_first_token: int = 0
     # The last report of the load: the number of requests of all entries and of those without a
-    # first token, and the values of `own_requests` and `own_unread` that belong to that report.
+    # first token, and the values of `own_requests` and `own_awaiting_first_token` that belong to that report.
     reported: int = 0
     reported_unread: int = 0
     own_at_report: int = 0
@@ -180,7 +180,7 @@
         self.reported = load.running + load.queued
         self.reported_unread = load.queued
         self.own_at_report = load.own_requests
-        self.own_awaiting_at_report = load.own_unread
+        self.own_awaiting_at_report = load.own_awaiting_first_token
         self.pace = load.pace
         self.reported_at = now
 
@@ -220,9 +220,11 @@
 
         """
         if now - self.reported_at > REPORT_VALID_S:
-            return self.own_unread * entries
-        new = self.own_unread - self.own_awaiting_at_report
-        return max(self.reported_unread + new * (entries if new > 0 else 1), self.own_unread)
+            return self.own_awaiting_first_token * entries
+        new = self.own_awaiting_first_token - self.own_awaiting_at_report
+        return max(
+            self.reported_unread + new * (entries if new > 0 else 1), self.own_awaiting_first_token
+        )
 
     def first_token_ms(
         self, engine: EngineSpec, prompt_tokens: int, now: float, entries: int
--- a/packages/millfork-scheduling/millfork_scheduling/server_table.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server_table.py
@@ -163,7 +163,11 @@
             server.changes_version = changes_version
             server.daemon = state.instance
             load = Load(
-                state.running, state.queued, state.pace, server.own_requests, server.own_unread
+                state.running,
+                state.queued,
+                state.pace,
+                server.own_requests,
+                server.own_awaiting_first_token,
             )
             server.set_load(load, now)
             if state.served != server.served:
--- a/packages/millfork-standins/millfork_standins/bench/routing.py
+++ b/packages/millfork-standins/millfork_standins/bench/routing.py
@@ -326,11 +326,16 @@
 
         """
         one_way_s = SAME_ZONE_DELAY_S if server.zone == table.zone else CROSS_ZONE_DELAY_S
-        own_requests, own_unread = server.own_requests, server.own_unread
+        own_requests, own_awaiting_first_token = (
+            server.own_requests,
+            server.own_awaiting_first_token,
+        )
 
         def read_load() -> None:
             engine = self.engines[server.port]
-            load = Load(len(engine.running), len(engine.queue), 1.0, own_requests, own_unread)
+            load = Load(
+                len(engine.running), len(engine.queue), 1.0, own_requests, own_awaiting_first_token
+            )
             self.scheduler.schedule(one_way_s, partial(apply_load, server, load))
 
         self.scheduler.schedule(one_way_s + self.load_read_delay_s, read_load)
--- a/packages/millforkd/millforkd/proxy/job.py
+++ b/packages/millforkd/millforkd/proxy/job.py
@@ -40,7 +40,7 @@
 
     def begin(self) -> None:
         self.server.own_requests += 1
-        self.server.own_unread += 1
+        self.server.own_awaiting_first_token += 1
 
     def mark_first_token(self) -> None:
         """
@@ -49,7 +49,7 @@
         """
         if self.awaiting_first_token:
             self.awaiting_first_token = False
-            self.server.own_unread -= 1
+            self.server.own_awaiting_first_token -= 1
 
     def end(self) -> None:
         self.mark_first_token()
--- a/packages/millforkd/millforkd/proxy/load_queries.py
+++ b/packages/millforkd/millforkd/proxy/load_queries.py
@@ -69,7 +69,10 @@
     async def _ask(self, server: Server, connection: Connection) -> None:
         queried_at = self.env.monotonic()
         daemon = server.daemon
-        own_requests, own_unread = server.own_requests, server.own_unread
+        own_requests, own_awaiting_first_token = (
+            server.own_requests,
+            server.own_awaiting_first_token,
+        )
         reply = await self.queries.ask(daemon, connection, AskLoad(), ANSWER_TIMEOUT_S)
         now = self.env.monotonic()
         if reply is None or now - queried_at > MAX_WAIT_S:
@@ -79,5 +82,11 @@
         if server.is_other_incarnation(Incarnation(reply.incarnation)):
             log.info('A load report belongs to another engine. server={}', server.instance)
             return
-        load = Load(reply.running, reply.queued, reply.pace_percent / 100, own_requests, own_unread)
+        load = Load(
+            reply.running,
+            reply.queued,
+            reply.pace_percent / 100,
+            own_requests,
+            own_awaiting_first_token,
+        )
         server.set_load(load, now)
