--- a/packages/millfork-scheduling/millfork_scheduling/server.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server.py
@@ -132,7 +132,7 @@
     # The last report of the load: the number of requests of all entries and of those without a
     # first token, and the values of `own_requests` and `own_awaiting_first_token` that belong to that report.
     reported: int = 0
-    reported_unread: int = 0
+    reported_awaiting_first_token: int = 0
     own_at_report: int = 0
     own_awaiting_at_report: int = 0
     pace: float = 1.0
@@ -178,7 +178,7 @@
 
         """
         self.reported = load.running + load.queued
-        self.reported_unread = load.queued
+        self.reported_awaiting_first_token = load.queued
         self.own_at_report = load.own_requests
         self.own_awaiting_at_report = load.own_awaiting_first_token
         self.pace = load.pace
@@ -223,7 +223,8 @@
             return self.own_awaiting_first_token * entries
         new = self.own_awaiting_first_token - self.own_awaiting_at_report
         return max(
-            self.reported_unread + new * (entries if new > 0 else 1), self.own_awaiting_first_token
+            self.reported_awaiting_first_token + new * (entries if new > 0 else 1),
+            self.own_awaiting_first_token,
         )
 
     def first_token_ms(
--- a/packages/millforkd/millforkd/proxy/admission.py
+++ b/packages/millforkd/millforkd/proxy/admission.py
@@ -178,7 +178,7 @@
             start_estimate.remaining_ms,
             start_estimate.occupied,
             server.reported,
-            server.reported_unread,
+            server.reported_awaiting_first_token,
             server.own_requests,
             start_estimate.load_age_ms,
             server.pace,
--- a/tests/test_load_queries.py
+++ b/tests/test_load_queries.py
@@ -114,7 +114,7 @@
     assert curio.run(fleet.choose) == 'i-1'
     assert sorted(fleet.queried) == sorted(fleet.loads)
     assert fleet.server(0).reported == 25
-    assert fleet.server(0).reported_unread == 9
+    assert fleet.server(0).reported_awaiting_first_token == 9
 
 
 def test_no_daemon_is_asked_while_all_engines_have_spare_slots(fleet):
