--- a/packages/millfork-scheduling/millfork_scheduling/turned_away.py
+++ b/packages/millfork-scheduling/millfork_scheduling/turned_away.py
@@ -25,7 +25,7 @@
     """
 
     def __init__(self) -> None:
-        self.first_tried: dict[bytes, float] = {}
+        self.first_tried_at: dict[bytes, float] = {}
         self.recorded_at: dict[bytes, float] = {}
 
     def record(self, fingerprint: bytes, elapsed_ms: int, now: float) -> None:
@@ -35,9 +35,9 @@
         """
         self._evict_old(now)
         first = now - elapsed_ms / 1000
-        known = self.first_tried.pop(fingerprint, first)
+        known = self.first_tried_at.pop(fingerprint, first)
         self.recorded_at.pop(fingerprint, None)
-        self.first_tried[fingerprint] = min(first, known)
+        self.first_tried_at[fingerprint] = min(first, known)
         self.recorded_at[fingerprint] = now
 
     def elapsed_ms(self, fingerprint: bytes, now: float) -> int | None:
@@ -46,7 +46,7 @@
 
         """
         self._evict_old(now)
-        first = self.first_tried.get(fingerprint)
+        first = self.first_tried_at.get(fingerprint)
         return int((now - first) * 1000) if first is not None else None
 
     def _evict_old(self, now: float) -> None:
@@ -57,4 +57,4 @@
                 and len(self.recorded_at) < MAX_REMEMBERED
             ):
                 return
-            del self.recorded_at[oldest], self.first_tried[oldest]
+            del self.recorded_at[oldest], self.first_tried_at[oldest]
--- a/tests/test_first_tries.py
+++ b/tests/test_first_tries.py
@@ -167,11 +167,11 @@
     table.record(b'old', 0, 0.0)
     for number in range(MAX_REMEMBERED + 10):
         table.record(number.to_bytes(4, 'big'), 0, 1.0)
-    assert len(table.first_tried) <= MAX_REMEMBERED
+    assert len(table.first_tried_at) <= MAX_REMEMBERED
     assert table.elapsed_ms(b'old', 1.0) is None
     assert table.elapsed_ms((MAX_REMEMBERED).to_bytes(4, 'big'), 1.0) == 0
     assert table.elapsed_ms((MAX_REMEMBERED).to_bytes(4, 'big'), 2.0 + REMEMBERED_S) is None
-    assert not table.first_tried
+    assert not table.first_tried_at
 
 
 @pytest.mark.parametrize('min_share', [1.0, 0.85])
--- a/tests/test_turned_away_directory.py
+++ b/tests/test_turned_away_directory.py
@@ -131,7 +131,7 @@
 def test_only_entries_that_all_know_of_record_requests(zone):
     for number in range(50):
         zone.turn_away(NAMES[5], zone.job(bytes([number])))
-    kept = {name: len(entry.requests.first_tried) for name, entry in zone.entries.items()}
+    kept = {name: len(entry.requests.first_tried_at) for name, entry in zone.entries.items()}
     assert sum(kept.values()) == 50
     assert all(kept[name] for name in NAMES[:4])
     assert not any(kept[name] for name in NAMES[4:])
@@ -147,7 +147,7 @@
     zone.unreachable = set(NAMES[:3])
     for number in range(12):
         zone.turn_away(NAMES[5], zone.job(bytes([number])))
-    assert zone.entries[NAMES[3]].requests.first_tried
+    assert zone.entries[NAMES[3]].requests.first_tried_at
     job = zone.job(b'later')
     zone.turn_away(NAMES[5], job)
     zone.clock.now += 0.3
