--- a/packages/millfork-scheduling/millfork_scheduling/limit_share.py
+++ b/packages/millfork-scheduling/millfork_scheduling/limit_share.py
@@ -26,7 +26,7 @@
 TOLERATED_RATIO: Final = 1.5
 TOLERATED_REQUESTS: Final = 5
 # The random permits of all entries together use this share of the limit on average. The rest is
-# left free because their sum varies.
+# left free, as the sum of the permits varies.
 RANDOM_PERMIT_SHARE: Final = 0.8
 # The interval at which an entry that saves no permits gets random ones.
 RANDOM_PERMIT_INTERVAL_S: Final = 1.0
--- a/packages/millfork-scheduling/millfork_scheduling/placement.py
+++ b/packages/millfork-scheduling/millfork_scheduling/placement.py
@@ -24,8 +24,8 @@
 # The load of each is increased by its failure rate (0 to 1) times this.
 FAILURE_COST_LOADS: Final = 3.0
 # Engines are compared by a cost in ms: the expected time to the first token plus several additions.
-# This is added for a path whose engines are in two zones, for each token of a usual answer: one
-# round trip.
+# `PATH_TOKEN_HOP_MS` is added for each token of a usual answer if the engines of a path are in two
+# zones: one round trip.
 PATH_TOKEN_HOP_MS: Final = 5.0
 # Added to the cost of an engine in another zone than the entry's: one round trip.
 OTHER_ZONE_COST_MS: Final = 10.0
--- a/packages/millfork-scheduling/millfork_scheduling/server.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server.py
@@ -130,7 +130,8 @@
     own_requests: int = 0
     own_awaiting_first_token: int = 0
     # The last report of the load: the number of requests of all entries and of those without a
-    # first token, and the values of `own_requests` and `own_awaiting_first_token` that belong to that report.
+    # first token, and the values of `own_requests` and `own_awaiting_first_token` that belong to
+    # that report.
     reported: int = 0
     reported_awaiting_first_token: int = 0
     own_at_report: int = 0
