--- a/packages/millfork-weights/millfork_weights/links.py
+++ b/packages/millfork-weights/millfork_weights/links.py
@@ -33,7 +33,7 @@
 
     def record_bytes(self, size: int) -> None:
         """
-        Count bytes that were transferred without `acquire` against the limit.
+        Count `size` bytes against the limit, after a transfer that did not call `acquire`.
 
         """
         self.free_at = max(self.free_at, self.monotonic()) + size / self.rate
--- a/packages/millfork-weights/millfork_weights/store.py
+++ b/packages/millfork-weights/millfork_weights/store.py
@@ -154,7 +154,8 @@
 
 class WeightStore:
     """
-    The versions on this instance, by the digests of their manifests. Each has its own folder.
+    The versions on this instance, by the digests of their manifests. Each version has its own
+    folder, named after the digest.
 
     """
 
@@ -195,7 +196,8 @@
 
     async def wait_for(self, digest: Digest, timeout: float) -> StoredVersion | None:
         """
-        Wait up to `timeout` seconds for the version to be opened; return None if it is not.
+        Wait up to `timeout` seconds for the version to be opened, and return it; None if it was
+        not opened in time.
 
         """
         try:
--- a/packages/millfork-weights/millfork_weights/transfer.py
+++ b/packages/millfork-weights/millfork_weights/transfer.py
@@ -23,19 +23,21 @@
 from millfork_wire.messages import Manifest as ManifestMessage
 from millfork_wire.peers import PeerAddress, Peers
 
-# Seconds. Each failure of a source doubles its backoff first, so the first backoff lasts 2 s.
+# The value, in seconds, from which the backoff of a source starts. Each failure of the source
+# doubles the backoff before it is applied, so the first backoff lasts 2 s.
 INITIAL_BACKOFF_S: Final = 1.0
 RETRY_INTERVAL_S: Final = 0.1
 MANIFEST_TIMEOUT_S: Final = 0.5
+# Rounds of requests to peers after which an instance that is not a root asks the origin.
 PEER_ROUNDS_BEFORE_ORIGIN: Final = 10
+# Requests for a chunk to one source before the next source is tried.
 MAX_REQUESTS_PER_SOURCE: Final = 3
-# Multiple of `stall_s` without a new chunk of a stripe after which an instance that is not a
-# root of the stripe fetches it from the origin. Each instance plans the trees from the instances
-# that it knows of. While these sets differ, every instance may consider another one the root, so
-# that no instance fetches the stripe. The first instance of the tree becomes a root after this
-# time, and each following one `stall_s` later. The delays keep the instances from all fetching
-# at once while the origin itself is stalled.
-ROOTLESS_AFTER_STALLS: Final = 6
+# A stripe may have no root: each instance plans the trees from the instances that it knows of, and
+# while these sets differ, every instance may consider another one the root. The first instance of
+# the tree therefore fetches the stripe from the origin after this multiple of `stall_s` without a
+# new chunk of the stripe, and each following instance `stall_s` later. The delays keep the instances
+# from all fetching at once while the origin itself is stalled.
+ORIGIN_FALLBACK_STALLS: Final = 6
 RANDOM_MANIFEST_SOURCES: Final = 3
 BUSY: Final = 'busy'
 NOT_YET: Final = 'not_yet'
@@ -68,7 +70,7 @@
 @dataclass(frozen=True, slots=True)
 class SourceBackoff:
     """
-    The monotonic time until which a source is skipped, and the duration of the backoff.
+    The monotonic time until which a source is skipped, and the duration of this backoff.
 
     """
 
@@ -122,9 +124,10 @@
         self.backoffs: dict[InstanceId, SourceBackoff] = {}
         self.complete_peers: list[InstanceId] = []
         self.trees: list[Tree] = []
-        # The monotonic time at which the last chunk of each stripe arrived.
+        # For each stripe, the monotonic time at which the latest chunk arrived from a peer or the
+        # origin. The times start at the beginning of the transfer.
         self.last_chunk_at: dict[int, float] = {}
-        # Stripes that this instance fetches from the origin although it is not a planned root.
+        # Stripes that this instance fetches from the origin without being a planned root of them.
         self.adopted_stripes: set[int] = set()
 
     async def run(
@@ -134,7 +137,8 @@
         Transfer a version, and return it once every chunk and the complete file are verified.
 
         :raises VersionDigestMismatch: if all chunks match their digests but the file does not.
-        :raises TransferFailed: if the transfer can't continue; stored chunks are kept.
+        :raises TransferFailed: if fetching the chunks fails with an unexpected error, such as a
+            full disk; stored chunks are kept.
 
         """
         settings = self.settings
@@ -160,8 +164,8 @@
     async def _find_manifest(self, name: str, version: str, digest: Digest) -> Manifest:
         """
         Return the manifest from a peer, else from the files of an earlier run, else from the
-        origin. Roots and instances without peers ask the origin from the first round on, other
-        instances only after `PEER_ROUNDS_BEFORE_ORIGIN` rounds.
+        origin. Roots of a stripe and instances without peers ask the origin from the first round
+        on, other instances only after `PEER_ROUNDS_BEFORE_ORIGIN` rounds.
 
         """
         own = self.env.instance
@@ -272,8 +276,8 @@
             if result is FetchResult.STORED:
                 return
             rounds += 1
-            # While a source answers, give it some rounds to receive the chunk from a root of the
-            # stripe, which saves bandwidth of the origin.
+            # While a peer answers, wait some rounds for the chunk to reach that peer. This saves
+            # bandwidth of the origin.
             may_use_origin = (
                 result is FetchResult.NO_LIVE_SOURCE or rounds >= PEER_ROUNDS_BEFORE_ORIGIN
             )
@@ -284,7 +288,8 @@
     def _is_root(self, tree: Tree, index: int) -> bool:
         """
         Whether this instance fetches the chunk's stripe from the origin: as a planned root of
-        the stripe, or because no other instance appears to fetch the stripe.
+        the stripe, or because no other instance appears to fetch the stripe. In the second case,
+        the stripe is added to `adopted_stripes`.
 
         """
         stripe = index % self.settings.stripes
@@ -304,7 +309,7 @@
     def _must_become_root(self, index: int) -> bool:
         """
         Whether this instance is not a root of the chunk's stripe yet but must become one, as no
-        chunk of the stripe has arrived for too long (see `ROOTLESS_AFTER_STALLS`). Requests to
+        chunk of the stripe has arrived for too long (see `ORIGIN_FALLBACK_STALLS`). Requests to
         peers stop when this becomes true.
 
         """
@@ -313,12 +318,13 @@
             return False
         position = self.trees[stripe].order.index(self.env.instance)
         without_chunk_s = self.env.monotonic() - self.last_chunk_at[stripe]
-        return without_chunk_s > (ROOTLESS_AFTER_STALLS + position) * self.settings.stall_s
+        return without_chunk_s > (ORIGIN_FALLBACK_STALLS + position) * self.settings.stall_s
 
     def _tree_sources(self, tree: Tree) -> list[InstanceId]:
         """
-        The parent, then the other preceding nodes of the tree in random order. The children of
-        a node use its whole link, so the children of a lost node must spread over many nodes.
+        The parent (for a root, the node placed just before it), then the other preceding nodes
+        in random order. The children of a node use its whole link, so the children of a lost node
+        must spread over many nodes.
 
         """
         sources = tree.sources(self.env.instance)
@@ -344,8 +350,8 @@
 
     def _complete_peers(self, index: int) -> list[InstanceId]:
         """
-        The peers with the complete version. The list starts with a different peer for each chunk,
-        to spread the load.
+        The peers known to have the complete version. The list is rotated by the chunk's index, to
+        spread the load.
 
         """
         peers = self.complete_peers
--- a/packages/millfork-weights/millfork_weights/trees.py
+++ b/packages/millfork-weights/millfork_weights/trees.py
@@ -2,11 +2,12 @@
 Distribution trees, which give each instance the parent to fetch each stripe from.
 
 With S stripes, chunk i belongs to stripe i mod S, and each stripe has its own
-tree. An instance has at most S children over all trees, so it sends at most one
-copy of the weights in total. Nearly all children of an instance are in one tree,
-which keeps the trees flat. Availability zones are subtrees where their size
-allows it, so that weights enter a zone once. All instances compute the same trees
-from the accepted configuration, without exchanging messages.
+tree. An instance has S child slots over all trees, so its children together fetch
+at most one copy of the weights from it, unless a tree has too few free slots. Nearly
+all children of an instance are in one tree, which keeps the trees flat. Availability
+zones are subtrees where their size allows it, so that weights enter a zone once.
+Instances that know the same configuration and receivers compute the same trees,
+without exchanging messages.
 
 """
 
@@ -33,7 +34,7 @@
 class Tree:
     """
     The tree of one stripe: the parent of each node, and the nodes in the order in which
-    they were placed. A root fetches from the origin; its parent is None.
+    they were placed. A root fetches from the origin (the weight store); its parent is None.
 
     """
 
@@ -91,8 +92,8 @@
 
 def _first_node_per_zone(inner_nodes: list[Receiver], stripe: int) -> list[Receiver]:
     """
-    The first inner node of each zone, rotated so that different stripes start with
-    different zones.
+    The first of `inner_nodes` in each zone. The list is rotated by `stripe`, so that the
+    trees of different stripes start with different zones.
 
     """
     zone_heads = list({receiver.zone: receiver for receiver in reversed(inner_nodes)}.values())
@@ -107,7 +108,8 @@
     """
     Build a tree whose first `origin_copies` instances are roots. Each other instance gets
     the earliest placed parent with a free child slot, from its own zone if possible. If
-    no slot is free, the parent is the instance with the fewest children over its limit.
+    no slot is free, the parent is the earliest placed one of the instances with the fewest
+    children beyond their slots.
 
     """
     tree = Tree()
--- a/packages/millfork-wire/millfork_wire/codec.py
+++ b/packages/millfork-wire/millfork_wire/codec.py
@@ -73,8 +73,8 @@
 
 def _message_classes() -> dict[str, type[Message]]:
     """
-    The message class of each member of the frame's union, by member name. A class has the
-    same name as the struct of its member.
+    The message class of each member of the frame's union, by member name. Except for `PreVote`,
+    a class has the same name as the struct of its member.
 
     """
     found: dict[str, type[Message]] = {}
@@ -93,8 +93,8 @@
 
 def _field_plan(cls: type[Message]) -> list[tuple[str, str, Any]]:
     """
-    The fields of a message class: for each, its name, its name in the schema, and its type. The
-    type of a list is that of the elements.
+    The fields of a message class: for each, its name, its name in the schema, and its type (for a
+    list, the type of the elements).
 
     """
     hints = get_type_hints(cls)
--- a/packages/millfork-wire/millfork_wire/connection.py
+++ b/packages/millfork-wire/millfork_wire/connection.py
@@ -174,8 +174,8 @@
 
     async def write_frames(self) -> None:
         """
-        Write queued frames until the connection is closed. A write combines frames until they
-        reach `MAX_SEND_BATCH_BYTES`.
+        Write queued frames until the connection is closed. One write combines queued frames until
+        their total size reaches `MAX_SEND_BATCH_BYTES`.
 
         """
         try:
--- a/packages/millfork-wire/millfork_wire/messages/feed.py
+++ b/packages/millfork-wire/millfork_wire/messages/feed.py
@@ -1,6 +1,7 @@
 """
-Messages between the replicas of a seeded fleet and the processes that follow them: discovery of
-replicas, leases, reports and suspicions.
+Messages between the replicas of a seeded fleet (one whose processes start from a few replica
+addresses) and the processes that follow these replicas: discovery of replicas, leases, reports
+and suspicions.
 
 """
 
@@ -50,7 +51,7 @@
     caches: list[CacheAddress] = field(default_factory=list)
     # The availability zone of the replica that answers.
     zone: str = ''
-    # The versions that were recently set in the configuration, as far as the replica knows.
+    # The versions of models that were recently set, as far as the replica knows.
     switches: list[VersionSwitch] = field(default_factory=list)
 
 
@@ -64,9 +65,9 @@
 @dataclass(slots=True)
 class AskFeed(Message):
     """
-    Asks another follower for the feed (the stream of updates from a replica) while no replica can
-    be reached. The follower sends the configuration since `revision`, and the leases, reports and
-    suspicions that changed since the given versions of the follower's tables.
+    Asks another follower of replicas for the feed (the stream of updates from a replica) while no
+    replica can be reached. The asked follower sends the configuration since `revision`, and the
+    leases, reports and suspicions that changed since the given versions of its own tables.
 
     """
 
@@ -80,29 +81,32 @@
 @dataclass(slots=True)
 class FeedSent(Message):
     """
-    Reply to `AskFeed`: the feed was sent, up to these versions of the follower's tables. `ok` is
-    not set if the follower receives nothing from replicas either.
+    Reply to `AskFeed`: the feed was sent, up to these versions of the asked follower's tables.
+    `ok` is not set if the asked follower is not connected to a replica either.
 
     """
 
     ok: bool = False
     lease_version: int = 0
     report_version: int = 0
-    # The versions that were recently set in the configuration, as far as the follower knows.
+    # The versions of models that were recently set, as far as the asked follower knows.
     switches: list[VersionSwitch] = field(default_factory=list)
     suspicion_version: int = 0
 
 
 @dataclass(slots=True)
 class Leases(Message):
+    # Whether this message contains all leases and reports of the sender, not only changed ones.
     full: bool = False
+    # Whether the sender's registry is complete.
     settled: bool = False
     # The number of entry processes known now. `most_entries` is the highest recent number.
     entries: int = 0
     leases: bytes = b''
     reports: bytes = b''
     most_entries: int = 0
-    # Encoded suspicions: records of requests during which back ends ended.
+    # Encoded suspicions: records of the back ends that ended while they ran requests with the same
+    # fingerprint.
     suspicions: bytes = b''
 
 
@@ -114,7 +118,7 @@
 @dataclass(slots=True)
 class SuspicionReport(Message):
     """
-    The suspicions known to an entry: records of requests during which back ends ended.
+    The encoded suspicions known to an entry (see `Leases.suspicions`).
 
     """
 
@@ -124,7 +128,7 @@
 @dataclass(slots=True)
 class AskSuspicions(Message):
     """
-    Sent by a starting entry to the other entries of a listed fleet. Each replies with a
-    `SuspicionReport` of all its suspicions.
+    Sent by a starting entry to the other entries of a listed fleet (one whose instances the
+    platform lists). Each of them replies with a `SuspicionReport` of all suspicions that it knows.
 
     """
--- a/packages/millfork-wire/millfork_wire/messages/loads.py
+++ b/packages/millfork-wire/millfork_wire/messages/loads.py
@@ -17,8 +17,8 @@
 class EngineLoad(Message):
     """
     Reply to `AskLoad`: the numbers of requests that run and wait at the engine now, the duration
-    of a step in percent of the usual one (`pace_percent`), and the engine's incarnation. `known`
-    is not set if the engine does not answer.
+    of a generation step in percent of the declared one (`pace_percent`), and the engine's
+    incarnation (one process life). `known` is not set if the engine does not answer.
 
     """
 
--- a/packages/millfork-wire/millfork_wire/messages/requests.py
+++ b/packages/millfork-wire/millfork_wire/messages/requests.py
@@ -26,6 +26,8 @@
     path: str = ''
     headers: list[Header] = field(default_factory=list)
     body: bytes = b''
+    # The key under which the replicated state stores the request's idempotency key, and the id
+    # under which the entry claimed it; both empty if no key was claimed.
     key: str = ''
     attempt: str = ''
 
@@ -74,8 +76,8 @@
 @dataclass(slots=True)
 class BackEndFate(Message):
     """
-    Whether the back end ended when its response to a request broke off. The endpoint sends this
-    event to the entry once it has found out.
+    Tells an entry whether the back end whose response to a request broke off has ended. The
+    endpoint sends this event once it has determined the status of the back end.
 
     """
 
--- a/packages/millfork-wire/millfork_wire/messages/state.py
+++ b/packages/millfork-wire/millfork_wire/messages/state.py
@@ -1,6 +1,6 @@
 """
-Messages about the replicated state: elections, the log, proposals, and the distribution of the
-configuration.
+Messages about the replicated state: elections, the consensus log, proposals, and the distribution
+of the configuration.
 
 """
 
--- a/packages/millfork-wire/millfork_wire/peers.py
+++ b/packages/millfork-wire/millfork_wire/peers.py
@@ -47,9 +47,9 @@
 
 class Peers:
     """
-    Accepts and dials the connections of this process, one for each peer. Each function in
-    `closed_hooks` is called with every connection that was closed. `via` is the host and port of
-    an HTTP proxy through which peers are dialled.
+    Accepts and dials the connections of this process, one for each peer. After a connection is
+    closed, each function in `closed_hooks` is called with the connection. `via` is the host and
+    port of an HTTP proxy through which peers are dialled, or None.
 
     """
 
@@ -161,8 +161,8 @@
         """
         Send a request to a peer and return the reply; dial the peer if needed.
 
-        :raises PeerError: if there is no reply, or a failure. The subclass says whether the peer
-            may have acted on the request.
+        :raises PeerError: if no connection can be opened, no reply arrives in time, or the reply
+            is a `Failure`. The subclass says whether the peer may have acted on the request.
 
         """
         connection = await self.connect(address)
--- a/packages/millfork-wire/millfork_wire/transport.py
+++ b/packages/millfork-wire/millfork_wire/transport.py
@@ -67,8 +67,9 @@
 
 async def dial(host: str, port: int, source: str, via: tuple[str, int] | None) -> Transport:
     """
-    Open a connection from address `source`. `via` is the host and port of an HTTP proxy that
-    connects the zones (with the CONNECT method), or None.
+    Open a connection from the address `source` to `host` and `port`. If `via` is given, it is the
+    host and port of an HTTP proxy between zones, and the connection is opened through that proxy
+    (CONNECT method).
 
     :raises OSError: if the connection can't be opened.
 
--- a/packages/millfork/millfork/client.py
+++ b/packages/millfork/millfork/client.py
@@ -17,7 +17,7 @@
 REQUEST_TIMEOUT_S: Final = 10.0
 MAX_ROUNDS: Final = 3
 PAUSE_BETWEEN_ROUNDS_S: Final = 0.5
-# Reasons for refusing a request that another entry may still accept.
+# Reasons of refusals after which another entry, or a later try, may still succeed.
 RETRYABLE_REASONS: Final = frozenset(
     {Reason.NO_QUORUM.value, Reason.NOT_READY.value, Reason.STOPPING.value}
 )
@@ -32,8 +32,8 @@
 
 class ControlClient:
     """
-    Sends a control request to one entry after another until one answers. Retries are safe because
-    each command carries an id.
+    Sends a control request to one entry after another until one gives a final answer. Retries are
+    safe because each change carries a command id: a repeated command only returns the first result.
 
     """
 
--- a/packages/millfork/millfork/explain.py
+++ b/packages/millfork/millfork/explain.py
@@ -1,5 +1,5 @@
 """
-Counts requests by outcome and time, from the logs of entries.
+Counts requests by outcome and time, from the logs of entries (front proxies).
 
 """
 
@@ -17,9 +17,10 @@
 
 class Cause(Enum):
     """
-    The outcome of a request, and why. A served request is late if its first token came after the
-    time left for it: because the entry had refused the caller before, because the engines were
-    full, or for a reason that the entry did not foresee.
+    The outcome of a request, and why. A served request is late if its first token took longer
+    than `EndedRequest.left_ms`, for one of three causes: the entry had refused the caller before;
+    the entry expected a late first token because the engines were full; or the entry did not
+    foresee the delay.
 
     """
 
--- a/tests/test_platform_foreign_messages.py
+++ b/tests/test_platform_foreign_messages.py
@@ -1,8 +1,9 @@
 """
-Malformed messages of foreign clients are refused: missing fields, wrong types, numbers out of
-bounds, undecodable bytes. A heartbeat with a sequence number of more than 64 bits was accepted,
-and the feed that forwarded the number failed with `OverflowError: can't serialize ints < -2**63
-or > 2**64 - 1`. A response with `keep-alive: timeout=\xb2` made its request fail with
+Malformed messages from other implementations are refused: missing fields, wrong types, numbers out
+of bounds, undecodable bytes. A heartbeat with a sequence number of more than 64 bits was accepted,
+and the feed (the stream of registry updates) that forwarded the number failed with
+`OverflowError: can't serialize ints < -2**63 or > 2**64 - 1`. A response with
+`keep-alive: timeout=\xb2` made the caller's request fail with
 `ValueError: could not convert string to float`.
 
 """
@@ -50,7 +51,7 @@
 HEADERS = sorted(
     {value for value in vars(names).values() if isinstance(value, str) and '/' not in value}
 )
-CHUNK_LIST = {'model': 'm', 'version': 2, 'digests': ['a' * 64]}
+PIECE_LIST = {'model': 'm', 'version': 2, 'digests': ['a' * 64]}
 FOREIGN_VALUES = st.one_of(
     st.none(),
     st.booleans(),
@@ -89,13 +90,13 @@
     changed = copy.deepcopy(message)
     for path in draw(st.lists(st.sampled_from(paths_in(message)), max_size=3, unique=True)):
         try:
-            holder = changed
+            container = changed
             for key in path[:-1]:
-                holder = holder[key]
+                container = container[key]
             if draw(st.booleans()):
-                holder[path[-1]] = draw(FOREIGN_VALUES)
+                container[path[-1]] = draw(FOREIGN_VALUES)
             else:
-                del holder[path[-1]]
+                del container[path[-1]]
         except (KeyError, IndexError, TypeError):
             continue
     data = json.dumps(changed).encode()
@@ -143,7 +144,7 @@
     assert msgspec.msgpack.encode([report.running, report.queued, report.incarnation])
 
 
-@given(mutated(CHUNK_LIST))
+@given(mutated(PIECE_LIST))
 def test_a_list_of_pieces_is_fully_valid_or_refused(body):
     try:
         pieces = ADAPTER.read_piece_list(body)
@@ -241,12 +242,12 @@
 )
 def test_a_foreign_heartbeat_is_refused_and_changes_no_lease(change):
     calls = ReplicaCalls()
-    held = calls.registry.leases.get('i-1')
+    lease_before = calls.registry.leases.get('i-1')
     body = {**HEARTBEAT, 'address': '10.0.0.1:80', 'born': FIRST_INCARNATION + 1, **change}
     for name in ('i-1', 'i-2'):
         request = Request('POST', f'{names.HEARTBEAT_PATH}{name}', [], json.dumps(body).encode())
         assert 400 <= calls.send(request) < 500
-    assert list(calls.registry.leases.values()) == [held]
+    assert list(calls.registry.leases.values()) == [lease_before]
     assert calls.wake_count == 0
 
 
