--- a/packages/millfork-weights/millfork_weights/transfer.py
+++ b/packages/millfork-weights/millfork_weights/transfer.py
@@ -128,7 +128,7 @@
         # origin. The times start at the beginning of the transfer.
         self.last_chunk_at: dict[int, float] = {}
         # Stripes that this instance fetches from the origin without being a planned root of them.
-        self.adopted_stripes: set[int] = set()
+        self.origin_fallback_stripes: set[int] = set()
 
     async def run(
         self, name: str, version: str, digest: Digest, receivers: list[Receiver]
@@ -289,11 +289,11 @@
         """
         Whether this instance fetches the chunk's stripe from the origin: as a planned root of
         the stripe, or because no other instance appears to fetch the stripe. In the second case,
-        the stripe is added to `adopted_stripes`.
+        the stripe is added to `origin_fallback_stripes`.
 
         """
         stripe = index % self.settings.stripes
-        if tree.is_root(self.env.instance) or stripe in self.adopted_stripes:
+        if tree.is_root(self.env.instance) or stripe in self.origin_fallback_stripes:
             return True
         if not self._must_become_root(index):
             return False
@@ -303,7 +303,7 @@
             self.env.monotonic() - self.last_chunk_at[stripe],
         )
         self._count('rootless', ORIGIN)
-        self.adopted_stripes.add(stripe)
+        self.origin_fallback_stripes.add(stripe)
         return True
 
     def _must_become_root(self, index: int) -> bool:
@@ -314,7 +314,7 @@
 
         """
         stripe = index % self.settings.stripes
-        if stripe in self.adopted_stripes or self.trees[stripe].is_root(self.env.instance):
+        if stripe in self.origin_fallback_stripes or self.trees[stripe].is_root(self.env.instance):
             return False
         position = self.trees[stripe].order.index(self.env.instance)
         without_chunk_s = self.env.monotonic() - self.last_chunk_at[stripe]
--- a/tests/test_transfer_without_root.py
+++ b/tests/test_transfer_without_root.py
@@ -131,4 +131,4 @@
     origin = FailingOrigin()
     transfer = rootless_transfer(tmp_path, origin, CompletePeers(origin))
     assert transferred_data(transfer) == DATA
-    assert transfer.adopted_stripes
+    assert transfer.origin_fallback_stripes
