--- a/packages/millfork-weights/millfork_weights/transfer.py
+++ b/packages/millfork-weights/millfork_weights/transfer.py
@@ -35,8 +35,8 @@
 # A stripe may have no root: each instance plans the trees from the instances that it knows of, and
 # while these sets differ, every instance may consider another one the root. The first instance of
 # the tree therefore fetches the stripe from the origin after this multiple of `stall_s` without a
-# new chunk of the stripe, and each following instance `stall_s` later. The delays keep the instances
-# from all fetching at once while the origin itself is stalled.
+# new chunk of the stripe, and each following instance `stall_s` later. The delays keep the
+# instances from all fetching at once while the origin itself is stalled.
 ORIGIN_FALLBACK_STALLS: Final = 6
 RANDOM_MANIFEST_SOURCES: Final = 3
 BUSY: Final = 'busy'
