--- a/packages/millforkd/millforkd/endpoint/__init__.py
+++ b/packages/millforkd/millforkd/endpoint/__init__.py
@@ -1,4 +1,5 @@
 """
-Role endpoint: admits requests to an engine or plain service.
+The endpoint role of a listed fleet (one whose instances the platform lists): a daemon that admits
+requests to the engine or plain service of its instance.
 
 """
--- a/packages/millforkd/millforkd/endpoint/backend_gateway.py
+++ b/packages/millforkd/millforkd/endpoint/backend_gateway.py
@@ -37,6 +37,7 @@
 from millforkd.endpoint.rest_tracking import RestTracker
 from millforkd.settling import settle_claim
 
+# A reservation expires if the entry does not send `Start` within this time.
 START_TIMEOUT_S: Final = 2.0
 LOAD_HEARTBEAT_INTERVAL_S: Final = 8.0
 MIN_LOAD_REPORT_INTERVAL_S: Final = 0.1
@@ -75,7 +76,8 @@
         self.leaving = False
         self.rest_tracker = RestTracker(env)
         self.incarnations = IncarnationTracker(env, lambda: self.settings.address.pair)
-        self.entries: dict[str, Connection] = {}
+        # Connections of the entries that get load reports, by entry.
+        self.load_subscribers: dict[str, Connection] = {}
         self.load_changed = curio.Event()
         if not self.is_engine:
             self.served = {settings.service: PLAIN_SERVICE_VERSION}
@@ -114,8 +116,8 @@
 
     async def on_reserve(self, connection: Connection, request: Reserve) -> Reserved:
         """
-        Reserve a slot, or a place in the queue for one, or refuse the request at once. If the
-        slots and the queue are full, the refusal says when to retry.
+        Reserve a slot for a request or queue the request for a slot, else refuse it at once. The
+        refusal says when to retry.
 
         """
         organisation = OrganisationId(request.organisation)
@@ -161,7 +163,10 @@
 
     async def on_cancel(self, connection: Connection, message: Cancel) -> Cancelled:
         """
-        Cancel a request. After a reply with NOT_RUN, the request never runs here.
+        Cancel a request. After a reply with NOT_RUN, the request never runs here. A request that
+        is not reserved over this connection gets MAY_HAVE_RUN. If the request was already sent to
+        the back end, the reply contains the key of the incarnation that ran it, and the entry is
+        later notified whether that incarnation ended.
 
         """
         reservation = self.reservations.get(message.request_id)
@@ -171,10 +176,10 @@
             await reservation.task.cancel()
         cancelled = Cancelled(message.request_id, reservation.verdict.value)
         if reservation.stage is Stage.SENT:
-            number = reservation.incarnation_number
+            incarnation_number = reservation.incarnation_number
             request_id = RequestId(message.request_id)
-            await self.incarnations.record_cancellation(request_id, connection, number)
-            cancelled.incarnation = self.incarnations.incarnation_key(number)
+            await self.incarnations.record_cancellation(request_id, connection, incarnation_number)
+            cancelled.incarnation = self.incarnations.incarnation_key(incarnation_number)
         return cancelled
 
     async def on_closed(self, connection: Connection) -> None:
@@ -183,8 +188,8 @@
         delivered. Requests that were already sent to a plain service continue.
 
         """
-        if self.entries.get(connection.peer) is connection:
-            del self.entries[connection.peer]
+        if self.load_subscribers.get(connection.peer) is connection:
+            del self.load_subscribers[connection.peer]
         for reservation in list(self.reservations.values()):
             if reservation.connection is not connection or reservation.task is None:
                 continue
@@ -212,8 +217,8 @@
 
     async def _settle(self, reservation: Reservation) -> None:
         """
-        Record the answer under the request's idempotency key, as the entry may be gone. An
-        endpoint never releases a key: the entry may be alive and try another endpoint.
+        Store the answer, if it is complete, under the request's idempotency key, as the entry may
+        be gone. An endpoint never releases a key: the entry may be alive and try another endpoint.
 
         """
         request = reservation.request
@@ -242,7 +247,7 @@
             return resting
         reservation.stage = Stage.SENT
         sent_at = self.env.monotonic()
-        reservation.incarnation_number = self.incarnations.number
+        reservation.incarnation_number = self.incarnations.current_number
         self.rest_tracker.record_sent(sent_at)
         remaining_s = max(reservation.deadline - self.env.monotonic(), 0.001)
         try:
@@ -298,7 +303,7 @@
             if reservation.request.attempt:
                 body += data
             if coalesce_s:
-                # Everything that the engine sends during this wait becomes the next part.
+                # Everything that the back end sends during this wait becomes the next part.
                 await curio.sleep(coalesce_s)
         if reservation.request.attempt:
             reservation.response = Response(reply.status, reply.headers, bytes(body))
@@ -307,7 +312,9 @@
     async def _send(self, reservation: Reservation, message: Head | Part) -> None:
         """
         Send a message to the entry. If the entry is gone, the answer to a request with an
-        idempotency key is still read to its end, as it is stored under the key.
+        idempotency key is still read to its end, as the answer is stored under the key.
+
+        :raises PeerLost: if the entry is gone and the request has no idempotency key.
 
         """
         try:
@@ -319,7 +326,7 @@
     def _check_head(self, reservation: Reservation, reply: Reply) -> Refusal | None:
         """
         Return a refusal if the answer belongs to another request, or if the engine has not loaded
-        the requested version or answered with another one; else None.
+        the version that the request was admitted to or answered with another version; else None.
 
         """
         echoed = reply.header(REQUEST_ID_HEADER)
@@ -367,13 +374,13 @@
         Subscribe an entry to load reports and return the current load.
 
         """
-        self.entries[connection.peer] = connection
+        self.load_subscribers[connection.peer] = connection
         return self.load()
 
     async def report_load(self) -> None:
         """
-        Send load reports to the subscribed entries after each change of the load, and every
-        LOAD_HEARTBEAT_INTERVAL_S without a change.
+        Send load reports to the subscribed entries: after each change of the load, but at most
+        every MIN_LOAD_REPORT_INTERVAL_S, and every LOAD_HEARTBEAT_INTERVAL_S without a change.
 
         """
         while True:
@@ -384,7 +391,7 @@
                 pass
             self.load_changed.clear()
             load = self.load()
-            for connection in list(self.entries.values()):
+            for connection in list(self.load_subscribers.values()):
                 try:
                     await connection.notify(load)
                 except PeerLost:
--- a/packages/millforkd/millforkd/endpoint/daemon.py
+++ b/packages/millforkd/millforkd/endpoint/daemon.py
@@ -104,8 +104,8 @@
 
     async def _run_rollout(self) -> None:
         """
-        Run the rollout once this instance is ready, so that it never loads or serves weights by
-        a configuration older than the newest one known in its zone.
+        Run the rollout once this instance is ready, so that the instance never loads or serves
+        weights by an older configuration than the newest one known in its zone.
 
         """
         assert self.rollout is not None
@@ -128,8 +128,8 @@
 
     async def _update_periodically(self) -> None:
         """
-        Apply the drains and the organisations' shares in the configuration, and report the state
-        of this endpoint, every UPDATE_INTERVAL_S.
+        Every UPDATE_INTERVAL_S, update whether this endpoint is leaving and the organisations'
+        shares of its slots, and report the state of this endpoint if it changed.
 
         """
         while True:
@@ -170,8 +170,8 @@
     def _held_shares(self) -> dict[str, float]:
         """
         Return, for each wanted version, the share of its weights that this instance holds: the
-        lowest among its parts, rounded down to a multiple of 1 / SHARE_STEPS so that not every
-        chunk causes a report.
+        lowest share among the version's parts, rounded down to a multiple of 1 / SHARE_STEPS so
+        that not every chunk causes a report.
 
         """
         if self.rollout is None or self.store is None:
@@ -187,7 +187,7 @@
 
     async def handle(self, connection: Connection, message: Message) -> Message | None:
         """
-        Answer a peer's message.
+        Handle a peer's message. Return the reply, or None if the message gets no reply.
 
         """
         reply: Message | None = await self.on(message, connection)
--- a/packages/millforkd/millforkd/endpoint/engine_client.py
+++ b/packages/millforkd/millforkd/endpoint/engine_client.py
@@ -1,10 +1,10 @@
 """
 Sends load and unload orders to the model engine, each with a fencing number.
 
-Only the endpoint sends orders: it holds the wire port of its address, so a second endpoint can't
-run at the same address, even while the first is frozen. A new endpoint process takes a number
-above the highest that the engine has seen; an engine that refuses lower numbers then refuses late
-orders of the previous process.
+Only the endpoint daemon sends these orders. The daemon holds the wire port of its address, so a
+second one can't run at the same address, even while the first is frozen. A new daemon process takes
+a number above the highest that the engine has seen, so an engine that refuses lower numbers refuses
+late orders of the previous process.
 
 """
 
@@ -33,7 +33,7 @@
 class EngineStatus:
     """
     The status that the engine reports. `incarnation` changes with each start of the engine,
-    `fencing_number` is the highest that it has seen, `loaded` lists the loaded versions.
+    `fencing_number` is the highest that the engine has seen, `loaded` lists the loaded versions.
 
     """
 
@@ -59,13 +59,15 @@
         self.env = env
         self.settings = settings
         self.client = Client(*settings.address.pair, source=source)
+        # 0 until a poll succeeds, and again after the engine refused an order for its number.
         self.number = FencingNumber(0)
         self.status = EngineStatus()
 
     async def poll(self) -> bool:
         """
-        Fetch the engine's status; return False if there is no valid answer. Without a fencing
-        number, take one above the highest that the engine has seen.
+        Fetch the engine's status. Without a valid answer, `status` becomes empty and the result is
+        False. If this client has no fencing number, it takes one above the highest that the engine
+        has seen.
 
         """
         try:
@@ -80,7 +82,7 @@
 
     async def query_incarnation(self) -> str:
         """
-        Return the incarnation that the engine reports now, an empty string without a valid answer.
+        Return the incarnation that the engine reports now, or '' if there is no valid answer.
 
         """
         try:
--- a/packages/millforkd/millforkd/endpoint/incarnation_tracking.py
+++ b/packages/millforkd/millforkd/endpoint/incarnation_tracking.py
@@ -1,5 +1,6 @@
 """
-Determines whether the back end of an endpoint ended or only connections to it were lost.
+Determines whether the back end of an endpoint ended after an answer broke off or the entry
+cancelled a request.
 
 """
 
@@ -30,16 +31,16 @@
 @dataclass(slots=True)
 class InterruptedRequest:
     """
-    A request that was interrupted or cancelled, with the connection to its entry. `number` is the
-    number of the back end's incarnation that the request was sent to, and `status` the status of
-    that incarnation. `is_awaited` is set while `record_interruption` waits for the status; a
-    status that becomes known later is sent to the entry.
+    A request whose answer broke off or that was cancelled, with the connection to its entry.
+    `incarnation_number` is the number of the back end's incarnation that the request was sent to,
+    and `status` the status of that incarnation. `is_awaited` is set while `record_interruption`
+    waits for the status; a status that becomes known later is sent to the entry.
 
     """
 
     request_id: RequestId
     connection: Connection
-    number: int
+    incarnation_number: int
     status: IncarnationStatus = IncarnationStatus.UNKNOWN
     is_awaited: bool = True
     # Whether the entry cancelled the request; the back end may still be running it.
@@ -68,10 +69,10 @@
         # When this endpoint process started (ns since 1970). Incarnation keys contain it, as each
         # process numbers the incarnations from 0.
         self.start = time.time_ns()
-        self.number = 0
-        # The incarnation that the back end reported; empty if unknown.
+        self.current_number = 0
+        # The incarnation that the back end last reported; empty if unknown.
         self.reported_incarnation = UNKNOWN_INCARNATION
-        # The latest time at which a request was sent that the back end answered (monotonic
+        # The latest send time among the requests that the current incarnation answered (monotonic
         # seconds).
         self.last_answered_sent_at = float('-inf')
         self.watch_keys = itertools.count(1)
@@ -80,8 +81,8 @@
         )
         self.is_watching = False
 
-    def incarnation_key(self, number: int) -> IncarnationKey:
-        return IncarnationKey(f'{self.env.instance}/{self.start}.{number}')
+    def incarnation_key(self, incarnation_number: int) -> IncarnationKey:
+        return IncarnationKey(f'{self.env.instance}/{self.start}.{incarnation_number}')
 
     def record_answer(self, sent_at: float) -> None:
         """
@@ -104,20 +105,20 @@
         self.reported_incarnation = incarnation
 
     def _start_next_incarnation(self) -> None:
-        self.number += 1
+        self.current_number += 1
         self.reported_incarnation = UNKNOWN_INCARNATION
         self.last_answered_sent_at = float('-inf')
 
     async def record_interruption(
-        self, request_id: RequestId, connection: Connection, number: int
+        self, request_id: RequestId, connection: Connection, incarnation_number: int
     ) -> IncarnationStatus:
         """
-        Record an interrupted request, wait briefly for the first probes of the back end, and
-        return the status of the incarnation that ran the request. If the status is still
-        UNKNOWN, the later result is sent to the entry.
+        Record a request whose answer broke off, wait briefly for the first probes of the back end,
+        and return the status of the incarnation that ran the request. If the status is still
+        UNKNOWN, the entry is notified of the result later.
 
         """
-        interrupted = InterruptedRequest(request_id, connection, number)
+        interrupted = InterruptedRequest(request_id, connection, incarnation_number)
         await self._add(interrupted)
         await self.watch.wait_until_probed()
         interrupted.is_awaited = False
@@ -132,7 +133,7 @@
             await self.env.spawn(self._run_watch)
 
     async def record_cancellation(
-        self, request_id: RequestId, connection: Connection, number: int
+        self, request_id: RequestId, connection: Connection, incarnation_number: int
     ) -> None:
         """
         Record a cancelled request. The entry is later notified whether the incarnation that ran
@@ -140,7 +141,7 @@
 
         """
         interrupted = InterruptedRequest(
-            request_id, connection, number, is_awaited=False, is_cancelled=True
+            request_id, connection, incarnation_number, is_awaited=False, is_cancelled=True
         )
         await self._add(interrupted)
 
@@ -151,11 +152,11 @@
             self.is_watching = False
 
     def _determine_status(self, interrupted: Interruption[InterruptedRequest]) -> IncarnationStatus:
-        if interrupted.subject.number < self.number:
+        if interrupted.subject.incarnation_number < self.current_number:
             return IncarnationStatus.ENDED
         if interrupted.subject.is_cancelled:
-            is_over = self.env.monotonic() - interrupted.at > CALLER_LEFT_WATCH_S
-            return IncarnationStatus.LIVES if is_over else IncarnationStatus.UNKNOWN
+            watch_is_over = self.env.monotonic() - interrupted.at > CALLER_LEFT_WATCH_S
+            return IncarnationStatus.LIVES if watch_is_over else IncarnationStatus.UNKNOWN
         return (
             IncarnationStatus.LIVES
             if self.last_answered_sent_at > interrupted.at
@@ -182,7 +183,7 @@
             after_ms,
         )
         if status is IncarnationStatus.ENDED and any(
-            item.subject.number == self.number for item in interruptions
+            item.subject.incarnation_number == self.current_number for item in interruptions
         ):
             self._start_next_incarnation()
         for item in interruptions:
--- a/packages/millforkd/millforkd/endpoint/reservations.py
+++ b/packages/millforkd/millforkd/endpoint/reservations.py
@@ -1,5 +1,5 @@
 """
-Requests for which an entry reserved a slot.
+Requests that entries reserved at an endpoint, from `Reserve` to `End`.
 
 """
 
@@ -18,7 +18,8 @@
 
 class Stage(Enum):
     """
-    How far a request has progressed at this endpoint.
+    How far a request has progressed at this endpoint. STARTED: the entry sent `Start`, but the
+    request may still wait for a slot. SENT: the request was sent to the back end.
 
     """
 
@@ -33,7 +34,7 @@
     One request from its `Reserve` to its `End`. `deadline` is in monotonic seconds of this
     process. `version` is the version of the weights that the request was admitted to. `response`
     is the complete answer, kept only for a request with an idempotency key. `parts` and `bytes`
-    count what was sent to the entry.
+    count the parts of the body that were sent to the entry, and their bytes.
 
     """
 
@@ -50,14 +51,14 @@
     response: Response | None = None
     # The number of the back end's incarnation that the request was sent to.
     incarnation_number: int = 0
-    # The incarnation that ended or may have ended when the answer broke off; else empty.
+    # The incarnation that broke off the answer, if it ended or may have ended; else empty.
     interrupted_incarnation: IncarnationKey = NO_INCARNATION
 
     @property
     def verdict(self) -> Verdict:
         """
-        The verdict if the request is cancelled at its present stage: NOT_RUN unless it was sent
-        to the back end.
+        The verdict if the request is cancelled at its present stage: NOT_RUN unless the request
+        was sent to the back end.
 
         """
         return Verdict.MAY_HAVE_RUN if self.stage is Stage.SENT else Verdict.NOT_RUN
--- a/packages/millforkd/millforkd/endpoint/rest_tracking.py
+++ b/packages/millforkd/millforkd/endpoint/rest_tracking.py
@@ -17,8 +17,8 @@
 
 class RestTracker:
     """
-    Reads rest periods from answers. Requests are refused at once during a rest period; after the
-    period, one request is sent to find out whether the back end accepts requests again.
+    Reads rest periods from answers. Requests are refused at once during a rest period. After the
+    period, one request is sent as a probe, to find out whether the back end accepts requests again.
 
     """
 
@@ -28,8 +28,8 @@
 
     def current_refusal(self) -> Refusal | None:
         """
-        Return a refusal during a rest period, and while the answer to the request that probes
-        whether the back end accepts requests again is awaited; else None.
+        Return a refusal during a rest period, and after it while the probe is unanswered (for at
+        most `PROBE_TIMEOUT_S` of `availability`); else None.
 
         """
         wait_s = (
@@ -45,7 +45,7 @@
     def record_sent(self, now: float) -> None:
         """
         Record that a request is sent at `now` (monotonic seconds). After a rest period, that
-        request probes whether the back end accepts requests again.
+        request is the probe.
 
         """
         if self.rest_period is not None:
@@ -53,8 +53,8 @@
 
     def record_answer(self, reply: Reply, sent_at: float) -> None:
         """
-        Begin, extend or end the rest period as the head of an answer says; the request was sent
-        at `sent_at` (monotonic seconds).
+        Begin, extend or end the rest period by the status and headers of an answer to a request
+        that was sent at `sent_at` (monotonic seconds).
 
         """
         if reply.status not in REJECTION_STATUSES:
--- a/packages/millforkd/millforkd/endpoint/rollout.py
+++ b/packages/millforkd/millforkd/endpoint/rollout.py
@@ -74,8 +74,8 @@
 
     async def run(self) -> None:
         """
-        Reconcile after each change of the configuration, after each transfer, and every
-        RECONCILE_INTERVAL_S.
+        Reconcile this instance with the configuration: after each change of the configuration,
+        after each transfer, and every RECONCILE_INTERVAL_S.
 
         """
         await self.env.spawn_essential(self._wake_after_changes)
@@ -111,7 +111,8 @@
 
     def _find_wanted_deployments(self) -> dict[str, Deployment]:
         """
-        Return the deployments that select this instance, by `ORG/NAME`.
+        Return the deployments that select this instance, by `ORG/NAME`. If the instance isn't
+        listed, or nothing changed since the last call, the result stays the same.
 
         """
         deployments_computed_from = (self.view.position, self.roster.version)
@@ -127,16 +128,16 @@
 
     def _receivers(self, part: WeightPart) -> list[Receiver]:
         """
-        Return all instances that the deployments with this weight part select.
+        Return the receivers of a weight part: all instances that deployments with this part select.
 
         """
-        holders: dict[str, Receiver] = {}
+        receivers: dict[str, Receiver] = {}
         for name, deployment in deployments(self.view).items():
             if part.manifest not in {other.manifest for other in deployment.parts}:
                 continue
             for facts in select_endpoints(self.view, self.roster, name, deployment):
-                holders[facts.instance] = Receiver(facts.instance, facts.zone)
-        return list(holders.values())
+                receivers[facts.instance] = Receiver(facts.instance, facts.zone)
+        return list(receivers.values())
 
     # Transfers.
 
@@ -236,7 +237,7 @@
 
     async def _unload_unwanted(self) -> None:
         """
-        Unload versions that are not wanted, served or in use by a request. Once all wanted
+        Unload versions that are neither wanted nor served nor in use by a request. Once all wanted
         versions are served and no others are loaded, delete all other weights from the disk.
 
         """
--- a/packages/millforkd/millforkd/entry/__init__.py
+++ b/packages/millforkd/millforkd/entry/__init__.py
@@ -1,4 +1,5 @@
 """
-Role entry: serves callers and operators, and routes calls to endpoints.
+The entry role of a listed fleet (one whose instances the platform lists): a daemon that serves
+callers and operators, and routes calls to endpoints.
 
 """
--- a/packages/millforkd/millforkd/entry/access_control.py
+++ b/packages/millforkd/millforkd/entry/access_control.py
@@ -45,6 +45,7 @@
         self.view = view
         self.admin_hash = hash_token(admin_token) if admin_token else ''
         self.revision = -1
+        # Organisations, by the hash of a caller's or an operator's token.
         self.callers: dict[str, OrganisationId] = {}
         self.operators: dict[str, OrganisationId] = {}
         self.organisations: dict[OrganisationId, Organisation] = {}
--- a/packages/millforkd/millforkd/entry/attempts.py
+++ b/packages/millforkd/millforkd/entry/attempts.py
@@ -1,9 +1,9 @@
 """
 Sends a request to one endpoint in two steps, `Reserve` and `Start`: one attempt of a call.
 
-After `Reserve` the endpoint keeps a slot but runs nothing. As long as this entry has not sent
-`Start`, the request can't have run, even if the endpoint fails; the verdict NOT_RUN relies on
-this.
+After `Reserve` the endpoint keeps a slot or a place in its queue, but runs nothing. As long as this
+entry has not sent `Start`, the request can't have run, even if the endpoint fails; the verdict
+NOT_RUN relies on this.
 
 """
 
@@ -51,9 +51,10 @@
 @dataclass(frozen=True, slots=True)
 class Call:
     """
-    One caller's request after parsing. `key` is its idempotency key, empty if it has none or
-    is repeatable; `claim` is the id under which this entry claims the key, empty until then.
-    Calls with the same `affinity` prefer the same endpoint. `deadline` is in monotonic seconds.
+    One caller's request after parsing. `key` is the idempotency key, empty if the request has none
+    or is repeatable. `claim` is the id under which this entry claims the key, empty before the
+    claim and without a key. Calls with the same `affinity` prefer the same endpoint. `deadline` is
+    in monotonic seconds.
 
     """
 
@@ -80,7 +81,7 @@
 
     request_id: RequestId = RequestId('')
     incarnation: IncarnationKey = NO_INCARNATION
-    # The endpoint, if the connection to it was lost: it sends nothing more about this attempt.
+    # The endpoint, if the connection to it was lost. No report about this attempt follows then.
     lost_endpoint: InstanceId = NO_INSTANCE
 
 
@@ -88,7 +89,7 @@
 class TurnedAway(Refusal):
     """
     The outcome of an attempt whose back end answered that it accepts no requests now (429 or
-    503). The caller gets `response` only if no other attempt gives a better outcome.
+    503). The caller gets `response` only if the call ends with this outcome.
 
     """
 
@@ -120,7 +121,8 @@
 
 class Attempt:
     """
-    One attempt of a call; `events` queues what the endpoint sends about it.
+    One attempt of a call. `events` queues the endpoint's messages about the attempt, and
+    `ConnectionLost` if the connection closes.
 
     """
 
@@ -156,8 +158,8 @@
 
     async def reserve(self, call: Call, timeout: float) -> Refusal | None:
         """
-        Reserve a slot; return None if the endpoint granted it, else the refusal. The verdict of
-        a refusal at this step is always NOT_RUN.
+        Reserve a slot, or a place in the queue of the endpoint. Return None on success, else a
+        refusal, whose verdict is always NOT_RUN.
 
         """
         remaining_s = call.deadline - self.env.monotonic()
@@ -197,8 +199,8 @@
 
     async def start(self) -> Refusal | None:
         """
-        Send `Start`, after which the request may have run. Return a refusal if the connection
-        was lost before.
+        Send `Start`, after which the request may have run, and return None. If the connection is
+        already lost, return a refusal.
 
         """
         try:
@@ -282,8 +284,8 @@
 
     async def _cancel_at_deadline(self) -> Refusal:
         """
-        Cancel the request after its deadline. The verdict is NOT_RUN only if the endpoint
-        confirms it.
+        Cancel the request, as its deadline passed, and return the refusal. The verdict is NOT_RUN
+        only if the endpoint confirms that the request did not run.
 
         """
         verdict = await self.cancel()
@@ -291,8 +293,8 @@
 
     async def cancel(self) -> Verdict:
         """
-        Cancel the request at the endpoint and return whether it may have run: MAY_HAVE_RUN if
-        the endpoint does not reply.
+        Cancel the request at the endpoint and return the verdict of the endpoint, or MAY_HAVE_RUN
+        if the endpoint does not reply within CANCEL_TIMEOUT_S.
 
         """
         self.ended = True
--- a/packages/millforkd/millforkd/entry/caller_requests.py
+++ b/packages/millforkd/millforkd/entry/caller_requests.py
@@ -79,8 +79,8 @@
 
     async def handle(self, exchange: Exchange) -> None:
         """
-        Answer one request. It is refused at once if it is not valid or not authenticated, or if
-        its organisation has too many requests in progress.
+        Answer one request. An invalid or unauthenticated request is refused at once, and so is
+        any request of an organisation that has too many requests in progress.
 
         """
         try:
@@ -99,8 +99,9 @@
 
     async def _answer_until_caller_leaves(self, exchange: Exchange, call: Call) -> None:
         """
-        Run the call until it is answered or the caller disconnects. A call with an idempotency
-        key continues after its caller disconnects, so that its outcome is recorded.
+        Run the call until it is answered or refused. If its caller disconnects, the call is
+        cancelled, unless it has an idempotency key: then it continues, so that its outcome is
+        recorded.
 
         """
         answering = await self.env.spawn(self._answer_call, exchange, call)
@@ -142,15 +143,16 @@
 
         """
         call = replace(call, claim=uuid.uuid4().hex)
-        first_response = await self.claims.claim(call)
-        if first_response is not None:
+        stored_response = await self.claims.claim(call)
+        if stored_response is not None:
             self.env.metrics.count(self.env.metrics.requests, outcome='answered_again')
-            delivery.response = first_response
+            delivery.response = stored_response
             return None
         refusal = await self.dispatcher.run(call, delivery)
         verdict = refusal.verdict if refusal else Verdict.RAN
         response = delivery.response
         if refusal is None and response is None:
+            # The answer was streamed and is not stored; status 0 records only that the request ran.
             response = Response(0)
         settling = await self.env.spawn(self.claims.settle, call, response, verdict)
         if verdict is Verdict.NOT_RUN:
--- a/packages/millforkd/millforkd/entry/crash_tracking.py
+++ b/packages/millforkd/millforkd/entry/crash_tracking.py
@@ -1,6 +1,6 @@
 """
-Tracks calls that crash the back ends that run them, on a listed fleet (one whose instances are
-all listed in the deploy file).
+Tracks calls that crash the back ends that run them, on a listed fleet (one whose instances the
+platform lists).
 
 A caller that retries makes a new call, so calls are identified by a fingerprint of their content:
 organisation, service, method, path and body. The suspicion of a call is the record of the back
@@ -36,7 +36,8 @@
 }
 
 # An attempt whose back end's status is not reported within this time is treated as if the back
-# end had not ended. An endpoint watches its back end for 20 s; one that is gone reports nothing.
+# end had not ended. An endpoint watches its back end for 20 s after an answer broke off; an
+# endpoint that is gone reports nothing.
 PENDING_RETENTION_S: Final = 30.0
 MAX_EARLY_STATUSES: Final = 256
 
@@ -47,8 +48,8 @@
 class PendingAttempt:
     """
     An interrupted or cancelled attempt for which this entry does not know yet whether the back
-    end ended. `before` is the suspicion of the call when the attempt was sent, or when it was
-    cancelled; `interrupted_at` is in monotonic seconds.
+    end ended. `before` is the suspicion of the call when the attempt was sent or, for a cancelled
+    attempt, when it was cancelled. `interrupted_at` is in monotonic seconds.
 
     """
 
@@ -81,7 +82,8 @@
 class CrashTracker:
     """
     Counts the back ends that ended while they ran a call, by the fingerprint of the call. A
-    complete answer clears the suspicion of its call.
+    complete answer clears the suspicion of its call. `entries` returns the number of entries of
+    the fleet.
 
     """
 
@@ -103,7 +105,8 @@
 
     def suspicion_of(self, call: Call) -> Suspicion:
         """
-        Return the suspicion of a call as this entry knows it now.
+        Return the suspicion of a call: this entry's present record of the back ends that ended,
+        or may have ended, while they ran the call.
 
         """
         return self.quarantine.suspicion_of(call)
@@ -158,8 +161,8 @@
         self, call: Call, request_id: RequestId, incarnation: IncarnationKey
     ) -> None:
         """
-        Record an attempt that was cancelled because its caller left or its deadline passed. The
-        back end may still crash because of the request.
+        Record an attempt that was cancelled because its caller left or its deadline passed, while
+        `incarnation` ran the request. The back end may still crash because of the request.
 
         """
         now = self.env.monotonic()
@@ -186,8 +189,9 @@
     async def apply_endpoint_start(self, instance: InstanceId, start: int) -> None:
         """
         Settle the attempts that lost their connection to an endpoint, now that the endpoint is
-        connected again. Its process started at `start`: a different start than before means that
-        the earlier process ended; with the same start, only the connection was lost.
+        connected again. Its process started at `start` (ns since 1970): a different start than
+        before means that the earlier process ended; with the same start, only the connection was
+        lost.
 
         """
         for request_id, pending in list(self.pending.items()):
@@ -218,8 +222,9 @@
 
     async def expire(self) -> None:
         """
-        Remove expired suspicions, send private suspicions that are overdue, and settle attempts
-        that are pending for longer than PENDING_RETENTION_S as if their back end had not ended.
+        Remove expired suspicions, schedule private suspicions (not sent to other entries yet) for
+        sending if they are overdue, and settle attempts that have been pending for longer than
+        PENDING_RETENTION_S as if their back end had not ended.
 
         """
         self.suspicion_store.forget_expired()
--- a/packages/millforkd/millforkd/entry/daemon.py
+++ b/packages/millforkd/millforkd/entry/daemon.py
@@ -139,8 +139,8 @@
 
     async def start(self) -> None:
         """
-        Start all tasks of the entry, after the replica of the state on this instance, if any, has
-        recovered from its disk.
+        Start all tasks of the entry. If this instance keeps a replica of the state, the replica
+        first recovers from its disk.
 
         """
         if self.node is not None:
@@ -153,7 +153,7 @@
         if self.quarantine_list is not None:
             await self.env.spawn_essential(self.quarantine_list.run)
         await self.env.spawn_essential(self.suspicion_gossip.run)
-        await self.env.spawn_essential(self._expire_crashes)
+        await self.env.spawn_essential(self._expire_suspicions)
         await self.env.spawn_essential(self.endpoints.run)
         await self.env.spawn_essential(self.server.run)
 
@@ -199,7 +199,7 @@
         self.env.metrics.refused(reason, 'entry')
         await exchange.respond(problem(Refusal(reason, detail='ask another entry')))
 
-    async def _expire_crashes(self) -> None:
+    async def _expire_suspicions(self) -> None:
         while True:
             await curio.sleep(EXPIRY_INTERVAL_S)
             await self.crashes.expire()
@@ -208,7 +208,7 @@
 
     async def handle(self, connection: Connection, message: Message) -> Message | None:
         """
-        Answer a peer's message.
+        Handle a peer's message. Return the reply, or None if the message gets no reply.
 
         """
         reply: Message | None = await self.on(message, connection)
--- a/packages/millforkd/millforkd/entry/delivery.py
+++ b/packages/millforkd/millforkd/entry/delivery.py
@@ -21,9 +21,9 @@
 
 class Delivery:
     """
-    Delivers the answer of one call to its caller. At most one streamed answer is started. If it
-    can't be completed, the connection is aborted, so that the caller sees that the answer is
-    incomplete.
+    Delivers the answer of one call to its caller. At most one streamed answer is started. If that
+    answer can't be completed, the connection is aborted, so that the caller sees that the answer
+    is incomplete.
 
     """
 
--- a/packages/millforkd/millforkd/entry/dispatcher.py
+++ b/packages/millforkd/millforkd/entry/dispatcher.py
@@ -23,10 +23,11 @@
 
 # An endpoint is avoided for this long after a refusal for one of AVOIDANCE_REASONS.
 AVOIDANCE_S: Final = 3.0
-# Length of the random fingerprint key of a dispatcher that is built without a crash tracker; its
-# fingerprints mean nothing to other entries.
+# Length of the random fingerprint key of a dispatcher that is built without a crash tracker. Other
+# entries have other keys, so they compute other fingerprints for the same call.
 FINGERPRINT_KEY_BYTES: Final = 32
-# An endpoint that refused a call as BUSY gets no calls of the same organisation for this long.
+# An endpoint that refused a call as BUSY gets no calls of the same organisation from this entry for
+# this long.
 BUSY_RETENTION_S: Final = 0.05
 AVOIDANCE_REASONS: Final = frozenset({Reason.UNREACHABLE, Reason.TIMED_OUT, Reason.CONNECTION_LOST})
 
@@ -74,8 +75,9 @@
 
     async def run(self, call: Call, delivery: Delivery) -> Refusal | None:
         """
-        Run a call. Return None if it is answered; the answer is delivered, or `delivery.response`
-        holds it. A returned refusal is final; its verdict says whether any attempt may have run.
+        Run a call. Return None if the call is answered: the answer was streamed to the caller, or
+        `delivery.response` holds it. A returned refusal is final; its verdict says whether any
+        attempt of the call may have run.
 
         """
         refusal = await self._run_attempts(call, delivery)
@@ -126,7 +128,7 @@
     def _no_endpoint_refusal(self, call: Call) -> Refusal:
         """
         Return the refusal of a call for which no endpoint can be chosen: BUSY with the shortest
-        of their retry times if endpoints are busy, else NO_ENDPOINT.
+        retry time of the busy endpoints, or NO_ENDPOINT if none is busy.
 
         """
         now = self.env.monotonic()
--- a/packages/millforkd/millforkd/entry/endpoint_connections.py
+++ b/packages/millforkd/millforkd/entry/endpoint_connections.py
@@ -1,5 +1,5 @@
 """
-An entry's connections to endpoints and the load that they report.
+An entry's connections to endpoints and the load that the endpoints report.
 
 """
 
@@ -22,8 +22,8 @@
 from millfork_wire.peers import PeerAddress, Peers
 
 CONNECT_INTERVAL_S: Final = 0.5
-# An entry connects to at least `subset` / REMOTE_DIVISOR endpoints of other zones for each
-# service, if there are as many.
+# For each service or deployment, an entry connects to at least `subset` / REMOTE_DIVISOR endpoints
+# of other zones (rounded down), if there are as many.
 REMOTE_DIVISOR: Final = 4
 
 log = logger(Component.ENTRY)
@@ -32,7 +32,7 @@
 class EndpointConnections:
     """
     Keeps connections to the endpoints that this entry uses, and the latest load report of each.
-    `subset` limits the endpoints of a service that are used.
+    `subset` limits how many endpoints are used for each service or deployment (see `_subset`).
 
     """
 
@@ -53,7 +53,8 @@
         self.connections: dict[InstanceId, Connection] = {}
         self.dialling: set[InstanceId] = set()
         self.notified_leaving: set[InstanceId] = set()
-        # Called after each new connection, with the endpoint and when its process started (ns).
+        # Called after each new connection, with the id of the endpoint and the start of its process
+        # (ns since 1970).
         self.endpoint_reached_hooks: list[Callable[[InstanceId, int], Awaitable[None]]] = []
         self.all_dialled = False
         self.targets_computed_from: tuple[object, int] | None = None
@@ -91,8 +92,8 @@
 
     def _connection_targets(self) -> list[InstanceFacts]:
         """
-        Return the endpoints to connect to. They are computed again only after a change of the
-        configuration or of the list of instances.
+        Return the endpoints to connect to. The result is computed again only after a change of
+        the configuration or of the list of instances.
 
         """
         targets_computed_from = (self.view.position, self.roster.version)
@@ -116,8 +117,9 @@
 
     def _subset(self, group: list[InstanceFacts]) -> list[InstanceFacts]:
         """
-        Return a stable subset of the group: endpoints of this zone first, then
-        enough of other zones to take over when those of this zone are full.
+        Return up to `subset` endpoints of this zone, and enough of other zones to reach `subset` in
+        total, but at least `subset` // REMOTE_DIVISOR, to take over when those of this zone are
+        full. The choice is stable, as it follows the ranks of the endpoints.
 
         """
         ranked = sorted(group, key=lambda facts: self._rank(facts.instance))
--- a/packages/millforkd/millforkd/entry/suspicion_gossip.py
+++ b/packages/millforkd/millforkd/entry/suspicion_gossip.py
@@ -1,9 +1,9 @@
 """
-Gossip between the entries of a listed fleet (one whose instances are all listed in the deploy
-file) about requests that are suspected of crashing back ends.
+Gossip between the entries of a listed fleet (one whose instances the platform lists) about requests
+that are suspected of crashing back ends.
 
 Each entry sends new suspicions to a few other entries, which forward those that are new to them.
-An entry that starts asks some other entries for their suspicions.
+A starting entry asks some other entries for their suspicions.
 
 """
 
@@ -21,41 +21,42 @@
 from millfork_wire.messages import AskSuspicions, Done, SuspicionReport
 from millfork_wire.peers import PeerAddress, Peers
 
-# Wait for the reply to a report of suspicions. The report may cross two regions.
+# Timeout of a report of suspicions, including the reply. The report may cross two regions.
 REPORT_TIMEOUT_S: Final = 0.3
 # Delay before a report that was not accepted is sent again.
 RESEND_INTERVAL_S: Final = 0.5
-# An entry that starts asks this many others for their suspicions. It serves after ASK_TIMEOUT_S
-# even if none answers.
+# A starting entry asks at most this many other entries for their suspicions.
 MAX_ENTRIES_ASKED: Final = 3
-ASK_TIMEOUT_S: Final = 1.0
+# A starting entry waits this long for the suspicions of the entries that it asked, and serves
+# callers afterwards even if none answered.
+QUERY_TIMEOUT_S: Final = 1.0
 ROSTER_POLL_INTERVAL_S: Final = 0.05
 
 log = logger(Component.ENTRY)
 
 
-def gossip_targets(order: list[InstanceId], instance: InstanceId) -> list[InstanceId]:
+def gossip_targets(entries: list[InstanceId], instance: InstanceId) -> list[InstanceId]:
     """
     Return the entries that the entry `instance` reports to: those 1, 2, 4, ... places after it in
-    `order`, a list that is the same at all entries. Each of N entries reports to log2(N) others,
-    and a report reaches all entries in log2(N) steps. An entry that isn't in the list reports to
-    the first one in it.
+    `entries`, a list that is the same at all entries. Each of N entries reports to log2(N) others,
+    and a report reaches all entries in log2(N) steps (both rounded up). An entry that isn't in the
+    list reports to the first entry of the list.
 
     """
-    if instance not in order:
-        return order[:1]
-    position = order.index(instance)
+    if instance not in entries:
+        return entries[:1]
+    position = entries.index(instance)
     targets = []
     step = 1
-    while step < len(order):
-        targets.append(order[(position + step) % len(order)])
+    while step < len(entries):
+        targets.append(entries[(position + step) % len(entries)])
         step *= 2
     return targets
 
 
 class SuspicionGossip:
     """
-    Sends the suspicions of this entry to other entries and merges those that they send.
+    Sends the suspicions of this entry to other entries and merges those received from them.
 
     """
 
@@ -83,30 +84,32 @@
             self.suspicion_store.unsent_event.clear()
             unsent = set(self.suspicion_store.unsent)
             self.suspicion_store.unsent.clear()
-            order = [facts.instance for facts in self.roster.all_entries()]
-            for name in gossip_targets(order, self.env.instance):
-                self.undelivered.setdefault(name, set()).update(unsent)
-                if name not in self.sending_to:
-                    self.sending_to.add(name)
-                    await self.env.spawn(self._send_until_accepted, name)
+            entries = [facts.instance for facts in self.roster.all_entries()]
+            for target in gossip_targets(entries, self.env.instance):
+                self.undelivered.setdefault(target, set()).update(unsent)
+                if target not in self.sending_to:
+                    self.sending_to.add(target)
+                    await self.env.spawn(self._send_until_accepted, target)
 
     # Sending.
 
-    async def _send_until_accepted(self, name: InstanceId) -> None:
+    async def _send_until_accepted(self, target: InstanceId) -> None:
         try:
-            while self.undelivered.get(name):
-                address = self.roster.address(name)
+            while self.undelivered.get(target):
+                address = self.roster.address(target)
                 if address is None:
-                    del self.undelivered[name]
+                    del self.undelivered[target]
                     return
                 if not await self._send_report(address):
                     await curio.sleep(RESEND_INTERVAL_S)
         finally:
-            self.sending_to.discard(name)
+            self.sending_to.discard(target)
 
     async def _send_report(self, address: PeerAddress) -> bool:
         fingerprints = self.undelivered.pop(address.instance)
-        body = encode_suspicions([self.suspicion_store.get(name) for name in fingerprints])
+        body = encode_suspicions(
+            [self.suspicion_store.get(fingerprint) for fingerprint in fingerprints]
+        )
         try:
             reply = await self.peers.call(address, SuspicionReport(body), REPORT_TIMEOUT_S)
         except PeerError as error:
@@ -125,11 +128,11 @@
         """
         return Done(await self._merge_report(str(connection.peer), message))
 
-    async def _merge_report(self, name: str, message: SuspicionReport) -> bool:
+    async def _merge_report(self, sender: str, message: SuspicionReport) -> bool:
         try:
             received = decode_suspicions(message.body)
         except msgspec.DecodeError as error:
-            log.warning('Could not decode the suspicions from {}: {}.', name, error)
+            log.warning('Could not decode the suspicions from {}: {}.', sender, error)
             return False
         for fingerprint in await self.suspicion_store.merge(received):
             await self.suspicion_store.mark_unsent(fingerprint)
@@ -139,7 +142,8 @@
 
     def list_suspicions(self) -> SuspicionReport:
         """
-        Return all suspicions that may be sent to others, for an entry that starts and asks.
+        Return all suspicions except the private ones (not sent to other entries yet), as the reply
+        to a starting entry.
 
         """
         return SuspicionReport(encode_suspicions(self.suspicion_store.published()))
@@ -150,7 +154,7 @@
         others = [f for f in self.roster.all_entries() if f.instance != self.env.instance]
         asked = self.env.random.sample(others, min(MAX_ENTRIES_ASKED, len(others)))
         try:
-            async with curio.timeout_after(ASK_TIMEOUT_S), curio.TaskGroup() as group:
+            async with curio.timeout_after(QUERY_TIMEOUT_S), curio.TaskGroup() as group:
                 for facts in asked:
                     address = PeerAddress(facts.instance, facts.host, facts.port)
                     await group.spawn(self._ask, address)
@@ -160,7 +164,7 @@
 
     async def _ask(self, address: PeerAddress) -> None:
         try:
-            reply = await self.peers.call(address, AskSuspicions(), ASK_TIMEOUT_S)
+            reply = await self.peers.call(address, AskSuspicions(), QUERY_TIMEOUT_S)
         except PeerError as error:
             log.info('Could not fetch suspicions from {}: {}.', address.instance, error)
             return
--- a/tests/mutations_listed.py
+++ b/tests/mutations_listed.py
@@ -42,8 +42,8 @@
         (
             Edit(
                 D + 'entry/suspicion_gossip.py',
-                'for name in gossip_targets(order, self.env.instance):',
-                'for name in gossip_targets([], self.env.instance):',
+                'for target in gossip_targets(entries, self.env.instance):',
+                'for target in gossip_targets([], self.env.instance):',
             ),
         ),
     ),
--- a/tests/test_accepting_at_limits.py
+++ b/tests/test_accepting_at_limits.py
@@ -74,16 +74,16 @@
     listener, open_connections = FakeListener(), []
     server = Server('127.0.0.1', 0, handle)
     accepting = await curio.spawn(server._accept, listener)
-    slow = await curio.spawn(send_request, await listener.connect(), path)
+    first_request = await curio.spawn(send_request, await listener.connect(), path)
     served = 0
     async with curio.ignore_after(TIMEOUT_S):
         for _ in range(CALLERS):
             sock = await listener.connect()
             open_connections.append(sock)
             served += b'here' in await send_request(sock)
-    slow_answer = await slow.join()
+    first_answer = await first_request.join()
     await accepting.cancel()
-    return served, slow_answer, listener.failed_accepts
+    return served, first_answer, listener.failed_accepts
 
 
 def test_a_server_at_its_limits_goes_on_accepting():
@@ -93,6 +93,6 @@
 
 
 def test_a_caller_that_waits_for_its_answer_keeps_its_connection():
-    served, slow, _ = curio.run(serve_callers, '/slow')
+    served, first_answer, _ = curio.run(serve_callers, '/slow')
     assert served == CALLERS
-    assert b'here' in slow
+    assert b'here' in first_answer
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -53,7 +53,8 @@
 
 async def collect(attempt_under_test, messages):
     """
-    Enqueue messages and read the answer. Returns the parts of its body, and the refusal or None.
+    Enqueue messages and read the answer. Returns the parts of the body that were read, and the
+    refusal or None.
 
     """
     for message in messages:
@@ -120,7 +121,7 @@
 
 @pytest.mark.parametrize('other', ['request', 'connection'])
 def test_a_late_answer_is_dropped(other):
-    async def late():
+    async def send_late_answer():
         dispatcher = Dispatcher(environment(), RoutingSettings(), None)
         attempt_under_test = attempt()
         dispatcher.attempts['r'] = attempt_under_test
@@ -128,4 +129,4 @@
         await dispatcher.on_event(connection, Head('old' if other == 'request' else 'r', 200))
         return attempt_under_test.events.empty()
 
-    assert curio.run(late)
+    assert curio.run(send_late_answer)
--- a/tests/test_crashing_requests_on_listed_fleets.py
+++ b/tests/test_crashing_requests_on_listed_fleets.py
@@ -1,5 +1,5 @@
 """
-A request that crashes the engines that run it, on a listed fleet of daemons.
+A request that crashes the engines that run it, on a listed fleet of running daemons.
 
 Guards against these failures:
 
@@ -7,7 +7,8 @@
   turn crashed 18 engines, also with streams.
 - Entries lost their counts in a restart: callers crashed 12 engines at one entry that was
   restarted three times.
-- No crash was detected if connections closed 50 ms before the engine's address: 22 of 24 calls.
+- Crashes were not detected if the connections of an engine closed 50 ms before its listening
+  socket: 22 of 24 calls.
 - Simultaneous crashes counted as one: concurrent callers crashed 7 and 8 engines.
 
 """
--- a/tests/test_ends_at_endpoints.py
+++ b/tests/test_ends_at_endpoints.py
@@ -20,6 +20,11 @@
 
 
 class BreakingBackend:
+    """
+    A back end whose connection breaks off during each request.
+
+    """
+
     async def send(self, method, path, headers, body):
         raise ExchangeFailed(Verdict.MAY_HAVE_RUN, 'reset')
 
--- a/tests/test_late_ends_at_endpoints.py
+++ b/tests/test_late_ends_at_endpoints.py
@@ -98,7 +98,9 @@
         back_end.probe_result = probe_result
         tracker = back_end.tracker()
         assert (
-            await tracker.record_interruption(RequestId('r'), FakeEntryConnection(), tracker.number)
+            await tracker.record_interruption(
+                RequestId('r'), FakeEntryConnection(), tracker.current_number
+            )
             is status
         )
 
@@ -115,8 +117,8 @@
             FakeEntryConnection(),
         )
         lost_entry.is_lost = True
-        await tracker.record_interruption(RequestId('r'), entry, tracker.number)
-        await tracker.record_interruption(RequestId('s'), lost_entry, tracker.number)
+        await tracker.record_interruption(RequestId('r'), entry, tracker.current_number)
+        await tracker.record_interruption(RequestId('s'), lost_entry, tracker.current_number)
         back_end.reported_incarnation = 'b' if ended else 'a'
         await wait_until(lambda: entry.sent)
         assert entry.sent == [BackEndFate('r', ended)]
@@ -130,16 +132,20 @@
         back_end = FakeBackEnd(monkeypatch, reported_incarnation='')
         back_end.probe_result = ProbeResult.REFUSES
         tracker = back_end.tracker()
-        first = tracker.incarnation_key(tracker.number)
+        first = tracker.incarnation_key(tracker.current_number)
         assert (
-            await tracker.record_interruption(RequestId('r'), FakeEntryConnection(), tracker.number)
+            await tracker.record_interruption(
+                RequestId('r'), FakeEntryConnection(), tracker.current_number
+            )
             is IncarnationStatus.ENDED
         )
         tracker.record_incarnation('b', tracker.env.monotonic())
         back_end.reported_incarnation = 'b'
-        assert tracker.incarnation_key(tracker.number) != first
+        assert tracker.incarnation_key(tracker.current_number) != first
         assert (
-            await tracker.record_interruption(RequestId('s'), FakeEntryConnection(), tracker.number)
+            await tracker.record_interruption(
+                RequestId('s'), FakeEntryConnection(), tracker.current_number
+            )
             is IncarnationStatus.LIVES
         )
 
@@ -151,7 +157,7 @@
         tracker = FakeBackEnd(monkeypatch).tracker(knows_incarnation=False)
         entry = FakeEntryConnection()
         assert (
-            await tracker.record_interruption(RequestId('r'), entry, tracker.number)
+            await tracker.record_interruption(RequestId('r'), entry, tracker.current_number)
             is IncarnationStatus.UNKNOWN
         )
         tracker.record_answer(tracker.env.monotonic())
