--- a/packages/millfork-standins/millfork_standins/demo.py
+++ b/packages/millfork-standins/millfork_standins/demo.py
@@ -64,7 +64,8 @@
 
     def wait_until_serving(self, version: str, engine_count: int, started_at: float) -> float:
         """
-        Wait until `engine_count` engines serve a version; return the seconds since `started_at`.
+        Wait until `engine_count` engines (the replicas of the deployment) serve a version; return the
+        seconds since `started_at`.
 
         :raises FleetError: if fewer serve the version `ROLLOUT_TIMEOUT_S` after `started_at`.
 
@@ -74,13 +75,13 @@
             rows = [r for r in self.fetch_rollouts() if r['version'] == self.versions[version].id]
             serving = rows[0]['serving'] if rows else 0
             if serving != last_reported:
-                report(f'  {serving} of {engine_count} engines serve {version}')
+                report(f'  {serving} of {engine_count} replicas serve {version}')
                 last_reported = serving
             if serving >= engine_count:
                 return time.monotonic() - started_at
             time.sleep(POLL_S)
         raise FleetError(
-            f'{last_reported} of {engine_count} engines serve {version} after {ROLLOUT_TIMEOUT_S} s'
+            f'{last_reported} of {engine_count} replicas serve {version} after {ROLLOUT_TIMEOUT_S} s'
         )
 
     def run(self) -> dict[str, Any]:
@@ -92,12 +93,12 @@
         fleet = self.fleet
         engine_count = len(fleet.engines)
         self.apply('organisations.yaml', fleet.organisations_declaration())
-        report(f'Rollout of v1 to {engine_count} engines.')
+        report(f'Rollout of v1 to {engine_count} replicas.')
         started_at = time.monotonic()
         self.apply('v1.yaml', fleet.deployment_declaration('v1'))
         first_s = self.wait_until_serving('v1', engine_count, started_at)
         copies = self._count_copies('v1')
-        report(f'  all engines serve v1 after {first_s:.2f} s; origin sent {copies:.2f} copies')
+        report(f'  all replicas serve v1 after {first_s:.2f} s; origin sent {copies:.2f} copies')
         report('Starting the callers. Rollout of v2 under their load.')
         self.callers.start()
         started_at = time.monotonic()
@@ -112,7 +113,7 @@
         fleet.start_daemon(fleet.replicas[1])
         second_s = self.wait_until_serving('v2', engine_count, started_at)
         copies = self._count_copies('v2')
-        report(f'  all engines serve v2 after {second_s:.2f} s; origin sent {copies:.2f} copies')
+        report(f'  all replicas serve v2 after {second_s:.2f} s; origin sent {copies:.2f} copies')
         time.sleep(LOAD_AFTER_ROLLOUT_S)
         self.callers.stop()
         return self._summary(engine_count, first_s, second_s)
