--- a/packages/millfork-standins/millfork_standins/demo.py
+++ b/packages/millfork-standins/millfork_standins/demo.py
@@ -64,8 +64,8 @@
 
     def wait_until_serving(self, version: str, engine_count: int, started_at: float) -> float:
         """
-        Wait until `engine_count` engines (the replicas of the deployment) serve a version; return the
-        seconds since `started_at`.
+        Wait until `engine_count` engines (the replicas of the deployment) serve a version; return
+        the seconds since `started_at`.
 
         :raises FleetError: if fewer serve the version `ROLLOUT_TIMEOUT_S` after `started_at`.
 
@@ -81,7 +81,8 @@
                 return time.monotonic() - started_at
             time.sleep(POLL_S)
         raise FleetError(
-            f'{last_reported} of {engine_count} replicas serve {version} after {ROLLOUT_TIMEOUT_S} s'
+            f'{last_reported} of {engine_count} replicas serve {version} '
+            f'after {ROLLOUT_TIMEOUT_S} s'
         )
 
     def run(self) -> dict[str, Any]:
