--- a/tests/test_ends_after_an_election.py
+++ b/tests/test_ends_after_an_election.py
@@ -110,4 +110,4 @@
     arrivals = ArrivalTimes(clock)
     for index in range(2 * MAX_ARRIVAL_TIMES):
         arrivals.record(index, Raise('key', index, b''))
-    assert len(arrivals.received) == MAX_ARRIVAL_TIMES
+    assert len(arrivals.arrivals) == MAX_ARRIVAL_TIMES
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -186,7 +186,7 @@
         expiry = ExpiryWatcher(rollout.env, rollout.engine, rollout.store, rollout)
         expiry.emptied_for = (rollout.incarnation, 2)
         target = overdue_target(rollout)
-        assert not expiry._has_ended(target)
+        assert not expiry._serves_ending_version(target)
         rollout.record_report(None)
         rollout.record_report(engine_report(SECOND_INCARNATION))
         assert (rollout.staged_checked, rollout.staged_weights, rollout.assignment) == (
@@ -194,7 +194,7 @@
             None,
             None,
         )
-        assert expiry._has_ended(target)
+        assert expiry._serves_ending_version(target)
 
     curio.run(run)
 
--- a/tests/test_not_run_refusals.py
+++ b/tests/test_not_run_refusals.py
@@ -20,7 +20,7 @@
 from millforkd.proxy.job import FailedAttempt, Job
 from millforkd.proxy.load_queries import MAX_WAIT_S
 from millforkd.proxy.outcomes import status_of
-from millforkd.proxy.turned_away_directory import ASK_TIMEOUT_S
+from millforkd.proxy.turned_away_directory import QUERY_TIMEOUT_S
 
 NOT_RUN_STATUSES = {408, 421, 429, 503}
 SHORTEST_TARGET_S = 0.38
@@ -49,4 +49,4 @@
 
 
 def test_queries_take_a_small_share_of_the_shortest_target():
-    assert MAX_WAIT_S + ASK_TIMEOUT_S < MAX_QUERY_SHARE * SHORTEST_TARGET_S
+    assert MAX_WAIT_S + QUERY_TIMEOUT_S < MAX_QUERY_SHARE * SHORTEST_TARGET_S
--- a/tests/test_version_ends.py
+++ b/tests/test_version_ends.py
@@ -67,7 +67,7 @@
     return datetime.fromisoformat(lines[-1][1]).timestamp() + float(lines[-1][3])
 
 
-def set_version(fleet, version, host):
+def set_fleet_version(fleet, version, host):
     """
     Set a version in the configuration, and wait until the process at `host` knows of it.
 
@@ -95,10 +95,10 @@
 @pytest.mark.parametrize('fault', ['paused', 'restarted'])
 def test_no_process_has_a_later_cutoff_than_the_others(fleet, fault):
     undisturbed, disturbed = fleet.entry_hosts
-    set_version(fleet, 2, undisturbed)
+    set_fleet_version(fleet, 2, undisturbed)
     if fault == 'paused':
         fleet.signal(disturbed, signal.SIGSTOP)
-        set_version(fleet, 3, undisturbed)
+        set_fleet_version(fleet, 3, undisturbed)
         wait_for_seconds(GAP_S)
         fleet.signal(disturbed, signal.SIGCONT)
         assert settled_cutoff(fleet, disturbed, 3) <= (
@@ -106,7 +106,7 @@
         )
         return
     wait_for_seconds(GAP_S)
-    set_version(fleet, 3, undisturbed)
+    set_fleet_version(fleet, 3, undisturbed)
     fleet.kill(disturbed)
     (fleet.folder / f'{disturbed}.log').unlink()
     fleet.start_process(disturbed)
--- a/tests/test_version_ends_after_restart.py
+++ b/tests/test_version_ends_after_restart.py
@@ -22,7 +22,7 @@
 from millforkd.versions import CANCEL_MARGIN_S, UNKNOWN_CUTOFF_MS, VersionTracker, never_leads
 from tests.test_seeded_fleet import document, request
 from tests.test_servers import Clock
-from tests.test_version_ends import CUTOFF_LINE, name_version, wait_for_seconds
+from tests.test_version_ends import CUTOFF_LINE, set_fleet_version, wait_for_seconds
 from tests.test_versions import SWITCH_MS, SWITCH_S, set_version
 from tests.utils.fleets import wait_until
 
@@ -58,7 +58,7 @@
     absent_replica = fleet.replica_hosts[2]
     fleet.kill(absent_replica)
     (fleet.folder / f'{absent_replica}.log').unlink()
-    name_version(fleet, 2, entry)
+    set_fleet_version(fleet, 2, entry)
     wait_for_seconds(VERSION_MS / 1000 + 1)
     if disk == 'lost':
         shutil.rmtree(fleet.folder / absent_replica)
@@ -104,7 +104,7 @@
     first = followed_replica(fleet)
     fleet.kill(first)
     wait_until(lambda: followed_replica(fleet) != first)
-    name_version(fleet, 2, entry)
+    set_fleet_version(fleet, 2, entry)
     wait_for_seconds(VERSION_MS / 1000 + 1)
     fleet.kill(entry)
     (fleet.folder / f'{entry}.log').unlink()
@@ -118,7 +118,7 @@
 def test_a_replica_that_lost_power_brings_back_no_ended_version(fleet):
     entry = fleet.entry_hosts[0]
     first = followed_replica(fleet)
-    name_version(fleet, 2, entry)
+    set_fleet_version(fleet, 2, entry)
     wait_for_seconds(VERSION_MS / 1000 + 1)
     lines_before = len(seconds_to_cutoff(fleet, entry))
     fleet.kill(first)
