--- a/packages/millfork-adapter/millfork_adapter/adapter.py
+++ b/packages/millfork-adapter/millfork_adapter/adapter.py
@@ -110,7 +110,8 @@
 
     def piece_list_request(self, model: str, version: int) -> Request:
         """
-        Return the request that asks the origin for the digests of a version's pieces.
+        Return the request that asks the origin for the digests of the pieces into which a
+        version's weights are split.
 
         """
 
@@ -130,7 +131,8 @@
 
     def stage_piece_request(self, model: str, index: int, body: bytes) -> Request:
         """
-        Return the request that writes a piece to the engine's staging area.
+        Return the request that writes a piece to the engine's staging area, where pieces wait to
+        be loaded.
 
         """
 
@@ -144,8 +146,8 @@
         self, model: str, version: int, first: int, end: int, interrupts: bool
     ) -> Request:
         """
-        Return the request that tells the engine to load the layers from `first` up to, but not
-        including, `end` from its staged pieces. The engine first finishes its running requests;
-        if `interrupts` is set, it ends them and loads at once.
+        Return the request that tells the engine to load a range of layers (`end` is exclusive)
+        out of its staged pieces. The engine finishes its running requests before it loads; if
+        `interrupts` is set, it ends them and loads at once.
 
         """
--- a/packages/millfork-adapter/millfork_adapter/calls.py
+++ b/packages/millfork-adapter/millfork_adapter/calls.py
@@ -12,7 +12,7 @@
 
 class InvalidMessage(Exception):
     """
-    Raised if a call, request, report or document cannot be parsed; the text says why.
+    Raised if a message or document cannot be parsed; the text says why.
 
     """
 
@@ -30,8 +30,8 @@
 @dataclass(frozen=True, slots=True)
 class LeaveNotice:
     """
-    A back end gives up its lease. `incarnation` is the process life that gives it up, None if
-    the call does not say.
+    A back end gives up its lease. `incarnation` is the process life of the back end; None if the
+    call does not contain it.
 
     """
 
--- a/packages/millfork-adapter/millfork_adapter/exchange.py
+++ b/packages/millfork-adapter/millfork_adapter/exchange.py
@@ -13,10 +13,10 @@
 class CallerRequest:
     """
     The request line and headers of a caller's request. `key` is the API key; `deadline_ms` is
-    how long the caller waits; `last_event_id` is the event after which a stream is to be
-    resumed (None: from its beginning); `answer_tokens` is the maximum number of tokens to be
-    generated; `prefix_parts` lists the parts of the prompt in order, each as its id and its
-    number of tokens.
+    how long the caller waits (None: unspecified); `last_event_id` is the event after which a
+    stream is to be resumed (None: from its beginning); `answer_tokens` is the maximum number of
+    tokens to be generated; `prefix_parts` lists the parts of the prompt in order, each as its id
+    and its number of tokens.
 
     """
 
@@ -50,9 +50,10 @@
 class ForwardOptions:
     """
     What the entry changes in the headers of a caller's request for one back end. `version` is
-    the version of the weights; `resume_after` is the last event that the caller has received;
-    `omits_api_key` is set if the entry has checked the caller's key; `path` lists the back ends
-    that share a model's layers, starting with the one to which the request is sent.
+    the version of the weights; `resume_after` is the last event that the caller has received
+    (None: the caller's own header stays); `omits_api_key` is set if the entry has checked the
+    caller's key; `path` lists the back ends that share a model's layers, starting with the one to
+    which the request is sent.
 
     """
 
@@ -92,7 +93,8 @@
 
     `not_run` means that the back end did not run the request. `misdirected` means that the
     response came from another back end than the addressed one, at the same address; `not_run` is
-    then set too. `keep_alive_s` is how long the back end keeps an idle connection (None:
+    then set too. `has_signature` means that the response has the header by which a back end
+    identifies itself. `keep_alive_s` is how long the back end keeps an idle connection (None:
     unspecified).
 
     """
@@ -110,11 +112,12 @@
 @dataclass(frozen=True, slots=True)
 class EngineReport:
     """
-    An engine's state. Each item of `served` holds a model, its version, the first layer and the
-    exclusive end of the layers (None: all layers). If `pace` is above 1, the engine is slower
-    than its declared speed; if `busy` is set, it is carrying out a load order. A changed
-    `incarnation` means that the engine restarted and lost its memory and the load orders sent
-    to it.
+    An engine's state. `tokens_used` and `tokens_total` measure engine memory in tokens times
+    layers: the part that cannot be freed, and the total. Each item of `served` holds a model, its
+    version, the first layer and the exclusive end of the layers (None: all layers). If `pace` is
+    above 1, the engine is slower than its declared speed; if `busy` is set, the engine is carrying
+    out a load order. A changed `incarnation` means that the engine restarted and lost its memory
+    and the load orders sent to it.
 
     """
 
@@ -132,8 +135,8 @@
 @dataclass(frozen=True, slots=True)
 class PieceList:
     """
-    The SHA-256 digests, in hex, of the pieces of one version of a model, in the order of the
-    pieces.
+    The SHA-256 digests, in hex, of the pieces into which one version of a model's weights is
+    split, in the order of the pieces.
 
     """
 
--- a/packages/millfork-core/millfork_core/environment.py
+++ b/packages/millfork-core/millfork_core/environment.py
@@ -1,6 +1,6 @@
 """
-What a process's components share: clock, randomness, metrics and the start of tasks. It is passed
-to them as an argument, so that tests can replace it without globals.
+The `Environment` that the components of a process share: clock, randomness, metrics and the start
+of tasks. Components receive it as an argument, so that tests can replace it without globals.
 
 """
 
@@ -21,7 +21,7 @@
 @dataclass
 class Environment:
     """
-    The identity, clock, randomness and metrics of one process, and the start of its tasks.
+    The identity, clock, randomness and metrics of one process, and methods to start its tasks.
 
     """
 
@@ -39,6 +39,8 @@
         """
         Start a task that is never joined; it may run until the process ends.
 
+        :raises curio.TaskCancelled: if the process is ending.
+
         """
         if self.ended:
             raise curio.TaskCancelled('the process is ending')
--- a/packages/millfork-core/millfork_core/ids.py
+++ b/packages/millfork-core/millfork_core/ids.py
@@ -19,10 +19,10 @@
 Term = NewType('Term', int)
 LogIndex = NewType('LogIndex', int)
 FencingNumber = NewType('FencingNumber', int)
-# One process life of a back end, as its start time in ms since 1970; 0 if the back end doesn't
-# report it.
+# One process life of a back end, given by its start time in ms since 1970; 0 if the back end
+# doesn't report the time.
 Incarnation = NewType('Incarnation', int)
-# One process life of one back end, with a key that is unique among all back ends.
+# Key of one incarnation of one back end; unlike `Incarnation`, unique among all back ends.
 IncarnationKey = NewType('IncarnationKey', str)
 
 NO_INSTANCE = InstanceId('')
--- a/packages/millfork-core/millfork_core/logs.py
+++ b/packages/millfork-core/millfork_core/logs.py
@@ -19,10 +19,10 @@
 )
 
 
-# The sustained rate of log lines of a process: more than an entry serves requests per second, and
-# few enough to cost no noticeable time.
+# The highest sustained rate of log lines of a process: more than an entry serves requests per
+# second, and low enough to cost no noticeable time.
 MAX_LINES_PER_S: Final = 150
-# The number of log lines that a process may write at once after a quiet time.
+# The number of log lines that a process may write at once after a period of few log lines.
 MAX_BURST_LINES: Final = 300
 
 
@@ -58,8 +58,8 @@
     """
     Writes log lines to a file descriptor without blocking, up to a rate (token bucket).
 
-    A line beyond the rate, or one that can't be written, as to a full pipe, is dropped and
-    counted. The next line that is written says how many lines were dropped before it. For each
+    A line beyond the rate, or one that can't be written (for example to a full pipe), is dropped
+    and counted. The next line that is written says how many lines were dropped before it. For each
     line, `on_line` is called with 'written' or 'dropped'.
 
     """
--- a/packages/millfork-core/millfork_core/metrics.py
+++ b/packages/millfork-core/millfork_core/metrics.py
@@ -1,5 +1,5 @@
 """
-Counters and gauges, kept in one registry for each process.
+Counters, gauges and histograms, kept in one registry for each process.
 
 """
 
@@ -39,7 +39,7 @@
         )
         self.backpressure = self._counter(
             'millfork_backpressure_total',
-            'What back ends said of themselves, by signal, event and way of telling.',
+            'Backpressure signalled by back ends, by signal, event and source.',
         )
         self.log_lines = self._counter('millfork_log_lines_total', 'Log lines by fate.')
         self.request_seconds = Histogram(
--- a/packages/millfork-core/millfork_core/signals.py
+++ b/packages/millfork-core/millfork_core/signals.py
@@ -13,8 +13,8 @@
 
 def _ignore_signal(number: int, frame: object) -> None:
     """
-    Replace a signal's default action and do nothing. `StopSignals` receives the signal's number
-    through the wake-up descriptor.
+    A signal handler that does nothing, installed in place of a signal's default action.
+    `StopSignals` receives the signal's number through the wake-up descriptor.
 
     """
 
--- a/packages/millfork-core/millfork_core/verdicts.py
+++ b/packages/millfork-core/millfork_core/verdicts.py
@@ -108,7 +108,8 @@
 class Refusal:
     """
     The refusal of a request or attempt. `verdict` says whether the request may have run;
-    `retry_after_ms` is when to try again (0: the default for the reason).
+    `retry_after_ms` is the time after which the caller may try again (0: the default for the
+    reason).
 
     """
 
--- a/packages/millfork-core/millfork_core/windows.py
+++ b/packages/millfork-core/millfork_core/windows.py
@@ -6,10 +6,10 @@
 from collections import deque
 from typing import Final
 
-# Replicas and entries (front proxies) count an entry for this long after its last sign of life, so
-# that an entry without contact with a majority of the replicas keeps counting the others. After a
-# loss of power a zone's machines return within minutes, and regions lose contact with each other
-# for about as long.
+# Replicas and entries (front proxies) keep the greatest number of entries counted within this time.
+# Retry budgets and the limits of back ends are divided by that number, so that an entry without
+# contact with a majority of the replicas keeps counting the others. After a loss of power a zone's
+# machines return within minutes, and regions lose contact with each other for about as long.
 ENTRIES_REMEMBERED_S: Final = 600.0
 
 
@@ -21,7 +21,8 @@
 
     def __init__(self, window_s: float) -> None:
         self.window_s = window_s
-        # Values that are or may become the maximum, each with its time; the values decrease.
+        # Times and values, oldest first, of the values that are or may become the maximum; the
+        # values decrease.
         self.candidates: deque[tuple[float, int]] = deque()
 
     @property
--- a/packages/millfork-settings/millfork_settings/seeded.py
+++ b/packages/millfork-settings/millfork_settings/seeded.py
@@ -2,7 +2,7 @@
 The settings of a daemon of a seeded fleet.
 
 No platform lists the instances of such a fleet. A daemon gets the addresses of up to three
-replicas (the seeds) and learns all others from them.
+replicas (the seeds) and learns the other addresses from these replicas.
 
 """
 
@@ -179,8 +179,8 @@
 
 def _number(value: object) -> float | None:
     """
-    Return the value as a number, or None if it isn't one. Strings are converted too, as YAML
-    reads `1e+22` as a string.
+    Return the value as a number; None if it is a boolean, NaN or no number. Strings are converted
+    too, as YAML reads `1e+22` as a string.
 
     """
     if isinstance(value, bool) or not isinstance(value, int | float | str):
@@ -193,8 +193,8 @@
     return None if math.isnan(number) else number
 
 
-# The promises that the code of each role reads and that its settings file must contain. When the
-# default replaced a missing promise, an entire fleet stopped using old versions 2 s too early.
+# The promises that the code of each role reads and that the settings file of the role must contain.
+# When a missing promise had its default, an entire fleet stopped using old versions 2 s too early.
 REQUIRED_PROMISES: Final = {
     SeededRole.ENTRY: (
         'heartbeat_ms',
--- a/packages/millfork-web/millfork_web/retry_after.py
+++ b/packages/millfork-web/millfork_web/retry_after.py
@@ -15,14 +15,14 @@
 DATE: Final = 'date'
 # Statuses with which a server rejects a request and may ask the sender to wait.
 REJECTION_STATUSES: Final = frozenset({429, 503})
-# A float represents every integer up to this one exactly.
+# The largest number that `parse_amount` accepts: a float represents every integer up to it exactly.
 MAX_AMOUNT: Final = 2.0**53
 
 
 @dataclass(frozen=True, slots=True)
 class RetryAfter:
     """
-    The wait that the server asks for (None: no valid value), and the values that can't be
+    The wait that the server asks for (None: no valid value), and the header values that can't be
     parsed.
 
     """
@@ -33,8 +33,8 @@
 
 def read_retry_after(headers: Headers) -> RetryAfter:
     """
-    Return the longest wait of all `Retry-After` headers. A date is converted to a wait by the
-    response's `Date` header, if there is a valid one, else by the current time.
+    Return the longest wait of all `Retry-After` headers. A date is converted to the wait since
+    the first `Date` header of the response, or since now if there is none or it is invalid.
 
     """
     waits_s: list[float] = []
--- a/packages/millfork-web/millfork_web/server.py
+++ b/packages/millfork-web/millfork_web/server.py
@@ -17,7 +17,7 @@
 from millfork_web.problem import problem
 
 READ_BYTES: Final = 64 * 1024
-# How long a connection may be idle before the head of its next request arrives.
+# The default time for which a connection may wait for the head of its next request.
 IDLE_TIMEOUT_S: Final = 120.0
 # How long the body of a request may take to arrive after its head.
 BODY_TIMEOUT_S: Final = 30.0
@@ -103,8 +103,8 @@
 
     async def wait_for_disconnect(self) -> None:
         """
-        Return once the caller has closed its side of the connection. If the caller already
-        sends its next request, that stays unread.
+        Return once the caller has closed its side of the connection. The bytes of a next request
+        stay unread.
 
         """
         while True:
@@ -153,7 +153,7 @@
         self.closing = False
         self.active = 0
         self.acceptor: curio.Task | None = None
-        # Connections between two requests, the longest idle first.
+        # Connections that wait for a request, the longest idle first.
         self.idle_sockets: dict[Any, None] = {}
 
     async def run(self) -> None:
@@ -193,7 +193,7 @@
         """
         Close the connections that have been idle longest. Otherwise callers whose idle
         connections use all file descriptors would keep other callers out until the idle timeout
-        (30 s in a usual document of an operator).
+        (30 s in a typical document of an operator).
 
         """
         count = await self._close_idle(IDLE_CLOSED_PER_SHORTAGE)
--- a/packages/millforkd/millforkd/__main__.py
+++ b/packages/millforkd/millforkd/__main__.py
@@ -1,5 +1,5 @@
 """
-Entry point of `millforkd`.
+The program `millforkd`: parses the command line and runs the daemon.
 
 """
 
@@ -18,7 +18,7 @@
 def main(adapter: Adapter | None = None) -> None:
     """
     Parse the command line, run the daemon and exit with its status. With an adapter, the daemon
-    belongs to a seeded fleet, else to a listed one.
+    belongs to a seeded fleet, else to a listed one (`millforkd.core` defines both).
 
     """
     if set(sys.argv[1:]) & HELP:
--- a/packages/millforkd/millforkd/core.py
+++ b/packages/millforkd/millforkd/core.py
@@ -1,5 +1,6 @@
 """
-Runs `millforkd`: chooses the kind of fleet and maps errors to exit statuses.
+Runs a daemon of a listed fleet (one whose instances the platform lists) or of a seeded fleet (one
+whose daemons start from the addresses of a few replicas), and maps errors to exit statuses.
 
 A daemon imports only the code of its own kind of fleet and, in a seeded fleet, of its own role:
 imports take half of the start-up time, during which the daemon serves nothing.
@@ -20,8 +21,8 @@
     adapter: Adapter | None = None,
 ) -> ExitStatus:
     """
-    Run a daemon until a stop signal comes, or only check its settings file. With an adapter,
-    the daemon belongs to a seeded fleet, else to a listed one.
+    Run a daemon until it stops, or only check its settings file; return the exit status. With an
+    adapter, the daemon belongs to a seeded fleet, else to a listed one.
 
     """
     if settings_path is None:
--- a/packages/millforkd/millforkd/document.py
+++ b/packages/millforkd/millforkd/document.py
@@ -21,8 +21,9 @@
     view: View, adapter: Adapter, known_revision: int
 ) -> tuple[Document, int] | None:
     """
-    Return the document and the revision that set it. None if there is no document, if it was
-    set by `known_revision`, so that the caller already has it, or if it can't be parsed.
+    Return the operator's document and the revision of the configuration that set it. None if
+    there is no document, if `known_revision` set it (the caller already has the document), or if
+    it can't be parsed.
 
     """
     held = view.items.get(DOCUMENT_KEY)
@@ -32,7 +33,7 @@
     try:
         document = adapter.read_document(zlib.decompress(versioned.body))
     except (InvalidMessage, zlib.error) as error:
-        # Not expected, as replicas accept only valid documents. The document in force stays.
+        # Not expected, as replicas accept only valid documents. The caller keeps its document.
         log.error('Document {} cannot be read: {}.', versioned.version, error)
         return None
     log.notice('Document in force. version={} routes={}', document.version, len(document.routes))
--- a/packages/millforkd/millforkd/end_watch.py
+++ b/packages/millforkd/millforkd/end_watch.py
@@ -1,5 +1,8 @@
 """
-Probes a back end after an answer broke off, until it is known whether the back end ended.
+Probes a back end at which requests broke off, until it is known whether the back end ended.
+
+A back end ends when its process crashes, is killed or exits. Requests also break off for other
+reasons, such as a lost connection.
 
 """
 
@@ -15,14 +18,15 @@
 from millfork_core.sockets import connect
 from millfork_scheduling.incarnation_status import IncarnationStatus
 
-# Delay of a probe after an urgent interruption, and the shortest probe interval. All requests that
-# break off because a back end ended do so within a few milliseconds, and a listener that is
-# closing may reset one connection before it refuses the next.
+# The delay of a probe after an urgent interruption (one after which the back end may be ending),
+# and the shortest probe interval. When a back end ends, all its requests break off within a few
+# milliseconds, and its closing listener may reset one connection before it refuses the next.
 GROUPING_DELAY_S: Final = 0.01
-# After this many probes, `EndWatch.wait_until_probed` returns even without a result.
+# `EndWatch.wait_until_probed` returns after this many probes since the last urgent interruption,
+# even if it isn't known yet whether the back end ended.
 PROBES_BEFORE_RETURN: Final = 2
-# The probe interval doubles from probe to probe. A watch that isn't urgent starts with the
-# interval that is reached after this many probes.
+# The probe interval doubles from probe to probe. A watch whose first interruption isn't urgent
+# starts with the interval that other watches reach after this many probes.
 INITIAL_PROBES_IF_NOT_URGENT: Final = 4
 # The longest wait for a probe's connection. Round trips between zones take a few milliseconds.
 # A timeout doesn't prove that the back end ended, as a network partition also causes one.
@@ -31,14 +35,15 @@
 # address answers; without an answer the result may take seconds.
 MAX_PROBE_WAIT_S: Final = 0.05
 
-# The longest interval between two probes of a back end in an unknown state.
+# The longest pause between two probes of a back end.
 MAX_PROBE_INTERVAL_S: Final = 0.5
-# After this time an interruption is resolved as UNKNOWN. An instance that lost power is back
-# within seconds, and the leases of back ends behind a network partition expire within this time.
+# An interruption whose status isn't known after this time is resolved as UNKNOWN. An instance that
+# lost power is back within seconds, and the leases of back ends behind a network partition expire
+# within this time.
 MAX_WATCH_S: Final = 20.0
 
 # If a back end ends within this time after a caller left, the end is attributed to the caller's
-# request: a back end that keeps running the request finishes it or ends within this time.
+# request: a back end that is still running the request finishes it or ends within this time.
 CALLER_LEFT_WATCH_S: Final = 2.0
 
 log = logger(Component.DAEMON)
@@ -83,7 +88,7 @@
 @dataclass(slots=True)
 class Interruption(Generic[Subject]):
     """
-    A request or reservation (`subject`) that broke off at a back end at the time `at`
+    A request (`subject`) that broke off at a back end, or whose caller left, at the time `at`
     (monotonic seconds).
 
     """
@@ -95,10 +100,10 @@
 @dataclass(slots=True)
 class EndWatch(Generic[Subject]):
     """
-    Finds out whether one back end has ended since each of its interruptions. `probe` connects
-    to the back end's address. `status_of` returns the status since an interruption according to
-    later answers, reports and leases. `on_resolved` receives the status (UNKNOWN only after
-    `max_watch_s`) and the interruptions that have this status.
+    Finds out, for each interruption at one back end, whether the back end has ended since.
+    `probe` checks whether the back end accepts connections. `status_of` returns what other
+    evidence, such as later answers, shows about the back end since an interruption. `on_resolved`
+    receives a status (UNKNOWN only after `max_watch_s`) and the interruptions resolved to it.
 
     """
 
@@ -109,24 +114,25 @@
     max_interval_s: float = MAX_PROBE_INTERVAL_S
     max_watch_s: float = MAX_WATCH_S
     interruptions: dict[str, Interruption[Subject]] = field(default_factory=dict)
+    # Probes since the last urgent interruption; they determine the probe interval.
     probes: int = 0
     # Set by each urgent interruption to start a probe, as the back end may be ending now.
     probe_now: curio.Event = field(default_factory=curio.Event)
     # Set once all interruptions are resolved, or after PROBES_BEFORE_RETURN probes.
-    probed: curio.Event = field(default_factory=curio.Event)
+    first_probes_done: curio.Event = field(default_factory=curio.Event)
 
     async def add(self, key: str, subject: Subject, urgent: bool = True) -> None:
         """
-        Add an interruption that happens now; it replaces an earlier one with the same key.
-        Unless `urgent` is set, the next probe isn't brought forward, as the back end may end
-        only later.
+        Add an interruption that happens now; it replaces an earlier one with the same key. If
+        `urgent` is set, the next probe is made after GROUPING_DELAY_S. Otherwise the back end may
+        end only later, so the next probe isn't brought forward.
 
         """
         was_idle = not self.interruptions
         self.interruptions[key] = Interruption(subject, self.env.monotonic())
         if urgent:
             self.probes = 0
-            self.probed.clear()
+            self.first_probes_done.clear()
             await self.probe_now.set()
             return
         if was_idle:
@@ -140,7 +146,7 @@
         """
         try:
             async with curio.timeout_after(MAX_PROBE_WAIT_S):
-                await self.probed.wait()
+                await self.first_probes_done.wait()
         except curio.TaskTimeout:
             log.debug('Not known yet whether a back end ended.')
 
@@ -158,12 +164,12 @@
                 self.probes += 1
                 await self._resolve(probed_at, result)
             if self.probes >= PROBES_BEFORE_RETURN or not self.interruptions:
-                await self.probed.set()
+                await self.first_probes_done.set()
 
     async def _pause(self) -> None:
         """
-        Wait for the time of the next probe: the probe interval, which doubles from probe to
-        probe, or GROUPING_DELAY_S after an urgent interruption.
+        Wait for the probe interval, which doubles from probe to probe. An urgent interruption
+        cuts this wait short; the pause then ends GROUPING_DELAY_S later.
 
         """
         pause_s = min(GROUPING_DELAY_S * 2.0 ** max(self.probes - 1, 0), self.max_interval_s)
@@ -178,8 +184,8 @@
     async def _resolve(self, probed_at: float, result: ProbeResult) -> None:
         """
         Remove the interruptions that have a known status or are older than `max_watch_s`, and
-        pass them to `on_resolved`. A probe that was refused shows that the back end ended, but
-        only for interruptions before `probed_at`.
+        pass them to `on_resolved`. If the probe that started at `probed_at` was refused, an
+        interruption of otherwise unknown status that happened up to then has the status ENDED.
 
         """
         resolved: dict[IncarnationStatus, list[Interruption[Subject]]] = {}
--- a/packages/millforkd/millforkd/fingerprints.py
+++ b/packages/millforkd/millforkd/fingerprints.py
@@ -18,8 +18,9 @@
 
 def fingerprint_of(key: bytes, cluster: str, parts: Iterable[str], body: bytes) -> Fingerprint:
     """
-    Return the keyed hash of the parts (such as the path) and the body of a request. All entries
-    of a cluster compute the same hash.
+    Return the keyed hash, in hex, of the parts (such as the caller and the path) and the body of a
+    request. All entries of a cluster (the processes that share one replicated state) compute the
+    same hash.
 
     """
     hash_key = hashlib.sha256(key + cluster.encode()).digest()
--- a/packages/millforkd/millforkd/listed_fleet.py
+++ b/packages/millforkd/millforkd/listed_fleet.py
@@ -23,7 +23,7 @@
     Run a daemon of a listed fleet until a stop signal comes; with `check_only`, only check its
     settings.
 
-    :raises BadFile: if its settings can't be used.
+    :raises BadFile: if the settings can't be used.
 
     """
     settings = load(path, Settings)
--- a/packages/millforkd/millforkd/member.py
+++ b/packages/millforkd/millforkd/member.py
@@ -1,6 +1,6 @@
 """
-What every daemon of a listed fleet has: connections to peers, a subscription to the
-configuration, and an admin port.
+The components that all daemons of a listed fleet (one whose instances the platform lists) have:
+connections to peers, a subscription to the configuration, and an admin port.
 
 """
 
@@ -24,9 +24,9 @@
 from millfork_wire.peers import PeerAddress, Peers
 from millforkd.admin import answer_admin
 
-# At its start, a daemon polls the platform's instance list up to this many times, with this
-# pause after each failure, before it continues without a list.
+# The pause after each failed poll of the platform's instance list while a daemon starts.
 FIRST_POLL_PAUSE_S: Final = 0.2
+# The number of failed polls after which a starting daemon continues without the instance list.
 FIRST_POLLS: Final = 10
 
 log = logger(Component.DAEMON)
@@ -34,7 +34,8 @@
 
 class Member:
     """
-    The components that entries and endpoints of a listed fleet share.
+    The components that the entries and endpoint daemons of a listed fleet have in common.
+    `handler` handles the messages that are specific to the role.
 
     """
 
@@ -75,8 +76,8 @@
 
     async def start(self) -> None:
         """
-        Listen and start to join the fleet: load the platform's instance list, query the zone's
-        entries for their newest revision, and subscribe to configuration updates.
+        Listen and start to join the fleet: load the platform's instance list, ask the zone's
+        other entries for the newest revision of the configuration, and subscribe to its updates.
 
         """
         await self.env.spawn_essential(self.peers.listen)
--- a/packages/millforkd/millforkd/quarantine.py
+++ b/packages/millforkd/millforkd/quarantine.py
@@ -22,7 +22,7 @@
 
 class FingerprintSource(Protocol[RequestContraT]):
     """
-    Computes the fingerprint of the content of a request, which may be of any type.
+    Computes the fingerprint of a request: a keyed hash of its content and caller.
 
     """
 
@@ -31,8 +31,9 @@
 
 class Quarantine(Generic[RequestT]):
     """
-    Decides which requests are blocked, from the suspicions in memory and from the quarantine
-    list in the replicated state. The list survives a loss of power of the whole fleet.
+    Decides which requests are blocked, from the suspicions in memory (records of the back ends
+    that ended one after another while they ran the same request) and from the quarantine list in
+    the replicated state. The list survives a loss of power of the whole fleet.
 
     """
 
@@ -49,12 +50,13 @@
         self.trials = trials
         # The revision of the view from which `listed_epochs` was read.
         self.revision = Revision(-1)
-        # By fingerprint: the epoch of the suspicion for which the request was put on the list.
+        # By fingerprint of each listed request: the epoch of its suspicion when the request was put
+        # on the list. A new epoch begins whenever the suspicion is cleared or reduced.
         self.listed_epochs: dict[Fingerprint, int] = {}
 
     def suspicion_of(self, request: RequestT) -> Suspicion:
         """
-        Return the record of the back ends that ended, or may have, while they ran a request.
+        Return the suspicion known for a request; a clear one if none is known.
 
         """
         return self.suspicion_store.get(self.fingerprints.compute(request))
@@ -62,7 +64,8 @@
     def blocking_level(self, request: RequestT) -> SuspicionLevel | None:
         """
         Return the suspicion level for which a request is blocked; None if the request may be
-        sent. A suspected request that is due for a trial may be sent once.
+        sent. A suspected request whose trial is due may be sent once; its next trial is then
+        scheduled.
 
         """
         self._refresh()
--- a/packages/millforkd/millforkd/report.py
+++ b/packages/millforkd/millforkd/report.py
@@ -1,5 +1,6 @@
 """
-The report that an endpoint daemon of a listed fleet sends up the tree of subscribers.
+The report that an endpoint daemon of a listed fleet sends to its upstream, the process from which
+it receives configuration updates.
 
 """
 
@@ -10,9 +11,9 @@
 
 class EndpointReport(msgspec.Struct):
     """
-    `shares`: the share of each wanted version's chunks that the endpoint holds, rounded down to
-    eighths. `served`: the version that it serves of each deployment. `leaving`: whether it is
-    shutting down.
+    The state of an endpoint daemon. `shares`: by wanted version, the share of its chunks that the
+    daemon holds, rounded down to eighths. `served`: by deployment, the version that the daemon
+    serves. `leaving`: whether the daemon is shutting down.
 
     """
 
@@ -23,7 +24,8 @@
     @classmethod
     def from_report(cls, report: Report | None) -> 'EndpointReport':
         """
-        Decode a report. Without a report, or if it can't be decoded, return an empty one.
+        Decode the body of a report. Return an empty `EndpointReport` if there is no report or its
+        body can't be decoded.
 
         """
         if report is None:
--- a/packages/millforkd/millforkd/running.py
+++ b/packages/millforkd/millforkd/running.py
@@ -20,7 +20,7 @@
 from millfork_state.storage import CorruptStorage
 from millforkd.stopping import Drainable, drain_until_second_signal
 
-# How often the settings file is checked for changes, as it may change without a SIGHUP.
+# The time between two checks of the settings file, which may change without a SIGHUP.
 SETTINGS_POLL_S: Final = 2.0
 
 log = logger(Component.DAEMON)
@@ -49,8 +49,9 @@
     env: Environment, build: Callable[[], Daemon], settings_path: Path | None = None
 ) -> ExitStatus:
     """
-    Run a daemon until SIGTERM or SIGINT, then drain it; a second signal ends the drain. With a
-    settings path, a daemon that is `Reloadable` applies changes of that file while it runs.
+    Run a daemon until SIGTERM or SIGINT, then drain it; a second signal ends the drain. If an
+    essential task fails, the daemon stops without a drain. If `settings_path` is given, a
+    `Reloadable` daemon applies changes of that file while it runs.
 
     """
     try:
@@ -75,8 +76,8 @@
         log.error('Cannot start: {}.', error)
         return ExitStatus.ERROR
     finally:
-        # Next, curio cancels the remaining tasks one by one. Until then they must start no new
-        # tasks.
+        # Next, curio cancels the remaining tasks one by one. A task that is not cancelled yet must
+        # start no new task.
         env.ended = True
     log.notice('Stopped.')
     return ExitStatus.SUCCESS
@@ -86,8 +87,8 @@
     env: Environment, signals: StopSignals, reloader: 'SettingsReloader | None'
 ) -> bool:
     """
-    Wait for a stop signal and reload the settings on each SIGHUP. Returns False if an essential
-    task fails first.
+    Wait for a stop signal, and reload the settings on each SIGHUP before it. Returns False if an
+    essential task fails before the stop signal, else True.
 
     """
     failure_task = await curio.spawn(env.failed.wait)
--- a/packages/millforkd/millforkd/seeded.py
+++ b/packages/millforkd/millforkd/seeded.py
@@ -1,5 +1,6 @@
 """
-Setup that all daemons of a seeded fleet share.
+Components that several roles of a seeded fleet (one whose daemons start from the addresses of a
+few replicas) have in common.
 
 """
 
@@ -25,7 +26,8 @@
 
 def fleet_key(settings: SeededSettings) -> bytes:
     """
-    Return the key with which the daemons of a fleet authenticate each other.
+    Return the key with which the daemons of a fleet authenticate each other: PRIVATE_NETWORK_KEY
+    if the settings have no key file.
 
     """
     key_file = settings.fleet_key_file
@@ -51,8 +53,9 @@
 @dataclass(frozen=True, slots=True)
 class Feed:
     """
-    The components with which an entry or endpoint daemon, which holds no replica of the state,
-    receives configuration and leases from a replica and passes them on to other daemons.
+    The components with which an entry or endpoint daemon receives the feed (a replica's stream of
+    configuration and lease updates) and passes it on to other daemons. Such a daemon holds no
+    replica of the state itself.
 
     """
 
@@ -67,7 +70,7 @@
 
 def build_feed(env: Environment, settings: SeededSettings, role: str, handler: Handler) -> Feed:
     """
-    Create the components of the feed of an entry or endpoint daemon.
+    Create the components with which an entry or endpoint daemon receives and relays the feed.
 
     """
     peers = build_peers(env, settings, handler)
--- a/packages/millforkd/millforkd/seeded_fleet.py
+++ b/packages/millforkd/millforkd/seeded_fleet.py
@@ -26,7 +26,7 @@
     Run a daemon of a seeded fleet until a stop signal comes; with `check_only`, only check its
     settings.
 
-    :raises BadFile: if its settings can't be used.
+    :raises BadFile: if the settings can't be used.
 
     """
     settings = load(path, SeededSettings)
--- a/packages/millforkd/millforkd/settling.py
+++ b/packages/millforkd/millforkd/settling.py
@@ -16,7 +16,7 @@
 
 SETTLE_TIMEOUT_S: Final = 30.0
 # Responses with longer bodies aren't stored. A caller that repeats such a request learns only
-# that it ran.
+# that the request ran.
 MAX_KEPT_BODY_BYTES: Final = 16 * 1024
 
 
@@ -28,9 +28,9 @@
     response: Response | None,
 ) -> None:
     """
-    Store the response under the idempotency key that the attempt `claim` holds; without a
-    response, release the key. If the replicas refuse this or don't answer in time, only a metric
-    shows it.
+    Store the response under an idempotency key; `claim` is the id of the attempt that claimed the
+    key. Without a response, release the key. If the replicas refuse this or don't answer in time,
+    the failure is only counted in a metric.
 
     """
     command = SettleKey(key, claim, released=response is None)
--- a/packages/millforkd/millforkd/suspicion_updates.py
+++ b/packages/millforkd/millforkd/suspicion_updates.py
@@ -13,9 +13,9 @@
 from millfork_registry.suspicion_store import Suspicion, SuspicionStore
 from millfork_scheduling.quarantine import count_ends
 
-# At most this many new suspicions per window are sent to other processes immediately, the rest
-# after a delay. If many answers break off at back ends that stay alive, most suspicions are
-# cleared within the delay and never sent.
+# At most this many new suspicions within IMMEDIATE_REPORTS_WINDOW_S are sent to other processes
+# immediately, the rest after a delay. If many answers break off at back ends that stay alive, most
+# suspicions are cleared within the delay and never sent.
 IMMEDIATE_REPORTS: Final = 4
 IMMEDIATE_REPORTS_WINDOW_S: Final = 20.0
 
@@ -35,9 +35,9 @@
         self, fingerprint: Fingerprint, incarnation: IncarnationKey
     ) -> None:
         """
-        Record that an answer to a request broke off at an incarnation of a back end. The
-        suspicion is sent to other processes immediately if the request was suspected before or
-        `immediate_reports` allows it.
+        Record that an answer to a request broke off at an incarnation (one process life) of a
+        back end. The suspicion is sent to other processes immediately if the request was
+        suspected before or `immediate_reports` allows it.
 
         """
         known = self.suspicion_store.get(fingerprint)
@@ -57,13 +57,13 @@
                 known.with_ends(count_ends(before, known, incarnation))
             )
             return
-        # The suspicion was cleared after the request broke off.
+        # The suspicion was cleared after the request broke off. Merging keeps the later epoch.
         await self.suspicion_store.record(before.with_end())
 
     async def record_no_end(self, fingerprint: Fingerprint, incarnation: IncarnationKey) -> None:
         """
-        Record that an incarnation at which a request broke off is alive, or that its state
-        stayed unknown for too long.
+        Record that an incarnation at which a request broke off is alive, or that it stayed
+        unknown for too long whether the incarnation ended.
 
         """
         known = self.suspicion_store.get(fingerprint)
--- a/packages/millforkd/millforkd/versions.py
+++ b/packages/millforkd/millforkd/versions.py
@@ -2,7 +2,8 @@
 Tracks on which versions of a model's weights requests may begin.
 
 After a new version is set in the configuration, requests may begin on older versions until the
-new version's cutoff, `version_ms` later. From then on they may begin only on the new version.
+new version's cutoff, which follows after the time `version_ms` in the settings. From the cutoff
+on, requests may begin only on the new version.
 
 """
 
@@ -23,8 +24,8 @@
 # A process that knows a new version, but not yet its cutoff, uses older versions for this time
 # (in ms). Peers answer the query for the cutoff within 0.8 s, over a slow link within 1.5 s.
 UNKNOWN_CUTOFF_MS: Final = 2000
-# Corrections of a cutoff by less than this time aren't logged: the answers of peers differ by the
-# delay of each answer.
+# Corrections of a cutoff by less than this time aren't logged: cutoffs computed from the answers
+# of peers differ by the delay of each answer.
 MIN_LOGGED_CHANGE_S: Final = 0.1
 
 log = logger(Component.PROXY)
@@ -65,7 +66,7 @@
 class VersionTracker:
     """
     The versions set for each model, and the cutoffs from which requests may no longer begin on
-    older versions. `switch_ms` is the time from the setting of a version to its cutoff.
+    older versions. `switch_ms` is the time from when a version is set to its cutoff.
 
     """
 
@@ -90,7 +91,7 @@
         self.leads = leads
         # Whether the view is up to date, as far as this process knows.
         self.is_current = is_current
-        # Returns when the log entry that set a version arrived at this process.
+        # Returns when the log entry that set a version arrived at this process; None if unknown.
         self.arrived_at = arrived_at
         # Whether the view has ever been up to date.
         self.was_current = False
@@ -117,9 +118,10 @@
 
     def _set_at(self, key: str, version: int, now: float) -> float:
         """
-        Return when a version was set, as far as this process can tell: when its log entry
-        arrived, which is earlier by at most the time to commit the log entry; `now` if the
-        arrival time isn't known; minus infinity if the view hasn't been up to date yet.
+        Return when a version was set, as far as this process can tell: minus infinity if the view
+        hasn't been up to date yet, else when the log entry that set the version arrived here, or
+        `now` if that isn't known. A log entry arrives before its commit, so the result may be
+        early by at most the time that the commit takes.
 
         """
         if not self.was_current:
@@ -165,9 +167,9 @@
 
     def switches(self) -> list[VersionSwitch]:
         """
-        Return, for processes that ask, the versions whose cutoff is still to come and known to
-        this process. A model's newest version is included also after its cutoff, as a process
-        that was cut off may not know of it.
+        Return, for processes that ask, the versions with a known cutoff that is still to come. A
+        model's newest version is included even after its known cutoff, as a process that lost
+        contact may not know this version.
 
         """
         now = self.env.monotonic()
@@ -224,8 +226,8 @@
 
     def upcoming_ends(self, model: str) -> tuple[tuple[int, float], ...]:
         """
-        Return each version whose cutoff is still to come, with the time (monotonic seconds) at
-        which requests that have not begun on an older version are cancelled.
+        Return pairs of a version and the time (monotonic seconds) at which requests that have not
+        begun on an older version are cancelled, if that time is still to come.
 
         """
         now = self.env.monotonic()
--- a/tests/test_event_stream.py
+++ b/tests/test_event_stream.py
@@ -1,5 +1,5 @@
 """
-The splitter passes on an event stream in complete events, however its bytes arrive.
+The splitter passes on only complete events of a stream, however the bytes are split on arrival.
 
 """
 
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -50,11 +50,11 @@
 VERSION_LINE = re.compile(
     r'(\S+) \w+ proxy: Version (?:named|end corrected)\. model=m version=2 due_s=(-?[\d.]+)'
 )
-# Allowed error of a logged cutoff: all processes learn of a new version within this time, and
-# log lines give the time to the cutoff in tenths of a second.
+# Allowed error of a logged cutoff: all processes learn of a new version within this time, and log
+# lines round the time to the cutoff to tenths of a second.
 TOLERANCE_S = 0.8
 
-NUMBERS = st.one_of(
+GIVEN_VALUES = st.one_of(
     st.none(),
     st.booleans(),
     st.integers(-10, 10**25),
@@ -75,8 +75,8 @@
 @pytest.mark.parametrize('role', SeededRole, ids=lambda role: role.value)
 def test_each_template_names_the_promises_that_its_role_reads(role):
     text = (ROOT / 'deploy' / 'settings' / f'{role.value}.yaml').read_text()
-    named = set(re.findall(r'^  ([a-z_]+): \{\{', text.partition('promises:')[2], re.M))
-    assert set(REQUIRED_PROMISES[role]) == promises_read_by(role) == named
+    filled_in = set(re.findall(r'^  ([a-z_]+): \{\{', text.partition('promises:')[2], re.M))
+    assert set(REQUIRED_PROMISES[role]) == promises_read_by(role) == filled_in
 
 
 @pytest.mark.parametrize('role', SeededRole, ids=lambda role: role.value)
@@ -89,7 +89,7 @@
             load(path, SeededSettings)
 
 
-@given(st.dictionaries(st.sampled_from(sorted(PromiseSettings.model_fields)), NUMBERS))
+@given(st.dictionaries(st.sampled_from(sorted(PromiseSettings.model_fields)), GIVEN_VALUES))
 def test_every_role_starts_whatever_promises_a_deployment_gives(bounds):
     for role in SeededRole:
         text = filled_template(f'{role.value}.yaml', **bounds)
@@ -126,13 +126,13 @@
         engines = Service(ServiceName('engines'), 64, ENGINE)
         assert fleet.put_document(Document(1, services=(engines,))).status == 200
         assert fleet.control(client_requests.set_version_request('m', 2)).status == 200
-        named_at = datetime.now().timestamp()
+        set_at = datetime.now().timestamp()
         hosts = (*fleet.replica_hosts, *fleet.entry_hosts, *fleet.endpoint_hosts)
         for host in hosts:
             wait_until(lambda host=host: logged_cutoff(fleet, host) is not None)
             wait_until(
                 lambda host=host: (
-                    abs(logged_cutoff(fleet, host) - named_at - version_ms / 1000) < TOLERANCE_S
+                    abs(logged_cutoff(fleet, host) - set_at - version_ms / 1000) < TOLERANCE_S
                 )
             )
     finally:
--- a/tests/test_seeded.py
+++ b/tests/test_seeded.py
@@ -1,6 +1,6 @@
 """
-Seeded fleets: settings from templates, creation of the replicated state, changes of its voters,
-and its log on a full disk.
+Seeded fleets (daemons start from the addresses of a few replicas): settings from templates,
+creation of the replicated state, changes of the voters, and the replicated log on a full disk.
 
 """
 
@@ -115,16 +115,16 @@
             progress.acked_at -= SILENT_VOTER_TIMEOUT_S + 1
 
 
-def add_replica(leadership, name, match=1):
+def add_replica(leadership, name, match_index=1):
     leadership.replica.add_address(address_of(name))
     progress = Leadership(leadership.replica).progress[-1]
-    progress.disk, progress.match_index = f'disk-{name}', match
+    progress.disk, progress.match_index = f'disk-{name}', match_index
     leadership.progress.append(progress)
 
 
 def test_a_replica_at_a_new_address_joins_once_it_has_caught_up(tmp_path):
     leadership = leadership_of(tmp_path, ['b:1', 'c:1'])
-    add_replica(leadership, 'd:1', match=0)
+    add_replica(leadership, 'd:1', match_index=0)
     assert leadership._next_members() is None
     leadership.progress[-1].match_index = 1
     assert names(leadership._next_members()) == ['a:1', 'b:1', 'c:1', 'd:1']
--- a/tests/test_seeded_fleet.py
+++ b/tests/test_seeded_fleet.py
@@ -1,6 +1,6 @@
 """
-A seeded fleet as a whole: processes of replicas and an entry, with simulated back ends and a
-simulated operator.
+A whole seeded fleet (one whose daemons start from the addresses of a few replicas): processes of
+replicas and an entry, with simulated back ends and a simulated operator.
 
 """
 
