--- a/packages/millfork-core/millfork_core/metrics.py
+++ b/packages/millfork-core/millfork_core/metrics.py
@@ -39,7 +39,7 @@
         )
         self.backpressure = self._counter(
             'millfork_backpressure_total',
-            'Backpressure signalled by back ends, by signal, event and source.',
+            'What back ends said of themselves, by signal, event and way of telling.',
         )
         self.log_lines = self._counter('millfork_log_lines_total', 'Log lines by fate.')
         self.request_seconds = Histogram(
--- a/tests/test_seeded.py
+++ b/tests/test_seeded.py
@@ -115,16 +115,16 @@
             progress.acked_at -= SILENT_VOTER_TIMEOUT_S + 1
 
 
-def add_replica(leadership, name, match_index=1):
+def add_replica(leadership, name, last_matching=1):
     leadership.replica.add_address(address_of(name))
     progress = Leadership(leadership.replica).progress[-1]
-    progress.disk, progress.match_index = f'disk-{name}', match_index
+    progress.disk, progress.match_index = f'disk-{name}', last_matching
     leadership.progress.append(progress)
 
 
 def test_a_replica_at_a_new_address_joins_once_it_has_caught_up(tmp_path):
     leadership = leadership_of(tmp_path, ['b:1', 'c:1'])
-    add_replica(leadership, 'd:1', match_index=0)
+    add_replica(leadership, 'd:1', last_matching=0)
     assert leadership._next_members() is None
     leadership.progress[-1].match_index = 1
     assert names(leadership._next_members()) == ['a:1', 'b:1', 'c:1', 'd:1']
