--- a/packages/millforkd/millforkd/fingerprints.py
+++ b/packages/millforkd/millforkd/fingerprints.py
@@ -1,9 +1,9 @@
 """
 Fingerprints identify requests by their content, without storing the content.
 
-A caller that retries uses a new request id and any entry, but the same path and body. The path
-and body are hashed with the fleet's key, as bodies are private: state and logs hold only the
-hash, and without the key nobody can check a guessed body against the hash.
+A caller that retries uses a new request id, and maybe another entry (front proxy), but the same
+path and body. The path and body are hashed with the fleet's key, as bodies are private: state and
+logs hold only the hash, and without the key nobody can check a guessed body against the hash.
 
 """
 
--- a/packages/millforkd/millforkd/quarantine.py
+++ b/packages/millforkd/millforkd/quarantine.py
@@ -1,6 +1,6 @@
 """
-An entry's quarantine: blocks requests that are suspected of crashing the back ends that run them,
-until a complete answer clears the suspicion.
+The quarantine of an entry (front proxy): blocks requests that are suspected of crashing the back
+ends that run them, until a complete answer clears the suspicion.
 
 """
 
