--- a/packages/millfork-core/millfork_core/metrics.py
+++ b/packages/millfork-core/millfork_core/metrics.py
@@ -1,5 +1,5 @@
 """
-Counters and gauges, kept in one registry for each process.
+Counters, gauges and histograms, kept in one registry for each process.
 
 """
 
--- a/packages/millforkd/millforkd/fingerprints.py
+++ b/packages/millforkd/millforkd/fingerprints.py
@@ -1,9 +1,9 @@
 """
 Fingerprints identify requests by their content, without storing the content.
 
-A caller that retries uses a new request id and any entry, but the same path and body. The path
-and body are hashed with the fleet's key, as bodies are private: state and logs hold only the
-hash, and without the key nobody can check a guessed body against the hash.
+A caller that retries uses a new request id, and maybe another entry (front proxy), but the same
+path and body. The path and body are hashed with the fleet's key, as bodies are private: state and
+logs hold only the hash, and without the key nobody can check a guessed body against the hash.
 
 """
 
@@ -18,8 +18,9 @@
 
 def fingerprint_of(key: bytes, cluster: str, parts: Iterable[str], body: bytes) -> Fingerprint:
     """
-    Return the keyed hash of the parts (such as the path) and the body of a request. All entries
-    of a cluster compute the same hash.
+    Return the keyed hash, in hex, of the parts (such as the caller and the path) and the body of a
+    request. All entries of a cluster (the processes that share one replicated state) compute the
+    same hash.
 
     """
     hash_key = hashlib.sha256(key + cluster.encode()).digest()
