--- a/packages/millfork-standins/millfork_standins/bench/__main__.py
+++ b/packages/millfork-standins/millfork_standins/bench/__main__.py
@@ -39,7 +39,8 @@
 
 def main(argv: list[str]) -> int:
     """
-    Run the experiment given by `--only`, or all. Each writes its results to a JSON file.
+    Run the experiment given by `--only`, or all experiments. Each experiment writes its results to
+    a JSON file.
 
     """
     names = [FLAGS.only] if FLAGS.only else list(EXPERIMENTS)
--- a/packages/millfork-standins/millfork_standins/bench/baselines.py
+++ b/packages/millfork-standins/millfork_standins/bench/baselines.py
@@ -1,5 +1,5 @@
 """
-Simple planners that the distribution trees are compared with.
+Planners of simple trees, as baselines for `plan_trees`, the planner of the distribution trees.
 
 """
 
@@ -15,7 +15,7 @@
     digest: Digest, receivers: list[Receiver], stripes: int, origin_copies: int
 ) -> list[Tree]:
     """
-    One tree in which every instance fetches all chunks from the origin.
+    Plan one tree, in which every instance fetches all chunks from the origin.
 
     """
     names = [receiver.instance for receiver in receivers]
@@ -36,7 +36,8 @@
     digest: Digest, receivers: list[Receiver], stripes: int, origin_copies: int
 ) -> list[Tree]:
     """
-    One binary tree for all chunks, with the instances placed in the order of their ranks.
+    Plan one binary tree for all chunks. It is filled level by level with the instances in the order
+    of their ranks.
 
     """
     names = sorted(
--- a/packages/millfork-standins/millfork_standins/bench/capacity.py
+++ b/packages/millfork-standins/millfork_standins/bench/capacity.py
@@ -16,7 +16,7 @@
 from millfork_standins.bench.results import RESULTS_FOLDER
 from millfork_weights.trees import Receiver, plan_trees
 
-# The size of the fleet that is planned for two years ahead. Each server runs one endpoint daemon.
+# Size and load of the fleet that is planned for in two years. Each server runs one endpoint daemon.
 ENTRIES: Final = 380
 SERVERS: Final = 2800
 ZONES: Final = 11
@@ -27,11 +27,12 @@
 DAY_S: Final = 86_400
 CONFIGURATION_KEYS: Final = 300 + 1000 + SERVERS
 
-# The budget of one daemon for control alone, without requests.
+# The budget of one daemon for control, without the cost of requests. CPU is in % of a core.
 CPU_BUDGET_PERCENT: Final = 1.2
 MEMORY_BUDGET_MIB: Final = 128
 CONTROL_BUDGET_BYTES_PER_S: Final = 2048
 
+# Sizes of the measured fleets in endpoints.
 SMALL, MIDDLE, LARGE = 8, 32, 128
 # The number of endpoints that one entry connects to, by the number of endpoints in the fleet. In
 # the largest fleet an entry connects to a subset of them.
@@ -54,8 +55,8 @@
 
     def control_bytes_per_s(self, role: str, endpoints: int) -> float:
         """
-        Control traffic of one idle daemon in bytes/s: received, sent, and by polls of the
-        platform's instance list.
+        Control traffic of one idle daemon in bytes/s: what it receives, what it sends, and the
+        polls of the platform's instance list.
 
         """
         return sum(self.median(role, metric, endpoints) for metric in CONTROL_BYTE_METRICS)
@@ -183,8 +184,8 @@
 
 def _format_plan_cost() -> str:
     """
-    A line that states the CPU time to compute the distribution trees of a rollout in the planned
-    fleet.
+    Compute the distribution trees of a rollout in the planned fleet. Returns a line of text with
+    the CPU time that this took.
 
     """
     random_source = random.Random(0)
--- a/packages/millfork-standins/millfork_standins/bench/cost.py
+++ b/packages/millfork-standins/millfork_standins/bench/cost.py
@@ -1,5 +1,6 @@
 """
-Measures the CPU, memory and traffic that control and requests cost, by the size of the fleet.
+Measures the CPU, memory and traffic of daemons that are idle or apply configuration changes, by the
+size of the fleet, and the CPU and latency of requests.
 
 The tables of `docs/CAPACITY.md` are computed from the results of this experiment.
 
@@ -41,8 +42,8 @@
 @dataclass(frozen=True, slots=True)
 class DaemonUsage:
     """
-    CPU time and control traffic (bytes by direction) of a daemon since its start, and the memory
-    that it uses now.
+    CPU time and control traffic (bytes by direction) of a daemon from its start to the time of the
+    reading, and its resident memory at that time.
 
     """
 
@@ -77,7 +78,7 @@
     leader = _find_leader(fleet)
     return {
         'leader': [leader],
-        'replica': [entry.name for entry in fleet.replicas if entry.name != leader],
+        'replica': [replica.name for replica in fleet.replicas if replica.name != leader],
         'entry': [entry.name for entry in fleet.entries if not entry.has_disk],
         'endpoint': [i.name for i in fleet.instances.values() if i.role == 'endpoint'][:12],
     }
@@ -93,7 +94,8 @@
 
 def measure_control(results: ExperimentResults, endpoints: int) -> None:
     """
-    Measure the cost of idle daemons and of configuration changes, with this many endpoints.
+    Measure the cost of idle daemons and of configuration changes in a fleet with this many
+    endpoints.
 
     """
     with tempfile.TemporaryDirectory(prefix='millfork-bench-') as folder:
@@ -145,19 +147,19 @@
         revision = fleet.apply({'organisation': 'bench', 'labels': labels})
         delays.append(_wait_until_in_force(fleet, revision) - submitted_at)
     elapsed_s = time.monotonic() - started_at
-    idle = {(row.case, row.metric): row.value for row in results.rows()}
+    medians = {(row.case, row.metric): row.value for row in results.rows()}
     for role, members in roles.items():
         case = f'{role}, {endpoints} endpoints'
         after = {name: read_usage(fleet, name) for name in members}
         cpu = statistics.mean(after[n].cpu_s - before[n].cpu_s for n in members)
-        cpu -= idle[(case, 'idle_cpu')] / 100 * elapsed_s
+        cpu -= medians[(case, 'idle_cpu')] / 100 * elapsed_s
         results.add(case, 'cpu_per_change', 'ms', max(cpu, 0) / CHANGES * 1000)
         for direction in ('in', 'out'):
             control_bytes = statistics.mean(
                 after[n].control_bytes[direction] - before[n].control_bytes[direction]
                 for n in members
             )
-            control_bytes -= idle[(case, f'idle_bytes_{direction}')] * elapsed_s
+            control_bytes -= medians[(case, f'idle_bytes_{direction}')] * elapsed_s
             results.add(case, f'bytes_per_change_{direction}', 'B', control_bytes / CHANGES)
     delays.sort()
     case = f'fleet, {endpoints} endpoints'
@@ -182,8 +184,8 @@
 
 def measure_memory(results: ExperimentResults) -> None:
     """
-    Measure the bytes of memory for each key of the configuration, claim of an idempotency key and
-    listed instance.
+    Measure the memory (bytes) that one key of the configuration, one claim of an idempotency key
+    and one listed instance take.
 
     """
 
@@ -235,7 +237,8 @@
 
 def measure_requests(results: ExperimentResults) -> None:
     """
-    Measure the CPU and latency of a request to a plain service, and the CPU of a streamed token.
+    Measure the CPU and latency of a request to a plain service (one without engines), and the CPU
+    of a streamed token.
 
     """
     with tempfile.TemporaryDirectory(prefix='millfork-bench-') as folder:
@@ -322,7 +325,8 @@
 
 def run(repetitions: int, quick: bool) -> Path:
     """
-    Run the experiment. Returns the path of the JSON file with the results.
+    Run the experiment. With `quick`, configuration changes and idle daemons are not measured.
+    Returns the path of the JSON file with the results.
 
     """
     sizes = () if quick else (8, 32, 128)
--- a/packages/millfork-standins/millfork_standins/bench/distribution.py
+++ b/packages/millfork-standins/millfork_standins/bench/distribution.py
@@ -1,10 +1,11 @@
 """
-Measures the distribution of weights: the time until N instances have all chunks, and the copies
-of the model that the origin sends.
+Measures the distribution of weights: the time until N instances have all chunks, and the number of
+copies of the model that the origin sends.
 
-The lower bound of the time is that of a pipelined transfer: model size over link rate, plus the
-time of one chunk for each level of a binary tree. Where both directions share the link, the links
-of N instances carry 2N - C copies: N received, and N - C sent, as the other C come from the origin.
+The lower bound of the time is that of a pipelined transfer: the model size divided by the rate that
+transfers may use, plus the time to send one chunk for each level of a binary tree. If both
+directions share the link, the links of N instances carry 2N - C copies: the instances receive N
+copies and send N - C, as the origin sends the other C.
 
 """
 
@@ -43,8 +44,9 @@
 @dataclass(frozen=True, slots=True)
 class Case:
     """
-    One case of the experiment. `copy_s` is the time that one copy of the model takes on the link
-    of an instance; `fault` is empty or a value of `NodeSpec.trouble`.
+    One case of the experiment. `copy_s` is the time in seconds to send one copy of the model over
+    the link of an instance. `fault` is a value of `NodeSpec.trouble`. `second_version` is the
+    version that replaces the first one during its distribution, or empty.
 
     """
 
@@ -67,7 +69,7 @@
         return int(MODEL_BYTES / self.copy_s)
 
     @property
-    def bound_s(self) -> float:
+    def lower_bound_s(self) -> float:
         """
         The shortest time in which all instances can receive all chunks, in seconds.
 
@@ -84,9 +86,10 @@
 @dataclass(frozen=True, slots=True)
 class Result:
     """
-    The time from the start of the distribution of the last version until the last surviving node
-    had all chunks of that version (seconds); the copies that the origin sent; and the times that
-    live answers waited for the link (seconds).
+    The result of one run. `seconds` is the time from the start of the distribution of the last
+    version until all surviving nodes had all chunks of that version. `origin_copies` is the number
+    of copies of the model that the origin sent. `live_waits` holds the seconds that each live
+    answer (a simulated answer to a caller) waited for the link.
 
     """
 
@@ -97,7 +100,7 @@
 
 class RunFailed(Exception):
     """
-    A process that runs weight nodes ended before all its nodes had reported.
+    A process that runs weight nodes ended before all its nodes had reported their results.
 
     """
 
@@ -106,7 +109,7 @@
     """
     Run one case once, with a new origin.
 
-    :raises RunFailed: if a process of weight nodes ended early.
+    :raises RunFailed: if a process ended before all its nodes had reported their results.
 
     """
     with tempfile.TemporaryDirectory(prefix='millfork-bench-') as folder:
@@ -148,7 +151,7 @@
         if case.fault == 'kill' and number % 10 == 1:
             spec.trouble = 'kill'
         if case.fault == 'cut':
-            # A cut affects every node: each closes its connections to the other zones.
+            # A cut affects every node: each node closes its connections to the other zones.
             spec.trouble = 'cut'
         specs.append(spec)
     return specs
@@ -176,7 +179,7 @@
         case.bytes_per_s * 0.1 if case.has_live_requests else 0.0,
     )
     before = fetch_json('GET', fleet.origin['host'], STANDIN_PORT, '/stats')['bytes']
-    processes = [_start(plan, number) for number in range(min(PROCESSES, case.nodes))]
+    processes = [_start_process(plan, number) for number in range(min(PROCESSES, case.nodes))]
     lines = []
     for process, own_names in processes:
         assert process.stdout is not None
@@ -199,7 +202,7 @@
     return digest_of(fetch('GET', fleet.origin['host'], STANDIN_PORT, path).body)
 
 
-def _start(plan: Plan, number: int) -> tuple[subprocess.Popen[str], list[str]]:
+def _start_process(plan: Plan, number: int) -> tuple[subprocess.Popen[str], list[str]]:
     own_names = [spec.name for spec in plan.nodes[number::PROCESSES]]
     process = subprocess.Popen(
         [sys.executable, '-m', 'millfork_standins.bench.weight_node'],
@@ -216,7 +219,7 @@
 
 def list_cases(quick: bool) -> list[Case]:
     """
-    All cases, or with `quick` a reduced set of smaller ones.
+    All cases of the experiment. With `quick`, two cases with fewer nodes instead.
 
     """
     if quick:
@@ -260,13 +263,13 @@
             try:
                 result = run_case(case)
             except RunFailed as error:
-                # A failed run is part of the results.
+                # Failed runs are recorded in the results, and the experiment continues.
                 print(f'{case.name}: FAILED: {error}', flush=True)
                 results.add(case.name, 'failed_runs', 'runs', 1)
                 continue
             baseline = BASE_CASE if case.nodes == 16 and case.name != BASE_CASE else ''
             results.add(case.name, 'time_to_n', 's', result.seconds, baseline)
-            results.add(case.name, 'over_bound', 'ratio', result.seconds / case.bound_s)
+            results.add(case.name, 'over_bound', 'ratio', result.seconds / case.lower_bound_s)
             results.add(case.name, 'origin_copies', 'copies', result.origin_copies)
             if result.live_waits:
                 wait_p95_s = sorted(result.live_waits)[int(len(result.live_waits) * 0.95)]
--- a/packages/millfork-standins/millfork_standins/bench/limit_shares.py
+++ b/packages/millfork-standins/millfork_standins/bench/limit_shares.py
@@ -3,10 +3,11 @@
 entries together.
 
 The model draws at random which entry wants to send a request at which time. The demand of the
-entries is uneven (the busiest entry has about ten times the demand of the least busy one), and
-their total demand is a multiple of the limit. For each strategy the experiment reports the highest
-number of requests in any 4 s as a ratio to the allowed number, the share of runs that exceed the
-allowed number, and the share of the limit that is used.
+entries is uneven (the busiest entry has up to ten times the demand of the least busy one), and
+their total demand is a multiple of the limit. For each strategy and number of entries the
+experiment reports the highest number of requests in any 4 s as a ratio to the allowed number, the
+share of runs that exceed the allowed number, and the mean share of the limit that is used. If the
+total demand is lower than the limit, the last figure is the share of the demand.
 
 """
 
@@ -26,19 +27,19 @@
 DURATION_S: Final = 60.0
 STEP_S: Final = 0.02
 WINDOW_S: Final = 4.0
-# `max_in_window` ignores requests sent before this time, as entries first need time to apply the
-# limit.
+# `max_in_window` ignores requests sent in these first seconds of a run, as entries need time to
+# apply the limit.
 COUNTED_FROM_S: Final = 3.0
-# Logarithm of the highest ratio between the demands of two entries.
+# Natural logarithm of the highest possible ratio between the demands of two entries.
 DEMAND_SPREAD: Final = 2.3
 SEED_COUNT: Final = 20
-# Interval at which `DemandShares` recomputes the shares from the demand of the entries.
+# Shortest time after which `DemandShares` recomputes the shares from the demand of the entries.
 DEMAND_UPDATE_INTERVAL_S: Final = 0.5
 
 
 def allowed_in_window(limit_per_s: float) -> float:
     """
-    The number of requests in any 4 s that a back end with this limit tolerates.
+    The highest number of requests in any 4 s that a back end with this limit tolerates.
 
     """
     return 1.5 * limit_per_s * WINDOW_S + 5
@@ -108,7 +109,8 @@
 class DemandShares:
     """
     A token bucket for each entry, with a share of the limit in proportion to the recent demand of
-    that entry. The shares are recomputed at most every `DEMAND_UPDATE_INTERVAL_S`.
+    that entry. A request recomputes all shares if `DEMAND_UPDATE_INTERVAL_S` has passed since they
+    were last computed.
 
     """
 
@@ -154,11 +156,11 @@
 
     """
     weights = [math.exp(random.random() * DEMAND_SPREAD) for _ in range(entries)]
-    per_step = limit_per_s * demand * STEP_S
+    requests_per_step = limit_per_s * demand * STEP_S
     sent_at = []
     for step in range(int(DURATION_S / STEP_S)):
         now = step * STEP_S
-        count = int(per_step) + (random.random() < per_step % 1)
+        count = int(requests_per_step) + (random.random() < requests_per_step % 1)
         for entry in random.choices(range(entries), weights, k=count):
             if strategy.may_send(entry, now):
                 sent_at.append(now)
@@ -167,7 +169,8 @@
 
 def max_in_window(sent_at: list[float]) -> int:
     """
-    The highest number of requests in any window of `WINDOW_S`, from `COUNTED_FROM_S` on.
+    The highest number of requests sent in any window of `WINDOW_S`, ignoring those sent before
+    `COUNTED_FROM_S`.
 
     """
     counted_times = [at for at in sent_at if at >= COUNTED_FROM_S]
@@ -181,8 +184,8 @@
 
 def run(repetitions: int, quick: bool) -> Path:
     """
-    Run the experiment. Returns the path of the results file. The number of seeds doesn't depend on
-    `repetitions`.
+    Run the experiment. `repetitions` is ignored: each case runs with `SEED_COUNT` seeds, or with 2
+    if `quick` is set. Returns the path of the results file.
 
     """
     seeds = 2 if quick else SEED_COUNT
--- a/packages/millfork-standins/millfork_standins/bench/limits.py
+++ b/packages/millfork-standins/millfork_standins/bench/limits.py
@@ -1,6 +1,6 @@
 """
-Measures how limits and retries behave under overload, between organisations, after a burst of
-requests, and in an outage.
+Measures answers, refusals and retries in four situations: overload, a small organisation beside a
+large one, a burst of requests, and an endpoint that is frozen or killed.
 
 """
 
@@ -45,7 +45,8 @@
 
 def measure_overload(results: ExperimentResults, fleet: Fleet, factors: tuple[float, ...]) -> None:
     """
-    Measure goodput and refusals while requests arrive at multiples of the capacity.
+    Measure goodput (answered requests/s), refusals and latency while requests arrive at multiples
+    of the capacity.
 
     """
     for factor in factors:
@@ -65,8 +66,8 @@
 
 def measure_fairness(results: ExperimentResults, fleet: Fleet) -> None:
     """
-    Measure the latency of a small organisation alone, and while a large one sends more requests
-    than the capacity.
+    Measure the latency and the answered share of a small organisation's requests, first alone, then
+    while a large organisation sends three times as many requests as the capacity.
 
     """
     small = ArrivalStream(SMALL_ORGANISATION, CAPACITY_PER_S * 0.1, 0, DURATION_S)
@@ -82,8 +83,8 @@
 
 def measure_recovery(results: ExperimentResults, fleet: Fleet) -> None:
     """
-    Measure the latency before and after a burst, with callers that retry after the time that a
-    refusal gives.
+    Measure the latency before and after a burst of requests. Callers retry a refused request after
+    the delay in the `retry-after` header of the refusal.
 
     """
     steady = ArrivalStream(SMALL_ORGANISATION, CAPACITY_PER_S * 0.6, 0, 14, persistent=True)
--- a/packages/millfork-standins/millfork_standins/bench/load_generator.py
+++ b/packages/millfork-standins/millfork_standins/bench/load_generator.py
@@ -1,5 +1,5 @@
 """
-Open-loop load on a fleet: requests arrive at random times, whether or not earlier ones ended.
+Open-loop load on a fleet: requests arrive at random times, whether or not earlier ones have ended.
 
 """
 
@@ -23,9 +23,9 @@
 @dataclass(frozen=True, slots=True)
 class ArrivalStream:
     """
-    Requests of one organisation, which arrive from `start_s` to `end_s` at an average rate of
-    `rate_per_s`. With `persistent`, a refused request is sent again until `end_s`, each time after
-    the delay in the `retry-after` header of the refusal.
+    Requests of one organisation, which arrive from `start_s` to `end_s` (seconds since the start of
+    the run) at an average rate of `rate_per_s`. With `persistent`, a request that is refused before
+    `end_s` is sent again after the delay in the `retry-after` header of the refusal.
 
     """
 
@@ -39,8 +39,9 @@
 @dataclass(slots=True)
 class Outcome:
     """
-    The outcome of one request: its arrival (seconds since the start), its duration, and the status
-    or refusal reason of its last response (`NO_RESPONSE` if there was none).
+    The outcome of one request: its arrival (seconds since the start of the run), its duration
+    including all retries, the refusal reason of its last response (or if it has none, the status;
+    `NO_RESPONSE` if the last attempt got no response), and the number of attempts.
 
     """
 
--- a/packages/millfork-standins/millfork_standins/bench/plots.py
+++ b/packages/millfork-standins/millfork_standins/bench/plots.py
@@ -21,8 +21,8 @@
 def plot(path: Path) -> Path:
     """
     Plot the results file of one experiment and return the path of the image. The image has a panel
-    for each metric, and in it a bar for each case with an error bar from the lowest to the highest
-    value.
+    for each metric. A panel has a bar for the median of each case, with an error bar from the
+    lowest to the highest value.
 
     """
     rows: list[dict[str, Any]] = json.loads(path.read_text())['rows']
--- a/packages/millfork-standins/millfork_standins/bench/results.py
+++ b/packages/millfork-standins/millfork_standins/bench/results.py
@@ -16,8 +16,9 @@
 @dataclass(frozen=True, slots=True)
 class Row:
     """
-    One metric of a case: the median, lowest and highest value over the repetitions, and the ratio
-    of the median to that of the baseline case, if there is one.
+    One metric of a case: the median (`value`), the lowest and the highest sample, and the ratio of
+    the median to the median of the baseline case (0 if there is no baseline, or if its median is
+    0).
 
     """
 
@@ -48,7 +49,7 @@
 
     def add(self, case: str, metric: str, unit: str, value: float, baseline: str = '') -> None:
         """
-        Add one sample. `baseline` is the name of the case to compare with, if any.
+        Add one sample. `baseline` is the name of the case to compare with; empty for none.
 
         """
         self.samples[(case, metric, unit)].append(value)
--- a/packages/millfork-standins/millfork_standins/bench/retry_detection.py
+++ b/packages/millfork-standins/millfork_standins/bench/retry_detection.py
@@ -1,13 +1,14 @@
 """
 Compares methods to distinguish first tries from retries, under sustained load.
 
-Callers begin with different timeouts. Each method runs on the routing model:
+Callers begin with equal or different timeouts, depending on the case. Each method runs on the
+routing model:
 
 - the method of the entries: the learned timeouts of first tries, and a lookup among the requests
   that were turned away in the zone;
 - the learned timeouts alone;
-- the longest remaining time seen: a request with less remaining time counts as a retry;
-- no detection;
+- the longest remaining time seen: a request with clearly less remaining time counts as a retry;
+- no detection: no request counts as a retry;
 - exact knowledge, which no real entry has.
 
 Each run begins with a period of low load, as on a fleet that was in use before its load rose.
@@ -79,7 +80,8 @@
         # Number of requests by (is a retry, was classified as a retry).
         self.classifications: Counter[tuple[bool, bool]] = Counter()
         self.turned_away = 0
-        # For each ended request: its prompt tokens, and whether it was answered.
+        # For each request since the load rose that was answered or refused: its prompt tokens, and
+        # whether it was answered.
         self.ended_requests: list[tuple[int, bool]] = []
         self.scheduler.schedule(
             CALM_DURATION_S, partial(setattr, self, 'requests_per_s', shape.capacity * factor)
@@ -111,7 +113,8 @@
             return lost_ms if lost_ms > DEADLINE_TOLERANCE_MS else 0
         first_try = self.first_tries[table].estimate('r', remaining_ms, self.scheduler.now)
         if self.method is DetectionMethod.AS_BUILT and first_try.is_undecided:
-            # Entries look such a request up among those that were turned away in their zone.
+            # Real entries look up whether the request was turned away in their zone. The model
+            # assumes that this lookup is always right.
             return true_elapsed_ms
         return first_try.elapsed_ms
 
@@ -170,15 +173,22 @@
         results.add(case, 'late', 'share', model.outcomes.share('late'))
         results.add(case, 'refused', 'share', model.outcomes.share('refused'))
         results.add(
-            case, 'first_taken_for_return', 'share', _share(model.classifications, False, True)
+            case,
+            'first_taken_for_return',
+            'share',
+            _classified_share(model.classifications, False, True),
+        )
+        results.add(
+            case, 'return_missed', 'share', _classified_share(model.classifications, True, False)
         )
-        results.add(case, 'return_missed', 'share', _share(model.classifications, True, False))
     results.add(case, 'in_time_mean', 'share', statistics.mean(in_time))
     if repetitions > 1:
         standard_error = statistics.stdev(in_time) / math.sqrt(repetitions)
         results.add(case, 'in_time_error', 'share', standard_error)
 
 
-def _share(classifications: Counter[tuple[bool, bool]], is_retry: bool, as_retry: bool) -> float:
+def _classified_share(
+    classifications: Counter[tuple[bool, bool]], is_retry: bool, as_retry: bool
+) -> float:
     total = classifications[is_retry, False] + classifications[is_retry, True]
     return classifications[is_retry, as_retry] / max(total, 1)
--- a/packages/millfork-standins/millfork_standins/bench/routing.py
+++ b/packages/millfork-standins/millfork_standins/bench/routing.py
@@ -46,7 +46,8 @@
 LOAD_READ_DELAY_S: Final = 0.002
 # Lengths of prompts in tokens: mean, standard deviation of the logarithm, maximum.
 PROMPT_TOKENS: Final = (930, 0.83, 3900)
-# Interval of the reports of endpoint daemons, and of the messages of replicas to entries.
+# Interval of the load reports of endpoint daemons, and of the messages in which replicas pass the
+# reports on to entries.
 REPORT_INTERVAL_S: Final = 0.15
 LOAD_FACTORS: Final = (0.5, 0.9, 1.05, 1.2, 1.5)
 
@@ -135,7 +136,8 @@
 @dataclass
 class Outcomes:
     """
-    The number of counted requests by outcome, and the times to their first tokens in ms.
+    The number of counted requests (those that arrive after `counted_from_s`) by outcome, and the
+    times to their first tokens in ms. The outcome 'asked' counts all of them.
 
     """
 
@@ -187,8 +189,8 @@
         self.shape = shape
         self.load_read_delay_s = LOAD_READ_DELAY_S
         self.counted_from_s = counted_from_s
-        # Interval of the load reports of engines, and of the messages of replicas to entries,
-        # within a zone.
+        # Interval of the load reports to entries of the engine's zone, and of the messages in which
+        # replicas pass these reports on.
         self.same_zone_report_interval_s = same_zone_report_interval_s
         self.requests_per_s = requests_per_s
         self.random = Random(seed)
@@ -222,7 +224,8 @@
 
     def run(self, seconds: float) -> Outcomes:
         """
-        Simulate this many seconds. Returns the outcomes of the counted requests.
+        Simulate this many seconds. Returns the outcomes of the requests that arrived after
+        `counted_from_s`.
 
         """
         for index in range(len(self.engines)):
@@ -236,7 +239,8 @@
     def _report_load(self, index: int, other_zones_sent_at: float) -> None:
         """
         Report an engine's load to the entries of its zone, and schedule the next report. Entries
-        of other zones get fewer of the reports if the interval within the zone is shorter.
+        of other zones get a report only about every `REPORT_INTERVAL_S`; `other_zones_sent_at` is
+        the time of their last one.
 
         """
         engine = self.engines[index]
--- a/packages/millfork-standins/millfork_standins/bench/turning_away.py
+++ b/packages/millfork-standins/millfork_standins/bench/turning_away.py
@@ -1,5 +1,5 @@
 """
-Compares ways in which entries may react to an engine that turns requests away immediately.
+Compares ways in which entries can react to an engine that turns requests away immediately.
 
 In the routing model, one engine turns away all or a share of the requests that reach it. Requests
 that are turned away occupy no slot, so the load reports of the engine still show free slots.
@@ -31,7 +31,7 @@
 
 SMALL, MEDIUM, _ = SHAPES
 LOAD_FACTORS: Final = (0.5, 0.8)
-# The shares of requests to the refusing engine that are turned away.
+# Shares of its requests that the refusing engine turns away.
 TURNED_AWAY_SHARES: Final = (1.0, 0.4)
 REFUSING_ENGINE_PORT: Final = 0
 
@@ -47,7 +47,8 @@
 
 def avoid_temporarily(server: Server, sent_at: float, now: float) -> None:
     """
-    Avoid the engine for a period that grows with each request turned away, as real entries do.
+    Avoid the engine for a period that grows with each request turned away in a row, as real
+    entries do.
 
     """
     server.record_turned_away(sent_at, now)
@@ -55,8 +56,8 @@
 
 def count_as_failure(server: Server, sent_at: float, now: float) -> None:
     """
-    Record a failure, as for an answer that broke off: it counts in the failure rate, and the engine
-    is avoided for a while.
+    Record a failure, as for an answer that broke off: the failure rate of the engine rises, and the
+    engine is avoided for a while.
 
     """
     server.record_failure(now)
@@ -64,7 +65,7 @@
 
 def count_in_failure_rate(server: Server, sent_at: float, now: float) -> None:
     """
-    Count a failure in the failure rate, without avoiding the engine.
+    Count a failure in the failure rate of the engine, without avoiding the engine for a while.
 
     """
     server.record_outcome(failed=True)
@@ -80,8 +81,8 @@
 
 class RefusingEngineModel(RoutingModel):
     """
-    A run in which one engine turns away a share of its requests. Each such request is sent to
-    another engine once.
+    A run in which one engine turns away a share of its requests. The entry sends each of these
+    requests once more, to another engine.
 
     """
 
--- a/packages/millfork-standins/millfork_standins/bench/weight_node.py
+++ b/packages/millfork-standins/millfork_standins/bench/weight_node.py
@@ -1,6 +1,6 @@
 """
-Runs weight nodes in one process. A weight node is an instance without an engine. It uses the real
-store, trees and transfers, over real connections.
+Runs weight nodes in one process. A weight node is an instance without an engine, which fetches
+weights with the real store, trees and transfers over real connections.
 
 Reads a `Plan` as one JSON line from standard input, and prints the result of each node as one JSON
 line.
@@ -32,13 +32,14 @@
 
 FLEET_KEY: Final = b'bench'
 PORT: Final = 7400
-DEADLINE_S: Final = 60.0
+RUN_TIMEOUT_S: Final = 60.0
 
 
 class NodeSpec(msgspec.Struct):
     """
-    One node and the fault to inject: `trouble` is '' (none), 'stall', 'kill' or 'cut' (off from
-    the other zones). The fault happens `trouble_s` after the node starts to fetch.
+    One node and the fault to inject: `trouble` is '' (no fault), 'stall' (the node stops answering
+    its peers), 'kill' or 'cut' (the node is cut off from the other zones). The fault occurs
+    `trouble_s` seconds after the node starts to fetch.
 
     """
 
@@ -53,8 +54,9 @@
     """
     All nodes of a run, and in `mine` the names of the nodes that this process runs. `versions`
     holds one or two items of (model name, version, digest). All nodes start at `start_at`
-    (monotonic seconds); a second version replaces the first `second_s` later. Transfers use `share`
-    of the link, and both directions have one common limit if `together` is set.
+    (monotonic seconds). If there is a second version, it replaces the first version `second_s`
+    seconds after the start. Transfers use at most `share` of the link, and both directions have one
+    common limit if `together` is set.
 
     """
 
@@ -88,8 +90,7 @@
 
 class PartitionedPeers(Peers):
     """
-    Connections to peers, of which those in other zones are unreachable while the partition is
-    active.
+    Connections to peers. While the partition is active, peers in other zones are unreachable.
 
     """
 
@@ -136,9 +137,9 @@
 
     async def run(self) -> dict[str, Any]:
         """
-        Fetch the versions of the plan. The result holds the seconds from the common start until the
-        last version was complete (None for a node that was killed), and the seconds that each live
-        answer waited.
+        Fetch the versions of the plan and inject the node's fault. The result holds the name of the
+        node, the seconds from the common start until its last version was complete (None for a node
+        that was killed), and the seconds that each live answer waited.
 
         """
         listening = await curio.spawn(self.peers.listen, daemon=True)
@@ -190,8 +191,10 @@
 
     async def _measure_live_waits(self) -> None:
         """
-        Simulate live answers, with a pause of 0.1 s between them, and record how long each waits
-        for the outbound link. Live answers must not wait behind transfers.
+        Simulate live answers (answers to callers), with a pause of 0.1 s between them, and record
+        how long each waits for the outbound link: if transfers leave a part of the link free, the
+        time to send the answer over that part; otherwise until the queued transfers are sent. Live
+        answers must not wait behind transfers.
 
         """
         size = self.plan.live_bytes_per_s / 10
@@ -209,7 +212,7 @@
 
 async def _run(plan: Plan) -> None:
     nodes = [Node(plan, spec) for spec in plan.nodes if spec.name in plan.mine]
-    async with curio.timeout_after(DEADLINE_S):
+    async with curio.timeout_after(RUN_TIMEOUT_S):
         async with curio.TaskGroup() as group:
             for node in nodes:
                 await group.spawn(node.run)
--- a/tests/fail_first.py
+++ b/tests/fail_first.py
@@ -48,8 +48,8 @@
 
 def fails_without(mutation: Mutation) -> bool:
     """
-    Whether the mutation's test fails on a copy of the tree without the mechanism. Prints the first
-    line of the failure.
+    Whether the mutation's test fails on a copy of the tree without the mechanism. If it fails, the
+    first line of the failure is printed.
 
     """
     with tempfile.TemporaryDirectory(prefix='millfork-fail-first-') as folder:
@@ -58,7 +58,7 @@
         paths = [str(tree / 'platform'), *(str(path) for path in (tree / 'packages').iterdir())]
         environment = {**os.environ, 'PYTHONPATH': ':'.join(paths)}
         command = [sys.executable, '-m', 'pytest', '-q', '-x', '-p', 'no:cacheprovider']
-        done = subprocess.run(
+        completed = subprocess.run(
             [*command, mutation.test],
             cwd=tree,
             env=environment,
@@ -67,10 +67,10 @@
             timeout=TIMEOUT_S,
             check=False,
         )
-        if done.returncode == 1:
-            reason = [line for line in done.stdout.splitlines() if line.startswith('E  ')]
+        if completed.returncode == 1:
+            reason = [line for line in completed.stdout.splitlines() if line.startswith('E  ')]
             print(f'   {reason[0][:160] if reason else ""}')
-        return done.returncode == 1
+        return completed.returncode == 1
 
 
 def main() -> int:
--- a/tests/mutations_listed.py
+++ b/tests/mutations_listed.py
@@ -1,5 +1,6 @@
 """
-Mutations of listed fleets, whose deploy file lists all instances, and of the replicated state.
+Mutations of listed fleets (a listed fleet is one whose instances the platform lists), and of the
+replicated state.
 
 """
 
