--- a/packages/millfork-standins/millfork_standins/bench/load_generator.py
+++ b/packages/millfork-standins/millfork_standins/bench/load_generator.py
@@ -40,8 +40,9 @@
 class Outcome:
     """
     The outcome of one request: its arrival (seconds since the start of the run), its duration
-    including all retries, the refusal reason of its last response (or if it has none, the status;
-    `NO_RESPONSE` if the last attempt got no response), and the number of attempts.
+    including all retries, and the number of attempts. `status_or_reason` is the refusal reason in
+    the last response, the status if that response gives no reason, or `NO_RESPONSE` if the last
+    attempt got no response.
 
     """
 
--- a/packages/millfork-standins/millfork_standins/bench/turning_away.py
+++ b/packages/millfork-standins/millfork_standins/bench/turning_away.py
@@ -65,7 +65,7 @@
 
 def count_in_failure_rate(server: Server, sent_at: float, now: float) -> None:
     """
-    Count a failure in the failure rate of the engine, without avoiding the engine for a while.
+    Count a failure in the failure rate of the engine, but do not avoid the engine.
 
     """
     server.record_outcome(failed=True)
