--- a/packages/millfork-routing/millfork_routing/balance.py
+++ b/packages/millfork-routing/millfork_routing/balance.py
@@ -15,7 +15,8 @@
 # Until its first load report, an endpoint is assumed to run this many requests at a time.
 DEFAULT_LIMIT: Final = 8
 # Other endpoints are preferred for this time to one that turned a request away. The time doubles
-# with each further rejection in a row: the endpoint may be full for a moment, or reject everything.
+# with each further rejection in a row, up to `MAX_PASSED_OVER_S`: the endpoint may be full for a
+# moment, or reject everything.
 FIRST_PASSED_OVER_S: Final = 0.05
 MAX_PASSED_OVER_S: Final = 2.0
 
@@ -142,9 +143,10 @@
     Choose the endpoint for a request; None if all endpoints were tried or are unusable.
 
     Endpoints that turned no request away recently come first; of these, those with free
-    capacity in `zone`, then those with free capacity in any zone. Among the endpoints that
-    remain the key `affinity` decides, but endpoints loaded above `BOUNDED_LOAD` times the mean are
-    skipped. If the key is empty, the least loaded endpoint is chosen.
+    capacity in `zone`, then those with free capacity in any zone, then the full ones. Within the
+    first of these groups that isn't empty, the key `affinity` decides, but endpoints loaded above
+    `BOUNDED_LOAD` times the mean are skipped. If the key is empty, the least loaded endpoint is
+    chosen.
 
     """
     usable = [b for b in backends if b.instance not in tried and is_usable(b, organisation, now)]
--- a/packages/millfork-routing/millfork_routing/retries.py
+++ b/packages/millfork-routing/millfork_routing/retries.py
@@ -1,6 +1,6 @@
 """
-Whether a refused request may be retried, which depends on the reason and the verdict of its
-refusal, and the budget that limits the number of retries.
+Whether a refused request may be retried, which depends on the reason of its refusal and on the
+verdict (whether the request may have run), and the budget that limits the number of retries.
 
 """
 
--- a/packages/millfork-routing/millfork_routing/shared_budget.py
+++ b/packages/millfork-routing/millfork_routing/shared_budget.py
@@ -96,8 +96,9 @@
         self.monotonic = monotonic
         self.has_quorum = has_quorum
         self.started_at = monotonic()
-        # Since when the entry's replica has been in contact with a majority of the replicas. Once
-        # the contact has lasted a whole window, losing it no longer resets this to None.
+        # Since when the entry's replica has been in contact with a majority of the replicas; None
+        # without contact. Once the contact has lasted a whole window, losing it no longer resets
+        # this to None.
         self.quorum_since: float | None = None
         self.peak_entries = WindowMax(ENTRIES_REMEMBERED_S)
         self.windows: dict[ServiceName, _Window] = {}
--- a/packages/millfork-scheduling/millfork_scheduling/admission.py
+++ b/packages/millfork-scheduling/millfork_scheduling/admission.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass
 from typing import Final
 
-# The predicted time to the first token may be at most this share of the time left until the target.
-# The rest covers the network, and changes of the load since the last reports, which are 0.15 s to
-# 0.3 s old.
+# A request counts as in time if its predicted time to the first token is at most this share of the
+# time left until the target. The rest of that time covers the network, and changes of the load
+# since the last reports, which are 0.15 s to 0.3 s old.
 FIRST_TOKEN_SHARE: Final = 0.75
 # A request that would be late is sent only to an engine with less than this share of its slots
 # occupied; the other slots are kept for requests that can be in time.
@@ -44,8 +44,9 @@
 
 def overdue_ms(start_estimate: StartEstimate) -> float:
     """
-    By how much the expected time to the first token exceeds `FIRST_TOKEN_SHARE` of the time
-    left (0 if the target has passed), in ms; 0 or less if the request would be in time.
+    By how much the expected time to the first token exceeds `FIRST_TOKEN_SHARE` of the time left
+    until the target, in ms; 0 or less if the request would be in time. Once the target has
+    passed, the time left counts as 0.
 
     """
     return start_estimate.expected_ms - max(start_estimate.remaining_ms, 0.0) * FIRST_TOKEN_SHARE
@@ -63,8 +64,8 @@
 
 def depends_on_first_try(start_estimate: StartEstimate) -> bool:
     """
-    Whether the request would be sent if this is its caller's first try, as the estimate assumes,
-    but refused if the caller was turned away before.
+    Whether the request is worth sending only as its caller's first try, as the estimate assumes:
+    it would be in time, but the engine has no slots to spare for a retry, which is late.
 
     """
     if overdue_ms(start_estimate) > 0:
--- a/packages/millfork-scheduling/millfork_scheduling/availability.py
+++ b/packages/millfork-scheduling/millfork_scheduling/availability.py
@@ -72,8 +72,9 @@
 @dataclass(slots=True)
 class RestPeriod:
     """
-    The time for which a back end asked this entry to send it no requests (monotonic seconds).
+    The period in which a back end asked this entry to send it no requests.
 
+    `until` is the end of the period, `probed_at` when the last probe was sent (monotonic seconds).
     Once the period is over, a single request probes whether the back end accepts requests again.
     No other request is sent until the probe is answered or `PROBE_TIMEOUT_S` has passed.
 
@@ -84,9 +85,9 @@
 
     def extend(self, rest_s: float, now: float) -> None:
         """
-        Extend the period to end `rest_s` from now, or `MAX_REST_S` if that is less, and forget
-        the last probe. The period is never shortened, as the back end may have sent the answer
-        that asks for this rest before an answer that was already applied.
+        Extend the period so that it ends `rest_s` from now, or `MAX_REST_S` from now if that is
+        sooner, and forget the last probe. The period is never shortened, as the back end may have
+        sent the answer that asks for this rest before an answer that was already applied.
 
         """
         self.until = max(self.until, now + min(rest_s, MAX_REST_S))
@@ -94,7 +95,7 @@
 
     def opens_in_s(self, now: float) -> float:
         """
-        The time until a request may be sent to the back end, in seconds; 0 if one may be now.
+        The time until a request may be sent to the back end, in seconds; 0 if one may be sent now.
 
         """
         return max(self.until - now, self.probed_at + PROBE_TIMEOUT_S - now, 0.0)
@@ -108,8 +109,8 @@
 
     def is_ended_by(self, sent_at: float) -> bool:
         """
-        Whether the rest is known to be over once the back end has accepted a request that was
-        sent at `sent_at`.
+        Whether the back end's acceptance of a request that was sent at `sent_at` shows that the
+        rest is over: only if the request was not sent before the end of the period.
 
         """
         return sent_at >= self.until
@@ -168,17 +169,17 @@
     # Whether an answer said that the back end is leaving. This stays set: an incarnation that
     # leaves never comes back, whatever its heartbeats say.
     leaving: bool = False
-    # Whether the last report of the daemon beside the back end said that it is leaving. A later
-    # report can revoke this: if engines have no incarnation, a report may describe the previous
-    # engine at the address.
+    # Whether the last report of the daemon beside the back end said that the back end is leaving. A
+    # later report can revoke this: if engines have no incarnation, a report may describe the
+    # previous engine at the address.
     reported_leaving: bool = False
 
     def apply_answer(
         self, backpressure: Backpressure, sent_at: float, now: float, turned_away: bool = False
     ) -> list[SignalChange]:
         """
-        Apply the signals in the answer to a request sent at `sent_at`; returns the changes. An
-        answer with `turned_away` rejects the request, so it doesn't end a rest.
+        Apply the signals in the answer to a request sent at `sent_at`; returns the changes.
+        `turned_away` says that the answer rejects the request; such an answer doesn't end a rest.
 
         """
         changes = self._apply_leaving(backpressure.leaving)
@@ -246,8 +247,8 @@
 
     def record_sent(self, now: float, entries: int) -> None:
         """
-        Record that a request is sent to the back end: it probes whether a rest is over, and uses
-        one of this entry's permits if the back end announced a limit.
+        Record that a request is sent to the back end. The request probes whether a rest is over,
+        and uses one of this entry's permits if the back end announced a limit.
 
         """
         if self.rest is not None:
@@ -273,8 +274,8 @@
 
 class LapsedAvailabilities:
     """
-    The availabilities of incarnations whose lease is gone. They are still valid if the lease of
-    the same incarnation comes back.
+    The availabilities (last signals) of incarnations whose lease is gone. An availability is
+    still valid if the lease of its incarnation comes back.
 
     """
 
--- a/packages/millfork-scheduling/millfork_scheduling/first_tries.py
+++ b/packages/millfork-scheduling/millfork_scheduling/first_tries.py
@@ -15,28 +15,31 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-# Deadlines that differ by at most this count as equal, as transit takes some ms of each. The
-# deadline of a retry is shorter than that of the first try by more than this.
+# A deadline that is shorter than the longest one of its route by at most this counts as that of a
+# first try, as transit takes some ms of each deadline. The deadline of a retry is shorter than that
+# of its caller's first try by more than this.
 DEADLINE_TOLERANCE_MS: Final = 120
 # For this time after a caller was turned away, requests may be retries, as callers keep retrying
 # for 6 s.
 RETRIES_POSSIBLE_S: Final = 8.0
 # The number of first-try deadlines that are kept for each route: the latest ones.
 MAX_DEADLINES_KEPT: Final = 128
-# The number of first-try deadlines of a route that the estimate by their range needs.
+# The range of a route's first-try deadlines is used for estimates once at least this many of them
+# are known.
 MIN_FIRST_TRIES: Final = 20
 # The maximum number of routes whose deadlines are kept (2 KB each). Configurations replace routes,
 # so the number of routes seen is not bounded.
 MAX_ROUTES: Final = 2000
-# Until `MIN_FIRST_TRIES` first tries of a route were seen, as after a start under load, the
-# deadlines of the latest requests are used instead, including those of retries: this many.
+# The number of latest deadlines that are kept for each route, including those of retries. Estimates
+# use them until `MIN_FIRST_TRIES` first tries of the route were seen, as after a start under load.
 MAX_LATEST_DEADLINES: Final = 16
-# Callers are then assumed to begin with one common deadline if at least this share of the latest
-# deadlines are close to the longest one.
+# Callers of a route are assumed to begin with one common deadline if at least this share of the
+# latest deadlines (see `MAX_LATEST_DEADLINES`) are close to the longest one.
 COMMON_DEADLINE_SHARE: Final = 0.4
-# The minimum number of deadlines close to the longest one for that assumption. Two or three may be
-# so close by chance: when they were enough, 1 in 14 first tries counted as retries if callers begin
-# with 0.85 to 1 times the usual deadline.
+# Callers are assumed to begin with one common deadline only if at least this many of the latest
+# deadlines are close to the longest one. Two or three may be close by chance: when so few were
+# enough, 1 in 14 first tries counted as retries if callers began with 0.85 to 1 times the usual
+# deadline.
 MIN_COMMON_DEADLINES: Final = 4
 # A deadline is close to the longest one if it is shorter by at most this, the time that transit
 # takes.
@@ -107,8 +110,9 @@
 
     def estimate(self, route: str, deadline_ms: int, now: float) -> FirstTryEstimate:
         """
-        Estimate from its deadline whether a request is a first try. The deadline is learned as
-        that of a first try if no caller was turned away in the last `RETRIES_POSSIBLE_S`.
+        Estimate from the deadline of a request whether the request is a first try. The deadline
+        is learned as that of a first try if no caller was turned away in the last
+        `RETRIES_POSSIBLE_S`.
 
         """
         deadlines = self._deadlines_of(route)
--- a/packages/millfork-scheduling/millfork_scheduling/fleet_index.py
+++ b/packages/millfork-scheduling/millfork_scheduling/fleet_index.py
@@ -10,9 +10,9 @@
 from millfork_core.ids import ServiceName, ZoneId
 from millfork_scheduling.server import Server
 
-# The number of engines per service from which an entry draws its samples, in its own zone (near)
-# and in all other zones (far). It is limited because the entry keeps a connection to the daemon
-# beside each of these engines.
+# The maximum number of engines per service from which an entry draws its samples, in its own zone
+# (near) and in all other zones (far). The number is limited because the entry keeps a connection to
+# the daemon beside each of these engines.
 NEAR_LIMIT: Final = 32
 FAR_LIMIT: Final = 16
 # With few entries, both limits are raised to this many times the number of engines divided by the
@@ -23,7 +23,7 @@
 
 class FleetIndex:
     """
-    The back ends that hold a lease; rebuilt on every change of the leases.
+    The back ends that hold a lease; the index is rebuilt on every change of the leases.
 
     """
 
--- a/packages/millfork-scheduling/millfork_scheduling/incarnation_status.py
+++ b/packages/millfork-scheduling/millfork_scheduling/incarnation_status.py
@@ -2,7 +2,7 @@
 Whether an incarnation of a back end has ended after one of its answers broke off.
 
 Probing the address isn't enough: a large process that is being torn down accepts connections
-for a second or more after its existing ones are gone, and the next process may take over the
+for a second or more after its open connections are gone, and the next process may take over the
 address unnoticed. Later answers, reports and leases show whether the incarnation lives on.
 
 """
@@ -56,8 +56,8 @@
 
 def _was_active(server: Server, since: float) -> bool:
     """
-    Whether this entry received data that the back end, or the daemon beside a back end with a
-    known incarnation, can only have sent after `since`.
+    Whether this entry received data that can only have been sent after `since`: by the back end,
+    or by the daemon beside it if the back end's incarnation is known.
 
     """
     if any(sent_at > since for sent_at in server.answered.values()):
--- a/packages/millfork-scheduling/millfork_scheduling/limit_share.py
+++ b/packages/millfork-scheduling/millfork_scheduling/limit_share.py
@@ -2,7 +2,7 @@
 One entry's share of the requests per second that a back end accepts from all entries together.
 
 Entries don't coordinate before they send a request, so each keeps to an equal share of the limit
-and sends only while it has a permit. All entries together have to stay near the limit over some
+and sends only while it has a permit. All entries together have to stay near the limit over a few
 seconds, even if they use permits that they saved earlier:
 
 - Few entries: each saves up to one permit, or up to as many as its share gives in a second if
--- a/packages/millfork-scheduling/millfork_scheduling/placement.py
+++ b/packages/millfork-scheduling/millfork_scheduling/placement.py
@@ -42,14 +42,15 @@
 NEAR_SAMPLED: Final = 2
 FAR_SAMPLED: Final = 1
 # Added to the cost of an engine whose version is older than the newest and so ends soon, if the
-# request can't be sent to another back end after this one: about as long as admission lets a
-# request wait.
+# request can't be sent again should the version end before the request has begun. An engine with
+# the newest version is then preferred even if its first token is expected up to about this much
+# later, which is about as long as admission lets a request wait.
 ENDING_VERSION_COST_MS: Final = 300.0
 # A request is sent to an engine whose version ends soon only if the first token is expected at
 # least this long before that end, as a slow link may delay the request.
 VERSION_END_MARGIN_S: Final = 0.5
-# `VERSION_END_MARGIN_S` of an engine without daemon reports: no daemon tells the entry in time that
-# the engine is about to change version.
+# Used instead of `VERSION_END_MARGIN_S` for an engine without daemon reports: no daemon tells the
+# entry in time that the engine is about to change version.
 VERSION_END_MARGIN_WITHOUT_DAEMON_S: Final = 1.2
 
 
@@ -66,16 +67,17 @@
     min_version: int = 0
     newest_version: int = 0
     prompt_tokens: int = 0
-    # Whether the request can't be sent to another back end after this one.
+    # Whether the request can't be sent again if the back end that is chosen now doesn't serve it.
     last_send: bool = False
-    # For each version whose cutoff is still to come: the version, and when requests that were sent
-    # to an older version and have not begun are cancelled (monotonic seconds).
+    # Pairs of a newer version and the time (monotonic seconds) at which requests that were sent to
+    # an engine with an older version, and have not begun there, are cancelled. Past times are left
+    # out.
     cancel_times: tuple[tuple[int, float], ...] = ()
 
     def cancelled_at(self, version: int) -> float:
         """
-        When the request is cancelled if it was sent to `version` and has not begun by then
-        (monotonic seconds); infinity if never.
+        When the request is cancelled if it was sent to an engine with `version` and has not begun
+        by then (monotonic seconds); infinity if no such time is known.
 
         """
         return min((at for newer, at in self.cancel_times if newer > version), default=float('inf'))
@@ -107,8 +109,8 @@
 
     def version(self, layers: int) -> int | None:
         """
-        The version of the weights that the request would run on; None if the choice is no path
-        and the server holds all `layers` of no version.
+        The version of the weights that the request would run on; None if `path` is None and the
+        server holds no version with all `layers`.
 
         """
         return (
@@ -136,8 +138,8 @@
     servers: Iterable[Server], context: SelectionContext, random: Random
 ) -> Choice:
     """
-    Choose the back end of a service without engines by its load; a failure rate, another zone
-    than the entry's and a random addition count as load.
+    Choose the back end with the lowest load, for a service without engines. A failure rate, a
+    zone other than the entry's, and a random addition count as load.
 
     """
     return Choice(min(servers, key=lambda server: _load_cost(server, context, random)))
@@ -160,8 +162,9 @@
 ) -> Choice | None:
     """
     Choose the engine with the lowest cost, which is mainly the expected time to the first token,
-    from a random sample of `servers`. If no sampled engine would begin the request before its
-    version ends, choose from all `servers`; None if none of them would.
+    from a random sample of `servers`. Engines whose version may end before the request has begun
+    are left out. If no engine of the sample remains, choose from all `servers`; None if none of
+    these remains either.
 
     """
     path_by_first = {path.first.instance: path for path in paths}
@@ -173,7 +176,7 @@
         path_by_first=path_by_first,
         context=context,
     )
-    # If all sampled engines are about to change version, all engines are considered.
+    # If the versions of all sampled engines end too soon, all engines are considered.
     return choose_cheapest(
         sample_engines(eligible, context.zone, random), random=random
     ) or choose_cheapest(eligible, random=random)
--- a/packages/millfork-scheduling/millfork_scheduling/quarantine.py
+++ b/packages/millfork-scheduling/millfork_scheduling/quarantine.py
@@ -22,13 +22,14 @@
 from millfork_registry.suspicion_store import Suspicion
 
 # A request is at fault once this many back ends ended one after another while they ran it, and
-# suspected once its answers broke off at this many. A single back end proves nothing, as all
-# requests that ran on it come into question.
+# suspected once its answers broke off at this many. A single back end proves nothing, as any
+# of the requests that ran on it may have been the cause.
 MIN_ENDS_AT_FAULT: Final = 3
-# A suspected request may be sent again as a trial this long after its suspicion last changed. By
-# then most back ends whose answers broke off are known to have ended or to live on.
+# The shortest wait before a suspected request is sent as a trial. The wait starts when the entry
+# notices that the suspicion of the request is new or has changed, and again with each trial. After
+# this time most back ends whose answers broke off are known to have ended or to live on.
 TRIAL_AFTER_S: Final = 2.0
-# Entries spread their trials of a request at random over this time multiplied by the number of
+# Each entry adds a random time to `TRIAL_AFTER_S`, of up to this multiplied by the number of
 # entries, so that most entries learn the outcome of the first trial before their own is due. All
 # entries together make at most two trials of a request a second.
 TRIAL_SPREAD_S: Final = 1.0
@@ -95,7 +96,8 @@
         self.random = random
         self.monotonic = monotonic
         self.entries = entries
-        # By request: its last known suspicion, and when its trial is due (monotonic seconds).
+        # By the fingerprint of a request: its last known suspicion, and when its next trial is due
+        # (monotonic seconds).
         self.due: dict[Fingerprint, tuple[Suspicion, float]] = {}
 
     def start_trial(self, suspicion: Suspicion) -> bool:
--- a/packages/millfork-scheduling/millfork_scheduling/retry_after.py
+++ b/packages/millfork-scheduling/millfork_scheduling/retry_after.py
@@ -20,11 +20,11 @@
 # If the engines are full, the time by which the first token would have been late is added to
 # `MIN_WAIT_MS`, up to this.
 MAX_OVERDUE_WAIT_MS: Final = 600
-# The maximum random addition to these waits. It spreads retries over more than the 0.1 s in which a
-# slot comes free.
+# The maximum random addition to the waits of callers that were refused because all suitable back
+# ends are full or closed. It spreads retries over more than the 0.1 s in which a slot comes free.
 SPREAD_WAIT_MS: Final = 250
 # The wait while no back end can serve a request: engines change their weights within two
-# seconds, and servers are replaced within some seconds. Also the longest wait, before the random
+# seconds, and servers are replaced within a few seconds. Also the longest wait, before the random
 # addition, for back ends that limit requests or are leaving.
 NO_SERVER_WAIT_MS: Final = 1500
 # The longest wait, before the random addition, for back ends that asked for a rest; others may have
@@ -32,8 +32,8 @@
 MAX_REST_MS: Final = 10_000
 # The maximum random addition to `NO_SERVER_WAIT_MS`.
 NO_SERVER_SPREAD_MS: Final = 400
-# Waits after other refusals, by reason, in ms. They are short, as a slot comes free in a fraction
-# of a second.
+# Waits by the reason of a refusal, in ms, for callers whose wait is not determined by full engines,
+# missing back ends or closures. Most are short, as a slot comes free in a fraction of a second.
 AFTER_REFUSAL_MS: Final[dict[Reason, int]] = {
     Reason.NOT_READY: 500,
     Reason.UNREACHABLE: 300,
@@ -45,7 +45,7 @@
     # A quarantined request is refused however long its caller waits.
     Reason.QUARANTINED: 0,
 }
-# The wait after refusals for any other reason.
+# The wait after a refusal for a reason that is not in `AFTER_REFUSAL_MS`, in ms.
 DEFAULT_WAIT_MS: Final = 300
 
 
@@ -82,7 +82,7 @@
 
 def refusal_wait_ms(reason: Reason) -> int:
     """
-    The wait of a caller after a refusal for the given reason, in ms.
+    The wait of a caller after a refusal for the given reason alone, in ms.
 
     """
     return AFTER_REFUSAL_MS.get(reason, DEFAULT_WAIT_MS)
--- a/packages/millfork-scheduling/millfork_scheduling/server.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server.py
@@ -34,7 +34,7 @@
 # The mean lateness halves in this time while no first token arrives.
 LATENESS_HALF_LIFE_S: Final = 0.7
 # Weight of the latest first token in a back end's mean lateness. An entry sees about one a second
-# from each back end, so a slow back end has to be recognised by a single late one.
+# from each back end, so a slow back end has to be recognised by a single late first token.
 SERVER_LATENESS_WEIGHT: Final = 0.5
 # The lateness of one first token (or its earliness) counts as at most this, as a stuck engine says
 # nothing about the other engines of its service.
@@ -48,7 +48,7 @@
 @dataclass(slots=True)
 class Lateness:
     """
-    The mean delay of first tokens against the prediction from the engine spec, in ms.
+    The mean delay of first tokens relative to the prediction from the engine spec, in ms.
 
     The mean decays while no first token arrives. Otherwise a high mean would keep away the
     requests that could show that the delay is over.
@@ -148,10 +148,10 @@
     avoided_until: float = float('-inf')
     # When this entry last received data from the back end.
     last_received_at: float = float('-inf')
-    # By urgency (queue rank at the engine): the latest moment at which a request was sent that the
-    # back end has begun to answer.
+    # By urgency (queue rank at the engine): when the latest of the requests that the back end has
+    # begun to answer was sent.
     answered: dict[int | None, float] = field(default_factory=dict)
-    # The mean delay of first tokens against the prediction from the engine spec.
+    # The mean delay of first tokens relative to the prediction from the engine spec.
     lateness: 'Lateness' = field(default_factory=lambda: Lateness(SERVER_LATENESS_WEIGHT))
     # Versions for which the back end recently refused requests, and until when each refusal counts.
     refused: dict[int, float] = field(default_factory=dict)
@@ -167,8 +167,8 @@
 
     def lacks_daemon_reports(self, now: float) -> bool:
         """
-        Whether this entry, which has known the back end for longer than `DAEMON_SILENT_S`,
-        received no report of its load in that time.
+        Whether this entry received no load report about the back end in the last
+        `DAEMON_SILENT_S`. False if the entry has not known the back end for that long.
 
         """
         return now - max(self.reported_at, self.known_since) > DAEMON_SILENT_S
@@ -300,14 +300,16 @@
 
     def record_answered(self, urgency: int | None, sent_at: float) -> None:
         """
-        Record that the back end began to answer a request of this urgency, sent at `sent_at`.
+        Record that the back end began to answer a request of this urgency that was sent at
+        `sent_at`.
 
         """
         self.answered[urgency] = max(sent_at, self.answered.get(urgency, sent_at))
 
     def answered_since(self, urgency: int | None, moment: float) -> bool:
         """
-        Whether the back end began to answer a request of this urgency sent after `moment`.
+        Whether the back end began to answer a request of this urgency that was sent after
+        `moment`.
 
         """
         return self.answered.get(urgency, float('-inf')) > moment
--- a/packages/millfork-scheduling/millfork_scheduling/server_table.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server_table.py
@@ -77,8 +77,8 @@
 
     def apply_leases(self, leases: Iterable[Lease]) -> list[Server]:
         """
-        Replace all leases by the given ones; returns the back ends that are no longer used: they
-        have no usable lease, or another incarnation holds it now.
+        Replace all leases by the given ones. Returns the back ends that are no longer used: those
+        whose instance has no usable lease, or has one for another incarnation.
 
         """
         usable = {InstanceId(lease.instance): lease for lease in leases if lease.usable}
@@ -118,8 +118,9 @@
             )
             previous = self.index.by_address.get((lease.host, lease.port))
             if previous is not None:
-                # The last report from this address describes the previous engine. Applied to
-                # the new one, it would show weights and load that the new engine doesn't have.
+                # The last report from this address describes the previous engine. If it arrives
+                # again, its known sequence number makes `apply_reports` skip it; applied, it would
+                # show weights and load that the new engine doesn't have.
                 new_server.report_sequence = previous.report_sequence
             self.servers[key] = new_server
             return
@@ -210,9 +211,10 @@
 
     def freest_candidates(self, requirements: Requirements, tried: set[InstanceId]) -> list[Server]:
         """
-        The few engines with the smallest share of occupied slots, among those that this entry
-        uses, that hold all layers and can serve the request now. Empty if `MAX_OCCUPIED_SHARE` of
-        the slots of all these engines are occupied.
+        The few eligible engines with the smallest share of occupied slots. Eligible are engines
+        that this entry uses, that hold all layers and can serve the request now, and that are
+        neither in `tried` nor avoided. Empty if at least `MAX_OCCUPIED_SHARE` of the slots of all
+        eligible engines are occupied, and for a service without engines.
 
         """
         engine = requirements.engine
@@ -282,7 +284,7 @@
     def _paths(self, service: ServiceName, engine: EngineSpec, newest: int) -> list[Path]:
         """
         The current paths of a service: pairs of engines that together hold all layers of version
-        `newest`. They are computed again only once `path_generation` has increased.
+        `newest` or a later one. They are computed again only once `path_generation` has increased.
 
         """
         generation, paths = self.path_cache.get((service, newest), (-1, []))
@@ -382,7 +384,8 @@
 
     def record_sent(self, servers: Iterable[Server]) -> None:
         """
-        Record that a request is sent through the given back ends.
+        Record that a request is sent through the given back ends, which affects their rests and
+        this entry's permits.
 
         """
         for server in servers:
@@ -449,8 +452,8 @@
         self, server: Server, requirements: Requirements, paths: list[Path], now: float
     ) -> bool:
         """
-        Whether the back end belongs to a path of the newest version that meets the
-        requirements and whose engines didn't refuse that version.
+        Whether the back end is in a path whose version is acceptable for the request and was not
+        recently refused by an engine of the path.
 
         """
         for path in paths:
--- a/packages/millfork-scheduling/millfork_scheduling/turned_away.py
+++ b/packages/millfork-scheduling/millfork_scheduling/turned_away.py
@@ -1,6 +1,6 @@
 """
-A record of the requests that were turned away recently, by the fingerprint of their content. By
-this record, entries recognise retries.
+A record of the requests that were turned away recently, by the fingerprint of their content.
+Entries use it to recognise retries.
 
 A caller may retry at another entry than the one that turned it away. A retry has a new request id,
 and on some fleets its deadline doesn't show that the request was turned away before.
--- a/tests/test_first_tries.py
+++ b/tests/test_first_tries.py
@@ -104,16 +104,18 @@
 )
 def test_first_tries_with_different_deadlines_are_not_mistaken_for_retries(min_share, counted):
     """
-    A caller was turned away while two thirds of the slots were free. Its entry had received 14
-    requests of the route. The deadlines of six of them happened to be within 120 ms of the longest
-    one, so callers seemed to begin with one common deadline. The caller's request had a deadline
-    677 ms shorter and counted as a retry without remaining time.
-
-    Any two requests were taken for evidence of a common deadline, however different their deadlines
-    were. So for entries that had just started, and for routes with little traffic, 0.074 of the
-    first 20 first tries counted as retries if callers begin with 0.85 to 1 times the usual
-    deadline, and 0.269 with 0.95 to 1 times. Of the next 40 first tries, 0.012 counted as retries
-    if callers begin with half the usual deadline or more.
+    Guards against first tries that are refused as retries because too few similar deadlines count
+    as evidence that callers begin with one common deadline.
+
+    A caller was turned away in this way while two thirds of the slots were free. The entry had
+    received 14 requests of the route, six of them with deadlines within 120 ms of the longest one
+    by chance. The caller's deadline was 677 ms shorter than the longest one, so its first try
+    counted as a retry without remaining time.
+
+    While any two requests were enough evidence, 0.074 of the first 20 first tries of an entry that
+    had just started, or of a route with little traffic, counted as retries if callers began with
+    0.85 to 1 times the usual deadline, and 0.269 if they began with 0.95 to 1 times. Of the next 40
+    first tries, 0.012 counted as retries if callers began with half the usual deadline or more.
 
     """
     assert share_mistaken_for_retries(min_share, counted) < MAX_MISCLASSIFIED_SHARE
--- a/tests/test_incarnation_status.py
+++ b/tests/test_incarnation_status.py
@@ -63,8 +63,9 @@
 
 def test_a_back_end_lives_if_its_lease_outlasts_the_usual_expiry():
     """
-    An entry that sent a back end no further requests considered the back end ended 7.7 s after an
-    answer broke off, though the back end was still running.
+    Guards against an entry that sends a back end no further requests, and considers the back end
+    ended though it is still running (seen 7.7 s after an answer broke off). A lease that is still
+    held shows that the back end lives.
 
     """
     broken = server(incarnation=0)
--- a/tests/test_load_queries.py
+++ b/tests/test_load_queries.py
@@ -104,11 +104,13 @@
     """
     Without queries, entries chose engines that other entries had filled since the last reports.
     In a fleet of thirteen entries and four engines, at 1.2 times the engines' capacity, 0.52 of
-    first tokens were in time; with a single entry, which knows all choices, 0.69 were. With reports
-    every 0.02 s instead of 0.15 s, 0.66 were in time for the thirteen entries, but still 0.52 if
-    retries are known exactly, so old reports were the cause. Log lines `Request ended` show the
-    same: `first_ms=784 expected_ms=144 left_ms=405 occupied=15`. In 20 s of a fleet of six engines,
-    82 first tokens were late though expected in time, and 55 once entries queried the daemons.
+    first tokens were in time; with a single entry, which knows all choices, 0.69 were.
+
+    Old reports were the cause: the thirteen entries reached 0.66 with reports every 0.02 s instead
+    of 0.15 s, but stayed at 0.52 when retries were known exactly. Log lines `Request ended` showed
+    engines that were fuller than expected: `first_ms=784 expected_ms=144 left_ms=405 occupied=15`.
+    In 20 s of a fleet of six engines, 82 first tokens were late though expected in time; with
+    queries to the daemons, 55 were.
 
     """
     assert curio.run(fleet.choose) == 'i-1'
--- a/tests/test_retry_after_is_kept.py
+++ b/tests/test_retry_after_is_kept.py
@@ -14,7 +14,7 @@
 
 REST_S = 3
 # The number of requests that one entry may still send to the back end, from `TOLERANCE_S` after the
-# first rejection of its own until the rest is over.
+# entry's first rejection until the rest is over.
 MAX_SENDS_PER_ENTRY = 2
 TOLERANCE_S = 0.5
 # The time until each entry has sent a request to the back end and received a rejection.
--- a/tests/test_routing_model.py
+++ b/tests/test_routing_model.py
@@ -91,8 +91,8 @@
 
 def test_in_large_fleets_fresher_load_reports_help():
     """
-    In large fleets, old load reports make first tokens late: with reports every 0.15 s, 0.59 of
-    first tokens were in time, and 0.66 if engines in the entry's zone report every 0.05 s.
+    In large fleets, old load reports make first tokens late: 0.59 of first tokens were in time with
+    reports every 0.15 s, and 0.66 with reports every 0.05 s from the engines in the entry's zone.
 
     """
     requests_per_s = LARGE.capacity * 1.2
