--- a/packages/millforkd/millforkd/proxy/__init__.py
+++ b/packages/millforkd/millforkd/proxy/__init__.py
@@ -1,5 +1,5 @@
 """
-The entry role of a seeded fleet (processes start from a few replica addresses): forwards callers'
-requests directly to back ends.
+The entry (front proxy process) of a seeded fleet, whose processes start from a few replica
+addresses. The entry forwards callers' requests directly to back ends.
 
 """
--- a/packages/millforkd/millforkd/proxy/admission.py
+++ b/packages/millforkd/millforkd/proxy/admission.py
@@ -33,9 +33,9 @@
 # the caller in time.
 MIN_REMAINING_MS: Final = 20
 # For this long after its start, an entry lets requests wait for the first document (the replicated
-# configuration) and the first leases. These arrive after 0.5 s to 0.8 s, the time that replicas
-# that start together need to discover each other. If the requests were refused instead, all callers
-# would retry at the same time, and each caller retries only once.
+# configuration) and the first leases of back ends. Both arrive after 0.5 s to 0.8 s, the time that
+# replicas that start together need to discover each other. If the requests were refused instead,
+# all callers would retry at the same time, and each caller retries only once.
 STARTUP_WAIT_S: Final = 1.0
 # While the entry starts, a request waits for at most this share of its caller's deadline.
 STARTUP_WAIT_SHARE: Final = 0.25
@@ -86,7 +86,8 @@
         counts from that moment, so it includes the time spent in `wait_until_ready`.
 
         :raises Refused: if no document was received, no route matches the request, the route
-            requires a valid key that the request lacks, or less than MIN_REMAINING_MS remains.
+            requires a valid key that the request lacks, or less than MIN_REMAINING_MS remains
+            until the deadline.
 
         """
         table = self.table
@@ -121,9 +122,9 @@
 
     def with_current_versions(self, requirements: Requirements, last_send: bool) -> Requirements:
         """
-        A copy of the requirements with the versions of the weights that the request may be sent to
-        now, as a version may have ended since the request arrived. `last_send` says whether the
-        route allows no further attempt. Without an engine, the requirements stay as they are.
+        A copy of a request's requirements with the versions of the weights that the request may be
+        sent to now, as a version may have ended since the request arrived. `last_send` is set if
+        the route allows no further attempt. Requirements without an engine are returned unchanged.
 
         """
         if requirements.engine is None:
@@ -144,8 +145,9 @@
 
     def depends_on_first_try(self, job: Job, choice: Choice) -> bool:
         """
-        Whether the turned-away directory has to be asked about a job: the deadline doesn't show
-        whether the job is the caller's first try, and the decision to send the job depends on it.
+        Whether the turned-away directory (the requests that entries of this zone refused recently)
+        must be asked about a job: the deadline doesn't show whether the job is its caller's first
+        try, the directory wasn't asked yet, and the decision to send the job depends on the answer.
 
         """
         if job.requirements.engine is None or not job.needs_first_try_lookup:
@@ -163,8 +165,9 @@
 
     def retry_after_ms(self, job: Job, choice: Choice) -> int:
         """
-        0 if a job is worth sending to the chosen back end, otherwise the milliseconds until its
-        caller may retry. The estimate behind the decision is stored in the job.
+        0 if a job is worth sending to the chosen back end, otherwise the milliseconds until the
+        caller may retry. The estimate behind the decision is stored in the job. A job for a service
+        without engines is always worth sending.
 
         """
         if job.requirements.engine is None:
--- a/packages/millforkd/millforkd/proxy/backpressure.py
+++ b/packages/millforkd/millforkd/proxy/backpressure.py
@@ -18,7 +18,7 @@
 class BackpressureRecorder:
     """
     Updates the availability of back ends from the signals in their answers. Logs and counts the
-    changes of signals, also of those that endpoint daemons reported.
+    changes of signals, including changes that endpoint daemons reported.
 
     """
 
@@ -28,8 +28,8 @@
     def record_answer(self, job: Job, server: Server, head: AnswerHead, sent_at: float) -> None:
         """
         Apply the signals in a back end's answer to a job that was sent at `sent_at` (monotonic
-        seconds), and record whether the back end accepted the job or turned it away. A job that was
-        sent to the wrong back end (`misdirected`) counts as neither.
+        seconds), and record whether the back end accepted the job or turned it away. A job that the
+        back end refused as sent to the wrong back end (`misdirected`) counts as neither.
 
         """
         signals = head.backpressure
--- a/packages/millforkd/millforkd/proxy/cache.py
+++ b/packages/millforkd/millforkd/proxy/cache.py
@@ -41,15 +41,16 @@
 # The maximum number of pieces of one version that are prefetched at the same time.
 MAX_CONCURRENT_PREFETCHES: Final = 2
 # If a requested piece hasn't arrived after this time, the cache answers with a reason instead of
-# the piece. A daemon considers a cache silent after a second, another cache after PEER_TIMEOUT_S.
+# the piece. The daemon that requested the piece would consider the cache silent after a second, and
+# another cache that requested it would do so after PEER_TIMEOUT_S.
 ANSWER_WITHIN_S: Final = 0.5
-# The timeout of requests to other caches: these answer within ANSWER_WITHIN_S, and the latency
-# between zones is below 0.1 s.
+# The timeout of requests to other caches: other caches answer within ANSWER_WITHIN_S, and the
+# latency between zones is below 0.1 s.
 PEER_TIMEOUT_S: Final = 0.8
 # The maximum number of attempts to fetch a piece from the origin: a piece that arrives corrupt, or
 # doesn't arrive, is fetched once more.
 MAX_ORIGIN_ATTEMPTS: Final = 2
-# The pause after a prefetch round that fetched nothing.
+# The pause in prefetching a version after all missing pieces were tried and no piece arrived.
 RETRY_S: Final = 0.2
 # Prefetching of a version stops if no piece of the version was requested for this long. A daemon
 # that needs a piece receives an answer within 0.5 s, and repeats its request 0.2 s after the
@@ -59,15 +60,16 @@
 NOT_YET: Final = 'not yet'
 ORIGIN_FAILS: Final = 'the origin does not answer'
 ORIGIN_BUSY: Final = 'the origin sends other pieces first'
-# The origin, not the fetcher, counts as the bottleneck if the fetcher received at least this share
-# of an equal part of the origin's rate (the rate divided by the number of fetchers) within
-# RATE_WINDOW_S. A fetcher on a slowed instance receives less.
+# The origin, not the fetcher, counts as the bottleneck if the fetcher received data within
+# RATE_WINDOW_S at no less than this share of its part of the origin's rate (the rate divided by the
+# maximum number of fetchers). A fetcher on a slowed instance receives less.
 MIN_RATE_SHARE: Final = 0.25
 # The period over which the rate of data from the origin is measured.
 RATE_WINDOW_S: Final = 1.0
-# After this many 'not yet' answers for a piece (half a second each) the fetcher of the piece counts
-# as too slow, and this cache fetches the piece from the origin. A fetcher on a slowed instance
-# needs five times as long as others. A second fetch any earlier would only slow down the origin.
+# After this many 'not yet' answers for a piece (each after half a second) the fetcher of the piece
+# counts as too slow, and this cache fetches the piece from the origin. A fetcher on a slowed
+# instance needs five times as long as others. A second fetch any earlier would only slow down the
+# origin.
 MAX_NOT_YET_ANSWERS: Final = 6
 
 log = logger(Component.WEIGHTS)
@@ -109,7 +111,7 @@
     async def on_get_manifest(self, message: GetManifest) -> Manifest:
         """
         Answer a daemon or another cache that requests the digests of a version (the hashes of its
-        pieces).
+        pieces); with a reason instead if the digests don't arrive in time.
 
         """
         weights = _parse_weights_id(message.digest)
@@ -121,8 +123,9 @@
 
     async def on_get_chunk(self, message: GetChunk) -> Chunk:
         """
-        Answer a daemon or another cache that requests a piece, and start prefetching the other
-        pieces of the version. A fetch that isn't complete in time continues, for later requests.
+        Answer a daemon or another cache that requests a piece, and start prefetching the version
+        unless its prefetching is running or complete. If the piece doesn't arrive in time, the
+        answer gives a reason instead, and the fetch continues for later requests.
 
         """
         deadline = self._answer_deadline()
@@ -151,9 +154,10 @@
     def _is_limited_by_origin(self) -> bool:
         """
         Whether the bottleneck is the origin rather than this fetcher. If so, other caches must not
-        fetch the same pieces from the origin as well. When other caches did, the origin sent 4.6
-        copies of the weights instead of two, and the first engine had all pieces only 12.8 s after
-        the origin's outage, although the origin sends one copy in 4.4 s.
+        fetch the same pieces from the origin as well. When other caches did so, the origin sent
+        4.6 copies of the weights instead of two, and the first engine had all pieces only 12.8 s
+        after the origin's outage, although the origin sends one copy in 4.4 s. False if the
+        configuration sets no rate for the origin.
 
         """
         spec = self.origin.current_spec()
@@ -194,8 +198,9 @@
         self, weights: WeightsId, index: int, from_origin: bool, deadline: float
     ) -> None:
         """
-        Fetch a piece if this cache lacks it and isn't fetching it already; if `from_origin` is set,
-        only from the origin. Returns by `deadline`, even if the piece hasn't arrived.
+        Fetch a piece that this cache lacks, or wait for the fetch of the piece that is in progress.
+        If `from_origin` is set, a new fetch uses only the origin. Returns once the fetch ends, at
+        the latest at `deadline`. Does nothing if the version has no piece with this index.
 
         """
         held = self.store.get_or_create(weights)
@@ -291,8 +296,8 @@
 
     def _fetcher_of(self, weights: WeightsId, index: int) -> str:
         """
-        The instance of the cache that is to fetch a piece from the origin. Caches that were silent
-        recently are left out; if none remain, this cache is the fetcher.
+        The instance of the cache that is to fetch a piece, or the digests, from the origin. Caches
+        that were silent recently are left out; if none remain, this cache is the fetcher.
 
         """
         answering = [cache for cache in self.caches() if not self.silent.is_silent(cache.instance)]
@@ -327,9 +332,9 @@
 
     async def _prefetch(self, weights: WeightsId) -> None:
         """
-        Fetch the pieces that daemons will request from this cache. Ends once the cache holds these
-        pieces, newer versions have replaced the version, or no piece of the version was requested
-        for IDLE_S.
+        Fetch the pieces of a version that the zone's daemons request from this cache first. Ends
+        once the cache holds these pieces, newer versions have replaced the version in the cache, or
+        no piece of the version was requested for IDLE_S.
 
         """
         zone_caches = [cache.instance for cache in self.caches() if cache.zone == self.env.zone]
@@ -376,8 +381,8 @@
 def prefetch_order(piece_count: int) -> list[int]:
     """
     The indexes of all pieces, alternating between the two halves of the layers. An engine without
-    weights fetches one half first; with this order, engines of both halves are served at the
-    same time.
+    weights fetches one half first; with this order, engines that fetch different halves are served
+    at the same time.
 
     """
     half = -(-piece_count // 2)
--- a/packages/millforkd/millforkd/proxy/connections.py
+++ b/packages/millforkd/millforkd/proxy/connections.py
@@ -38,7 +38,8 @@
 
 class SendFailed(Exception):
     """
-    No complete answer was received. `reason` says why, `verdict` whether the request may have run.
+    An attempt to get an answer from a back end failed. `reason` says why, `verdict` whether the
+    back end has run the request or may have run it.
 
     """
 
@@ -93,7 +94,7 @@
 
     async def read_head(self) -> None:
         """
-        Read the head of the answer.
+        Read the head of the answer into `status` and `headers`.
 
         :raises SendFailed: if no valid answer arrives; with verdict MAY_HAVE_RUN.
 
@@ -237,9 +238,10 @@
 
     async def release(self, connection: ServerConnection, keep_alive_s: float | None) -> None:
         """
-        Keep a connection for the next request, or close it if it can't be reused. If the connection
-        was lost, all idle connections are closed, as they may be lost for the same reason.
-        `keep_alive_s` is the keep-alive time that the back end announced (None: it announced none).
+        Keep a connection for the next request, or close it if it can't be reused or the pool is
+        closed. If the connection was lost, all idle connections of the pool are closed as well, as
+        they may be lost for the same reason. `keep_alive_s` is the keep-alive time that the back
+        end announced (None: it announced none).
 
         """
         if self.is_closed or not connection.reusable:
@@ -254,7 +256,7 @@
 
     async def close(self, connection: ServerConnection) -> None:
         """
-        Close a connection; reset it unless an answer was received completely on it.
+        Close a connection; reset the connection unless its last answer was received completely.
 
         """
         self.open_count -= 1
--- a/packages/millforkd/millforkd/proxy/daemon.py
+++ b/packages/millforkd/millforkd/proxy/daemon.py
@@ -52,8 +52,8 @@
 STOP_MARGIN_S: Final = 0.5
 DRAIN_POLL_S: Final = 0.05
 HOUSEKEEPING_INTERVAL_S: Final = 0.5
-# The timeout for passing the report of an endpoint daemon on to a replica. The daemon's next report
-# follows 0.15 s after the last one.
+# The timeout for passing the report of an endpoint daemon on to a replica. A lost report
+# is followed by the daemon's next one: endpoint daemons report every 0.15 s.
 REPORT_TIMEOUT_S: Final = 0.3
 # The number of entries that is assumed until a replica has reported it: that of a large fleet.
 DEFAULT_ENTRY_COUNT: Final = 380
@@ -143,7 +143,7 @@
     def peak_entries(self) -> int:
         """
         The highest recent number of entries in the fleet. Until a replica has reported it,
-        DEFAULT_ENTRY_COUNT is assumed: if a low number was assumed, this entry would use up limits
+        DEFAULT_ENTRY_COUNT is assumed: if a low number were assumed, this entry would use up limits
         that all entries share.
 
         """
--- a/packages/millforkd/millforkd/proxy/end_detection.py
+++ b/packages/millforkd/millforkd/proxy/end_detection.py
@@ -71,8 +71,8 @@
 
 class EndDetector:
     """
-    Runs one watch (repeated probes) for each back end at which answers broke off or callers left,
-    and updates the suspicions of these requests by the results.
+    Runs one watch (repeated probes) for each back end at which requests were interrupted, and
+    updates the suspicions of these requests from the results.
 
     """
 
@@ -95,9 +95,9 @@
         had not answered. `before` is the suspicion of the request when it was sent to the back end.
 
         If the back end ends now, no answer breaks off to show that. So the back end is watched,
-        but only if the caller of a request with this fingerprint also left at most
-        CALLER_LEFT_MEMORY_S ago. If that caller left less than CALLER_LEFT_WATCH_S ago, the back
-        end of that earlier request is watched as well.
+        but only if an earlier caller of a request with this fingerprint left within the last
+        CALLER_LEFT_MEMORY_S. If that caller left less than CALLER_LEFT_WATCH_S ago, the back end
+        of that earlier request is watched as well.
 
         """
         now = self.env.monotonic()
@@ -129,7 +129,7 @@
         """
         Add an interrupted request to the watch of the back end; starts a watch if there is none.
         If the watch already holds a request with this fingerprint, the newer of the two suspicions
-        is kept.
+        is kept, and `caller_left` is set only if it is set for both requests.
 
         """
         key = incarnation_key(server)
--- a/packages/millforkd/millforkd/proxy/event_stream.py
+++ b/packages/millforkd/millforkd/proxy/event_stream.py
@@ -32,7 +32,7 @@
 
     def feed(self, data: bytes) -> bytes:
         """
-        Add received bytes; return the bytes of the events that these bytes complete.
+        Add received bytes; return the bytes of all events that are now complete (empty if none).
 
         :raises InvalidEventStream: if more than MAX_EVENT_BYTES arrived without an end of an event.
 
--- a/packages/millforkd/millforkd/proxy/fingerprints.py
+++ b/packages/millforkd/millforkd/proxy/fingerprints.py
@@ -1,5 +1,5 @@
 """
-Computes the fingerprints of requests in seeded fleets: keyed hashes that identify their content.
+Computes the fingerprints of requests in seeded fleets: keyed hashes of the caller and the content.
 
 """
 
@@ -13,7 +13,8 @@
 
 class Fingerprints:
     """
-    Computes fingerprints with the key of a fleet; all entries of a cluster compute the same ones.
+    Computes fingerprints with the key of a fleet. All entries of a cluster compute the same
+    fingerprint for a request.
 
     """
 
--- a/packages/millforkd/millforkd/proxy/forwarding.py
+++ b/packages/millforkd/millforkd/proxy/forwarding.py
@@ -152,8 +152,9 @@
 
     async def _record_turned_away(self, job: Job) -> None:
         """
-        Record that the caller of a job was turned away, so that a retry is recognised: by its
-        shorter deadline, and for services with engines by the turned-away directory.
+        Record that a job was not served, so that its caller's retry is recognised: by the shorter
+        deadline of the retry, and for services with engines by the turned-away directory (shared by
+        the entries of a zone).
 
         """
         self.admission.first_tries.record_turned_away(self.env.monotonic())
@@ -162,8 +163,9 @@
 
     async def _send_until_answered(self, job: Job) -> Refusal | None:
         """
-        Send a job to one back end after another until the caller has received an answer. Returns
-        the refusal if no back end serves the job, otherwise None.
+        Send a job to one back end after another until the caller has received an answer; returns
+        None then. Returns a refusal once the job may not be sent (again), or no back end can serve
+        the job now.
 
         """
         budget_spent = False
@@ -257,8 +259,9 @@
 
     async def _look_up_first_try(self, job: Job, choice: Choice) -> None:
         """
-        Ask the turned-away directory for the time since the caller's first try, and store the time
-        in the job; only if the admission of the job depends on it.
+        If the admission of a job depends on whether the job is its caller's first try, ask the
+        turned-away directory (the requests that entries of this zone refused recently) for the time
+        since the first try, and store that time in the job.
 
         """
         if not self.admission.depends_on_first_try(job, choice):
@@ -294,7 +297,7 @@
         """
         The refusal of a job that no back end can serve now. If back ends closed themselves by
         backpressure signals and the request has certainly not run, the caller is told to wait until
-        the first of these back ends opens.
+        the first of these back ends opens; that wait has a maximum.
 
         """
         closure = self.server_table.first_to_open(job.requirements)
--- a/packages/millforkd/millforkd/proxy/job.py
+++ b/packages/millforkd/millforkd/proxy/job.py
@@ -15,7 +15,7 @@
 from millfork_scheduling.server import Server
 from millfork_web.server import Exchange
 
-# The urgency (queue rank at an engine; 0 is served first) for a route with the usual priority.
+# The urgency (queue rank at an engine; 0 is served first) of a request with the usual priority.
 USUAL_URGENCY: Final = 5
 # The priority of a route or organisation that maps to USUAL_URGENCY.
 USUAL_PRIORITY: Final = 1
@@ -27,7 +27,8 @@
 class Attempt:
     """
     One attempt to serve a job at a back end. While in progress, the attempt is counted in
-    `Server.own_requests`; until the first token arrives, in `Server.own_unread` as well.
+    `Server.own_requests`; until the first token arrives, in `Server.own_awaiting_first_token` as
+    well.
 
     """
 
@@ -105,7 +106,7 @@
     # no earlier one is known.
     elapsed_ms: int = 0
     # Set if the caller's deadline doesn't show whether this is the first try, and the turned-away
-    # directory wasn't asked yet.
+    # directory (the requests that entries of the zone refused recently) wasn't asked yet.
     needs_first_try_lookup: bool = False
     # The expected start at an engine, as of the last decision on whether to send the job.
     start_estimate: StartEstimate = NO_START_ESTIMATE
@@ -114,8 +115,8 @@
     failures: list[FailedAttempt] = field(default_factory=list)
     # The version of the weights that the last attempt requested (0: none).
     sent_version: int = 0
-    # The time from the last send to an engine until requests that still wait for that version are
-    # cancelled, in ms; infinity if no newer version was known.
+    # The time in ms from the last send to an engine until requests for `sent_version` that have not
+    # begun are cancelled; infinity if no newer version was known.
     version_remaining_ms: float = float('inf')
     held_answer: HeldAnswer | None = None
     # The status of the back end's answer that was passed on; 0 if there was none.
--- a/packages/millforkd/millforkd/proxy/load_queries.py
+++ b/packages/millforkd/millforkd/proxy/load_queries.py
@@ -46,8 +46,9 @@
     async def refresh(self, servers: list[Server]) -> None:
         """
         If the choice among these engines may depend on their current loads, query the loads and
-        update `servers` by the answers. Daemons without an open connection are not queried. Returns
-        once all queries have ended, or after MAX_WAIT_S.
+        update `servers` by the answers. Daemons to which no connection is open, and daemons that
+        were silent recently, are not queried. Returns once all queries have ended, at the latest
+        after MAX_WAIT_S.
 
         """
         if not needs_fresh_loads(servers, self.env.monotonic(), self.server_table.entries()):
--- a/packages/millforkd/millforkd/proxy/peer_queries.py
+++ b/packages/millforkd/millforkd/proxy/peer_queries.py
@@ -4,7 +4,7 @@
 The waits are short: a query doesn't wait for a new connection, an answer is awaited only for
 milliseconds, and a peer that didn't answer is not queried for a while. If a query times out on a
 connection that has received nothing for long, the connection is closed: the connection may be dead
-although no reset arrived, and a new one may work.
+although no reset arrived, and a new connection may work.
 
 """
 
--- a/packages/millforkd/millforkd/proxy/request_sender.py
+++ b/packages/millforkd/millforkd/proxy/request_sender.py
@@ -77,7 +77,8 @@
 
     async def send(self, job: Job, choice: Choice) -> FailedAttempt | None:
         """
-        Make one attempt. Returns the failed attempt, or None if the caller has received an answer.
+        Make one attempt to serve a job at the chosen back end. Returns the failed attempt, or None
+        if the caller has received an answer.
 
         """
         server = choice.server
@@ -115,8 +116,8 @@
         self, job: Job, choice: Choice, reason: Reason, verdict: Verdict, detail: str
     ) -> FailedAttempt:
         """
-        Record a failed attempt in the job and, if a back end or the connection to it may have
-        failed, at the back ends.
+        Record a failed attempt in the job and, for each of its back ends that may have failed or
+        lost the connection, in the `Server` of the back end.
 
         """
         now = self.env.monotonic()
--- a/packages/millforkd/millforkd/proxy/response_monitor.py
+++ b/packages/millforkd/millforkd/proxy/response_monitor.py
@@ -15,13 +15,13 @@
 
 # The interval at which requests that wait for the heads of their answers are checked.
 HEAD_POLL_S: Final = 0.25
-# A back end that sends this entry nothing for this long is considered lost: a loaded one sends
-# data many times within this period.
+# A back end that sends this entry nothing for this long is considered lost: a back end under load
+# sends data many times within this period.
 SILENT_SERVER_S: Final = 1.2
 # If a back end answers a request that was sent this much later than a waiting request of the same
 # urgency (queue rank), the back end has skipped the waiting request, or the connection of the
-# waiting request is dead: requests of one urgency start in order, and reading the longest prompt
-# takes 0.2 s.
+# waiting request is dead: requests of one urgency start in order of arrival, and reading the
+# longest prompt takes 0.2 s.
 REORDER_THRESHOLD_S: Final = 0.3
 
 
--- a/packages/millforkd/millforkd/proxy/response_relay.py
+++ b/packages/millforkd/millforkd/proxy/response_relay.py
@@ -83,7 +83,7 @@
     async def stream(self, job: Job, attempt: Attempt, connection: ServerConnection) -> None:
         """
         Pass the complete events of a stream on as they arrive. If the caller has received events
-        from another back end before, the stream must continue after the last of those.
+        from another back end before, the stream must continue with the event after the last one.
 
         :raises SendFailed: if the stream stalls, breaks off, is malformed or continues with
             another event.
@@ -140,8 +140,8 @@
 
 def _check_resumed(job: Job, splitter: EventSplitter) -> None:
     """
-    Check that a resumed stream continues with the event after the last one passed on. If that event
-    had no id, nothing is checked.
+    Check that a resumed stream continues with the event after the last one passed on. Nothing is
+    checked if no event with an id was passed on.
 
     :raises SendFailed: if the stream continues with another event.
 
--- a/packages/millforkd/millforkd/proxy/suspicion_reporter.py
+++ b/packages/millforkd/millforkd/proxy/suspicion_reporter.py
@@ -17,7 +17,8 @@
 from millfork_wire.messages import Done, SuspicionReport
 from millfork_wire.peers import Peers
 
-# The timeout of a suspicion report. Like a load report, it may have to cross two regions.
+# The timeout of a suspicion report. Like a daemon's load report, a suspicion report may have to
+# cross two regions.
 REPORT_TIMEOUT_S: Final = 0.3
 # The pause before a report that wasn't accepted is sent again.
 RETRY_S: Final = 0.15
@@ -45,7 +46,8 @@
 
     async def run(self) -> None:
         """
-        The task that sends reports, each one again until it is accepted.
+        The task that reports unsent suspicions. If a report isn't accepted, all suspicions that are
+        then unsent are reported after RETRY_S.
 
         """
         while True:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -64,7 +64,7 @@
         (True, 100, 14, True),
         # The deadline of the request already shows whether the request is a first try.
         (False, 100, 14, False),
-        # The answer changes nothing: one request is sent in any case, the other is refused.
+        # The answer changes nothing: the first request is sent in any case, the second is refused.
         (True, 100, 3, False),
         (True, 5000, 14, False),
     ],
--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -315,9 +315,9 @@
     Guards against all entries fetching the same piece from a busy origin. Two versions were
     requested from an origin that sends one version in 4.4 s. For 3 s the assigned caches answered
     'not yet' to requests for a piece of the second version. Then all entries fetched that piece
-    as well: requests of six of nine entries timed out after 1.0 s, all in a period of 0.3 s, the
-    origin sent 4.6 copies, and the first engine had the whole version 12.8 s after the origin was
-    back.
+    from the origin as well: the fetches of six of nine entries timed out after 1.0 s, all within
+    0.3 s, the origin sent 4.6 copies of the weights, and the first engine had the whole version
+    12.8 s after the origin was back.
 
     """
     monkeypatch.setattr(caching, 'ANSWER_WITHIN_S', 0.02)
@@ -325,7 +325,8 @@
     async def run():
         cache, assigned = cache_and_assigned_cache()
         original_fetch = assigned.origin.fetch_piece
-        # Two assigned caches share the origin's rate: four pieces of eight bytes a second each.
+        # Each of up to two assigned caches counts on half of the origin's rate, which is four
+        # pieces of eight bytes a second.
         assigned.origin.bytes_per_s = cache.origin.bytes_per_s = 64.0
 
         async def fetch_piece(held, index):
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -131,8 +131,8 @@
 
 def test_ends_are_remembered_when_all_replicas_restart(fleet):
     """
-    All replicas lose what they hold in memory, and so does one of two entries. The other entry
-    still knows of the crashes, and afterwards both entries must count them.
+    All replicas and one of the two entries lose what they hold in memory. The other entry still
+    knows of the crashes; after the restart both entries must count these crashes.
 
     """
     assert fleet.send_request(crashing_request()).status in (502, 503)
@@ -153,7 +153,8 @@
 
 def has_received_suspicions(fleet, known):
     """
-    Whether the restarted entry has received a suspicion with the `known` number of ends.
+    Whether the restarted entry has received a suspicion (the record of the back ends that ended
+    while they ran a request) that counts `known` ends.
 
     """
     received = re.findall(r'Suspicions received.* most_ends=(\d+)', fleet.log(fleet.entry_hosts[1]))
--- a/tests/test_ends_after_their_callers_left.py
+++ b/tests/test_ends_after_their_callers_left.py
@@ -1,9 +1,9 @@
 """
 A request that crashes the back ends that run it, and whose callers leave before the crash.
 
-Guards against counting a crash only if it interrupts an answer to a caller: callers that left after
-0.1 s and retried a request that crashes its back end after 0.2 s then crashed one back end with
-each call.
+Guards against counting a crash only if the crash breaks off an answer to a waiting caller. Callers
+that leave after 0.1 s and retry a request that crashes its back end after 0.2 s would then crash
+one back end with each call.
 """
 
 import itertools
@@ -72,7 +72,8 @@
 @pytest.mark.parametrize('busy', [False, True])
 def test_ends_are_counted_after_their_callers_left(fleet, busy):
     """
-    Busy back ends answer other requests between the time the caller leaves and their crash.
+    If `busy` is set, the back ends answer other requests between the moment when the caller leaves
+    and the crash.
 
     """
     stop_event = threading.Event()
--- a/tests/test_ends_of_silent_back_ends.py
+++ b/tests/test_ends_of_silent_back_ends.py
@@ -1,12 +1,12 @@
 """
 Back ends whose instances lose power while they run a request.
 
-An instance without power closes no connections, and its address is silent. Guards against probing
-back ends only when an answer breaks off and counting only a refused connection as an end: requests
-that ended one back end after another by a loss of power were then never suspected. A network
-partition looks like a loss of power at first. After a partition the back end answers again; after a
-loss of power the address refuses connections once the instance is back, or the back end returns as
-another incarnation.
+An instance without power closes no connections, and its address is silent. Guards against an entry
+that probes a back end only at the moment when an answer breaks off, and counts only a refused
+connection as an end: such an entry never suspects a request whose back ends lose power one after
+another. A network partition looks like a loss of power at first. After a partition the back end
+answers again; after a loss of power the address refuses connections once the instance is back, or
+the back end returns as another incarnation (process life).
 
 """
 
@@ -32,8 +32,8 @@
 
 def count_ends(probe_results, before_last_probe=None):
     """
-    The number of ends of back ends that are counted for a request whose answer broke off at a back
-    end. Probes of the back end's address have the given results in turn; the last result repeats.
+    How many back ends count as ended while running a request whose answer broke off at a back end.
+    Probes of that back end's address have the given results in turn; the last result repeats.
     `before_last_probe` is called before each probe that has the last result.
 
     """
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -202,9 +202,10 @@
 
 def test_nothing_is_sent_to_a_version_that_ends_while_connecting():
     """
-    Guards against sending a request within the last 0.9 s of a version because opening the
-    connection took up to 0.4 s: that time is reserved for requests already on their way. As
-    nothing was sent to the first engine, sending to the next engine doesn't count as a retry.
+    Guards against sending a request in the last 0.9 s of a version, which are reserved for requests
+    already on their way: opening a connection takes up to 0.4 s, so a version that was usable when
+    the engine was chosen may no longer be. As nothing was sent to the first engine, sending to the
+    next engine doesn't count as a retry.
 
     """
     scenario = EndingVersion(1, 2)
--- a/tests/test_late_closing_back_ends.py
+++ b/tests/test_late_closing_back_ends.py
@@ -3,8 +3,8 @@
 the connections, as happens while the kernel tears down a large process.
 
 Guards against an entry that probes the address twice within about 20 ms, takes an accepted
-connection as proof that the back end is alive, and doesn't probe again. No crash was then counted,
-and the request was sent to further back ends.
+connection as proof that the back end is alive, and doesn't probe again. Such an entry counts no
+crash and sends the request to further back ends.
 """
 
 import pytest
@@ -55,7 +55,7 @@
 def test_broken_off_answers_of_living_back_ends_do_not_count_as_ends(fleet):
     """
     The answers to one request break off at all back ends, in consecutive calls, while the back
-    ends answer other requests. Once they answer this request as well, it is served.
+    ends answer other requests. Once the back ends answer this request as well, callers are served.
 
     """
     innocent = request('/safe/x', 'POST', body=b'innocent')
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -241,8 +241,8 @@
 
 def ends_after_broken_answer(port):
     """
-    The number of ends of back ends that are counted for a request whose answer broke off at a back
-    end with this port.
+    How many back ends count as ended while running a request whose answer broke off at a back end
+    with this port.
 
     """
 
--- a/tests/test_requests_that_crash_instances.py
+++ b/tests/test_requests_that_crash_instances.py
@@ -33,7 +33,8 @@
 
 def running_instance(crashing, nonce):
     """
-    The instance whose engine started a request and has logged nothing since; None if there is none.
+    The instance whose engine started the request with this nonce and has logged nothing since; None
+    if there is none.
 
     """
     for instance in crashing.fleet.engines:
@@ -45,7 +46,7 @@
 
 def call_and_kill_instance(crashing, number):
     """
-    Send one call and kill the instance that runs it. Returns whether an instance ran it.
+    Send one call and kill the instance that runs the call. Returns whether there was one.
 
     """
     nonce = 'takes all'
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -1,5 +1,6 @@
 """
-Pieces of weights: which daemons fetch a piece, and which are asked for it; digests, transfer times.
+Pieces of weights: which daemons fetch a piece from the origin, which daemons are asked for a piece,
+which layers each engine is assigned, digests of pieces, and transfer times.
 
 """
 
