--- a/packages/millfork-registry/millfork_registry/__init__.py
+++ b/packages/millfork-registry/millfork_registry/__init__.py
@@ -1,4 +1,5 @@
 """
-Leases of back ends, reports of endpoint daemons, and their distribution to all daemons.
+The leases of back ends and the reports of endpoint daemons, and the feed that sends both to all
+daemons.
 
 """
--- a/packages/millfork-registry/millfork_registry/caches.py
+++ b/packages/millfork-registry/millfork_registry/caches.py
@@ -13,8 +13,8 @@
 from millfork_wire.messages import CacheAddress
 
 # The greatest number of caches of a daemon's own zone that a replica advertises to the daemon. In a
-# grown fleet, the links of four entries (20 Mbit/s each) serve the 12 engines of a zone at 3.65
-# Mbit/s each, and leave two thirds of each link for callers.
+# zone with 12 engines, the links of four entries (20 Mbit/s each) serve the engines at 3.65 Mbit/s
+# each, and leave two thirds of each link for callers.
 MAX_ADVERTISED_IN_ZONE: Final = 4
 # The greatest number of caches of each other zone that a replica advertises to a daemon. Of those
 # zones, only the caches that download from the origin (the weight store) matter.
@@ -23,8 +23,9 @@
 
 def advertised_caches(caches: Iterable[CacheAddress], zone: str | None) -> list[CacheAddress]:
     """
-    Return the caches to advertise to a daemon in `zone`, in order of rank within each zone. If
-    `zone` is None, the limit for a daemon's own zone applies to every zone.
+    Return the caches to advertise to a daemon in `zone`, ordered within each zone by their rank (a
+    hash of the zone and the instance id). If `zone` is None, the limit for a daemon's own zone
+    applies to every zone.
 
     """
     found = _best_first_by_zone(caches)
--- a/packages/millfork-registry/millfork_registry/discovery.py
+++ b/packages/millfork-registry/millfork_registry/discovery.py
@@ -2,7 +2,7 @@
 Discovery of the replicas by a process that has no list of them.
 
 The process asks its seeds, which are a few replica addresses in its settings. Each replica that
-answers lists the other replicas that it knows. A seed may be wrong, slow or gone.
+answers lists the replicas that it knows. A seed may be wrong, slow or gone.
 
 """
 
@@ -19,8 +19,8 @@
 
 # Timeout of one query to a replica.
 QUERY_TIMEOUT_S: Final = 0.6
-# A replica that has not answered this process for longer than this is removed from the known ones,
-# as it may have been replaced. Seeds are never removed.
+# A replica that fails to answer, and last answered longer ago than this, is removed from the known
+# replicas, as it may have been replaced. Seeds are never removed.
 UNANSWERED_RETENTION_S: Final = 30.0
 
 log = logger(Component.REGISTRY)
@@ -99,7 +99,7 @@
         """
         Return the known replicas, the preferred ones first. Replicas known to be in this
         process's zone come before all others, because traffic between zones costs money. Within
-        both groups, the order differs from process to process, which distributes the load.
+        each group, the order differs from process to process, which distributes the load.
 
         """
         own = str(self.env.instance)
--- a/packages/millfork-registry/millfork_registry/feed_client.py
+++ b/packages/millfork-registry/millfork_registry/feed_client.py
@@ -92,7 +92,7 @@
         # Whether any replica has reported the number of entries.
         self.entries_known = False
         # The follower that relays the feed while no replica can be reached, and the follower
-        # that was last asked to relay it.
+        # that was last asked to relay the feed; empty if there is none.
         self.relay = ''
         self.pending_relay = ''
         self.version_cutoffs = VersionCutoffs()
@@ -210,8 +210,8 @@
     async def _watch_source(self, address: PeerAddress) -> None:
         """
         Check the followed replica, and return once this process has left it. This process leaves
-        a replica that is silent or disconnected, a stale one while another replica is fresher,
-        and one in another zone while a replica of this process's zone answers that isn't stale.
+        a replica that is silent or disconnected, a stale replica if another one is fresher, and
+        a replica in another zone if one in this process's zone answers and isn't stale.
 
         """
         nearer_checked_at = self.env.monotonic()
@@ -274,7 +274,9 @@
 
     async def handle_feed_message(self, peer: InstanceId, message: Message) -> bool:
         """
-        Apply a message of the feed and return True; return False for any other message.
+        Apply a message of the feed and return True; return False for any other message. Updates
+        of the configuration are ignored unless they come from the followed replica or from the
+        follower that was last asked to relay the feed.
 
         """
         if isinstance(message, Update):
--- a/packages/millfork-registry/millfork_registry/feed_relay.py
+++ b/packages/millfork-registry/millfork_registry/feed_relay.py
@@ -2,11 +2,11 @@
 Relaying of the feed (the stream of updates from a replica to its followers) by another follower,
 to a process that is cut off from all replicas.
 
-Without a relay, an entry that is cut off chooses engines by loads that are seconds old: when
-four of nine entries were cut off, half of all first tokens were late despite spare capacity.
-Followers of the same zone are asked first; within a zone, entries come before endpoint daemons,
-whose links have little bandwidth. Only a follower connected to a replica relays, so relays form
-no cycles.
+Without a relay, an entry (front proxy) that is cut off chooses engines by loads that are seconds
+old: when four of nine entries were cut off, half of all first tokens were late despite spare
+capacity. Followers of the same zone are asked first; within a zone, entries come before endpoint
+daemons, whose links have little bandwidth. Only a follower connected to a replica relays, so relays
+form no cycles.
 
 """
 
@@ -122,7 +122,8 @@
     def _candidates(self) -> list[str]:
         """
         Return the followers to ask: the present relay, then followers of this process's zone,
-        then those of other zones. In both groups, entries come before endpoint daemons.
+        then those of other zones. Entries come before endpoint daemons, both within this zone and
+        among the followers of other zones; apart from that, the order is random.
 
         """
         own = str(self.env.instance)
--- a/packages/millfork-registry/millfork_registry/followers.py
+++ b/packages/millfork-registry/millfork_registry/followers.py
@@ -3,7 +3,8 @@
 replica's followers.
 
 One task serves each follower. Changes within `BATCH_DELAY_S` are sent together. While nothing
-changes, a follower gets heartbeats with the age of the replica's configuration.
+changes, each follower gets heartbeats; those to followers that aren't replicas carry the age of
+this replica's configuration.
 
 """
 
@@ -23,8 +24,8 @@
 from millfork_wire.messages import CacheAddress, Follow, Leases
 
 # The longest pause between two messages of a feed. A follower that gets no message for several of
-# these periods follows another replica. Entries (front proxies) also receive the engines' load this
-# often.
+# these periods follows another replica. Entries (front proxies) also receive the engines' load at
+# least this often.
 HEARTBEAT_S: Final = 0.15
 # After a change, a feed waits this long, so that further changes are sent in the same message.
 BATCH_DELAY_S: Final = 0.02
@@ -36,8 +37,9 @@
 
 class Follower:
     """
-    One process that follows this replica, and the versions of the registry's tables up to which
-    that process was sent the changes.
+    One process that follows this replica. `lease_version`, `endpoint_version` and
+    `suspicion_version` are the versions of the registry's tables up to which changes were sent to
+    that process.
 
     """
 
@@ -107,7 +109,7 @@
     async def add(self, connection: Connection, message: Follow) -> None:
         """
         Start a feed to the process at the other end of the connection. An earlier feed to that
-        process ends; if the message has no role, no new one starts.
+        process ends; if the message has no role, no new feed starts.
 
         """
         before = self.by_instance.get(connection.peer)
--- a/packages/millfork-registry/millfork_registry/records.py
+++ b/packages/millfork-registry/millfork_registry/records.py
@@ -40,7 +40,7 @@
 
     def is_complete(self, layers: int) -> bool:
         """
-        Whether these are all layers of a model that has `layers` layers.
+        Whether these weights include all layers of a model that has `layers` layers.
 
         """
         return self.end is None or (self.first == 0 and self.end >= layers)
@@ -82,7 +82,8 @@
 
     def needs_announcement_after(self, older: 'Lease') -> bool:
         """
-        Whether this lease must be sent to processes that have `older`.
+        Whether this lease must be sent to processes that have `older`. A lease that was only
+        renewed, with a higher `sequence`, need not be sent.
 
         """
         return (
@@ -108,7 +109,7 @@
 
 class HeldVersion(msgspec.Struct, frozen=True, array_like=True):
     """
-    Weights that an endpoint daemon can send to others: the pieces from `first` up to, but
+    Weights that an endpoint daemon can send to other daemons: the pieces from `first` up to, but
     excluding, `end`, or all pieces if `end` is None.
 
     """
@@ -130,9 +131,10 @@
     """
     The state that an endpoint daemon reports of itself and of the engine beside it.
 
-    `sequence` is the time of the report by the daemon's monotonic clock, in ms. `tokens_used`
-    and `tokens_total` are the used and the total memory of the engine, in tokens. A `pace` above 1
-    means that the engine is slower than its declared speed.
+    `sequence` is the time of the report by the daemon's monotonic clock, in ms. `owner` is the
+    replica that received the report. `tokens_used` and `tokens_total` are the used and the total
+    memory of the engine, in tokens. A `pace` above 1 means that the engine is slower than its
+    declared speed.
 
     """
 
@@ -153,8 +155,8 @@
     held: tuple[HeldVersion, ...] = ()
     # The version of the weights that the engine is changing to now, 0 if none.
     changing_to: int = 0
-    # The layers that the engine was assigned to load first, with their version; None if it has
-    # been assigned none since it started.
+    # The layers that the engine was assigned to load before the other layers of a version, with
+    # that version; None if no layers have been assigned to the engine since it started.
     goal: ServedVersion | None = None
     # The incarnation of the engine, not of the daemon.
     incarnation: Incarnation = UNKNOWN_INCARNATION
@@ -170,9 +172,10 @@
     def needs_announcement_after(self, older: 'EndpointState | None') -> bool:
         """
         Whether this state must be sent without delay to processes that have `older`. Changes
-        of the load and of the progress of a transfer may wait: when they were sent without
-        delay, each piece that a daemon received made a replica send a message to all its
-        followers, also in other regions, up to 50 times a second.
+        of the load and of the progress of a transfer may wait for the next heartbeat of the
+        feed: when such changes were sent without delay, each piece that a daemon received made
+        a replica send a message to all its followers, also in other regions, up to 50 times a
+        second.
 
         """
         return older is None or self._announced_fields != older._announced_fields
--- a/packages/millfork-registry/millfork_registry/registry.py
+++ b/packages/millfork-registry/millfork_registry/registry.py
@@ -29,8 +29,9 @@
 ENDED_RETENTION_S: Final = 120.0
 # The sequence number of a back end's first heartbeat.
 FIRST_SEQUENCE: Final = 1
-# For back ends that don't report incarnations: an unknown back end at the address of a live one is
-# accepted with its first heartbeat, or with a heartbeat that arrives at least this share of the
+# If either of two back ends at one address reports no incarnation, a replica doesn't know which one
+# started later. While one of them holds a live lease, the replica then accepts the other, unknown
+# one only with its first heartbeat, or with a heartbeat that arrives at least this share of the
 # heartbeat period after an earlier one. A process that has ended sends no more heartbeats, and two
 # delayed heartbeats arrive together.
 MIN_HEARTBEAT_GAP_SHARE: Final = 0.5
@@ -85,8 +86,9 @@
         """
         Process a heartbeat that a back end sent to this replica.
 
-        Only one process runs at an address at a time: a new back end ends its predecessor's
-        lease, and a delayed heartbeat of the predecessor doesn't restore that lease.
+        Only one process runs at an address at a time: an accepted heartbeat of a new back end
+        expires its predecessor's lease, and a delayed heartbeat of the predecessor doesn't restore
+        that lease.
 
         """
         other = self._live_lease_at_address(lease)
@@ -169,8 +171,9 @@
 
     def merge_lease(self, lease: Lease) -> RecordChange:
         """
-        Store a lease from any source if it is newer than the held one. If it is an older, wrong
-        expiry of a live lease owned here, announce the held lease again.
+        Store a lease from any source if it is newer than the held one, and ignore it otherwise. If
+        an ignored lease is a wrong expiry of a live lease owned here, announce the held lease
+        again.
 
         """
         held = self.leases.get(lease.instance)
@@ -220,8 +223,8 @@
     def _announce_again(self, held: Lease) -> RecordChange:
         """
         Have a held lease sent to other processes once more. Renewals are not sent, so the other
-        processes know only an older sequence of the lease, and would treat the back end as ended
-        until its state changes.
+        processes know only a lower sequence of the lease, and would treat the back end as ended
+        until the state of the lease changes here.
 
         """
         log.info('Lease announced again. instance={} sequence={}', held.instance, held.sequence)
@@ -325,6 +328,8 @@
     """
     Whether the process that sent the heartbeat `lease` ran at its address before the process of
     the `other` lease. `held` is the known lease of the back end that sent the heartbeat, or None.
+    If either process reports no incarnation, this holds only if `held` has the incarnation of
+    `lease` and is expired.
 
     """
     if lease.incarnation and other.incarnation:
@@ -337,8 +342,9 @@
 def _is_of_later_process(lease: Lease, other: Lease, held: Lease | None) -> bool:
     """
     Whether the process that sent the heartbeat `lease` started at its address after the process of
-    the `other` lease, which has then ended. `held` is the known lease of the back end that sent the
-    heartbeat, or None.
+    the `other` lease, which shows that the other process has ended. `held` is the known lease of
+    the back end that sent the heartbeat, or None. If either process reports no incarnation, this
+    holds if `held` is None or of an earlier incarnation.
 
     """
     if lease.incarnation and other.incarnation:
--- a/packages/millfork-registry/millfork_registry/suspicion_store.py
+++ b/packages/millfork-registry/millfork_registry/suspicion_store.py
@@ -2,10 +2,10 @@
 Suspicions: records of the back ends that ended one after another while they ran requests with
 the same fingerprint, shared by all entries (front proxies) and replicas.
 
-The fingerprint is that of the request's content, so a suspicion outlives the attempts to send the
-request, and the entries that made these attempts. Two processes merge their records of
-a fingerprint: the record of the later epoch wins, and records of the same epoch are combined.
-The order and number of merges don't matter.
+A fingerprint is computed from the content of a request, so a suspicion outlives the attempts to
+send the request, and the entries that made these attempts. Two processes merge their records of
+a fingerprint: the record of the later epoch (a counter in the record) wins, and records of the same
+epoch are combined. The order and number of merges don't matter.
 
 """
 
@@ -23,14 +23,14 @@
 # with each of its attempts, so suspicions must be kept for more than an hour.
 SUSPICION_RETENTION_S: Final = 24 * 3600.0
 # The greatest number of suspicions that one process keeps. A caller that varies the body of its
-# request creates one for each back end that it crashes. If 200 engines with 16 requests each end at
-# once, they create fewer than this. 4,096 suspicions take 1.5 MB.
+# request causes one suspicion for each back end that the request crashes. 200 engines that end at
+# once while each runs 16 requests cause fewer than this. 4,096 suspicions take 1.5 MB.
 MAX_SUSPICIONS: Final = 4096
 # The greatest number of incarnations kept in a suspicion's `broken`. More would not change any
 # decision about the request; each takes about 40 bytes.
 MAX_BROKEN_INCARNATIONS: Final = 4
-# A private suspicion is one that this process doesn't send to others yet, because it may be
-# withdrawn within moments. If it isn't withdrawn within this time, it is sent.
+# A private suspicion is one that this process doesn't send to others yet, because the suspicion may
+# be withdrawn within moments. A suspicion that is still private after this time is sent.
 MAX_PRIVATE_S: Final = 1.5
 # Size of a suspicion's epoch in the replicated state.
 EPOCH_BYTES: Final = 8
@@ -40,15 +40,17 @@
 
 class Suspicion(msgspec.Struct, frozen=True, array_like=True):
     """
-    How many back ends ended one after another while they ran a request (`ends`). A complete
-    answer clears the suspicion: the next `epoch` starts with zero ends.
+    The record of the requests with one fingerprint, called the request here: `ends` is the number
+    of back ends that ended one after another while they ran the request. A complete answer to the
+    request clears the suspicion: the next `epoch` starts with zero ends and an empty `broken`.
 
     If a back end ends while it runs the request, `ends` becomes one more than the count known when
     the request was sent to that back end. Back ends that run the request and end at the same
     moment, as in a loss of power, therefore count as one.
 
     `broken` holds the incarnations that broke off an answer to the request and either ended
-    or may have ended. Once one of them is known to be alive, the next epoch starts without it.
+    or may have ended. Once one of them is known to be alive, the next epoch starts without that
+    incarnation.
 
     """
 
@@ -85,7 +87,9 @@
 
     def merged_with(self, other: 'Suspicion') -> 'Suspicion':
         """
-        Return this suspicion merged with another process's suspicion of the request.
+        Return this suspicion merged with another one of the same request: the one of the later
+        epoch or, within one epoch, the greater `ends` with the incarnations in either `broken`, at
+        most `MAX_BROKEN_INCARNATIONS`.
 
         """
         if self.epoch != other.epoch:
@@ -189,8 +193,8 @@
 
     async def withdraw(self, suspicion: Suspicion) -> None:
         """
-        Record a suspicion that was reduced or cleared. If it is clear and the recorded one is
-        private, the record is dropped and nothing is sent.
+        Record a suspicion that was reduced or cleared. If this suspicion is clear and the known one
+        is private, the known one is dropped instead and nothing is sent.
 
         """
         if suspicion.fingerprint in self.private_since and suspicion.is_clear:
--- a/packages/millfork-registry/millfork_registry/version_cutoffs.py
+++ b/packages/millfork-registry/millfork_registry/version_cutoffs.py
@@ -51,7 +51,7 @@
     def cutoff_of(self, model: str, version: int) -> float | None:
         """
         Return the time (monotonic seconds) from which requests may no longer begin on versions
-        before this one, or None if that time isn't known.
+        older than `version`, or None if that time isn't known.
 
         """
         return self.cutoffs.get((model, version))
--- a/packages/millforkd/millforkd/replica/control.py
+++ b/packages/millforkd/millforkd/replica/control.py
@@ -41,8 +41,8 @@
 
 # Timeout of a call to the leader: after one second, an operator's client tries another replica.
 PROPOSAL_TIMEOUT_S: Final = 0.9
-# zlib level for documents, which are text: it takes 1 ms and halves their size in the replicated
-# log.
+# zlib level for documents, which are text: compression at this level takes 1 ms, and halves the
+# size of a document in the replicated log.
 COMPRESSION_LEVEL: Final = 1
 # For each reason, at most one log line about refused calls is written in this time, because a
 # client of another system may call at any rate.
@@ -79,7 +79,7 @@
         # The services that the operator's document declares; None while there is no document.
         self.services: frozenset[ServiceName] | None = None
         self.services_revision = 0
-        # By reason: when a refusal was last logged, and the number of refusals since.
+        # By reason: when a refusal was last logged, and the number of refusals since then.
         self.last_refusal_logged_at: dict[Reason, float] = {}
         self.unlogged_refusals: Counter[Reason] = Counter()
         # Drains and leave notices that a majority of the replicas has already received.
@@ -181,8 +181,8 @@
     async def _send_departure_to_majority(self, instance: str) -> None:
         """
         Send the draining or gone lease of a back end to a majority of the replicas, unless that
-        was done already. The back end's notice is acknowledged only then, because the back end
-        relies on the acknowledgement.
+        was done already. The back end's notice is acknowledged only after this method returns,
+        because the back end relies on the acknowledgement.
 
         :raises Refused: if too few replicas acknowledged the lease in time.
 
--- a/packages/millforkd/millforkd/replica/quarantine.py
+++ b/packages/millforkd/millforkd/replica/quarantine.py
@@ -4,8 +4,8 @@
 
 Suspicions (records of the back ends that ended while they ran a request) are kept in memory, so a
 loss of power of the whole fleet would lose them, and a request that had crashed three back ends
-would crash three more. The leader therefore lists the requests at fault in the replicated state,
-and removes those that a complete answer clears.
+would crash three more. The leader therefore lists the requests at fault (those that crashed three
+or more back ends) in the replicated state, and removes those that a complete answer clears.
 
 """
 
@@ -29,8 +29,8 @@
 RECONCILE_PERIOD_S: Final = 0.25
 # Timeout of one change of the list.
 PROPOSAL_TIMEOUT_S: Final = 0.9
-# A request is removed from the list after this time, one day: by then, software that crashes on the
-# request has been replaced.
+# A request is removed from the list after this time (one day), as software that crashes on the
+# request has been replaced by then.
 LISTED_MAX_AGE_MS: Final = 24 * 3600 * 1000
 # If the list is longer than this, its oldest requests are removed. At this length, with keys and
 # values of about ten bytes each, the list takes 0.1 MB of the replicated state.
--- a/packages/millforkd/millforkd/replica/replica_links.py
+++ b/packages/millforkd/millforkd/replica/replica_links.py
@@ -35,11 +35,11 @@
 # A replica that was silent for longer than this is considered lost, and the other replicas expire
 # the leases that it owns.
 OWNER_LOST_AFTER_S: Final = 2.0
-# A gap of this length between the starts of two rounds, usually half a second, shows that this
-# process was paused.
+# Rounds usually start half a second apart. A gap of at least this length between the starts of two
+# rounds shows that this process was paused.
 MAX_ROUND_GAP_S: Final = 1.5
-# A replica lists in its answers, besides the members, the replicas that answered it within this
-# time.
+# A replica that is asked for the replicas it knows lists the members, and the replicas that
+# answered its own queries within this time.
 ADVERTISE_WITHIN_S: Final = 20.0
 # The caches listed in another replica's answer are advertised for this long. Replicas ask each
 # other twice a second.
@@ -53,7 +53,7 @@
 
 class _MajorityCount:
     """
-    Counts acknowledgements, and sets `reached` once there are `needed`.
+    Counts acknowledgements, and sets `reached` once `needed` of them have been counted.
 
     """
 
@@ -98,7 +98,7 @@
         self.followers = followers
         self.complete_after_s = heartbeat_s * COMPLETE_AFTER_HEARTBEATS
         self.started_at = env.monotonic()
-        # The connections over which this replica follows others.
+        # By instance id of each replica that this one follows: the connection of that feed.
         self.followed: dict[InstanceId, Connection] = {}
         # By instance id of each other replica: when its last message arrived (monotonic seconds).
         self.last_contact_at: dict[str, float] = {}
@@ -213,8 +213,8 @@
 
     def on_find(self, message: FindReplicas, zone: str) -> Replicas:
         """
-        Answer a process in `zone` that looks for replicas. If that process is a replica, it is
-        added to the replicas known here.
+        Answer a process in `zone` that looks for replicas. If that process is a replica, add it to
+        the replicas known here, and record this contact and the number of entries that follow it.
 
         """
         caches = self.followers.local_caches()
--- a/tests/test_delayed_heartbeats.py
+++ b/tests/test_delayed_heartbeats.py
@@ -1,5 +1,5 @@
 """
-A heartbeat that arrives after its back end has ended and another one runs at the address.
+Heartbeats that arrive after their sender has ended and another back end runs at its address.
 
 A heartbeat may arrive seconds late, at any replica. A replica without a lease of the sender
 treated the late heartbeat as the first one of a new back end, and ended the lease of the live back
--- a/tests/test_ends_after_an_election.py
+++ b/tests/test_ends_after_an_election.py
@@ -1,11 +1,12 @@
 """
-Until when requests may begin on a version, if the leader is lost just after it acknowledged the
-next version.
+The time until which requests may begin on a version, if the leader is lost just after it
+acknowledged the next version. A new leader must count this time from the arrival of the log entry
+that sets the next version.
 
-A leader acknowledged version 2 at 0.0 s and was lost. The next leader had the log entry that sets
-version 2, but committed and applied it only 1.5 s later, and counted the end of version 1 from then
-(`Version named. version=2 due_s=7.1`). Requests could have begun on version 1 until 9.5 s after
-the acknowledgement instead of 8 s.
+A leader acknowledged version 2 and was lost. The new leader already had the log entry that sets
+version 2, but committed and applied it only 1.5 s after the acknowledgement, and counted from that
+moment (`Version named. version=2 due_s=7.1`). Requests could have begun on version 1 until 9.5 s
+after the acknowledgement instead of 8 s.
 
 """
 
@@ -60,7 +61,7 @@
 
 def win_election(replica, term=2):
     """
-    Make a replica the leader of `term`, and commit its log by appending an entry of that term.
+    Make a replica the leader of `term`, and commit its log by appending a log entry of that term.
 
     """
     curio.run(replica.enter_term, term)
--- a/tests/test_feed_relay.py
+++ b/tests/test_feed_relay.py
@@ -1,6 +1,6 @@
 """
-Relaying of the feed (the stream of updates from a replica to its followers) by another follower,
-to one that reaches no replica.
+Relaying of the feed (the stream of updates from a replica to its followers) by one follower to
+another follower that reaches no replica.
 
 """
 
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -201,7 +201,7 @@
 
 def overdue_target(rollout):
     """
-    The rollout's target, with the time by which the engine must change to it in the past.
+    The rollout's target, changed so that the engine should have begun to load it already.
 
     """
     target = rollout.get_target()
--- a/tests/test_leases_after_a_freeze.py
+++ b/tests/test_leases_after_a_freeze.py
@@ -1,6 +1,7 @@
 """
-One replica is frozen for longer than a lease lasts. Neither the other replicas nor the frozen one,
-once it resumes, may expire a lease whose owner received heartbeats all the time.
+A replica is frozen for longer than a lease lasts. Neither the other replicas nor the frozen one,
+once it resumes, may expire a lease whose owner (the replica to which the back end sends its
+heartbeats) received heartbeats all the time.
 
 """
 
--- a/tests/test_leases_of_lost_owners.py
+++ b/tests/test_leases_of_lost_owners.py
@@ -1,9 +1,12 @@
 """
-A replica that wrongly considers another one lost (because it was frozen itself, or only the link
-between the two was cut) expires the leases that the other one owns. A third replica, connected to
-both, accepted the expiry: renewals aren't sent to other replicas, so its copy of the lease had
-the same sequence as the expired one. The owner, whose copy has a higher sequence, ignored the
-expiry, so nothing ever corrected the third replica.
+A lease must stay usable at its owner (the replica that receives the back end's heartbeats) and at
+every replica that reaches the owner, even if one replica wrongly expires the lease.
+
+A replica that was frozen, or whose link to the owner is cut, considers the owner lost and expires
+the owner's leases. A third replica, connected to both, accepts such an expiry: renewals aren't sent
+to other replicas, so the third replica's copy of the lease has the same sequence as the expiry. The
+owner's copy has a higher sequence. When the owner ignored the expiry for that reason, nothing ever
+corrected the third replica.
 
 """
 
@@ -53,7 +56,7 @@
     for replica in (owner, other_replica, cut_off):
         for other in {owner, other_replica, cut_off} - {replica}:
             replica.send_feed(other)
-    # Only the link between the owner and the `cut_off` replica is cut, or that replica is frozen.
+    # The owner and the `cut_off` replica exchange nothing: only the link between them is cut.
     for sequence in range(2, 8):
         clock.now += HEARTBEAT_S
         send_heartbeat(owner, sequence)
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -153,7 +153,7 @@
 def test_transfer_progress_is_not_announced_immediately(registry):
     """
     While the weights of a version are transferred, each daemon receives a piece every 0.05 s. If
-    each piece were announced immediately, a replica would send all its followers a message for it.
+    each piece were announced immediately, a replica would send each follower a message per piece.
 
     """
     first = EndpointState('e:1', 'service', 'zone', '10.0.0.1', 80, 1, reachable=True)
--- a/tests/test_replica_age.py
+++ b/tests/test_replica_age.py
@@ -1,8 +1,9 @@
 """
-The age of a replica's state, which the replica reports to processes that may follow it.
+The age of a replica's state: the time since the replica was last known to have applied all
+committed log entries. The replica reports this age to processes that may follow it.
 
-A replica that had been cut off reported as its age the time since its leader's last message,
-36 ms, although it lacked the log entries committed meanwhile. A front proxy that started then
+A replica that had been cut off reported the time since its leader's last message, 36 ms, as its
+age, although it lacked the log entries committed meanwhile. A front proxy that had just started
 followed this replica, and treated a version set long ago as new. The proxy logged 1.1 s as the time
 for which older versions could be used (`due_s=1.1`), corrected 0.2 s later to `due_s=-0.9`.
 
--- a/tests/test_suspicion_gossip.py
+++ b/tests/test_suspicion_gossip.py
@@ -1,6 +1,6 @@
 """
-Gossip about suspicions between the entries of a listed fleet (one whose instances the platform
-lists).
+Gossip about suspicions (records of the back ends that ended while they ran a request) between the
+entries (front proxies) of a listed fleet (one whose instances the platform lists).
 
 """
 
--- a/tests/test_suspicions.py
+++ b/tests/test_suspicions.py
@@ -1,6 +1,7 @@
 """
-Suspicions of requests whose answers broke off, until it is known whether the back ends that ran
-these requests have ended.
+Suspicions (records of the back ends that ended one after another while they ran requests with the
+same fingerprint) of requests whose answers broke off, before and after it is known whether the back
+ends have ended.
 
 """
 
