--- a/packages/millfork-registry/millfork_registry/suspicion_store.py
+++ b/packages/millfork-registry/millfork_registry/suspicion_store.py
@@ -2,7 +2,7 @@
 Suspicions: records of the back ends that ended one after another while they ran requests with
 the same fingerprint, shared by all entries (front proxies) and replicas.
 
-A fingerprint is computed from the content of a request, so a suspicion outlives the attempts to
+A fingerprint is a hash of a request's content and caller, so a suspicion outlives the attempts to
 send the request, and the entries that made these attempts. Two processes merge their records of
 a fingerprint: the record of the later epoch (a counter in the record) wins, and records of the same
 epoch are combined. The order and number of merges don't matter.
