--- a/packages/millfork-state/millfork_state/arrival_times.py
+++ b/packages/millfork-state/millfork_state/arrival_times.py
@@ -2,8 +2,9 @@
 The times at which log entries that set a version (`Raise`) arrived at a replica.
 
 A version's time limits count from the acknowledgement of its `Raise`. A leader elected after the
-acknowledgement commits and applies the log entry up to an election later. The arrival of the log
-entry is closer to the acknowledgement: earlier, or later only by the time that messages take.
+acknowledgement may apply the log entry as much as one election later. The arrival of the log entry
+is closer to the acknowledgement: before it, or after it by no more than the time that messages
+take.
 
 """
 
@@ -12,8 +13,9 @@
 
 from millfork_state.commands import AnyCommand, Raise
 
-# The most arrival times that are kept; the oldest is dropped first. Versions and documents change
-# about ten thousand times a day, and a log entry is committed or replaced within seconds.
+# The most arrival times that are kept; the oldest is dropped first. Model versions and documents
+# (configurations with routes) change about ten thousand times a day in total, and a log entry is
+# committed or replaced within seconds.
 MAX_ARRIVAL_TIMES: Final = 256
 
 
@@ -50,7 +52,8 @@
 
     def find(self, key: str, version: int) -> float | None:
         """
-        The arrival time of the log entry that sets a key to a version, or None if unknown.
+        The arrival time (monotonic seconds) of the log entry that sets a key to a version, or None
+        if the time isn't known.
 
         """
         arrival = self.arrivals.get((key, version))
--- a/packages/millfork-state/millfork_state/commands.py
+++ b/packages/millfork-state/millfork_state/commands.py
@@ -20,7 +20,7 @@
 
 class Change(msgspec.Struct, frozen=True):
     """
-    Set one key, or remove it if `value` is None. If `expect` is a revision, the change conflicts
+    Set one key, or remove it if `value` is None. A change with a revision in `expect` conflicts
     if the key was set or removed after that revision.
 
     """
@@ -39,7 +39,7 @@
 
 class SetMembers(Command, frozen=True):
     """
-    Replace the voters, which are pairs of instance and disk id.
+    Replace the voters of `cluster` by `members`, which are pairs of instance and disk id.
 
     """
 
@@ -132,7 +132,8 @@
 
 class ClaimResult(msgspec.Struct, frozen=True):
     """
-    The outcome of `ClaimKey`, with the answer of the attempt that holds the key if that is DONE.
+    The outcome of `ClaimKey`. If `state` is DONE, the other fields hold the answer of the attempt
+    that holds the key.
 
     """
 
--- a/packages/millfork-state/millfork_state/config.py
+++ b/packages/millfork-state/millfork_state/config.py
@@ -38,7 +38,7 @@
 @dataclass(frozen=True, slots=True)
 class WeightPart:
     """
-    A base model or adapter at a version, identified by its manifest's digest.
+    One version of a base model or adapter. `manifest` is the digest of the version's manifest.
 
     """
 
@@ -50,7 +50,7 @@
 @dataclass(frozen=True, slots=True)
 class Deployment:
     """
-    Weights (base first, then adapters) and the selector of the instances that serve them.
+    Weights (base model first, then adapters) and the selector of the instances that serve them.
 
     """
 
--- a/packages/millfork-state/millfork_state/election.py
+++ b/packages/millfork-state/millfork_state/election.py
@@ -41,7 +41,7 @@
 
 async def campaign(replica: Replica) -> bool:
     """
-    Request pre-votes, then votes. True if this replica is now the leader.
+    Request pre-votes and, if a majority grants them, votes. True if this replica is now the leader.
 
     :raises OSError: if the disk fails.
 
--- a/packages/millfork-state/millfork_state/formation.py
+++ b/packages/millfork-state/millfork_state/formation.py
@@ -42,8 +42,8 @@
 @dataclass(frozen=True, slots=True)
 class Seeds:
     """
-    The other replicas that are needed to form the state, and whether this process may form it at
-    this start. Replicas that aren't listed here join the state later.
+    The other replicas that are needed to form the state, and whether this process may form the
+    state. Replicas that aren't in `others` join the state later.
 
     """
 
@@ -52,7 +52,8 @@
 
     def writes_first_log_entry(self, instance: InstanceId) -> bool:
         """
-        Whether the replica on `instance` may form the state and has the lowest id.
+        Whether the replica on `instance` may form the state, and its id is lower than those of all
+        `others`.
 
         """
         return self.may_form and all(instance < other.instance for other in self.others)
@@ -123,9 +124,9 @@
 
 async def distribute_genesis(replica: Replica) -> None:
     """
-    Send the members in the first log entry to every other replica, and retry until each has
-    answered. Replicas that aren't empty ignore the message. Nothing is sent if a snapshot has
-    replaced the first log entry.
+    Send the cluster and the members in the first log entry to every other replica, and retry until
+    each has answered. Replicas that aren't empty ignore the message. Nothing is sent if a snapshot
+    has replaced the first log entry.
 
     """
     if replica.storage.snapshot is not None or not replica.storage.entries:
--- a/packages/millfork-state/millfork_state/leader_client.py
+++ b/packages/millfork-state/millfork_state/leader_client.py
@@ -54,8 +54,9 @@
         timeout_s: float = DEFAULT_TIMEOUT_S,
     ) -> bytes:
         """
-        Return the encoded result of a command. Without an answer, the command is sent again for up
-        to `timeout_s` seconds, which is harmless, as commands are idempotent.
+        Send a command and return its encoded result. If there is no answer, or the answer is 'no
+        quorum', the command is sent again for up to `timeout_s` seconds. This is harmless, as
+        commands are idempotent.
 
         :raises Refused: NO_QUORUM if no leader committed the command in time, with a verdict on
             whether the command may have run; otherwise the leader's reason to refuse the command.
@@ -81,7 +82,8 @@
 
     async def _propose_once(self, message: Propose) -> Proposed | None:
         """
-        Send a command once, or handle it locally. None if the command's outcome is unknown.
+        Send a command once, or handle it locally. None if the command may have reached another
+        replica but no valid answer arrived.
 
         """
         if self.node is not None and (self.node.leads or self.leader == self.env.instance):
--- a/packages/millfork-state/millfork_state/leadership.py
+++ b/packages/millfork-state/millfork_state/leadership.py
@@ -1,6 +1,6 @@
 """
-The leader's tasks: it writes its own log, replicates it to the other replicas, steps down if the
-quorum is lost, and changes the membership.
+The tasks of the leader: writing its own log, replicating the log to the other replicas, stepping
+down if the quorum is lost, and changing the membership.
 
 """
 
@@ -21,10 +21,10 @@
 # The most log entries per disk sync and per append request.
 MAX_BATCH_ENTRIES: Final = 256
 CALL_TIMEOUT_S: Final = 2.0
-# The most voters of the state. More would only slow each commit.
+# The leader adds no further voter once there are this many: more would only slow each commit.
 MAX_VOTERS: Final = 9
-# The leader may remove a voter that has not answered for this time, which is longer than two
-# elections, so that a restarting voter is kept.
+# The leader may remove a voter that has answered no request for this time. The time is longer than
+# two election timeouts (1.5 s each by default), so that a voter that only restarts is kept.
 SILENT_VOTER_TIMEOUT_S: Final = 4.0
 
 log = logger(Component.STATE)
@@ -33,9 +33,9 @@
 @dataclass(slots=True)
 class Progress:
     """
-    The leader's record of one other replica: the replica's disk id, the next log index to send, the
-    highest index known to be durable there, and when the last answered request was sent (monotonic
-    seconds).
+    The leader's record of one other replica: the next log index to send, the highest log index
+    known to be durable on that replica, the replica's disk id, and when the last request that the
+    replica answered was sent (monotonic seconds). `wake` ends the pause before the next request.
 
     """
 
@@ -70,7 +70,8 @@
 
     async def run(self) -> None:
         """
-        Lead until another term begins or a majority no longer answers.
+        Lead until another term begins or fewer than a majority of the voters answer. Then step down
+        and reject the queued proposals.
 
         :raises OSError: if the disk fails.
 
@@ -223,7 +224,8 @@
 
     async def _handle_reply(self, progress: Progress, reply: AppendReply, sent_at: float) -> bool:
         """
-        Update the progress from a reply. True if another request should be sent immediately.
+        Update the progress from a reply, or enter the reply's term if it is higher. False if the
+        next request can wait for new log entries or for the next heartbeat.
 
         """
         replica = self.replica
@@ -266,8 +268,9 @@
 
     async def _watch_quorum(self) -> None:
         """
-        Return once fewer than a majority of the voters have answered within two election timeouts.
-        The leader then steps down, so that callers get 'no quorum' at once instead of a timeout.
+        Return once fewer than a majority of the voters have answered requests sent within the last
+        two election timeouts. The leader then steps down, so that callers get 'no quorum' at once
+        instead of a timeout.
 
         """
         replica = self.replica
@@ -344,8 +347,8 @@
         """
         The voters without one that has been silent for `SILENT_VOTER_TIMEOUT_S`.
 
-        None if no voter is silent, if the settings require no tolerance of losses, or if the
-        remaining voters could not tolerate the required number.
+        None if no voter is silent, if the setting `losses` isn't set, or if the remaining voters
+        could not tolerate the loss of `losses` disks.
 
         """
         replica = self.replica
--- a/packages/millfork-state/millfork_state/node.py
+++ b/packages/millfork-state/millfork_state/node.py
@@ -162,7 +162,8 @@
 
     async def answer_read(self, message: ReadState) -> StateView:
         """
-        Answer a read of another process. The answer names the leader that this replica knows.
+        Answer a read request from another process. The answer contains the id of the leader that
+        this replica knows.
 
         """
         body = await self.read(ReadTarget(message.what), PROPOSE_TIMEOUT_S)
--- a/packages/millfork-state/millfork_state/replica.py
+++ b/packages/millfork-state/millfork_state/replica.py
@@ -37,11 +37,13 @@
 )
 from millfork_wire.peers import PeerAddress, Peers
 
-# The random part of an election timeout: at most this fraction of the configured timeout.
+# An election timeout is the setting `election_ms` plus a random part, which is at most this
+# fraction of the setting.
 ELECTION_SPREAD_FRACTION: Final = 0.5
 # A snapshot is due this many log entries later than the setting `snapshot_entries` says.
 SNAPSHOT_SLACK_ENTRIES: Final = 200
-# The age of a configuration that was never up to date: the largest that a message can carry.
+# The largest age that a message can carry, which is also the age of a configuration that was never
+# up to date.
 MAX_AGE_MS: Final = 2**32 - 1
 
 log = logger(Component.STATE)
@@ -88,8 +90,8 @@
         # later. A replica that gets no majority of pre-votes sets only this time, so that it still
         # grants pre-votes to other candidates.
         self.campaign_delay_from = self.leader_contact_at
-        # The last time at which this replica had applied all log entries that its leader had
-        # committed.
+        # The last time (monotonic seconds) at which this replica had applied all log entries that
+        # its leader had committed.
         self.caught_up_at = float('-inf')
         self.commit = 0
         self.applied = 0
@@ -98,8 +100,8 @@
         self.stepped_down = curio.Event()
         self.pending: dict[int, PendingProposal] = {}
         self.proposals: curio.Queue = curio.Queue()
-        # When a write to disk last failed. Within one election timeout after that, the replica
-        # doesn't campaign.
+        # When a write to disk last failed (monotonic seconds). Within one election timeout after
+        # that, the replica doesn't campaign.
         self.disk_failed_at = -settings.election_ms / 1000
         self.heartbeat_s = settings.heartbeat_ms / 1000
         self.election_s = settings.election_ms / 1000
@@ -269,7 +271,7 @@
     async def step_down(self) -> None:
         """
         Become a follower. Proposals in this replica's log that aren't applied yet are settled as
-        unknown: they may still be committed.
+        not applied, but they may still be committed.
 
         """
         if self.state is ReplicaState.LEADER:
@@ -286,8 +288,9 @@
 
     async def on_pre_vote(self, request: PreVote) -> VoteReply:
         """
-        Answer whether this replica would vote for the candidate, without any change of state. It
-        would not while it leads or has been in contact with a leader within the election timeout.
+        Answer whether this replica would vote for the candidate, without any change of state. The
+        answer is no while this replica leads, or if a leader was in contact with it within the last
+        election timeout.
 
         """
         leader_is_silent = self.env.monotonic() - self.leader_contact_at > self.election_s
@@ -339,7 +342,8 @@
 
     async def on_append(self, request: AppendRequest) -> AppendReply:
         """
-        Store entries from the leader, and answer only once they are durable.
+        Store log entries from the leader and apply those that are committed. The answer follows
+        only once the stored entries are durable.
 
         """
         async with self.lock:
@@ -409,10 +413,11 @@
         """
         Milliseconds since this replica was last known to have applied all committed log entries.
 
-        Contact with the leader isn't enough: a replica that returned after a partition was in
-        contact immediately, and for 0.2 s it told newly started front proxies that old versions
-        had just been set. A leader counts as up to date only once it has applied a log entry of
-        its own term, as it may not know which earlier log entries are committed.
+        Contact with the leader isn't enough: when it was, a replica that returned after a partition
+        counted as up to date at once, and for 0.2 s it told newly started front proxies that old
+        versions had just been set. A leader counts as up to date (age 0) once it has applied a log
+        entry of its own term. Before that, the leader may not know which earlier log entries are
+        committed.
 
         """
         is_leader = self.state is ReplicaState.LEADER
--- a/packages/millfork-state/millfork_state/roster.py
+++ b/packages/millfork-state/millfork_state/roster.py
@@ -101,7 +101,7 @@
 
     def entries(self, zone: ZoneId) -> list[InstanceFacts]:
         """
-        The entries of one availability zone, sorted by id.
+        The entries (front proxies) of one availability zone, sorted by id.
 
         """
         found = [
@@ -113,7 +113,7 @@
 
     def all_entries(self) -> list[InstanceFacts]:
         """
-        The entries of all availability zones, sorted by id.
+        The entries (front proxies) of all availability zones, sorted by id.
 
         """
         found = [facts for facts in self.instances.values() if facts.role == ENTRY_ROLE]
--- a/packages/millfork-state/millfork_state/storage.py
+++ b/packages/millfork-state/millfork_state/storage.py
@@ -22,7 +22,7 @@
 from millfork_core.ids import ClusterId, DiskId, LogIndex, Term
 from millfork_core.logs import Component, logger
 
-# The length and the CRC-32 checksum of a record's body.
+# The header of a record: the length and the CRC-32 checksum of the record's body.
 RECORD_HEADER: Final = struct.Struct('>II')
 MAX_RECORD_BYTES: Final = 64 * 1024 * 1024
 VOTE_FILE: Final = 'vote'
@@ -121,7 +121,8 @@
     """
     The body of a file written by `write_file`, or None if the file doesn't exist.
 
-    :raises CorruptStorage: if the file is too short or its checksum doesn't match.
+    :raises CorruptStorage: if the file has no complete header, or its body doesn't have the length
+        and checksum in the header.
 
     """
     try:
@@ -311,7 +312,8 @@
 
     def write_commit(self, index: int) -> None:
         """
-        Record that `index` is committed. The record is not synced, as losing it is harmless.
+        Record that `index` is committed. The record is not synced, and a failed write is only
+        logged, as losing the record is harmless.
 
         """
         try:
--- a/packages/millfork-state/millfork_state/subscription.py
+++ b/packages/millfork-state/millfork_state/subscription.py
@@ -1,6 +1,6 @@
 """
-Distribution of the accepted configuration down the distribution tree to every process, and of
-reports up the tree.
+A process's connections in the distribution tree (see `distribution_tree`). Updates of the accepted
+configuration go down the tree to every process, and reports of instances go up the tree.
 
 """
 
@@ -24,9 +24,10 @@
 
 # A process sends its subscribers an update at least this often, even if nothing changed.
 HEARTBEAT_S: Final = 2.0
-# A process leaves an upstream that has sent no update for this time: one heartbeat interval plus a
-# second for delays. With a timeout of 5 s, checked every 2 s, a process whose upstream's link
-# stalled applied a change 6.5 s after the change was accepted (tests/test_upstreams.py).
+# A process leaves its upstream (the peer that sends it updates) if no update has arrived for this
+# time: one heartbeat interval plus a second for delays. When the timeout was 5 s, checked every
+# 2 s, and the link to the upstream stalled, a process applied a change 6.5 s after the change was
+# accepted (tests/test_upstreams.py).
 SILENCE_TIMEOUT_S: Final = 3.0
 # The interval at which a process checks whether its upstream is silent or stale. A silent upstream
 # is left up to one interval after SILENCE_TIMEOUT_S.
@@ -34,18 +35,19 @@
 SUBSCRIBE_TIMEOUT_S: Final = 2.0
 RETRY_DELAY_S: Final = 0.3
 QUERY_TIMEOUT_S: Final = 1.0
-# A configuration is stale if its age (see `Subscription.age_ms`) is above this. Each of the tree's
-# four levels adds up to one heartbeat interval to the age.
+# The configuration of a process without a replica is stale if the configuration's age (see
+# `Subscription.age_ms`) is above this. Each of the tree's four levels adds at most one heartbeat
+# interval to the age.
 STALE_AGE_MS: Final = 10_000
 # A replica's configuration is stale if its age is at least this. With the default settings, a
 # replica gets a message from its leader every 0.5 s, and from a new leader after an election of at
 # most 2.3 s.
-# The limit is well below STALE_AGE_MS, so that a process leaves a stale replica before its own
-# subscribers turn stale and leave the process.
+# The limit is well below STALE_AGE_MS, so that a process leaves a stale replica before the
+# process's own subscribers become stale and leave the process.
 REPLICA_STALE_AGE_MS: Final = 3_000
-# The interval at which a process checks for a candidate that precedes its upstream. A process that
-# started before its zone's entries follows a replica in another zone, which may be cut off from the
-# leader while the process's own zone is not.
+# The interval at which a process looks for a peer that precedes its upstream in the order of
+# `distribution_tree.candidates`. A process that started before its zone's entries follows a replica
+# in another zone. That zone may be cut off from the leader while the process's own zone is not.
 NEARER_CHECK_INTERVAL_S: Final = 10.0
 
 log = logger(Component.SUBSCRIPTION)
@@ -67,7 +69,8 @@
 
 class Subscription:
     """
-    This process's connections in the distribution tree: one upstream, and its subscribers.
+    This process's connections in the distribution tree: to one upstream, from which the process
+    receives updates, and to the subscribers, to which the process sends updates.
 
     """
 
@@ -91,7 +94,7 @@
         self.upstream_age_ms = 0
         self.min_revision = 0
         self.has_gap = False
-        # The peer to try first: an up-to-date one for which the last upstream was left.
+        # The up-to-date peer for which the last upstream was left. This peer is tried first.
         self.preferred_upstream = NO_INSTANCE
         # The last upstream, if it was left as silent or stale. This peer is tried last, as it may
         # accept connections without answering.
@@ -106,7 +109,8 @@
 
     async def on_subscribe(self, connection: Connection, request: Subscribe) -> Update:
         """
-        Answer a new subscriber, and start to send it updates while it is connected.
+        Return the first update for a new subscriber, and start a task that sends further updates
+        while the subscriber is connected.
 
         """
         update = self.view.update_since(request.cluster, request.revision)
@@ -208,7 +212,7 @@
 
     async def _report_until_leaving(self, connection: Connection) -> LeaveReason:
         """
-        Send reports to the upstream until there is a reason to leave it.
+        Send reports to the upstream until there is a reason to leave it, and return the reason.
 
         """
         last_sent = -1
@@ -249,11 +253,11 @@
 
     async def _is_stale(self) -> bool:
         """
-        Whether the configuration is too old and another upstream may be fresher.
+        Whether to leave the upstream because the configuration is stale.
 
         An upstream that is a replica is left only for another replica that is up to date, which
         becomes `preferred_upstream`. If there is none, as in a zone that is cut off, the process
-        keeps its upstream.
+        keeps its upstream, and asks the other replicas again after `HEARTBEAT_S`.
 
         """
         if not self._upstream_is_replica():
@@ -275,9 +279,9 @@
 
     async def _finds_nearer(self) -> bool:
         """
-        Whether a candidate that precedes the present upstream is up to date. The first of these
-        becomes `preferred_upstream`. Between checks, which are `NEARER_CHECK_INTERVAL_S` apart,
-        returns False.
+        Whether a peer that precedes the present upstream in the order of `candidates` is up to
+        date. The first such peer becomes `preferred_upstream`. Between checks, which are
+        `NEARER_CHECK_INTERVAL_S` apart, returns False.
 
         """
         if self.env.monotonic() < self.next_nearer_check_at:
@@ -306,8 +310,7 @@
 
     async def _is_current(self, address: PeerAddress) -> bool:
         """
-        Whether a peer answers that it has this cluster's configuration and that the age of the
-        configuration is below the limit.
+        Whether a peer answers that its configuration is of this cluster and not stale.
 
         """
         reply = await self._query_revision(address)
@@ -324,8 +327,9 @@
 
     async def on_update(self, connection: Connection, update: Update) -> None:
         """
-        Apply an update if it comes from the upstream and is newer than the view. A process with a
-        replica records only the time of the update and the upstream's age.
+        Apply an update from the upstream if it is newer than the view, and set `has_gap` if updates
+        before it were lost. A process with a replica records only when the update arrived and the
+        age of the upstream's configuration. Updates from other peers are ignored.
 
         """
         if connection.peer != self.upstream:
@@ -338,8 +342,8 @@
             return
         if not self.view.apply_update(update):
             self.env.metrics.count(self.env.metrics.state, event='update_not_newer')
-            # Updates were lost if a delta starts after the view's revision or precedes any full
-            # update.
+            # Updates were lost if the delta starts after the view's revision, or if the view has
+            # had no full update yet.
             self.has_gap = not self.view.cluster or update.from_revision > self.view.revision
             if self.has_gap:
                 await self.reports.changed.set()
--- a/packages/millfork-state/millfork_state/view.py
+++ b/packages/millfork-state/millfork_state/view.py
@@ -12,7 +12,8 @@
 from millfork_core.ids import ClusterId, Revision
 from millfork_wire.messages import Item, Update
 
-# The number of revisions for which subscribers can get a delta instead of the whole configuration.
+# The most revisions kept in the history. A subscriber that lags behind by more revisions gets the
+# whole configuration instead of a delta.
 MAX_HISTORY_REVISIONS: Final = 1024
 
 
@@ -102,7 +103,8 @@
     def update_since(self, cluster: str, revision: int) -> Update:
         """
         The update for a subscriber at a `cluster` and `revision`: a delta if the cluster is this
-        view's and the history reaches back to the revision, else the whole configuration.
+        view's, the revision isn't newer than this view's, and the history holds all later
+        revisions; otherwise the whole configuration.
 
         """
         full = cluster != self.cluster or revision > self.revision
--- a/tests/test_feed_client.py
+++ b/tests/test_feed_client.py
@@ -24,8 +24,8 @@
 
 class FakeReplicas:
     """
-    Replicas in two zones. Tests set which ones are reachable, and the age of the state that the
-    near replica reports.
+    Replicas in two zones. Tests set which replicas are reachable, and which age the near replica
+    reports for its state.
 
     """
 
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -1,7 +1,7 @@
 """
-Only one endpoint controls an engine. Each successor has a higher fencing number, so the engine can
-refuse the predecessor's orders to load or unload, and no second endpoint starts beside a running
-one.
+Only one endpoint daemon controls an engine. Each new daemon process takes a higher fencing number,
+so that the engine can refuse late load and unload orders of the previous process. No second daemon
+starts beside a running or frozen one.
 
 """
 
@@ -82,7 +82,7 @@
 
 def test_a_second_endpoint_cannot_start_beside_a_running_or_frozen_one(fleet):
     """
-    Engines that ignore fencing numbers rely on there being only one endpoint.
+    Engines that ignore fencing numbers rely on there being only one endpoint daemon.
 
     """
     instance = fleet.engines[0]
--- a/tests/test_gathering.py
+++ b/tests/test_gathering.py
@@ -1,6 +1,6 @@
 """
-How an endpoint daemon fetches the pieces of a weights version: from caches, or from the origin if
-caches don't provide them.
+How an endpoint daemon fetches the pieces of a weights version: from caches (entries that keep
+pieces), or from the origin if the caches don't provide them.
 
 """
 
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -1,5 +1,6 @@
 """
-The history checker accepts possible histories and rejects impossible ones.
+The history checker accepts possible histories of configuration changes and reads, and rejects
+impossible ones.
 
 """
 
--- a/tests/test_subscription.py
+++ b/tests/test_subscription.py
@@ -1,12 +1,14 @@
 """
-Which updates from an upstream are applied, and when a process leaves its upstream.
+Which updates a process applies from its upstream (the peer that sends it the configuration), and
+when the process leaves the upstream.
 
-The tests guard against two faults. First, an upstream counted as silent only after 5 s, checked
-every 2 s: an entry that followed a replica with a stalled link applied a change 6.5 s after the
-change was accepted (log: 'Following entry-2' 6.5 s after the stall), other entries after 0.0 s.
-Second, a replica was left only if it was silent, whatever the age of its configuration: an entry
-that followed a replica cut off from the leader didn't apply a change within 30 s (no second
-'Following' in the log).
+The tests guard against two faults:
+- An upstream counted as silent only after 5 s, checked every 2 s. An entry that followed a replica
+  with a stalled link applied a change 6.5 s after the change was accepted (its log has 'Following
+  entry-2' 6.5 s after the stall). Other entries applied the change after 0.0 s.
+- A replica was left only if it was silent, whatever the age of its configuration. An entry that
+  followed a replica cut off from the leader did not apply a change within 30 s (its log has no
+  second 'Following').
 
 """
 
@@ -233,7 +235,8 @@
 
 
 def test_a_silent_upstream_is_left_within_two_heartbeats():
-    # HEARTBEAT_S is 2 s; the fake replicas send heartbeats more often.
+    # The time limit is two real heartbeat intervals (HEARTBEAT_S), although the fake replicas send
+    # heartbeats more often.
     first, second = FakeReplica('r1'), FakeReplica('r2')
     subscription = subscription_to(first, second)
 
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -1,11 +1,16 @@
 """
 Configuration changes reach entries that follow a replica which is cut off.
 
-In the scenario `control_cut_off_silently`, the links of entry-1 stall while entry-5 follows
-entry-1, because entry-2 in entry-5's zone started later. When entry-3 led, changes were accepted
-at once but reached entry-5 only after 6.5 s, where 5 s are allowed. When entry-1 led, the election
-hid this delay. When only the link between entry-1 and the leader stalled, entry-4 got no change
-within 30 s. These tests determine which replica leads and which replica each entry follows.
+The tests guard against two faults:
+- In the scenario `control_cut_off_silently`, the links of entry-1 stall while entry-5 follows
+  entry-1 (entry-2, in entry-5's own zone, started later). If entry-3 led, changes were accepted at
+  once but reached entry-5 only after 6.5 s; 5 s are allowed. If entry-1 led, the election of
+  another leader hid this delay.
+- If only the link between entry-1 and the leader stalled, no change reached entry-4, which follows
+  entry-1, within 30 s.
+
+The faults depend on which replica leads and which replica each entry follows, so the tests set up
+both.
 
 """
 
@@ -81,7 +86,7 @@
 
     def leader(self):
         """
-        The replica that won the latest term according to the logs, or '' if none has won yet.
+        The leader of the latest term according to the replicas' logs, or '' if none has led yet.
 
         """
         elected = [(0, '')]
--- a/tests/test_version_ends_after_restart.py
+++ b/tests/test_version_ends_after_restart.py
@@ -1,7 +1,7 @@
 """
-Version cutoffs (the times from which no request may begin on an older version) that a replica
-reports after it was away until a cutoff had passed. By then, the other replicas no longer list the
-version as recently set, so they don't correct a returning replica that reports a later cutoff.
+Version cutoffs (the times from which no request may begin on an older version) in processes that
+start after a version's cutoff. Such a process must not take the version for newly set and use or
+report a later cutoff: requests could then begin on an older version again.
 
 """
 
@@ -27,7 +27,8 @@
 from tests.utils.fleets import wait_until
 
 VERSION_MS = 3000
-# Cutoffs may differ by this much: answers give times in whole ms, and take a few ms to arrive.
+# A computed cutoff may differ from the true one by this much: answers give times in whole ms, and
+# take a few ms to arrive.
 TOLERANCE_S = 0.1
 
 
@@ -46,7 +47,8 @@
 
 def seconds_to_cutoff(fleet, host):
     """
-    The seconds until the cutoff (`due_s`) in each line about version 2 of a process's log.
+    The seconds until the cutoff of version 2 (`due_s`), from each line of a process's log that
+    reports this cutoff. A value is at most 0 if the cutoff had passed.
 
     """
     return [float(found[3]) for found in CUTOFF_LINE.finditer(fleet.log(host)) if found[2] == '2']
@@ -64,7 +66,7 @@
         shutil.rmtree(fleet.folder / absent_replica)
     fleet.start_process(absent_replica)
     wait_until(lambda: seconds_to_cutoff(fleet, absent_replica))
-    # The cutoff passed before the replica's present process started.
+    # The cutoff had passed before the replica was started again.
     assert max(seconds_to_cutoff(fleet, absent_replica)) <= 0
 
 
@@ -78,8 +80,8 @@
 
 def lose_commit_mark(folder):
     """
-    Truncate a replica's log before its last commit mark, as a loss of power can: commit marks
-    aren't synced.
+    Truncate a replica's log file just before the last commit mark. A loss of power can have this
+    effect, as commit marks aren't synced.
 
     """
     log = folder / STATE_FOLDER / LOG_FILE
@@ -92,12 +94,15 @@
 
 def test_a_starting_entry_gets_no_later_cutoff_from_a_replica_that_was_away(fleet):
     """
-    A version is set while a replica is down. After the version's cutoff, the replica and an entry
-    start together. The replica used to report its state as fresh once it had contact with the
-    leader, before it had the log entries committed meanwhile. The entry followed that replica, got
-    the version 58 ms later as newly set, and could have sent requests to the ended version until
-    the cutoff was corrected 0.2 s later. This happened in 4 of 15 runs, five at a time under other
-    load. A replica's age now counts from when it holds all committed log entries.
+    Version 2 is set while a replica is down. After the cutoff of version 2, the replica and an
+    entry start together. The entry must not compute a later cutoff.
+
+    The replica used to report its state as fresh once it had contact with the leader, before it had
+    the log entries that were committed while it was down. The entry followed the replica, received
+    version 2 from it 58 ms later and took the version for newly set. Until the cutoff was corrected
+    0.2 s later, the entry could have sent requests to older versions. This happened in 4 of 15
+    runs, five at a time under other load. The age of a replica's state now counts from the last
+    time at which the replica had applied all committed log entries.
 
     """
     entry = fleet.entry_hosts[0]
@@ -128,7 +133,7 @@
     (fleet.folder / f'{first}.log').unlink()
     fleet.start_process(first)
     wait_until(lambda: seconds_to_cutoff(fleet, first))
-    # With the other replica stopped, the entry returns to the first one.
+    # While the replica `other` is stopped, the entry follows the replica `first` again.
     fleet.signal(other, signal.SIGSTOP)
     try:
         wait_until(lambda: followed_replica(fleet) == first)
--- a/tests/test_wait_for_first_document.py
+++ b/tests/test_wait_for_first_document.py
@@ -81,8 +81,9 @@
 
 
 def test_the_wait_is_subtracted_from_the_deadline():
-    # When the deadline was counted from the end of the wait, back ends got up to a quarter of the
-    # deadline more than the caller had left: the full 1500 ms after a wait of 375 ms.
+    # The deadline counts from the arrival of the request. When it was counted from the end of the
+    # wait, a back end got more time than the caller had left, by up to a quarter of the deadline:
+    # the full 1500 ms after a wait of 375 ms.
     admitting = admission()
     admitting.table = route_table()
     received_at = admitting.env.monotonic() - 0.375
