--- a/packages/millforkd/millforkd/sidecar/daemon.py
+++ b/packages/millforkd/millforkd/sidecar/daemon.py
@@ -1,5 +1,6 @@
 """
-The endpoint daemon of a seeded fleet, which runs beside one engine.
+The endpoint daemon, which runs beside one engine of a seeded fleet (one whose processes start
+from a few replica addresses).
 
 """
 
@@ -44,7 +45,7 @@
 from millforkd.sidecar.rollout import Rollout
 from millforkd.sidecar.target import Target, TargetChooser
 
-# Time between two reports of this daemon, in seconds. An engine starts and finishes about two
+# Pause between two reports of this daemon, in seconds. An engine starts and finishes about two
 # requests in this time.
 REPORT_INTERVAL_S: Final = 0.15
 # Timeout of sending a report and receiving the answer, in seconds.
@@ -135,7 +136,8 @@
 
     async def reload(self, settings: SeededSettings) -> None:
         """
-        Apply changed settings; only the seeds can change at run time.
+        Apply changed settings. Only the seeds (the replica addresses at which this process starts
+        to look for replicas) can change at run time.
 
         """
         self.discovery.set_seeds(settings.seed_instances)
@@ -247,7 +249,8 @@
         """
         The pieces that other daemons can fetch from this one: for each version in memory, the
         longest run of consecutive pieces; and, unless the engine is changing its version, all
-        pieces of a version of which it serves all layers, since they are still staged there.
+        pieces of a version of which the engine serves all layers, since these pieces are still
+        staged at the engine.
 
         """
         held = []
--- a/packages/millforkd/millforkd/sidecar/engine.py
+++ b/packages/millforkd/millforkd/sidecar/engine.py
@@ -97,7 +97,7 @@
         self, model: str, version: int, first: int, end: int, interrupts: bool
     ) -> bool:
         """
-        Tell the engine to load the layers from `first` to before `end` from its staged pieces.
+        Tell the engine to load the layers `first` to `end` - 1, whose pieces have been staged.
         The engine lets running requests finish first, or ends them if `interrupts` is set.
         False if the engine does not answer or does not accept the load order.
 
--- a/packages/millforkd/millforkd/sidecar/expiry.py
+++ b/packages/millforkd/millforkd/sidecar/expiry.py
@@ -1,15 +1,16 @@
 """
 Removes the served version from the engine if that version ends before the next one has arrived.
 
-Once a version has ended, no request may start on it. Entries stop sending in time, but their
-last requests may be queued in a slow link, where they can't be cancelled: a request was seen
-to start 1.1 s after it was sent. This daemon runs on the same instance as the engine, so no
-link delays its load orders. It tells the engine to hold a single layer of the next version, so
-that the engine refuses late requests without running them. If no layer of the next version has
-arrived (the origin is down, or the daemon has just started), the engine is told to hold one
-layer of the served version, whose pieces are still staged. If the next version is nearly
-complete, the engine gets no such load order: until its running requests had ended, the engine
-would accept no other load order, and so would change to the next version 0.5 s to 1.5 s later.
+Once a version has ended, no request may start on it. Entries (front proxies) stop sending in
+time, but their last requests may be queued in a slow link, where they can't be cancelled: a
+request was seen to start 1.1 s after it was sent. This daemon runs on the same instance as the
+engine, so no link delays its load orders. It tells the engine to hold a single layer of the next
+version, so that the engine refuses late requests without running them. If no layer of the next
+version has arrived (the origin is down, or the daemon has just started), the engine is told to
+hold one layer of the served version, whose pieces are still staged. If the next version is
+nearly complete, the engine is not told to hold a single layer: after this load order, the engine
+would accept no other until its running requests had ended, and so would change to the next
+version 0.5 s to 1.5 s later.
 
 """
 
@@ -32,8 +33,8 @@
 # Time between two checks of the served version, in seconds.
 POLL_S: Final = 0.05
 # The engine is told to hold a single layer this many seconds before the served version ends. The
-# load order takes two polls and a few calls on the same instance, and this daemon may have learned
-# of the new version 0.2 s after the entries did.
+# load order takes two pauses of `POLL_S` and a few calls on the same instance, and this daemon may
+# have learned of the new version 0.2 s after the entries did.
 EMPTY_AHEAD_S: Final = 0.35
 # The next version counts as nearly complete if its missing pieces will arrive within this many
 # seconds at the rate of the last second. On a link slow enough to delay requests by about a
@@ -67,7 +68,8 @@
 
     async def run(self) -> None:
         """
-        Check the served version periodically, until cancelled.
+        Every `POLL_S`, record how many pieces of the target are held, and empty the engine if
+        this is due. Does neither while no target is known. Runs until cancelled.
 
         """
         while True:
@@ -116,9 +118,9 @@
 
     def _serves_ending_version(self, target: Target) -> bool:
         """
-        Whether the engine serves an old version, not the target, and that version has ended or
-        ends within `EMPTY_AHEAD_S`. False if the engine was already emptied for this target, or
-        is changing its version.
+        Whether the engine serves another version and no layer of the target, and the served
+        version has ended or ends within `EMPTY_AHEAD_S`. False if this incarnation of the engine
+        was already emptied for the target, or is changing its version.
 
         """
         emptied = self.emptied_for == (self.rollout.incarnation, target.weights.version)
@@ -148,9 +150,10 @@
 
     async def _order_single_layer(self, target: Target) -> ServedVersion | None:
         """
-        Tell the engine to hold a single layer: one of the next version, to which the rollout
-        later adds the others, or, if no layer of the next version is complete, one of the
-        served version. Returns that layer; None if the engine did not get or accept the order.
+        Tell the engine to hold a single layer: the first complete layer of the next version, to
+        which the rollout later adds the other layers, or, if no layer of the next version is
+        complete, one of the served version. Returns that layer; None if no load order was sent,
+        or the engine did not accept it.
 
         """
         weights = target.weights
@@ -167,8 +170,9 @@
         """
         Tell the engine to hold a single layer of the served version: with one layer, the engine
         can't generate tokens. The pieces of this layer are still staged at the engine, unless
-        an earlier process of this daemon staged pieces of the target. No load order is sent in
-        that case, or before that was checked, or if the engine holds a single layer already.
+        an earlier process of this daemon staged pieces of the target. No load order is sent
+        (None) if pieces of the target are staged, if this has not been checked yet, or if the
+        engine holds a single layer already.
 
         """
         if not self.rollout.staged_checked or self.rollout.staged_weights == target.weights:
@@ -177,9 +181,9 @@
         end = serves.end if serves.end is not None else target.layers
         if end - serves.first <= 1:
             return None
-        # A layer that is neither the first nor the last of the model, if there is one: entries
-        # that know of no newer version then can't use this engine as the first or last of the
-        # engines that run a request together.
+        # The middle of the served layers, which usually is neither the first nor the last layer
+        # of the model: entries that know of no newer version then can't use this engine as the
+        # first or last of the engines that run a request together.
         middle = (serves.first + end) // 2
         layer = Layers(middle, middle + 1)
         return await self._order(WeightsId(serves.model, serves.version), layer)
--- a/packages/millforkd/millforkd/sidecar/fleet.py
+++ b/packages/millforkd/millforkd/sidecar/fleet.py
@@ -29,9 +29,9 @@
 @dataclass(frozen=True, slots=True)
 class _FleetSnapshot:
     """
-    The daemons of the service (`members`), those whose engines do not serve the whole version
-    (`incomplete`), and the layer assignments of the latter by instance, computed at `at`
-    (monotonic seconds).
+    The daemons of the service (`members`), those whose engines do not serve all layers of the
+    version `weights` (`incomplete`), and the layer assignments of the `incomplete` daemons by
+    instance, computed at `at` (monotonic seconds).
 
     """
 
--- a/packages/millforkd/millforkd/sidecar/gathering.py
+++ b/packages/millforkd/millforkd/sidecar/gathering.py
@@ -35,9 +35,10 @@
 # the next one travels to the cache. More pieces would queue in a slow link ahead of the
 # engine's requests.
 CACHE_WINDOW_PIECES: Final = 2
-# After this many consecutive rounds in which no cache returned a piece, a daemon asks peers and
-# the origin. These rounds take longer than an outage of the origin of some seconds: caches fetch
-# pieces again as soon as the origin is back.
+# After this many consecutive rounds of requests to caches in which no piece arrived, a daemon asks
+# peers, or the origin if no peer holds a missing piece. These rounds take longer than a short
+# outage of the origin, which must not make daemons bypass the caches: caches fetch pieces again as
+# soon as the origin is back.
 MAX_FAILED_CACHE_ROUNDS: Final = 20
 # After this many consecutive failed requests to caches for the list of digests, a daemon
 # requests the list from peers or the origin. No transfer starts without this small list. The
@@ -46,9 +47,9 @@
 MAX_FAILED_DIGEST_REQUESTS: Final = 6
 # Concurrent requests of one daemon to the origin.
 ORIGIN_WINDOW_PIECES: Final = 1
-# A daemon that received no piece for this many seconds also requests the pieces that other
-# daemons were to fetch from the origin. A piece takes 0.05 s on the slowest links, and sending
-# a piece to all receivers takes ten times that.
+# Each time that a daemon receives no piece for this many seconds, it also takes over the pieces
+# for which it is the next in the order of the daemons that fetch from the origin. A piece takes
+# 0.05 s on the slowest links, and sending a piece to all receivers takes ten times that.
 STALL_S: Final = 0.8
 # Timeout of a request to a peer, or to a cache over a slow link, in seconds.
 PEER_TIMEOUT_S: Final = 2.0
@@ -152,7 +153,8 @@
 
     async def _fetch_from_caches(self, held: PieceSet, missing: list[int]) -> bool:
         """
-        Fetch the missing pieces from caches; False if no piece arrived meanwhile.
+        Fetch the missing pieces from caches. If no piece arrived meanwhile, pause for `RETRY_S`
+        and return False.
 
         """
         before = len(held.pieces)
@@ -296,7 +298,8 @@
         """
         Fetch the digests of all pieces into `held`, with one request to a cache. If there is no
         cache that recently answered, or after `MAX_FAILED_DIGEST_REQUESTS` consecutive failed
-        requests to caches, fetch them from peers or the origin. False if this failed.
+        requests to caches, fetch them from peers or the origin. False if `held` has no digests
+        afterwards.
 
         """
         if held.digests:
--- a/packages/millforkd/millforkd/sidecar/load.py
+++ b/packages/millforkd/millforkd/sidecar/load.py
@@ -13,8 +13,8 @@
 from millfork_wire.messages import EngineLoad
 from millforkd.sidecar.engine import LocalEngine
 
-# A report of the engine answers all queries within this many seconds, about one forward pass of
-# the engine.
+# All load queries within this many seconds after a report of the engine are answered from that
+# report. This is about the time of one forward pass of the engine.
 SHARED_REPORT_S: Final = 0.005
 # The pace (1 at the declared speed, above 1 if the engine is slower) is sent multiplied by this.
 PERCENT: Final = 100
--- a/packages/millforkd/millforkd/sidecar/pushing.py
+++ b/packages/millforkd/millforkd/sidecar/pushing.py
@@ -1,5 +1,6 @@
 """
-Sends pieces fetched from the origin to the other daemons whose engines load them first.
+Sends pieces that this daemon fetched from the origin to the other daemons whose engines load the
+layers in these pieces first.
 
 For each receiver, a task sends one piece at a time: further pieces would only queue in a slow
 link, ahead of the requests to the receiver's engine.
--- a/packages/millforkd/millforkd/sidecar/rollout.py
+++ b/packages/millforkd/millforkd/sidecar/rollout.py
@@ -36,9 +36,9 @@
 DRAIN_S: Final = 0.9
 # Time between two checks whether the requests have finished, in seconds.
 DRAIN_POLL_S: Final = 0.03
-# Requests may finish within this many seconds, instead of `DRAIN_S`, if the old version has ended
-# or ends sooner: the capacity of the changing engines then matters more than the requests that
-# remain on them.
+# Requests may finish within at least this many seconds, even if the old version has ended or ends
+# sooner. The time is shorter than `DRAIN_S`, because the capacity of the changing engines then
+# matters more than the requests that remain on them.
 LATE_DRAIN_S: Final = 0.3
 # Time between two checks of the target, the other engines or this engine, in seconds.
 POLL_S: Final = 0.1
@@ -88,9 +88,10 @@
         self.changing_to = 0
         # Held from before pieces are staged until the engine has answered the order to load them.
         self.load_order_lock = curio.Lock()
-        # An earlier process of this daemon may have staged pieces of the target and ended before
-        # it sent the load order. Whether the check for such pieces was made since this process
-        # or the engine started.
+        # Whether the check for staged pieces of the target has run since this process and the
+        # engine started (the check reads no pieces if the digests are held already or can't be
+        # fetched). An earlier process of this daemon may have staged such pieces and ended before
+        # it sent the load order.
         self.staged_checked = False
         # The version whose pieces were found by this check; None if none were.
         self.staged_weights: WeightsId | None = None
@@ -113,7 +114,7 @@
             report.incarnation,
         )
         self.incarnation = report.incarnation
-        # Staged pieces may have outlived the restart, so they are checked again.
+        # Staged pieces may have outlived the restart, so the check for them runs again.
         self.staged_checked = False
         self.staged_weights = None
         self.assignment = None
@@ -233,7 +234,7 @@
 
     async def _gather(self, held: PieceSet, target: Target, goal: Layers) -> bool:
         """
-        Fetch the pieces of the `goal` layers into `held`; False if they are not complete,
+        Fetch the pieces of the `goal` layers into `held`; False if some are still missing,
         usually because the target has changed.
 
         """
@@ -283,9 +284,9 @@
 
     async def _wait_for_turn(self, target: Target) -> bool:
         """
-        Wait for this engine's turn, which comes when the engines of all earlier turns have
-        changed, and at the latest when the change is due. An engine that serves no other
-        version does not wait. False if the target changes meanwhile.
+        Wait for this engine's turn, which comes when as many engines have changed as belong to
+        the earlier turns, and at the latest when the change is due. An engine that serves no
+        other version does not wait. False if the target changes meanwhile.
 
         """
         turn = self.fleet.own_turn(target.weights, ROLLOUT_TURNS)
--- a/packages/millforkd/millforkd/sidecar/sources.py
+++ b/packages/millforkd/millforkd/sidecar/sources.py
@@ -63,9 +63,9 @@
     candidates: list[EndpointState], zone: str, incomplete_in_zone: int
 ) -> list[str]:
     """
-    The holders to request a piece from: those in `zone`, if there are any and at least as many
-    as daemons in `zone` that need the piece (`incomplete_in_zone`). Otherwise all holders, since
-    the links of fewer holders would be too slow.
+    The holders to request a piece from: those in `zone`, if there are any and they are at least
+    as many as the daemons in `zone` that need the piece (`incomplete_in_zone`). Otherwise all
+    holders, since the links of fewer holders would be too slow.
 
     """
     near = [state.instance for state in candidates if state.zone == zone]
--- a/packages/millforkd/millforkd/sidecar/target.py
+++ b/packages/millforkd/millforkd/sidecar/target.py
@@ -21,14 +21,13 @@
 
 # The version that engines load if the configuration does not set one.
 FIRST_VERSION: Final = 1
-# Each further change of version costs an engine this many seconds of serving time: a change
-# takes 1.4 s, in which the engine works at a third of its rate.
+# Each change of version costs an engine this many seconds of serving time: a change takes 1.4 s,
+# in which the engine works at a third of its rate.
 VERSION_CHANGE_S: Final = 1.0
 # A version counts as stuck if none of its missing pieces arrived for this many seconds. A piece
 # takes 0.2 s on a link that is throttled to a quarter of its rate.
 STUCK_AFTER_S: Final = 1.0
-# A version that was found stuck counts as stuck for this many seconds, or until one of its pieces
-# arrives.
+# A version remains stuck for this many seconds, or until one of its pieces arrives.
 STUCK_FOR_S: Final = 1.5
 
 log = logger(Component.WEIGHTS)
@@ -102,8 +101,9 @@
 
     def _ends_at(self, spec: EngineSpec, version: int) -> float:
         """
-        The time from which no request may start on a version (monotonic seconds); infinity for
-        version 0 (the engine serves nothing) and for the newest version, which has no end.
+        When entries cancel the requests that were sent to a version but have not begun there
+        (monotonic seconds); infinity for version 0 (the engine serves nothing) and for the
+        newest version, which has no end.
 
         """
         ends = self.versions.ends_at(spec.model, version) if version else None
--- a/tests/test_engines_without_daemon_reports.py
+++ b/tests/test_engines_without_daemon_reports.py
@@ -1,11 +1,12 @@
 """
 The end of a version at an engine whose endpoint daemon sends no reports.
 
-From its end on, no request may begin on a version. Entries stop sending some time earlier, but
-over a slow link a request began 1.1 s after it was sent. The daemon beside the engine removes the
-version from the engine in time. A killed or frozen daemon does not: a request sent 0.9 s before
-the end of the version began 0.2 s after the end. A daemon in this state sends no reports either,
-so entries stop sending earlier to an engine without recent reports.
+No request may begin on a version after the version has ended. Entries (front proxies) stop
+sending some time earlier, but over a slow link a request began 1.1 s after it was sent. The
+daemon beside the engine removes the version from the engine in time. A killed or frozen daemon
+does not: a request sent 0.9 s before the end of the version began 0.2 s after the end. A daemon
+in this state sends no reports either, so entries stop sending earlier to an engine without
+recent reports.
 
 """
 
--- a/tests/test_machine_suspension.py
+++ b/tests/test_machine_suspension.py
@@ -1,6 +1,7 @@
 """
 A machine that is suspended for some seconds. During the suspension CLOCK_MONOTONIC stops, but
-versions end, leases expire and callers leave.
+versions end, leases expire and callers leave. So the clock of a process must include the
+suspension, as CLOCK_BOOTTIME does.
 
 """
 
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -276,8 +276,8 @@
     """
     Guards against a version served beyond its end while the origin is down. Six engines kept
     version 1 until the first layer of version 2 arrived. Version 1 ended 8.0 s after version 2
-    was set, but was removed 12.15 s to 12.31 s after. Reducing the engine to one layer of
-    version 1, which is still staged, removes the version in time.
+    was set, but was removed 12.15 s to 12.31 s after version 2 was set. Reducing the engine to
+    one layer of version 1, which is still staged, removes the version in time.
 
     """
 
@@ -336,9 +336,9 @@
 def test_a_started_daemon_checks_staged_pieces_before_it_empties_the_engine(matches, orders):
     """
     Guards against an engine that loads pieces of version 2 as version 1. Daemons were killed
-    after they had staged all pieces of version 2 and before they sent the load order. The
-    daemons started in their place told an engine that served version 1 to load layer 8 of 16
-    of that version, 0.08 s before they checked which version was staged.
+    after they had staged all pieces of version 2 and before they sent the load order. A daemon
+    started in place of one of them told its engine, which served version 1, to load layer 8 of
+    16 of version 1, 0.08 s before the daemon checked which version was staged.
 
     """
 
--- a/tests/test_transfer_without_root.py
+++ b/tests/test_transfer_without_root.py
@@ -1,5 +1,6 @@
 """
-A stripe that no instance fetches from the origin, because each considers another one the root.
+A stripe that no instance fetches from the origin, because each considers another one the root,
+must arrive within `MAX_STALLS` stall times.
 
 The root of a stripe fetches the stripe from the origin, and the other instances get the chunks
 through a tree. Each instance computes the trees from the instances that it knows of. While the
--- a/tests/test_version_cutoffs.py
+++ b/tests/test_version_cutoffs.py
@@ -1,6 +1,6 @@
 """
 Cutoffs, the times from which no request may begin on versions older than a new one, as a
-follower learns them from the answers of its replica.
+follower (a process that does not lead the replicas) learns them from the answers of its replica.
 
 """
 
--- a/tests/test_version_ends.py
+++ b/tests/test_version_ends.py
@@ -83,8 +83,8 @@
 
 def settled_cutoff(fleet, host, version):
     """
-    The cutoff of `version` that the process at `host` uses after it has had `GAP_S` to correct
-    the cutoff by further messages of its replica.
+    The `logged_cutoff` of the process at `host`, after the process has had `GAP_S` to correct it
+    by further messages of its replica.
 
     """
     wait_until(lambda: logged_cutoff(fleet, host, version) is not None)
