--- a/packages/millforkd/millforkd/endpoint/backend_gateway.py
+++ b/packages/millforkd/millforkd/endpoint/backend_gateway.py
@@ -116,8 +116,8 @@
 
     async def on_reserve(self, connection: Connection, request: Reserve) -> Reserved:
         """
-        Reserve a slot for a request or queue the request for a slot, else refuse it at once. The
-        refusal says when to retry.
+        Reserve a slot for a request, queue the request for a slot, or refuse the request at once. A
+        refusal as BUSY or RESTING says when to retry.
 
         """
         organisation = OrganisationId(request.organisation)
@@ -325,8 +325,9 @@
 
     def _check_head(self, reservation: Reservation, reply: Reply) -> Refusal | None:
         """
-        Return a refusal if the answer belongs to another request, or if the engine has not loaded
-        the version that the request was admitted to or answered with another version; else None.
+        Return a refusal if the answer belongs to another request, or if the engine did not answer
+        with the version that the request was admitted to; else None. If the engine has not loaded
+        that version, the request has not run, and its stage becomes STARTED again.
 
         """
         echoed = reply.header(REQUEST_ID_HEADER)
@@ -379,8 +380,8 @@
 
     async def report_load(self) -> None:
         """
-        Send load reports to the subscribed entries: after each change of the load, but at most
-        every MIN_LOAD_REPORT_INTERVAL_S, and every LOAD_HEARTBEAT_INTERVAL_S without a change.
+        Send load reports to the subscribed entries: after each change of the load, but at most one
+        per MIN_LOAD_REPORT_INTERVAL_S, and every LOAD_HEARTBEAT_INTERVAL_S without a change.
 
         """
         while True:
@@ -400,7 +401,7 @@
 
     async def wait_until_idle(self, timeout: float) -> bool:
         """
-        Wait up to `timeout` seconds for the requests in progress to end; return whether all did.
+        Wait up to `timeout` seconds for the requests in progress to end; return whether all ended.
 
         """
         try:
--- a/packages/millforkd/millforkd/endpoint/engine_client.py
+++ b/packages/millforkd/millforkd/endpoint/engine_client.py
@@ -1,10 +1,10 @@
 """
 Sends load and unload orders to the model engine, each with a fencing number.
 
-Only the endpoint daemon sends these orders. The daemon holds the wire port of its address, so a
-second one can't run at the same address, even while the first is frozen. A new daemon process takes
-a number above the highest that the engine has seen, so an engine that refuses lower numbers refuses
-late orders of the previous process.
+Only the endpoint daemon sends these orders. The daemon keeps the wire port of its address bound, so
+a second daemon can't run at the same address, even while the first is frozen. A new daemon process
+takes a number above the highest that the engine has seen, so an engine that refuses lower numbers
+refuses late orders of the previous process.
 
 """
 
@@ -59,15 +59,16 @@
         self.env = env
         self.settings = settings
         self.client = Client(*settings.address.pair, source=source)
-        # 0 until a poll succeeds, and again after the engine refused an order for its number.
+        # The fencing number of the orders that are sent; 0 (none) until a poll succeeds, and again
+        # after the engine refused an order because it has seen a higher number.
         self.number = FencingNumber(0)
         self.status = EngineStatus()
 
     async def poll(self) -> bool:
         """
-        Fetch the engine's status. Without a valid answer, `status` becomes empty and the result is
-        False. If this client has no fencing number, it takes one above the highest that the engine
-        has seen.
+        Fetch the engine's status and return whether a valid answer arrived; without one, `status`
+        becomes empty. If this client has no fencing number yet, it takes the number one above the
+        highest that the engine has seen.
 
         """
         try:
@@ -94,7 +95,7 @@
 
     async def load(self, version: str, parts: list[dict[str, str]]) -> None:
         """
-        Order the engine to load a version. `parts` lists the base model first, then the adapters.
+        Tell the engine to load a version. `parts` lists the base model first, then the adapters.
 
         :raises OrderFailed: if the engine did not confirm that it loaded the version.
 
@@ -103,7 +104,7 @@
 
     async def unload(self, version: str) -> None:
         """
-        Order the engine to unload a version.
+        Tell the engine to unload a version.
 
         :raises OrderFailed: if the engine did not confirm that it unloaded the version.
 
--- a/packages/millforkd/millforkd/endpoint/incarnation_tracking.py
+++ b/packages/millforkd/millforkd/endpoint/incarnation_tracking.py
@@ -66,8 +66,8 @@
         self.env = env
         self.address = address
         self.query_incarnation = query_incarnation
-        # When this endpoint process started (ns since 1970). Incarnation keys contain it, as each
-        # process numbers the incarnations from 0.
+        # When this endpoint process started (ns since 1970). Incarnation keys contain this time, as
+        # each endpoint process numbers the incarnations of its back end from 0.
         self.start = time.time_ns()
         self.current_number = 0
         # The incarnation that the back end last reported; empty if unknown.
--- a/packages/millforkd/millforkd/endpoint/reservations.py
+++ b/packages/millforkd/millforkd/endpoint/reservations.py
@@ -32,9 +32,10 @@
 class Reservation:
     """
     One request from its `Reserve` to its `End`. `deadline` is in monotonic seconds of this
-    process. `version` is the version of the weights that the request was admitted to. `response`
-    is the complete answer, kept only for a request with an idempotency key. `parts` and `bytes`
-    count the parts of the body that were sent to the entry, and their bytes.
+    process. `version` is the version of the weights that the request was admitted to, empty for a
+    plain service. `response` is the complete answer, kept only for a request with an idempotency
+    key. `parts` and `bytes` count the parts of the answer's body that were sent to the entry, and
+    their bytes.
 
     """
 
--- a/packages/millforkd/millforkd/endpoint/rest_tracking.py
+++ b/packages/millforkd/millforkd/endpoint/rest_tracking.py
@@ -28,8 +28,8 @@
 
     def current_refusal(self) -> Refusal | None:
         """
-        Return a refusal during a rest period, and after it while the probe is unanswered (for at
-        most `PROBE_TIMEOUT_S` of `availability`); else None.
+        Return a refusal during a rest period and, after the period, while the probe is unanswered
+        (for at most `PROBE_TIMEOUT_S` of the module `availability`); else None.
 
         """
         wait_s = (
@@ -53,8 +53,8 @@
 
     def record_answer(self, reply: Reply, sent_at: float) -> None:
         """
-        Begin, extend or end the rest period by the status and headers of an answer to a request
-        that was sent at `sent_at` (monotonic seconds).
+        Begin, extend or end the rest period, as the answer to a request sent at `sent_at`
+        (monotonic seconds) says. Only an accepted request that was sent after the period ends it.
 
         """
         if reply.status not in REJECTION_STATUSES:
--- a/packages/millforkd/millforkd/endpoint/rollout.py
+++ b/packages/millforkd/millforkd/endpoint/rollout.py
@@ -111,8 +111,9 @@
 
     def _find_wanted_deployments(self) -> dict[str, Deployment]:
         """
-        Return the deployments that select this instance, by `ORG/NAME`. If the instance isn't
-        listed, or nothing changed since the last call, the result stays the same.
+        Return the deployments that select this instance, by `ORG/NAME`. If the platform doesn't
+        list the instance, or if neither the configuration nor the list of instances changed since
+        the last call, the result stays the same.
 
         """
         deployments_computed_from = (self.view.position, self.roster.version)
@@ -238,7 +239,8 @@
     async def _unload_unwanted(self) -> None:
         """
         Unload versions that are neither wanted nor served nor in use by a request. Once all wanted
-        versions are served and no others are loaded, delete all other weights from the disk.
+        versions are served and no others are loaded, delete from the disk all weights that are not
+        part of a wanted version.
 
         """
         wanted = {deployment.version for deployment in self.wanted_deployments.values()}
--- a/packages/millforkd/millforkd/entry/access_control.py
+++ b/packages/millforkd/millforkd/entry/access_control.py
@@ -36,8 +36,8 @@
 
 class AccessControl:
     """
-    Authenticates requests by the token hashes that the current configuration holds for each
-    organisation, and the administrator by the token from the settings.
+    Authenticates callers and operators by their organisation's token hashes in the current
+    configuration, and the administrator by the token from the settings.
 
     """
 
@@ -45,7 +45,7 @@
         self.view = view
         self.admin_hash = hash_token(admin_token) if admin_token else ''
         self.revision = -1
-        # Organisations, by the hash of a caller's or an operator's token.
+        # The organisation of each caller token and of each operator token, by the token's hash.
         self.callers: dict[str, OrganisationId] = {}
         self.operators: dict[str, OrganisationId] = {}
         self.organisations: dict[OrganisationId, Organisation] = {}
--- a/packages/millforkd/millforkd/entry/attempts.py
+++ b/packages/millforkd/millforkd/entry/attempts.py
@@ -1,9 +1,9 @@
 """
-Sends a request to one endpoint in two steps, `Reserve` and `Start`: one attempt of a call.
+One attempt of a call: sends the request to one endpoint in two steps, `Reserve` and `Start`.
 
-After `Reserve` the endpoint keeps a slot or a place in its queue, but runs nothing. As long as this
-entry has not sent `Start`, the request can't have run, even if the endpoint fails; the verdict
-NOT_RUN relies on this.
+After `Reserve` the endpoint keeps a slot or a place in its queue for the request, but doesn't run
+it. As long as this entry has not sent `Start`, the request can't have run, even if the endpoint
+fails; the verdict NOT_RUN relies on this.
 
 """
 
@@ -76,12 +76,15 @@
 class InterruptedAttempt(Refusal):
     """
     The outcome of an attempt whose answer broke off and whose back end ended or may have ended.
+    `incarnation` is the incarnation (process life) of that back end or, if the connection to the
+    endpoint was lost, of the endpoint daemon.
 
     """
 
     request_id: RequestId = RequestId('')
     incarnation: IncarnationKey = NO_INCARNATION
-    # The endpoint, if the connection to it was lost. No report about this attempt follows then.
+    # The endpoint, if the connection to it was lost; else empty. A lost endpoint sends no report
+    # about this attempt.
     lost_endpoint: InstanceId = NO_INSTANCE
 
 
@@ -158,8 +161,8 @@
 
     async def reserve(self, call: Call, timeout: float) -> Refusal | None:
         """
-        Reserve a slot, or a place in the queue of the endpoint. Return None on success, else a
-        refusal, whose verdict is always NOT_RUN.
+        Reserve a slot or a place in the endpoint's queue, within `timeout` seconds. Return None on
+        success, else a refusal, whose verdict is always NOT_RUN.
 
         """
         remaining_s = call.deadline - self.env.monotonic()
@@ -200,7 +203,7 @@
     async def start(self) -> Refusal | None:
         """
         Send `Start`, after which the request may have run, and return None. If the connection is
-        already lost, return a refusal.
+        already lost, return a refusal with the verdict NOT_RUN.
 
         """
         try:
@@ -224,7 +227,7 @@
     async def receive_part(self, deadline: float) -> bytes | Refusal | None:
         """
         Return the next part of the body, None once the answer is complete, or a refusal if the
-        attempt failed or `deadline` (monotonic seconds) passed.
+        attempt failed, the answer is incomplete or `deadline` (monotonic seconds) passed.
 
         """
         message = await self._next_event(deadline)
@@ -293,8 +296,9 @@
 
     async def cancel(self) -> Verdict:
         """
-        Cancel the request at the endpoint and return the verdict of the endpoint, or MAY_HAVE_RUN
-        if the endpoint does not reply within CANCEL_TIMEOUT_S.
+        Cancel the request at the endpoint. Return the endpoint's verdict and set
+        `cancelled_incarnation`, both from the reply; without a valid reply within CANCEL_TIMEOUT_S,
+        only return MAY_HAVE_RUN.
 
         """
         self.ended = True
--- a/packages/millforkd/millforkd/entry/caller_requests.py
+++ b/packages/millforkd/millforkd/entry/caller_requests.py
@@ -99,9 +99,8 @@
 
     async def _answer_until_caller_leaves(self, exchange: Exchange, call: Call) -> None:
         """
-        Run the call until it is answered or refused. If its caller disconnects, the call is
-        cancelled, unless it has an idempotency key: then it continues, so that its outcome is
-        recorded.
+        Run the call until it is answered or refused. If the caller disconnects, the call is
+        cancelled. Only a call with an idempotency key continues, so that its outcome is recorded.
 
         """
         answering = await self.env.spawn(self._answer_call, exchange, call)
@@ -138,8 +137,9 @@
 
     async def _run_claimed(self, call: Call, delivery: Delivery) -> Refusal | None:
         """
-        Claim the idempotency key of a call, run the call, and store its outcome under the key. If
-        an earlier request with the key has a stored answer, deliver that answer instead.
+        Claim the idempotency key of a call and run the call. Store the answer under the key, or
+        release the key if the request did not run. If an earlier request with the key has a stored
+        answer, deliver that answer instead. Return None if the call is answered, else the refusal.
 
         """
         call = replace(call, claim=uuid.uuid4().hex)
@@ -241,8 +241,10 @@
 
 def _is_repeatable(request: Request) -> bool:
     """
-    Return whether the request may be sent more than once: as REPEATABLE_HEADER says or, without
-    that header, if the method is idempotent (RFC 9110, section 9.2.2).
+    Return whether the request may be sent more than once: the value of REPEATABLE_HEADER or,
+    without that header, whether the method is idempotent (RFC 9110, section 9.2.2).
+
+    :raises Refused: if the header is neither `yes` nor `no`.
 
     """
     value = request.header(REPEATABLE_HEADER)
--- a/packages/millforkd/millforkd/entry/crash_tracking.py
+++ b/packages/millforkd/millforkd/entry/crash_tracking.py
@@ -94,7 +94,8 @@
         self.suspicion_store = SuspicionStore(env.monotonic)
         self.suspicion_updater = SuspicionUpdater(env, self.suspicion_store)
         self.pending: dict[RequestId, PendingAttempt] = {}
-        # Whether the back end ended, for reports that arrived before their attempt was recorded.
+        # By request id: whether the back end ended, from reports that arrived before their attempt
+        # was recorded as interrupted or cancelled.
         self.early_statuses: dict[RequestId, bool] = {}
         self.quarantine = Quarantine(
             self.suspicion_store,
@@ -114,7 +115,7 @@
     def block_refusal(self, call: Call) -> Refusal | None:
         """
         Return the refusal of a call that is quarantined or suspected of crashing back ends; None
-        if the call may be sent. A suspected call is sent now and then as a trial.
+        if the call may be sent. A suspected call may be sent as a trial when its trial is due.
 
         """
         level = self.quarantine.blocking_level(call)
@@ -124,8 +125,8 @@
 
     async def record_outcome(self, call: Call, before: Suspicion, outcome: Refusal | None) -> None:
         """
-        Record the outcome of an attempt, None after a complete answer. `before` is the suspicion
-        of the call when the attempt was sent.
+        Record the outcome of an attempt. None stands for a complete answer, which clears the
+        suspicion of the call. `before` is that suspicion when the attempt was sent.
 
         """
         if outcome is None:
@@ -222,8 +223,8 @@
 
     async def expire(self) -> None:
         """
-        Remove expired suspicions, schedule private suspicions (not sent to other entries yet) for
-        sending if they are overdue, and settle attempts that have been pending for longer than
+        Remove expired suspicions, schedule for sending the suspicions that were private (not sent
+        to other entries) for too long, and settle attempts that have been pending for longer than
         PENDING_RETENTION_S as if their back end had not ended.
 
         """
--- a/packages/millforkd/millforkd/entry/delivery.py
+++ b/packages/millforkd/millforkd/entry/delivery.py
@@ -35,8 +35,9 @@
     async def deliver(self, attempt: Attempt, deadline: float) -> Refusal | None:
         """
         Relay the answer of an attempt if it is an event stream; store any other answer in
-        `response`. Return None if the answer is complete, else a refusal. A back end that turned
-        the request away (429 or 503, not streamed) gives the refusal TurnedAway.
+        `response`. Return None if the answer is complete, else a refusal. If the back end turned
+        the request away (429 or 503, not streamed), the refusal is a TurnedAway with that answer,
+        and `response` is None.
 
         """
         head = await attempt.receive_head(deadline)
--- a/packages/millforkd/millforkd/entry/dispatcher.py
+++ b/packages/millforkd/millforkd/entry/dispatcher.py
@@ -23,8 +23,8 @@
 
 # An endpoint is avoided for this long after a refusal for one of AVOIDANCE_REASONS.
 AVOIDANCE_S: Final = 3.0
-# Length of the random fingerprint key of a dispatcher that is built without a crash tracker. Other
-# entries have other keys, so they compute other fingerprints for the same call.
+# Length of the random fingerprint key of a dispatcher that is built without a crash tracker. Each
+# such dispatcher has a key of its own, so two of them compute different fingerprints of one call.
 FINGERPRINT_KEY_BYTES: Final = 32
 # An endpoint that refused a call as BUSY gets no calls of the same organisation from this entry for
 # this long.
@@ -76,8 +76,9 @@
     async def run(self, call: Call, delivery: Delivery) -> Refusal | None:
         """
         Run a call. Return None if the call is answered: the answer was streamed to the caller, or
-        `delivery.response` holds it. A returned refusal is final; its verdict says whether any
-        attempt of the call may have run.
+        `delivery.response` holds it. If the call ends with a back end that turned it away (429 or
+        503), that back end's answer is the answer of the call. A returned refusal is final; its
+        verdict says whether any attempt of the call may have run.
 
         """
         refusal = await self._run_attempts(call, delivery)
--- a/packages/millforkd/millforkd/entry/endpoint_connections.py
+++ b/packages/millforkd/millforkd/entry/endpoint_connections.py
@@ -62,8 +62,8 @@
 
     async def run(self) -> None:
         """
-        Connect to the endpoints that this entry uses, reconnect after losses, and notify
-        endpoints that are listed as leaving.
+        Connect to the endpoints that this entry uses, reconnect when a connection is lost, and
+        notify endpoints that are listed as leaving.
 
         """
         while True:
@@ -117,9 +117,10 @@
 
     def _subset(self, group: list[InstanceFacts]) -> list[InstanceFacts]:
         """
-        Return up to `subset` endpoints of this zone, and enough of other zones to reach `subset` in
-        total, but at least `subset` // REMOTE_DIVISOR, to take over when those of this zone are
-        full. The choice is stable, as it follows the ranks of the endpoints.
+        Return up to `subset` endpoints of this zone, and endpoints of other zones: as many as are
+        missing from `subset`, and at least `subset` // REMOTE_DIVISOR, which take over when the
+        endpoints of this zone are full. The endpoints' ranks for this entry never change, so the
+        choice is stable.
 
         """
         ranked = sorted(group, key=lambda facts: self._rank(facts.instance))
@@ -173,8 +174,9 @@
 
     async def _notify_leaving_endpoints(self) -> None:
         """
-        Notify endpoints that the platform lists as leaving. A notified endpoint refuses new
-        requests of every entry, also of entries whose list does not show it as leaving yet.
+        Stop using the endpoints that the platform lists as leaving, and notify each of them once.
+        A notified endpoint refuses new requests of every entry, also of entries whose list of
+        instances does not show yet that the endpoint is leaving.
 
         """
         for instance, connection in list(self.connections.items()):
--- a/packages/millforkd/millforkd/entry/key_claims.py
+++ b/packages/millforkd/millforkd/entry/key_claims.py
@@ -33,7 +33,7 @@
         Claim the call's key under the id `call.claim`. Return None if the claim is granted, or
         the stored answer of the first request with this key.
 
-        :raises Refused: if the first request with this key has another content or no stored
+        :raises Refused: if the first request with this key had other content or has no stored
             answer, or if no quorum answers.
 
         """
@@ -50,8 +50,8 @@
 
     async def settle(self, call: Call, response: Response | None, verdict: Verdict) -> None:
         """
-        Store the response under the call's key, or release the key if nothing ran. If the request
-        may have run and there is no response, the key stays claimed.
+        Store the response under the call's key, or release the key if the request did not run. If
+        the request may have run and there is no response, the key stays claimed.
 
         """
         if response is None and verdict is not Verdict.NOT_RUN:
--- a/packages/millforkd/millforkd/entry/operator_requests.py
+++ b/packages/millforkd/millforkd/entry/operator_requests.py
@@ -46,9 +46,9 @@
 
 class ApplyRequest(msgspec.Struct, forbid_unknown_fields=True):
     """
-    The body of an apply request: a declaration, the names of the deployments to remove, and the
-    command's id, which is generated if empty. With a revision in `expect`, the request is refused
-    if a key that it would set or remove was set or removed after that revision.
+    The body of an apply request: a declaration, the names of the deployments to remove, and the id
+    of the replicated command, which is generated if empty. With a revision in `expect`, the request
+    is refused if a key that it would set or remove was set or removed after that revision.
 
     """
 
@@ -156,8 +156,8 @@
 
     async def _pin_deployment(self, spec: DeploymentSpec) -> Deployment:
         """
-        Return the deployment with the digests of the manifests that the origin has now, so that
-        instances accept exactly these weights.
+        Return the deployment with the digests of the manifests that the origin (the weight store)
+        has now, so that instances accept exactly these weights.
 
         """
         weights = [(spec.model, spec.version)]
--- a/packages/millforkd/millforkd/entry/suspicion_gossip.py
+++ b/packages/millforkd/millforkd/entry/suspicion_gossip.py
@@ -2,8 +2,8 @@
 Gossip between the entries of a listed fleet (one whose instances the platform lists) about requests
 that are suspected of crashing back ends.
 
-Each entry sends new suspicions to a few other entries, which forward those that are new to them.
-A starting entry asks some other entries for their suspicions.
+Each entry sends new suspicions to a few other entries, which forward the suspicions that they did
+not know. A starting entry asks some other entries for their suspicions.
 
 """
 
@@ -67,7 +67,8 @@
         self.peers = peers
         self.roster = roster
         self.suspicion_store = suspicion_store
-        # Whether the entries that were asked for suspicions at the start answered or timed out.
+        # Whether each entry that was asked for suspicions at the start answered, could not be
+        # reached or timed out.
         self.has_asked_others = False
         # By receiving entry: fingerprints of the suspicions that it has not accepted yet.
         self.undelivered: dict[InstanceId, set[Fingerprint]] = {}
--- a/tests/test_accepting_at_limits.py
+++ b/tests/test_accepting_at_limits.py
@@ -1,8 +1,8 @@
 """
 A server whose callers' idle connections use all file descriptors of its process.
 
-Guards against a server that accepts no new connection until the idle timeout (30 s in the usual
-deploy file) closes an old one, while it reports that it is ready.
+Guards against a server that accepts no new connection until the idle timeout (30 s in a typical
+operator's document, `limits.idle_timeout_ms`) closes an old one, while it reports that it is ready.
 
 """
 
@@ -21,7 +21,8 @@
 
 class FakeListener:
     """
-    A listening socket that accepts only while fewer than `MAX_OPEN_CONNECTIONS` are open.
+    A listening socket that accepts a connection only while fewer than `MAX_OPEN_CONNECTIONS`
+    accepted connections are open.
 
     """
 
--- a/tests/test_crashing_requests_listed.py
+++ b/tests/test_crashing_requests_listed.py
@@ -1,9 +1,9 @@
 """
 A request that crashes the back ends that run it, on a listed fleet.
 
-Guards against counting crashes separately for each call: a caller that retries makes a new call,
-so one request was sent 18 times in 8 calls and crashed an engine each time. Crashes are counted
-by the content of a call.
+Crashes must be counted by the content of a call. Guards against counting them separately for each
+call: a caller that retries makes a new call, so one request was sent 18 times in 8 calls and
+crashed an engine each time.
 
 """
 
--- a/tests/test_crashing_requests_on_listed_fleets.py
+++ b/tests/test_crashing_requests_on_listed_fleets.py
@@ -3,13 +3,14 @@
 
 Guards against these failures:
 
-- Each entry counted crashes alone, with its own fingerprint key: callers that used six entries in
-  turn crashed 18 engines, also with streams.
-- Entries lost their counts in a restart: callers crashed 12 engines at one entry that was
-  restarted three times.
-- Crashes were not detected if the connections of an engine closed 50 ms before its listening
-  socket: 22 of 24 calls.
-- Simultaneous crashes counted as one: concurrent callers crashed 7 and 8 engines.
+- Each entry counts crashes alone, with a fingerprint key of its own. Callers that used six entries
+  in turn crashed 18 engines, also with streamed answers.
+- An entry loses its counts in a restart. Callers of one entry that was restarted three times
+  crashed 12 engines.
+- A crash is not detected if the connections of the engine close 50 ms before its listening socket.
+  24 calls at one entry crashed 22 engines.
+- Simultaneous crashes count as one. Six concurrent callers crashed 7 engines in one case and 8 in
+  another.
 
 """
 
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -36,7 +36,7 @@
 
 class ScriptedDispatcher(Dispatcher):
     """
-    A dispatcher that takes the outcome of each attempt from a list instead of making it.
+    A dispatcher that takes the outcome of each attempt from a list and sends no request.
 
     """
 
--- a/tests/test_ends_at_endpoints.py
+++ b/tests/test_ends_at_endpoints.py
@@ -1,5 +1,6 @@
 """
-How an endpoint reports an interrupted answer, and how an entry counts these reports.
+How an endpoint reports an interrupted answer, and which outcomes an entry counts as the end of a
+back end.
 
 """
 
