--- a/packages/millfork-adapter/millfork_adapter/adapter.py
+++ b/packages/millfork-adapter/millfork_adapter/adapter.py
@@ -148,6 +148,6 @@
         """
         Return the request that tells the engine to load a range of layers (`end` is exclusive)
         out of its staged pieces. The engine finishes its running requests before it loads; if
-        `interrupts` is set, it ends them and loads at once.
+        `interrupts` is set, it aborts them and loads at once.
 
         """
--- a/packages/millfork-core/millfork_core/verdicts.py
+++ b/packages/millfork-core/millfork_core/verdicts.py
@@ -81,7 +81,7 @@
 DEFAULT_HTTP_STATUS: Final = 503
 
 # By reason: after how many milliseconds a caller may try again, if the component that refuses the
-# request doesn't say. Reasons for which waiting doesn't help are missing.
+# request gives no time. Reasons for which waiting doesn't help are missing.
 DEFAULT_RETRY_AFTER_MS: Final[dict[Reason, int]] = {
     Reason.NOT_READY: 1000,
     Reason.NO_ENDPOINT: 2000,
--- a/packages/millfork-core/millfork_core/windows.py
+++ b/packages/millfork-core/millfork_core/windows.py
@@ -6,10 +6,10 @@
 from collections import deque
 from typing import Final
 
-# Replicas and entries (front proxies) keep the greatest number of entries counted within this time.
-# Retry budgets and the limits of back ends are divided by that number, so that an entry without
-# contact with a majority of the replicas keeps counting the others. After a loss of power a zone's
-# machines return within minutes, and regions lose contact with each other for about as long.
+# Retry budgets and the limits of back ends are divided by the greatest number of entries (front
+# proxies) that a replica or entry has counted within this time (in seconds). So an entry without
+# contact with a majority of the replicas still counts the other entries. After a loss of power a
+# zone's machines return within minutes, and regions lose contact with each other for about as long.
 ENTRIES_REMEMBERED_S: Final = 600.0
 
 
@@ -35,7 +35,7 @@
 
     def add(self, value: int, now: float) -> int:
         """
-        Add a value at the time `now` and return the maximum of the window that ends then.
+        Add a value at the time `now` and return the maximum of the window that ends at `now`.
 
         """
         while self.candidates and self.candidates[-1][1] <= value:
--- a/packages/millfork-settings/millfork_settings/common.py
+++ b/packages/millfork-settings/millfork_settings/common.py
@@ -1,5 +1,6 @@
 """
-Settings that listed and seeded fleets share.
+Settings that are the same in listed fleets (whose instances the platform lists) and in seeded
+fleets (whose daemons start from the addresses of a few replicas).
 
 They are in a separate module so that a daemon of a seeded fleet doesn't import the models of
 listed fleets: that import took 0.04 s of each start.
--- a/packages/millfork-settings/millfork_settings/declarations.py
+++ b/packages/millfork-settings/millfork_settings/declarations.py
@@ -16,8 +16,9 @@
 
 class OrganisationSpec(StrictModel):
     """
-    The tokens, services and share of an organisation. Only the fleet's administrator may apply
-    this part of a declaration.
+    The tokens and services of an organisation, and its share: its weight when organisations
+    compete for the slots of a back end. Only the fleet's administrator may apply this part of a
+    declaration.
 
     """
 
@@ -29,7 +30,7 @@
 
 class VersionSpec(StrictModel):
     """
-    One version of a model or of an adapter (weights that extend a model).
+    One version of an adapter (weights that extend a model).
 
     """
 
--- a/packages/millfork-settings/millfork_settings/seeded.py
+++ b/packages/millfork-settings/millfork_settings/seeded.py
@@ -1,8 +1,8 @@
 """
 The settings of a daemon of a seeded fleet.
 
-No platform lists the instances of such a fleet. A daemon gets the addresses of up to three
-replicas (the seeds) and learns the other addresses from these replicas.
+No platform lists the instances of a seeded fleet. The settings of a daemon hold the addresses of
+up to three replicas (the seeds), from which the daemon learns the other addresses.
 
 """
 
@@ -194,7 +194,7 @@
 
 
 # The promises that the code of each role reads and that the settings file of the role must contain.
-# When a missing promise had its default, an entire fleet stopped using old versions 2 s too early.
+# When a missing promise got its default, an entire fleet stopped using old versions 2 s too early.
 REQUIRED_PROMISES: Final = {
     SeededRole.ENTRY: (
         'heartbeat_ms',
--- a/packages/millfork-web/millfork_web/client.py
+++ b/packages/millfork-web/millfork_web/client.py
@@ -134,7 +134,7 @@
         """
         Send a request and return once the head of the response has been read.
 
-        :raises ExchangeFailed: if the connection fails before that.
+        :raises ExchangeFailed: if there is no connection or it fails before the head is complete.
 
         """
         sock, conn = await self._connection()
--- a/packages/millfork-web/millfork_web/problem.py
+++ b/packages/millfork-web/millfork_web/problem.py
@@ -15,8 +15,8 @@
 
 def problem(refusal: Refusal) -> Response:
     """
-    Create the response for a refusal. Body and headers give its verdict and reason, and when to
-    try again if waiting helps.
+    Create the response for a refusal. Its body and headers give the verdict, the reason and, if
+    waiting helps, the time after which the caller may try again.
 
     """
     body = {
--- a/packages/millfork-web/millfork_web/retry_after.py
+++ b/packages/millfork-web/millfork_web/retry_after.py
@@ -33,8 +33,9 @@
 
 def read_retry_after(headers: Headers) -> RetryAfter:
     """
-    Return the longest wait of all `Retry-After` headers. A date is converted to the wait since
-    the first `Date` header of the response, or since now if there is none or it is invalid.
+    Return the longest wait of all `Retry-After` headers, and their invalid values. The wait for a
+    date is counted from the first `Date` header of the response, or from now if there is no such
+    header or it is invalid.
 
     """
     waits_s: list[float] = []
--- a/packages/millfork-web/millfork_web/server.py
+++ b/packages/millfork-web/millfork_web/server.py
@@ -191,9 +191,9 @@
 
     async def _free_descriptors(self) -> None:
         """
-        Close the connections that have been idle longest. Otherwise callers whose idle
-        connections use all file descriptors would keep other callers out until the idle timeout
-        (30 s in a typical document of an operator).
+        Close the IDLE_CLOSED_PER_SHORTAGE connections that have been idle longest. Otherwise
+        callers whose idle connections use all file descriptors would keep other callers out until
+        the idle timeout, which is 30 s in a typical document of an operator.
 
         """
         count = await self._close_idle(IDLE_CLOSED_PER_SHORTAGE)
--- a/packages/millforkd/millforkd/document.py
+++ b/packages/millforkd/millforkd/document.py
@@ -22,8 +22,8 @@
 ) -> tuple[Document, int] | None:
     """
     Return the operator's document and the revision of the configuration that set it. None if
-    there is no document, if `known_revision` set it (the caller already has the document), or if
-    it can't be parsed.
+    there is no document, if that revision is `known_revision` (the caller already has the
+    document), or if the document can't be parsed.
 
     """
     held = view.items.get(DOCUMENT_KEY)
--- a/packages/millforkd/millforkd/end_watch.py
+++ b/packages/millforkd/millforkd/end_watch.py
@@ -20,7 +20,8 @@
 
 # The delay of a probe after an urgent interruption (one after which the back end may be ending),
 # and the shortest probe interval. When a back end ends, all its requests break off within a few
-# milliseconds, and its closing listener may reset one connection before it refuses the next.
+# milliseconds, so one probe after the delay serves them all. The closing listener of such a back
+# end may reset one connection before it refuses the next.
 GROUPING_DELAY_S: Final = 0.01
 # `EndWatch.wait_until_probed` returns after this many probes since the last urgent interruption,
 # even if it isn't known yet whether the back end ended.
@@ -31,8 +32,8 @@
 # The longest wait for a probe's connection. Round trips between zones take a few milliseconds.
 # A timeout doesn't prove that the back end ended, as a network partition also causes one.
 PROBE_TIMEOUT_S: Final = 0.4
-# The longest time that `EndWatch.wait_until_probed` waits. Probes take a few milliseconds if the
-# address answers; without an answer the result may take seconds.
+# The longest time that `EndWatch.wait_until_probed` waits. A probe takes a few milliseconds
+# if the address answers. If it doesn't, the status of the back end may stay unknown for seconds.
 MAX_PROBE_WAIT_S: Final = 0.05
 
 # The longest pause between two probes of a back end.
@@ -114,7 +115,8 @@
     max_interval_s: float = MAX_PROBE_INTERVAL_S
     max_watch_s: float = MAX_WATCH_S
     interruptions: dict[str, Interruption[Subject]] = field(default_factory=dict)
-    # Probes since the last urgent interruption; they determine the probe interval.
+    # The number of probes since the last urgent interruption; determines the probe interval.
+    # Starts at INITIAL_PROBES_IF_NOT_URGENT if the first interruption isn't urgent.
     probes: int = 0
     # Set by each urgent interruption to start a probe, as the back end may be ending now.
     probe_now: curio.Event = field(default_factory=curio.Event)
@@ -184,8 +186,9 @@
     async def _resolve(self, probed_at: float, result: ProbeResult) -> None:
         """
         Remove the interruptions that have a known status or are older than `max_watch_s`, and
-        pass them to `on_resolved`. If the probe that started at `probed_at` was refused, an
-        interruption of otherwise unknown status that happened up to then has the status ENDED.
+        pass them to `on_resolved`. If `result` is REFUSES, an interruption of otherwise unknown
+        status that happened no later than `probed_at`, the start of the probe, has the status
+        ENDED. Other results change no status.
 
         """
         resolved: dict[IncarnationStatus, list[Interruption[Subject]]] = {}
--- a/packages/millforkd/millforkd/quarantine.py
+++ b/packages/millforkd/millforkd/quarantine.py
@@ -33,7 +33,8 @@
     """
     Decides which requests are blocked, from the suspicions in memory (records of the back ends
     that ended one after another while they ran the same request) and from the quarantine list in
-    the replicated state. The list survives a loss of power of the whole fleet.
+    the replicated state. The list survives a loss of power of the whole fleet. `trials` schedules
+    the trials of suspected requests (None: suspected requests are never sent).
 
     """
 
@@ -64,8 +65,8 @@
     def blocking_level(self, request: RequestT) -> SuspicionLevel | None:
         """
         Return the suspicion level for which a request is blocked; None if the request may be
-        sent. A suspected request whose trial is due may be sent once; its next trial is then
-        scheduled.
+        sent. A suspected request (one not yet found to be at fault) may be sent once when its
+        trial is due; its next trial is then scheduled.
 
         """
         self._refresh()
--- a/packages/millforkd/millforkd/running.py
+++ b/packages/millforkd/millforkd/running.py
@@ -51,7 +51,8 @@
     """
     Run a daemon until SIGTERM or SIGINT, then drain it; a second signal ends the drain. If an
     essential task fails, the daemon stops without a drain. If `settings_path` is given, a
-    `Reloadable` daemon applies changes of that file while it runs.
+    `Reloadable` daemon applies changes of that file while it runs. Returns the exit status, also
+    for errors that prevent the start.
 
     """
     try:
--- a/packages/millforkd/millforkd/settling.py
+++ b/packages/millforkd/millforkd/settling.py
@@ -29,8 +29,8 @@
 ) -> None:
     """
     Store the response under an idempotency key; `claim` is the id of the attempt that claimed the
-    key. Without a response, release the key. If the replicas refuse this or don't answer in time,
-    the failure is only counted in a metric.
+    key. If the response is None, release the key. If the replicas refuse the command or don't
+    answer within SETTLE_TIMEOUT_S, the failure is only counted in a metric.
 
     """
     command = SettleKey(key, claim, released=response is None)
--- a/packages/millforkd/millforkd/suspicion_updates.py
+++ b/packages/millforkd/millforkd/suspicion_updates.py
@@ -57,13 +57,14 @@
                 known.with_ends(count_ends(before, known, incarnation))
             )
             return
-        # The suspicion was cleared after the request broke off. Merging keeps the later epoch.
+        # The suspicion was cleared or reduced after the request broke off, which began a new
+        # epoch. `record` merges `before` into the known suspicion and keeps the later epoch.
         await self.suspicion_store.record(before.with_end())
 
     async def record_no_end(self, fingerprint: Fingerprint, incarnation: IncarnationKey) -> None:
         """
-        Record that an incarnation at which a request broke off is alive, or that it stayed
-        unknown for too long whether the incarnation ended.
+        Remove from a request's suspicion an incarnation at which the request broke off, because
+        the incarnation is alive or it stayed unknown for too long whether the incarnation ended.
 
         """
         known = self.suspicion_store.get(fingerprint)
--- a/packages/millforkd/millforkd/versions.py
+++ b/packages/millforkd/millforkd/versions.py
@@ -21,8 +21,8 @@
 
 # A request that has not begun on an old version is cancelled this long before the cutoff.
 CANCEL_MARGIN_S: Final = 0.15
-# A process that knows a new version, but not yet its cutoff, uses older versions for this time
-# (in ms). Peers answer the query for the cutoff within 0.8 s, over a slow link within 1.5 s.
+# How long, in ms, a process that has learned of a new version, but not of its cutoff, goes on using
+# older versions. Peers answer the query for the cutoff within 0.8 s, over a slow link within 1.5 s.
 UNKNOWN_CUTOFF_MS: Final = 2000
 # Corrections of a cutoff by less than this time aren't logged: cutoffs computed from the answers
 # of peers differ by the delay of each answer.
@@ -33,7 +33,7 @@
 
 def always_leads() -> bool:
     """
-    The default for `leads`: the process computes all cutoffs itself.
+    The default for `leads` of a `VersionTracker`: the process computes all cutoffs itself.
 
     """
     return True
@@ -41,7 +41,7 @@
 
 def always_current() -> bool:
     """
-    The default for `is_current`: the view is up to date whenever it is read.
+    The default for `is_current` of a `VersionTracker`: the view is always up to date.
 
     """
     return True
@@ -49,7 +49,7 @@
 
 def never_leads() -> bool:
     """
-    The value of `leads` for a process that isn't a replica and so never leads.
+    The value for `leads` in a process that isn't a replica, and so never leads the replicas.
 
     """
     return False
@@ -57,7 +57,7 @@
 
 def no_arrival_time(key: str, version: int) -> float | None:
     """
-    The default for `arrived_at`: the process has no replicated log.
+    The default for `arrived_at` of a `VersionTracker`: the process has no replicated log.
 
     """
     return None
@@ -87,7 +87,7 @@
         # Cutoffs that other processes reported.
         self.cutoffs = cutoffs if cutoffs is not None else VersionCutoffs()
         self.unknown_cutoff_s = min(unknown_cutoff_ms, switch_ms) / MS_PER_S
-        # Whether this process is the leader of the replicas, which knows when a version was set.
+        # Whether this process leads the replicas, and so knows when a version was set.
         self.leads = leads
         # Whether the view is up to date, as far as this process knows.
         self.is_current = is_current
@@ -213,8 +213,9 @@
 
     def ends_at(self, model: str, version: int) -> float | None:
         """
-        Return when requests that were sent to `version` but have not begun there are cancelled
-        (monotonic seconds); None if there is no newer version.
+        Return when requests that were sent to `version` but have not begun on it are cancelled
+        (monotonic seconds): shortly before the first cutoff of a newer version. None if there is
+        no newer version.
 
         """
         cancel_times = [
@@ -226,8 +227,8 @@
 
     def upcoming_ends(self, model: str) -> tuple[tuple[int, float], ...]:
         """
-        Return pairs of a version and the time (monotonic seconds) at which requests that have not
-        begun on an older version are cancelled, if that time is still to come.
+        Return pairs of a new version and the time (monotonic seconds) at which requests that have
+        not begun on versions older than the new one are cancelled. Past times are left out.
 
         """
         now = self.env.monotonic()
--- a/tests/test_event_stream.py
+++ b/tests/test_event_stream.py
@@ -1,5 +1,5 @@
 """
-The splitter passes on only complete events of a stream, however the bytes are split on arrival.
+`EventSplitter` passes on only complete events of a stream, however its bytes are split on arrival.
 
 """
 
--- a/tests/test_role_imports.py
+++ b/tests/test_role_imports.py
@@ -1,6 +1,6 @@
 """
 The daemon of each role imports only the modules that it uses: after a loss of power nothing is
-served until the daemons have started, and most of the time of a start goes into imports.
+served until the daemons have started, and imports take most of the start-up time.
 
 """
 
--- a/tests/test_stop_during_import.py
+++ b/tests/test_stop_during_import.py
@@ -11,7 +11,7 @@
 
 from tests.fail_first import ROOT
 
-# Runs a daemon that sends itself the stop signal at the point of the import that crashed.
+# Runs a daemon that sends itself the stop signal at the point of its imports where the crash was.
 STOP_DURING_IMPORT = """
 import os, runpy, signal, sys, types
 import msgspec._utils as utils
