--- a/packages/millfork-core/millfork_core/clocks.py
+++ b/packages/millfork-core/millfork_core/clocks.py
@@ -10,8 +10,8 @@
     """
     Return the seconds since the machine started, including the time it was suspended. With a
     clock that stops during suspension, an entry that was suspended for 5 s would send requests
-    to weights past their cutoff and treat old load figures and leases as new. Unlike the time of day,
-    this clock doesn't jump.
+    to weights past their cutoff and treat old load figures and leases as new. Unlike the time of
+    day, this clock doesn't jump.
 
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
