--- a/packages/millfork-weights/millfork_weights/chunk_server.py
+++ b/packages/millfork-weights/millfork_weights/chunk_server.py
@@ -34,8 +34,9 @@
     async def on_get_chunk(self, request: GetChunk) -> Chunk:
         """
         Return the chunk, after waiting for its arrival and then for link capacity. The reply has
-        a reason instead of data if the chunk does not arrive within `wait_ms` (`not_yet`), if
-        the link's backlog exceeds `wait_ms` (`busy`), or if the index is invalid (`unknown`).
+        a reason instead of data if the manifest or the chunk does not arrive within `wait_ms`
+        (`not_yet`), if the outbound link's backlog exceeds `wait_ms` (`busy`), or if the index is
+        invalid (`unknown`).
 
         """
         started_at = self.env.monotonic()
--- a/packages/millfork-weights/millfork_weights/links.py
+++ b/packages/millfork-weights/millfork_weights/links.py
@@ -8,7 +8,7 @@
 
 import curio
 
-# Seconds by which `RateLimiter.acquire` returns earlier than the rate requires.
+# Seconds by which `RateLimiter.acquire` returns before the transfer would be finished at `rate`.
 BURST_S: Final = 0.005
 
 
@@ -26,7 +26,7 @@
     @property
     def backlog_s(self) -> float:
         """
-        Seconds until all bytes admitted so far are transferred at `rate`.
+        Seconds until all bytes counted so far would be transferred at `rate`.
 
         """
         return max(self.free_at - self.monotonic(), 0.0)
@@ -40,8 +40,8 @@
 
     async def acquire(self, size: int) -> None:
         """
-        Wait until `size` bytes may be transferred. The wait is `BURST_S` shorter than the rate
-        requires.
+        Count `size` bytes against the limit, then wait until `BURST_S` before the time at which
+        these and all earlier bytes would be transferred at `rate`.
 
         """
         starts_at = max(self.free_at, self.monotonic())
--- a/packages/millfork-weights/millfork_weights/store.py
+++ b/packages/millfork-weights/millfork_weights/store.py
@@ -91,7 +91,8 @@
 
     async def put(self, index: int, data: bytes) -> None:
         """
-        Write a chunk that the caller has verified, and wake the tasks in `wait_for`.
+        Write a chunk that the caller has verified, and wake the tasks in `wait_for`. A chunk that
+        is already stored is not written again.
 
         """
         if self.has_chunk[index]:
@@ -211,7 +212,7 @@
     def find_chunk(self, chunk: str, size: int) -> bytes | None:
         """
         Return the data of the chunk with digest `chunk` from any open version, verified again;
-        None if no version holds it.
+        None if no open version has a valid chunk with this digest and size.
 
         """
         for stored in self.stored_versions.values():
--- a/packages/millfork-weights/millfork_weights/transfer.py
+++ b/packages/millfork-weights/millfork_weights/transfer.py
@@ -28,15 +28,16 @@
 INITIAL_BACKOFF_S: Final = 1.0
 RETRY_INTERVAL_S: Final = 0.1
 MANIFEST_TIMEOUT_S: Final = 0.5
-# Rounds of requests to peers after which an instance that is not a root asks the origin.
+# Rounds of requests to peers after which an instance that is not a root (see `Tree`) asks the
+# origin.
 PEER_ROUNDS_BEFORE_ORIGIN: Final = 10
 # Requests for a chunk to one source before the next source is tried.
 MAX_REQUESTS_PER_SOURCE: Final = 3
 # A stripe may have no root: each instance plans the trees from the instances that it knows of, and
-# while these sets differ, every instance may consider another one the root. The first instance of
-# the tree therefore fetches the stripe from the origin after this multiple of `stall_s` without a
-# new chunk of the stripe, and each following instance `stall_s` later. The delays keep the
-# instances from all fetching at once while the origin itself is stalled.
+# while these sets differ, every instance may consider another one the root. The instance at
+# position n of a tree's `order` therefore fetches the stripe from the origin once no new chunk of
+# the stripe has arrived for (this number + n) * `TransferSettings.stall_s`. The different delays
+# keep the instances from all fetching at once while the origin itself is stalled.
 ORIGIN_FALLBACK_STALLS: Final = 6
 RANDOM_MANIFEST_SOURCES: Final = 3
 BUSY: Final = 'busy'
@@ -125,7 +126,7 @@
         self.complete_peers: list[InstanceId] = []
         self.trees: list[Tree] = []
         # For each stripe, the monotonic time at which the latest chunk arrived from a peer or the
-        # origin. The times start at the beginning of the transfer.
+        # origin; until the first chunk arrives, the time at which the manifest was available.
         self.last_chunk_at: dict[int, float] = {}
         # Stripes that this instance fetches from the origin without being a planned root of them.
         self.origin_fallback_stripes: set[int] = set()
@@ -288,8 +289,8 @@
     def _is_root(self, tree: Tree, index: int) -> bool:
         """
         Whether this instance fetches the chunk's stripe from the origin: as a planned root of
-        the stripe, or because no other instance appears to fetch the stripe. In the second case,
-        the stripe is added to `origin_fallback_stripes`.
+        the stripe, or because the stripe appears to have no root. In the second case, the stripe
+        is added to `origin_fallback_stripes`.
 
         """
         stripe = index % self.settings.stripes
@@ -322,9 +323,10 @@
 
     def _tree_sources(self, tree: Tree) -> list[InstanceId]:
         """
-        The parent (for a root, the node placed just before it), then the other preceding nodes
-        in random order. The children of a node use its whole link, so the children of a lost node
-        must spread over many nodes.
+        The nodes to request chunks from, best first: the parent of this instance (if this
+        instance is a root, the node placed just before it), then the other nodes placed before
+        this instance, in random order. The children of a node use the node's whole link, so the
+        children of a lost node must spread over many nodes.
 
         """
         sources = tree.sources(self.env.instance)
--- a/packages/millfork-weights/millfork_weights/trees.py
+++ b/packages/millfork-weights/millfork_weights/trees.py
@@ -1,5 +1,5 @@
 """
-Distribution trees, which give each instance the parent to fetch each stripe from.
+Distribution trees, which determine the parent from which an instance fetches a stripe.
 
 With S stripes, chunk i belongs to stripe i mod S, and each stripe has its own
 tree. An instance has S child slots over all trees, so its children together fetch
@@ -92,7 +92,7 @@
 
 def _first_node_per_zone(inner_nodes: list[Receiver], stripe: int) -> list[Receiver]:
     """
-    The first of `inner_nodes` in each zone. The list is rotated by `stripe`, so that the
+    The first of `inner_nodes` in each zone. The result is rotated by `stripe`, so that the
     trees of different stripes start with different zones.
 
     """
@@ -106,10 +106,10 @@
     sequence: Iterable[Receiver], free_child_slots: dict[InstanceId, int], origin_copies: int
 ) -> Tree:
     """
-    Build a tree whose first `origin_copies` instances are roots. Each other instance gets
-    the earliest placed parent with a free child slot, from its own zone if possible. If
-    no slot is free, the parent is the earliest placed one of the instances with the fewest
-    children beyond their slots.
+    Build a tree whose first `origin_copies` instances are roots. The parent of each other
+    instance is the earliest placed instance with a free child slot, from the same zone if
+    possible. If no slot is free, the parent is the earliest placed of the instances that
+    exceed their slots by the fewest children. Each child takes a slot in `free_child_slots`.
 
     """
     tree = Tree()
--- a/packages/millfork-wire/millfork_wire/connection.py
+++ b/packages/millfork-wire/millfork_wire/connection.py
@@ -166,7 +166,8 @@
 
     def _count_bytes(self, message: Message, size: int, direction: str) -> None:
         """
-        Count the bytes of control messages. Callers' requests and weights have their own metrics.
+        Count the bytes of a control message (any but `DATA_MESSAGES`). Callers' requests and
+        weights have their own metrics.
 
         """
         if not isinstance(message, DATA_MESSAGES):
--- a/packages/millfork-wire/millfork_wire/handshake.py
+++ b/packages/millfork-wire/millfork_wire/handshake.py
@@ -47,7 +47,7 @@
 
     `target` is the dialled instance, or empty on the accepting side.
 
-    :raises HandshakeFailed: on a wrong message, version, instance or proof.
+    :raises HandshakeFailed: on a wrong message, version, instance, target or proof.
 
     """
     own_hello = Hello(
@@ -77,7 +77,7 @@
     Return the peer's first message, if it is a hello with an acceptable version, instance and
     target.
 
-    :raises HandshakeFailed: if it is not.
+    :raises HandshakeFailed: if the message is anything else.
 
     """
     if not isinstance(peer_hello, Hello):
--- a/packages/millfork-wire/millfork_wire/messages/basic.py
+++ b/packages/millfork-wire/millfork_wire/messages/basic.py
@@ -1,5 +1,6 @@
 """
-Messages that all connections use: the handshake, pings, and replies without content.
+Messages that all connections use: the handshake, pings, and the general replies `Done` and
+`Failure`.
 
 """
 
--- a/packages/millfork-wire/millfork_wire/messages/feed.py
+++ b/packages/millfork-wire/millfork_wire/messages/feed.py
@@ -13,8 +13,9 @@
 @dataclass(slots=True)
 class VersionSwitch(Message):
     """
-    A version of a model's weights that was recently set in the configuration. Requests may
-    still begin on older versions for `left_ms`.
+    A version of a model's weights that was set in the configuration: the model's newest version,
+    or an earlier one whose cutoff is still to come. The cutoff is the time from which requests may
+    no longer begin on older versions, and `left_ms` the time until then (0: it has passed).
 
     """
 
@@ -51,7 +52,7 @@
     caches: list[CacheAddress] = field(default_factory=list)
     # The availability zone of the replica that answers.
     zone: str = ''
-    # The versions of models that were recently set, as far as the replica knows.
+    # The version switches that the replica knows of.
     switches: list[VersionSwitch] = field(default_factory=list)
 
 
@@ -66,8 +67,9 @@
 class AskFeed(Message):
     """
     Asks another follower of replicas for the feed (the stream of updates from a replica) while no
-    replica can be reached. The asked follower sends the configuration since `revision`, and the
-    leases, reports and suspicions that changed since the given versions of its own tables.
+    replica can be reached. The asked follower sends the changes of the configuration since
+    `revision`, and the leases, reports and suspicions that changed since the given versions of
+    its own tables.
 
     """
 
@@ -89,7 +91,7 @@
     ok: bool = False
     lease_version: int = 0
     report_version: int = 0
-    # The versions of models that were recently set, as far as the asked follower knows.
+    # The version switches that the asked follower knows of.
     switches: list[VersionSwitch] = field(default_factory=list)
     suspicion_version: int = 0
 
@@ -98,15 +100,15 @@
 class Leases(Message):
     # Whether this message contains all leases and reports of the sender, not only changed ones.
     full: bool = False
-    # Whether the sender's registry is complete.
+    # Whether the sender's registry holds the leases of all back ends.
     settled: bool = False
     # The number of entry processes known now. `most_entries` is the highest recent number.
     entries: int = 0
     leases: bytes = b''
     reports: bytes = b''
     most_entries: int = 0
-    # Encoded suspicions: records of the back ends that ended while they ran requests with the same
-    # fingerprint.
+    # Encoded suspicions. A suspicion is the record of the back ends that ended one after another
+    # while they ran a request with the same fingerprint (a keyed hash of the request).
     suspicions: bytes = b''
 
 
@@ -118,7 +120,8 @@
 @dataclass(slots=True)
 class SuspicionReport(Message):
     """
-    The encoded suspicions known to an entry (see `Leases.suspicions`).
+    Encoded suspicions (see `Leases.suspicions`) that an entry sends to a replica or to another
+    entry.
 
     """
 
@@ -129,6 +132,7 @@
 class AskSuspicions(Message):
     """
     Sent by a starting entry to the other entries of a listed fleet (one whose instances the
-    platform lists). Each of them replies with a `SuspicionReport` of all suspicions that it knows.
+    platform lists). Each of them replies with a `SuspicionReport` of the suspicions that it knows,
+    except those that it has not sent to other entries yet.
 
     """
--- a/packages/millfork-wire/millfork_wire/messages/loads.py
+++ b/packages/millfork-wire/millfork_wire/messages/loads.py
@@ -16,9 +16,9 @@
 @dataclass(slots=True)
 class EngineLoad(Message):
     """
-    Reply to `AskLoad`: the numbers of requests that run and wait at the engine now, the duration
-    of a generation step in percent of the declared one (`pace_percent`), and the engine's
-    incarnation (one process life). `known` is not set if the engine does not answer.
+    Reply to `AskLoad`: the numbers of requests that run and wait at the engine, the duration of a
+    generation step in percent of the duration declared for the engine (`pace_percent`), and the
+    engine's incarnation (one process life). `known` is not set if the engine does not answer.
 
     """
 
--- a/packages/millfork-wire/millfork_wire/messages/requests.py
+++ b/packages/millfork-wire/millfork_wire/messages/requests.py
@@ -1,6 +1,6 @@
 """
-Messages about a caller's request between an entry and an endpoint. An entry reserves a slot
-for the request first, then starts the request.
+Messages between an entry and an endpoint, about a caller's request and about the endpoint's load.
+An entry reserves a slot for a request first, then starts the request.
 
 """
 
@@ -27,7 +27,7 @@
     headers: list[Header] = field(default_factory=list)
     body: bytes = b''
     # The key under which the replicated state stores the request's idempotency key, and the id
-    # under which the entry claimed it; both empty if no key was claimed.
+    # under which the entry claimed the idempotency key; both empty if the entry claimed none.
     key: str = ''
     attempt: str = ''
 
@@ -68,16 +68,18 @@
     reason: str = ''
     verdict: str = ''
     detail: str = ''
-    # The incarnation of the back end that ran the request, if the response broke off and the back
-    # end ended or may have ended; otherwise empty.
+    # The key of the incarnation (process life) of the back end that ran the request, if the
+    # response broke off and the back end ended or may have ended; otherwise empty.
     incarnation: str = ''
 
 
 @dataclass(slots=True)
 class BackEndFate(Message):
     """
-    Tells an entry whether the back end whose response to a request broke off has ended. The
-    endpoint sends this event once it has determined the status of the back end.
+    Tells an entry whether the back end of an interrupted request has ended. A request is
+    interrupted if its response broke off, or if the entry cancelled the request. The endpoint sends
+    this event once it has determined the status of the back end; `ended` is not set if the back end
+    lives or its status stays unknown.
 
     """
 
@@ -94,8 +96,8 @@
 class Cancelled(Message):
     request_id: str = ''
     verdict: str = ''
-    # The incarnation of the back end, if the request had been sent to the back end; otherwise
-    # empty.
+    # The key of the incarnation (process life) of the back end, if the request had been sent to
+    # the back end; otherwise empty.
     incarnation: str = ''
 
 
--- a/packages/millfork-wire/millfork_wire/messages/weights.py
+++ b/packages/millfork-wire/millfork_wire/messages/weights.py
@@ -11,7 +11,8 @@
 @dataclass(slots=True)
 class GetManifest(Message):
     digest: str = ''
-    # Whether the receiver must fetch the manifest from the origin, not from another instance.
+    # Whether a receiver without the manifest must fetch it from the origin, not from another
+    # instance.
     draw: bool = False
 
 
@@ -28,7 +29,7 @@
     manifest: str = ''
     index: int = 0
     wait_ms: int = 0
-    # Whether the receiver must fetch the chunk from the origin, not from another instance.
+    # Whether a receiver without the chunk must fetch it from the origin, not from another instance.
     draw: bool = False
 
 
--- a/packages/millfork/millfork/client.py
+++ b/packages/millfork/millfork/client.py
@@ -17,7 +17,7 @@
 REQUEST_TIMEOUT_S: Final = 10.0
 MAX_ROUNDS: Final = 3
 PAUSE_BETWEEN_ROUNDS_S: Final = 0.5
-# Reasons of refusals after which another entry, or a later try, may still succeed.
+# Reasons of refusals after which the request may still succeed at another entry or at a later try.
 RETRYABLE_REASONS: Final = frozenset(
     {Reason.NO_QUORUM.value, Reason.NOT_READY.value, Reason.STOPPING.value}
 )
--- a/packages/millfork/millfork/explain.py
+++ b/packages/millfork/millfork/explain.py
@@ -18,9 +18,9 @@
 class Cause(Enum):
     """
     The outcome of a request, and why. A served request is late if its first token took longer
-    than `EndedRequest.left_ms`, for one of three causes: the entry had refused the caller before;
-    the entry expected a late first token because the engines were full; or the entry did not
-    foresee the delay.
+    than `EndedRequest.left_ms`, for one of three causes: an entry had turned the caller away
+    before; the entry expected a late first token because the engines were full; or the entry did
+    not foresee the delay.
 
     """
 
@@ -55,9 +55,9 @@
     One request, from the entry's last log line about the request. `at_s` is the time of arrival,
     in seconds since midnight; `first_ms` is the time to the first token (-1: none).
     `expected_ms` is the entry's last estimate of the time to the first token, and `left_ms` the
-    time left for the first token at that moment (both 0: the entry made no estimate).
-    `elapsed_ms` is the time since the caller's first try, if the entry had turned the caller away
-    before (0: this is the first try).
+    time that the route's target left for the first token at the time of the estimate (both 0: the
+    entry made no estimate). `elapsed_ms` is the time from the caller's first try, which was turned
+    away, to this arrival (0: this is the first try, or no earlier try is known).
 
     """
 
@@ -130,7 +130,8 @@
 def format_table(requests: Iterable[EndedRequest], interval_s: float) -> list[str]:
     """
     Format a table with the number of requests of each cause: a heading, a line for each interval
-    of `interval_s`, counted from the first request, and a line of totals.
+    of `interval_s` seconds in which a request arrived, and a line of totals. The first interval
+    begins with the first request. Without requests, the table is empty.
 
     """
     ordered = sorted(requests, key=lambda request: request.at_s)
--- a/packages/millfork/millfork/status.py
+++ b/packages/millfork/millfork/status.py
@@ -34,8 +34,8 @@
 
 async def watch(control: ControlClient, arguments: Arguments, env: Environment) -> ExitStatus:
     """
-    Show the progress of all rollouts until every selected instance serves its version, or until
-    `arguments.timeout` has passed.
+    Show the progress of all rollouts until every selected instance serves its version, until
+    `arguments.timeout` seconds have passed, or until the status request is refused.
 
     """
     with Progress(
--- a/tests/test_handshake.py
+++ b/tests/test_handshake.py
@@ -67,7 +67,8 @@
 
 async def error_with_reflecting_peer():
     """
-    Return the error of an accepting side whose peer sends every message back.
+    Return the type of the error of an accepting side whose peer sends every message back; None if
+    the handshake succeeds.
 
     """
     one, two = await transports()
--- a/tests/test_platform_foreign_messages.py
+++ b/tests/test_platform_foreign_messages.py
@@ -1,9 +1,9 @@
 """
 Malformed messages from other implementations are refused: missing fields, wrong types, numbers out
-of bounds, undecodable bytes. A heartbeat with a sequence number of more than 64 bits was accepted,
-and the feed (the stream of registry updates) that forwarded the number failed with
-`OverflowError: can't serialize ints < -2**63 or > 2**64 - 1`. A response with
-`keep-alive: timeout=\xb2` made the caller's request fail with
+of bounds, undecodable bytes. The tests guard against two faults. If a heartbeat with a sequence
+number of more than 64 bits is accepted, the feed (the stream of registry updates) that forwards
+the number fails with `OverflowError: can't serialize ints < -2**63 or > 2**64 - 1`. If a response
+has the header `keep-alive: timeout=\xb2`, the caller's request fails with
 `ValueError: could not convert string to float`.
 
 """
