--- a/packages/millfork-standins/millfork_standins/__init__.py
+++ b/packages/millfork-standins/millfork_standins/__init__.py
@@ -1,4 +1,4 @@
 """
-Stand-ins for the systems around millfork, and fleets of processes for tests and demo.
+Stand-ins for the systems around millfork, and fleets of processes for tests and the demo.
 
 """
--- a/packages/millfork-standins/millfork_standins/callers.py
+++ b/packages/millfork-standins/millfork_standins/callers.py
@@ -42,11 +42,12 @@
 
 class CallOutcome(Enum):
     """
-    How a request ended for its caller. `MIXED`: the text contains tokens of a known version
-    but isn't the whole text of the version that the answer names. `NOT_RUN`: the last answer
-    refused a filing with the verdict that the filing was not executed. `MAY_HAVE_RUN`: the last
-    answer refused a filing without this verdict. `LOST`: no attempt was answered with status 200,
-    and neither `NOT_RUN` nor `MAY_HAVE_RUN` applies.
+    How a request ended for its caller. `WRONG`: the nonce is not that of the request, a stream is
+    unfinished, or the text has no token of a known version. `MIXED`: the text contains tokens of a
+    known version but isn't the whole text of the version that the answer names. `NOT_RUN`: the
+    last answer refused a filing with the verdict that the filing was not executed. `MAY_HAVE_RUN`:
+    the last answer refused a filing without this verdict. `LOST`: no attempt was answered with
+    status 200, and neither `NOT_RUN` nor `MAY_HAVE_RUN` applies.
 
     """
 
@@ -121,7 +122,8 @@
 
     def send_until_answered(self, kind: RequestKind, rng: random.Random) -> CallRecord:
         """
-        Send a request until an answer has status 200, at most `MAX_ATTEMPTS` times.
+        Send a request until an answer has status 200, at most `MAX_ATTEMPTS` times, and return the
+        record of all attempts.
 
         """
         nonce = uuid.uuid4().hex
@@ -165,8 +167,8 @@
         self, record: CallRecord, kind: RequestKind, prompt: str, answer: Answer
     ) -> bool:
         """
-        Store the outcome of one attempt in the record; return True if the request need not be
-        sent again.
+        Store the outcome of one answer in the record; return True if the answer has status 200, so
+        that the request need not be sent again.
 
         """
         if answer.status != 200:
--- a/packages/millfork-standins/millfork_standins/demo.py
+++ b/packages/millfork-standins/millfork_standins/demo.py
@@ -64,10 +64,11 @@
 
     def wait_until_serving(self, version: str, engine_count: int, started_at: float) -> float:
         """
-        Wait until `engine_count` engines (the replicas of the deployment) serve a version; return
-        the seconds since `started_at`.
+        Wait until at least `engine_count` engines serve a version, and return the seconds since
+        `started_at`. The output calls these engines replicas.
 
-        :raises FleetError: if fewer serve the version `ROLLOUT_TIMEOUT_S` after `started_at`.
+        :raises FleetError: if fewer engines serve the version `ROLLOUT_TIMEOUT_S` seconds after
+            `started_at`.
 
         """
         last_reported = -1
--- a/packages/millfork-standins/millfork_standins/deployments.py
+++ b/packages/millfork-standins/millfork_standins/deployments.py
@@ -21,9 +21,9 @@
 @dataclass(frozen=True, slots=True)
 class Shape:
     """
-    The zones of a deployment and the number of servers of each service. A fleet tries
-    `network_number` first as the second octet of its loopback addresses; `disks` is the number of
-    entries with a data folder.
+    The zones of a deployment and the number of servers of each service. `network_number` is the
+    first number that a fleet tries as the second octet of its loopback addresses. `disks` is the
+    number of entries with a data folder, which also run a replica.
 
     """
 
--- a/packages/millfork-standins/millfork_standins/engine.py
+++ b/packages/millfork-standins/millfork_standins/engine.py
@@ -181,9 +181,10 @@
 
     async def _crash(self, exchange: Exchange, headers: Headers, is_stream: bool) -> None:
         """
-        Send the first event if the answer is a stream, and end the process after `crash_after_ms`.
-        If `closes_after_ms` is positive, the process closes its connections then, and ends that
-        time later; meanwhile it accepts new connections and closes them without an answer.
+        Send the first event if the answer is a stream, wait for `crash_after_ms` and end the
+        process. If `closes_after_ms` is positive, the engine closes its connections before the
+        process ends, and the process ends `closes_after_ms` later; until then, the engine accepts
+        new connections and closes them without an answer.
 
         """
         if is_stream:
--- a/packages/millfork-standins/millfork_standins/fleet.py
+++ b/packages/millfork-standins/millfork_standins/fleet.py
@@ -1,5 +1,5 @@
 """
-A fleet of local processes on loopback addresses, for demo, tests and bench.
+A fleet of local processes on loopback addresses, for the demo, tests and the bench.
 
 """
 
--- a/packages/millfork-standins/millfork_standins/history.py
+++ b/packages/millfork-standins/millfork_standins/history.py
@@ -27,7 +27,8 @@
     """
     One attempt to change a key. All attempts at one change have the same command id. The change
     must be refused if the key has changed after revision `expect` (None: no condition). Times are
-    in seconds on one clock; `returned` is not used if the outcome is unknown.
+    in seconds on one clock; `returned` is not used if the outcome is unknown. `revision` is the
+    revision that the change got, or 0 unless the change was accepted.
 
     """
 
@@ -44,7 +45,8 @@
 @dataclass(frozen=True, slots=True)
 class Read:
     """
-    A linearizable read: the revision, and the value and revision of each key.
+    The result of a linearizable read: the revision of the configuration, and the value and
+    revision of each key.
 
     """
 
@@ -81,7 +83,8 @@
 @dataclass(slots=True)
 class _Command:
     """
-    An accepted change; `invoked` and `returned` are the earliest times of its attempts.
+    An accepted change. `invoked` is the time at which the first attempt began, `returned` the
+    earliest time at which an attempt returned as accepted (infinity if none did).
 
     """
 
@@ -110,7 +113,7 @@
 
 def _check_resends(history: History) -> list[str]:
     """
-    Find commands whose attempts got different outcomes or revisions.
+    Find commands whose attempts got different known outcomes or different revisions.
 
     """
     answers_by_command: dict[str, set[tuple[Outcome, int]]] = defaultdict(set)
--- a/packages/millfork-standins/millfork_standins/layout.py
+++ b/packages/millfork-standins/millfork_standins/layout.py
@@ -18,11 +18,12 @@
 ADMIN_PORT: Final = 9400
 BACKEND_PORT: Final = 8000
 STANDIN_PORT: Final = 8500
-# Third octet of the stand-ins' addresses; in an instance's address it is the number of the zone.
+# Third octet of the stand-ins' addresses; in the addresses of instances, the third octet is the
+# number of the zone.
 STANDIN_ZONE: Final = 250
-# The second octet of a fleet's addresses is below this.
+# The second octet of a fleet's addresses is below this number.
 NETWORK_NUMBER_LIMIT: Final = 250
-# Last octet of the address of the first endpoint in each zone; for entries, it starts at 1.
+# Last octet of the address of the first endpoint in each zone; the first entry of a zone has 1.
 FIRST_ENDPOINT_NUMBER: Final = 100
 
 
--- a/packages/millfork-standins/millfork_standins/origin.py
+++ b/packages/millfork-standins/millfork_standins/origin.py
@@ -1,5 +1,5 @@
 """
-A stand-in for the origin of weights, with a limited rate and faults on request.
+A stand-in for the origin (the weight store) with a limited rate and faults that tests turn on.
 
 """
 
@@ -22,9 +22,9 @@
 
 class Origin:
     """
-    One origin process. `POST /control` sets `corrupt_share` (share of the ranges sent with a wrong
-    byte) and `stalled` (requests for manifests and weights wait), and replaces a version
-    (`replace`: the settings of the version); each field may be absent.
+    One origin process. `POST /control` takes any of three fields: `corrupt_share`, the share of
+    the ranges that are sent with a wrong first byte; `stalled`, whether requests for manifests and
+    weights wait; and `replace`, the settings of a version to replace or add.
 
     """
 
--- a/packages/millfork-standins/millfork_standins/platform.py
+++ b/packages/millfork-standins/millfork_standins/platform.py
@@ -23,7 +23,8 @@
         self.settings = settings
         self.version = 0
         self.instances: dict[str, dict[str, Any]] = {}
-        # Version of the list after each instance's last change, and the time of that change.
+        # Version of the list after each instance's last change, and the time of that change
+        # (monotonic seconds).
         self.last_changes: dict[str, tuple[int, float]] = {}
         # Newest version of the list that a reader sees after `POST /deaf`, by the reader's host.
         self.frozen_versions: dict[str, int] = {}
@@ -61,8 +62,8 @@
     def _list_changes(self, since: int, newest: int) -> dict[str, Any]:
         """
         Return the visible changes after version `since`, or the full visible list if `since` is
-        negative or newer than the newest visible version. Versions after `newest`, and versions
-        from the first change that is younger than the lag, are not visible.
+        negative or newer than the newest visible version. A version is visible if it is at most
+        `newest` and older than the first change that was made less than `lag_ms` ago.
 
         """
         visible_until = time.monotonic() - self.settings.lag_ms / 1000
--- a/packages/millfork-standins/millfork_standins/recorder.py
+++ b/packages/millfork-standins/millfork_standins/recorder.py
@@ -38,7 +38,7 @@
 @dataclass
 class Recorder:
     """
-    Runs each plan on a thread and records operations and observations.
+    Runs each plan (a list of operations) on a thread and records operations and observations.
 
     """
 
--- a/packages/millfork-standins/millfork_standins/relay.py
+++ b/packages/millfork-standins/millfork_standins/relay.py
@@ -1,5 +1,5 @@
 """
-A CONNECT proxy between zones, with requests that cut, freeze and restore the links between them.
+A CONNECT proxy between zones, with requests that cut, freeze and restore links between zones.
 
 `POST /cut/1-2,1-3` closes the connections between these pairs of zones and refuses new ones.
 `POST /freeze/1-2` stops the bytes but leaves the connections open. Each cut replaces the previous
@@ -19,7 +19,7 @@
 
 def zone_of(address: str) -> int:
     """
-    Return the zone number in an address of the fleet.
+    Return the zone number of an address of the fleet, which is the third octet.
 
     """
     return int(address.split('.')[2])
--- a/packages/millfork-standins/millfork_standins/run_summary.py
+++ b/packages/millfork-standins/millfork_standins/run_summary.py
@@ -16,10 +16,10 @@
 @dataclass(frozen=True, slots=True)
 class RunSummary:
     """
-    Counts of the requests of one run. `doubled`: filings (see `RequestKind`) executed more than
-    once, or executed although their caller got the verdict 'not run'. `missing`: answered filings
-    that no back end executed. `told_unknown`: filings whose callers were not told whether the
-    filings were executed.
+    Counts of the requests of one run; `CallOutcome` explains those not explained here. `doubled`:
+    filings (see `RequestKind`) executed more than once, or executed although their caller got the
+    verdict 'not run'. `missing`: filings with a right answer that no back end executed.
+    `told_unknown`: filings whose callers were not told whether the filings were executed.
 
     """
 
@@ -41,7 +41,8 @@
 
 def summarize_run(records: list[CallRecord], executions: Iterable[dict[str, Any]]) -> RunSummary:
     """
-    Count the outcomes and compare the filings with the executions.
+    Count the outcomes and compare the filings with the executions, which are the parsed lines of
+    execution logs.
 
     """
     outcomes = Counter(record.outcome for record in records)
--- a/packages/millfork-standins/millfork_standins/scenario/__main__.py
+++ b/packages/millfork-standins/millfork_standins/scenario/__main__.py
@@ -14,7 +14,7 @@
 
 def main() -> int:
     """
-    Run the files in order until one of them fails.
+    Run the files in order until one of them fails; return the exit status.
 
     """
     if len(sys.argv) < 2:
--- a/packages/millfork-standins/millfork_standins/scenario/fleet_status.py
+++ b/packages/millfork-standins/millfork_standins/scenario/fleet_status.py
@@ -37,7 +37,8 @@
 
 def fetch_rollouts(fleet: Fleet) -> list[dict[str, Any]]:
     """
-    Return the rollouts that the first answering entry lists; an empty list if no entry answers.
+    Return the rollouts in the answer of the first running entry that answers with status 200; an
+    empty list if none does.
 
     """
     headers = {'authorization': f'Bearer {fleet.admin_token}'}
--- a/packages/millfork-standins/millfork_standins/scenario/runner.py
+++ b/packages/millfork-standins/millfork_standins/scenario/runner.py
@@ -64,7 +64,7 @@
 
     def run(self, scenario: list[Step]) -> None:
         """
-        Run the steps until one fails, then kill every process of the fleet.
+        Run the steps until one fails or all have run, then kill every process of the fleet.
 
         :raises ScenarioFailed: at the first step that fails.
 
--- a/packages/millfork-standins/millfork_standins/scenario/steps.py
+++ b/packages/millfork-standins/millfork_standins/scenario/steps.py
@@ -169,7 +169,7 @@
 @dataclass(frozen=True, slots=True)
 class ChangeVersion(Step):
     """
-    Replace the bytes of a version at the origin.
+    Replace the bytes of a version at the origin by bytes generated from `seed`.
 
     """
 
@@ -188,7 +188,7 @@
 @dataclass(frozen=True, slots=True)
 class ApplyDeployment(Step):
     """
-    Apply the deployment of a version to all engines.
+    Apply a declaration that deploys a version on all engines.
 
     """
 
@@ -320,8 +320,8 @@
 @dataclass(frozen=True, slots=True)
 class ExpectClean(Step):
     """
-    Expect at least one right answer, and none wrong, mixed, lost, doubled or missing (see
-    `RunSummary`).
+    Expect at least one right answer, and no request that `RunSummary` counts as wrong, mixed,
+    lost, doubled or missing.
 
     """
 
@@ -329,7 +329,7 @@
 @dataclass(frozen=True, slots=True)
 class ExpectUncut(Step):
     """
-    Expect that every attempt of a caller got a complete answer, except refused connections.
+    Expect that every attempt of a caller whose connection was not refused got a complete answer.
 
     """
 
--- a/packages/millfork-standins/millfork_standins/seeded.py
+++ b/packages/millfork-standins/millfork_standins/seeded.py
@@ -2,7 +2,8 @@
 A seeded fleet (its processes start from a few replica addresses) on loopback addresses.
 
 The daemons are started with `deploy/millforkd.py` from settings as the platform writes them. The
-operator and the back ends are stand-ins that use the header names of the platform's adapter.
+operator and the back ends are stand-ins that use the header names of the platform's adapter
+(`millfork_platform`).
 
 """
 
@@ -142,7 +143,7 @@
         self.service = service
         self.instance = instance
         self.fleet = fleet
-        # Address in the leases, if it differs from the listening address.
+        # Address that the leases contain (None: the listening address).
         self.advertised: tuple[str, int] | None = None
         self.state = LeaseState.READY
         self.sequence = 0
@@ -208,7 +209,7 @@
         if self.socket.fileno() < 0:
             # `crash` has closed the socket already.
             return
-        # Without the shutdown, the socket accepts connections while another thread polls it.
+        # Without the shutdown, the closed socket accepts connections while another thread polls.
         self.socket.shutdown(socket.SHUT_RDWR)
         self.socket.close()
 
@@ -294,8 +295,8 @@
         endpoints: int = 0,
     ) -> None:
         self.folder = folder
-        # Milliseconds after a switch of versions in which requests may still be started on the
-        # older version.
+        # For how many milliseconds after a new version is set in the configuration requests may
+        # still begin on the older version.
         self.version_ms = version_ms
         # Tests that run at the same time need different addresses.
         network = f'127.{100 + os.getpid() % 100}'
@@ -313,7 +314,8 @@
 
     def start_process(self, host: str, first_start: bool = False) -> None:
         """
-        Write the settings of one host and start its process.
+        Write the settings of one host and start its process. `first_start` is the setting which
+        says that the whole fleet starts for the first time, on empty disks.
 
         """
         path = self.folder / f'{host}.yaml'
@@ -368,7 +370,7 @@
     def control(self, request: Request) -> Reply:
         """
         Send an operator's request to the replicas in turn until one answers with a status
-        between 200 and 499; return the last reply at a timeout.
+        between 200 and 499, or `WAIT_TIMEOUT_S` seconds have passed; return the last reply.
 
         """
         deadline = time.monotonic() + WAIT_TIMEOUT_S
--- a/packages/millfork-standins/millfork_standins/settings.py
+++ b/packages/millfork-standins/millfork_standins/settings.py
@@ -30,8 +30,9 @@
     event_lag_ms: float = 500
     # Share of the cache events that are never published.
     event_gap_share: float = 0.1
-    # Time from the start of a crashing request to the crash, and time from the close of the
-    # engine's connections to the close of its listening address (0: they close together).
+    # Milliseconds from the start of a crashing request to the crash, and from the close of the
+    # engine's connections to the end of the process, which closes the listening address (0: the
+    # connections and the address close together).
     crash_after_ms: float = 200
     closes_after_ms: float = 0
 
@@ -51,8 +52,8 @@
 
 class VersionSettings(StrictModel):
     """
-    One version at the origin. The version begins with the share `kept` of the bytes of `base`,
-    another version of the same model.
+    One version at the origin, with bytes generated from `seed`. The version begins with the share
+    `kept` of the bytes of `base`, another version of the same model (empty: no base).
 
     """
 
--- a/packages/millfork-standins/millfork_standins/soak/backpressure.py
+++ b/packages/millfork-standins/millfork_standins/soak/backpressure.py
@@ -24,8 +24,9 @@
 REACTION_TIME_S: Final = 3.0
 # The length of the windows in which requests are counted.
 WINDOW_S: Final = 4.0
-# Requests beyond a limit that are allowed for each begin and each end of an entry's fault, one for
-# each caller: this entry, and the daemons that lost their connection to it, may not know the limit.
+# Requests beyond a limit that are allowed each time that a fault of an entry begins or ends, one
+# for each caller: the entry and the daemons that lost their connection to the entry may not know
+# the limit.
 EXTRA_REQUESTS_PER_FAULT: Final = 6
 
 
@@ -58,7 +59,7 @@
 
 def plan_signals(seed: int, seconds: float, back_ends: int) -> list[PlannedSignal]:
     """
-    Return the signals of a run in the order of their times; a back end sends one at a time.
+    Return the signals of a run sorted by start time; those of one back end do not overlap.
 
     """
     random = Random(f'backpressure {seed}')
@@ -83,7 +84,7 @@
 
 def begin_signal(back_end: BackEnd, planned: PlannedSignal) -> None:
     """
-    Make the back end send a signal with all its answers.
+    Make the back end send the planned signal with all answers until `end_signal` is called.
 
     """
     if planned.kind is SignalKind.LIMIT:
@@ -120,8 +121,9 @@
     limit_periods: Iterable[LimitPeriod], entry_faults_at: list[float]
 ) -> list[str]:
     """
-    Describe each period in which the limit was exceeded. `entry_faults_at` has the times
-    (monotonic seconds) at which faults of entries began and ended.
+    Describe each period in which a back end got more requests within `WINDOW_S` than the limit
+    and the tolerances allow. `entry_faults_at` has the times (monotonic seconds) at which faults
+    of entries began and ended.
 
     """
     violations = []
--- a/packages/millfork-standins/millfork_standins/soak/callers.py
+++ b/packages/millfork-standins/millfork_standins/soak/callers.py
@@ -34,7 +34,8 @@
 @dataclass(frozen=True, slots=True)
 class Answer:
     """
-    The response to one request; status 0 if the connection broke before the response was complete.
+    The response to one request; `status` is 0 if no complete response arrived. `echoed_id` and
+    `back_end` are the request ID and the name of the back end in the response's headers.
 
     """
 
@@ -110,8 +111,8 @@
         self.stop = stop
         self.version = 1
         self.acknowledged_version = 0
-        # Descriptions of the reads that returned an older version than the last one acknowledged
-        # before the read.
+        # Descriptions of the reads that returned an older version than the last version that was
+        # acknowledged before the read.
         self.stale_reads: list[str] = []
         self.reads = 0
         self.thread = threading.Thread(target=self._run, daemon=True)
@@ -129,8 +130,8 @@
 
     def read(self) -> int | None:
         """
-        Return the version of the document that the first replica with status 200 returns, or None
-        if no replica answers with status 200.
+        Read the document from the first replica that answers with status 200, and return the
+        document's version, or None if no replica answers so.
 
         """
         for host in self.fleet.replica_hosts:
--- a/packages/millfork-standins/millfork_standins/soak/checks.py
+++ b/packages/millfork-standins/millfork_standins/soak/checks.py
@@ -11,8 +11,8 @@
 
 # Statuses which promise that the request has not run and never will.
 NOT_RUN_STATUSES: Final = frozenset({408, 421, 429, 503})
-# Statuses that no caller may get, as every document of the soak run allows all requests that its
-# callers send.
+# Statuses that no caller may get, as every document of a soak run allows all requests of the
+# callers.
 WRONG_DENIAL_STATUSES: Final = frozenset({400, 401, 403, 404})
 WHOLE_BODY: Final = b'answer'
 
--- a/packages/millfork-standins/millfork_standins/soak/fault_plan.py
+++ b/packages/millfork-standins/millfork_standins/soak/fault_plan.py
@@ -8,7 +8,8 @@
 from random import Random
 from typing import Final
 
-# The gaps between faults are shorter on average than the faults, so that faults overlap.
+# The longest time between the starts of two faults, and the longest duration of a fault. On
+# average, faults last longer than the time between their starts, so that faults overlap.
 MAX_GAP_S: Final = 1.2
 MAX_DURATION_S: Final = 4.0
 # The shortest time between two losses of a disk. The fleet tolerates the loss of one disk at a
@@ -18,8 +19,9 @@
 
 class FaultKind(Enum):
     """
-    A fault of a process, or of the link to a back end. `STOP` is a planned stop by SIGTERM,
-    `PAUSE` a stop by SIGSTOP. `SILENCE` holds back all bytes of a link, `ONE_WAY` only the answers.
+    A fault of a process, or of the link to a back end. `STOP` ends a process by SIGTERM, `PAUSE`
+    suspends it by SIGSTOP, `RELOAD` sends SIGHUP. With `FULL_DISK`, writes of a process fail.
+    `SILENCE` holds back all bytes of a link, `ONE_WAY` only the answers.
 
     """
 
@@ -44,7 +46,7 @@
 class Fault:
     """
     One fault, `at_s` after the start of the run. `target` is the host of a process or the
-    number of a link.
+    number of a link; `duration_s` is not used with `RELOAD` and `RESET`.
 
     """
 
--- a/packages/millfork-standins/millfork_standins/soak/link_proxy.py
+++ b/packages/millfork-standins/millfork_standins/soak/link_proxy.py
@@ -1,5 +1,5 @@
 """
-A TCP proxy in front of a back end that can delay, hold back and reset traffic.
+A TCP proxy in front of a back end; the proxy can delay or hold back bytes and reset connections.
 
 """
 
@@ -26,7 +26,8 @@
         self.listener = socket.create_server((host, 0))
         self.address: tuple[str, int] = self.listener.getsockname()
         self.delay_s = 0.0
-        # Whether bytes to the back end (`holds_requests`) and from the back end are held back.
+        # Whether bytes to the back end (`holds_requests`) or from the back end (`holds_answers`)
+        # are held back.
         self.holds_requests = False
         self.holds_answers = False
         self.open_sockets: set[socket.socket] = set()
--- a/packages/millfork-standins/millfork_standins/soak/run.py
+++ b/packages/millfork-standins/millfork_standins/soak/run.py
@@ -90,7 +90,7 @@
         self.links: list[LinkProxy] = []
         self.callers: list[Caller] = []
         self.operator = Operator(self.fleet, self.stop)
-        # Hosts with a fault in progress, whose processes may be stopped by the fault.
+        # Hosts with a fault in progress, whose processes may have exited because of the fault.
         self.hosts_under_fault: set[str] = set()
         self.lock = threading.Lock()
         self.violations: list[str] = []
--- a/packages/millfork-standins/millfork_standins/versions.py
+++ b/packages/millfork-standins/millfork_standins/versions.py
@@ -29,7 +29,8 @@
 
 def fetch_version(fleet: Fleet, version: str, model: str = '') -> KnownVersion:
     """
-    Read the version's current manifest from the origin and compute its id and key.
+    Read the version's current manifest from the origin and compute the id and key of the version.
+    Without `model`, the version is one of the model of the fleet's shape.
 
     """
     path = f'/models/{model or fleet.shape.model}/{version}/manifest'
--- a/tests/test_drawn_deployments.py
+++ b/tests/test_drawn_deployments.py
@@ -2,8 +2,9 @@
 Properties of routing on random deployments, run on the routing model.
 
 No caller is turned away while half of the slots are free, and no prompt length is starved.
-Under load, many entries have a share of first tokens in time that is at most `MAX_SPLIT_LOSS`
-lower than that of a single entry, which makes all choices and knows which requests are retries.
+Under load, the share of requests whose first token is in time may be lower with many entries than
+with a single entry by at most `MAX_SPLIT_LOSS`. The single entry makes all choices and knows which
+requests are retries.
 
 """
 
@@ -20,7 +21,8 @@
 MAX_SPLIT_LOSS = 0.2
 # Offered load relative to the capacity of the engines.
 LOW_LOAD_FACTOR = 0.35
-# Lower bound of the served share of the longest prompts, relative to that of all prompts.
+# Lower bound of the served share of the longest tenth of the prompts, relative to the served share
+# of all prompts.
 MIN_SERVED_SHARE = 0.25
 
 SHAPES = st.builds(
@@ -67,13 +69,13 @@
 @given(SHAPES, SEEDS, MIN_TIMEOUT_SHARES)
 def test_no_caller_is_turned_away_while_half_of_the_slots_are_free(shape, seed, min_timeout_share):
     """
-    An entry turned a caller away while two thirds of the slots were free. On some deployments,
-    either of two faults was enough. First, with a prompt too long to be read in time, the entry
-    compared only three engines, which were nearly full, although others had one or two requests.
+    An entry must check the freest engines that it knows before it turns a caller away. Two faults
+    made an entry turn a caller away while two thirds of the slots were free; on some deployments,
+    one of the faults was enough. First, for a prompt too long to be read in time, the entry
+    compared only three engines. They were nearly full, although others had one or two requests.
     Second, the entry took a first try for a retry, because two requests with similar deadlines
-    seemed to show that all callers start with the same deadline; a retry without remaining time
-    may use only the slots reserved for late requests. An entry must check the freest engines that
-    it knows before it turns a caller away.
+    seemed to show that all callers start with the same deadline. A retry without remaining time
+    may use only the slots reserved for late requests.
 
     """
     model = run_model(shape, LOW_LOAD_FACTOR, seed, DetectionMethod.AS_BUILT, min_timeout_share)
--- a/tests/test_faults_left_open.py
+++ b/tests/test_faults_left_open.py
@@ -38,9 +38,10 @@
 
 def test_a_request_that_only_ran_beside_a_crashing_one_is_tried_again_within_half_a_day():
     """
-    Three back ends end one after another, so every request that ran on all three is quarantined.
-    Such a request must be sent again within half a day, as only a complete answer can clear it.
-    Known fault: a quarantined request is never sent.
+    Three back ends end one after another, so every request that ran on all three is quarantined,
+    also one that did not cause the ends. A quarantined request must be sent again within half a
+    day, as only a complete answer can clear the request. Known fault: a quarantined request is
+    never sent.
 
     """
 
@@ -61,8 +62,9 @@
 def test_a_superseded_version_ends_in_time_if_all_replicas_lose_power(tmp_path):
     """
     The superseded version must end within `SWITCH_S - CANCEL_MARGIN_S` of the acknowledgement of
-    the new one, even if only the leader knew of the commit. Known fault: after the power loss, no
-    replica knows for how long the replicas were down, and the version ends too late.
+    the new version, even if only the leader knew that the new version was committed. Known fault:
+    after the power loss, no replica knows for how long the replicas were down, and the superseded
+    version ends too late.
 
     """
     clock = Clock()
@@ -88,8 +90,9 @@
 def test_a_late_first_heartbeat_of_an_ended_back_end_ends_no_lease(replica, clock, late, live):
     """
     Back end i-1 ended, and i-2 is live at the same address. The first heartbeat of i-1, which
-    arrives late, must not end the lease of i-2. Known fault: it does if the heartbeats carry no
-    incarnations; otherwise the later incarnation of i-2 keeps the lease.
+    arrives late, must not end the lease of i-2. Known fault: the lease of i-2 ends if the
+    heartbeats carry no incarnations; with incarnations, i-2 keeps the lease because its
+    incarnation is later.
 
     """
     replica.record_heartbeat(heartbeats.lease('i-2', 5, incarnation=live))
@@ -117,8 +120,8 @@
 
 def test_no_caller_is_turned_away_on_a_drawn_deployment():
     """
-    With 35% of the capacity of four engines in use, no caller may be turned away. Known fault: one
-    of 29 callers is.
+    At an offered load of 35% of the capacity of four engines, no caller may be turned away. Known
+    fault: one of 29 callers is turned away.
 
     """
     shape = drawn.FleetShape('drawn', 4, 6, 11, 1, (138, 0.7, 271), 13.0, 13_000, 380)
--- a/tests/utils/crashing.py
+++ b/tests/utils/crashing.py
@@ -1,6 +1,6 @@
 """
-A listed fleet (one whose instances the platform lists), on which one request crashes each engine
-that runs the request.
+A listed fleet (one whose instances the platform lists), for tests with a request that crashes each
+engine that runs the request.
 
 """
 
@@ -88,7 +88,8 @@
 
     def fingerprints_at_fault(self):
         """
-        Return the fingerprints of the requests that the first entry has logged as at fault.
+        Return the fingerprints of the requests that the first entry considers at fault: the entry
+        has logged that three back ends ended while they ran such a request.
 
         """
         return re.findall(
@@ -98,7 +99,7 @@
     def wait_for_quarantine(self, known_fingerprints):
         """
         Wait until the first entry considers a request at fault that is not among
-        `known_fingerprints`, and a leader has put that request in quarantine.
+        `known_fingerprints`, and the leader of the replicas has put that request in quarantine.
 
         """
         wait_until(lambda: len(self.fingerprints_at_fault()) > len(known_fingerprints))
--- a/tests/utils/loaded.py
+++ b/tests/utils/loaded.py
@@ -1,5 +1,5 @@
 """
-Three entries and three back ends, where each back end alone could serve most of the load.
+A fleet of three entries and three back ends; each back end alone could serve most of the load.
 
 """
 
