--- a/deploy/millforkd.py
+++ b/deploy/millforkd.py
@@ -11,10 +11,10 @@
 import sys
 from pathlib import Path
 
-# These handlers are used until the daemon installs its own, after 0.3 s. A reload signal is
-# ignored, as the settings are not read yet. A stop signal ends the process at once, as nothing is
-# in progress. The handlers must not raise: C libraries crashed when an exception interrupted their
-# import (2 of 60 stops ended with signal 11).
+# These handlers are used until the daemon installs its own, about 0.3 s after the start. A reload
+# signal is ignored, as the settings have not been read yet. A stop signal ends the process at once,
+# as nothing is in progress. The handlers must not raise: C libraries crashed when an exception
+# interrupted their import (2 of 60 stops ended with signal 11).
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 signal.signal(signal.SIGTERM, lambda number, frame: os._exit(0))
 
--- a/packages/millfork-standins/millfork_standins/bench/baselines.py
+++ b/packages/millfork-standins/millfork_standins/bench/baselines.py
@@ -1,5 +1,6 @@
 """
-Planners of simple trees, as baselines for `plan_trees`, the planner of the distribution trees.
+Planners of simple distribution trees (trees along which instances pass on the chunks of a model),
+to compare with `plan_trees`, the planner that daemons use.
 
 """
 
@@ -36,8 +37,8 @@
     digest: Digest, receivers: list[Receiver], stripes: int, origin_copies: int
 ) -> list[Tree]:
     """
-    Plan one binary tree for all chunks. It is filled level by level with the instances in the order
-    of their ranks.
+    Plan one binary tree for all chunks, whose root fetches from the origin. The instances fill the
+    tree level by level, in the order of their pseudo-random ranks.
 
     """
     names = sorted(
--- a/packages/millfork-standins/millfork_standins/bench/capacity.py
+++ b/packages/millfork-standins/millfork_standins/bench/capacity.py
@@ -2,7 +2,9 @@
 Computes the tables of `docs/CAPACITY.md` from the results of the cost experiment.
 
 `python -m millfork_standins.bench.capacity` reads `build/bench/cost.json` and prints the tables.
-The tables contain only measured costs and values computed from these costs.
+The tables contain only measured costs, and values computed from these costs and from the planned
+size of the fleet. The last line gives the CPU time of planning distribution trees, which is
+measured by this script itself.
 
 """
 
@@ -16,7 +18,7 @@
 from millfork_standins.bench.results import RESULTS_FOLDER
 from millfork_weights.trees import Receiver, plan_trees
 
-# Size and load of the fleet that is planned for in two years. Each server runs one endpoint daemon.
+# The planned size and load of the fleet in two years. Each server runs one endpoint daemon.
 ENTRIES: Final = 380
 SERVERS: Final = 2800
 ZONES: Final = 11
@@ -27,7 +29,7 @@
 DAY_S: Final = 86_400
 CONFIGURATION_KEYS: Final = 300 + 1000 + SERVERS
 
-# The budget of one daemon for control, without the cost of requests. CPU is in % of a core.
+# Budget of one daemon for control, that is for all its work except requests. CPU is in % of a core.
 CPU_BUDGET_PERCENT: Final = 1.2
 MEMORY_BUDGET_MIB: Final = 128
 CONTROL_BUDGET_BYTES_PER_S: Final = 2048
@@ -55,7 +57,7 @@
 
     def control_bytes_per_s(self, role: str, endpoints: int) -> float:
         """
-        Control traffic of one idle daemon in bytes/s: what it receives, what it sends, and the
+        The control traffic of one idle daemon in bytes/s: received messages, sent messages, and
         polls of the platform's instance list.
 
         """
@@ -184,8 +186,8 @@
 
 def _format_plan_cost() -> str:
     """
-    Compute the distribution trees of a rollout in the planned fleet. Returns a line of text with
-    the CPU time that this took.
+    Plan the distribution trees of one rollout in the planned fleet. Returns a line of text with
+    the CPU time of the planning.
 
     """
     random_source = random.Random(0)
--- a/packages/millfork-standins/millfork_standins/bench/cost.py
+++ b/packages/millfork-standins/millfork_standins/bench/cost.py
@@ -1,6 +1,6 @@
 """
-Measures the CPU, memory and traffic of daemons that are idle or apply configuration changes, by the
-size of the fleet, and the CPU and latency of requests.
+Measures the CPU, memory and control traffic of idle daemons and the cost of configuration changes,
+by the size of the fleet; the memory of stored items; and the CPU and latency of requests.
 
 The tables of `docs/CAPACITY.md` are computed from the results of this experiment.
 
@@ -42,8 +42,9 @@
 @dataclass(frozen=True, slots=True)
 class DaemonUsage:
     """
-    CPU time and control traffic (bytes by direction) of a daemon from its start to the time of the
-    reading, and its resident memory at that time.
+    The CPU time and control traffic of a daemon since its start, and its present resident memory.
+    The keys of `control_bytes` are 'in' and 'out' (messages between daemons) and 'platform' (polls
+    of the platform's instance list).
 
     """
 
@@ -72,7 +73,7 @@
 def _daemons_by_role(fleet: Fleet) -> dict[str, list[str]]:
     """
     The names of the daemons to measure, by role: the leader, the other replicas, the entries
-    without a disk, and at most 12 endpoints.
+    without a disk, and at most 12 endpoint daemons.
 
     """
     leader = _find_leader(fleet)
@@ -169,8 +170,8 @@
 
 def _wait_until_in_force(fleet: Fleet, revision: int) -> float:
     """
-    Wait until every daemon has reached the revision. Returns the monotonic time after the last
-    query, so measured delays include the time to query all daemons.
+    Wait until every daemon has applied the configuration up to this revision. Returns the monotonic
+    time after the last query, so measured delays include the time to query all daemons.
 
     """
     for instance in fleet.instances.values():
@@ -184,8 +185,9 @@
 
 def measure_memory(results: ExperimentResults) -> None:
     """
-    Measure the memory (bytes) that one key of the configuration, one claim of an idempotency key
-    and one listed instance take.
+    Measure the memory in bytes that each of these takes: a key of the configuration, a settled
+    claim of an idempotency key (with an answer of 100 bytes), and an instance on the platform's
+    list.
 
     """
 
--- a/packages/millfork-standins/millfork_standins/bench/distribution.py
+++ b/packages/millfork-standins/millfork_standins/bench/distribution.py
@@ -3,9 +3,9 @@
 copies of the model that the origin sends.
 
 The lower bound of the time is that of a pipelined transfer: the model size divided by the rate that
-transfers may use, plus the time to send one chunk for each level of a binary tree. If both
-directions share the link, the links of N instances carry 2N - C copies: the instances receive N
-copies and send N - C, as the origin sends the other C.
+transfers may use, plus the time to send one chunk for each level of a binary tree. If sent and
+received bytes share one limit, the links of N instances carry 2N - C copies, where C is the number
+of copies that the origin sends: the instances receive N copies and send the other N - C.
 
 """
 
@@ -45,8 +45,9 @@
 class Case:
     """
     One case of the experiment. `copy_s` is the time in seconds to send one copy of the model over
-    the link of an instance. `fault` is a value of `NodeSpec.trouble`. `second_version` is the
-    version that replaces the first one during its distribution, or empty.
+    the link of an instance. `fault` is a value of `NodeSpec.trouble`: one node stalls, every tenth
+    node is killed, or the zones are cut off from each other. `second_version`, if not empty,
+    replaces the first version while the first version is being distributed.
 
     """
 
@@ -219,7 +220,7 @@
 
 def list_cases(quick: bool) -> list[Case]:
     """
-    All cases of the experiment. With `quick`, two cases with fewer nodes instead.
+    All cases of the experiment, or with `quick` only two cases with 8 nodes.
 
     """
     if quick:
--- a/packages/millfork-standins/millfork_standins/bench/engine_model.py
+++ b/packages/millfork-standins/millfork_standins/bench/engine_model.py
@@ -1,9 +1,9 @@
 """
 A model of engines that batch requests, in simulated time.
 
-An engine works in passes. In each pass it reads a limited number of prompt tokens and writes
-a few answer tokens of every request whose prompt has been read. Requests without a slot wait in a
-queue.
+An engine works in passes. In each pass it reads a limited number of prompt tokens, and writes
+a few answer tokens of every request whose prompt was read in earlier passes. Requests without a
+slot wait in a queue.
 
 """
 
@@ -111,8 +111,8 @@
 
     def _read_prompts(self) -> tuple[list[Generation], float]:
         """
-        Read prompt tokens for one pass. Returns the requests whose prompts have now been read
-        completely, and the duration of the reading in ms.
+        Read prompt tokens for one pass. Returns the requests whose last prompt token is read in
+        this pass, and the duration of the reading in ms.
 
         """
         engine_spec = self.engine_spec
--- a/packages/millfork-standins/millfork_standins/bench/limit_shares.py
+++ b/packages/millfork-standins/millfork_standins/bench/limit_shares.py
@@ -2,12 +2,12 @@
 Compares strategies with which entries keep to a rate limit that one back end announces for all
 entries together.
 
-The model draws at random which entry wants to send a request at which time. The demand of the
-entries is uneven (the busiest entry has up to ten times the demand of the least busy one), and
-their total demand is a multiple of the limit. For each strategy and number of entries the
+The model draws at random which entry wants to send the next request. The demand of the entries is
+uneven (the busiest entry has up to ten times the demand of the least busy one), and their total
+demand is between half the limit and 20 times the limit. For each strategy and number of entries the
 experiment reports the highest number of requests in any 4 s as a ratio to the allowed number, the
-share of runs that exceed the allowed number, and the mean share of the limit that is used. If the
-total demand is lower than the limit, the last figure is the share of the demand.
+share of runs that exceed the allowed number, and the mean share of the limit that is used. For runs
+with a total demand below the limit, the used share of the demand counts instead.
 
 """
 
--- a/packages/millfork-standins/millfork_standins/bench/limits.py
+++ b/packages/millfork-standins/millfork_standins/bench/limits.py
@@ -83,8 +83,8 @@
 
 def measure_recovery(results: ExperimentResults, fleet: Fleet) -> None:
     """
-    Measure the latency before and after a burst of requests. Callers retry a refused request after
-    the delay in the `retry-after` header of the refusal.
+    Measure the latency before and after a burst of requests, and the attempts per request. Callers
+    retry a refused request after the delay in the `retry-after` header of the refusal.
 
     """
     steady = ArrivalStream(SMALL_ORGANISATION, CAPACITY_PER_S * 0.6, 0, 14, persistent=True)
--- a/packages/millfork-standins/millfork_standins/bench/load_generator.py
+++ b/packages/millfork-standins/millfork_standins/bench/load_generator.py
@@ -144,7 +144,7 @@
 
 def percentile(outcomes: list[Outcome], share: float) -> float:
     """
-    The duration that this share of the outcomes do not exceed, in seconds; 0 without outcomes.
+    The duration in seconds within which this share of the requests ended; 0 without outcomes.
 
     """
     times = sorted(outcome.duration_s for outcome in outcomes)
--- a/packages/millfork-standins/millfork_standins/bench/retry_detection.py
+++ b/packages/millfork-standins/millfork_standins/bench/retry_detection.py
@@ -1,12 +1,14 @@
 """
 Compares methods to distinguish first tries from retries, under sustained load.
 
-Callers begin with equal or different timeouts, depending on the case. Each method runs on the
-routing model:
-
-- the method of the entries: the learned timeouts of first tries, and a lookup among the requests
-  that were turned away in the zone;
-- the learned timeouts alone;
+A request tells an entry only how long its caller still waits (the remaining time). The remaining
+time of a first try is the whole timeout of the caller; that of a retry is shorter. The timeouts of
+callers are equal or different, depending on the case. The experiment runs the routing model with
+each of these methods:
+
+- the method of the entries: learn the timeouts of first tries, and if a request cannot be
+  classified by them, look it up among the requests that were turned away in the zone;
+- the learned timeouts alone: a request that cannot be classified counts as a first try;
 - the longest remaining time seen: a request with clearly less remaining time counts as a retry;
 - no detection: no request counts as a retry;
 - exact knowledge, which no real entry has.
@@ -33,7 +35,7 @@
 CALM_LOAD_FACTOR: Final = 0.5
 LOADED_DURATION_S: Final = 9.0
 LOAD_FACTORS: Final = (0.9, 1.2, 1.5)
-# The shortest timeout that a caller begins with, as a share of the usual timeout.
+# The shortest timeout of a caller, as a share of `USUAL_TIMEOUT_MS`: one value for each case.
 MIN_TIMEOUT_SHARES: Final = (1.0, 0.85)
 USUAL_TIMEOUT_MS: Final = 6000
 SHIFTED: Final = FleetShape('shifted', 23, 12, 39, 3, (110, 0.7, 270), 8.87, 19_100, 450)
@@ -54,7 +56,8 @@
 
 class RetryDetectionModel(RoutingModel):
     """
-    A run whose callers begin with timeouts of `min_timeout_share` to 1 times the usual one.
+    A run in which the timeout of each caller is drawn between `min_timeout_share` times
+    `USUAL_TIMEOUT_MS` and `USUAL_TIMEOUT_MS`.
 
     """
 
@@ -80,8 +83,8 @@
         # Number of requests by (is a retry, was classified as a retry).
         self.classifications: Counter[tuple[bool, bool]] = Counter()
         self.turned_away = 0
-        # For each request since the load rose that was answered or refused: its prompt tokens, and
-        # whether it was answered.
+        # For each request that was created after the load rose and was answered or refused: its
+        # number of prompt tokens, and whether it was answered.
         self.ended_requests: list[tuple[int, bool]] = []
         self.scheduler.schedule(
             CALM_DURATION_S, partial(setattr, self, 'requests_per_s', shape.capacity * factor)
--- a/packages/millfork-standins/millfork_standins/bench/routing.py
+++ b/packages/millfork-standins/millfork_standins/bench/routing.py
@@ -35,14 +35,15 @@
 from millforkd.versions import VersionTracker
 
 SERVICE: Final = ServiceName('engines')
-# Requests that arrive during this time are not counted, as the engines are still filling up.
+# Requests that arrive in these first seconds of a run are not counted, as the engines are still
+# filling up.
 WARM_UP_S: Final = 3.0
 DURATION_S: Final = 18.0
 QUICK_DURATION_S: Final = 8.0
 # One-way network delays within a zone and between zones.
 SAME_ZONE_DELAY_S: Final = 0.0015
 CROSS_ZONE_DELAY_S: Final = 0.004
-# Time from the arrival of a load query at the sidecar daemon until it has read the engine's load.
+# Time that the sidecar daemon of an engine takes to read the engine's load for a load query.
 LOAD_READ_DELAY_S: Final = 0.002
 # Lengths of prompts in tokens: mean, standard deviation of the logarithm, maximum.
 PROMPT_TOKENS: Final = (930, 0.83, 3900)
@@ -74,8 +75,8 @@
     @property
     def capacity(self) -> float:
         """
-        The requests/s of mean size that the engines can serve with all slots taken. Each request
-        needs several passes of its engine, which also read the prompts of other requests.
+        The requests/s that all engines together can serve if all slots are taken and each request
+        has the mean size. While an engine writes one answer, it also reads a prompt for each slot.
 
         """
         engine_spec = _engine_spec(self)
@@ -136,8 +137,8 @@
 @dataclass
 class Outcomes:
     """
-    The number of counted requests (those that arrive after `counted_from_s`) by outcome, and the
-    times to their first tokens in ms. The outcome 'asked' counts all of them.
+    The number of counted requests (those created after `counted_from_s`) by outcome, and the times
+    to their first tokens in ms. `counts['asked']` is the number of all counted requests.
 
     """
 
@@ -149,7 +150,8 @@
 
     def percentile_ms(self, share: float) -> float:
         """
-        The time to the first token that this share of the answered requests do not exceed, in ms.
+        The time in ms within which this share of the answered requests got their first token; 0 if
+        none was answered.
 
         """
         ordered = sorted(self.first_token_times_ms) or [0.0]
@@ -240,7 +242,7 @@
         """
         Report an engine's load to the entries of its zone, and schedule the next report. Entries
         of other zones get a report only about every `REPORT_INTERVAL_S`; `other_zones_sent_at` is
-        the time of their last one.
+        the time of the last report to them.
 
         """
         engine = self.engines[index]
--- a/packages/millfork-standins/millfork_standins/bench/turning_away.py
+++ b/packages/millfork-standins/millfork_standins/bench/turning_away.py
@@ -82,7 +82,8 @@
 class RefusingEngineModel(RoutingModel):
     """
     A run in which one engine turns away a share of its requests. The entry sends each of these
-    requests once more, to another engine.
+    requests once more, to another engine. If there is no other engine, the caller retries once
+    later.
 
     """
 
--- a/packages/millfork-standins/millfork_standins/bench/weight_node.py
+++ b/packages/millfork-standins/millfork_standins/bench/weight_node.py
@@ -138,8 +138,8 @@
     async def run(self) -> dict[str, Any]:
         """
         Fetch the versions of the plan and inject the node's fault. The result holds the name of the
-        node, the seconds from the common start until its last version was complete (None for a node
-        that was killed), and the seconds that each live answer waited.
+        node, the seconds from the common start until the plan's last version was complete on the
+        node (None for a node that was killed), and the seconds that each live answer waited.
 
         """
         listening = await curio.spawn(self.peers.listen, daemon=True)
@@ -192,9 +192,9 @@
     async def _measure_live_waits(self) -> None:
         """
         Simulate live answers (answers to callers), with a pause of 0.1 s between them, and record
-        how long each waits for the outbound link: if transfers leave a part of the link free, the
-        time to send the answer over that part; otherwise until the queued transfers are sent. Live
-        answers must not wait behind transfers.
+        how long each waits for the outbound link. If transfers may use only a part of the link, an
+        answer waits for the time in which the rest of the link sends it. Otherwise it waits until
+        the queued transfers are sent. Live answers must not wait behind transfers.
 
         """
         size = self.plan.live_bytes_per_s / 10
--- a/tests/fail_first.py
+++ b/tests/fail_first.py
@@ -1,9 +1,9 @@
 """
-Removes mechanisms one at a time, and checks that their tests then fail.
+Removes mechanisms from the code one at a time, and checks that their tests then fail.
 
-`python -m tests.fail_first [NAME ...]` runs the mutations with these names, or all, each on a
-scratch copy of the tree. It prints a line for each, and exits with status 1 if a test passed
-without its mechanism.
+A mutation holds the edits that remove one mechanism. `python -m tests.fail_first [NAME ...]` runs
+the mutations with these names, or all, each on a scratch copy of the tree. It prints a line for
+each mutation, and exits with status 1 if a test did not fail without its mechanism.
 
 """
 
@@ -28,7 +28,7 @@
     """
     Apply the edits of a mutation to a copy of the tree.
 
-    :raises ValueError: if an old text does not occur exactly once.
+    :raises ValueError: if the old text of an edit does not occur exactly once in its file.
 
     """
     for edit in mutation.edits:
@@ -49,7 +49,8 @@
 def fails_without(mutation: Mutation) -> bool:
     """
     Whether the mutation's test fails on a copy of the tree without the mechanism. If it fails, the
-    first line of the failure is printed.
+    first line of the failure is printed. A run that pytest could not carry out, such as one with an
+    import error, does not count as a failure.
 
     """
     with tempfile.TemporaryDirectory(prefix='millfork-fail-first-') as folder:
--- a/tests/mutations_seeded.py
+++ b/tests/mutations_seeded.py
@@ -1,5 +1,5 @@
 """
-Mutations of seeded fleets, whose processes start from a few replica addresses.
+Mutations of seeded fleets (in a seeded fleet, processes start from a few replica addresses).
 
 """
 
