--- a/packages/millfork-scheduling/millfork_scheduling/admission.py
+++ b/packages/millfork-scheduling/millfork_scheduling/admission.py
@@ -64,8 +64,9 @@
 
 def depends_on_first_try(start_estimate: StartEstimate) -> bool:
     """
-    Whether the request is worth sending only as its caller's first try, as the estimate assumes:
-    it would be in time, but the engine has no slots to spare for a retry, which is late.
+    Whether the decision to send the request depends on whether the request is its caller's first
+    try: as a first try, which the estimate assumes, it would be in time; as a retry it may be late,
+    and the engine has no slots to spare for late requests.
 
     """
     if overdue_ms(start_estimate) > 0:
--- a/packages/millfork-scheduling/millfork_scheduling/fleet_index.py
+++ b/packages/millfork-scheduling/millfork_scheduling/fleet_index.py
@@ -15,9 +15,9 @@
 # the daemon beside each of these engines.
 NEAR_LIMIT: Final = 32
 FAR_LIMIT: Final = 16
-# With few entries, both limits are raised to this many times the number of engines divided by the
-# number of entries. So each engine is used by about this many entries or more, or by all entries if
-# there are fewer.
+# Both limits are raised, if necessary, to ENTRIES_PER_ENGINE * engines / entries, counting the
+# engines of the service in all zones and the entries of the fleet. Each engine is then used by at
+# least about this many entries, or by all entries if the fleet has fewer.
 ENTRIES_PER_ENGINE: Final = 6
 
 
--- a/packages/millfork-scheduling/millfork_scheduling/limit_share.py
+++ b/packages/millfork-scheduling/millfork_scheduling/limit_share.py
@@ -96,8 +96,8 @@
 
     def _saves_permits(self, entries: int) -> bool:
         """
-        Whether entries save unused permits: only if a back end tolerates the requests that all of
-        them could then send in one window.
+        Whether entries save unused permits. They do so only if the back end tolerates the most
+        requests from all entries together that could arrive in one window with saved permits.
 
         """
         rate = self.limit_per_s / max(entries, 1)
--- a/packages/millfork-scheduling/millfork_scheduling/server.py
+++ b/packages/millfork-scheduling/millfork_scheduling/server.py
@@ -247,7 +247,8 @@
 
     def record_service_time(self, seconds: float) -> None:
         """
-        Add the time of one of this entry's requests at the back end to the mean, `service_s`.
+        Update `service_s`, an exponential moving average, with the seconds that one request of this
+        entry took at the back end. The first request sets the average.
 
         """
         if self.service_s is None:
--- a/packages/millfork-state/millfork_state/election.py
+++ b/packages/millfork-state/millfork_state/election.py
@@ -23,9 +23,11 @@
 
 async def wait_for_election_timeout(replica: Replica) -> None:
     """
-    Return once a randomised election timeout has passed since the last contact with a leader and
-    since `campaign_delay_from`. Replicas that aren't voters, or whose disk failed recently, keep
-    waiting.
+    Return once a randomised election timeout has passed since `leader_contact_at` (the latest of
+    this replica's start, its last contact with a leader and its last vote) and since
+    `campaign_delay_from`. The latter is set to half of `election_s` ago when this replica gets no
+    majority of pre-votes, so that it waits before it requests them again. Replicas that aren't
+    voters, or whose disk failed recently, keep waiting.
 
     """
     spread_factor = 1 + replica.env.random.random() * ELECTION_SPREAD_FRACTION
--- a/packages/millfork-state/millfork_state/subscription.py
+++ b/packages/millfork-state/millfork_state/subscription.py
@@ -25,8 +25,8 @@
 # A process sends its subscribers an update at least this often, even if nothing changed.
 HEARTBEAT_S: Final = 2.0
 # A process leaves its upstream (the peer that sends it updates) if no update has arrived for this
-# time: one heartbeat interval plus a second for delays. When the timeout was 5 s, checked every
-# 2 s, and the link to the upstream stalled, a process applied a change 6.5 s after the change was
+# time: one heartbeat interval plus a second for delays. A longer timeout delays changes if the link
+# to the upstream stalls: with 5 s, checked every 2 s, a change was applied 6.5 s after it was
 # accepted (tests/test_upstreams.py).
 SILENCE_TIMEOUT_S: Final = 3.0
 # The interval at which a process checks whether its upstream is silent or stale. A silent upstream
--- a/packages/millforkd/millforkd/entry/suspicion_gossip.py
+++ b/packages/millforkd/millforkd/entry/suspicion_gossip.py
@@ -67,8 +67,8 @@
         self.peers = peers
         self.roster = roster
         self.suspicion_store = suspicion_store
-        # Whether each entry that was asked for suspicions at the start answered, could not be
-        # reached or timed out.
+        # Set once the query to other entries at the start is over: each entry asked has answered,
+        # was unreachable or timed out.
         self.has_asked_others = False
         # By receiving entry: fingerprints of the suspicions that it has not accepted yet.
         self.undelivered: dict[InstanceId, set[Fingerprint]] = {}
--- a/packages/millforkd/millforkd/sidecar/layer_assignment.py
+++ b/packages/millforkd/millforkd/sidecar/layer_assignment.py
@@ -78,8 +78,9 @@
     served: Iterable[ServedVersion], weights: WeightsId, layers: int
 ) -> Layers | None:
     """
-    The layers of a version included in `served`, the versions that an engine serves; None if
-    the engine serves no layer of the version.
+    Return the layers of the version `weights` that an engine serves, or None if the engine serves
+    none of them. `served` lists the versions that the engine serves, with their layers; `layers` is
+    the number of layers of the model.
 
     """
     for item in served:
--- a/tests/test_engines_without_daemon_reports.py
+++ b/tests/test_engines_without_daemon_reports.py
@@ -69,9 +69,9 @@
 
 def test_an_entry_without_any_daemon_report_sends_no_late_request():
     """
-    The daemon fell silent before the entry started, so the entry never received a report. The
-    entry sent a request 0.77 s before the end of the version; over a slow link this request
-    could have begun after the end.
+    An entry that starts after the daemon fell silent never receives a report, and must still stop
+    sending early enough. Guards against a fault in which such an entry sent a request 0.77 s before
+    the end of the version; over a slow link the request could have begun after the end.
 
     """
     clock = Clock()
